--- /dev/null
+++ b/crates/accord/tests/golden_forms.rs
@@ -0,0 +1,93 @@
+//! Recorded bytes of what members say to each other about policies, and of what is on disk: another version of the program
+//! has to read them. `RECORD=1 cargo test --test golden_forms` records them anew.
+
+use frosthatch_accord::document::{hex, sha256};
+use frosthatch_accord::keeper::{Answer, Ask, Durable, Grant};
+use frosthatch_accord::letter::Letter;
+use frosthatch_accord::record::{file_name, Record};
+use frosthatch_accord::{Ballot, Policy};
+use std::fmt::Write;
+
+fn compare_with_recorded(file: &str, now: &str) {
+    let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file);
+    if std::env::var_os("RECORD").is_some() {
+        return std::fs::write(path, now).expect("written");
+    }
+    assert_eq!(std::fs::read_to_string(path).expect("a recorded file"), now, "recorded on the left");
+}
+
+const BALLOT: Ballot = Ballot { number: 300, proposer: 7 };
+
+fn policy() -> Policy {
+    Policy { version: 3, digest: sha256("text"), parent: [4; 32] }
+}
+
+fn letters() -> Vec<Letter> {
+    let asks = [
+        Ask::Prepare(BALLOT),
+        Ask::Join(BALLOT, 2),
+        Ask::Accept(BALLOT, policy(), vec![(0, 0), (1, 900)]),
+        Ask::Lease,
+    ];
+    let grant = Grant {
+        before: Some((policy().id(), BALLOT, 250_000)),
+        now: Some((policy(), BALLOT, 250_000, 500_000)),
+    };
+    let answers = [
+        Answer::Promised(BALLOT, None),
+        Answer::Promised(BALLOT, Some((BALLOT, policy()))),
+        Answer::Accepted(BALLOT),
+        Answer::Outrun(BALLOT),
+        Answer::Busy(123_456),
+        Answer::Lease(Grant::default()),
+        Answer::Lease(grant),
+    ];
+    let mut all: Vec<Letter> =
+        asks.into_iter().map(|ask| Letter::Ask { number: 1_000, seen: (5, 6), ask }).collect();
+    all.extend(answers.into_iter().map(|answer| Letter::Answer {
+        number: 1_000,
+        state: 53,
+        lives: (8, vec![(1, 9), (2, 300)]),
+        answer,
+    }));
+    all.extend([
+        Letter::Check { number: 4, policy: policy() },
+        Letter::checked(4, Ok(())),
+        Letter::checked(4, Err("there is no plan \"x\" here".into())),
+        Letter::Want { digest: sha256("text"), at: vec![0, 800] },
+        Letter::Part { digest: sha256("text"), at: 0, of: 4, bytes: b"text".to_vec() },
+    ]);
+    all
+}
+
+#[test]
+fn the_bytes_of_messages_are_those_that_were_recorded() {
+    let mut text = String::new();
+    for letter in letters() {
+        writeln!(text, "{} {}", letter.name(), hex(&letter.write())).expect("to memory");
+        assert_eq!(Letter::read(&letter.write()), Some(letter));
+    }
+    compare_with_recorded("messages.txt", &text);
+}
+
+fn records() -> [Record; 3] {
+    let durable = Durable {
+        promised: Ballot { number: 301, proposer: 9 },
+        accepted: Some((BALLOT, policy())),
+        life: 12,
+        lives: [(0, 1), (2, 900)].into(),
+        joining: false,
+    };
+    let whole = Record { keeper: "n1".into(), state: 8, durable, text: "text".into() };
+    [Record::first("n1"), Record::joining("n1"), whole]
+}
+
+#[test]
+fn the_bytes_on_disk_are_those_that_were_recorded() {
+    let mut text = String::new();
+    for record in records() {
+        writeln!(text, "{} {}", file_name(record.state), hex(&record.write())).expect("to memory");
+        assert_eq!(Record::read(&record.write()), Ok(record));
+    }
+    compare_with_recorded("records.txt", &text);
+}
--- /dev/null
+++ b/crates/frosthatch/tests/golden_forms.rs
@@ -0,0 +1,343 @@
+//! Recorded forms of what operators and the platform see: every key of both files with the mistakes that are told, the policy's
+//! schema, metric names, answers of the admin API, lines of the audit. `RECORD=1 cargo test --test golden_forms` records them anew.
+
+mod common;
+use common::*;
+
+use frosthatch_lab::rig::agreed::{self, document, Agreed};
+use frosthatch_lab::rig::stage::call;
+use frosthatch_lab::rig::{fleet_file, Act, Process, Relay, Stage};
+use frosthatch_lab::site::Node;
+use serde_json::Value;
+use std::collections::BTreeSet;
+use std::fmt::Write;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::time::{Duration, Instant};
+use tokio::runtime::Runtime;
+
+fn compare_with_recorded(file: &str, now: &str) {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file);
+    if std::env::var_os("RECORD").is_some() {
+        return std::fs::write(path, now).expect("written");
+    }
+    assert_eq!(std::fs::read_to_string(path).expect("a recorded file"), now, "recorded on the left");
+}
+
+/// What `check` prints, with the names of the files left out.
+fn check(config: &str, operator: Option<&str>) -> String {
+    let config = config_file(config);
+    let operator = operator.map(config_file);
+    let mut command = command(&config);
+    command.arg("check");
+    if let Some(file) = &operator {
+        command.arg("--operator").arg(file);
+    }
+    let out = command.output().expect("it runs");
+    let mut text = String::from_utf8_lossy(&out.stdout).into_owned();
+    for (file, name) in [(Some(&config), "CONFIG"), (operator.as_ref(), "OPERATOR")] {
+        if let Some(file) = file {
+            text = text.replace(&file.display().to_string(), name);
+            let _ = std::fs::remove_file(file);
+        }
+    }
+    text
+}
+
+fn fine() -> String {
+    config_text("127.0.0.1:1".parse().expect("an address"), None, 2, "")
+}
+
+/// Every key of the operator's file, by table.
+const OPERATOR_KEYS: &[(&str, &[&str])] = &[
+    ("membership", &["source"]),
+    (
+        "dns-sd",
+        &[
+            "services",
+            "resolvers",
+            "poll_least_ms",
+            "poll_most_ms",
+            "timeout_ms",
+            "queries_per_s",
+            "confirm_ms",
+            "loss_share",
+            "loss_hold_ms",
+            "linger_ms",
+            "cached_answers",
+            "most_instances",
+        ],
+    ),
+    ("dns-sd.push", &["servers", "trust_anchor", "server_name", "check_ms", "keepalive_ms"]),
+    (
+        "diameter",
+        &[
+            "listen",
+            "identity",
+            "realm",
+            "check_class",
+            "charge_class",
+            "default_plan",
+            "plans",
+            "tw_ms",
+            "tx_ms",
+            "session_ms",
+            "repeats_ms",
+            "most_sessions",
+            "most_repeats",
+            "most_clients",
+            "most_pending",
+        ],
+    ),
+    ("diameter.tls", &["certificate", "key", "trust_anchor", "server_name"]),
+    (
+        "fleet",
+        &[
+            "listen",
+            "advertise",
+            "seeds",
+            "name",
+            "zone",
+            "region",
+            "key_file",
+            "tick_ms",
+            "probe_ms",
+            "forget_ms",
+            "bytes_per_s",
+            "messages_per_s",
+            "most_entries",
+            "most_members",
+            "choices",
+        ],
+    ),
+    (
+        "peers",
+        &[
+            "gateways",
+            "key_file",
+            "tick_ms",
+            "probe_ms",
+            "forget_ms",
+            "bytes_per_s",
+            "messages_per_s",
+            "most_entries",
+            "most_members",
+            "choices",
+        ],
+    ),
+    (
+        "plugins.night",
+        &[
+            "file",
+            "order",
+            "policy",
+            "plans",
+            "classes",
+            "customers",
+            "headers",
+            "config",
+            "waiting",
+            "fuel_per_call",
+            "fuel_per_s",
+            "memory_kb",
+            "store_kb",
+            "wait_ms",
+            "body_bytes",
+        ],
+    ),
+    ("upgrade", &["socket"]),
+    (
+        "policy",
+        &[
+            "keepers",
+            "folder",
+            "lease_ms",
+            "drift",
+            "grace_ms",
+            "on_lost",
+            "patience_ms",
+            "audit",
+            "skew",
+            "dies_at",
+            "dies_after",
+        ],
+    ),
+];
+
+#[test]
+fn every_key_of_the_operators_file_is_known_and_its_mistakes_are_told_as_recorded() {
+    let mut text = String::new();
+    for (table, keys) in OPERATOR_KEYS {
+        // A date is right nowhere. A crash point has to be a text, or the number behind it is not asked for.
+        let value = |key: &str| if key == "dies_at" { "\"store\"" } else { "1979-05-27" };
+        let lines: String = keys.iter().map(|key| format!("{key} = {}\n", value(key))).collect();
+        let operator = format!("[{table}]\n{lines}no_such_key = 1\n");
+        writeln!(text, "[{table}]\n{}", check(&fine(), Some(&operator))).expect("to memory");
+        let empty = check(&fine(), Some(&format!("[{table}]\n")));
+        writeln!(text, "[{table}] empty\n{empty}").expect("to memory");
+    }
+    let unknown = check(&fine(), Some("[no_such_table]\n"));
+    writeln!(text, "{unknown}").expect("to memory");
+    compare_with_recorded("operator_file.txt", &text);
+}
+
+/// Every key of the platform's settings, with a value of a wrong type.
+const WRONG_SETTINGS: &str = r#"{"balancers":"x","discovery":5,
+    "familyInfo":{"countWaitUs":"x","mailPerS":"x","sharedCounter":"x","unitsTop":"x","usePeriodUs":"x"},
+    "limits":{"cancel":"x","connectTimeoutUs":"x","keepaliveUs":"x","maxAttempts":"x","maxRetryAfterUs":"x",
+        "parallelTries":"x","peerMessages":"x","retryAfter":"x"},
+    "me":"x","penalties":{"crossZone":"x"},
+    "rules":{"coldFrom":"x","coldUs":"x","tipAfterUs":"x","tipMultiple":"x"},
+    "services":[{"aimUs":"x","deadlineUs":"x","dedupScope":5,"effect":5,"lateWorth":"x","name":5,"windowUs":"x","worth":"x"}],
+    "tariffs":[{"burst":"x","capDepth":"x","ceilingRate":"x","excessWorth":"x","maxOut":"x","name":5,"overrunCost":"x",
+        "pays":"x","unitsPerS":"x"}],
+    "zone":5,"noSuchKey":5}"#;
+
+#[test]
+fn every_key_of_the_configuration_is_known_and_its_mistakes_are_told_as_recorded() {
+    let mut text = String::new();
+    let (start, _) =
+        fine().split_once("\"settings\":").map(|(s, e)| (s.to_string(), e.to_string())).expect("both");
+    writeln!(text, "settings\n{}", check(&format!("{start}\"settings\":{WRONG_SETTINGS}}}"), None))
+        .expect("to memory");
+    writeln!(text, "empty\n{}", check("{}", None)).expect("to memory");
+    let wrong = r#"{"name":5,"listen":5,"discovery":5,"counter":5,"console":5,"seed":5,"limits":{"cores":"x","memory_mb":"x",
+        "sockets":"x"},"known":{"rev":"x","all":"x","targets":5},"settings":5,"noSuchKey":5}"#;
+    writeln!(text, "wrong\n{}", check(wrong, None)).expect("to memory");
+    writeln!(text, "no JSON\n{}", check("{", None)).expect("to memory");
+    compare_with_recorded("configuration.txt", &text);
+}
+
+/// Descriptions are for people and may be worded anew.
+fn without_descriptions(value: &Value) -> Value {
+    match value {
+        Value::Object(all) => {
+            let kept = all.iter().filter(|(k, v)| *k != "description" || !v.is_string());
+            kept.map(|(k, v)| (k.clone(), without_descriptions(v))).collect()
+        }
+        Value::Array(all) => all.iter().map(without_descriptions).collect(),
+        other => other.clone(),
+    }
+}
+
+#[test]
+fn the_schema_of_a_policy_is_as_recorded() {
+    let config = config_file(&fine());
+    let out = command(&config).args(["policy", "schema"]).output().expect("it runs");
+    let _ = std::fs::remove_file(config);
+    let schema: Value = serde_json::from_slice(&out.stdout).expect("a schema");
+    let text = serde_json::to_string_pretty(&without_descriptions(&schema)).expect("a text");
+    compare_with_recorded("policy_schema.json", &text);
+}
+
+/// Paths and types of everything in an answer; the values differ from run to run, and some are not known in each.
+fn shape(value: &Value, path: &str, into: &mut BTreeSet<String>) {
+    match value {
+        Value::Object(all) => all.iter().for_each(|(k, v)| shape(v, &format!("{path}.{k}"), into)),
+        Value::Array(all) => all.iter().for_each(|v| shape(v, &format!("{path}[]"), into)),
+        Value::Null => {}
+        Value::Bool(_) => drop(into.insert(format!("{path} boolean"))),
+        Value::Number(_) => drop(into.insert(format!("{path} number"))),
+        Value::String(_) => drop(into.insert(format!("{path} string"))),
+    }
+}
+
+fn answer(console: SocketAddr, method: &str, path: &str, body: &str) -> (u16, String) {
+    call(console, method, path, body).expect("an answer of the console")
+}
+
+fn until(what: &str, holds: impl Fn() -> bool) {
+    let since = Instant::now();
+    while !holds() {
+        assert!(since.elapsed() < LONG, "{what}");
+        std::thread::sleep(Duration::from_millis(20));
+    }
+}
+
+#[test]
+fn metrics_and_answers_of_the_admin_api_are_as_recorded_and_so_is_the_audit() {
+    let runtime = Runtime::new().expect("a runtime");
+    let server = Server::new(|_| ok("done"));
+    let agent = Discovery::new(&target("s0", server.address, 1, "Ready"));
+    let relay = Relay::new(runtime.handle(), 3, 5);
+    let key = config_file(&format!("1 {}\n", "k".repeat(40)));
+    let agreed = Agreed::new("golden", 3, 500);
+    let process = |n: usize| {
+        let discovery = agent.address;
+        let node = Node { gateways: 3, me: n, discovery, counter: None, sockets: 256, memory_mb: 32 };
+        Process::new(node, Some(fleet_file(&relay, n, &key, &agreed.table(n, ""))))
+    };
+    let processes = (0..3).map(process).collect();
+    let mut stage = Stage::new(processes, relay);
+    stage.start_all();
+    stage.wait_found();
+    let console = stage.processes[0].console().expect("a console");
+    until("the files' own policy is in force", || agreed::holds(&stage.processes[0]) == Some(0));
+
+    let mut text = String::new();
+    let mut plain = |method: &str, path: &str| {
+        let (status, body) = answer(console, method, path, "");
+        writeln!(text, "{method} {path}: {status} {body:?}").expect("to memory");
+    };
+    for path in ["/ready", "/nowhere", "/policy/document", "/servers/disable"] {
+        plain("GET", path);
+    }
+    for path in [
+        "/ready",
+        "/servers/disable",
+        "/servers/disable?id=s0",
+        "/servers/enable?id=s0",
+        "/servers/enable?id=nobody",
+        "/policy/abort",
+        "/policy/abort?number=7",
+        "/drain",
+        "/undrain",
+    ] {
+        plain("POST", path);
+    }
+    let number = agreed::propose(console, &document(1, "", 100.0)).expect("an answer").expect("a proposal");
+    until("it is in force", || {
+        agreed::end(console, number).is_some_and(|(s, _)| s == "in force")
+            && stage.processes.iter().all(|p| agreed::holds(p) == Some(1))
+    });
+    for n in 0..3 {
+        let ask = Ask::check().with("X-Tier", "mellem").text();
+        assert_eq!(stage.processes[n].client().ask(&ask).map(|m| m.status()), Some(200));
+    }
+    let (status, metrics) = answer(console, "GET", "/metrics", "");
+    writeln!(text, "GET /metrics: {status}").expect("to memory");
+    for line in metrics.lines() {
+        let (name, value) = line.split_once(':').expect("a name and a value");
+        let (value, kind) = value.split_once('|').expect("a value and a kind");
+        assert!(value.parse::<u64>().is_ok(), "{line}");
+        writeln!(text, "  {name} {kind}").expect("to memory");
+    }
+    for path in ["/fleet", "/policy"] {
+        let (status, body) = answer(console, "GET", path, "");
+        let mut paths = BTreeSet::new();
+        shape(&serde_json::from_str(&body).expect("JSON"), "", &mut paths);
+        writeln!(text, "GET {path}: {status}").expect("to memory");
+        paths.iter().for_each(|p| writeln!(text, "  {p}").expect("to memory"));
+    }
+    let (status, body) = answer(console, "POST", "/fleet/leave", "");
+    writeln!(text, "POST /fleet/leave: {status} {body:?}").expect("to memory");
+    compare_with_recorded("admin_api.txt", &text);
+
+    stage.act(&Act::Kill { who: vec![0, 1, 2] });
+    let folder = agreed.folder_of(0);
+    let audit =
+        std::fs::read_to_string(folder.parent().expect("one above").join("audit-0")).expect("an audit");
+    let line = audit.lines().last().expect("a line").to_string();
+    let words: Vec<&str> = line.split(' ').collect();
+    assert!(words.len() == 4 && words[0].parse::<u64>().is_ok() && words[3].parse::<u64>().is_ok(), "{line}");
+    assert_eq!((words[1], words[2]), ("1", &agreed::digest(&document(1, "", 100.0))[..12]), "{line}");
+    assert_eq!(agreed.let_in(3).len(), audit_lines(&agreed));
+    let _ = std::fs::remove_file(key);
+}
+
+/// All lines that three processes wrote.
+fn audit_lines(agreed: &Agreed) -> usize {
+    let folder = agreed.folder_of(0);
+    let of = |n: usize| folder.parent().expect("one above").join(format!("audit-{n}"));
+    (0..3).map(|n| std::fs::read_to_string(of(n)).map_or(0, |text| text.lines().count())).sum()
+}
--- a/crates/http1/src/conn.rs
+++ b/crates/http1/src/conn.rs
@@ -329,3 +329,6 @@
     };
     text.strip_prefix("TEXT ").map_or_else(Vec::new, |t| t.split(',').filter_map(one).collect())
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/turndeck/src/gossip.rs
+++ b/crates/turndeck/src/gossip.rs
@@ -86,3 +86,6 @@
         _ => None,
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/turndeck/tests/replay.rs
+++ b/crates/turndeck/tests/replay.rs
@@ -264,7 +264,7 @@
     }
 
     fn take(&mut self, g: usize, action: Action) {
-        let (now, mut told) = (self.now, format!("{action:?}"));
+        let (now, recorded) = (self.now, recorded_form(&action));
         let kind = match action {
             Action::Send { request, server, timeout_us, begin_within_us: _ } => {
                 let n = self.attempts.entry((g, request)).or_default();
@@ -299,15 +299,8 @@
                 0
             }
             Action::Cancel { .. } => 1,
-            // Reasons are for logs.
-            Action::Refuse { request, retry_after_us, reason: _ } => {
-                told = format!("Refuse {{ request: {request:?}, retry_after_us: {retry_after_us} }}");
-                2
-            }
-            Action::Fail { request, reason: _ } => {
-                told = format!("Fail {{ request: {request:?} }}");
-                3
-            }
+            Action::Refuse { .. } => 2,
+            Action::Fail { .. } => 3,
             Action::SetTimer { after_us, timer } => {
                 self.later(after_us, g, Event::Timer(timer));
                 7
@@ -319,8 +312,6 @@
                 4
             }
             Action::Count { name, amount, ttl_us } => {
-                // Of no weight here: the last digits of what a logarithm or a power gives on another machine.
-                told = format!("Count {name} {amount:.6} {ttl_us}");
                 self.count(g, name, amount);
                 5
             }
@@ -336,7 +327,7 @@
             Action::Subscribe | Action::Log(_) => 7,
         };
         self.seen[kind] += 1;
-        self.note(&format!("{now} {g} {told}"));
+        self.note(&format!("{now} {g} {recorded}"));
     }
 
     /// Where there is trouble the servers are slow for four seconds.
@@ -369,6 +360,40 @@
     }
 }
 
+/// An action in the words of the record, which do not change with the names of the code.
+fn recorded_form(action: &Action) -> String {
+    let of = |id: &RequestId| format!("RequestId({})", id.0);
+    match action {
+        Action::Send { request, server, timeout_us, begin_within_us } => format!(
+            "Send {{ request: {}, server: ServerId({:?}), timeout_us: {timeout_us}, begin_within_us: {begin_within_us} }}",
+            of(request),
+            server.0
+        ),
+        Action::Cancel { request, attempt } => {
+            format!("Cancel {{ request: {}, attempt: {attempt} }}", of(request))
+        }
+        // Reasons are for logs.
+        Action::Refuse { request, retry_after_us, reason: _ } => {
+            format!("Refuse {{ request: {}, retry_after_us: {retry_after_us} }}", of(request))
+        }
+        Action::Fail { request, reason: _ } => format!("Fail {{ request: {} }}", of(request)),
+        Action::SetTimer { after_us, timer } => {
+            let timer = match timer {
+                Timer::Interval => "Interval".to_string(),
+                Timer::Request(id) => format!("Request({})", of(id)),
+                Timer::Customer(tag) => format!("Customer({tag})"),
+            };
+            format!("SetTimer {{ after_us: {after_us}, timer: {timer} }}")
+        }
+        Action::Tell { to, bytes } => format!("Tell {{ to: {to}, bytes: {bytes:?} }}"),
+        // Of no weight here: the last digits of what a logarithm or a power gives on another machine.
+        Action::Count { name, amount, ttl_us } => format!("Count {name} {amount:.6} {ttl_us}"),
+        Action::Used { tag, units } => format!("Used {{ tag: {tag}, units: {units:?} }}"),
+        Action::Subscribe => "Subscribe".to_string(),
+        Action::Log(line) => format!("Log({line:?})"),
+    }
+}
+
 fn play_all() -> String {
     let mut text =
         String::from("# gateways world: sends cancels refusals failures tells counts uses timers digest\n");
