--- a/crates/accord/src/document.rs
+++ b/crates/accord/src/document.rs
@@ -109,7 +109,11 @@
     pub fn read(file: &str, text: &str) -> Result<Document, Vec<Mistake>> {
         let mut r = Reader::new(file, text);
         if text.len() > MOST_BYTES {
-            r.wrong(0..0, format!("it has {} bytes", text.len()), format!("write {MOST_BYTES} at most"));
+            r.wrong(
+                0..0,
+                format!("it has {} bytes", text.len()),
+                format!("write {MOST_BYTES} at most"),
+            );
             return Err(r.mistakes);
         }
         let (table, errors) = DeTable::parse_recoverable(text);
@@ -118,32 +122,48 @@
         }
         let mut root = Section::new("", table.get_ref(), table.span());
         let a_version = "write a whole number, one above the policy before; the first is 1";
-        let version =
-            root.must(&mut r, "version", a_version, |v| whole(v).filter(|n| *n > 0).map(i64::unsigned_abs));
+        let version = root.must(&mut r, "version", a_version, |v| {
+            whole(v).filter(|n| *n > 0).map(i64::unsigned_abs)
+        });
         const A_DIGEST: &str =
             "write the SHA-256 of the document before, 64 digits, as `policy status` tells it";
         let parent = root.read(&mut r, "parent", A_DIGEST, |v| unhex(v.as_str()?));
         match version {
             Some(1) if parent.is_some_and(|p| p != [0; 32]) => {
-                r.wrong(root.span_of("parent"), "the first policy has no parent", "leave it out");
+                r.wrong(
+                    root.span_of("parent"),
+                    "the first policy has no parent",
+                    "leave it out",
+                );
+            }
+            Some(2..) if parent.is_none() => {
+                r.wrong(root.span_of("version"), "parent is missing", A_DIGEST)
             }
-            Some(2..) if parent.is_none() => r.wrong(root.span_of("version"), "parent is missing", A_DIGEST),
             _ => {}
         }
         let plans = named(&mut r, &mut root, "plans", true, plan);
         let classes = named(&mut r, &mut root, "classes", true, class);
         let plugins = named(&mut r, &mut root, "plugins", false, plugin);
-        let retries = root.table(&mut r, "retries").map_or(Retries::default(), |mut s| {
-            let share = amount(&mut r, &mut s, "share", 1.0);
-            let most = amount(&mut r, &mut s, "most", 1e6);
-            s.finish(&mut r);
-            Retries { share, most }
-        });
+        let retries = root
+            .table(&mut r, "retries")
+            .map_or(Retries::default(), |mut s| {
+                let share = amount(&mut r, &mut s, "share", 1.0);
+                let most = amount(&mut r, &mut s, "most", 1e6);
+                s.finish(&mut r);
+                Retries { share, most }
+            });
         root.finish(&mut r);
         match (version, r.mistakes.is_empty()) {
             (Some(version), true) => {
                 let parent = hex(&parent.unwrap_or_default());
-                Ok(Document { version, parent, plans, classes, retries, plugins })
+                Ok(Document {
+                    version,
+                    parent,
+                    plans,
+                    classes,
+                    retries,
+                    plugins,
+                })
             }
             _ => Err(r.mistakes),
         }
@@ -152,7 +172,11 @@
     /// As agreement sees this text.
     pub fn policy(&self, text: &str) -> Policy {
         let parent = unhex(&self.parent).unwrap_or_default();
-        Policy { version: self.version, digest: sha256(text), parent }
+        Policy {
+            version: self.version,
+            digest: sha256(text),
+            parent,
+        }
     }
 
     /// The published form (JSON Schema).
@@ -183,7 +207,11 @@
     let mut all = BTreeMap::new();
     for (name, mut section) in root.tables(r, key, &right) {
         if all.len() >= MOST_NAMES {
-            r.wrong(name.span(), format!("{key} names more than {MOST_NAMES}"), "name fewer");
+            r.wrong(
+                name.span(),
+                format!("{key} names more than {MOST_NAMES}"),
+                "name fewer",
+            );
             break;
         }
         let one = read(r, &mut section);
@@ -195,7 +223,9 @@
 
 /// A number from 0 to `most`.
 fn amount(r: &mut Reader, s: &mut Section, key: &'static str, most: f64) -> Option<f64> {
-    s.read(r, key, from_0_to(most), |v| real(v).filter(|n| (0.0..=most).contains(n)))
+    s.read(r, key, from_0_to(most), |v| {
+        real(v).filter(|n| (0.0..=most).contains(n))
+    })
 }
 
 /// The same where it must be there.
@@ -222,34 +252,58 @@
     let ceiling_depth = amount(r, s, "ceiling_depth", MOST_UNITS);
     if s.has("ceiling_rate") != s.has("ceiling_depth") {
         let what = format!("{} has half of a ceiling", s.name(""));
-        r.wrong(s.span.clone(), what, "write ceiling_rate and ceiling_depth, or neither");
+        r.wrong(
+            s.span.clone(),
+            what,
+            "write ceiling_rate and ceiling_depth, or neither",
+        );
     }
-    let pairs =
-        [("ceiling_rate", ceiling_rate, "rate", rate), ("ceiling_depth", ceiling_depth, "burst", burst)];
+    let pairs = [
+        ("ceiling_rate", ceiling_rate, "rate", rate),
+        ("ceiling_depth", ceiling_depth, "burst", burst),
+    ];
     for (ceiling, most, of, quota) in pairs {
         if most.zip(quota).is_some_and(|(most, quota)| most < quota) {
             let what = format!("{} is below {of}", s.name(ceiling));
-            r.wrong(s.span_of(ceiling), what, "a ceiling is no lower than its quota");
+            r.wrong(
+                s.span_of(ceiling),
+                what,
+                "a ceiling is no lower than its quota",
+            );
         }
     }
     let burst = burst.unwrap_or(0.0);
-    Some(Plan { rate: rate?, burst, max_open, ceiling_rate, ceiling_depth })
+    Some(Plan {
+        rate: rate?,
+        burst,
+        max_open,
+        ceiling_rate,
+        ceiling_depth,
+    })
 }
 
 fn class(r: &mut Reader, s: &mut Section) -> Option<Class> {
     let right = "write milliseconds, from 1 to 3600000";
     let aim_ms = s.must(r, "aim_ms", right, |v| {
-        whole(v).filter(|n| (1..=3_600_000).contains(n)).map(i64::unsigned_abs)
+        whole(v)
+            .filter(|n| (1..=3_600_000).contains(n))
+            .map(i64::unsigned_abs)
     });
     let worth = must(r, s, "worth", 1e9);
     let late_worth = must(r, s, "late_worth", 1.0);
-    Some(Class { aim_ms: aim_ms?, worth: worth?, late_worth: late_worth? })
+    Some(Class {
+        aim_ms: aim_ms?,
+        worth: worth?,
+        late_worth: late_worth?,
+    })
 }
 
 fn plugin(r: &mut Reader, s: &mut Section) -> Option<Plugin> {
     let right = "write the SHA-256 of its file, 64 digits";
     let sha256 = s.must(r, "sha256", right, |v| unhex(v.as_str()?))?;
-    Some(Plugin { sha256: hex(&sha256) })
+    Some(Plugin {
+        sha256: hex(&sha256),
+    })
 }
 
 #[cfg(test)]
@@ -260,20 +314,36 @@
                         [plans.antal]\nrate = 0\nburst = 1_0.5\nmax_open = 4\n[classes.topup]\naim_ms = 300\nworth = 2\nlate_worth = 0.5\n";
 
     fn said(text: &str) -> Vec<String> {
-        Document::read("p.toml", text).err().unwrap_or_default().iter().map(Mistake::to_string).collect()
+        Document::read("p.toml", text)
+            .err()
+            .unwrap_or_default()
+            .iter()
+            .map(Mistake::to_string)
+            .collect()
     }
 
     #[test]
     fn a_document_in_order_says_what_it_says() {
         let d = Document::read("p.toml", FINE).expect("in order");
         assert_eq!(d.plans["stor"].ceiling_rate, Some(85.0));
-        assert_eq!((d.plans["stor"].burst, d.plans["antal"].max_open), (60.5, 4));
+        assert_eq!(
+            (d.plans["stor"].burst, d.plans["antal"].max_open),
+            (60.5, 4)
+        );
         assert_eq!(d.plans["antal"].burst, 10.5, "digits may be set apart");
-        assert_eq!((d.classes["topup"].aim_ms, d.retries), (300, Retries::default()));
+        assert_eq!(
+            (d.classes["topup"].aim_ms, d.retries),
+            (300, Retries::default())
+        );
         let first = d.policy(FINE);
         assert!(first.follows(Some(&Policy::default())) && first.digest == sha256(FINE));
-        let next = FINE.replace("version = 1", &format!("version = 2\nparent = \"{}\"", hex(&first.digest)));
-        let second = Document::read("p.toml", &next).expect("in order").policy(&next);
+        let next = FINE.replace(
+            "version = 1",
+            &format!("version = 2\nparent = \"{}\"", hex(&first.digest)),
+        );
+        let second = Document::read("p.toml", &next)
+            .expect("in order")
+            .policy(&next);
         assert!(second.follows(Some(&first)) && !second.follows(Some(&Policy::default())));
     }
 
@@ -289,7 +359,10 @@
             ("line 9, column 10", "classes.topup.aim_ms is 0"),
             ("line 8, column 1", "classes.topup.worth is missing"),
         ] {
-            assert!(said.iter().any(|s| s.contains(place) && s.contains(what)), "{place} {what}: {said:#?}");
+            assert!(
+                said.iter().any(|s| s.contains(place) && s.contains(what)),
+                "{place} {what}: {said:#?}"
+            );
         }
         assert!(self::said("version = 1\nplans = 3")[0].contains("plans is 3"));
         assert!(self::said(&format!("{FINE}#{}", "x".repeat(MOST_BYTES)))[0].contains("bytes"));
@@ -305,17 +378,37 @@
         };
         let known = |text: &str| {
             let said = said(text);
-            let of = said.iter().find(|s| s.contains("nonsense is not known")).expect("it is told").clone();
-            let mut keys: Vec<String> =
-                of.split("the keys here are ").nth(1).unwrap_or("").split(", ").map(String::from).collect();
+            let of = said
+                .iter()
+                .find(|s| s.contains("nonsense is not known"))
+                .expect("it is told")
+                .clone();
+            let mut keys: Vec<String> = of
+                .split("the keys here are ")
+                .nth(1)
+                .unwrap_or("")
+                .split(", ")
+                .map(String::from)
+                .collect();
             keys.sort();
             keys.dedup();
             keys.join(", ")
         };
         assert_eq!(keys(&schema), known("nonsense = 1"));
-        for (of, name) in [("plans", "Plan"), ("classes", "Class"), ("plugins", "Plugin")] {
-            assert_eq!(keys(&schema["$defs"][name]), known(&format!("[{of}.x]\nnonsense = 1")), "{of}");
+        for (of, name) in [
+            ("plans", "Plan"),
+            ("classes", "Class"),
+            ("plugins", "Plugin"),
+        ] {
+            assert_eq!(
+                keys(&schema["$defs"][name]),
+                known(&format!("[{of}.x]\nnonsense = 1")),
+                "{of}"
+            );
         }
-        assert_eq!(keys(&schema["$defs"]["Retries"]), known("[retries]\nnonsense = 1"));
+        assert_eq!(
+            keys(&schema["$defs"]["Retries"]),
+            known("[retries]\nnonsense = 1")
+        );
     }
 }
--- a/crates/accord/src/folder.rs
+++ b/crates/accord/src/folder.rs
@@ -21,15 +21,23 @@
         let wrong = |e: std::io::Error| format!("{}: {e}", path.display());
         let lock = File::create(path.join("lock")).map_err(wrong)?;
         match lock.try_lock() {
-            Ok(()) => Ok(Folder { path: path.into(), _lock: Some(lock) }),
-            Err(TryLockError::WouldBlock) => Err(format!("{}: another process uses it", path.display())),
+            Ok(()) => Ok(Folder {
+                path: path.into(),
+                _lock: Some(lock),
+            }),
+            Err(TryLockError::WouldBlock) => {
+                Err(format!("{}: another process uses it", path.display()))
+            }
             Err(TryLockError::Error(e)) => Err(wrong(e)),
         }
     }
 
     /// The same folder for another thread of the process that holds its lock.
     pub fn attached(&self) -> Folder {
-        Folder { path: self.path.clone(), _lock: None }
+        Folder {
+            path: self.path.clone(),
+            _lock: None,
+        }
     }
 
     fn states(&self) -> std::io::Result<Vec<u64>> {
@@ -50,8 +58,11 @@
         let mut files = Vec::new();
         for state in self.states().map_err(|e| wrong(e.to_string()))? {
             let mut bytes = Vec::new();
-            let file = File::open(self.path.join(file_name(state))).map_err(|e| wrong(e.to_string()))?;
-            file.take(MOST_BYTES as u64 + 1).read_to_end(&mut bytes).map_err(|e| wrong(e.to_string()))?;
+            let file =
+                File::open(self.path.join(file_name(state))).map_err(|e| wrong(e.to_string()))?;
+            file.take(MOST_BYTES as u64 + 1)
+                .read_to_end(&mut bytes)
+                .map_err(|e| wrong(e.to_string()))?;
             files.push((state, bytes));
         }
         choose(keeper, &files).map_err(wrong)
@@ -66,7 +77,11 @@
         if !self.states().map_err(|e| wrong(e.to_string()))?.is_empty() {
             return Err(wrong("there is a state already; nothing is changed".into()));
         }
-        let first = if replaces { Record::joining(keeper) } else { Record::first(keeper) };
+        let first = if replaces {
+            Record::joining(keeper)
+        } else {
+            Record::first(keeper)
+        };
         self.write(&first).map_err(wrong)
     }
 
@@ -75,7 +90,10 @@
     /// # Errors
     /// It may be there or not.
     pub fn write(&self, record: &Record) -> Result<(), String> {
-        let (new, name) = (self.path.join("new"), self.path.join(file_name(record.state)));
+        let (new, name) = (
+            self.path.join("new"),
+            self.path.join(file_name(record.state)),
+        );
         let put = || {
             let mut file = File::create(&new)?;
             file.write_all(&record.write())?;
@@ -84,7 +102,12 @@
             File::open(&self.path)?.sync_all()
         };
         put().map_err(|e: std::io::Error| e.to_string())?;
-        for old in self.states().unwrap_or_default().into_iter().filter(|s| s + KEPT <= record.state) {
+        for old in self
+            .states()
+            .unwrap_or_default()
+            .into_iter()
+            .filter(|s| s + KEPT <= record.state)
+        {
             // What stays is only in the way.
             let _ = fs::remove_file(self.path.join(file_name(old)));
         }
@@ -100,7 +123,8 @@
 
     impl Place {
         fn new(name: &str) -> Place {
-            let path = std::env::temp_dir().join(format!("frosthatch-folder-{}-{name}", std::process::id()));
+            let path = std::env::temp_dir()
+                .join(format!("frosthatch-folder-{}-{name}", std::process::id()));
             fs::create_dir_all(&path).expect("a folder");
             Place(path)
         }
@@ -118,9 +142,16 @@
         let folder = Folder::open(&place.0).expect("it opens");
         assert!(folder.read("n1").is_err_and(|e| e.contains("policy init")));
         folder.init("n1", false).expect("it is made");
-        assert!(folder.init("n1", false).is_err_and(|e| e.contains("already")));
+        assert!(folder
+            .init("n1", false)
+            .is_err_and(|e| e.contains("already")));
         for state in 2..6 {
-            folder.write(&Record { state, ..Record::first("n1") }).expect("it is written");
+            folder
+                .write(&Record {
+                    state,
+                    ..Record::first("n1")
+                })
+                .expect("it is written");
         }
         assert_eq!(folder.read("n1").map(|r| r.state), Ok(5));
         assert_eq!(folder.states().expect("it is read"), [4, 5]);
--- a/crates/accord/src/keeper.rs
+++ b/crates/accord/src/keeper.rs
@@ -25,7 +25,10 @@
 impl Durable {
     /// A keeper's first: what each gateway's own files say is in force.
     pub fn first() -> Durable {
-        Durable { accepted: Some(Default::default()), ..Durable::default() }
+        Durable {
+            accepted: Some(Default::default()),
+            ..Durable::default()
+        }
     }
 }
 
@@ -79,7 +82,13 @@
     /// As a keeper starts, with what it had on disk. What it granted before it stopped it has forgotten: all that was is over a lease
     /// from now.
     pub fn new(times: Times, me: u64, state: Durable, now: u64) -> Keeper {
-        Keeper { times, me, state, before: None, turn: now + times.lease_us }
+        Keeper {
+            times,
+            me,
+            state,
+            before: None,
+            turn: now + times.lease_us,
+        }
     }
 
     pub fn state(&self) -> &Durable {
@@ -96,19 +105,24 @@
                 (Answer::Promised(ballot, self.state.accepted), news)
             }
             // Its number is a life: no two may have the same.
-            Ask::Join(ballot, place) if ballot.number > self.state.promised.number && place != self.me => {
+            Ask::Join(ballot, place)
+                if ballot.number > self.state.promised.number && place != self.me =>
+            {
                 self.state.promised = ballot;
                 self.state.lives.insert(place, ballot.number);
                 (Answer::Promised(ballot, self.state.accepted), true)
             }
-            Ask::Accept(ballot, policy, rests) if ballot >= self.state.promised && !self.outlived(&rests) => {
+            Ask::Accept(ballot, policy, rests)
+                if ballot >= self.state.promised && !self.outlived(&rests) =>
+            {
                 let was = self.state.accepted.as_ref().map(|(b, p)| (p.id(), *b));
                 let another = was.map(|(id, _)| id) != Some(policy.id());
                 // Leases on one that has not had its turn may be out: with a third one no single time would end them all.
                 if another && was.is_some() && now < self.turn {
                     return (Answer::Busy(self.turn - now), false);
                 }
-                let news = self.state.promised != ballot || self.state.accepted != Some((ballot, policy));
+                let news =
+                    self.state.promised != ballot || self.state.accepted != Some((ballot, policy));
                 self.state.promised = ballot;
                 self.state.accepted = Some((ballot, policy));
                 if another {
@@ -117,7 +131,9 @@
                 }
                 (Answer::Accepted(ballot), news)
             }
-            Ask::Prepare(_) | Ask::Join(..) | Ask::Accept(..) => (Answer::Outrun(self.state.promised), false),
+            Ask::Prepare(_) | Ask::Join(..) | Ask::Accept(..) => {
+                (Answer::Outrun(self.state.promised), false)
+            }
             Ask::Lease => (Answer::Lease(self.grant(now)), false),
         }
     }
@@ -126,15 +142,25 @@
     fn outlived(&self, rests: &[(u64, u64)]) -> bool {
         rests.iter().any(|(place, life)| match *place == self.me {
             true => *life != self.state.life,
-            false => self.state.lives.get(place).is_some_and(|known| life < known),
+            false => self
+                .state
+                .lives
+                .get(place)
+                .is_some_and(|known| life < known),
         })
     }
 
     fn grant(&self, now: u64) -> Grant {
         let left = self.turn.saturating_sub(now);
-        let before = self.before.filter(|_| left > 0).map(|(id, ballot)| (id, ballot, left));
+        let before = self
+            .before
+            .filter(|_| left > 0)
+            .map(|(id, ballot)| (id, ballot, left));
         let accepted = self.state.accepted;
-        Grant { before, now: accepted.map(|(ballot, p)| (p, ballot, left, self.times.lease_us)) }
+        Grant {
+            before,
+            now: accepted.map(|(ballot, p)| (p, ballot, left, self.times.lease_us)),
+        }
     }
 }
 
@@ -143,7 +169,10 @@
     use super::*;
     use crate::tests::{ballot, policy};
 
-    const TIMES: Times = Times { lease_us: 1_000, drift: 10 };
+    const TIMES: Times = Times {
+        lease_us: 1_000,
+        drift: 10,
+    };
 
     fn grant(k: &mut Keeper, now: u64) -> Grant {
         match k.ask(now, Ask::Lease) {
@@ -155,7 +184,10 @@
     #[test]
     fn a_lower_ballot_is_outrun_and_what_was_accepted_is_told() {
         let mut k = Keeper::new(TIMES, 0, Durable::default(), 0);
-        assert_eq!(k.ask(0, Ask::Prepare(ballot(2))), (Answer::Promised(ballot(2), None), true));
+        assert_eq!(
+            k.ask(0, Ask::Prepare(ballot(2))),
+            (Answer::Promised(ballot(2), None), true)
+        );
         assert_eq!(
             k.ask(0, Ask::Accept(ballot(1), policy(1), Vec::new())),
             (Answer::Outrun(ballot(2)), false)
@@ -165,15 +197,30 @@
             (Answer::Accepted(ballot(2)), true)
         );
         let told = k.ask(0, Ask::Prepare(ballot(3))).0;
-        assert_eq!(told, Answer::Promised(ballot(3), Some((ballot(2), policy(1)))));
+        assert_eq!(
+            told,
+            Answer::Promised(ballot(3), Some((ballot(2), policy(1))))
+        );
     }
 
     #[test]
     fn the_one_before_is_granted_until_the_turn_and_the_new_one_from_then_on() {
         let mut k = Keeper::new(TIMES, 0, Durable::default(), 0);
         k.ask(0, Ask::Accept(ballot(1), policy(1), Vec::new()));
-        assert_eq!(grant(&mut k, 400), Grant { before: None, now: Some((policy(1), ballot(1), 600, 1_000)) });
-        assert_eq!(grant(&mut k, 2_000), Grant { before: None, now: Some((policy(1), ballot(1), 0, 1_000)) });
+        assert_eq!(
+            grant(&mut k, 400),
+            Grant {
+                before: None,
+                now: Some((policy(1), ballot(1), 600, 1_000))
+            }
+        );
+        assert_eq!(
+            grant(&mut k, 2_000),
+            Grant {
+                before: None,
+                now: Some((policy(1), ballot(1), 0, 1_000))
+            }
+        );
         k.ask(5_000, Ask::Accept(ballot(2), policy(2), Vec::new()));
         let g = grant(&mut k, 5_300);
         assert_eq!(
@@ -186,7 +233,10 @@
         assert_eq!(grant(&mut k, 6_000).before, None);
         // Accepted again under another ballot, as a proposer does that finishes another's change: the turn stays.
         k.ask(6_000, Ask::Accept(ballot(3), policy(2), Vec::new()));
-        assert_eq!(grant(&mut k, 6_100).now, Some((policy(2), ballot(3), 0, 1_000)));
+        assert_eq!(
+            grant(&mut k, 6_100).now,
+            Some((policy(2), ballot(3), 0, 1_000))
+        );
     }
 
     #[test]
@@ -194,31 +244,49 @@
         let mut k = Keeper::new(TIMES, 0, Durable::default(), 0);
         k.ask(0, Ask::Accept(ballot(1), policy(1), Vec::new()));
         k.ask(5_000, Ask::Accept(ballot(2), policy(2), Vec::new()));
-        assert_eq!(k.ask(5_500, Ask::Accept(ballot(3), policy(3), Vec::new())), (Answer::Busy(500), false));
+        assert_eq!(
+            k.ask(5_500, Ask::Accept(ballot(3), policy(3), Vec::new())),
+            (Answer::Busy(500), false)
+        );
         assert_eq!(
             k.ask(6_000, Ask::Accept(ballot(3), policy(3), Vec::new())),
             (Answer::Accepted(ballot(3)), true)
         );
-        assert_eq!(grant(&mut k, 6_100).before, Some((policy(2).id(), ballot(2), 900)));
+        assert_eq!(
+            grant(&mut k, 6_100).before,
+            Some((policy(2).id(), ballot(2), 900))
+        );
     }
 
     #[test]
     fn what_rests_on_the_word_of_a_keeper_whose_place_was_taken_is_not_accepted() {
         let mut k = Keeper::new(TIMES, 0, Durable::first(), 0);
-        assert!(matches!(k.ask(0, Ask::Join(ballot(5), 2)).0, Answer::Promised(..)));
+        assert!(matches!(
+            k.ask(0, Ask::Join(ballot(5), 2)).0,
+            Answer::Promised(..)
+        ));
         assert_eq!(
             k.ask(0, Ask::Prepare(ballot(6))).0,
             Answer::Promised(ballot(6), Some(Default::default()))
         );
         let accept = |rests: Vec<(u64, u64)>| Ask::Accept(ballot(6), policy(1), rests);
-        assert_eq!(k.ask(5_000, accept(vec![(0, 0), (2, 0)])).0, Answer::Outrun(ballot(6)));
+        assert_eq!(
+            k.ask(5_000, accept(vec![(0, 0), (2, 0)])).0,
+            Answer::Outrun(ballot(6))
+        );
         assert_eq!(
             k.ask(5_000, accept(vec![(0, 3), (1, 0)])).0,
             Answer::Outrun(ballot(6)),
             "of another life of its own"
         );
-        assert_eq!(k.ask(5_000, accept(vec![(0, 0), (2, 5)])).0, Answer::Accepted(ballot(6)));
-        assert!(matches!(k.ask(0, Ask::Join(ballot(6), 2)).0, Answer::Outrun(_)), "it has to be above all");
+        assert_eq!(
+            k.ask(5_000, accept(vec![(0, 0), (2, 5)])).0,
+            Answer::Accepted(ballot(6))
+        );
+        assert!(
+            matches!(k.ask(0, Ask::Join(ballot(6), 2)).0, Answer::Outrun(_)),
+            "it has to be above all"
+        );
     }
 
     #[test]
@@ -227,7 +295,14 @@
         k.ask(0, Ask::Accept(ballot(1), policy(1), Vec::new()));
         k.ask(5_000, Ask::Accept(ballot(2), policy(2), Vec::new()));
         let mut k = Keeper::new(TIMES, 0, k.state().clone(), 5_100);
-        assert_eq!(grant(&mut k, 5_100).now, Some((policy(2), ballot(2), 1_000, 1_000)));
-        assert_eq!(grant(&mut k, 5_100).before, None, "its turn may be over long since");
+        assert_eq!(
+            grant(&mut k, 5_100).now,
+            Some((policy(2), ballot(2), 1_000, 1_000))
+        );
+        assert_eq!(
+            grant(&mut k, 5_100).before,
+            None,
+            "its turn may be over long since"
+        );
     }
 }
--- a/crates/accord/src/letter.rs
+++ b/crates/accord/src/letter.rs
@@ -24,20 +24,11 @@
         answer: Answer,
     },
     /// Can this be served under?
-    Check {
-        number: u64,
-        policy: Policy,
-    },
+    Check { number: u64, policy: Policy },
     /// Why not; empty: it can.
-    Checked {
-        number: u64,
-        why: String,
-    },
+    Checked { number: u64, why: String },
     /// Parts of a document that are missing, by where they begin.
-    Want {
-        digest: [u8; 32],
-        at: Vec<u32>,
-    },
+    Want { digest: [u8; 32], at: Vec<u32> },
     Part {
         digest: [u8; 32],
         at: u32,
@@ -55,15 +46,40 @@
     /// What it is, in a word.
     pub fn name(&self) -> &'static str {
         match self {
-            Letter::Ask { ask: Ask::Prepare(_), .. } => "prepare",
-            Letter::Ask { ask: Ask::Join(..), .. } => "join",
-            Letter::Ask { ask: Ask::Accept(..), .. } => "accept",
-            Letter::Ask { ask: Ask::Lease, .. } => "lease",
-            Letter::Answer { answer: Answer::Promised(..), .. } => "promised",
-            Letter::Answer { answer: Answer::Accepted(_), .. } => "accepted",
-            Letter::Answer { answer: Answer::Outrun(_), .. } => "outrun",
-            Letter::Answer { answer: Answer::Busy(_), .. } => "busy",
-            Letter::Answer { answer: Answer::Lease(_), .. } => "grant",
+            Letter::Ask {
+                ask: Ask::Prepare(_),
+                ..
+            } => "prepare",
+            Letter::Ask {
+                ask: Ask::Join(..), ..
+            } => "join",
+            Letter::Ask {
+                ask: Ask::Accept(..),
+                ..
+            } => "accept",
+            Letter::Ask {
+                ask: Ask::Lease, ..
+            } => "lease",
+            Letter::Answer {
+                answer: Answer::Promised(..),
+                ..
+            } => "promised",
+            Letter::Answer {
+                answer: Answer::Accepted(_),
+                ..
+            } => "accepted",
+            Letter::Answer {
+                answer: Answer::Outrun(_),
+                ..
+            } => "outrun",
+            Letter::Answer {
+                answer: Answer::Busy(_),
+                ..
+            } => "busy",
+            Letter::Answer {
+                answer: Answer::Lease(_),
+                ..
+            } => "grant",
             Letter::Check { .. } => "check",
             Letter::Checked { .. } => "checked",
             Letter::Want { .. } => "want",
@@ -79,7 +95,10 @@
 
     pub fn checked(number: u64, says: Result<(), String>) -> Letter {
         let mut why = says.err().unwrap_or_default();
-        let fits = (0..=MOST_REASON.min(why.len())).rev().find(|n| why.is_char_boundary(*n)).unwrap_or(0);
+        let fits = (0..=MOST_REASON.min(why.len()))
+            .rev()
+            .find(|n| why.is_char_boundary(*n))
+            .unwrap_or(0);
         why.truncate(fits);
         Letter::Checked { number, why }
     }
@@ -94,8 +113,15 @@
 
     #[test]
     fn the_longest_fit_a_datagram_and_are_read_again() {
-        let policy = Policy { version: u64::MAX, digest: [7; 32], parent: [9; 32] };
-        let ballot = Ballot { number: u64::MAX, proposer: u64::MAX };
+        let policy = Policy {
+            version: u64::MAX,
+            digest: [7; 32],
+            parent: [9; 32],
+        };
+        let ballot = Ballot {
+            number: u64::MAX,
+            proposer: u64::MAX,
+        };
         let grant = Grant {
             before: Some((policy.id(), ballot, u64::MAX)),
             now: Some((policy, ballot, u64::MAX, u64::MAX)),
@@ -105,8 +131,17 @@
         let lives = (u64::MAX, all.clone());
         let (number, digest, at) = (u64::MAX, [1; 32], u32::MAX);
         for letter in [
-            Letter::Ask { number, seen: (number, number), ask: Ask::Accept(ballot, policy, all.clone()) },
-            Letter::Answer { number, state: number, lives: lives.clone(), answer: Answer::Lease(grant) },
+            Letter::Ask {
+                number,
+                seen: (number, number),
+                ask: Ask::Accept(ballot, policy, all.clone()),
+            },
+            Letter::Answer {
+                number,
+                state: number,
+                lives: lives.clone(),
+                answer: Answer::Lease(grant),
+            },
             Letter::Answer {
                 number,
                 state: number,
@@ -114,8 +149,16 @@
                 answer: Answer::Promised(ballot, Some((ballot, policy))),
             },
             Letter::checked(number, Err("é".repeat(10_000))),
-            Letter::Want { digest, at: vec![at; 8] },
-            Letter::Part { digest, at, of: at, bytes: vec![0; crate::texts::PART] },
+            Letter::Want {
+                digest,
+                at: vec![at; 8],
+            },
+            Letter::Part {
+                digest,
+                at,
+                of: at,
+                bytes: vec![0; crate::texts::PART],
+            },
         ] {
             let bytes = letter.write();
             assert!(bytes.len() <= 860, "{} bytes", bytes.len());
--- a/crates/accord/src/lib.rs
+++ b/crates/accord/src/lib.rs
@@ -19,7 +19,9 @@
 
 /// A policy, as far as agreement on it goes: its text goes by its digest. Versions grow by one; version 0 is what each gateway's own
 /// files say, and the parent of the first.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Policy {
     pub version: u64,
     /// Of the whole document, and of that which it follows on.
@@ -36,19 +38,26 @@
     }
 
     pub fn id(&self) -> Id {
-        Id { version: self.version, digest: self.digest }
+        Id {
+            version: self.version,
+            digest: self.digest,
+        }
     }
 }
 
 /// Which policy: two documents of one version differ in their digest.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Id {
     pub version: u64,
     pub digest: [u8; 32],
 }
 
 /// The order of attempts to change the register; no two proposers have the same.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Ballot {
     pub number: u64,
     pub proposer: u64,
@@ -84,17 +93,27 @@
     use super::*;
 
     pub fn policy(version: u64) -> Policy {
-        Policy { version, digest: [version as u8; 32], parent: [0; 32] }
+        Policy {
+            version,
+            digest: [version as u8; 32],
+            parent: [0; 32],
+        }
     }
 
     pub fn ballot(number: u64) -> Ballot {
-        Ballot { number, proposer: 1 }
+        Ballot {
+            number,
+            proposer: 1,
+        }
     }
 
     /// The tenant's clock slow and the keeper's fast, and the other way round, as far as they may be.
     #[test]
     fn clocks_that_drift_make_no_lease_longer_and_no_wait_shorter() {
-        let times = Times { lease_us: 1_000_000, drift: 10 };
+        let times = Times {
+            lease_us: 1_000_000,
+            drift: 10,
+        };
         // So much true time passes while a clock of such a rate shows so much.
         let truly = |shows: u64, rate: u64| shows as f64 * 1_000.0 / rate as f64;
         for us in [1, 999, 1_000_000, 60_000_000] {
--- a/crates/accord/src/node.rs
+++ b/crates/accord/src/node.rs
@@ -204,13 +204,33 @@
             }
             Err(why) => (Durable::default(), 0, Some(why)),
         };
-        let place = self.plan.keepers.iter().position(|k| *k == self.plan.me).unwrap_or(usize::MAX) as u64;
+        let place = self
+            .plan
+            .keepers
+            .iter()
+            .position(|k| *k == self.plan.me)
+            .unwrap_or(usize::MAX) as u64;
         let joining = durable.joining.then(|| {
-            let ballot = Ballot { number: 1, proposer: self.rng.next_u64() };
-            Joining { ballot, promises: BTreeMap::new(), due: now }
+            let ballot = Ballot {
+                number: 1,
+                proposer: self.rng.next_u64(),
+            };
+            Joining {
+                ballot,
+                promises: BTreeMap::new(),
+                due: now,
+            }
         });
         let keeper = Keeper::new(self.plan.times, place, durable, now);
-        self.own = Some(Own { place, keeper, state, writing: None, joining, again_at: None, silent });
+        self.own = Some(Own {
+            place,
+            keeper,
+            state,
+            writing: None,
+            joining,
+            again_at: None,
+            silent,
+        });
     }
 
     /// Under what requests may be let in at this time.
@@ -246,9 +266,18 @@
             return (Standing::Soon(at), next);
         }
         // One that it could not serve under may have been in force since.
-        let last = self.last.filter(|(last, _)| last.version >= self.tenant.high());
-        let Some((last, till)) = last else { return (Standing::Lost, next) };
-        let newer = self.tenant.known().map(Policy::id).filter(|id| id.version > last.version).max();
+        let last = self
+            .last
+            .filter(|(last, _)| last.version >= self.tenant.high());
+        let Some((last, till)) = last else {
+            return (Standing::Lost, next);
+        };
+        let newer = self
+            .tenant
+            .known()
+            .map(Policy::id)
+            .filter(|id| id.version > last.version)
+            .max();
         let newer = newer.filter(|id| self.can(id));
         match (self.plan.on_lost, newer) {
             (OnLost::Stricter, Some(_)) => (Standing::Under(last, newer), next),
@@ -272,7 +301,10 @@
         let text = self.texts.get(&id.digest)?;
         let judged = match Document::read("policy", text) {
             Ok(document) if document.version == id.version => (self.judge)(&document),
-            Ok(document) => Err(format!("its document says that it is version {}", document.version)),
+            Ok(document) => Err(format!(
+                "its document says that it is version {}",
+                document.version
+            )),
             Err(mistakes) => Err(joined(&mistakes)),
         };
         while self.judged.len() >= MOST_HELD {
@@ -322,12 +354,20 @@
                 None => self.plan.me.clone(),
             };
             let why = match &end {
-                Some(End::Refused(why)) => why.iter().map(|(n, why)| (name(n), why.clone())).collect(),
+                Some(End::Refused(why)) => {
+                    why.iter().map(|(n, why)| (name(n), why.clone())).collect()
+                }
                 _ => Vec::new(),
             };
             let till = if end.is_some() { p.ended } else { u64::MAX };
             let took_us = till.saturating_sub(p.began);
-            Some(Shown { number: *number, policy: p.policy?, took_us, end, why })
+            Some(Shown {
+                number: *number,
+                policy: p.policy?,
+                took_us,
+                end,
+                why,
+            })
         })
     }
 
@@ -343,13 +383,20 @@
         there: &[String],
         out: &mut Vec<Out>,
     ) -> Result<u64, String> {
-        let document = Document::read("policy", text)
-            .map_err(|all| all.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))?;
+        let document = Document::read("policy", text).map_err(|all| {
+            all.iter()
+                .map(ToString::to_string)
+                .collect::<Vec<_>>()
+                .join("\n")
+        })?;
         let policy = document.policy(text);
         (self.judge)(&document)?;
         self.texts.put(text);
         let number = self.begin(now, Some(policy), there)?;
-        out.push(Out::Log(format!("policy: proposed version={} number={number}", policy.id().short())));
+        out.push(Out::Log(format!(
+            "policy: proposed version={} number={number}",
+            policy.id().short()
+        )));
         self.work(now, out);
         Ok(number)
     }
@@ -360,12 +407,21 @@
     }
 
     fn begin(&mut self, now: u64, policy: Option<Policy>, there: &[String]) -> Result<u64, String> {
-        let running = self.proposals.values().filter(|p| p.proposer.end().is_none()).count();
+        let running = self
+            .proposals
+            .values()
+            .filter(|p| p.proposer.end().is_none())
+            .count();
         if running >= MOST_RUNNING {
-            return Err(format!("{running} proposals are under way here; wait for their end"));
+            return Err(format!(
+                "{running} proposals are under way here; wait for their end"
+            ));
         }
         while self.proposals.len() >= MOST_PROPOSALS {
-            let over = self.proposals.iter().filter(|(_, p)| p.proposer.end().is_some());
+            let over = self
+                .proposals
+                .iter()
+                .filter(|(_, p)| p.proposer.end().is_some());
             let oldest = over.min_by_key(|(_, p)| p.ended).map(|(n, _)| *n);
             oldest.map(|n| self.proposals.remove(&n));
         }
@@ -373,9 +429,23 @@
         let members = there.to_vec();
         let of: BTreeSet<u64> = (1..=members.len() as u64).collect();
         let above = self.tenant.highest_ballot();
-        let (keepers, patience, again) = (self.plan.keepers.len(), self.plan.patience_us, self.plan.again_us);
+        let (keepers, patience, again) = (
+            self.plan.keepers.len(),
+            self.plan.patience_us,
+            self.plan.again_us,
+        );
         let proposer = Proposer::new(now, number, above, policy, of, keepers, patience, again);
-        self.proposals.insert(number, Proposal { proposer, policy, members, began: now, ended: 0, step: "" });
+        self.proposals.insert(
+            number,
+            Proposal {
+                proposer,
+                policy,
+                members,
+                began: now,
+                ended: 0,
+                step: "",
+            },
+        );
         Ok(number)
     }
 
@@ -394,12 +464,16 @@
             self.ask_due = now + if holds { every } else { every / 2 };
             let number = self.rng.next_u64();
             self.asked.push_back((number, now));
-            self.asked.drain(..self.asked.len().saturating_sub(MOST_ASKED));
+            self.asked
+                .drain(..self.asked.len().saturating_sub(MOST_ASKED));
             self.ask(number, &Ask::Lease, out);
         }
         for number in self.proposals.keys().copied().collect::<Vec<_>>() {
             self.step(now, number, out, |p, steps| {
-                for (n, _) in (1..).zip(&p.members).filter(|(_, name)| !there.contains(name)) {
+                for (n, _) in (1..)
+                    .zip(&p.members)
+                    .filter(|(_, name)| !there.contains(name))
+                {
                     p.proposer.gone(n);
                 }
                 p.proposer.tick(now, steps);
@@ -429,7 +503,10 @@
     fn send(&mut self, to: &str, letter: Letter, out: &mut Vec<Out>) {
         match to == self.plan.me {
             true => self.inbox.push_back(letter),
-            false => out.push(Out::Send { to: to.into(), bytes: letter.write() }),
+            false => out.push(Out::Send {
+                to: to.into(),
+                bytes: letter.write(),
+            }),
         }
     }
 
@@ -437,17 +514,35 @@
     fn ask(&mut self, number: u64, ask: &Ask, out: &mut Vec<Out>) {
         for (place, keeper) in (0..).zip(self.plan.keepers.clone()) {
             let seen = self.seen.get(&place).copied().unwrap_or_default();
-            self.send(&keeper, Letter::Ask { number, seen, ask: ask.clone() }, out);
+            self.send(
+                &keeper,
+                Letter::Ask {
+                    number,
+                    seen,
+                    ask: ask.clone(),
+                },
+                out,
+            );
         }
     }
 
     fn take(&mut self, now: u64, from: &str, letter: Letter, out: &mut Vec<Out>) {
         match letter {
             Letter::Ask { number, seen, ask } => self.asked(now, from, number, seen, ask, out),
-            Letter::Answer { number, state, lives: (life, others), answer } => {
-                let Some(keeper) = self.plan.keepers.iter().position(|k| k == from) else { return };
+            Letter::Answer {
+                number,
+                state,
+                lives: (life, others),
+                answer,
+            } => {
+                let Some(keeper) = self.plan.keepers.iter().position(|k| k == from) else {
+                    return;
+                };
                 let keeper = keeper as u64;
-                others.into_iter().chain([(keeper, life)]).for_each(|(place, life)| self.lives(place, life));
+                others
+                    .into_iter()
+                    .chain([(keeper, life)])
+                    .for_each(|(place, life)| self.lives(place, life));
                 // Another has taken its place: its word counts no more.
                 if self.lives.get(&keeper).is_some_and(|known| life < *known) {
                     return;
@@ -473,18 +568,34 @@
                 }
             },
             Letter::Checked { number, why } => self.step(now, number, out, |p, steps| {
-                let Some(n) = p.members.iter().position(|m| m == from) else { return };
+                let Some(n) = p.members.iter().position(|m| m == from) else {
+                    return;
+                };
                 let says = if why.is_empty() { Ok(()) } else { Err(why) };
                 p.proposer.checked(n as u64 + 1, says, steps);
             }),
             Letter::Want { digest, at } => {
                 for at in at.into_iter().take(8) {
                     if let Some((of, bytes)) = self.texts.part(&digest, at) {
-                        self.send(from, Letter::Part { digest, at, of, bytes }, out);
+                        self.send(
+                            from,
+                            Letter::Part {
+                                digest,
+                                at,
+                                of,
+                                bytes,
+                            },
+                            out,
+                        );
                     }
                 }
             }
-            Letter::Part { digest, at, of, bytes } => {
+            Letter::Part {
+                digest,
+                at,
+                of,
+                bytes,
+            } => {
                 if self.texts.came(&digest, at, of, bytes) {
                     self.wants.remove(&digest);
                     self.unsettle();
@@ -505,7 +616,9 @@
         if life > *known {
             *known = life;
             self.tenant.outlived(place);
-            self.proposals.values_mut().for_each(|p| p.proposer.outlived(place));
+            self.proposals
+                .values_mut()
+                .for_each(|p| p.proposer.outlived(place));
             self.unsettle();
         }
     }
@@ -514,8 +627,12 @@
     /// at least what the one before it accepted, and nothing that rests on a promise of that one is accepted any more.
     fn joins(&mut self, now: u64, from: &str, keeper: u64, answer: Answer, out: &mut Vec<Out>) {
         let most = majority(self.plan.keepers.len());
-        let Some(own) = self.own.as_mut().filter(|own| own.writing.is_none()) else { return };
-        let Some(joining) = &mut own.joining else { return };
+        let Some(own) = self.own.as_mut().filter(|own| own.writing.is_none()) else {
+            return;
+        };
+        let Some(joining) = &mut own.joining else {
+            return;
+        };
         match answer {
             Answer::Outrun(higher) if higher.number >= joining.ballot.number => {
                 joining.ballot.number = higher.number + 1;
@@ -529,17 +646,37 @@
         if joining.promises.len() < most {
             return;
         }
-        let accepted = joining.promises.values().flatten().max_by_key(|(b, _)| *b).copied();
+        let accepted = joining
+            .promises
+            .values()
+            .flatten()
+            .max_by_key(|(b, _)| *b)
+            .copied();
         let digest = accepted.map(|(_, p)| p.digest).unwrap_or_default();
         if !self.texts.has(&digest) {
             return self.want(now, digest, from);
         }
         let ballot = joining.ballot;
-        let lives = self.lives.iter().filter(|(place, _)| **place != own.place).map(|(p, l)| (*p, *l));
+        let lives = self
+            .lives
+            .iter()
+            .filter(|(place, _)| **place != own.place)
+            .map(|(p, l)| (*p, *l));
         let life = ballot.number;
-        let durable = Durable { promised: ballot, accepted, life, lives: lives.collect(), joining: false };
+        let durable = Durable {
+            promised: ballot,
+            accepted,
+            life,
+            lives: lives.collect(),
+            joining: false,
+        };
         let text = self.texts.get(&digest).unwrap_or_default().to_string();
-        let record = Record { keeper: self.plan.me.clone(), state: own.state + 1, durable, text };
+        let record = Record {
+            keeper: self.plan.me.clone(),
+            state: own.state + 1,
+            durable,
+            text,
+        };
         own.writing = Some((record.clone(), None));
         out.push(Out::Store(record));
     }
@@ -548,7 +685,9 @@
     fn join(&mut self, now: u64, out: &mut Vec<Out>) {
         let highest = self.tenant.highest_ballot();
         let Some(own) = &mut self.own else { return };
-        let Some(joining) = own.joining.as_mut().filter(|j| now >= j.due) else { return };
+        let Some(joining) = own.joining.as_mut().filter(|j| now >= j.due) else {
+            return;
+        };
         joining.due = now + self.plan.again_us;
         if joining.ballot.number <= highest {
             joining.ballot.number = highest + 1;
@@ -559,13 +698,23 @@
     }
 
     /// As a keeper: a question came.
-    fn asked(&mut self, now: u64, from: &str, number: u64, seen: (u64, u64), ask: Ask, out: &mut Vec<Out>) {
+    fn asked(
+        &mut self,
+        now: u64,
+        from: &str,
+        number: u64,
+        seen: (u64, u64),
+        ask: Ask,
+        out: &mut Vec<Out>,
+    ) {
         if let Ask::Accept(_, policy, _) = &ask {
             if !self.texts.has(&policy.digest) {
                 return self.want(now, policy.digest, from);
             }
         }
-        let Some(own) = self.own.as_mut().filter(|own| own.keeps()) else { return };
+        let Some(own) = self.own.as_mut().filter(|own| own.keeps()) else {
+            return;
+        };
         let life = own.keeper.state().life;
         if seen > (life, own.state) {
             let told = seen.1;
@@ -582,8 +731,19 @@
             return;
         }
         let (answer, durable) = own.keeper.ask(now, ask);
-        let others = own.keeper.state().lives.iter().map(|(place, life)| (*place, *life)).collect();
-        let letter = |state| Letter::Answer { number, state, lives: (life, others), answer };
+        let others = own
+            .keeper
+            .state()
+            .lives
+            .iter()
+            .map(|(place, life)| (*place, *life))
+            .collect();
+        let letter = |state| Letter::Answer {
+            number,
+            state,
+            lives: (life, others),
+            answer,
+        };
         if !durable {
             let letter = letter(own.state);
             return self.send(from, letter, out);
@@ -591,7 +751,12 @@
         let durable = own.keeper.state().clone();
         let digest = durable.accepted.map(|(_, p)| p.digest).unwrap_or_default();
         let text = self.texts.get(&digest).unwrap_or_default().to_string();
-        let record = Record { keeper: self.plan.me.clone(), state: own.state + 1, durable, text };
+        let record = Record {
+            keeper: self.plan.me.clone(),
+            state: own.state + 1,
+            durable,
+            text,
+        };
         own.writing = Some((record.clone(), Some((from.into(), letter(record.state)))));
         out.push(Out::Store(record));
     }
@@ -601,14 +766,19 @@
         let Some(own) = &mut self.own else { return };
         match how {
             Ok(()) => {
-                let Some((record, answer)) = own.writing.take() else { return };
+                let Some((record, answer)) = own.writing.take() else {
+                    return;
+                };
                 own.state = record.state;
                 if own.joining.take().is_some() {
                     out.push(Out::Log(format!("policy: joined state={}", record.state)));
                     return self.keep_from(now, Ok(record));
                 }
                 if own.again_at.take().is_some() {
-                    out.push(Out::Log(format!("policy: keeper-writes state={}", record.state)));
+                    out.push(Out::Log(format!(
+                        "policy: keeper-writes state={}",
+                        record.state
+                    )));
                 }
                 if let Some((to, letter)) = answer {
                     self.send(&to, letter, out);
@@ -628,13 +798,19 @@
         let Some(own) = &mut self.own else { return };
         if own.again_at.is_some_and(|at| now >= at) {
             own.again_at = Some(u64::MAX);
-            out.extend(own.writing.as_ref().map(|(record, _)| Out::Store(record.clone())));
+            out.extend(
+                own.writing
+                    .as_ref()
+                    .map(|(record, _)| Out::Store(record.clone())),
+            );
         }
     }
 
     /// A keeper's word on leases, by the number of the question.
     fn granted(&mut self, now: u64, from: &str, keeper: u64, number: u64, grant: Grant) {
-        let Some((_, at)) = self.asked.iter().find(|(n, _)| *n == number).copied() else { return };
+        let Some((_, at)) = self.asked.iter().find(|(n, _)| *n == number).copied() else {
+            return;
+        };
         if let Some((policy, ..)) = &grant.now {
             if !self.texts.has(&policy.digest) {
                 self.want(now, policy.digest, from);
@@ -647,7 +823,9 @@
 
     /// As a keeper: it accepts late what it was not there to accept.
     fn catch_up(&mut self) {
-        let Some(own) = self.own.as_ref().filter(|own| own.keeps()) else { return };
+        let Some(own) = self.own.as_ref().filter(|own| own.keeps()) else {
+            return;
+        };
         let mine = own.keeper.state().accepted.map_or(0, |(_, p)| p.version);
         if let Some((ballot, policy)) = self.tenant.chosen().filter(|(_, p)| p.version > mine) {
             let (number, seen, ask) = (0, (0, 0), Ask::Accept(ballot, policy, Vec::new()));
@@ -659,7 +837,11 @@
         if self.wants.len() >= MOST_WANTED && !self.wants.contains_key(&digest) {
             return;
         }
-        let of = self.wants.entry(digest).or_insert(Wanted { from: Vec::new(), since: now, due: now });
+        let of = self.wants.entry(digest).or_insert(Wanted {
+            from: Vec::new(),
+            since: now,
+            due: now,
+        });
         if !of.from.iter().any(|f| f == from) {
             of.from.push(from.into());
         }
@@ -706,13 +888,21 @@
         what: impl FnOnce(&mut Proposal, &mut Vec<Step>) -> T,
     ) -> T {
         let mut steps = Vec::new();
-        let done = self.proposals.get_mut(&number).map(|p| what(p, &mut steps)).unwrap_or_default();
+        let done = self
+            .proposals
+            .get_mut(&number)
+            .map(|p| what(p, &mut steps))
+            .unwrap_or_default();
         for step in steps {
             match step {
                 Step::Check(policy) => {
-                    let Some(p) = self.proposals.get(&number) else { continue };
+                    let Some(p) = self.proposals.get(&number) else {
+                        continue;
+                    };
                     let yes = p.proposer.asked();
-                    let open = (1..).zip(&p.members).filter(|(n, _)| yes.is_some_and(|yes| !yes.contains(n)));
+                    let open = (1..)
+                        .zip(&p.members)
+                        .filter(|(n, _)| yes.is_some_and(|yes| !yes.contains(n)));
                     for name in open.map(|(_, name)| name.clone()).collect::<Vec<_>>() {
                         self.send(&name, Letter::Check { number, policy }, out);
                     }
@@ -731,7 +921,9 @@
                     self.ask(number, &ask, out);
                 }
                 Step::End(end) => {
-                    let Some(p) = self.proposals.get_mut(&number) else { continue };
+                    let Some(p) = self.proposals.get_mut(&number) else {
+                        continue;
+                    };
                     p.ended = now;
                     let what = match (&end, &p.policy) {
                         (_, None) => "finished".to_string(),
--- a/crates/accord/src/proposer.rs
+++ b/crates/accord/src/proposer.rs
@@ -81,9 +81,15 @@
     ) -> Proposer {
         Proposer {
             keepers,
-            step: Step::Checking { yes: BTreeSet::new(), of: members },
+            step: Step::Checking {
+                yes: BTreeSet::new(),
+                of: members,
+            },
             wants,
-            ballot: Ballot { number: above, proposer: id },
+            ballot: Ballot {
+                number: above,
+                proposer: id,
+            },
             checks_till: now + patience_us / 2,
             till: now + patience_us,
             next: now,
@@ -111,7 +117,9 @@
 
     /// A member says whether it can take the policy.
     pub fn checked(&mut self, member: u64, says: Result<(), String>, out: &mut Vec<Out>) {
-        let Step::Checking { yes, .. } = &mut self.step else { return };
+        let Step::Checking { yes, .. } = &mut self.step else {
+            return;
+        };
         match says {
             Ok(()) => drop(yes.insert(member)),
             Err(why) => self.ends(End::Refused(vec![(member, why)]), out),
@@ -154,13 +162,22 @@
     fn prepare(&mut self, now: u64, out: &mut Vec<Out>) {
         self.ballot.number += 1;
         (self.outrun, self.tries) = (false, self.tries + 1);
-        self.step = Step::Preparing { promises: BTreeMap::new() };
+        self.step = Step::Preparing {
+            promises: BTreeMap::new(),
+        };
         self.next = now + self.again_us;
         out.push(Out::Keepers(Ask::Prepare(self.ballot)));
     }
 
     /// `life`: of the keeper that answers.
-    pub fn answered(&mut self, now: u64, keeper: u64, life: u64, answer: Answer, out: &mut Vec<Out>) {
+    pub fn answered(
+        &mut self,
+        now: u64,
+        keeper: u64,
+        life: u64,
+        answer: Answer,
+        out: &mut Vec<Out>,
+    ) {
         let most = majority(self.keepers);
         match answer {
             Answer::Outrun(higher) if higher > self.ballot && !matches!(self.step, Step::Done) => {
@@ -173,15 +190,22 @@
                 }
             }
             Answer::Promised(ballot, was) if ballot == self.ballot => {
-                let Step::Preparing { promises } = &mut self.step else { return };
+                let Step::Preparing { promises } = &mut self.step else {
+                    return;
+                };
                 promises.insert(keeper, (life, was));
                 if promises.len() < most {
                     return;
                 }
-                let rests: Vec<(u64, u64)> =
-                    promises.iter().map(|(place, (life, _))| (*place, *life)).collect();
-                let was =
-                    promises.values().filter_map(|(_, was)| *was).max_by_key(|(b, _)| *b).map(|(_, p)| p);
+                let rests: Vec<(u64, u64)> = promises
+                    .iter()
+                    .map(|(place, (life, _))| (*place, *life))
+                    .collect();
+                let was = promises
+                    .values()
+                    .filter_map(|(_, was)| *was)
+                    .max_by_key(|(b, _)| *b)
+                    .map(|(_, p)| p);
                 let value = match (was, &self.wants) {
                     // What follows on what is there; else what is there is finished first.
                     (was, Some(wants)) if wants.follows(was.as_ref()) => *wants,
@@ -192,11 +216,20 @@
                     }
                 };
                 self.sent |= Some(&value) == self.wants.as_ref();
-                self.step = Step::Accepting { accepted: BTreeSet::new(), value, rests: rests.clone() };
+                self.step = Step::Accepting {
+                    accepted: BTreeSet::new(),
+                    value,
+                    rests: rests.clone(),
+                };
                 out.push(Out::Keepers(Ask::Accept(self.ballot, value, rests)));
             }
             Answer::Accepted(ballot) if ballot == self.ballot => {
-                let Step::Accepting { accepted, value, .. } = &mut self.step else { return };
+                let Step::Accepting {
+                    accepted, value, ..
+                } = &mut self.step
+                else {
+                    return;
+                };
                 accepted.insert(keeper);
                 if accepted.len() < most {
                     return;
@@ -235,7 +268,12 @@
                     return self.prepare(now, out);
                 }
                 if now >= self.checks_till {
-                    let late = |m: u64| (m, "it did not say in time whether it can take it".to_string());
+                    let late = |m: u64| {
+                        (
+                            m,
+                            "it did not say in time whether it can take it".to_string(),
+                        )
+                    };
                     return self.ends(End::Refused(missing.into_iter().map(late).collect()), out);
                 }
                 if now >= self.next {
--- a/crates/accord/src/record.rs
+++ b/crates/accord/src/record.rs
@@ -33,13 +33,26 @@
 impl Record {
     /// A new keeper's.
     pub fn first(keeper: &str) -> Record {
-        Record { keeper: keeper.into(), state: 1, durable: Durable::first(), text: String::new() }
+        Record {
+            keeper: keeper.into(),
+            state: 1,
+            durable: Durable::first(),
+            text: String::new(),
+        }
     }
 
     /// Of one that takes the place of a keeper that is gone for good: it learns from the others what that one promised.
     pub fn joining(keeper: &str) -> Record {
-        let durable = Durable { joining: true, ..Durable::default() };
-        Record { keeper: keeper.into(), state: 1, durable, text: String::new() }
+        let durable = Durable {
+            joining: true,
+            ..Durable::default()
+        };
+        Record {
+            keeper: keeper.into(),
+            state: 1,
+            durable,
+            text: String::new(),
+        }
     }
 
     pub fn write(&self) -> Vec<u8> {
@@ -61,14 +74,20 @@
         }
         let major = text[MARK.len()];
         if major != MAJOR {
-            return Err(format!("its form is {major}, and this program knows {MAJOR}"));
+            return Err(format!(
+                "its form is {major}, and this program knows {MAJOR}"
+            ));
         }
         // A newer minor has more behind what is known here.
         let body = &text[MARK.len() + 2..];
-        let (record, _) =
-            postcard::take_from_bytes::<Record>(body).map_err(|e| format!("it makes no sense: {e}"))?;
+        let (record, _) = postcard::take_from_bytes::<Record>(body)
+            .map_err(|e| format!("it makes no sense: {e}"))?;
         let policy = record.durable.accepted.map(|(_, p)| p).unwrap_or_default();
-        let digest = if record.text.is_empty() { [0; 32] } else { sha256(&record.text) };
+        let digest = if record.text.is_empty() {
+            [0; 32]
+        } else {
+            sha256(&record.text)
+        };
         match policy.digest == digest {
             true => Ok(record),
             false => Err("its document is not the one that was accepted".into()),
@@ -97,10 +116,17 @@
     };
     let record = Record::read(bytes).map_err(|e| format!("{}: {e}", file_name(*state)))?;
     if record.state != *state {
-        return Err(format!("{}: it is the state {} under another name", file_name(*state), record.state));
+        return Err(format!(
+            "{}: it is the state {} under another name",
+            file_name(*state),
+            record.state
+        ));
     }
     if record.keeper != keeper {
-        return Err(format!("it is the folder of {}, and this one is {keeper}", record.keeper));
+        return Err(format!(
+            "it is the folder of {}, and this one is {keeper}",
+            record.keeper
+        ));
     }
     Ok(record)
 }
@@ -111,10 +137,26 @@
     use crate::{Ballot, Policy};
 
     fn record(state: u64) -> Record {
-        let policy = Policy { version: 3, digest: sha256("text"), parent: [4; 32] };
-        let ballot = Ballot { number: state, proposer: 5 };
-        let durable = Durable { promised: ballot, accepted: Some((ballot, policy)), ..Durable::default() };
-        Record { keeper: "n1".into(), state, durable, text: "text".into() }
+        let policy = Policy {
+            version: 3,
+            digest: sha256("text"),
+            parent: [4; 32],
+        };
+        let ballot = Ballot {
+            number: state,
+            proposer: 5,
+        };
+        let durable = Durable {
+            promised: ballot,
+            accepted: Some((ballot, policy)),
+            ..Durable::default()
+        };
+        Record {
+            keeper: "n1".into(),
+            state,
+            durable,
+            text: "text".into(),
+        }
     }
 
     #[test]
@@ -123,7 +165,10 @@
         assert_eq!(choose("n1", &files), Ok(record(8)));
         assert_eq!(state_of(&file_name(8)), Some(8));
         assert_eq!(state_of("keeper-8.new"), None);
-        assert_eq!(Record::read(&Record::first("n1").write()), Ok(Record::first("n1")));
+        assert_eq!(
+            Record::read(&Record::first("n1").write()),
+            Ok(Record::first("n1"))
+        );
     }
 
     #[test]
@@ -140,7 +185,10 @@
         assert!(choose("n2", &[(8, good.clone())]).is_err_and(|e| e.contains("folder of n1")));
         assert!(choose("n1", &[(9, good)]).is_err_and(|e| e.contains("another name")));
         assert!(choose("n1", &[]).is_err_and(|e| e.contains("policy init")));
-        let other = Record { text: "other".into(), ..record(8) };
+        let other = Record {
+            text: "other".into(),
+            ..record(8)
+        };
         assert!(choose("n1", &[(8, other.write())]).is_err_and(|e| e.contains("document")));
     }
 
--- a/crates/accord/src/tenant.rs
+++ b/crates/accord/src/tenant.rs
@@ -32,7 +32,14 @@
 impl Tenant {
     pub fn new(times: Times, keepers: usize) -> Tenant {
         let (leases, policies, chosen) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
-        Tenant { times, keepers, leases, policies, chosen, high: 0 }
+        Tenant {
+            times,
+            keepers,
+            leases,
+            policies,
+            chosen,
+            high: 0,
+        }
     }
 
     /// How often keepers are to be asked, so that two answers may be lost.
@@ -44,28 +51,51 @@
     pub fn granted(&mut self, asked: u64, now: u64, keeper: u64, grant: Grant) {
         let mut leases = Vec::new();
         if let Some((id, ballot, left)) = grant.before {
-            leases.push(Lease { id, ballot, from: 0, till: asked + self.times.surely(left) });
+            leases.push(Lease {
+                id,
+                ballot,
+                from: 0,
+                till: asked + self.times.surely(left),
+            });
         }
         if let Some((policy, ballot, left, length)) = grant.now {
             let id = policy.id();
-            let from = if left == 0 { 0 } else { now + self.times.passed(left) };
-            leases.push(Lease { id, ballot, from, till: asked + self.times.surely(left + length) });
+            let from = if left == 0 {
+                0
+            } else {
+                now + self.times.passed(left)
+            };
+            leases.push(Lease {
+                id,
+                ballot,
+                from,
+                till: asked + self.times.surely(left + length),
+            });
             self.policies.insert(id, policy);
         }
         self.leases.insert(keeper, leases);
         self.learn();
         let leased: BTreeSet<Id> = self.leases.values().flatten().map(|l| l.id).collect();
         let high = self.high;
-        self.policies.retain(|id, _| leased.contains(id) || id.version == high);
+        self.policies
+            .retain(|id, _| leased.contains(id) || id.version == high);
         self.chosen.retain(|id, _| id.version >= high);
     }
 
     /// What keepers said that they accepted they did accept, if long ago.
     fn learn(&mut self) {
         let mut votes: BTreeMap<(Id, Ballot), usize> = BTreeMap::new();
-        self.leases.values().flatten().for_each(|l| *votes.entry((l.id, l.ballot)).or_default() += 1);
+        self.leases
+            .values()
+            .flatten()
+            .for_each(|l| *votes.entry((l.id, l.ballot)).or_default() += 1);
         let most = majority(self.keepers);
-        self.chosen.extend(votes.into_iter().filter(|(_, n)| *n >= most).map(|(vote, _)| vote));
+        self.chosen.extend(
+            votes
+                .into_iter()
+                .filter(|(_, n)| *n >= most)
+                .map(|(vote, _)| vote),
+        );
     }
 
     /// The policy under which a request may be let in now; none: under none.
@@ -84,7 +114,11 @@
         }
         let most = majority(self.keepers);
         let may = |id: &Id| id.version >= self.high && self.chosen.contains_key(id);
-        votes.into_iter().filter(|(id, n)| *n >= most && may(id)).map(|(id, _)| id).max()
+        votes
+            .into_iter()
+            .filter(|(id, n)| *n >= most && may(id))
+            .map(|(id, _)| id)
+            .max()
     }
 
     /// When what is held may next be another, if nothing is heard until then.
@@ -100,7 +134,10 @@
     }
 
     fn bounds(&self) -> impl Iterator<Item = u64> + '_ {
-        self.leases.values().flatten().flat_map(|l| [l.from, l.till])
+        self.leases
+            .values()
+            .flatten()
+            .flat_map(|l| [l.from, l.till])
     }
 
     /// Another keeper has taken the place of this one: its leases count no more. What it accepted it did accept.
@@ -116,15 +153,28 @@
 
     /// The highest ballot that keepers told of.
     pub fn highest_ballot(&self) -> u64 {
-        self.leases.values().flatten().map(|l| l.ballot.number).max().unwrap_or(0)
+        self.leases
+            .values()
+            .flatten()
+            .map(|l| l.ballot.number)
+            .max()
+            .unwrap_or(0)
     }
 
     /// Keepers that were heard of late hold different policies, or one that is not chosen: somebody stopped half way.
     pub fn apart(&self, now: u64) -> bool {
         let fresh = |l: &&Lease| now < l.till;
-        let last: Vec<&Lease> = self.leases.values().filter_map(|all| all.last()).filter(fresh).collect();
-        let Some(first) = last.first() else { return false };
-        last.iter().any(|l| l.id != first.id || !self.chosen.contains_key(&l.id))
+        let last: Vec<&Lease> = self
+            .leases
+            .values()
+            .filter_map(|all| all.last())
+            .filter(fresh)
+            .collect();
+        let Some(first) = last.first() else {
+            return false;
+        };
+        last.iter()
+            .any(|l| l.id != first.id || !self.chosen.contains_key(&l.id))
     }
 
     /// The highest version that was ever held.
@@ -147,10 +197,16 @@
     use super::*;
     use crate::tests::{ballot, policy};
 
-    const TIMES: Times = Times { lease_us: 1_000_000, drift: 10 };
+    const TIMES: Times = Times {
+        lease_us: 1_000_000,
+        drift: 10,
+    };
 
     fn by(number: u64, version: u64) -> Grant {
-        Grant { before: None, now: Some((policy(version), ballot(number), 0, 1_000_000)) }
+        Grant {
+            before: None,
+            now: Some((policy(version), ballot(number), 0, 1_000_000)),
+        }
     }
 
     #[test]
@@ -161,7 +217,11 @@
         t.granted(0, 1_000, 2, by(1, 4));
         assert_eq!(t.holds(2_000), Some(policy(4).id()));
         assert_eq!(t.holds(980_000), Some(policy(4).id()));
-        assert_eq!(t.holds(981_000), None, "a little less than was said, from when it was asked");
+        assert_eq!(
+            t.holds(981_000),
+            None,
+            "a little less than was said, from when it was asked"
+        );
         assert!(t.policy(&policy(4).id()).is_some());
     }
 
@@ -203,7 +263,12 @@
             if at % 250_000 == 0 {
                 for keeper in 1..=3 {
                     let left = 1_000_000u64.saturating_sub(at);
-                    t.granted(at, at + 2_000, keeper, if left > 0 { turning(left) } else { by(2, 2) });
+                    t.granted(
+                        at,
+                        at + 2_000,
+                        keeper,
+                        if left > 0 { turning(left) } else { by(2, 2) },
+                    );
                 }
             }
             gap += u64::from(t.holds(at + 2_000).is_none());
--- a/crates/accord/src/texts.rs
+++ b/crates/accord/src/texts.rs
@@ -47,7 +47,11 @@
         self.whole.insert(digest, (self.uses, text.to_string()));
         self.partial.remove(&digest);
         while self.whole.len() > MOST {
-            let oldest = self.whole.iter().min_by_key(|(_, (used, _))| *used).map(|(d, _)| *d);
+            let oldest = self
+                .whole
+                .iter()
+                .min_by_key(|(_, (used, _))| *used)
+                .map(|(d, _)| *d);
             oldest.map(|d| self.whole.remove(&d));
         }
         digest
@@ -61,14 +65,27 @@
         self.uses += 1;
         let (uses, known) = (self.uses, self.partial.contains_key(digest));
         if !known && self.partial.len() >= MOST_PARTIAL {
-            let oldest = self.partial.iter().min_by_key(|(_, p)| p.since).map(|(d, _)| *d);
+            let oldest = self
+                .partial
+                .iter()
+                .min_by_key(|(_, p)| p.since)
+                .map(|(d, _)| *d);
             oldest.map(|d| self.partial.remove(&d));
         }
-        let partial = self.partial.entry(*digest).or_insert(Partial { since: uses, ..Partial::default() });
+        let partial = self.partial.entry(*digest).or_insert(Partial {
+            since: uses,
+            ..Partial::default()
+        });
         // How long it is the first part tells.
-        let bytes = if partial.parts.is_empty() { 1 } else { partial.bytes };
+        let bytes = if partial.parts.is_empty() {
+            1
+        } else {
+            partial.bytes
+        };
         let all = (0..bytes.div_ceil(PART)).map(|n| (n * PART) as u32);
-        all.filter(|at| !partial.parts.contains_key(at)).take(AT_ONCE).collect()
+        all.filter(|at| !partial.parts.contains_key(at))
+            .take(AT_ONCE)
+            .collect()
     }
 
     /// A part of one that is whole here: its length, and the bytes.
@@ -81,9 +98,12 @@
 
     /// A part came. True: with it the document is whole, and is what its digest says.
     pub fn came(&mut self, digest: &Digest, at: u32, of: u32, bytes: Vec<u8>) -> bool {
-        let Some(partial) = self.partial.get_mut(digest) else { return false };
+        let Some(partial) = self.partial.get_mut(digest) else {
+            return false;
+        };
         let (from, of) = (at as usize, of as usize);
-        let right = from % PART == 0 && of <= MOST_BYTES && from < of && bytes.len() == PART.min(of - from);
+        let right =
+            from % PART == 0 && of <= MOST_BYTES && from < of && bytes.len() == PART.min(of - from);
         if !right || partial.bytes != 0 && partial.bytes != of {
             return false;
         }
@@ -92,8 +112,12 @@
         if partial.parts.len() < of.div_ceil(PART) {
             return false;
         }
-        let whole: Vec<u8> =
-            self.partial.remove(digest).into_iter().flat_map(|p| p.parts.into_values().flatten()).collect();
+        let whole: Vec<u8> = self
+            .partial
+            .remove(digest)
+            .into_iter()
+            .flat_map(|p| p.parts.into_values().flatten())
+            .collect();
         match String::from_utf8(whole) {
             // Else somebody sent something else: it is asked for anew.
             Ok(text) if sha256(&text) == *digest => self.put(&text) == *digest,
@@ -108,7 +132,9 @@
 
     #[test]
     fn parts_come_in_any_order_and_make_the_whole() {
-        let text: String = (0..3_000).map(|n| char::from(b'a' + (n % 26) as u8)).collect();
+        let text: String = (0..3_000)
+            .map(|n| char::from(b'a' + (n % 26) as u8))
+            .collect();
         let (mut here, mut there) = (Texts::default(), Texts::default());
         let digest = here.put(&text);
         assert_eq!(there.missing(&digest), [0]);
@@ -121,7 +147,9 @@
                 whole |= there.came(&digest, at, of, bytes);
             }
         }
-        assert!(whole && there.get(&digest) == Some(text.as_str()) && there.missing(&digest).is_empty());
+        assert!(
+            whole && there.get(&digest) == Some(text.as_str()) && there.missing(&digest).is_empty()
+        );
     }
 
     #[test]
@@ -133,7 +161,10 @@
         assert!(!there.has(&digest));
         assert_eq!(there.missing(&digest), [0]);
         for (at, of, bytes) in [(1, 11, 10), (0, 11, 5), (0, 1 << 30, PART), (800, 11, 3)] {
-            assert!(!there.came(&digest, at, of, vec![b'x'; bytes]), "{at} {of} {bytes}");
+            assert!(
+                !there.came(&digest, at, of, vec![b'x'; bytes]),
+                "{at} {of} {bytes}"
+            );
         }
         assert!(there.came(&digest, 0, 11, b"version = 1".to_vec()));
     }
--- a/crates/accord/tests/common/mod.rs
+++ b/crates/accord/tests/common/mod.rs
@@ -8,7 +8,10 @@
     }
 
     pub fn below(&mut self, n: u64) -> u64 {
-        self.0 = self.0.wrapping_mul(0x5851_F42D_4C95_7F2D).wrapping_add(0x1405_7B7E_F767_814F);
+        self.0 = self
+            .0
+            .wrapping_mul(0x5851_F42D_4C95_7F2D)
+            .wrapping_add(0x1405_7B7E_F767_814F);
         (self.0 >> 33) % n.max(1)
     }
 
@@ -20,7 +23,10 @@
 
     /// A clock of its own, fast or slow by up to 1%.
     pub fn clock(&mut self) -> Clock {
-        Clock { from: self.below(1_000_000_000), rate: 990 + self.below(21) }
+        Clock {
+            from: self.below(1_000_000_000),
+            rate: 990 + self.below(21),
+        }
     }
 }
 
--- a/crates/accord/tests/explore.rs
+++ b/crates/accord/tests/explore.rs
@@ -11,7 +11,10 @@
 
 /// A step of time; a lease is two of them.
 const TICK: u64 = 1_000;
-const TIMES: Times = Times { lease_us: 2 * TICK, drift: 0 };
+const TIMES: Times = Times {
+    lease_us: 2 * TICK,
+    drift: 0,
+};
 const KEEPERS: usize = 3;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -56,7 +59,11 @@
 }
 
 fn policy(draw: u8) -> Policy {
-    Policy { version: 1, digest: [draw; 32], parent: [0; 32] }
+    Policy {
+        version: 1,
+        digest: [draw; 32],
+        parent: [0; 32],
+    }
 }
 
 impl State {
@@ -71,10 +78,13 @@
             match o {
                 Out::Check(_) => {}
                 Out::Keepers(ask) => {
-                    self.letters.extend((0..KEEPERS).map(|k| Letter::ToKeeper(p, k, ask.clone())));
+                    self.letters
+                        .extend((0..KEEPERS).map(|k| Letter::ToKeeper(p, k, ask.clone())));
                 }
                 Out::End(end) => {
-                    let Some(id) = self.proposers[p].wants().map(Policy::id) else { continue };
+                    let Some(id) = self.proposers[p].wants().map(Policy::id) else {
+                        continue;
+                    };
                     match end {
                         End::InForce => {
                             let other = self.in_force.insert(id.version, id);
@@ -83,11 +93,18 @@
                                 "I5: two of one version in force",
                             );
                             let nowhere = self.nowhere.contains(&id);
-                            self.break_unless(!nowhere, "I3: one that was told to be nowhere is in force");
+                            self.break_unless(
+                                !nowhere,
+                                "I3: one that was told to be nowhere is in force",
+                            );
                         }
                         End::Refused(_) | End::Lost(_) => {
-                            let there = self.held.contains(&id) || self.in_force.values().any(|i| *i == id);
-                            self.break_unless(!there, "I3, I4: one that holds was told to be nowhere");
+                            let there =
+                                self.held.contains(&id) || self.in_force.values().any(|i| *i == id);
+                            self.break_unless(
+                                !there,
+                                "I3, I4: one that holds was told to be nowhere",
+                            );
                             self.nowhere.insert(id);
                         }
                         End::Open => {}
@@ -107,13 +124,24 @@
     fn look(&mut self) {
         let (now, tenants) = (self.now, &mut self.tenants);
         let all: Vec<Id> = tenants.iter_mut().filter_map(|t| t.holds(now)).collect();
-        let high = all.iter().map(|id| id.version).max().unwrap_or(0).max(self.high);
+        let high = all
+            .iter()
+            .map(|id| id.version)
+            .max()
+            .unwrap_or(0)
+            .max(self.high);
         self.high = high;
         for id in all {
             let nowhere = self.nowhere.contains(&id);
-            self.break_unless(id.version >= high, "I1, I2: let in under an earlier version");
+            self.break_unless(
+                id.version >= high,
+                "I1, I2: let in under an earlier version",
+            );
             self.break_unless(!nowhere, "I3: one that was told to be nowhere holds");
-            let fork = self.held.iter().any(|h| h.version == id.version && *h != id);
+            let fork = self
+                .held
+                .iter()
+                .any(|h| h.version == id.version && *h != id);
             self.break_unless(!fork, "I5: two of one version hold");
             let lost = self.in_force.get(&id.version).is_some_and(|i| *i != id);
             self.break_unless(!lost, "I4: another holds than was told as in force");
@@ -130,7 +158,16 @@
         let keeper = |k: usize| Some(Keeper::new(TIMES, k as u64, first.clone(), 0));
         let proposer = |p: u64| {
             let wants = Some(policy(p as u8 + 1));
-            Proposer::new(now, p + 1, 0, wants, BTreeSet::new(), KEEPERS, 20 * TICK, TICK)
+            Proposer::new(
+                now,
+                p + 1,
+                0,
+                wants,
+                BTreeSet::new(),
+                KEEPERS,
+                20 * TICK,
+                TICK,
+            )
         };
         let mut state = State {
             now,
@@ -164,7 +201,10 @@
     /// So many steps of what a change takes while nothing goes wrong.
     fn goes_well(&self, s: &mut State, upto: usize) {
         let mut step = |action: Action| *s = self.next_state(s, action).expect("it goes on");
-        let ballot = frosthatch_accord::Ballot { number: 1, proposer: 1 };
+        let ballot = frosthatch_accord::Ballot {
+            number: 1,
+            proposer: 1,
+        };
         let was = Durable::first().accepted;
         let rests = vec![(0, 0), (1, 0)];
         let accept = Ask::Accept(ballot, policy(1), rests);
@@ -199,7 +239,9 @@
             // And with all having asked for their leases.
             let mut asked = s.clone();
             for (t, k) in (0..self.gateways).flat_map(|t| (0..KEEPERS).map(move |k| (t, k))) {
-                asked = self.next_state(&asked, Action::AskLease(t, k)).expect("it is asked");
+                asked = self
+                    .next_state(&asked, Action::AskLease(t, k))
+                    .expect("it is asked");
             }
             all.extend([s, asked]);
         }
@@ -242,7 +284,9 @@
                         s.proposers[p].answered(s.now, k as u64, 0, answer, &mut out);
                         s.outs(p, out);
                     }
-                    Letter::Leased(t, k, asked, grant) => s.tenants[t].granted(asked, s.now, k as u64, grant),
+                    Letter::Leased(t, k, asked, grant) => {
+                        s.tenants[t].granted(asked, s.now, k as u64, grant)
+                    }
                 }
             }
             // That it is asked later than this only makes the lease shorter.
@@ -255,7 +299,9 @@
                 s.keepers[k] = None;
                 s.kills += 1;
             }
-            Action::Start(k) => s.keepers[k] = Some(Keeper::new(TIMES, k as u64, s.disks[k].clone(), s.now)),
+            Action::Start(k) => {
+                s.keepers[k] = Some(Keeper::new(TIMES, k as u64, s.disks[k].clone(), s.now))
+            }
             Action::Tick => {
                 s.now += TICK;
                 s.leased.clear();
@@ -285,37 +331,95 @@
         world.proposers, world.gateways, world.kills, world.ticks
     );
     let again = World { ..world };
-    let wide = world.checker().threads(2).target_state_count(states).spawn_bfs().join();
+    let wide = world
+        .checker()
+        .threads(2)
+        .target_state_count(states)
+        .spawn_bfs()
+        .join();
     wide.assert_no_discovery("the promise");
-    println!("{what}: all of {} states to depth {}", wide.unique_state_count(), wide.max_depth());
-    let deep = again.checker().threads(2).target_state_count(states).target_max_depth(70).spawn_dfs().join();
+    println!(
+        "{what}: all of {} states to depth {}",
+        wide.unique_state_count(),
+        wide.max_depth()
+    );
+    let deep = again
+        .checker()
+        .threads(2)
+        .target_state_count(states)
+        .target_max_depth(70)
+        .spawn_dfs()
+        .join();
     deep.assert_no_discovery("the promise");
-    println!("{what}: {} states down to depth {}", deep.unique_state_count(), deep.max_depth());
+    println!(
+        "{what}: {} states down to depth {}",
+        deep.unique_state_count(),
+        deep.max_depth()
+    );
 }
 
 /// `EXPLORE_STATES`: how many states at most, where it should not be over in seconds.
 #[test]
 fn no_interleaving_breaks_the_promise() {
-    let states = std::env::var("EXPLORE_STATES").ok().and_then(|s| s.parse().ok()).unwrap_or(100_000);
-    explore(World { proposers: 1, gateways: 2, kills: 1, ticks: 4 }, states);
-    explore(World { proposers: 2, gateways: 1, kills: 1, ticks: 4 }, states);
-    explore(World { proposers: 1, gateways: 1, kills: 2, ticks: 6 }, states);
+    let states = std::env::var("EXPLORE_STATES")
+        .ok()
+        .and_then(|s| s.parse().ok())
+        .unwrap_or(100_000);
+    explore(
+        World {
+            proposers: 1,
+            gateways: 2,
+            kills: 1,
+            ticks: 4,
+        },
+        states,
+    );
+    explore(
+        World {
+            proposers: 2,
+            gateways: 1,
+            kills: 1,
+            ticks: 4,
+        },
+        states,
+    );
+    explore(
+        World {
+            proposers: 1,
+            gateways: 1,
+            kills: 2,
+            ticks: 6,
+        },
+        states,
+    );
 }
 
 /// What is explored leads where it should: a change is in force, and a gateway goes over.
 #[test]
 fn a_change_goes_through() {
-    let w = World { proposers: 1, gateways: 1, kills: 0, ticks: 3 };
+    let w = World {
+        proposers: 1,
+        gateways: 1,
+        kills: 0,
+        ticks: 3,
+    };
     let mut s = w.begins();
     for _ in 0..3 {
         for _ in 0..6 {
-            let Some(l) = s.letters.iter().next().cloned() else { break };
+            let Some(l) = s.letters.iter().next().cloned() else {
+                break;
+            };
             s = w.next_state(&s, Action::Deliver(l)).expect("it goes on");
         }
         s = w.next_state(&s, Action::Tick).expect("time passes");
         for k in 0..KEEPERS {
-            s = w.next_state(&s, Action::AskLease(0, k)).expect("it is asked");
+            s = w
+                .next_state(&s, Action::AskLease(0, k))
+                .expect("it is asked");
         }
     }
-    assert!(s.broken.is_none() && s.high == 1 && s.in_force.len() == 1, "{s:?}");
+    assert!(
+        s.broken.is_none() && s.high == 1 && s.in_force.len() == 1,
+        "{s:?}"
+    );
 }
--- a/crates/accord/tests/golden_forms.rs
+++ b/crates/accord/tests/golden_forms.rs
@@ -9,17 +9,30 @@
 use std::fmt::Write;
 
 fn compare_with_recorded(file: &str, now: &str) {
-    let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file);
+    let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(file);
     if std::env::var_os("RECORD").is_some() {
         return std::fs::write(path, now).expect("written");
     }
-    assert_eq!(std::fs::read_to_string(path).expect("a recorded file"), now, "recorded on the left");
+    assert_eq!(
+        std::fs::read_to_string(path).expect("a recorded file"),
+        now,
+        "recorded on the left"
+    );
 }
 
-const BALLOT: Ballot = Ballot { number: 300, proposer: 7 };
+const BALLOT: Ballot = Ballot {
+    number: 300,
+    proposer: 7,
+};
 
 fn policy() -> Policy {
-    Policy { version: 3, digest: sha256("text"), parent: [4; 32] }
+    Policy {
+        version: 3,
+        digest: sha256("text"),
+        parent: [4; 32],
+    }
 }
 
 fn letters() -> Vec<Letter> {
@@ -42,8 +55,14 @@
         Answer::Lease(Grant::default()),
         Answer::Lease(grant),
     ];
-    let mut all: Vec<Letter> =
-        asks.into_iter().map(|ask| Letter::Ask { number: 1_000, seen: (5, 6), ask }).collect();
+    let mut all: Vec<Letter> = asks
+        .into_iter()
+        .map(|ask| Letter::Ask {
+            number: 1_000,
+            seen: (5, 6),
+            ask,
+        })
+        .collect();
     all.extend(answers.into_iter().map(|answer| Letter::Answer {
         number: 1_000,
         state: 53,
@@ -51,11 +70,22 @@
         answer,
     }));
     all.extend([
-        Letter::Check { number: 4, policy: policy() },
+        Letter::Check {
+            number: 4,
+            policy: policy(),
+        },
         Letter::checked(4, Ok(())),
         Letter::checked(4, Err("there is no plan \"x\" here".into())),
-        Letter::Want { digest: sha256("text"), at: vec![0, 800] },
-        Letter::Part { digest: sha256("text"), at: 0, of: 4, bytes: b"text".to_vec() },
+        Letter::Want {
+            digest: sha256("text"),
+            at: vec![0, 800],
+        },
+        Letter::Part {
+            digest: sha256("text"),
+            at: 0,
+            of: 4,
+            bytes: b"text".to_vec(),
+        },
     ]);
     all
 }
@@ -72,13 +102,21 @@
 
 fn records() -> [Record; 3] {
     let durable = Durable {
-        promised: Ballot { number: 301, proposer: 9 },
+        promised: Ballot {
+            number: 301,
+            proposer: 9,
+        },
         accepted: Some((BALLOT, policy())),
         life: 12,
         lives: [(0, 1), (2, 900)].into(),
         joining: false,
     };
-    let whole = Record { keeper: "n1".into(), state: 8, durable, text: "text".into() };
+    let whole = Record {
+        keeper: "n1".into(),
+        state: 8,
+        durable,
+        text: "text".into(),
+    };
     [Record::first("n1"), Record::joining("n1"), whole]
 }
 
--- a/crates/accord/tests/nodes.rs
+++ b/crates/accord/tests/nodes.rs
@@ -11,7 +11,10 @@
 use frosthatch_accord::{Id, Times};
 use std::collections::{BTreeMap, BTreeSet};
 
-const TIMES: Times = Times { lease_us: 500_000, drift: 10 };
+const TIMES: Times = Times {
+    lease_us: 500_000,
+    drift: 10,
+};
 const ALL: usize = 5;
 const KEEPERS: usize = 3;
 const STEP: u64 = 10_000;
@@ -63,7 +66,11 @@
 const NOT_THE_LAST: &str = "7.0";
 
 fn text(version: u64, parent: [u8; 32], worth: &str, rate: u64) -> String {
-    let parent = if version > 1 { format!("parent = \"{}\"\n", hex(&parent)) } else { String::new() };
+    let parent = if version > 1 {
+        format!("parent = \"{}\"\n", hex(&parent))
+    } else {
+        String::new()
+    };
     // Long enough for several parts.
     let padding = "# some words\n".repeat(130);
     format!("version = {version}\n{parent}{padding}[plans.p]\nrate = {rate}\nburst = 9\n[classes.c]\naim_ms = 5\nworth = {worth}\nlate_worth = 0\n")
@@ -186,22 +193,38 @@
 
     /// I3, I4, I5: what those who proposed at this member are told.
     fn ends(&mut self, n: usize) {
-        let Some(node) = &self.members[n].node else { return };
-        let ended: Vec<_> = node.proposals().filter_map(|p| Some((p.number, p.end?))).collect();
+        let Some(node) = &self.members[n].node else {
+            return;
+        };
+        let ended: Vec<_> = node
+            .proposals()
+            .filter_map(|p| Some((p.number, p.end?)))
+            .collect();
         for (number, end) in ended {
             let key = (n, self.members[n].life, number);
-            let Some((id, _)) = self.proposed.get(&key).cloned() else { continue };
+            let Some((id, _)) = self.proposed.get(&key).cloned() else {
+                continue;
+            };
             if !self.ended.insert(key) {
                 continue;
             }
             match end {
                 End::InForce => {
                     let other = self.in_force.insert(id.version, id);
-                    assert!(other.is_none_or(|o| o == id), "I5: two of one version in force");
-                    assert!(!self.nowhere.contains(&id), "I3: one that was told to be nowhere is in force");
+                    assert!(
+                        other.is_none_or(|o| o == id),
+                        "I5: two of one version in force"
+                    );
+                    assert!(
+                        !self.nowhere.contains(&id),
+                        "I3: one that was told to be nowhere is in force"
+                    );
                 }
                 End::Refused(_) | End::Lost(_) => {
-                    assert!(!self.held.contains(&id), "I3: one that holds was told to be nowhere");
+                    assert!(
+                        !self.held.contains(&id),
+                        "I3: one that holds was told to be nowhere"
+                    );
                     assert!(
                         !self.in_force.values().any(|i| *i == id),
                         "I4: one in force was told to be nowhere"
@@ -225,7 +248,9 @@
     /// I1, I2: under what a request would be let in now.
     fn look(&mut self, n: usize) {
         let at = self.at(n);
-        let Some(node) = &mut self.members[n].node else { return };
+        let Some(node) = &mut self.members[n].node else {
+            return;
+        };
         let Standing::Under(id, with) = node.standing(at) else {
             self.without += 1;
             return;
@@ -236,10 +261,22 @@
             id.version,
             self.high
         );
-        assert!(!self.nowhere.contains(&id), "I3: one that was told to be nowhere holds");
-        let cannot = self.proposed.values().any(|(i, worth)| *i == id && worth == NOT_THE_LAST);
-        assert!(!(cannot && n == ALL - 1), "it serves under what it cannot take");
-        let fork = self.held.iter().any(|h| h.version == id.version && *h != id);
+        assert!(
+            !self.nowhere.contains(&id),
+            "I3: one that was told to be nowhere holds"
+        );
+        let cannot = self
+            .proposed
+            .values()
+            .any(|(i, worth)| *i == id && worth == NOT_THE_LAST);
+        assert!(
+            !(cannot && n == ALL - 1),
+            "it serves under what it cannot take"
+        );
+        let fork = self
+            .held
+            .iter()
+            .any(|h| h.version == id.version && *h != id);
         assert!(!fork, "I5: two of one version hold");
         self.high = self.high.max(id.version);
         self.held.insert(id);
@@ -249,7 +286,9 @@
         self.now += STEP;
         let now = self.now;
         let due: Vec<_> = {
-            let (due, rest) = std::mem::take(&mut self.letters).into_iter().partition(|(at, ..)| *at <= now);
+            let (due, rest) = std::mem::take(&mut self.letters)
+                .into_iter()
+                .partition(|(at, ..)| *at <= now);
             self.letters = rest;
             due
         };
@@ -273,9 +312,13 @@
             let m = &mut self.members[n];
             if m.writing.as_ref().is_some_and(|(done, _)| *done <= now) {
                 m.disk = m.writing.take().map(|(_, record)| record);
-                m.node.iter_mut().for_each(|node| node.stored(at, Ok(()), &mut out));
+                m.node
+                    .iter_mut()
+                    .for_each(|node| node.stored(at, Ok(()), &mut out));
             }
-            m.node.iter_mut().for_each(|node| node.tick(at, &there, &mut out));
+            m.node
+                .iter_mut()
+                .for_each(|node| node.tick(at, &there, &mut out));
             self.outs(n, out);
             self.look(n);
         }
@@ -283,7 +326,9 @@
 
     fn deliver(&mut self, from: usize, to: usize, bytes: &[u8]) {
         let (at, mut out) = (self.at(to), Vec::new());
-        let Some(node) = &mut self.members[to].node else { return };
+        let Some(node) = &mut self.members[to].node else {
+            return;
+        };
         node.letter(at, &name(from), bytes, &mut out);
         self.outs(to, out);
     }
@@ -291,13 +336,24 @@
     fn propose(&mut self, n: usize) {
         let worth = ["1.0", "2.0", "3.0", NOT_THE_LAST, NOBODY][self.draw.below(5) as usize];
         let (at, there, rate) = (self.at(n), self.there(n), self.draw.below(1 << 29));
-        let Some(node) = &mut self.members[n].node else { return };
+        let Some(node) = &mut self.members[n].node else {
+            return;
+        };
         // What it held last; now and then that is not the last.
         let on = node.history().last().map(|(id, _)| *id).unwrap_or_default();
         let text = text(on.version + 1, on.digest, worth, rate);
-        let (id, mut out) = (Id { version: on.version + 1, digest: sha256(&text) }, Vec::new());
+        let (id, mut out) = (
+            Id {
+                version: on.version + 1,
+                digest: sha256(&text),
+            },
+            Vec::new(),
+        );
         match node.propose(at, &text, &there, &mut out) {
-            Ok(number) => drop(self.proposed.insert((n, self.members[n].life, number), (id, worth.into()))),
+            Ok(number) => drop(
+                self.proposed
+                    .insert((n, self.members[n].life, number), (id, worth.into())),
+            ),
             // At once: it never was anywhere.
             Err(why) => {
                 if std::env::var_os("SHOW").is_some() {
@@ -351,7 +407,8 @@
     /// What was taken for lost is put back: before another was set up in its place, or long after.
     fn puts_back(&mut self) {
         let n = self.frail;
-        let (Some(copy), Some(disk)) = (self.members[n].copy.clone(), self.members[n].disk.clone()) else {
+        let (Some(copy), Some(disk)) = (self.members[n].copy.clone(), self.members[n].disk.clone())
+        else {
             return;
         };
         // An older copy of the one that keeps is told apart only by those who remember.
@@ -392,7 +449,9 @@
     fn standings(&mut self) -> Vec<Standing> {
         let at: Vec<u64> = (0..ALL).map(|n| self.at(n)).collect();
         let nodes = self.members.iter_mut().zip(at);
-        nodes.filter_map(|(m, at)| m.node.as_mut().map(|node| node.standing(at))).collect()
+        nodes
+            .filter_map(|(m, at)| m.node.as_mut().map(|node| node.standing(at)))
+            .collect()
     }
 }
 
@@ -418,18 +477,37 @@
         }
         w.run(PATIENCE + 4_000_000);
         let keeps = w.members[w.frail].node.as_ref().and_then(Node::keeps);
-        assert!(keeps.as_ref().is_some_and(Result::is_ok), "seed {seed}: {keeps:?}");
+        assert!(
+            keeps.as_ref().is_some_and(Result::is_ok),
+            "seed {seed}: {keeps:?}"
+        );
         (lost, back) = (lost + w.lost, back + w.back);
         let standings = w.standings();
         let last = w.in_force.last_key_value().map_or(0, |(v, _)| *v);
-        let Standing::Under(id, None) = standings[0] else { panic!("seed {seed}: {standings:?}") };
+        let Standing::Under(id, None) = standings[0] else {
+            panic!("seed {seed}: {standings:?}")
+        };
         // One that was not there may not be able to serve under what was decided: then it refuses.
-        let cannot = w.proposed.values().any(|(i, worth)| *i == id && worth == NOT_THE_LAST);
-        let same =
-            |(n, s): (usize, &Standing)| *s == standings[0] || cannot && n == ALL - 1 && *s == Standing::Lost;
-        assert!(standings.iter().enumerate().all(same), "seed {seed}: {standings:?}");
-        assert!(id.version >= last, "seed {seed}: I4: {last} was told as in force, {} is held", id.version);
-        assert!(w.in_force.get(&id.version).is_none_or(|i| *i == id), "seed {seed}: I4");
+        let cannot = w
+            .proposed
+            .values()
+            .any(|(i, worth)| *i == id && worth == NOT_THE_LAST);
+        let same = |(n, s): (usize, &Standing)| {
+            *s == standings[0] || cannot && n == ALL - 1 && *s == Standing::Lost
+        };
+        assert!(
+            standings.iter().enumerate().all(same),
+            "seed {seed}: {standings:?}"
+        );
+        assert!(
+            id.version >= last,
+            "seed {seed}: I4: {last} was told as in force, {} is held",
+            id.version
+        );
+        assert!(
+            w.in_force.get(&id.version).is_none_or(|i| *i == id),
+            "seed {seed}: I4"
+        );
         // And it can be changed.
         let before = w.in_force.len();
         let mut proposed = false;
@@ -443,11 +521,17 @@
                 }
             }
         }
-        assert!(proposed && w.in_force.len() > before, "seed {seed}: nothing can be changed any more");
+        assert!(
+            proposed && w.in_force.len() > before,
+            "seed {seed}: nothing can be changed any more"
+        );
         (changes, nowhere) = (changes + w.in_force.len(), nowhere + w.nowhere.len());
     }
     println!("{lost} folders lost, {back} put back");
-    assert!(lost > changes / 50 && back > 0, "{lost} {back}: the schedules show both");
+    assert!(
+        lost > changes / 50 && back > 0,
+        "{lost} {back}: the schedules show both"
+    );
     (changes, nowhere)
 }
 
@@ -455,7 +539,10 @@
 fn no_schedule_breaks_the_promise() {
     let (changes, nowhere) = play(0..120, OnLost::Refuse, 3);
     println!("{changes} changes in force, {nowhere} nowhere");
-    assert!(changes > 300 && nowhere > 300, "{changes} {nowhere}: the schedules show both");
+    assert!(
+        changes > 300 && nowhere > 300,
+        "{changes} {nowhere}: the schedules show both"
+    );
 }
 
 #[test]
@@ -492,7 +579,11 @@
     w.start(1);
     w.run(1_500_000);
     let record = w.members[1].disk.clone().expect("it keeps");
-    assert_eq!(record.durable.accepted.map(|(_, p)| p.version), Some(w.high), "it has caught up by itself");
+    assert_eq!(
+        record.durable.accepted.map(|(_, p)| p.version),
+        Some(w.high),
+        "it has caught up by itself"
+    );
 }
 
 /// A change that a member cannot take is told with that member's name, and is nowhere.
@@ -504,11 +595,19 @@
     let (at, there, mut out) = (w.at(1), w.there(1), Vec::new());
     let text = text(1, [0; 32], NOT_THE_LAST, 5);
     let node = w.members[1].node.as_mut().expect("it runs");
-    let number = node.propose(at, &text, &there, &mut out).expect("it is asked about");
+    let number = node
+        .propose(at, &text, &there, &mut out)
+        .expect("it is asked about");
     w.outs(1, out);
     w.run(1_000_000);
     let node = w.members[1].node.as_ref().expect("it runs");
-    let shown = node.proposals().find(|p| p.number == number).expect("it is known");
-    assert_eq!(shown.why, [("n4".to_string(), "I do not take it".to_string())]);
+    let shown = node
+        .proposals()
+        .find(|p| p.number == number)
+        .expect("it is known");
+    assert_eq!(
+        shown.why,
+        [("n4".to_string(), "I do not take it".to_string())]
+    );
     assert_eq!(w.high, 0);
 }
--- a/crates/accord/tests/promise.rs
+++ b/crates/accord/tests/promise.rs
@@ -10,16 +10,38 @@
 use frosthatch_accord::{Id, Policy, Times};
 use std::collections::{BTreeMap, BTreeSet};
 
-const TIMES: Times = Times { lease_us: 1_000_000, drift: 10 };
+const TIMES: Times = Times {
+    lease_us: 1_000_000,
+    drift: 10,
+};
 const KEEPERS: usize = 3;
 const TENANTS: usize = 3;
 const STEP: u64 = 20_000;
 
 enum Letter {
-    ToKeeper { proposer: usize, keeper: usize, ask: Ask },
-    ToProposer { proposer: usize, keeper: usize, answer: Answer },
-    AskLease { tenant: usize, life: u64, keeper: usize, asked: u64 },
-    Leased { tenant: usize, life: u64, keeper: usize, asked: u64, grant: Grant },
+    ToKeeper {
+        proposer: usize,
+        keeper: usize,
+        ask: Ask,
+    },
+    ToProposer {
+        proposer: usize,
+        keeper: usize,
+        answer: Answer,
+    },
+    AskLease {
+        tenant: usize,
+        life: u64,
+        keeper: usize,
+        asked: u64,
+    },
+    Leased {
+        tenant: usize,
+        life: u64,
+        keeper: usize,
+        asked: u64,
+        grant: Grant,
+    },
 }
 
 struct World {
@@ -117,7 +139,11 @@
             match o {
                 Out::Check(_) => {}
                 Out::Keepers(ask) => (0..KEEPERS).for_each(|keeper| {
-                    self.post(|| Letter::ToKeeper { proposer, keeper, ask: ask.clone() });
+                    self.post(|| Letter::ToKeeper {
+                        proposer,
+                        keeper,
+                        ask: ask.clone(),
+                    });
                 }),
                 Out::End(end) => self.ended(proposer, end),
             }
@@ -126,15 +152,26 @@
 
     /// I3, I4, I5: what one proposer was told.
     fn ended(&mut self, proposer: usize, end: End) {
-        let Some(wanted) = self.proposers[proposer].wants().cloned() else { return };
+        let Some(wanted) = self.proposers[proposer].wants().cloned() else {
+            return;
+        };
         match end {
             End::InForce => {
                 let other = self.in_force.insert(wanted.version, wanted);
-                assert!(other.is_none_or(|o| o == wanted), "I5: two policies of one version in force");
-                assert!(!self.never.contains(&wanted.id()), "I3: one that was refused is in force");
+                assert!(
+                    other.is_none_or(|o| o == wanted),
+                    "I5: two policies of one version in force"
+                );
+                assert!(
+                    !self.never.contains(&wanted.id()),
+                    "I3: one that was refused is in force"
+                );
             }
             End::Refused(_) | End::Lost(_) => {
-                assert!(!self.held.contains(&wanted.id()), "I3: one that holds was told to be nowhere");
+                assert!(
+                    !self.held.contains(&wanted.id()),
+                    "I3: one that holds was told to be nowhere"
+                );
                 assert!(
                     !self.in_force.values().any(|p| *p == wanted),
                     "I4: one in force was told to be nowhere"
@@ -147,9 +184,15 @@
 
     fn deliver(&mut self, letter: Letter) {
         match letter {
-            Letter::ToKeeper { proposer, keeper, ask } => {
+            Letter::ToKeeper {
+                proposer,
+                keeper,
+                ask,
+            } => {
                 let at = self.clocks[keeper].at(self.now);
-                let Some(k) = &mut self.keepers[keeper] else { return };
+                let Some(k) = &mut self.keepers[keeper] else {
+                    return;
+                };
                 let (answer, durable) = k.ask(at, ask);
                 if durable {
                     self.disks[keeper] = k.state().clone();
@@ -159,22 +202,49 @@
                         return;
                     }
                 }
-                self.post(|| Letter::ToProposer { proposer, keeper, answer: answer.clone() });
+                self.post(|| Letter::ToProposer {
+                    proposer,
+                    keeper,
+                    answer: answer.clone(),
+                });
             }
-            Letter::ToProposer { proposer, keeper, answer } => {
+            Letter::ToProposer {
+                proposer,
+                keeper,
+                answer,
+            } => {
                 let mut out = Vec::new();
                 let now = self.now;
                 self.proposers[proposer].answered(now, keeper as u64, 0, answer, &mut out);
                 self.outs(proposer, out);
             }
-            Letter::AskLease { tenant, life, keeper, asked } => {
+            Letter::AskLease {
+                tenant,
+                life,
+                keeper,
+                asked,
+            } => {
                 let at = self.clocks[keeper].at(self.now);
-                let Some(k) = &mut self.keepers[keeper] else { return };
+                let Some(k) = &mut self.keepers[keeper] else {
+                    return;
+                };
                 if let (Answer::Lease(grant), _) = k.ask(at, Ask::Lease) {
-                    self.post(|| Letter::Leased { tenant, life, keeper, asked, grant: grant.clone() });
+                    self.post(|| Letter::Leased {
+                        tenant,
+                        life,
+                        keeper,
+                        asked,
+                        grant: grant.clone(),
+                    });
                 }
             }
-            Letter::Leased { tenant, life, keeper, asked, grant } => {
+            Letter::Leased {
+                tenant,
+                life,
+                keeper,
+                asked,
+                grant,
+            } => {
                 if self.lives[tenant] == life && !self.stopped[tenant] {
                     let at = self.clocks[KEEPERS + tenant].at(self.now);
                     self.tenants[tenant].granted(asked, at, keeper as u64, grant);
@@ -195,9 +265,21 @@
                 self.without += usize::from(two);
                 continue;
             };
-            assert!(id.version >= self.high, "I1, I2: {} let in under {} after {}", t, id.version, self.high);
-            assert!(!self.never.contains(&id), "I3: one that was told to be nowhere holds");
-            let other = self.held.iter().find(|h| h.version == id.version && **h != id);
+            assert!(
+                id.version >= self.high,
+                "I1, I2: {} let in under {} after {}",
+                t,
+                id.version,
+                self.high
+            );
+            assert!(
+                !self.never.contains(&id),
+                "I3: one that was told to be nowhere holds"
+            );
+            let other = self
+                .held
+                .iter()
+                .find(|h| h.version == id.version && **h != id);
             assert!(other.is_none(), "I5: two of one version hold");
             self.high = id.version;
             self.held.insert(id);
@@ -216,7 +298,12 @@
                 self.asked[t] = at;
                 let life = self.lives[t];
                 (0..KEEPERS).for_each(|keeper| {
-                    self.post(|| Letter::AskLease { tenant: t, life, keeper, asked: at });
+                    self.post(|| Letter::AskLease {
+                        tenant: t,
+                        life,
+                        keeper,
+                        asked: at,
+                    });
                 });
             }
         }
@@ -270,7 +357,12 @@
 
     /// What a proposer would take for the last policy: now and then not the last.
     fn known(&mut self) -> (u64, [u8; 32]) {
-        let all: Vec<Policy> = self.disks.iter().filter_map(|d| d.accepted).map(|(_, p)| p).collect();
+        let all: Vec<Policy> = self
+            .disks
+            .iter()
+            .filter_map(|d| d.accepted)
+            .map(|(_, p)| p)
+            .collect();
         let one = self.draw.below(all.len() as u64) as usize;
         all.get(one).map_or((0, [0; 32]), |p| (p.version, p.digest))
     }
@@ -284,7 +376,11 @@
 fn policy(version: u64, draw: u8, parent: [u8; 32]) -> Policy {
     let mut digest = [version as u8; 32];
     digest[0] = draw;
-    Policy { version, digest, parent }
+    Policy {
+        version,
+        digest,
+        parent,
+    }
 }
 
 #[test]
@@ -308,8 +404,9 @@
         w.run(6_000_000);
         w.propose(None);
         w.run(6_000_000);
-        let held: Vec<_> =
-            (0..TENANTS).map(|t| w.tenants[t].holds(w.clocks[KEEPERS + t].at(w.now))).collect();
+        let held: Vec<_> = (0..TENANTS)
+            .map(|t| w.tenants[t].holds(w.clocks[KEEPERS + t].at(w.now)))
+            .collect();
         let last = w.in_force.last_key_value().map_or(0, |(v, _)| *v);
         let one = held[0];
         assert!(held.iter().all(|h| *h == one), "seed {seed}: {held:?}");
@@ -323,7 +420,10 @@
         (changes, refused) = (changes + w.in_force.len(), refused + w.never.len());
     }
     println!("{changes} changes in force, {refused} nowhere");
-    assert!(changes > 3_000 && refused > 300, "{changes} {refused}: the schedules show both");
+    assert!(
+        changes > 3_000 && refused > 300,
+        "{changes} {refused}: the schedules show both"
+    );
 }
 
 /// A keeper that is gone costs no request, nor does a change: a gateway without a lease waits some milliseconds in its turn.
@@ -335,7 +435,10 @@
     w.without = 0;
     w.keepers[1] = None;
     w.run(10_000_000);
-    assert_eq!(w.without, 0, "steps of 20 ms in which a gateway had no lease");
+    assert_eq!(
+        w.without, 0,
+        "steps of 20 ms in which a gateway had no lease"
+    );
     for version in 2..12 {
         let digest = policy(version - 1, 0, [0; 32]).digest;
         w.propose(Some(policy(version, 0, digest)));
--- a/crates/choices/src/signals.rs
+++ b/crates/choices/src/signals.rs
@@ -59,7 +59,13 @@
     /// All that a member says now, by servers, in place of what it said before. `uses`: how many it uses.
     pub fn hear(&mut self, from: u64, uses: usize, words: impl Iterator<Item = (u64, Word)>) {
         let fine = |w: &(u64, Word)| w.1.errors.is_finite();
-        self.by.insert(from, Said { words: words.filter(fine).take(MOST_WORDS).collect(), uses });
+        self.by.insert(
+            from,
+            Said {
+                words: words.filter(fine).take(MOST_WORDS).collect(),
+                uses,
+            },
+        );
     }
 
     /// Only these are members now.
@@ -82,10 +88,19 @@
     fn votes(&self, server: u64, since: u64, now: u64) -> (usize, usize, Option<(u64, bool)>) {
         let counts = |w: &Word| w.at + ENDS_US > now && w.at >= since;
         let heard = |s: &&Said| {
-            let accuses = s.words.values().filter(|w| w.at + ENDS_US > now && w.errors > BAD).count();
+            let accuses = s
+                .words
+                .values()
+                .filter(|w| w.at + ENDS_US > now && w.errors > BAD)
+                .count();
             2 * accuses <= s.uses.max(2)
         };
-        let words = self.by.values().filter(heard).filter_map(|s| s.words.get(&server)).filter(|w| counts(w));
+        let words = self
+            .by
+            .values()
+            .filter(heard)
+            .filter_map(|s| s.words.get(&server))
+            .filter(|w| counts(w));
         let mut latest = None;
         let (mut bad, mut well) = (0, 0);
         for w in words {
@@ -100,10 +115,19 @@
     /// Which servers are out. `of`: when one started, and how many use it; none: there is no such server.
     pub fn settle(&mut self, now: u64, of: impl Fn(u64) -> Option<(u64, usize)>) {
         let mut out = BTreeSet::new();
-        let named: BTreeSet<u64> = self.by.values().flat_map(|s| s.words.keys().copied()).collect();
+        let named: BTreeSet<u64> = self
+            .by
+            .values()
+            .flat_map(|s| s.words.keys().copied())
+            .collect();
         for server in named {
-            let Some((started, users)) = of(server) else { continue };
-            let since = self.back.get(&server).map_or(started, |back| started.max(back + 1));
+            let Some((started, users)) = of(server) else {
+                continue;
+            };
+            let since = self
+                .back
+                .get(&server)
+                .map_or(started, |back| started.max(back + 1));
             let (bad, well, latest) = self.votes(server, since, now);
             let is_out = match (self.out.contains(&server), latest) {
                 (true, Some((at, false))) => {
@@ -140,7 +164,19 @@
     const S: u64 = 1_000_000;
 
     fn say(c: &mut Common, from: u64, words: &[(u64, f64)], at: u64) {
-        c.hear(from, 10, words.iter().map(|(s, errors)| (*s, Word { errors: *errors, at })));
+        c.hear(
+            from,
+            10,
+            words.iter().map(|(s, errors)| {
+                (
+                    *s,
+                    Word {
+                        errors: *errors,
+                        at,
+                    },
+                )
+            }),
+        );
     }
 
     fn settle(c: &mut Common, now: u64, users: usize) -> Vec<u64> {
--- a/crates/choices/src/subset.rs
+++ b/crates/choices/src/subset.rs
@@ -66,7 +66,9 @@
     deal.by_score(size);
     deal.left_over();
     // That each server is in as many subsets as is due goes before its zone's part.
-    [true, false].into_iter().for_each(|by_zones| deal.exchange(by_zones));
+    [true, false]
+        .into_iter()
+        .for_each(|by_zones| deal.exchange(by_zones));
     deal.anything();
     deal.has
 }
@@ -74,7 +76,9 @@
 /// The servers of one of them.
 pub fn of(me: u64, gateways: &[u64], servers: &[Server], size: usize) -> Vec<u32> {
     let place = gateways.iter().position(|g| *g == me);
-    place.map_or(Vec::new(), |place| deal(gateways, servers, size).swap_remove(place))
+    place.map_or(Vec::new(), |place| {
+        deal(gateways, servers, size).swap_remove(place)
+    })
 }
 
 /// In how many subsets each server is to be, by its weight: whole numbers whose sum is `all`, and no more than there are gateways.
@@ -84,11 +88,20 @@
     let mut full = vec![false; servers.len()];
     loop {
         let taken = full.iter().filter(|f| **f).count() * gateways;
-        let weight: f64 = weights.iter().zip(&full).filter(|(_, f)| !**f).map(|(w, _)| w).sum();
+        let weight: f64 = weights
+            .iter()
+            .zip(&full)
+            .filter(|(_, f)| !**f)
+            .map(|(w, _)| w)
+            .sum();
         let each = all.saturating_sub(taken) as f64 / weight;
         let mut more = false;
         for n in 0..servers.len() {
-            due[n] = if full[n] { gateways as f64 } else { weights[n] * each };
+            due[n] = if full[n] {
+                gateways as f64
+            } else {
+                weights[n] * each
+            };
             if due[n] > gateways as f64 {
                 (full[n], more) = (true, true);
             }
@@ -98,12 +111,18 @@
         }
     }
     let mut rooms: Vec<usize> = due.iter().map(|d| (*d + 1e-9) as usize).collect();
-    let mut rest: Vec<(f64, u64, usize)> =
-        (0..servers.len()).map(|n| (rooms[n] as f64 - due[n], drawn(servers[n].key, 0), n)).collect();
+    let mut rest: Vec<(f64, u64, usize)> = (0..servers.len())
+        .map(|n| (rooms[n] as f64 - due[n], drawn(servers[n].key, 0), n))
+        .collect();
     // Equal weights have equal fractions: who gets one more is drawn then.
     rest.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
     let left = all.saturating_sub(rooms.iter().sum());
-    let able: Vec<usize> = rest.iter().map(|r| r.2).filter(|n| rooms[*n] < gateways).take(left).collect();
+    let able: Vec<usize> = rest
+        .iter()
+        .map(|r| r.2)
+        .filter(|n| rooms[*n] < gateways)
+        .take(left)
+        .collect();
     able.into_iter().for_each(|n| rooms[n] += 1);
     rooms
 }
@@ -123,7 +142,10 @@
         let room = rooms(servers, &weights, size * gateways.len(), gateways.len());
         let mut parts = vec![0; names.len()];
         zones.iter().zip(&room).for_each(|(z, r)| parts[*z] += r);
-        let most = parts.iter().map(|p| p.div_ceil(gateways.len().max(1))).collect();
+        let most = parts
+            .iter()
+            .map(|p| p.div_ceil(gateways.len().max(1)))
+            .collect();
         Deal {
             gateways,
             servers,
@@ -192,16 +214,23 @@
     /// All pairs of those that want some yet.
     fn left_over(&mut self) {
         let mut pairs = Vec::new();
-        let free: Vec<usize> = (0..self.servers.len()).filter(|s| self.room[*s] > 0).collect();
+        let free: Vec<usize> = (0..self.servers.len())
+            .filter(|s| self.room[*s] > 0)
+            .collect();
         for g in (0..self.gateways.len()).filter(|g| self.wants[*g] > 0) {
-            pairs.extend(free.iter().map(|s| (self.score(g, *s), g as u32, *s as u32)));
+            pairs.extend(
+                free.iter()
+                    .map(|s| (self.score(g, *s), g as u32, *s as u32)),
+            );
         }
         self.go_through(pairs);
     }
 
     /// A gateway that has all servers with room already, or enough of their zones: another takes one of those and gives it one of its own.
     fn exchange(&mut self, by_zones: bool) {
-        let mut open: Vec<usize> = (0..self.gateways.len()).filter(|g| self.wants[*g] > 0).collect();
+        let mut open: Vec<usize> = (0..self.gateways.len())
+            .filter(|g| self.wants[*g] > 0)
+            .collect();
         open.sort_by_key(|g| self.gateways[*g]);
         for g in open {
             while self.wants[g] > 0 && self.exchange_one(g, by_zones) {}
@@ -209,7 +238,9 @@
     }
 
     fn exchange_one(&mut self, g: usize, by_zones: bool) -> bool {
-        let mut free: Vec<usize> = (0..self.servers.len()).filter(|s| self.room[*s] > 0).collect();
+        let mut free: Vec<usize> = (0..self.servers.len())
+            .filter(|s| self.room[*s] > 0)
+            .collect();
         free.sort_by_key(|s| drawn(self.servers[*s].key, self.gateways[g]));
         let mut others: Vec<usize> = (0..self.gateways.len()).filter(|o| *o != g).collect();
         others.sort_by_key(|o| drawn(self.gateways[*o], self.gateways[g]));
@@ -221,7 +252,8 @@
                 let full = by_zones && *self.zone_of(o, s) >= self.most[self.zones[s]];
                 let given = self.has[o].iter().map(|t| *t as usize).find(|&t| {
                     let same = self.zones[t] == self.zones[s];
-                    let fits = self.of_zone[g * self.most.len() + self.zones[t]] < self.most[self.zones[t]];
+                    let fits = self.of_zone[g * self.most.len() + self.zones[t]]
+                        < self.most[self.zones[t]];
                     !self.has(g, t) && (fits || !by_zones) && (same || !full)
                 });
                 if let Some(t) = given {
@@ -244,8 +276,15 @@
             if self.wants[g] == 0 {
                 continue;
             }
-            let mut rest: Vec<usize> = (0..self.servers.len()).filter(|s| !self.has(g, *s)).collect();
-            rest.sort_by_key(|s| (self.room[*s] == 0, drawn(self.servers[*s].key, self.gateways[g])));
+            let mut rest: Vec<usize> = (0..self.servers.len())
+                .filter(|s| !self.has(g, *s))
+                .collect();
+            rest.sort_by_key(|s| {
+                (
+                    self.room[*s] == 0,
+                    drawn(self.servers[*s].key, self.gateways[g]),
+                )
+            });
             for s in rest.into_iter().take(self.wants[g]) {
                 self.take(g, s);
             }
--- a/crates/choices/src/turns.rs
+++ b/crates/choices/src/turns.rs
@@ -38,7 +38,10 @@
             *got.entry(has[0]).or_default() += 1.0;
         }
         let parts: Vec<f64> = got.into_values().collect();
-        assert!(crate::fairness::jain(&parts) > 0.99 && parts.len() == 12, "{parts:?}");
+        assert!(
+            crate::fairness::jain(&parts) > 0.99 && parts.len() == 12,
+            "{parts:?}"
+        );
         assert_eq!(holder(7, std::iter::empty(), 3), None);
     }
 
@@ -49,7 +52,11 @@
         for epoch in 0..200 {
             let before = holder(1, all.iter().copied(), epoch);
             let after = holder(1, all.iter().copied().filter(|m| *m != 4), epoch);
-            assert!(if before == Some(4) { after != Some(4) } else { after == before });
+            assert!(if before == Some(4) {
+                after != Some(4)
+            } else {
+                after == before
+            });
         }
     }
 
--- a/crates/choices/tests/subset.rs
+++ b/crates/choices/tests/subset.rs
@@ -11,7 +11,11 @@
 
 fn servers(n: usize, zones: u64) -> Vec<Server> {
     (0..n)
-        .map(|n| Server { key: key(&format!("s{n}")), weight: 1.0, zone: n as u64 % zones.max(1) })
+        .map(|n| Server {
+            key: key(&format!("s{n}")),
+            weight: 1.0,
+            zone: n as u64 % zones.max(1),
+        })
         .collect()
 }
 
@@ -23,12 +27,18 @@
 }
 
 fn by_name(all: &[Vec<u32>], servers: &[Server]) -> Vec<BTreeSet<u64>> {
-    all.iter().map(|some| some.iter().map(|s| servers[*s as usize].key).collect()).collect()
+    all.iter()
+        .map(|some| some.iter().map(|s| servers[*s as usize].key).collect())
+        .collect()
 }
 
 /// Servers that each has and did not have, most and in sum.
 fn moved(before: &[BTreeSet<u64>], after: &[BTreeSet<u64>]) -> (usize, usize) {
-    let each: Vec<usize> = before.iter().zip(after).map(|(b, a)| a.difference(b).count()).collect();
+    let each: Vec<usize> = before
+        .iter()
+        .zip(after)
+        .map(|(b, a)| a.difference(b).count())
+        .collect();
     (each.iter().copied().max().unwrap_or(0), each.iter().sum())
 }
 
@@ -107,7 +117,10 @@
                 let (most, sum) = moved(&before, &after);
                 assert!(most <= 5, "{what} to {g} by {n}: {most} of one gateway's");
                 // Those of the one that came, and a chain behind each.
-                assert!(sum <= 9 * users.max(10), "{what} to {g} by {n}: {sum}, {users} users");
+                assert!(
+                    sum <= 9 * users.max(10),
+                    "{what} to {g} by {n}: {sum}, {users} users"
+                );
             }
         }
     }
@@ -115,19 +128,39 @@
 
 #[test]
 fn two_gateways_share_few_servers() {
-    let all = by_name(&deal(&gateways(300), &servers(200, 1), 20), &servers(200, 1));
-    let most = (0..299).map(|n| all[n].intersection(&all[n + 1]).count()).max();
+    let all = by_name(
+        &deal(&gateways(300), &servers(200, 1), 20),
+        &servers(200, 1),
+    );
+    let most = (0..299)
+        .map(|n| all[n].intersection(&all[n + 1]).count())
+        .max();
     assert!(most <= Some(8), "{most:?} of 20 in common");
 }
 
 #[test]
 fn of_few_servers_all_are_used_and_each_has_its_users() {
-    let size = Size { least: 10, users: 3 };
-    assert_eq!((size.of(300, 19), size.of(300, 20), size.of(300, 0)), (None, Some(10), None));
+    let size = Size {
+        least: 10,
+        users: 3,
+    };
+    assert_eq!(
+        (size.of(300, 19), size.of(300, 20), size.of(300, 0)),
+        (None, Some(10), None)
+    );
     // With few gateways each takes more, so that each server has three.
-    assert_eq!((size.of(64, 5_000), size.of(12, 60), size.of(5, 60)), (Some(235), Some(15), None));
-    assert_eq!(deal(&gateways(3), &servers(4, 2), 9), vec![vec![0, 1, 2, 3]; 3]);
-    assert!(deal(&[], &servers(4, 2), 2).is_empty() && deal(&gateways(2), &[], 2).iter().all(Vec::is_empty));
+    assert_eq!(
+        (size.of(64, 5_000), size.of(12, 60), size.of(5, 60)),
+        (Some(235), Some(15), None)
+    );
+    assert_eq!(
+        deal(&gateways(3), &servers(4, 2), 9),
+        vec![vec![0, 1, 2, 3]; 3]
+    );
+    assert!(
+        deal(&[], &servers(4, 2), 2).is_empty()
+            && deal(&gateways(2), &[], 2).iter().all(Vec::is_empty)
+    );
     assert!(of(7, &gateways(2), &servers(9, 1), 2).is_empty());
 }
 
@@ -139,6 +172,9 @@
     let all = deal(&gateways(40), &servers, 6);
     let loads = loads(&all, 30);
     assert_eq!(loads[2], 40);
-    assert!(loads[0].abs_diff(loads[3]) <= 1 && loads[1].abs_diff(loads[3]) <= 1, "{loads:?}");
+    assert!(
+        loads[0].abs_diff(loads[3]) <= 1 && loads[1].abs_diff(loads[3]) <= 1,
+        "{loads:?}"
+    );
     assert!(all.iter().all(|some| some.len() == 6));
 }
--- a/crates/choices/tests/ways.rs
+++ b/crates/choices/tests/ways.rs
@@ -6,7 +6,10 @@
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-const SIZE: Size = Size { least: 10, users: 3 };
+const SIZE: Size = Size {
+    least: 10,
+    users: 3,
+};
 
 type Way = fn(&[u64], &[Server], usize) -> Vec<Vec<u32>>;
 
@@ -16,7 +19,13 @@
 
 fn servers(n: usize) -> Vec<Server> {
     let name = |n: usize| key(&format!("10.0.{}.{}:80", n / 250, n % 250));
-    (0..n).map(|n| Server { key: name(n), weight: 1.0, zone: n as u64 % 3 }).collect()
+    (0..n)
+        .map(|n| Server {
+            key: name(n),
+            weight: 1.0,
+            zone: n as u64 % 3,
+        })
+        .collect()
 }
 
 fn drawn(a: u64, b: u64) -> u64 {
@@ -43,7 +52,9 @@
     let mut all = vec![Vec::new(); gateways.len()];
     for (n, g) in place.into_iter().enumerate() {
         let from = n * servers.len() / gateways.len();
-        all[g] = (from..from + size).map(|at| order[at % servers.len()]).collect();
+        all[g] = (from..from + size)
+            .map(|at| order[at % servers.len()])
+            .collect();
     }
     all
 }
@@ -66,7 +77,9 @@
     let mut load = vec![0usize; servers];
     all.iter().flatten().for_each(|n| load[*n as usize] += 1);
     let due = load.iter().sum::<usize>() as f64 / servers as f64;
-    let (least, most) = load.iter().fold((usize::MAX, 0), |(l, m), n| (l.min(*n), m.max(*n)));
+    let (least, most) = load
+        .iter()
+        .fold((usize::MAX, 0), |(l, m), n| (l.min(*n), m.max(*n)));
     (most as f64 / due, least as f64 / due)
 }
 
@@ -77,7 +90,10 @@
         b.iter().filter(|s| !a.contains(s)).count()
     };
     let each: Vec<usize> = before.iter().zip(after).map(new).collect();
-    (each.iter().sum::<usize>() as f64 / each.len() as f64, each.into_iter().max().unwrap_or(0))
+    (
+        each.iter().sum::<usize>() as f64 / each.len() as f64,
+        each.into_iter().max().unwrap_or(0),
+    )
 }
 
 struct Figures {
@@ -98,14 +114,23 @@
     let mut stayed = all.clone();
     stayed.remove(g / 2);
     let (worst, least) = balance(&all, s);
-    Figures { worst, least, server: moved(&all, &more), gateway: moved(&stayed, &gone) }
+    Figures {
+        worst,
+        least,
+        server: moved(&all, &more),
+        gateway: moved(&stayed, &gone),
+    }
 }
 
 #[test]
 #[ignore = "a table to look at"]
 fn table() {
-    let ways: [(&str, Way); 4] =
-        [("dealt by score", deal), ("rounds", rounds), ("rendezvous", rendezvous), ("ring", ring)];
+    let ways: [(&str, Way); 4] = [
+        ("dealt by score", deal),
+        ("rounds", rounds),
+        ("rendezvous", rendezvous),
+        ("ring", ring),
+    ];
     println!("| gateways, servers | size | way | worst, least by due | a server comes: moved, most | a gateway goes | ms |");
     let sizes = [
         (9, 60),
@@ -119,7 +144,9 @@
         (1_000, 5_000),
     ];
     for (g, s) in sizes {
-        let Some(size) = SIZE.of(g, s) else { panic!("{g} by {s} has no subsets") };
+        let Some(size) = SIZE.of(g, s) else {
+            panic!("{g} by {s} has no subsets")
+        };
         for (name, way) in ways {
             let f = figures(way, g, s, size);
             let (gateways, servers) = (gateways(g), servers(s));
@@ -141,10 +168,23 @@
         let of = |way| figures(way, g, s, size);
         let (runs, rounds, rendezvous, ring) = (of(deal), of(rounds), of(rendezvous), of(ring));
         let one = s as f64 / (g * size) as f64;
-        assert!(runs.worst <= 1.0 + one && runs.least >= 1.0 - one, "{} {}", runs.worst, runs.least);
+        assert!(
+            runs.worst <= 1.0 + one && runs.least >= 1.0 - one,
+            "{} {}",
+            runs.worst,
+            runs.least
+        );
         assert!(rendezvous.worst > 1.0 + 2.0 * one);
-        assert!(runs.server.0 <= 0.6 && runs.server.1 <= 5, "{:?}", runs.server);
-        assert!(runs.gateway.0 <= 0.6 && runs.gateway.1 <= 5, "{:?}", runs.gateway);
+        assert!(
+            runs.server.0 <= 0.6 && runs.server.1 <= 5,
+            "{:?}",
+            runs.server
+        );
+        assert!(
+            runs.gateway.0 <= 0.6 && runs.gateway.1 <= 5,
+            "{:?}",
+            runs.gateway
+        );
         assert!(rounds.gateway.0 > 2.0 && ring.gateway.0 > runs.gateway.0);
     }
     // Where all was dealt out anew.
--- a/crates/console/src/client.rs
+++ b/crates/console/src/client.rs
@@ -27,7 +27,10 @@
     );
     stream.write_all(request.as_bytes()).map_err(wrong)?;
     let mut text = String::new();
-    stream.take(MOST_BYTES).read_to_string(&mut text).map_err(wrong)?;
+    stream
+        .take(MOST_BYTES)
+        .read_to_string(&mut text)
+        .map_err(wrong)?;
     let none = || format!("console {console}: no answer");
     let (head, body) = text.split_once("\r\n\r\n").ok_or_else(none)?;
     let status = head.split(' ').nth(1).and_then(|s| s.parse().ok());
--- a/crates/console/src/driver.rs
+++ b/crates/console/src/driver.rs
@@ -104,11 +104,17 @@
         // Never a second call, whatever the client pipelines.
         let (again, desk) = (answered.replace(true), desk.clone());
         async move {
-            let call = Call::read(request.method().as_str(), request.uri().path(), request.uri().query());
+            let call = Call::read(
+                request.method().as_str(),
+                request.uri().path(),
+                request.uri().query(),
+            );
             Ok::<_, Infallible>(match call {
                 _ if again => answer(StatusCode::BAD_REQUEST, "one call a connection\n"),
                 Ok(Call::Propose) => {
-                    let body = Limited::new(request.into_body(), BODY_BYTES).collect().await;
+                    let body = Limited::new(request.into_body(), BODY_BYTES)
+                        .collect()
+                        .await;
                     proposed(&*desk, body.ok().map(|b| b.to_bytes()))
                 }
                 call => answered_by(&*desk, call),
@@ -116,9 +122,14 @@
         }
     });
     let mut http = http1::Builder::new();
-    http.keep_alive(false).max_buf_size(HEAD_BYTES).timer(TokioTimer::new()).header_read_timeout(ENDS_WITHIN);
+    http.keep_alive(false)
+        .max_buf_size(HEAD_BYTES)
+        .timer(TokioTimer::new())
+        .header_read_timeout(ENDS_WITHIN);
     // What the peer does wrong costs its own connection only.
-    let _ = http.serve_connection(TokioIo::new(Uninterrupted(stream)), serve).await;
+    let _ = http
+        .serve_connection(TokioIo::new(Uninterrupted(stream)), serve)
+        .await;
 }
 
 /// `document`: none if it is too long, or did not come whole.
@@ -130,7 +141,11 @@
             format!("send a document of {BODY_BYTES} bytes of UTF-8 at most\n"),
         ),
         Some(None) => answer(StatusCode::NOT_FOUND, NO_POLICY),
-        Some(Some(Ok(number))) => typed(StatusCode::ACCEPTED, format!("{{\"number\":{number}}}"), JSON),
+        Some(Some(Ok(number))) => typed(
+            StatusCode::ACCEPTED,
+            format!("{{\"number\":{number}}}"),
+            JSON,
+        ),
         Some(Some(Err(why))) => answer(StatusCode::UNPROCESSABLE_ENTITY, why + "\n"),
     }
 }
@@ -156,13 +171,17 @@
         },
         Ok(Call::Document) => match desk.document() {
             Some(text) => typed(StatusCode::OK, text, "application/toml"),
-            None => answer(StatusCode::NOT_FOUND, "no document is in force: each gateway's own files are\n"),
+            None => answer(
+                StatusCode::NOT_FOUND,
+                "no document is in force: each gateway's own files are\n",
+            ),
         },
         Ok(Call::Propose) => proposed(desk, None),
         Ok(Call::Abort(number)) if desk.abort(number) => answer(StatusCode::OK, "called off\n"),
-        Ok(Call::Abort(_)) => {
-            answer(StatusCode::CONFLICT, "it is not known here, over, or may be in force already\n")
-        }
+        Ok(Call::Abort(_)) => answer(
+            StatusCode::CONFLICT,
+            "it is not known here, over, or may be in force already\n",
+        ),
         Ok(Call::LeaveFleet) if desk.leave_fleet() => answer(StatusCode::OK, "left\n"),
         Ok(Call::LeaveFleet) => answer(StatusCode::NOT_FOUND, NO_FLEET),
         Ok(Call::Drain) => {
@@ -176,7 +195,9 @@
         Err(Wrong::Path) => answer(StatusCode::NOT_FOUND, "no such call\n"),
         Err(Wrong::Method(right)) => {
             let mut answer = answer(StatusCode::METHOD_NOT_ALLOWED, "another method\n");
-            answer.headers_mut().insert(ALLOW, hyper::header::HeaderValue::from_static(right));
+            answer
+                .headers_mut()
+                .insert(ALLOW, hyper::header::HeaderValue::from_static(right));
             answer
         }
         Err(Wrong::Number) => answer(StatusCode::BAD_REQUEST, "name one proposal, as ?number=7\n"),
@@ -191,6 +212,8 @@
 fn typed(status: StatusCode, text: impl Into<Bytes>, of: &'static str) -> Response<Full<Bytes>> {
     let mut answer = Response::new(Full::new(text.into()));
     *answer.status_mut() = status;
-    answer.headers_mut().insert(CONTENT_TYPE, hyper::header::HeaderValue::from_static(of));
+    answer
+        .headers_mut()
+        .insert(CONTENT_TYPE, hyper::header::HeaderValue::from_static(of));
     answer
 }
--- a/crates/console/src/figures.rs
+++ b/crates/console/src/figures.rs
@@ -30,7 +30,11 @@
             let _ = writeln!(text, "svc.{name}:{value}|{kind}");
         };
         for c in &self.classes {
-            for (figure, value) in [("success", c.success), ("busy", c.busy), ("failure", c.failure)] {
+            for (figure, value) in [
+                ("success", c.success),
+                ("busy", c.busy),
+                ("failure", c.failure),
+            ] {
                 line(&format!("{figure}.{}", c.name), value, 'c');
             }
             line(&format!("backend_calls.{}", c.name), c.backend_calls, 'c');
@@ -53,11 +57,26 @@
 
     #[test]
     fn each_figure_has_a_line() {
-        let class = Class { name: "top-up".into(), success: 812, busy: 3, failure: 1, backend_calls: 820 };
-        let figures = Figures { classes: vec![class], inflight: 14, hosts_listed: 10, ..Figures::default() };
+        let class = Class {
+            name: "top-up".into(),
+            success: 812,
+            busy: 3,
+            failure: 1,
+            backend_calls: 820,
+        };
+        let figures = Figures {
+            classes: vec![class],
+            inflight: 14,
+            hosts_listed: 10,
+            ..Figures::default()
+        };
         let text = figures.text();
         let lines: Vec<&str> = text.lines().collect();
-        for line in ["svc.success.top-up:812|c", "svc.backend_calls.top-up:820|c", "svc.inflight:14|g"] {
+        for line in [
+            "svc.success.top-up:812|c",
+            "svc.backend_calls.top-up:820|c",
+            "svc.inflight:14|g",
+        ] {
             assert!(lines.contains(&line), "{line} in {text}");
         }
         assert_eq!(lines.len(), 9);
--- a/crates/counter/src/lib.rs
+++ b/crates/counter/src/lib.rs
@@ -106,7 +106,10 @@
             }
             let now = Instant::now();
             // A connection is there in no time as a rule, and calls can wait for it.
-            let soon = self.dial.as_ref().map(|(since, _)| *since + self.patience / 2);
+            let soon = self
+                .dial
+                .as_ref()
+                .map(|(since, _)| *since + self.patience / 2);
             let soon = soon.filter(|&t| self.lines.is_empty() && t > now);
             let wake = soon.unwrap_or(self.not_before);
             tokio::select! {
@@ -132,8 +135,12 @@
     /// Makes another connection where all have calls out. While one has heard nothing yet there is no other: they
     /// must not multiply where it is the counter that is silent.
     fn connect(&mut self, address: SocketAddr) {
-        let wanted = self.lines.iter().all(|l| l.heard_at.is_some() && !l.waiting.is_empty());
-        let may = self.lines.len() < LINES && self.dial.is_none() && self.not_before <= Instant::now();
+        let wanted = self
+            .lines
+            .iter()
+            .all(|l| l.heard_at.is_some() && !l.waiting.is_empty());
+        let may =
+            self.lines.len() < LINES && self.dial.is_none() && self.not_before <= Instant::now();
         if wanted && may {
             let dial = async move { timeout(CONNECT, connect(address)).await.ok()?.ok() };
             self.dial = Some((Instant::now(), Box::pin(dial)));
@@ -142,7 +149,11 @@
 
     fn call(&mut self, call: Call) {
         // Answers for one name come in the order of its calls, which no two connections keep.
-        let same = |l: &Line| l.waiting.iter().any(|w| w.name.as_ref() == Some(&call.name));
+        let same = |l: &Line| {
+            l.waiting
+                .iter()
+                .any(|w| w.name.as_ref() == Some(&call.name))
+        };
         let fewest = || (0..self.lines.len()).min_by_key(|&n| self.lines[n].waiting.len());
         let Some(n) = self.lines.iter().position(same).or_else(fewest) else {
             return self.engine.counted(call.name, Status::NoConnection, 0.0);
@@ -231,7 +242,11 @@
 
     /// Waits for what comes next on the connection and does it.
     async fn step(&mut self, engine: &Rc<Engine>) -> io::Result<()> {
-        let oldest = self.waiting.iter().find(|w| w.name.is_some()).map(|w| w.since + self.patience);
+        let oldest = self
+            .waiting
+            .iter()
+            .find(|w| w.name.is_some())
+            .map(|w| w.since + self.patience);
         let silent = self.silent_at();
         let due = oldest.into_iter().chain(silent).min();
         let far = Instant::now() + Duration::from_secs(3_600);
@@ -259,7 +274,12 @@
     fn silent_at(&self) -> Option<Instant> {
         let since = self.waiting.front()?.since;
         let least = self.patience.mul_f64(SILENT_LEAST);
-        let most = self.usual.get().mul_f64(SILENT_TIMES).max(least).min(SILENT_MOST);
+        let most = self
+            .usual
+            .get()
+            .mul_f64(SILENT_TIMES)
+            .max(least)
+            .min(SILENT_MOST);
         Some(self.heard_at.map_or(since, |at| at.max(since)) + most)
     }
 
@@ -268,10 +288,18 @@
             return engine.counted(call.name, Status::TurnedAway, 0.0);
         }
         let mut text = String::new();
-        let _ = write!(text, "bump {} {} {}\r\n", call.name, call.amount, call.ttl_ms);
+        let _ = write!(
+            text,
+            "bump {} {} {}\r\n",
+            call.name, call.amount, call.ttl_ms
+        );
         self.outgoing.extend_from_slice(text.as_bytes());
         let end = self.written + self.outgoing.len() as u64;
-        self.waiting.push_back(Waiting { name: Some(call.name), since: Instant::now(), end });
+        self.waiting.push_back(Waiting {
+            name: Some(call.name),
+            since: Instant::now(),
+            end,
+        });
     }
 
     fn write(&mut self) -> io::Result<()> {
@@ -317,7 +345,10 @@
     /// One line answers the oldest call. What cannot be read ends the connection: its order is lost.
     fn answer(&mut self, line: &[u8], engine: &Rc<Engine>) -> io::Result<()> {
         let text = std::str::from_utf8(line).unwrap_or("").trim_end();
-        let total = text.strip_prefix("ok ").and_then(|t| t.parse::<f64>().ok()).filter(|t| t.is_finite());
+        let total = text
+            .strip_prefix("ok ")
+            .and_then(|t| t.parse::<f64>().ok())
+            .filter(|t| t.is_finite());
         let (status, total) = match (text, total) {
             (_, Some(total)) => (Status::Served, total),
             ("busy" | "error", _) => (Status::TurnedAway, 0.0),
@@ -327,7 +358,8 @@
         };
         let waiting = self.waiting.pop_front().ok_or(io::ErrorKind::InvalidData)?;
         let took = waiting.since.elapsed().min(SILENT_MOST);
-        self.usual.set(self.usual.get().mul_f64(1.0 - USUAL_WEIGHT) + took.mul_f64(USUAL_WEIGHT));
+        self.usual
+            .set(self.usual.get().mul_f64(1.0 - USUAL_WEIGHT) + took.mul_f64(USUAL_WEIGHT));
         if let Some(name) = waiting.name {
             engine.counted(name, status, total);
         }
@@ -337,7 +369,11 @@
     /// Calls that have waited long enough end without an answer: the amount may have been added.
     fn expire(&mut self, engine: &Rc<Engine>) {
         let now = Instant::now();
-        for w in self.waiting.iter_mut().filter(|w| w.since + self.patience <= now) {
+        for w in self
+            .waiting
+            .iter_mut()
+            .filter(|w| w.since + self.patience <= now)
+        {
             if let Some(name) = w.name.take() {
                 engine.counted(name, Status::NoAnswer, 0.0);
             }
@@ -347,7 +383,11 @@
     /// The connection is over. A call not written whole added nothing; of the others nobody knows.
     fn give_up(&mut self, engine: &Rc<Engine>) {
         for w in self.waiting.drain(..) {
-            let status = if w.end <= self.written { Status::ConnectionLost } else { Status::NoConnection };
+            let status = if w.end <= self.written {
+                Status::ConnectionLost
+            } else {
+                Status::NoConnection
+            };
             if let Some(name) = w.name {
                 engine.counted(name, status, 0.0);
             }
--- a/crates/diameter/src/codec.rs
+++ b/crates/diameter/src/codec.rs
@@ -67,7 +67,10 @@
     }
 
     pub fn of(code: u32, avp: &Avp) -> Fault {
-        Fault { code, avp: Some(avp.clone()) }
+        Fault {
+            code,
+            avp: Some(avp.clone()),
+        }
     }
 
     /// An AVP that must be there is not: an example of it, with data of the least length (RFC 6733 section 7.5).
@@ -78,8 +81,16 @@
             Some(Kind::Address) => 6,
             _ => 0,
         };
-        let avp = Avp { code, flags: MANDATORY, vendor: None, data: Bytes::from(vec![0; least]) };
-        Fault { code: result::MISSING_AVP, avp: Some(avp) }
+        let avp = Avp {
+            code,
+            flags: MANDATORY,
+            vendor: None,
+            data: Bytes::from(vec![0; least]),
+        };
+        Fault {
+            code: result::MISSING_AVP,
+            avp: Some(avp),
+        }
     }
 }
 
@@ -117,7 +128,10 @@
 
 impl Message {
     pub fn new(header: Header) -> Message {
-        Message { header, avps: Vec::new() }
+        Message {
+            header,
+            avps: Vec::new(),
+        }
     }
 
     /// Reads one framed message.
@@ -126,7 +140,10 @@
     pub fn decode(bytes: Bytes) -> Result<Message, Unreadable> {
         let mut header = Header::default();
         if bytes.len() < HEADER {
-            return Err(Unreadable { header, fault: Fault::new(result::INVALID_MESSAGE_LENGTH) });
+            return Err(Unreadable {
+                header,
+                fault: Fault::new(result::INVALID_MESSAGE_LENGTH),
+            });
         }
         header = Header {
             flags: bytes[4],
@@ -159,7 +176,10 @@
     /// The answer to this request, empty but for its Session-Id, which comes first (RFC 6733 section 6.2).
     pub fn answer(&self) -> Message {
         let flags = self.header.flags & flag::PROXIABLE;
-        let mut answer = Message::new(Header { flags, ..self.header });
+        let mut answer = Message::new(Header {
+            flags,
+            ..self.header
+        });
         answer.avps.extend(self.find(code::SESSION_ID).cloned());
         answer
     }
@@ -200,7 +220,11 @@
 
 fn check(avps: &[Avp], depth: usize) -> Result<(), Fault> {
     for avp in avps {
-        let known = if avp.vendor.is_none() { dictionary::kind(avp.code) } else { None };
+        let known = if avp.vendor.is_none() {
+            dictionary::kind(avp.code)
+        } else {
+            None
+        };
         let Some(kind) = known else {
             match avp.flags & MANDATORY != 0 {
                 true => return Err(Fault::of(result::AVP_UNSUPPORTED, avp)),
@@ -227,7 +251,9 @@
                     return Err(Fault::of(result::INVALID_AVP_VALUE, avp));
                 }
                 // The group is at fault where what is in it does not fit it.
-                let inner = avp.group().map_err(|_| Fault::of(result::INVALID_AVP_LENGTH, avp))?;
+                let inner = avp
+                    .group()
+                    .map_err(|_| Fault::of(result::INVALID_AVP_LENGTH, avp))?;
                 check(&inner, depth + 1)?;
             }
             _ => {}
@@ -243,7 +269,15 @@
         let short = |code, flags, rest: &Bytes| {
             // As much as there is of it, without a length that lies (RFC 6733 section 7.1.5).
             let data = rest.slice(..rest.len().min(64));
-            Fault::of(result::INVALID_AVP_LENGTH, &Avp { code, flags, vendor: None, data })
+            Fault::of(
+                result::INVALID_AVP_LENGTH,
+                &Avp {
+                    code,
+                    flags,
+                    vendor: None,
+                    data,
+                },
+            )
         };
         if bytes.len() < 8 {
             return Err(short(0, 0, &bytes));
@@ -255,7 +289,12 @@
             return Err(short(code, flags & !VENDOR, &bytes.slice(8..)));
         }
         let vendor = (head == 12).then(|| u32_at(&bytes, 8));
-        let avp = Avp { code, flags, vendor, data: bytes.slice(head..length) };
+        let avp = Avp {
+            code,
+            flags,
+            vendor,
+            data: bytes.slice(head..length),
+        };
         if flags & AVP_RESERVED != 0 {
             return Err(Fault::of(result::INVALID_AVP_BITS, &avp));
         }
@@ -268,7 +307,12 @@
 impl Avp {
     /// A mandatory AVP without a vendor.
     pub fn new(code: u32, data: impl Into<Bytes>) -> Avp {
-        Avp { code, flags: MANDATORY, vendor: None, data: data.into() }
+        Avp {
+            code,
+            flags: MANDATORY,
+            vendor: None,
+            data: data.into(),
+        }
     }
 
     pub fn optional(mut self) -> Avp {
@@ -297,14 +341,18 @@
     /// # Errors
     /// It has another length.
     pub fn u32(&self) -> Result<u32, Fault> {
-        let bytes = self.data[..].try_into().map_err(|_| Fault::of(result::INVALID_AVP_LENGTH, self))?;
+        let bytes = self.data[..]
+            .try_into()
+            .map_err(|_| Fault::of(result::INVALID_AVP_LENGTH, self))?;
         Ok(u32::from_be_bytes(bytes))
     }
 
     /// # Errors
     /// It has another length.
     pub fn u64(&self) -> Result<u64, Fault> {
-        let bytes = self.data[..].try_into().map_err(|_| Fault::of(result::INVALID_AVP_LENGTH, self))?;
+        let bytes = self.data[..]
+            .try_into()
+            .map_err(|_| Fault::of(result::INVALID_AVP_LENGTH, self))?;
         Ok(u64::from_be_bytes(bytes))
     }
 
@@ -323,7 +371,11 @@
     fn write(&self, out: &mut Vec<u8>) {
         let head = if self.vendor.is_some() { 12 } else { 8 };
         out.extend(self.code.to_be_bytes());
-        let flags = if self.vendor.is_some() { self.flags | VENDOR } else { self.flags & !VENDOR };
+        let flags = if self.vendor.is_some() {
+            self.flags | VENDOR
+        } else {
+            self.flags & !VENDOR
+        };
         out.push(flags);
         out.extend(&((head + self.data.len()) as u32).to_be_bytes()[1..]);
         out.extend(self.vendor.map(u32::to_be_bytes).into_iter().flatten());
--- a/crates/diameter/src/credit.rs
+++ b/crates/diameter/src/credit.rs
@@ -163,7 +163,9 @@
 
     /// A client has gone: whoever of its waits is waited for no more. True if nobody waits now.
     pub fn leave(&mut self, key: &Key, gone: impl Fn(&W) -> bool) -> bool {
-        let Some(Known::Out(waiting)) = self.known.get_mut(key) else { return false };
+        let Some(Known::Out(waiting)) = self.known.get_mut(key) else {
+            return false;
+        };
         waiting.retain(|w| !gone(w));
         let nobody = waiting.is_empty();
         if nobody {
@@ -181,12 +183,16 @@
         answer: &Message,
         server: Option<&str>,
     ) -> Vec<W> {
-        let Some(Known::Out(waiting)) = self.known.remove(key) else { return Vec::new() };
+        let Some(Known::Out(waiting)) = self.known.remove(key) else {
+            return Vec::new();
+        };
         // What was turned away unseen is asked again with the same ids, and then not turned away for that.
         if answer.result() != Some(result::TOO_BUSY) {
             self.kept += size(answer);
-            self.known.insert(key.clone(), Known::Answered(answer.clone()));
-            self.answered.push_back((now + self.mapping.repeats_us, key.clone()));
+            self.known
+                .insert(key.clone(), Known::Answered(answer.clone()));
+            self.answered
+                .push_back((now + self.mapping.repeats_us, key.clone()));
             while self.kept > self.mapping.repeat_bytes && self.forget_oldest() {}
         }
         if let (Some(server), Some(id)) = (server, ccr.text(code::SESSION_ID)) {
@@ -198,17 +204,24 @@
     /// What a server's answer makes of the session.
     fn settle(&mut self, now: u64, id: &str, ccr: &Message, answer: &Message, server: &str) {
         let good = answer.result().is_some_and(|r| (2_000..3_000).contains(&r));
-        let failover = answer.number(code::CC_SESSION_FAILOVER).map(|f| f == FAILOVER_SUPPORTED);
-        let retry = answer.number(code::CREDIT_CONTROL_FAILURE_HANDLING).map(|h| h != TERMINATE);
+        let failover = answer
+            .number(code::CC_SESSION_FAILOVER)
+            .map(|f| f == FAILOVER_SUPPORTED);
+        let retry = answer
+            .number(code::CREDIT_CONTROL_FAILURE_HANDLING)
+            .map(|h| h != TERMINATE);
         match ccr.number(code::CC_REQUEST_TYPE) {
             Some(TERMINATION) => drop(self.sessions.remove(id)),
             Some(INITIAL | UPDATE) => {
-                let Some(s) = self.sessions.get_mut(id) else { return };
+                let Some(s) = self.sessions.get_mut(id) else {
+                    return;
+                };
                 if good {
                     (s.server, s.at) = (Some(server.into()), now);
                     s.failover = failover.unwrap_or(s.failover);
                     s.retry = retry.unwrap_or(s.retry);
-                } else if s.server.is_none() || answer.result() == Some(result::UNKNOWN_SESSION_ID) {
+                } else if s.server.is_none() || answer.result() == Some(result::UNKNOWN_SESSION_ID)
+                {
                     self.sessions.remove(id);
                 }
             }
@@ -218,7 +231,8 @@
 
     /// A server has restarted, and with it its sessions are lost (RFC 6733 section 8.16).
     pub fn server_lost_sessions(&mut self, server: &str) {
-        self.sessions.retain(|_, s| s.server.as_deref() != Some(server));
+        self.sessions
+            .retain(|_, s| s.server.as_deref() != Some(server));
     }
 
     fn age(&mut self, now: u64) {
@@ -229,7 +243,9 @@
 
     /// Forgets the answer that was given longest ago, if there is any.
     fn forget_oldest(&mut self) -> bool {
-        let Some((_, key)) = self.answered.pop_front() else { return false };
+        let Some((_, key)) = self.answered.pop_front() else {
+            return false;
+        };
         if let Some(Known::Answered(answer)) = self.known.remove(&key) {
             self.kept = self.kept.saturating_sub(size(&answer));
         }
@@ -266,9 +282,13 @@
         let kind = kind.u32()?;
         let units = units(ccr, if kind == EVENT { 1.0 } else { 0.0 })?;
         if units > m.most_units {
-            let avp =
-                ccr.find(code::REQUESTED_SERVICE_UNIT).or(ccr.find(code::MULTIPLE_SERVICES_CREDIT_CONTROL));
-            return Err(Fault { code: result::INVALID_AVP_VALUE, avp: avp.cloned() });
+            let avp = ccr
+                .find(code::REQUESTED_SERVICE_UNIT)
+                .or(ccr.find(code::MULTIPLE_SERVICES_CREDIT_CONTROL));
+            return Err(Fault {
+                code: result::INVALID_AVP_VALUE,
+                avp: avp.cloned(),
+            });
         }
         let known = self.sessions.get(id).filter(|s| now < s.at + m.session_us);
         // Only the first request must say whose session it is (RFC 8506 section 3.1).
@@ -284,7 +304,14 @@
             }
             (None, _) => return Err(Fault::missing(code::SUBSCRIPTION_ID)),
         };
-        let ask = Ask { customer, plan, class, units, server: None, may_move: true };
+        let ask = Ask {
+            customer,
+            plan,
+            class,
+            units,
+            server: None,
+            may_move: true,
+        };
         match kind {
             INITIAL if known.is_none() => {
                 self.open(now, id, &ask)?;
@@ -292,7 +319,11 @@
             }
             INITIAL | UPDATE | TERMINATION => {
                 let s = known.ok_or_else(|| Fault::new(result::UNKNOWN_SESSION_ID))?;
-                Ok(Ask { server: s.server.clone(), may_move: s.failover && s.retry, ..ask })
+                Ok(Ask {
+                    server: s.server.clone(),
+                    may_move: s.failover && s.retry,
+                    ..ask
+                })
             }
             _ => Ok(ask),
         }
@@ -309,7 +340,14 @@
             return Err(Fault::new(result::TOO_BUSY));
         }
         let Ask { customer, plan, .. } = ask.clone();
-        let new = Session { customer, plan, server: None, failover: false, retry: false, at: now };
+        let new = Session {
+            customer,
+            plan,
+            server: None,
+            failover: false,
+            retry: false,
+            at: now,
+        };
         self.sessions.insert(id.into(), new);
         Ok(())
     }
@@ -317,7 +355,11 @@
 
 /// About what a message takes.
 pub(crate) fn size(message: &Message) -> usize {
-    message.avps.iter().map(|a| a.data.len() + std::mem::size_of::<Avp>()).sum()
+    message
+        .avps
+        .iter()
+        .map(|a| a.data.len() + std::mem::size_of::<Avp>())
+        .sum()
 }
 
 fn named(avp: &Avp) -> Result<&str, Fault> {
@@ -329,19 +371,30 @@
 }
 
 fn key(ccr: &Message) -> Result<Key, Fault> {
-    let host = ccr.find(code::ORIGIN_HOST).ok_or_else(|| Fault::missing(code::ORIGIN_HOST))?;
-    Ok(Key { host: named(host)?.to_ascii_lowercase(), end_to_end: ccr.header.end_to_end })
+    let host = ccr
+        .find(code::ORIGIN_HOST)
+        .ok_or_else(|| Fault::missing(code::ORIGIN_HOST))?;
+    Ok(Key {
+        host: named(host)?.to_ascii_lowercase(),
+        end_to_end: ccr.header.end_to_end,
+    })
 }
 
 /// The customer's number, from the first Subscription-Id that has one (RFC 8506 section 8.46): END_USER_E164 in digits, or
 /// END_USER_PRIVATE as the 16 hex digits of the key over HTTP.
 fn customer(ccr: &Message) -> Result<Option<u64>, Fault> {
     let mut wrong = None;
-    for avp in ccr.avps.iter().filter(|a| a.code == code::SUBSCRIPTION_ID && a.vendor.is_none()) {
+    for avp in ccr
+        .avps
+        .iter()
+        .filter(|a| a.code == code::SUBSCRIPTION_ID && a.vendor.is_none())
+    {
         let group = avp.group()?;
         let must = |code| find(&group, code).ok_or_else(|| Fault::missing(code));
-        let (kind, data) =
-            (must(code::SUBSCRIPTION_ID_TYPE)?.u32()?, must(code::SUBSCRIPTION_ID_DATA)?.text()?);
+        let (kind, data) = (
+            must(code::SUBSCRIPTION_ID_TYPE)?.u32()?,
+            must(code::SUBSCRIPTION_ID_DATA)?.text()?,
+        );
         let digits = |radix: u32| data.chars().all(|c| c.is_digit(radix));
         let number = match kind {
             0 if digits(10) => data.parse().ok(),
@@ -361,9 +414,15 @@
 fn units(ccr: &Message, otherwise: f64) -> Result<f64, Fault> {
     let mut sum = None;
     let mut add = |avps: &[Avp]| -> Result<(), Fault> {
-        for avp in avps.iter().filter(|a| a.code == code::REQUESTED_SERVICE_UNIT && a.vendor.is_none()) {
+        for avp in avps
+            .iter()
+            .filter(|a| a.code == code::REQUESTED_SERVICE_UNIT && a.vendor.is_none())
+        {
             let group = avp.group()?;
-            let units = match (find(&group, code::CC_SERVICE_SPECIFIC_UNITS), find(&group, code::CC_MONEY)) {
+            let units = match (
+                find(&group, code::CC_SERVICE_SPECIFIC_UNITS),
+                find(&group, code::CC_MONEY),
+            ) {
                 (Some(units), _) => units.u64()? as f64,
                 (None, Some(money)) => self::money(money)?,
                 // Asked for without a number: the server decides how much (section 8.18).
@@ -374,7 +433,11 @@
         Ok(())
     };
     add(&ccr.avps)?;
-    for avp in ccr.avps.iter().filter(|a| a.code == code::MULTIPLE_SERVICES_CREDIT_CONTROL) {
+    for avp in ccr
+        .avps
+        .iter()
+        .filter(|a| a.code == code::MULTIPLE_SERVICES_CREDIT_CONTROL)
+    {
         add(&avp.group()?)?;
     }
     Ok(sum.unwrap_or(otherwise))
@@ -382,8 +445,12 @@
 
 fn money(avp: &Avp) -> Result<f64, Fault> {
     let group = avp.group()?;
-    let value = find(&group, code::UNIT_VALUE).ok_or_else(|| Fault::missing(code::UNIT_VALUE))?.group()?;
-    let digits = find(&value, code::VALUE_DIGITS).ok_or_else(|| Fault::missing(code::VALUE_DIGITS))?.u64()?;
+    let value = find(&group, code::UNIT_VALUE)
+        .ok_or_else(|| Fault::missing(code::UNIT_VALUE))?
+        .group()?;
+    let digits = find(&value, code::VALUE_DIGITS)
+        .ok_or_else(|| Fault::missing(code::VALUE_DIGITS))?
+        .u64()?;
     let exponent = find(&value, code::EXPONENT).map_or(Ok(0), Avp::u32)? as i32;
     let amount = digits as i64 as f64 * 10f64.powi(exponent.clamp(-18, 18));
     if !(0.0..1e15).contains(&amount) {
@@ -405,7 +472,9 @@
 
 pub fn verdict(answer: &Message) -> Verdict {
     match answer.result() {
-        Some(result::UNABLE_TO_DELIVER | result::TOO_BUSY | result::LOOP_DETECTED) => Verdict::TurnedAway,
+        Some(result::UNABLE_TO_DELIVER | result::TOO_BUSY | result::LOOP_DETECTED) => {
+            Verdict::TurnedAway
+        }
         Some(result::UNABLE_TO_COMPLY) | None => Verdict::Error,
         Some(_) => Verdict::Answered,
     }
--- a/crates/diameter/src/dictionary.rs
+++ b/crates/diameter/src/dictionary.rs
@@ -131,7 +131,9 @@
 
 /// The kind of an AVP without a vendor; none if it is not known.
 pub fn kind(code: u32) -> Option<Kind> {
-    AVPS.iter().find(|(c, ..)| *c == code).map(|(_, _, kind)| *kind)
+    AVPS.iter()
+        .find(|(c, ..)| *c == code)
+        .map(|(_, _, kind)| *kind)
 }
 
 /// Command codes (RFC 6733 section 3.1, RFC 8506 section 3).
--- a/crates/diameter/src/front.rs
+++ b/crates/diameter/src/front.rs
@@ -128,7 +128,10 @@
 
     /// Says goodbye to all clients.
     pub fn goodbye(&self) {
-        self.clients.borrow().values().for_each(|link| link.leave(Cause::Rebooting));
+        self.clients
+            .borrow()
+            .values()
+            .for_each(|link| link.leave(Cause::Rebooting));
     }
 
     /// Accepts connections for good.
@@ -151,7 +154,13 @@
     async fn serve(self: Rc<Self>, number: u64, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let (plan, engine) = (self.plan(), self.engine.clone());
-        let peer = Peer::new(plan.me.clone(), Role::Client, plan.tw_us, false, plan.seed ^ number);
+        let peer = Peer::new(
+            plan.me.clone(),
+            Role::Client,
+            plan.tw_us,
+            false,
+            plan.seed ^ number,
+        );
         let (link, to_write) = Link::new(peer, Rc::new(move || engine.now()), self.budget.clone());
         self.clients.borrow_mut().insert(number, link.clone());
         let host = RefCell::new(String::new());
@@ -175,7 +184,12 @@
 
     /// A client has gone: what only it waits for is called off.
     fn gone(&self, client: u64) {
-        let open: Vec<_> = self.open.borrow().iter().map(|(id, of)| (*id, of.clone())).collect();
+        let open: Vec<_> = self
+            .open
+            .borrow()
+            .iter()
+            .map(|(id, of)| (*id, of.clone()))
+            .collect();
         let its = |w: &Waiter| w.client == client;
         for (id, Open { key, charge, .. }) in open {
             // A charge that is out may have run: called off and then repeated it could run elsewhere, too. It goes on to
@@ -200,8 +214,14 @@
         if loops(&ccr, &plan.me.host) {
             return refuse(result::LOOP_DETECTED);
         }
-        let waiter = Waiter { client, hop_by_hop: ccr.header.hop_by_hop };
-        let taken = self.credit.borrow_mut().take(self.engine.now(), &ccr, waiter);
+        let waiter = Waiter {
+            client,
+            hop_by_hop: ccr.header.hop_by_hop,
+        };
+        let taken = self
+            .credit
+            .borrow_mut()
+            .take(self.engine.now(), &ccr, waiter);
         match taken {
             Taken::Joins => {}
             Taken::Again(mut answer) => {
@@ -212,7 +232,9 @@
                 let mut answer = link.own_answer(&ccr, fault.code);
                 if let Some(avp) = fault.avp {
                     let failed = crate::dictionary::code::FAILED_AVP;
-                    answer.avps.push(crate::codec::Avp::of_group(failed, &[avp]));
+                    answer
+                        .avps
+                        .push(crate::codec::Avp::of_group(failed, &[avp]));
                 }
                 link.answer(&answer);
             }
@@ -232,12 +254,20 @@
             }
             _ => None,
         };
-        self.next
-            .set(self.next.get().wrapping_mul(0x5851_F42D_4C95_7F2D).wrapping_add(0x1405_7B7E_F767_814F));
+        self.next.set(
+            self.next
+                .get()
+                .wrapping_mul(0x5851_F42D_4C95_7F2D)
+                .wrapping_add(0x1405_7B7E_F767_814F),
+        );
         let id = RequestId(self.next.get());
         let plan = self.plan();
         let charge = ask.class == plan.mapping.charge;
-        let tx = plan.tx.get(&ask.class).copied().unwrap_or(Duration::from_secs(10));
+        let tx = plan
+            .tx
+            .get(&ask.class)
+            .copied()
+            .unwrap_or(Duration::from_secs(10));
         let request = Request {
             id,
             customer: CustomerId(ask.customer.as_str().into()),
@@ -261,14 +291,33 @@
             answered_by: answered_by.clone(),
             again: Rc::default(),
         });
-        let arrival = Arrival { request, gone_at: Instant::now() + tx, payload };
-        self.open.borrow_mut().insert(id, Open { key: key.clone(), charge, bytes });
+        let arrival = Arrival {
+            request,
+            gone_at: Instant::now() + tx,
+            payload,
+        };
+        self.open.borrow_mut().insert(
+            id,
+            Open {
+                key: key.clone(),
+                charge,
+                bytes,
+            },
+        );
         self.open_bytes.set(self.open_bytes.get() + bytes);
         let Ok(answer) = self.engine.take(arrival) else {
             self.close(id);
-            return self.answer(&key, &ccr, &link.own_answer(&ccr, result::UNABLE_TO_COMPLY), None);
+            return self.answer(
+                &key,
+                &ccr,
+                &link.own_answer(&ccr, result::UNABLE_TO_COMPLY),
+                None,
+            );
         };
-        let (front, own) = (self.clone(), link.own_answer(&ccr, result::UNABLE_TO_COMPLY));
+        let (front, own) = (
+            self.clone(),
+            link.own_answer(&ccr, result::UNABLE_TO_COMPLY),
+        );
         spawn_local(async move {
             // Ended without one: its clients have gone.
             let Ok(answer) = answer.await else { return };
@@ -293,7 +342,10 @@
     /// Gives the one answer to whoever waits for it.
     fn answer(&self, key: &Key, ccr: &Message, answer: &Message, server: Option<&str>) {
         let now = self.engine.now();
-        let waiting = self.credit.borrow_mut().finished(now, key, ccr, answer, server);
+        let waiting = self
+            .credit
+            .borrow_mut()
+            .finished(now, key, ccr, answer, server);
         for w in waiting {
             let link = self.clients.borrow().get(&w.client).cloned();
             if let Some(link) = link {
--- a/crates/diameter/src/link.rs
+++ b/crates/diameter/src/link.rs
@@ -36,7 +36,10 @@
 
 impl Budget {
     pub fn new(most: usize) -> Rc<Budget> {
-        Rc::new(Budget { most: Cell::new(most), held: Cell::new(0) })
+        Rc::new(Budget {
+            most: Cell::new(most),
+            held: Cell::new(0),
+        })
     }
 }
 
@@ -76,7 +79,18 @@
     ) -> (Rc<Link>, mpsc::Receiver<Queued>) {
         let (out, to_write) = mpsc::channel(WAITING);
         let (queued, written, broken) = (Cell::new(0), Cell::new(0), Notify::new());
-        (Rc::new(Link { peer: RefCell::new(peer), budget, out, queued, written, broken, clock }), to_write)
+        (
+            Rc::new(Link {
+                peer: RefCell::new(peer),
+                budget,
+                out,
+                queued,
+                written,
+                broken,
+                clock,
+            }),
+            to_write,
+        )
     }
 
     pub fn open(&self) -> bool {
@@ -119,7 +133,10 @@
 
     /// The same for the gateway's part in the connection itself, which no answers of others hold up.
     fn put(&self, bytes: Vec<u8>) -> Option<u64> {
-        self.queue(Queued { bytes, attempt: None })
+        self.queue(Queued {
+            bytes,
+            attempt: None,
+        })
     }
 
     fn queue(&self, queued: Queued) -> Option<u64> {
@@ -145,7 +162,9 @@
     /// Says goodbye.
     pub fn leave(&self, cause: Cause) {
         let mut out = Vec::new();
-        self.peer.borrow_mut().handle((self.clock)(), Input::Leave(cause), &mut out);
+        self.peer
+            .borrow_mut()
+            .handle((self.clock)(), Input::Leave(cause), &mut out);
         // Nothing of this is an event; a close ends the loop by its timer or by the end of the stream.
         for output in out {
             match output {
@@ -198,7 +217,9 @@
         let reads = async {
             let mut buffer = BytesMut::new();
             let mut out = Vec::new();
-            self.peer.borrow_mut().handle((self.clock)(), Input::Connected, &mut out);
+            self.peer
+                .borrow_mut()
+                .handle((self.clock)(), Input::Connected, &mut out);
             loop {
                 for output in out.drain(..) {
                     match output {
@@ -232,7 +253,9 @@
                             Ok(message) => Input::Message(message),
                             Err(unreadable) => Input::Unreadable(unreadable),
                         };
-                        self.peer.borrow_mut().handle((self.clock)(), input, &mut out);
+                        self.peer
+                            .borrow_mut()
+                            .handle((self.clock)(), input, &mut out);
                         continue;
                     }
                     Ok(None) => {}
@@ -292,7 +315,12 @@
 
     fn link() -> (Rc<Link>, mpsc::Receiver<Queued>) {
         let address = "127.0.0.1".parse().expect("an address");
-        let me = Identity { host: "g".into(), realm: "example.org".into(), address, state_id: 1 };
+        let me = Identity {
+            host: "g".into(),
+            realm: "example.org".into(),
+            address,
+            state_id: 1,
+        };
         let peer = Peer::new(me, Role::Client, 30_000_000, false, 1);
         Link::new(peer, Rc::new(|| 0), Budget::new(1 << 20))
     }
@@ -316,7 +344,9 @@
     async fn read_all(mut stream: DuplexStream) -> String {
         let mut all = Vec::new();
         let mut chunk = [0; 64];
-        while let Ok(Ok(n @ 1..)) = timeout(Duration::from_millis(200), stream.read(&mut chunk)).await {
+        while let Ok(Ok(n @ 1..)) =
+            timeout(Duration::from_millis(200), stream.read(&mut chunk)).await
+        {
             all.extend_from_slice(&chunk[..n]);
         }
         String::from_utf8_lossy(&all).into()
@@ -331,13 +361,22 @@
             let running = link.clone();
             spawn_local(async move { running.run(near, to_write, |_| ()).await });
             let (stays, leaves) = (Waiting::default(), Waiting::default());
-            let first = link.send_attempt(&message("session-one"), permit(&stays)).expect("room");
-            let second = link.send_attempt(&message("session-two"), permit(&leaves)).expect("room");
-            let third = link.send_attempt(&message("session-three"), permit(&stays)).expect("room");
+            let first = link
+                .send_attempt(&message("session-one"), permit(&stays))
+                .expect("room");
+            let second = link
+                .send_attempt(&message("session-two"), permit(&leaves))
+                .expect("room");
+            let third = link
+                .send_attempt(&message("session-three"), permit(&stays))
+                .expect("room");
             tokio::task::yield_now().await;
             leaves.end();
             let read = read_all(far).await;
-            assert!(read.contains("session-one") && read.contains("session-three"), "{read:?}");
+            assert!(
+                read.contains("session-one") && read.contains("session-three"),
+                "{read:?}"
+            );
             assert!(!read.contains("session-two"), "{read:?}");
             assert_eq!(second.withheld.await, Ok(Withheld::NobodyWaits));
             assert!(first.withheld.await.is_err() && third.withheld.await.is_err());
--- a/crates/diameter/src/overload.rs
+++ b/crates/diameter/src/overload.rs
@@ -43,16 +43,21 @@
 
     /// The share by which clients should ask less, in percent.
     fn reduction(&self) -> u32 {
-        (100.0 * self.refused / self.asked.max(1.0)).round().min(100.0) as u32
+        (100.0 * self.refused / self.asked.max(1.0))
+            .round()
+            .min(100.0) as u32
     }
 
     /// Puts into the answer to a request what its client understands: nothing, if it has not said that it does.
     pub fn sign(&mut self, now: u64, request: &Message, answer: &mut Message) {
         // A server's report is about the server, and is not the client's to heed (section 5.1.2).
-        answer
-            .avps
-            .retain(|a| !matches!(a.code, code::OC_SUPPORTED_FEATURES | code::OC_OLR) || a.vendor.is_some());
-        let Some(features) = request.find(code::OC_SUPPORTED_FEATURES).and_then(|a| a.group().ok()) else {
+        answer.avps.retain(|a| {
+            !matches!(a.code, code::OC_SUPPORTED_FEATURES | code::OC_OLR) || a.vendor.is_some()
+        });
+        let Some(features) = request
+            .find(code::OC_SUPPORTED_FEATURES)
+            .and_then(|a| a.group().ok())
+        else {
             return;
         };
         let vector = find(&features, code::OC_FEATURE_VECTOR).map_or(Ok(LOSS), Avp::u64);
@@ -60,7 +65,9 @@
             return;
         }
         let supported = [Avp::of_u64(code::OC_FEATURE_VECTOR, LOSS).optional()];
-        answer.avps.push(Avp::of_group(code::OC_SUPPORTED_FEATURES, &supported).optional());
+        answer
+            .avps
+            .push(Avp::of_group(code::OC_SUPPORTED_FEATURES, &supported).optional());
         let reduction = self.reduction();
         if reduction.abs_diff(self.told) >= STEP || reduction == 0 && self.told > 0 {
             self.told = reduction;
@@ -73,9 +80,15 @@
                 Avp::of_u64(code::OC_SEQUENCE_NUMBER, self.sequence).optional(),
                 Avp::of_u32(code::OC_REPORT_TYPE, HOST_REPORT).optional(),
                 Avp::of_u32(code::OC_REDUCTION_PERCENTAGE, self.told).optional(),
-                Avp::of_u32(code::OC_VALIDITY_DURATION, if self.told > 0 { VALID_S } else { 0 }).optional(),
+                Avp::of_u32(
+                    code::OC_VALIDITY_DURATION,
+                    if self.told > 0 { VALID_S } else { 0 },
+                )
+                .optional(),
             ];
-            answer.avps.push(Avp::of_group(code::OC_OLR, &report).optional());
+            answer
+                .avps
+                .push(Avp::of_group(code::OC_OLR, &report).optional());
         }
     }
 }
@@ -91,15 +104,23 @@
 impl Heeded {
     /// Takes in the report in an answer, if there is one and it is newer (section 5.2.1.2).
     pub fn hear(&mut self, now: u64, answer: &Message) {
-        let Some(report) = answer.find(code::OC_OLR).and_then(|a| a.group().ok()) else { return };
+        let Some(report) = answer.find(code::OC_OLR).and_then(|a| a.group().ok()) else {
+            return;
+        };
         let number = |code| find(&report, code).and_then(|a| a.u32().ok());
         let sequence = find(&report, code::OC_SEQUENCE_NUMBER).and_then(|a| a.u64().ok());
-        let (Some(sequence), Some(kind)) = (sequence, number(code::OC_REPORT_TYPE)) else { return };
+        let (Some(sequence), Some(kind)) = (sequence, number(code::OC_REPORT_TYPE)) else {
+            return;
+        };
         if kind != HOST_REPORT || self.sequence.is_some_and(|s| sequence <= s) {
             return;
         }
-        let valid = number(code::OC_VALIDITY_DURATION).unwrap_or(USUAL_VALID_S).min(MOST_VALID_S);
-        let percent = number(code::OC_REDUCTION_PERCENTAGE).filter(|&p| p <= 100).unwrap_or(0);
+        let valid = number(code::OC_VALIDITY_DURATION)
+            .unwrap_or(USUAL_VALID_S)
+            .min(MOST_VALID_S);
+        let percent = number(code::OC_REDUCTION_PERCENTAGE)
+            .filter(|&p| p <= 100)
+            .unwrap_or(0);
         self.sequence = Some(sequence);
         self.percent = percent.min(MOST_PERCENT);
         self.until = now + u64::from(valid) * 1_000_000;
@@ -115,7 +136,9 @@
 pub fn announce(request: &mut Message) {
     if request.find(code::OC_SUPPORTED_FEATURES).is_none() {
         let vector = [Avp::of_u64(code::OC_FEATURE_VECTOR, LOSS).optional()];
-        request.avps.push(Avp::of_group(code::OC_SUPPORTED_FEATURES, &vector).optional());
+        request
+            .avps
+            .push(Avp::of_group(code::OC_SUPPORTED_FEATURES, &vector).optional());
     }
 }
 
@@ -138,11 +161,26 @@
     fn report(reporter: &mut Reporter, now: u64, announces: bool) -> Option<(u64, u32, u32)> {
         let mut answer = Message::default();
         reporter.sign(now, &request(announces), &mut answer);
-        assert_eq!(answer.find(code::OC_SUPPORTED_FEATURES).is_some(), announces);
+        assert_eq!(
+            answer.find(code::OC_SUPPORTED_FEATURES).is_some(),
+            announces
+        );
         let group = answer.find(code::OC_OLR)?.group().expect("a group");
-        let number = |code| find(&group, code).expect("it is there").u32().expect("a number");
-        let sequence = find(&group, code::OC_SEQUENCE_NUMBER).expect("a sequence").u64().expect("a number");
-        Some((sequence, number(code::OC_REDUCTION_PERCENTAGE), number(code::OC_VALIDITY_DURATION)))
+        let number = |code| {
+            find(&group, code)
+                .expect("it is there")
+                .u32()
+                .expect("a number")
+        };
+        let sequence = find(&group, code::OC_SEQUENCE_NUMBER)
+            .expect("a sequence")
+            .u64()
+            .expect("a number");
+        Some((
+            sequence,
+            number(code::OC_REDUCTION_PERCENTAGE),
+            number(code::OC_VALIDITY_DURATION),
+        ))
     }
 
     #[test]
@@ -152,8 +190,15 @@
         assert_eq!(report(&mut r, SECOND, true), None, "nothing is refused");
         (0..40).for_each(|n| r.note(SECOND, n % 4 == 0));
         let (first, percent, valid) = report(&mut r, SECOND, true).expect("a report");
-        assert!((20..=28).contains(&percent) && valid == VALID_S, "{percent}");
-        assert_eq!(report(&mut r, SECOND, true), Some((first, percent, valid)), "the same again");
+        assert!(
+            (20..=28).contains(&percent) && valid == VALID_S,
+            "{percent}"
+        );
+        assert_eq!(
+            report(&mut r, SECOND, true),
+            Some((first, percent, valid)),
+            "the same again"
+        );
         assert_eq!(report(&mut r, SECOND, false), None);
         // Over: told once more, as nothing.
         (0..400).for_each(|n| r.note(20 * SECOND + n * 20_000, false));
@@ -177,10 +222,16 @@
         let mut spared = |h: &Heeded, now| (0..1_000).filter(|_| h.spares(now, &mut rng)).count();
         assert_eq!(spared(&h, 0), 0);
         h.hear(0, &answer(5, 100, 86_400));
-        assert!((850..950).contains(&spared(&h, SECOND)), "never all of them");
+        assert!(
+            (850..950).contains(&spared(&h, SECOND)),
+            "never all of them"
+        );
         assert_eq!(spared(&h, 61 * SECOND), 0, "nor for a day");
         h.hear(SECOND, &answer(5, 0, 0));
-        assert!(spared(&h, 2 * SECOND) > 0, "an older or the same one changes nothing");
+        assert!(
+            spared(&h, 2 * SECOND) > 0,
+            "an older or the same one changes nothing"
+        );
         h.hear(2 * SECOND, &answer(6, 0, 0));
         assert_eq!(spared(&h, 3 * SECOND), 0);
         h.hear(3 * SECOND, &answer(7, 5_000, 60));
--- a/crates/diameter/src/peer.rs
+++ b/crates/diameter/src/peer.rs
@@ -115,7 +115,16 @@
         if again {
             watchdog.down();
         }
-        Peer { me, role, state: State::Idle, watchdog, rng, due: u64::MAX, end_to_end, hop_by_hop }
+        Peer {
+            me,
+            role,
+            state: State::Idle,
+            watchdog,
+            rng,
+            due: u64::MAX,
+            end_to_end,
+            hop_by_hop,
+        }
     }
 
     /// Whether it takes new requests.
@@ -167,7 +176,10 @@
             .with(Avp::of_u32(code::VENDOR_ID, 0))
             .with(Avp::of_text(code::PRODUCT_NAME, "frosthatch").optional())
             .with(Avp::of_u32(code::ORIGIN_STATE_ID, self.me.state_id))
-            .with(Avp::of_u32(code::AUTH_APPLICATION_ID, application::CREDIT_CONTROL))
+            .with(Avp::of_u32(
+                code::AUTH_APPLICATION_ID,
+                application::CREDIT_CONTROL,
+            ))
     }
 
     /// An answer of our own to a request, with its result.
@@ -211,7 +223,9 @@
             }
             Input::Leave(cause) if self.state == State::Open => {
                 let dpr = self.request(command::DISCONNECT_PEER);
-                out.push(Output::Send(dpr.with(Avp::of_u32(code::DISCONNECT_CAUSE, cause as u32))));
+                out.push(Output::Send(
+                    dpr.with(Avp::of_u32(code::DISCONNECT_CAUSE, cause as u32)),
+                ));
                 (self.state, self.due) = (State::Closing, now + ANSWERS_WITHIN_US);
             }
             Input::Leave(_) => self.close("it is left", out),
@@ -238,7 +252,9 @@
         match act {
             Act::Ask => {
                 let dwr = self.request(command::DEVICE_WATCHDOG);
-                out.push(Output::Send(dwr.with(Avp::of_u32(code::ORIGIN_STATE_ID, self.me.state_id))));
+                out.push(Output::Send(
+                    dwr.with(Avp::of_u32(code::ORIGIN_STATE_ID, self.me.state_id)),
+                ));
             }
             Act::Failover => out.push(Output::Failover),
             Act::Failback => out.push(Output::Failback),
@@ -271,11 +287,15 @@
             (State::Closed | State::Idle, ..) => {}
             // A second CER on an open connection changes nothing (RFC 6733 section 5.6: I-Rcv-CER is for new ones).
             (State::Open, command::CAPABILITIES_EXCHANGE, true) => {
-                out.push(Output::Send(self.answer(&message, result::UNABLE_TO_COMPLY)));
+                out.push(Output::Send(
+                    self.answer(&message, result::UNABLE_TO_COMPLY),
+                ));
             }
             (_, command::DEVICE_WATCHDOG, true) => {
                 let dwa = self.answer(&message, result::SUCCESS);
-                out.push(Output::Send(dwa.with(Avp::of_u32(code::ORIGIN_STATE_ID, self.me.state_id))));
+                out.push(Output::Send(
+                    dwa.with(Avp::of_u32(code::ORIGIN_STATE_ID, self.me.state_id)),
+                ));
             }
             (_, command::DEVICE_WATCHDOG, false) => {}
             (State::Closing, command::DISCONNECT_PEER, false) => self.close("goodbye", out),
@@ -303,8 +323,11 @@
                 }
             }
             (_, _, true) => {
-                let result =
-                    if common { result::COMMAND_UNSUPPORTED } else { result::APPLICATION_UNSUPPORTED };
+                let result = if common {
+                    result::COMMAND_UNSUPPORTED
+                } else {
+                    result::APPLICATION_UNSUPPORTED
+                };
                 out.push(Output::Send(self.answer(&message, result)));
             }
             // Whether anybody asked is known where requests are kept.
@@ -321,7 +344,9 @@
             }
         };
         if !common_application(&cer.avps) {
-            out.push(Output::Send(self.answer(cer, result::NO_COMMON_APPLICATION)));
+            out.push(Output::Send(
+                self.answer(cer, result::NO_COMMON_APPLICATION),
+            ));
             return self.close("it has no application in common", out);
         }
         let cea = self.answer(cer, result::SUCCESS);
@@ -331,7 +356,9 @@
 
     fn cea(&mut self, now: u64, cea: &Message, out: &mut Vec<Output>) {
         match (cea.result(), remote(cea)) {
-            (Some(result::SUCCESS), Ok(remote)) if common_application(&cea.avps) => self.up(now, remote, out),
+            (Some(result::SUCCESS), Ok(remote)) if common_application(&cea.avps) => {
+                self.up(now, remote, out)
+            }
             (Some(result::SUCCESS), Ok(_)) => self.close("it has no application in common", out),
             (Some(result::SUCCESS), Err(_)) => self.close("its capabilities are not in order", out),
             (code, _) => self.close(&format!("it refuses, result {}", code.unwrap_or(0)), out),
@@ -360,16 +387,26 @@
         }
     };
     let (host, realm) = (text(code::ORIGIN_HOST)?, text(code::ORIGIN_REALM)?);
-    Ok(Remote { host, realm, state_id: message.number(code::ORIGIN_STATE_ID) })
+    Ok(Remote {
+        host,
+        realm,
+        state_id: message.number(code::ORIGIN_STATE_ID),
+    })
 }
 
 fn common_application(avps: &[Avp]) -> bool {
-    let ours = |a: &Avp| matches!(a.u32(), Ok(application::CREDIT_CONTROL | application::RELAY));
+    let ours = |a: &Avp| {
+        matches!(
+            a.u32(),
+            Ok(application::CREDIT_CONTROL | application::RELAY)
+        )
+    };
     avps.iter().any(|a| match (a.code, a.vendor) {
         (code::AUTH_APPLICATION_ID, None) => ours(a),
-        (code::VENDOR_SPECIFIC_APPLICATION_ID, None) => {
-            a.group().is_ok_and(|g| g.iter().any(|a| a.code == code::AUTH_APPLICATION_ID && ours(a)))
-        }
+        (code::VENDOR_SPECIFIC_APPLICATION_ID, None) => a.group().is_ok_and(|g| {
+            g.iter()
+                .any(|a| a.code == code::AUTH_APPLICATION_ID && ours(a))
+        }),
         _ => false,
     })
 }
--- a/crates/diameter/src/servers.rs
+++ b/crates/diameter/src/servers.rs
@@ -80,7 +80,9 @@
     /// A server that drains is told goodbye once nothing is out there.
     fn end_drained(&self) {
         let link = self.link.borrow().clone();
-        if let (false, true, Some(link)) = (self.ready.get(), self.pending.borrow().is_empty(), link) {
+        if let (false, true, Some(link)) =
+            (self.ready.get(), self.pending.borrow().is_empty(), link)
+        {
             if link.open() {
                 link.leave(Cause::DoNotWantToTalkToYou);
             }
@@ -145,7 +147,9 @@
     /// Whether new requests may go there.
     pub fn takes(&self, server: &str) -> bool {
         let servers = self.servers.borrow();
-        servers.get(&ServerId(server.into())).is_some_and(|s| s.ready.get() && s.okay.get())
+        servers
+            .get(&ServerId(server.into()))
+            .is_some_and(|s| s.ready.get() && s.okay.get())
     }
 
     /// Says goodbye to all of them: nothing is held any more.
@@ -163,7 +167,9 @@
         let mut pause = PAUSE_LEAST;
         let mut seed = self.plan().seed;
         loop {
-            seed = seed.wrapping_mul(0x5851_F42D_4C95_7F2D).wrapping_add(u64::from(address.port()) | 1);
+            seed = seed
+                .wrapping_mul(0x5851_F42D_4C95_7F2D)
+                .wrapping_add(u64::from(address.port()) | 1);
             let Some(server) = s.upgrade() else { return };
             // One that drains is left alone.
             while !server.ready.get() {
@@ -210,9 +216,10 @@
                 let before = s.state_id.replace(remote.state_id);
                 // RFC 6733 section 8.16: another Origin-State-Id, and what it knew is gone.
                 let again = s.was_up.replace(true);
-                if let (true, Some(restarted)) =
-                    (again && before != remote.state_id, &*self.restarted.borrow())
-                {
+                if let (true, Some(restarted)) = (
+                    again && before != remote.state_id,
+                    &*self.restarted.borrow(),
+                ) {
                     restarted(id);
                 }
                 // One that was up before is believed when it has answered for a while.
@@ -238,7 +245,8 @@
             // Servers ask nothing of clients here (RAR and ASR are left out).
             Event::Request(request) => {
                 if let Some(link) = &*s.link.borrow() {
-                    let answer = link.own_answer(&request, crate::dictionary::result::UNABLE_TO_DELIVER);
+                    let answer =
+                        link.own_answer(&request, crate::dictionary::result::UNABLE_TO_DELIVER);
                     let _ = link.send(&answer);
                 }
             }
@@ -255,13 +263,22 @@
         permit: AttemptPermit,
     ) -> Ended {
         let never = Ended::without_answer(Status::NoConnection);
-        let Some(s) = self.servers.borrow().get(id).cloned() else { return never };
-        let link = s.link.borrow().clone().filter(|l| l.open() && s.ready.get() && s.okay.get());
+        let Some(s) = self.servers.borrow().get(id).cloned() else {
+            return never;
+        };
+        let link = s
+            .link
+            .borrow()
+            .clone()
+            .filter(|l| l.open() && s.ready.get() && s.okay.get());
         let Some(link) = link else { return never };
         if s.pending.borrow().len() >= self.plan().most_pending {
             return never;
         }
-        if s.heeded.borrow().spares((self.clock)(), &mut self.rng.borrow_mut()) {
+        if s.heeded
+            .borrow()
+            .spares((self.clock)(), &mut self.rng.borrow_mut())
+        {
             return Ended::without_answer(Status::TurnedAway);
         }
         let hop = link.hop();
@@ -270,11 +287,22 @@
         if permit.check().is_err() {
             return Ended::without_answer(Status::NotSent);
         }
-        let Some(Handed { end, mut withheld }) = link.send_attempt(&message, permit) else { return never };
+        let Some(Handed { end, mut withheld }) = link.send_attempt(&message, permit) else {
+            return never;
+        };
         let (sender, answer) = oneshot::channel();
-        s.pending.borrow_mut().insert(hop, Pending { answer: sender, end });
+        s.pending.borrow_mut().insert(
+            hop,
+            Pending {
+                answer: sender,
+                end,
+            },
+        );
         // Called off, or given up: an answer that comes later finds nobody.
-        let _forget = Forget { server: s.clone(), hop };
+        let _forget = Forget {
+            server: s.clone(),
+            hop,
+        };
         let answered = timeout_at(deadline, answer);
         let answered = tokio::select! {
             biased;
@@ -289,7 +317,10 @@
                     Verdict::TurnedAway => Status::TurnedAway,
                     Verdict::Error => Status::ServerError,
                 };
-                Ended { body: answer.encode().into(), ..Ended::without_answer(status) }
+                Ended {
+                    body: answer.encode().into(),
+                    ..Ended::without_answer(status)
+                }
             }
             Ok(Ok(None)) => never,
             Ok(Err(_)) => Ended::without_answer(Status::ConnectionLost),
@@ -316,7 +347,11 @@
         let mut servers = self.servers.borrow_mut();
         let ours = |m: &&Member| m.protocol == Protocol::Diameter;
         if whole {
-            let named: HashSet<&str> = members.iter().filter(ours).map(|m| m.uid.as_str()).collect();
+            let named: HashSet<&str> = members
+                .iter()
+                .filter(ours)
+                .map(|m| m.uid.as_str())
+                .collect();
             servers.retain(|id, s| {
                 let stays = named.contains(&*id.0);
                 if !stays {
@@ -333,9 +368,14 @@
                 }
                 continue;
             }
-            let moved = servers.get(&id).is_none_or(|s| s.address != Some(m.endpoint));
+            let moved = servers
+                .get(&id)
+                .is_none_or(|s| s.address != Some(m.endpoint));
             if moved {
-                let server = Rc::new(Server { address: Some(m.endpoint), ..Server::default() });
+                let server = Rc::new(Server {
+                    address: Some(m.endpoint),
+                    ..Server::default()
+                });
                 if let Some(me) = self.me.upgrade() {
                     let keep = me.keep(id.clone(), Rc::downgrade(&server), m.endpoint);
                     *server.task.borrow_mut() = Some(tokio::task::spawn_local(keep).abort_handle());
@@ -369,7 +409,9 @@
         let (ccr, from, servers) = (self.ccr.clone(), self.from.clone(), self.servers.clone());
         let (by, again, server) = (self.answered_by.clone(), self.again.clone(), server.clone());
         Box::pin(async move {
-            let ended = servers.attempt(&server, &ccr, &from, again.get(), deadline, permit).await;
+            let ended = servers
+                .attempt(&server, &ccr, &from, again.get(), deadline, permit)
+                .await;
             if ended.status == Status::Served {
                 *by.borrow_mut() = Some(server);
             }
--- a/crates/diameter/src/watchdog.rs
+++ b/crates/diameter/src/watchdog.rs
@@ -47,7 +47,13 @@
 
 impl Watchdog {
     pub fn new(tw_us: u64) -> Self {
-        Watchdog { tw_us, status: Status::Initial, pending: false, answers: 0, due: u64::MAX }
+        Watchdog {
+            tw_us,
+            status: Status::Initial,
+            pending: false,
+            answers: 0,
+            due: u64::MAX,
+        }
     }
 
     pub fn status(&self) -> Status {
@@ -195,6 +201,10 @@
         let mut b = Bench::up();
         b.0.down();
         b.0.up(0, &mut b.1);
-        assert_eq!(b.tick().1, Some(Act::Close), "it does not even answer the first");
+        assert_eq!(
+            b.tick().1,
+            Some(Act::Close),
+            "it does not even answer the first"
+        );
     }
 }
