--- a/crates/frosthatch/tests/counting.rs
+++ b/crates/frosthatch/tests/counting.rs
@@ -8,7 +8,9 @@
 
 /// A request of a customer whose other gateway counts too, on the plan that fills slowly.
 fn shared(customer: u32) -> Ask {
-    let ask = Ask::check().with("X-Tier", "small").with("X-Api-Key", &format!("{customer:016x}"));
+    let ask = Ask::check()
+        .with("X-Tier", "small")
+        .with("X-Api-Key", &format!("{customer:016x}"));
     ask.with("X-Call-Terms", "units=3,spread=2,first=0")
 }
 
@@ -37,7 +39,10 @@
     let line = first_call(&gateway, &counter);
     let parts: Vec<&str> = line.split(' ').collect();
     assert_eq!((parts.len(), parts[0]), (4, "bump"), "{line}");
-    assert!(parts[2].parse::<f64>().is_ok() && parts[3].parse::<u64>().is_ok(), "{line}");
+    assert!(
+        parts[2].parse::<f64>().is_ok() && parts[3].parse::<u64>().is_ok(),
+        "{line}"
+    );
     assert!(!parts[2].contains('e'), "a plain decimal number: {line}");
 }
 
@@ -68,18 +73,31 @@
 /// A customer's short name in calls, as the decisions make it.
 fn tag(customer: u32) -> String {
     let name = format!("{customer:016x}");
-    let hash = name.bytes().fold(0x811c_9dc5u32, |h, b| (h ^ u32::from(b)).wrapping_mul(0x0100_0193));
+    let hash = name.bytes().fold(0x811c_9dc5u32, |h, b| {
+        (h ^ u32::from(b)).wrapping_mul(0x0100_0193)
+    });
     format!("{hash:08x}")
 }
 
 #[test]
 fn whatever_the_counter_does_requests_are_answered() {
-    for answer in ["busy", "error", "ok", "ok NaN", "ok 1e999", "\u{1}\u{2}", ""] {
+    for answer in [
+        "busy",
+        "error",
+        "ok",
+        "ok NaN",
+        "ok 1e999",
+        "\u{1}\u{2}",
+        "",
+    ] {
         let counter = Counter::new(move |_, _| Some((Duration::ZERO, answer.into())));
         let (_server, mut gateway) = stage(&counter);
         first_call(&gateway, &counter);
         for customer in 0..10 {
-            assert!([200, 429].contains(&gateway.ask(&shared(customer)).status()), "{answer}");
+            assert!(
+                [200, 429].contains(&gateway.ask(&shared(customer)).status()),
+                "{answer}"
+            );
         }
         assert!(gateway.runs());
     }
@@ -104,10 +122,12 @@
 fn connections_that_fall_silent_take_no_other_calls_along() {
     const LOST: u32 = 40;
     let lost: Vec<String> = (0..LOST).map(tag).collect();
-    let counter = Counter::new(move |_, line| match lost.iter().any(|tag| line.contains(tag)) {
-        true => Some((LONG, "ok 15".into())),
-        false => Some((Duration::ZERO, "ok 15".into())),
-    });
+    let counter = Counter::new(
+        move |_, line| match lost.iter().any(|tag| line.contains(tag)) {
+            true => Some((LONG, "ok 15".into())),
+            false => Some((Duration::ZERO, "ok 15".into())),
+        },
+    );
     let (_server, gateway) = stage(&counter);
     first_call(&gateway, &counter);
     let ask = |customer| gateway.ask(&shared(customer)).status();
@@ -115,8 +135,13 @@
     // Told that all is used up a request is refused; untold each of these would be passed on.
     let mut later = (100..300).inspect(|_| sleep(Duration::from_millis(10)));
     assert!(later.by_ref().any(|customer| ask(customer) == 429));
-    let (told, all) = later.fold((0, 0), |(told, all), c| (told + usize::from(ask(c) == 429), all + 1));
-    assert!(all >= 100 && told * 2 >= all, "the counter was asked for {told} of {all}");
+    let (told, all) = later.fold((0, 0), |(told, all), c| {
+        (told + usize::from(ask(c) == 429), all + 1)
+    });
+    assert!(
+        all >= 100 && told * 2 >= all,
+        "the counter was asked for {told} of {all}"
+    );
 }
 
 #[test]
--- a/crates/frosthatch/tests/diameter.rs
+++ b/crates/frosthatch/tests/diameter.rs
@@ -38,11 +38,27 @@
 
 /// A server of each protocol, and the one customer on that plan.
 fn both_protocols(plan: &str) -> (DServer, Server, Site, DClient, String) {
-    let (server, web) = (DServer::granting("s1.example.org"), Server::new(|_| ok("web")));
-    let list = [member("s1", &server, 0, "Ready"), target("w1", web.address, 0, "Ready")].join(",");
-    let site = site(&list, &format!("[diameter.plans]\n\"4512345678\" = \"{plan}\"\n"));
+    let (server, web) = (
+        DServer::granting("s1.example.org"),
+        Server::new(|_| ok("web")),
+    );
+    let list = [
+        member("s1", &server, 0, "Ready"),
+        target("w1", web.address, 0, "Ready"),
+    ]
+    .join(",");
+    let site = site(
+        &list,
+        &format!("[diameter.plans]\n\"4512345678\" = \"{plan}\"\n"),
+    );
     let client = DClient::new(site.address, "till.example.org");
-    (server, web, site, client, format!("{:016x}", 4_512_345_678u64))
+    (
+        server,
+        web,
+        site,
+        client,
+        format!("{:016x}", 4_512_345_678u64),
+    )
 }
 
 /// Diameter's port on an address of this test's own: a port that was free a moment ago could be taken by another test.
@@ -50,7 +66,11 @@
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let process = std::process::id();
     let last = NEXT.fetch_add(1, Ordering::SeqCst);
-    ([127, 64 + (process >> 8) as u8 % 64, process as u8, last], 3868).into()
+    (
+        [127, 64 + (process >> 8) as u8 % 64, process as u8, last],
+        3868,
+    )
+        .into()
 }
 
 fn site(list: &str, more: &str) -> Site {
@@ -63,7 +83,12 @@
     let config = config_text(discovery.address, None, 1, "");
     let gateway = Gateway::start_as(&config, &["--operator", file.to_str().expect("a path")]);
     gateway.wait_ready();
-    Site { gateway, address, discovery, file }
+    Site {
+        gateway,
+        address,
+        discovery,
+        file,
+    }
 }
 
 /// Asks until it is served: the gateway's connections to its servers come up a moment after its start.
@@ -82,10 +107,18 @@
     let mut client = DClient::new(site.address, "till.example.org");
     until_served(&mut client);
     server.so_far();
-    let unknown = Avp { code: 9_999, flags: 0x80, vendor: Some(7), data: vec![1, 2, 3].into() };
+    let unknown = Avp {
+        code: 9_999,
+        flags: 0x80,
+        vendor: Some(7),
+        data: vec![1, 2, 3].into(),
+    };
     let ccr = event(0).with(unknown.clone());
     let cca = client.ask(&ccr);
-    assert_eq!((cca.result(), cca.header.has(flag::REQUEST)), (Some(result::SUCCESS), false));
+    assert_eq!(
+        (cca.result(), cca.header.has(flag::REQUEST)),
+        (Some(result::SUCCESS), false)
+    );
     assert_eq!(
         (cca.header.hop_by_hop, cca.header.end_to_end),
         (ccr.header.hop_by_hop, ccr.header.end_to_end)
@@ -93,7 +126,11 @@
     assert_eq!(cca.text(code::ORIGIN_HOST), Some("s1.example.org"));
     let got = server.request();
     assert_eq!(got.header.end_to_end, ccr.header.end_to_end);
-    assert_eq!(got.avps[..ccr.avps.len()], ccr.avps[..], "all it had, in its order");
+    assert_eq!(
+        got.avps[..ccr.avps.len()],
+        ccr.avps[..],
+        "all it had, in its order"
+    );
     assert_eq!(got.text(code::ROUTE_RECORD), Some("till.example.org"));
 }
 
@@ -109,8 +146,13 @@
     };
     assert_eq!(site.gateway.ask(&ask()).body, "web");
     let refused = client.ask(&units(event(0), 3));
-    assert_eq!((refused.result(), refused.header.has(flag::ERROR)), (Some(result::TOO_BUSY), true));
-    assert!(refused.text(code::ERROR_MESSAGE).is_some_and(|t| t.contains("come back in")));
+    assert_eq!(
+        (refused.result(), refused.header.has(flag::ERROR)),
+        (Some(result::TOO_BUSY), true)
+    );
+    assert!(refused
+        .text(code::ERROR_MESSAGE)
+        .is_some_and(|t| t.contains("come back in")));
     assert_eq!(server.so_far(), 0);
     // Two are left, for whoever comes.
     let since = Instant::now();
@@ -126,7 +168,9 @@
     for (cell, result) in [(0, result::SUCCESS), (1, result::UNABLE_TO_COMPLY)] {
         let cutting = Arc::new(AtomicBool::new(false));
         let (cuts, host) = (cutting.clone(), "a.example.org");
-        let a = DServer::new(host, move |ccr| (!cuts.load(Ordering::SeqCst)).then(|| granted(ccr, host)));
+        let a = DServer::new(host, move |ccr| {
+            (!cuts.load(Ordering::SeqCst)).then(|| granted(ccr, host))
+        });
         let b = DServer::granting("b.example.org");
         let site = site(&both(&a, &b, cell), "");
         let mut client = DClient::new(site.address, "till.example.org");
@@ -151,7 +195,11 @@
                 Ok(got) => {
                     assert_eq!(got.header.end_to_end, debit.header.end_to_end);
                     a.cut();
-                    assert_eq!(client.answer().expect("one answer").result(), Some(result), "cell {cell}");
+                    assert_eq!(
+                        client.answer().expect("one answer").result(),
+                        Some(result),
+                        "cell {cell}"
+                    );
                     let repeats: Vec<Message> = b
                         .seen
                         .try_iter()
@@ -169,21 +217,40 @@
 
 #[test]
 fn a_session_stays_with_its_server_and_a_draining_one_gets_nothing_new() {
-    let (a, b) = (DServer::granting("a.example.org"), DServer::granting("b.example.org"));
+    let (a, b) = (
+        DServer::granting("a.example.org"),
+        DServer::granting("b.example.org"),
+    );
     let site = site(&both(&a, &b, 0), "");
     let mut client = DClient::new(site.address, "till.example.org");
     until_served(&mut client);
     let opened = client.ask(&opening("till;1;s"));
-    let home = opened.text(code::ORIGIN_HOST).expect("a server").to_string();
+    let home = opened
+        .text(code::ORIGIN_HOST)
+        .expect("a server")
+        .to_string();
     for n in 1..6 {
-        assert_eq!(client.ask(&request("till;1;s", 2, n)).text(code::ORIGIN_HOST), Some(home.as_str()));
+        assert_eq!(
+            client
+                .ask(&request("till;1;s", 2, n))
+                .text(code::ORIGIN_HOST),
+            Some(home.as_str())
+        );
     }
-    let (server, uid) = if home.starts_with('a') { (&a, "a") } else { (&b, "b") };
-    site.discovery.tell(false, &member(uid, server, 0, "Terminating"));
+    let (server, uid) = if home.starts_with('a') {
+        (&a, "a")
+    } else {
+        (&b, "b")
+    };
+    site.discovery
+        .tell(false, &member(uid, server, 0, "Terminating"));
     server.so_far();
     // It may not move: the rule on drains wins, and nothing is sent anywhere.
     let lost = client.ask(&request("till;1;s", 2, 6));
-    assert_eq!((lost.result(), server.so_far()), (Some(result::UNABLE_TO_DELIVER), 0));
+    assert_eq!(
+        (lost.result(), server.so_far()),
+        (Some(result::UNABLE_TO_DELIVER), 0)
+    );
     // New sessions open elsewhere.
     for n in 0..5 {
         let other = client.ask(&opening(&format!("till;2;{n}")));
@@ -213,7 +280,10 @@
         let site = site(&member("a", &a, 0, "Ready"), "tw_ms = 500\n");
         let mut client = DClient::new(site.address, "till.example.org");
         until_served(&mut client);
-        assert_eq!(client.ask(&opening("till;1;f")).result(), Some(result::SUCCESS));
+        assert_eq!(
+            client.ask(&opening("till;1;f")).result(),
+            Some(result::SUCCESS)
+        );
         let b = moving("b.example.org", handling, Arc::default());
         site.discovery.tell(false, &member("b", &b, 0, "Ready"));
         let since = Instant::now();
@@ -230,19 +300,28 @@
         assert_eq!(cca.result(), Some(results));
         let there: Vec<Message> = b.seen.try_iter().collect();
         let retransmitted = there.iter().all(|m| m.header.has(flag::RETRANSMITTED));
-        assert_eq!((there.len(), retransmitted), (usize::from(handling == 2), true));
+        assert_eq!(
+            (there.len(), retransmitted),
+            (usize::from(handling == 2), true)
+        );
     }
 }
 
 /// CC-Session-Failover: the server says that its sessions may move.
 #[test]
 fn a_session_that_may_move_goes_on_elsewhere_when_its_server_leaves() {
-    let (a, b) = (moving("a.example.org", 1, Arc::default()), moving("b.example.org", 1, Arc::default()));
+    let (a, b) = (
+        moving("a.example.org", 1, Arc::default()),
+        moving("b.example.org", 1, Arc::default()),
+    );
     let site = site(&both(&a, &b, 0), "");
     let mut client = DClient::new(site.address, "till.example.org");
     until_served(&mut client);
     let opened = client.ask(&opening("till;1;m"));
-    let home = opened.text(code::ORIGIN_HOST).expect("a server").to_string();
+    let home = opened
+        .text(code::ORIGIN_HOST)
+        .expect("a server")
+        .to_string();
     if home.starts_with('a') { &a } else { &b }.leave();
     let since = Instant::now();
     let mut n = 0;
@@ -262,7 +341,9 @@
 fn a_server_whose_watchdog_falls_silent_loses_what_is_out_there() {
     let mute = Arc::new(AtomicBool::new(false));
     let (muted, host) = (mute.clone(), "a.example.org");
-    let a = DServer::new(host, move |ccr| (!muted.load(Ordering::SeqCst)).then(|| granted(ccr, host)));
+    let a = DServer::new(host, move |ccr| {
+        (!muted.load(Ordering::SeqCst)).then(|| granted(ccr, host))
+    });
     let site = site(&member("a", &a, 0, "Ready"), "tw_ms = 500\n");
     let mut client = DClient::new(site.address, "till.example.org");
     until_served(&mut client);
@@ -276,7 +357,10 @@
     site.discovery.tell(false, &member("b", &b, 0, "Ready"));
     let cca = client.answer().expect("one answer");
     assert_eq!(cca.header.end_to_end, debit.header.end_to_end);
-    assert_eq!((cca.result(), cca.text(code::ORIGIN_HOST)), (Some(result::SUCCESS), Some("b.example.org")));
+    assert_eq!(
+        (cca.result(), cca.text(code::ORIGIN_HOST)),
+        (Some(result::SUCCESS), Some("b.example.org"))
+    );
     // Now the old one answers after all.
     for s in a.streams.lock().expect("streams").iter_mut() {
         let _ = s.write_all(&granted(&held, host).encode());
@@ -294,8 +378,14 @@
 fn a_server_that_answers_the_watchdog_but_no_request_costs_no_request_its_answer() {
     let mute = DServer::new("mute.example.org", |_| None);
     let b = DServer::granting("b.example.org");
-    let site =
-        site(&[member("mute", &mute, 0, "Ready"), member("b", &b, 0, "Ready")].join(","), "tw_ms = 300\n");
+    let site = site(
+        &[
+            member("mute", &mute, 0, "Ready"),
+            member("b", &b, 0, "Ready"),
+        ]
+        .join(","),
+        "tw_ms = 300\n",
+    );
     let mut client = DClient::new(site.address, "till.example.org");
     until_served(&mut client);
     let (mut tried, start) = (0, Instant::now());
@@ -332,8 +422,10 @@
         Some(granted(ccr, host))
     });
     let site = site(&member("a", &a, 0, "Ready"), "");
-    let (mut one, mut two) =
-        (DClient::new(site.address, "till.example.org"), DClient::new(site.address, "till.example.org"));
+    let (mut one, mut two) = (
+        DClient::new(site.address, "till.example.org"),
+        DClient::new(site.address, "till.example.org"),
+    );
     until_served(&mut one);
     a.so_far();
     let debit = event(0);
@@ -345,9 +437,18 @@
     two.send(&again);
     sleep(Duration::from_millis(100));
     release.store(true, Ordering::SeqCst);
-    let (first, second) = (one.answer().expect("an answer"), two.answer().expect("an answer"));
-    assert_eq!((first.result(), second.result()), (Some(result::SUCCESS), Some(result::SUCCESS)));
-    assert_eq!((first.header.hop_by_hop, second.header.hop_by_hop), (debit.header.hop_by_hop, 7));
+    let (first, second) = (
+        one.answer().expect("an answer"),
+        two.answer().expect("an answer"),
+    );
+    assert_eq!(
+        (first.result(), second.result()),
+        (Some(result::SUCCESS), Some(result::SUCCESS))
+    );
+    assert_eq!(
+        (first.header.hop_by_hop, second.header.hop_by_hop),
+        (debit.header.hop_by_hop, 7)
+    );
     assert_eq!(two.ask(&again).result(), Some(result::SUCCESS));
     assert_eq!(a.so_far(), 0, "it ran once");
     // Another client with the same End-to-End id is another request.
@@ -364,12 +465,21 @@
     let site = site(&member("a", &a, 0, "Ready"), "tw_ms = 300\n");
     let mut client = DClient::new(site.address, "till.example.org");
     until_served(&mut client);
-    assert_eq!(client.ask(&opening("till;1;r")).result(), Some(result::SUCCESS));
-    assert_eq!(client.ask(&request("till;1;r", 2, 1)).result(), Some(result::SUCCESS));
+    assert_eq!(
+        client.ask(&opening("till;1;r")).result(),
+        Some(result::SUCCESS)
+    );
+    assert_eq!(
+        client.ask(&request("till;1;r", 2, 1)).result(),
+        Some(result::SUCCESS)
+    );
     a.state_id.store(2, Ordering::SeqCst);
     a.cut();
     until_served(&mut client);
-    assert_eq!(client.ask(&request("till;1;r", 2, 2)).result(), Some(result::UNKNOWN_SESSION_ID));
+    assert_eq!(
+        client.ask(&request("till;1;r", 2, 2)).result(),
+        Some(result::UNKNOWN_SESSION_ID)
+    );
 }
 
 #[test]
@@ -379,7 +489,11 @@
     let mut good = DClient::new(site.address, "till.example.org");
     until_served(&mut good);
     // A length of 16 MB, another protocol, half a message and the end, a request before capabilities.
-    for bytes in [&b"\x01\xff\xff\xff"[..], b"GET / HTTP/1.1\r\n\r\n", &event(0).encode()] {
+    for bytes in [
+        &b"\x01\xff\xff\xff"[..],
+        b"GET / HTTP/1.1\r\n\r\n",
+        &event(0).encode(),
+    ] {
         let mut bad = DClient::raw(site.address);
         let _ = bad.stream.write_all(bytes);
         assert!(bad.answer().is_none(), "it ends");
@@ -389,15 +503,24 @@
     drop(half);
     // An AVP that overruns its group, an answer to nothing, capabilities twice.
     let mut odd = DClient::new(site.address, "odd.example.org");
-    let mut group = Avp::of_group(code::SUBSCRIPTION_ID, &[Avp::of_u32(code::SUBSCRIPTION_ID_TYPE, 0)]);
+    let mut group = Avp::of_group(
+        code::SUBSCRIPTION_ID,
+        &[Avp::of_u32(code::SUBSCRIPTION_ID_TYPE, 0)],
+    );
     let mut data = group.data.to_vec();
     data[7] = 40;
     group.data = data.into();
-    assert_eq!(odd.ask(&event(0).with(group)).result(), Some(result::INVALID_AVP_LENGTH));
+    assert_eq!(
+        odd.ask(&event(0).with(group)).result(),
+        Some(result::INVALID_AVP_LENGTH)
+    );
     let mut stray = event(0).answer();
     stray.header.hop_by_hop = 424_242;
     odd.send(&stray);
-    assert_eq!(odd.ask(&cer("odd.example.org")).result(), Some(result::UNABLE_TO_COMPLY));
+    assert_eq!(
+        odd.ask(&cer("odd.example.org")).result(),
+        Some(result::UNABLE_TO_COMPLY)
+    );
     let back = event(0).with(Avp::of_text(code::ROUTE_RECORD, "gw.example.org"));
     assert_eq!(odd.ask(&back).result(), Some(result::LOOP_DETECTED));
     // Thousands at once are each answered.
@@ -405,11 +528,19 @@
     let mut writer = odd.stream.try_clone().expect("a clone");
     let bytes: Vec<u8> = many.iter().flat_map(Message::encode).collect();
     let writing = thread::spawn(move || writer.write_all(&bytes));
-    let mut answered: Vec<u32> =
-        many.iter().map(|_| odd.answer().expect("an answer").header.end_to_end).collect();
-    writing.join().expect("a writer").expect("all of it is read");
+    let mut answered: Vec<u32> = many
+        .iter()
+        .map(|_| odd.answer().expect("an answer").header.end_to_end)
+        .collect();
+    writing
+        .join()
+        .expect("a writer")
+        .expect("all of it is read");
     answered.sort_unstable();
-    assert_eq!(answered, many.iter().map(|m| m.header.end_to_end).collect::<Vec<_>>());
+    assert_eq!(
+        answered,
+        many.iter().map(|m| m.header.end_to_end).collect::<Vec<_>>()
+    );
     assert_eq!(good.ask(&event(2)).result(), Some(result::SUCCESS));
 }
 
@@ -430,7 +561,10 @@
     drop(client);
     let mut client = DClient::new(site.address, "till.example.org");
     assert_eq!(client.ask(&event(2)).result(), Some(result::SUCCESS));
-    assert!(a.seen.try_iter().all(|m| m.header.end_to_end != debit.header.end_to_end));
+    assert!(a
+        .seen
+        .try_iter()
+        .all(|m| m.header.end_to_end != debit.header.end_to_end));
 }
 
 /// Guards against a charge that runs in two places: called off with its client, and repeated elsewhere.
@@ -476,9 +610,15 @@
     a.request();
     site.gateway.terminate();
     let cca = client.answer().expect("an answer");
-    assert_eq!((cca.header.end_to_end, cca.result()), (debit.header.end_to_end, Some(result::SUCCESS)));
+    assert_eq!(
+        (cca.header.end_to_end, cca.result()),
+        (debit.header.end_to_end, Some(result::SUCCESS))
+    );
     let dpr = client.answer().expect("a goodbye");
-    assert_eq!((dpr.header.command, dpr.number(code::DISCONNECT_CAUSE)), (command::DISCONNECT_PEER, Some(0)));
+    assert_eq!(
+        (dpr.header.command, dpr.number(code::DISCONNECT_CAUSE)),
+        (command::DISCONNECT_PEER, Some(0))
+    );
     client.send(&with_result(&dpr, "till.example.org", result::SUCCESS));
     assert!(site.gateway.wait().success());
 }
@@ -491,22 +631,34 @@
     let since = Instant::now();
     let mut served = [0.0, 0.0];
     while since.elapsed() < Duration::from_secs(3) {
-        let ask = Ask::check().with("X-Api-Key", &key).with("X-Tier", "capped");
+        let ask = Ask::check()
+            .with("X-Api-Key", &key)
+            .with("X-Tier", "capped");
         served[0] += f64::from(u8::from(
-            site.gateway.ask(&ask.with("X-Call-Terms", "units=2,spread=1,first=0")).status() == 200,
+            site.gateway
+                .ask(&ask.with("X-Call-Terms", "units=2,spread=1,first=0"))
+                .status()
+                == 200,
+        )) * 2.0;
+        served[1] += f64::from(u8::from(
+            client.ask(&units(event(0), 2)).result() == Some(result::SUCCESS),
         )) * 2.0;
-        served[1] +=
-            f64::from(u8::from(client.ask(&units(event(0), 2)).result() == Some(result::SUCCESS))) * 2.0;
     }
     let most = 20.0 + 10.0 * since.elapsed().as_secs_f64() + 2.0;
     let all = served[0] + served[1];
     assert!(all <= most, "{served:?} of {most}");
-    assert!(served.iter().all(|s| *s > 0.0) && all >= 10.0, "both have some of it: {served:?}");
+    assert!(
+        served.iter().all(|s| *s > 0.0) && all >= 10.0,
+        "both have some of it: {served:?}"
+    );
 }
 
 #[test]
 fn ten_thousand_sessions_outlive_the_loss_of_a_server() {
-    let (a, b) = (moving("a.example.org", 1, Arc::default()), moving("b.example.org", 1, Arc::default()));
+    let (a, b) = (
+        moving("a.example.org", 1, Arc::default()),
+        moving("b.example.org", 1, Arc::default()),
+    );
     let site = site(&both(&a, &b, 0), "most_sessions = 10000\n");
     let mut client = DClient::new(site.address, "till.example.org");
     until_served(&mut client);
@@ -514,11 +666,15 @@
     let mut opened = 0;
     for chunk in 0..100 {
         (0..100).for_each(|n| client.send(&opening(&session(chunk * 100 + n))));
-        opened +=
-            (0..100).filter(|_| client.answer().and_then(|m| m.result()) == Some(result::SUCCESS)).count();
+        opened += (0..100)
+            .filter(|_| client.answer().and_then(|m| m.result()) == Some(result::SUCCESS))
+            .count();
     }
     assert_eq!(opened, 10_000);
-    assert_eq!(client.ask(&opening("one;more;1")).result(), Some(result::TOO_BUSY));
+    assert_eq!(
+        client.ask(&opening("one;more;1")).result(),
+        Some(result::TOO_BUSY)
+    );
     site.discovery.tell(false, &member("a", &a, 0, "Gone"));
     a.so_far();
     for n in (0..10_000).step_by(50) {
@@ -546,7 +702,10 @@
     let a = DServer::new(host, move |ccr| Some(granted(ccr, host).with(olr.clone())));
     let b = DServer::granting(other);
     let list = [member("a", &a, 0, "Ready"), member("b", &b, 0, "Ready")].join(",");
-    let site = site(&list, "[diameter.plans]\n\"4512345678\" = \"small\"\n\"1\" = \"lille\"\n");
+    let site = site(
+        &list,
+        "[diameter.plans]\n\"4512345678\" = \"small\"\n\"1\" = \"lille\"\n",
+    );
     let mut client = DClient::new(site.address, "till.example.org");
     let mut free = request("free;1;1", 4, 0).with(Avp::of_u32(code::REQUESTED_ACTION, 2));
     free = of_customer(free, "1");
@@ -556,7 +715,9 @@
         (message.header.hop_by_hop, message.header.end_to_end) = (id.hop_by_hop, id.end_to_end);
         if announces {
             let vector = [Avp::of_u64(code::OC_FEATURE_VECTOR, 1)];
-            message.avps.push(Avp::of_group(code::OC_SUPPORTED_FEATURES, &vector).optional());
+            message
+                .avps
+                .push(Avp::of_group(code::OC_SUPPORTED_FEATURES, &vector).optional());
         }
         client.ask(&message)
     };
@@ -564,7 +725,9 @@
     while ask(false, &free).text(code::ORIGIN_HOST) != Some(host) {
         assert!(since.elapsed() < LONG, "a serves");
     }
-    let to_a = (0..100).filter(|_| ask(false, &free).text(code::ORIGIN_HOST) == Some(host)).count();
+    let to_a = (0..100)
+        .filter(|_| ask(false, &free).text(code::ORIGIN_HOST) == Some(host))
+        .count();
     assert!(to_a < 40, "{to_a}");
     // The small plan is soon used up: refusals, and in time a report of their share.
     let debit = units(event(0), 6);
@@ -588,13 +751,17 @@
     let site = site(&both(&a, &b, 0), "");
     let mut client = DClient::new(site.address, "till.example.org");
     until_served(&mut client);
-    site.discovery.tell(false, &member("a", &a, 0, "Terminating"));
+    site.discovery
+        .tell(false, &member("a", &a, 0, "Terminating"));
     let since = Instant::now();
     while a.goodbyes() == 0 {
         assert!(since.elapsed() < LONG, "it hears goodbye");
         sleep(Duration::from_millis(5));
     }
-    assert_eq!(client.ask(&event(2)).text(code::ORIGIN_HOST), Some("b.example.org"));
+    assert_eq!(
+        client.ask(&event(2)).text(code::ORIGIN_HOST),
+        Some("b.example.org")
+    );
 }
 
 #[test]
@@ -620,7 +787,11 @@
     ] {
         told(&wrong);
         sleep(Duration::from_millis(50));
-        assert_eq!(client.ask(&units(event(0), 6)).result(), Some(result::SUCCESS), "{wrong}");
+        assert_eq!(
+            client.ask(&units(event(0), 6)).result(),
+            Some(result::SUCCESS),
+            "{wrong}"
+        );
     }
     told(&(first.replace(&old, &format!("listen = \"{address}\"")) + small));
     // The new plan has 6 units and next to no more.
@@ -634,7 +805,10 @@
         ccr.with(Avp::of_u32(code::REQUESTED_ACTION, 2))
     };
     assert_eq!(second.ask(&other(1)).result(), Some(result::SUCCESS));
-    assert!(std::net::TcpStream::connect(site.address).is_err(), "the old listener has gone");
+    assert!(
+        std::net::TcpStream::connect(site.address).is_err(),
+        "the old listener has gone"
+    );
     // Who was connected stays so.
     assert_eq!(client.ask(&other(2)).result(), Some(result::SUCCESS));
 }
@@ -644,25 +818,39 @@
 fn requests_out_are_bounded_in_bytes_and_any_more_are_refused_at_once() {
     let mute = Arc::new(AtomicBool::new(false));
     let (muted, host) = (mute.clone(), "s1.example.org");
-    let server = DServer::new(host, move |ccr| (!muted.load(Ordering::SeqCst)).then(|| granted(ccr, host)));
+    let server = DServer::new(host, move |ccr| {
+        (!muted.load(Ordering::SeqCst)).then(|| granted(ccr, host))
+    });
     let site = site(&member("s1", &server, 0, "Ready"), "");
     let mut client = DClient::new(site.address, "till.example.org");
     until_served(&mut client);
     server.so_far();
     mute.store(true, Ordering::SeqCst);
-    let long = Avp { code: 9_999, flags: 0, vendor: Some(7), data: vec![0; 60_000].into() };
+    let long = Avp {
+        code: 9_999,
+        flags: 0,
+        vendor: Some(7),
+        data: vec![0; 60_000].into(),
+    };
     let since = Instant::now();
     let sent: Vec<Message> = (0..20).map(|_| event(0).with(long.clone())).collect();
     sent.iter().for_each(|ccr| client.send(ccr));
     let refused = client.answer().expect("a refusal");
     assert_eq!(refused.result(), Some(result::TOO_BUSY));
-    assert!(since.elapsed() < Duration::from_secs(4), "long before the client's time is up");
+    assert!(
+        since.elapsed() < Duration::from_secs(4),
+        "long before the client's time is up"
+    );
     let most = (32 << 20) / 32 / 60_000;
-    assert_eq!(refused.header.end_to_end, sent[most].header.end_to_end, "the first that does not fit");
+    assert_eq!(
+        refused.header.end_to_end, sent[most].header.end_to_end,
+        "the first that does not fit"
+    );
     mute.store(false, Ordering::SeqCst);
     // Each of the others gets its one answer.
-    let answered: std::collections::HashSet<u32> =
-        (1..20).map(|_| client.answer().expect("an answer").header.end_to_end).collect();
+    let answered: std::collections::HashSet<u32> = (1..20)
+        .map(|_| client.answer().expect("an answer").header.end_to_end)
+        .collect();
     assert_eq!(answered.len(), 19);
     until_served(&mut client);
 }
--- a/crates/frosthatch/tests/diameter_over_tls.rs
+++ b/crates/frosthatch/tests/diameter_over_tls.rs
@@ -18,7 +18,10 @@
     let front = acceptor(&authority.proof("servers.example.org"), Some(&authority));
     let at = terminator(front, server.address);
     let plain = target("s1", at, 0, "Ready");
-    let discovery = Discovery::new(&format!("{},\"proto\":\"diameter\"}}", plain.trim_end_matches('}')));
+    let discovery = Discovery::new(&format!(
+        "{},\"proto\":\"diameter\"}}",
+        plain.trim_end_matches('}')
+    ));
     let folder = folder();
     let proof = authority.proof("gw.example.org");
     for (name, text) in [
@@ -30,7 +33,12 @@
     }
     // An address of its own: nobody else can have taken the port.
     let address = std::net::SocketAddr::from((
-        [127, 63, (std::process::id() >> 8) as u8, std::process::id() as u8],
+        [
+            127,
+            63,
+            (std::process::id() >> 8) as u8,
+            std::process::id() as u8,
+        ],
         3868,
     ));
     let file = folder.join("operator.toml");
@@ -46,8 +54,10 @@
     gateway.wait_ready();
 
     let till = authority.proof("till.example.org");
-    let mut client =
-        DClient::new(originator(&authority, Some(&till), "gw.example.org", address), "till.example.org");
+    let mut client = DClient::new(
+        originator(&authority, Some(&till), "gw.example.org", address),
+        "till.example.org",
+    );
     let since = Instant::now();
     while client.ask(&event(0)).result() != Some(result::SUCCESS) {
         assert!(since.elapsed() < LONG, "it is granted");
@@ -66,7 +76,11 @@
     // A key of another certificate is a mistake that `check` tells.
     std::fs::write(folder.join("gw.key"), stranger.key.serialize_pem()).expect("written");
     let config = config_file(&config);
-    let out = command(&config).args(["check", "--operator"]).arg(&file).output().expect("it runs");
+    let out = command(&config)
+        .args(["check", "--operator"])
+        .arg(&file)
+        .output()
+        .expect("it runs");
     let _ = std::fs::remove_file(config);
     assert_eq!(out.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&out.stdout).contains("belong together"));
--- a/crates/frosthatch/tests/dns_sd.rs
+++ b/crates/frosthatch/tests/dns_sd.rs
@@ -39,8 +39,11 @@
 }
 
 fn operator(resolver: &Resolver, push: bool) -> String {
-    let push =
-        if push { format!("[dns-sd.push]\nservers = [\"{}\"]\n", resolver.push) } else { String::new() };
+    let push = if push {
+        format!("[dns-sd.push]\nservers = [\"{}\"]\n", resolver.push)
+    } else {
+        String::new()
+    };
     format!(
         "[membership]\nsource = \"dns-sd\"\n[dns-sd]\nservices = [\"{SERVICE}\"]\nresolvers = [\"{}\"]\n\
          timeout_ms = 1000\nlinger_ms = 2000\n{push}",
@@ -108,7 +111,13 @@
         let (gateway, _file) = start(&resolver, push);
         let mut held = gateway.client();
         loop {
-            held.send(&Ask { path: "/balance-check?held", ..Ask::check() }.text());
+            held.send(
+                &Ask {
+                    path: "/balance-check?held",
+                    ..Ask::check()
+                }
+                .text(),
+            );
             if a.seen.recv_timeout(Duration::from_millis(300)).is_ok() {
                 break;
             }
@@ -146,20 +155,32 @@
     resolver.mood(DnsMood::Silent);
     let file = File::new(&operator(&resolver, false));
     let known = target("a", a.address, 0, "Ready");
-    let gateway = Gateway::start_as(&config_text(nobody(), None, 1, &known), &["--operator", file.path()]);
+    let gateway = Gateway::start_as(
+        &config_text(nobody(), None, 1, &known),
+        &["--operator", file.path()],
+    );
     gateway.wait_ready();
     assert_eq!(gateway.ask(&Ask::check()).body, "a");
     resolver.mood(DnsMood::Answering);
-    until("the records are read", || gateway.ask(&Ask::check()).body == "b");
+    until("the records are read", || {
+        gateway.ask(&Ask::check()).body == "b"
+    });
 }
 
 /// Truncated over UDP, whole over TCP.
 #[test]
 fn forty_servers_are_found_over_tcp() {
-    let servers: Vec<Server> = (0..40).map(|n| Server::new(move |_| ok(&n.to_string()))).collect();
-    let names: Vec<String> = (0..40).map(|n| format!("a-rather-long-name-of-a-server-{n}")).collect();
-    let all: Vec<(&str, SocketAddr)> =
-        names.iter().map(String::as_str).zip(servers.iter().map(|s| s.address)).collect();
+    let servers: Vec<Server> = (0..40)
+        .map(|n| Server::new(move |_| ok(&n.to_string())))
+        .collect();
+    let names: Vec<String> = (0..40)
+        .map(|n| format!("a-rather-long-name-of-a-server-{n}"))
+        .collect();
+    let all: Vec<(&str, SocketAddr)> = names
+        .iter()
+        .map(String::as_str)
+        .zip(servers.iter().map(|s| s.address))
+        .collect();
     let resolver = Resolver::new(zone(&all));
     let (gateway, _file) = start(&resolver, false);
     assert!(resolver.streams() > 0);
@@ -195,7 +216,9 @@
                 let mut served = Vec::new();
                 let mut client = gateway.client();
                 while !stop.load(Ordering::SeqCst) {
-                    let answer = client.ask(&Ask::check().text()).expect("every request is answered");
+                    let answer = client
+                        .ask(&Ask::check().text())
+                        .expect("every request is answered");
                     assert_eq!(answer.status(), 200);
                     served.push(answer.body);
                 }
@@ -210,10 +233,15 @@
     ] {
         std::fs::write(file.path(), text).expect("written");
         gateway.signal("-HUP");
-        until("the new source serves", || gateway.ask(&Ask::check()).body == serves);
+        until("the new source serves", || {
+            gateway.ask(&Ask::check()).body == serves
+        });
     }
     stop.store(true, Ordering::SeqCst);
-    let served: Vec<String> = clients.into_iter().flat_map(|c| c.join().expect("a client")).collect();
+    let served: Vec<String> = clients
+        .into_iter()
+        .flat_map(|c| c.join().expect("a client"))
+        .collect();
     assert!(served.contains(&"list".to_string()) && served.contains(&"records".to_string()));
 }
 
@@ -230,7 +258,10 @@
     assert_eq!(gateway.ask(&Ask::check()).body, "a");
     assert!(gateway.runs());
     let config = config_file(&config_text(nobody(), None, 1, ""));
-    let out = command(&config).args(["--operator", file.path()]).output().expect("it runs");
+    let out = command(&config)
+        .args(["--operator", file.path()])
+        .output()
+        .expect("it runs");
     let _ = std::fs::remove_file(config);
     assert_eq!(out.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&out.stderr).contains("write one of [\"list\", \"dns-sd\"]"));
@@ -245,6 +276,8 @@
     until("it subscribes", || resolver.sessions() > 0);
     resolver.push_mood(PushMood::CutsNext);
     resolver.change(|z| z.remove_instance(SERVICE, "a"));
-    until("the removal is known", || (0..10).all(|_| gateway.ask(&Ask::check()).body == "b"));
+    until("the removal is known", || {
+        (0..10).all(|_| gateway.ask(&Ask::check()).body == "b")
+    });
     until("there is another session", || resolver.sessions() > 1);
 }
--- a/crates/frosthatch/tests/fleet.rs
+++ b/crates/frosthatch/tests/fleet.rs
@@ -31,11 +31,24 @@
             let discovery = agent.address;
             // A twin has the number of whom it stands for.
             let me = n % of;
-            let node = Node { gateways: of, me, discovery, counter: None, sockets: 256, memory_mb: 32 };
+            let node = Node {
+                gateways: of,
+                me,
+                discovery,
+                counter: None,
+                sockets: 256,
+                memory_mb: 32,
+            };
             Process::new(node, Some(fleet_file(&relay, n, &key, &more(n))))
         };
         let processes = (0..processes).map(process).collect();
-        Fleet { stage: Stage::new(processes, relay), key, _agent: agent, _server: server, _runtime: runtime }
+        Fleet {
+            stage: Stage::new(processes, relay),
+            key,
+            _agent: agent,
+            _server: server,
+            _runtime: runtime,
+        }
     }
 
     fn all(processes: usize) -> Fleet {
@@ -46,7 +59,10 @@
     }
 
     fn seen(&self, by: usize) -> Seen {
-        self.stage.processes[by].console().and_then(Seen::ask).expect("its console answers")
+        self.stage.processes[by]
+            .console()
+            .and_then(Seen::ask)
+            .expect("its console answers")
     }
 
     fn until(&self, what: &str, holds: impl Fn(&Fleet) -> bool) {
@@ -62,8 +78,11 @@
     fn hold(&self, of: usize, state: &str) -> bool {
         let name = format!("n{of}");
         let by = |n: &usize| self.stage.processes[*n].runs() && *n != of;
-        let held = (0..self.stage.processes.len()).filter(by).map(|n| self.seen(n));
-        held.into_iter().all(|v| v.states.get(&name).map_or("unknown", String::as_str) == state)
+        let held = (0..self.stage.processes.len())
+            .filter(by)
+            .map(|n| self.seen(n));
+        held.into_iter()
+            .all(|v| v.states.get(&name).map_or("unknown", String::as_str) == state)
     }
 
     fn agree(&self, ready: usize) -> bool {
@@ -97,10 +116,16 @@
     assert!((0..3).all(|n| fleet.served(n)));
     // Nobody but the one that was killed was ever held dead.
     let dead = fleet.stage.history.lines(": dead");
-    assert!(dead.iter().all(|(_, _, l)| l.contains("member n3")) && dead.len() == 3, "{dead:?}");
+    assert!(
+        dead.iter().all(|(_, _, l)| l.contains("member n3")) && dead.len() == 3,
+        "{dead:?}"
+    );
 
     // The command line shows the same.
-    let console = fleet.stage.processes[0].console().expect("a console").to_string();
+    let console = fleet.stage.processes[0]
+        .console()
+        .expect("a console")
+        .to_string();
     let ask = |words: &[&str]| {
         let out = Command::new(frosthatch_standins::program())
             .arg("fleet")
@@ -108,12 +133,27 @@
             .args(["--console", &console])
             .output();
         let out = out.expect("it runs");
-        (out.status.success(), String::from_utf8_lossy(&out.stdout).to_string())
+        (
+            out.status.success(),
+            String::from_utf8_lossy(&out.stdout).to_string(),
+        )
     };
     let (well, table) = ask(&["members"]);
-    let row = |name: &str| table.lines().find(|l| l.starts_with(name)).unwrap_or("").to_string();
-    assert!(well && row("n0").contains("this one") && row("n3").contains("left"), "{table}");
-    assert!(row("NAME").contains("STATE") && row("n1").contains("hall-a"), "{table}");
+    let row = |name: &str| {
+        table
+            .lines()
+            .find(|l| l.starts_with(name))
+            .unwrap_or("")
+            .to_string()
+    };
+    assert!(
+        well && row("n0").contains("this one") && row("n3").contains("left"),
+        "{table}"
+    );
+    assert!(
+        row("NAME").contains("STATE") && row("n1").contains("hall-a"),
+        "{table}"
+    );
     let json: serde_json::Value = serde_json::from_str(&ask(&["view", "--json"]).1).expect("JSON");
     assert_eq!(json["ready"], 3);
     assert!(ask(&["leave"]).0);
@@ -124,20 +164,33 @@
 #[test]
 fn a_cut_fleet_comes_together_again_and_who_slept_accuses_nobody() {
     let mut fleet = Fleet::all(4);
-    fleet.stage.act(&Act::Split { groups: vec![vec![0, 1], vec![2, 3]] });
-    fleet.until("each half sees itself", |f| f.stage.views().iter().flatten().all(|v| v.ready == 2));
+    fleet.stage.act(&Act::Split {
+        groups: vec![vec![0, 1], vec![2, 3]],
+    });
+    fleet.until("each half sees itself", |f| {
+        f.stage.views().iter().flatten().all(|v| v.ready == 2)
+    });
     fleet.stage.act(&Act::Heal);
     fleet.until("they are one again", |f| f.agree(4));
     let before = fleet.stage.history.lines(": dead").len();
     fleet.stage.act(&Act::Stop { who: vec![1] });
-    fleet.until("the others hold it dead", |f| [0, 2, 3].iter().all(|n| f.seen(*n).states["n1"] == "dead"));
+    fleet.until("the others hold it dead", |f| {
+        [0, 2, 3].iter().all(|n| f.seen(*n).states["n1"] == "dead")
+    });
     fleet.stage.act(&Act::Continue { who: vec![1] });
     fleet.until("it has refuted", |f| f.agree(4));
     let dead = fleet.stage.history.lines(": dead").split_off(before);
-    assert!(dead.iter().all(|(_, by, l)| *by != 1 && l.contains("member n1")), "{dead:?}");
+    assert!(
+        dead.iter()
+            .all(|(_, by, l)| *by != 1 && l.contains("member n1")),
+        "{dead:?}"
+    );
     // One direction of one link is nobody's death.
     let before = fleet.stage.history.lines(": dead").len();
-    fleet.stage.act(&Act::Cut { from: vec![0], to: vec![2] });
+    fleet.stage.act(&Act::Cut {
+        from: vec![0],
+        to: vec![2],
+    });
     std::thread::sleep(Duration::from_secs(4));
     assert_eq!(fleet.stage.history.lines(": dead").len(), before);
     assert!(fleet.agree(4));
@@ -146,7 +199,13 @@
 #[test]
 fn of_two_processes_under_one_name_the_older_one_goes_silent_and_serves_on() {
     // The fourth place is another process of n1.
-    let mut fleet = Fleet::new(4, 3, |n| if n == 3 { "name = \"n1\"".into() } else { String::new() });
+    let mut fleet = Fleet::new(4, 3, |n| {
+        if n == 3 {
+            "name = \"n1\"".into()
+        } else {
+            String::new()
+        }
+    });
     (0..3).for_each(|n| fleet.stage.start(n));
     fleet.stage.wait_found();
     // Past the time in which a process takes its name for its own.
@@ -154,17 +213,28 @@
     fleet.stage.start(3);
     fleet.until("the older one knows", |f| f.seen(1).replaced);
     assert_eq!(
-        fleet.stage.history.lines("a later process runs as n1").iter().map(|l| l.1).collect::<Vec<_>>(),
+        fleet
+            .stage
+            .history
+            .lines("a later process runs as n1")
+            .iter()
+            .map(|l| l.1)
+            .collect::<Vec<_>>(),
         [1]
     );
     assert!(!fleet.seen(3).replaced && fleet.served(1) && fleet.served(3));
-    fleet.until("the others see the later one", |f| [0, 2, 3].iter().all(|n| f.seen(*n).ready == 3));
+    fleet.until("the others see the later one", |f| {
+        [0, 2, 3].iter().all(|n| f.seen(*n).ready == 3)
+    });
 }
 
 #[test]
 fn a_key_is_replaced_by_signals_while_links_are_cut_and_forged_datagrams_do_nothing() {
     let mut fleet = Fleet::all(3);
-    let (old, new) = (format!("1 {}", "k".repeat(40)), format!("2 {}", "n".repeat(40)));
+    let (old, new) = (
+        format!("1 {}", "k".repeat(40)),
+        format!("2 {}", "n".repeat(40)),
+    );
     fleet.stage.relay.record(2_000);
     let step = |fleet: &mut Fleet, text: String| {
         std::fs::write(&fleet.key, text).expect("a key file");
@@ -172,7 +242,9 @@
         std::thread::sleep(Duration::from_millis(400));
     };
     step(&mut fleet, format!("{old}\n{new}\n"));
-    fleet.stage.act(&Act::Split { groups: vec![vec![0], vec![1, 2]] });
+    fleet.stage.act(&Act::Split {
+        groups: vec![vec![0], vec![1, 2]],
+    });
     step(&mut fleet, format!("{new}\n{old}\n"));
     fleet.stage.act(&Act::Heal);
     step(&mut fleet, format!("{new}\n"));
@@ -181,11 +253,18 @@
     // What was said under the old key, garbage, and too long ones.
     assert!(fleet.stage.relay.replay() > 30);
     for n in 0..3_000usize {
-        fleet.stage.relay.forge(n % 3, (n + 1) % 3, &vec![n as u8; 1 + n % 2_000]);
+        fleet
+            .stage
+            .relay
+            .forge(n % 3, (n + 1) % 3, &vec![n as u8; 1 + n % 2_000]);
     }
     std::thread::sleep(Duration::from_millis(1_500));
     assert!(fleet.agree(3));
-    assert_eq!(fleet.stage.history.lines("member ").len(), lines, "nobody was taken for anything else");
+    assert_eq!(
+        fleet.stage.history.lines("member ").len(),
+        lines,
+        "nobody was taken for anything else"
+    );
     assert!((0..3).all(|n| fleet.served(n)));
 }
 
@@ -195,7 +274,13 @@
     let mut fleet = Fleet::new(5, 5, |_| String::new());
     (0..2).for_each(|n| fleet.stage.start(n));
     fleet.stage.wait_found();
-    fleet.stage.act(&Act::Links { faults: Faults { loss: 0.05, jitter_ms: 20, ..Faults::default() } });
+    fleet.stage.act(&Act::Links {
+        faults: Faults {
+            loss: 0.05,
+            jitter_ms: 20,
+            ..Faults::default()
+        },
+    });
     let mut asked = 0;
     let mut ask_all = |fleet: &Fleet| {
         for n in (0..5).filter(|n| fleet.stage.processes[*n].runs()) {
@@ -233,7 +318,12 @@
     ];
     for (text, says) in cases {
         let file = config_file(&text);
-        let config = config_file(&frosthatch_standins::config_text(agent.address, None, 2, ""));
+        let config = config_file(&frosthatch_standins::config_text(
+            agent.address,
+            None,
+            2,
+            "",
+        ));
         let out = frosthatch_standins::command(&config)
             .args(["--operator", file.to_str().expect("a path"), "check"])
             .output();
--- a/crates/frosthatch/tests/golden_forms.rs
+++ b/crates/frosthatch/tests/golden_forms.rs
@@ -17,11 +17,17 @@
 use tokio::runtime::Runtime;
 
 fn compare_with_recorded(file: &str, now: &str) {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file);
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(file);
     if std::env::var_os("RECORD").is_some() {
         return std::fs::write(path, now).expect("written");
     }
-    assert_eq!(std::fs::read_to_string(path).expect("a recorded file"), now, "recorded on the left");
+    assert_eq!(
+        std::fs::read_to_string(path).expect("a recorded file"),
+        now,
+        "recorded on the left"
+    );
 }
 
 /// What `check` prints, with the names of the files left out.
@@ -68,7 +74,16 @@
             "most_instances",
         ],
     ),
-    ("dns-sd.push", &["servers", "trust_anchor", "server_name", "check_ms", "keepalive_ms"]),
+    (
+        "dns-sd.push",
+        &[
+            "servers",
+            "trust_anchor",
+            "server_name",
+            "check_ms",
+            "keepalive_ms",
+        ],
+    ),
     (
         "diameter",
         &[
@@ -89,7 +104,10 @@
             "most_pending",
         ],
     ),
-    ("diameter.tls", &["certificate", "key", "trust_anchor", "server_name"]),
+    (
+        "diameter.tls",
+        &["certificate", "key", "trust_anchor", "server_name"],
+    ),
     (
         "fleet",
         &[
@@ -169,8 +187,17 @@
     let mut text = String::new();
     for (table, keys) in OPERATOR_KEYS {
         // A date is right nowhere. A crash point has to be a text, or the number behind it is not asked for.
-        let value = |key: &str| if key == "dies_at" { "\"store\"" } else { "1979-05-27" };
-        let lines: String = keys.iter().map(|key| format!("{key} = {}\n", value(key))).collect();
+        let value = |key: &str| {
+            if key == "dies_at" {
+                "\"store\""
+            } else {
+                "1979-05-27"
+            }
+        };
+        let lines: String = keys
+            .iter()
+            .map(|key| format!("{key} = {}\n", value(key)))
+            .collect();
         let operator = format!("[{table}]\n{lines}no_such_key = 1\n");
         writeln!(text, "[{table}]\n{}", check(&fine(), Some(&operator))).expect("to memory");
         let empty = check(&fine(), Some(&format!("[{table}]\n")));
@@ -196,10 +223,16 @@
 #[test]
 fn every_key_of_the_configuration_is_known_and_its_mistakes_are_told_as_recorded() {
     let mut text = String::new();
-    let (start, _) =
-        fine().split_once("\"settings\":").map(|(s, e)| (s.to_string(), e.to_string())).expect("both");
-    writeln!(text, "settings\n{}", check(&format!("{start}\"settings\":{WRONG_SETTINGS}}}"), None))
-        .expect("to memory");
+    let (start, _) = fine()
+        .split_once("\"settings\":")
+        .map(|(s, e)| (s.to_string(), e.to_string()))
+        .expect("both");
+    writeln!(
+        text,
+        "settings\n{}",
+        check(&format!("{start}\"settings\":{WRONG_SETTINGS}}}"), None)
+    )
+    .expect("to memory");
     writeln!(text, "empty\n{}", check("{}", None)).expect("to memory");
     let wrong = r#"{"name":5,"listen":5,"discovery":5,"counter":5,"console":5,"seed":5,"limits":{"cores":"x","memory_mb":"x",
         "sockets":"x"},"known":{"rev":"x","all":"x","targets":5},"settings":5,"noSuchKey":5}"#;
@@ -212,8 +245,11 @@
 fn without_descriptions(value: &Value) -> Value {
     match value {
         Value::Object(all) => {
-            let kept = all.iter().filter(|(k, v)| *k != "description" || !v.is_string());
-            kept.map(|(k, v)| (k.clone(), without_descriptions(v))).collect()
+            let kept = all
+                .iter()
+                .filter(|(k, v)| *k != "description" || !v.is_string());
+            kept.map(|(k, v)| (k.clone(), without_descriptions(v)))
+                .collect()
         }
         Value::Array(all) => all.iter().map(without_descriptions).collect(),
         other => other.clone(),
@@ -223,7 +259,10 @@
 #[test]
 fn the_schema_of_a_policy_is_as_recorded() {
     let config = config_file(&fine());
-    let out = command(&config).args(["policy", "schema"]).output().expect("it runs");
+    let out = command(&config)
+        .args(["policy", "schema"])
+        .output()
+        .expect("it runs");
     let _ = std::fs::remove_file(config);
     let schema: Value = serde_json::from_slice(&out.stdout).expect("a schema");
     let text = serde_json::to_string_pretty(&without_descriptions(&schema)).expect("a text");
@@ -233,8 +272,12 @@
 /// Paths and types of everything in an answer; the values differ from run to run, and some are not known in each.
 fn shape(value: &Value, path: &str, into: &mut BTreeSet<String>) {
     match value {
-        Value::Object(all) => all.iter().for_each(|(k, v)| shape(v, &format!("{path}.{k}"), into)),
-        Value::Array(all) => all.iter().for_each(|v| shape(v, &format!("{path}[]"), into)),
+        Value::Object(all) => all
+            .iter()
+            .for_each(|(k, v)| shape(v, &format!("{path}.{k}"), into)),
+        Value::Array(all) => all
+            .iter()
+            .for_each(|v| shape(v, &format!("{path}[]"), into)),
         Value::Null => {}
         Value::Bool(_) => drop(into.insert(format!("{path} boolean"))),
         Value::Number(_) => drop(into.insert(format!("{path} number"))),
@@ -264,15 +307,27 @@
     let agreed = Agreed::new("golden", 3, 500);
     let process = |n: usize| {
         let discovery = agent.address;
-        let node = Node { gateways: 3, me: n, discovery, counter: None, sockets: 256, memory_mb: 32 };
-        Process::new(node, Some(fleet_file(&relay, n, &key, &agreed.table(n, ""))))
+        let node = Node {
+            gateways: 3,
+            me: n,
+            discovery,
+            counter: None,
+            sockets: 256,
+            memory_mb: 32,
+        };
+        Process::new(
+            node,
+            Some(fleet_file(&relay, n, &key, &agreed.table(n, ""))),
+        )
     };
     let processes = (0..3).map(process).collect();
     let mut stage = Stage::new(processes, relay);
     stage.start_all();
     stage.wait_found();
     let console = stage.processes[0].console().expect("a console");
-    until("the files' own policy is in force", || agreed::holds(&stage.processes[0]) == Some(0));
+    until("the files' own policy is in force", || {
+        agreed::holds(&stage.processes[0]) == Some(0)
+    });
 
     let mut text = String::new();
     let mut plain = |method: &str, path: &str| {
@@ -295,14 +350,19 @@
     ] {
         plain("POST", path);
     }
-    let number = agreed::propose(console, &document(1, "", 100.0)).expect("an answer").expect("a proposal");
+    let number = agreed::propose(console, &document(1, "", 100.0))
+        .expect("an answer")
+        .expect("a proposal");
     until("it is in force", || {
         agreed::end(console, number).is_some_and(|(s, _)| s == "in force")
             && stage.processes.iter().all(|p| agreed::holds(p) == Some(1))
     });
     for n in 0..3 {
         let ask = Ask::check().with("X-Tier", "mellem").text();
-        assert_eq!(stage.processes[n].client().ask(&ask).map(|m| m.status()), Some(200));
+        assert_eq!(
+            stage.processes[n].client().ask(&ask).map(|m| m.status()),
+            Some(200)
+        );
     }
     let (status, metrics) = answer(console, "GET", "/metrics", "");
     writeln!(text, "GET /metrics: {status}").expect("to memory");
@@ -317,7 +377,9 @@
         let mut paths = BTreeSet::new();
         shape(&serde_json::from_str(&body).expect("JSON"), "", &mut paths);
         writeln!(text, "GET {path}: {status}").expect("to memory");
-        paths.iter().for_each(|p| writeln!(text, "  {p}").expect("to memory"));
+        paths
+            .iter()
+            .for_each(|p| writeln!(text, "  {p}").expect("to memory"));
     }
     let (status, body) = answer(console, "POST", "/fleet/leave", "");
     writeln!(text, "POST /fleet/leave: {status} {body:?}").expect("to memory");
@@ -325,12 +387,19 @@
 
     stage.act(&Act::Kill { who: vec![0, 1, 2] });
     let folder = agreed.folder_of(0);
-    let audit =
-        std::fs::read_to_string(folder.parent().expect("one above").join("audit-0")).expect("an audit");
+    let audit = std::fs::read_to_string(folder.parent().expect("one above").join("audit-0"))
+        .expect("an audit");
     let line = audit.lines().last().expect("a line").to_string();
     let words: Vec<&str> = line.split(' ').collect();
-    assert!(words.len() == 4 && words[0].parse::<u64>().is_ok() && words[3].parse::<u64>().is_ok(), "{line}");
-    assert_eq!((words[1], words[2]), ("1", &agreed::digest(&document(1, "", 100.0))[..12]), "{line}");
+    assert!(
+        words.len() == 4 && words[0].parse::<u64>().is_ok() && words[3].parse::<u64>().is_ok(),
+        "{line}"
+    );
+    assert_eq!(
+        (words[1], words[2]),
+        ("1", &agreed::digest(&document(1, "", 100.0))[..12]),
+        "{line}"
+    );
     assert_eq!(agreed.let_in(3).len(), audit_lines(&agreed));
     let _ = std::fs::remove_file(key);
 }
@@ -338,6 +407,13 @@
 /// All lines that three processes wrote.
 fn audit_lines(agreed: &Agreed) -> usize {
     let folder = agreed.folder_of(0);
-    let of = |n: usize| folder.parent().expect("one above").join(format!("audit-{n}"));
-    (0..3).map(|n| std::fs::read_to_string(of(n)).map_or(0, |text| text.lines().count())).sum()
+    let of = |n: usize| {
+        folder
+            .parent()
+            .expect("one above")
+            .join(format!("audit-{n}"))
+    };
+    (0..3)
+        .map(|n| std::fs::read_to_string(of(n)).map_or(0, |text| text.lines().count()))
+        .sum()
 }
--- a/crates/frosthatch/tests/late_bytes.rs
+++ b/crates/frosthatch/tests/late_bytes.rs
@@ -25,7 +25,9 @@
 impl Unread {
     fn new() -> Unread {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        SockRef::from(&listener).set_recv_buffer_size(4_096).expect("a small buffer");
+        SockRef::from(&listener)
+            .set_recv_buffer_size(4_096)
+            .expect("a small buffer");
         let address = listener.local_addr().expect("an address");
         let ((tell, accepted), (go, gone), (done, whole)) = (channel(), channel::<()>(), channel());
         thread::spawn(move || {
@@ -35,11 +37,18 @@
                 let _ = done.send(read_all(&stream));
             }
         });
-        Unread { address, accepted, go, whole }
+        Unread {
+            address,
+            accepted,
+            go,
+            whole,
+        }
     }
 
     fn whole(&self) -> Option<(Message, Instant)> {
-        self.whole.recv_timeout(LONG).expect("the connection is read to its end")
+        self.whole
+            .recv_timeout(LONG)
+            .expect("the connection is read to its end")
     }
 }
 
@@ -51,8 +60,8 @@
 }
 
 fn gateway(discovery: &Discovery, changes: &[(&str, &str)]) -> Gateway {
-    let mut text =
-        config_text(discovery.address, None, 1, "").replace("\"memory_mb\":32", "\"memory_mb\":192");
+    let mut text = config_text(discovery.address, None, 1, "")
+        .replace("\"memory_mb\":32", "\"memory_mb\":192");
     for (from, to) in changes {
         assert!(text.contains(from), "{from}");
         text = text.replace(from, to);
@@ -63,7 +72,10 @@
 }
 
 fn long_top_up() -> Ask {
-    Ask { body: "x".repeat(LONG_BODY), ..Ask::top_up() }
+    Ask {
+        body: "x".repeat(LONG_BODY),
+        ..Ask::top_up()
+    }
 }
 
 /// Guards against a second effect: the repeat begins within its window, its last byte would come after.
@@ -72,16 +84,25 @@
     let (first, go) = Server::held(|| status("500 Internal Server Error"));
     let second = Unread::new();
     let discovery = Discovery::new(&target("a", first.address, 3, "Ready"));
-    let gateway = gateway(&discovery, &[("\"windowUs\":7500000", "\"windowUs\":1500000")]);
+    let gateway = gateway(
+        &discovery,
+        &[("\"windowUs\":7500000", "\"windowUs\":1500000")],
+    );
     let mut client = gateway.client();
     client.send(&long_top_up().text());
     first.request();
     discovery.tell(false, &target("b", second.address, 3, "Ready"));
     let _ = go.send(());
-    second.accepted.recv_timeout(LONG).expect("the repeat is on its way");
+    second
+        .accepted
+        .recv_timeout(LONG)
+        .expect("the repeat is on its way");
     thread::sleep(Duration::from_millis(1_700));
     let _ = second.go.send(());
-    assert!(second.whole().is_none(), "the repeat came whole after the servers had forgotten its key");
+    assert!(
+        second.whole().is_none(),
+        "the repeat came whole after the servers had forgotten its key"
+    );
     assert!(client.answer().is_some_and(|a| a.status() != 200));
 }
 
@@ -91,15 +112,24 @@
     for cancel in [true, false] {
         let server = Unread::new();
         let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
-        let gateway = gateway(&discovery, &[("\"cancel\":true", &format!("\"cancel\":{cancel}"))]);
+        let gateway = gateway(
+            &discovery,
+            &[("\"cancel\":true", &format!("\"cancel\":{cancel}"))],
+        );
         let mut client = gateway.client();
         client.send(&long_top_up().text());
-        server.accepted.recv_timeout(LONG).expect("it is on its way");
+        server
+            .accepted
+            .recv_timeout(LONG)
+            .expect("it is on its way");
         thread::sleep(Duration::from_millis(50));
         drop(client);
         thread::sleep(Duration::from_millis(150));
         let _ = server.go.send(());
-        assert!(server.whole().is_none(), "it came whole after its client had gone; cancel {cancel}");
+        assert!(
+            server.whole().is_none(),
+            "it came whole after its client had gone; cancel {cancel}"
+        );
     }
 }
 
@@ -113,11 +143,17 @@
     let text = long_top_up().with("X-Expires-In", "3.0").text();
     client.send(&text);
     let gone_at = Instant::now() + Duration::from_secs(3);
-    server.accepted.recv_timeout(LONG).expect("it is on its way");
+    server
+        .accepted
+        .recv_timeout(LONG)
+        .expect("it is on its way");
     thread::sleep(Duration::from_millis(1_500));
     let _ = server.go.send(());
     if let Some((message, at)) = server.whole() {
-        let told: f64 = message.header("X-Expires-In").and_then(|t| t.parse().ok()).expect("a deadline");
+        let told: f64 = message
+            .header("X-Expires-In")
+            .and_then(|t| t.parse().ok())
+            .expect("a deadline");
         let left = gone_at.saturating_duration_since(at).as_secs_f64();
         assert!(told <= left + 0.15, "told {told} s with {left} s left");
     }
@@ -138,8 +174,13 @@
     let _ = go.send(());
     client.answer().expect("the first answer");
     let message = server.request();
-    let told: f64 = message.header("X-Expires-In").and_then(|t| t.parse().ok()).expect("a deadline");
-    let left = gone_at.saturating_duration_since(Instant::now()).as_secs_f64();
+    let told: f64 = message
+        .header("X-Expires-In")
+        .and_then(|t| t.parse().ok())
+        .expect("a deadline");
+    let left = gone_at
+        .saturating_duration_since(Instant::now())
+        .as_secs_f64();
     let _ = go.send(());
     client.answer().expect("the second answer");
     assert!(told <= left + 0.15, "told {told} s with {left} s left");
@@ -150,9 +191,13 @@
 fn a_request_that_is_whole_late_after_sigterm_is_answered() {
     let server = Server::new(|_| Reply::Silence);
     let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
-    let mut gateway = gateway(&discovery, &[("\"deadlineUs\":8000000", "\"deadlineUs\":1000000")]);
+    let mut gateway = gateway(
+        &discovery,
+        &[("\"deadlineUs\":8000000", "\"deadlineUs\":1000000")],
+    );
     let text = Ask::check().with("X-Expires-In", "1.0").text();
-    let mut clients: Vec<(Client, u64)> = (0..16).map(|n| (gateway.client(), 600 + 55 * n)).collect();
+    let mut clients: Vec<(Client, u64)> =
+        (0..16).map(|n| (gateway.client(), 600 + 55 * n)).collect();
     let (head, rest) = text.split_at(text.len() - 4);
     for (client, _) in &mut clients {
         client.send(&replace_id(head));
@@ -165,7 +210,10 @@
         if !client.ended() {
             client.send(rest);
             let sent = since.elapsed();
-            assert!(client.answer().is_some(), "whole {sent:?} after SIGTERM, and no answer");
+            assert!(
+                client.answer().is_some(),
+                "whole {sent:?} after SIGTERM, and no answer"
+            );
         }
     }
     assert!(gateway.wait().success());
@@ -174,10 +222,12 @@
 /// The same head with an id of its own.
 fn replace_id(head: &str) -> String {
     let own = Ask::check();
-    let lines = head.split("\r\n").map(|line| match line.starts_with("X-Trace-Id") {
-        true => format!("X-Trace-Id: {}", own.header("X-Trace-Id")),
-        false => line.to_string(),
-    });
+    let lines = head
+        .split("\r\n")
+        .map(|line| match line.starts_with("X-Trace-Id") {
+            true => format!("X-Trace-Id: {}", own.header("X-Trace-Id")),
+            false => line.to_string(),
+        });
     lines.collect::<Vec<_>>().join("\r\n")
 }
 
@@ -195,7 +245,9 @@
     thread::sleep(IDLE - Duration::from_millis(150));
     // Those that had their answer first would end first.
     gateway.signal("-STOP");
-    clients.iter_mut().for_each(|c| c.send(&Ask::check().text()));
+    clients
+        .iter_mut()
+        .for_each(|c| c.send(&Ask::check().text()));
     thread::sleep((IDLE + Duration::from_millis(50)).saturating_sub(since.elapsed()));
     gateway.signal("-CONT");
     for client in &mut clients {
--- a/crates/frosthatch/tests/late_starts.rs
+++ b/crates/frosthatch/tests/late_starts.rs
@@ -8,7 +8,14 @@
 /// A gateway that waits long for connections, with settings changed as told.
 fn patient(discovery: &Discovery, changes: &[(&str, &str)]) -> Gateway {
     let mut text = config_text(discovery.address, None, 1, "");
-    for (from, to) in [&[("\"connectTimeoutUs\":1000000", "\"connectTimeoutUs\":6000000")], changes].concat()
+    for (from, to) in [
+        &[(
+            "\"connectTimeoutUs\":1000000",
+            "\"connectTimeoutUs\":6000000",
+        )],
+        changes,
+    ]
+    .concat()
     {
         assert!(text.contains(from), "{from}");
         text = text.replace(from, to);
@@ -32,7 +39,10 @@
     let (first, go) = Server::held(|| status("500 Internal Server Error"));
     let late = Crowded::new();
     let discovery = Discovery::new(&target("a", first.address, 3, "Ready"));
-    let gateway = patient(&discovery, &[("\"windowUs\":7500000", "\"windowUs\":600000")]);
+    let gateway = patient(
+        &discovery,
+        &[("\"windowUs\":7500000", "\"windowUs\":600000")],
+    );
     let mut client = gateway.client();
     client.send(&Ask::top_up().text());
     first.request();
@@ -44,12 +54,18 @@
     let late = late.open(|_| ok("twice"));
     let answer = client.answer().expect("an answer");
     assert!(matches!(answer.status(), 502 | 504), "{answer:?}");
-    assert!(since.elapsed() > Duration::from_millis(500), "the repeat was tried");
+    assert!(
+        since.elapsed() > Duration::from_millis(500),
+        "the repeat was tried"
+    );
     // Whatever was to come there has come before this one.
     let ask = Ask::check();
     discovery.tell(true, &target("b", late.address, 3, "Ready"));
     assert_eq!(gateway.ask(&ask).status(), 200);
-    assert_eq!(late.request().header("X-Trace-Id"), Some(ask.header("X-Trace-Id")));
+    assert_eq!(
+        late.request().header("X-Trace-Id"),
+        Some(ask.header("X-Trace-Id"))
+    );
 }
 
 /// Guards against work for nobody, also where the settings bar calling attempts back: this one has not begun.
@@ -58,7 +74,10 @@
     for cancel in [true, false] {
         let late = Crowded::new();
         let discovery = Discovery::new(&target("a", late.address(), 0, "Ready"));
-        let gateway = patient(&discovery, &[("\"cancel\":true", &format!("\"cancel\":{cancel}"))]);
+        let gateway = patient(
+            &discovery,
+            &[("\"cancel\":true", &format!("\"cancel\":{cancel}"))],
+        );
         let mut client = gateway.client();
         client.send(&Ask::top_up().text());
         turns(&gateway);
@@ -70,7 +89,11 @@
         }
         let ask = Ask::check();
         assert_eq!(gateway.ask(&ask).status(), 200);
-        assert_eq!(late.request().header("X-Trace-Id"), Some(ask.header("X-Trace-Id")), "cancel {cancel}");
+        assert_eq!(
+            late.request().header("X-Trace-Id"),
+            Some(ask.header("X-Trace-Id")),
+            "cancel {cancel}"
+        );
     }
 }
 
@@ -89,7 +112,11 @@
         let ask = Ask::check();
         discovery.tell(false, &target("a", server.address, 0, "Ready"));
         assert_eq!(gateway.ask(&ask).status(), 200);
-        assert_eq!(server.request().header("X-Trace-Id"), Some(ask.header("X-Trace-Id")), "{junk}");
+        assert_eq!(
+            server.request().header("X-Trace-Id"),
+            Some(ask.header("X-Trace-Id")),
+            "{junk}"
+        );
     }
 }
 
@@ -108,6 +135,10 @@
         gateway.signal("-CONT");
         let ask = Ask::check();
         assert_eq!(gateway.ask(&ask).status(), 200);
-        assert_eq!(server.request().header("X-Trace-Id"), Some(ask.header("X-Trace-Id")), "{junk}");
+        assert_eq!(
+            server.request().header("X-Trace-Id"),
+            Some(ask.header("X-Trace-Id")),
+            "{junk}"
+        );
     }
 }
--- a/crates/frosthatch/tests/log_output.rs
+++ b/crates/frosthatch/tests/log_output.rs
@@ -17,11 +17,19 @@
 
 impl Process {
     fn start(discovery: &Discovery, log: Stdio) -> Process {
-        let address = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
+        let address = TcpListener::bind("127.0.0.1:0")
+            .and_then(|l| l.local_addr())
+            .expect("a port");
         let text = config_text(discovery.address, None, 1, "");
-        let text = text.replace("\"listen\":\"127.0.0.1:0\"", &format!("\"listen\":\"{address}\""));
+        let text = text.replace(
+            "\"listen\":\"127.0.0.1:0\"",
+            &format!("\"listen\":\"{address}\""),
+        );
         let config = config_file(&text);
-        let child = command(&config).stderr(log).spawn().expect("the gateway starts");
+        let child = command(&config)
+            .stderr(log)
+            .spawn()
+            .expect("the gateway starts");
         Process { child, address }
     }
 
@@ -54,7 +62,10 @@
 fn a_full_disk_behind_the_log_does_not_keep_the_gateway_from_serving() {
     let server = Server::new(|_| ok("served"));
     let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
-    let full = OpenOptions::new().write(true).open("/dev/full").expect("a full disk");
+    let full = OpenOptions::new()
+        .write(true)
+        .open("/dev/full")
+        .expect("a full disk");
     assert!(Process::start(&discovery, Stdio::from(full)).serves());
 }
 
--- a/crates/frosthatch/tests/outcomes.rs
+++ b/crates/frosthatch/tests/outcomes.rs
@@ -11,7 +11,13 @@
     let spent = Arc::new(AtomicBool::new(false));
     let servers = [(); 2].map(|()| {
         let spent = spent.clone();
-        Server::new(move |_| if spent.swap(true, Ordering::SeqCst) { ok("second") } else { first() })
+        Server::new(move |_| {
+            if spent.swap(true, Ordering::SeqCst) {
+                ok("second")
+            } else {
+                first()
+            }
+        })
     });
     let entry = |i: usize| target(["a", "b"][i], servers[i].address, cells[i], "Ready");
     (Discovery::new(&[entry(0), entry(1)].join(",")), servers)
@@ -30,8 +36,12 @@
 const ERROR: fn() -> Reply = || status("500 Internal Server Error");
 const UNPROVEN: fn() -> Reply = || status("503 Service Unavailable");
 const NOISE: fn() -> Reply = || Reply::Bytes("\u{1}\u{2} no answer at all\r\n\r\n".into());
-const ENDLESS: fn() -> Reply =
-    || Reply::Bytes(format!("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n{}", "x".repeat(100_000)));
+const ENDLESS: fn() -> Reply = || {
+    Reply::Bytes(format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n{}",
+        "x".repeat(100_000)
+    ))
+};
 
 #[test]
 fn a_safe_request_is_served_by_another_server_after_any_failure() {
@@ -80,15 +90,25 @@
     let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
     let answer = Gateway::alone(&discovery).ask(&Ask::top_up());
     assert_eq!(answer.status(), 429);
-    let wait: f64 = answer.header("Retry-After").expect("advice").parse().expect("seconds");
+    let wait: f64 = answer
+        .header("Retry-After")
+        .expect("advice")
+        .parse()
+        .expect("seconds");
     assert!(wait > 0.0 && wait <= 2.0, "{wait}");
 }
 
 #[test]
 fn a_refused_connection_never_ran() {
-    let nobody = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port");
+    let nobody = TcpListener::bind("127.0.0.1:0")
+        .and_then(|l| l.local_addr())
+        .expect("a free port");
     let server = Server::new(|_| ok("here"));
-    let entries = [target("a", nobody, 0, "Ready"), target("b", server.address, 1, "Ready")].join(",");
+    let entries = [
+        target("a", nobody, 0, "Ready"),
+        target("b", server.address, 1, "Ready"),
+    ]
+    .join(",");
     let gateway = Gateway::alone(&Discovery::new(&entries));
     for _ in 0..8 {
         let answer = gateway.ask(&Ask::top_up());
@@ -103,8 +123,14 @@
     let gateway = Gateway::alone(&discovery);
     let since = std::time::Instant::now();
     let answer = gateway.ask(&Ask::top_up().with("X-Expires-In", "0.8"));
-    assert!(since.elapsed().as_secs_f64() > 0.5, "an attempt has its time");
-    assert!(failed(&answer), "a silent server may have run it: {answer:?}");
+    assert!(
+        since.elapsed().as_secs_f64() > 0.5,
+        "an attempt has its time"
+    );
+    assert!(
+        failed(&answer),
+        "a silent server may have run it: {answer:?}"
+    );
     assert_eq!(requests(&servers), 1);
 }
 
@@ -130,7 +156,9 @@
         "X-RateLimit-Used: -1e400",
     ] {
         let server = Server::new(move |_| {
-            Reply::Bytes(format!("HTTP/1.1 200 OK\r\n{odd}\r\nContent-Length: 2\r\n\r\nok"))
+            Reply::Bytes(format!(
+                "HTTP/1.1 200 OK\r\n{odd}\r\nContent-Length: 2\r\n\r\nok"
+            ))
         });
         let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
         let gateway = Gateway::alone(&discovery);
@@ -145,7 +173,10 @@
 fn a_second_copy_of_an_answer_serves_nobody() {
     let server = Server::new(|m| {
         let body = m.header("X-Trace-Id").unwrap_or("").to_string();
-        let once = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+        let once = format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        );
         Reply::Bytes(once.repeat(2))
     });
     let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
@@ -161,7 +192,10 @@
 fn a_second_copy_of_an_answer_that_comes_late_serves_nobody() {
     let server = Server::new(|m| {
         let body = m.header("X-Trace-Id").unwrap_or("").to_string();
-        let once = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+        let once = format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        );
         Reply::Twice(once.clone(), once)
     });
     let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
@@ -188,7 +222,11 @@
             let answer = Gateway::alone(&discovery).ask(&Ask::top_up().with("X-Expires-In", "2.0"));
             match resets {
                 true => assert!(failed(&answer), "{says:?}: {answer:?}"),
-                false => assert_eq!((answer.status(), answer.body.as_str()), (200, "all of it"), "{says:?}"),
+                false => assert_eq!(
+                    (answer.status(), answer.body.as_str()),
+                    (200, "all of it"),
+                    "{says:?}"
+                ),
             }
         }
     }
@@ -219,8 +257,11 @@
     for text in SPOILT {
         let server = Server::new(move |_| Reply::Bytes(text.into()));
         let other = Server::new(|_| ok("other"));
-        let entries =
-            [target("a", server.address, 0, "Ready"), target("b", other.address, 1, "Ready")].join(",");
+        let entries = [
+            target("a", server.address, 0, "Ready"),
+            target("b", other.address, 1, "Ready"),
+        ]
+        .join(",");
         let gateway = Gateway::alone(&Discovery::new(&entries));
         let (mut spoilt, mut served) = (0, 0);
         while spoilt == 0 || served == 0 {
@@ -239,12 +280,21 @@
 /// Guards against an answer without end, in its head or behind it: it is cut, and its connection is closed.
 #[test]
 fn an_answer_without_end_is_cut() {
-    for start in ["HTTP/1.1 200 OK\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"] {
-        let more = if start.contains("chunked") { "1\r\nx\r\n" } else { "X-More: more\r\n" };
+    for start in [
+        "HTTP/1.1 200 OK\r\n",
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
+    ] {
+        let more = if start.contains("chunked") {
+            "1\r\nx\r\n"
+        } else {
+            "X-More: more\r\n"
+        };
         let text = start.to_string() + &more.repeat(60_000);
         let server = Server::new(move |_| Reply::Bytes(text.clone()));
         let gateway = Gateway::alone(&Discovery::new(&target("a", server.address, 0, "Ready")));
-        assert!(failed(&gateway.ask(&Ask::top_up().with("X-Expires-In", "6.0"))));
+        assert!(failed(
+            &gateway.ask(&Ask::top_up().with("X-Expires-In", "6.0"))
+        ));
         server.closed();
     }
 }
@@ -272,7 +322,10 @@
 fn noise_behind_an_answer_spoils_no_other() {
     let server = Server::new(|m| {
         let id = m.header("X-Trace-Id").unwrap_or("");
-        Reply::Twice(format!("HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\n{id}"), "\u{1}\u{2}\u{3}".into())
+        Reply::Twice(
+            format!("HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\n{id}"),
+            "\u{1}\u{2}\u{3}".into(),
+        )
     });
     let gateway = Gateway::alone(&Discovery::new(&target("a", server.address, 0, "Ready")));
     let mut client = gateway.client();
@@ -280,6 +333,9 @@
         // It has come before the next request does.
         std::thread::sleep(std::time::Duration::from_millis(50));
         let ask = Ask::top_up();
-        assert_eq!(client.ask(&ask.text()).expect("an answer").body, ask.header("X-Trace-Id"));
+        assert_eq!(
+            client.ask(&ask.text()).expect("an answer").body,
+            ask.header("X-Trace-Id")
+        );
     }
 }
--- a/crates/frosthatch/tests/plain.rs
+++ b/crates/frosthatch/tests/plain.rs
@@ -19,7 +19,11 @@
     for name in ["X-Trace-Id", "Idempotency-Key"] {
         assert_eq!(got.header(name), Some(ask.header(name)));
     }
-    let left: f64 = got.header("X-Expires-In").expect("what is left").parse().expect("seconds");
+    let left: f64 = got
+        .header("X-Expires-In")
+        .expect("what is left")
+        .parse()
+        .expect("seconds");
     assert!(left > 0.0 && left < 8.0, "{left}");
 }
 
@@ -39,7 +43,10 @@
     let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
     let gateway = Gateway::alone(&discovery);
     for (path, n) in [("/balance-check/plain", 1), ("/balance-check/chunks", 2)].repeat(4) {
-        let answer = gateway.ask(&Ask { path, ..Ask::check() });
+        let answer = gateway.ask(&Ask {
+            path,
+            ..Ask::check()
+        });
         assert_eq!(answer.status(), 200);
         assert!(answer.body == body(n), "{} bytes", answer.body.len());
     }
@@ -76,7 +83,13 @@
 /// one may have run.
 #[test]
 fn connections_that_servers_drop_unseen_when_idle_are_not_used_for_long() {
-    let server = Server::new(|m| if m.idle > Some(Duration::from_millis(80)) { Reply::End } else { ok("") });
+    let server = Server::new(|m| {
+        if m.idle > Some(Duration::from_millis(80)) {
+            Reply::End
+        } else {
+            ok("")
+        }
+    });
     let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
     let gateway = Gateway::alone(&discovery);
     let dropped = |asks: usize| {
@@ -84,7 +97,8 @@
             gateway.ask(&Ask::top_up());
             std::thread::sleep(Duration::from_millis(150));
         }
-        let late = |s: &Seen| matches!(s, Seen::Request(m) if m.idle > Some(Duration::from_millis(80)));
+        let late =
+            |s: &Seen| matches!(s, Seen::Request(m) if m.idle > Some(Duration::from_millis(80)));
         server.so_far().iter().filter(|s| late(s)).count()
     };
     assert!(dropped(8) >= 1, "nobody knows yet");
@@ -101,7 +115,10 @@
     discovery.asked_again(1);
     // Long enough for whatever is done now and then beside listening.
     std::thread::sleep(Duration::from_millis(700));
-    assert!(!gateway.ready(), "with no server known nothing can be served");
+    assert!(
+        !gateway.ready(),
+        "with no server known nothing can be served"
+    );
     discovery.mood(Mood::Telling);
     gateway.wait_ready();
     assert_eq!(gateway.ask(&Ask::check()).status(), 200);
@@ -130,7 +147,10 @@
         (fine.replace("127.0.0.1:0", "nowhere"), "malformed"),
         (fine.replace("\"seed\":\"1\"", "\"seed\":\"-\""), "seed"),
         (fine.replace("\"sockets\":256", "\"sockets\":8"), "sockets"),
-        (fine.replace("\"balancers\":1", "\"balancers\":0"), "gateways"),
+        (
+            fine.replace("\"balancers\":1", "\"balancers\":0"),
+            "gateways",
+        ),
     ] {
         let path = config_file(&text);
         let out = command(&path).output().expect("it runs");
@@ -138,9 +158,14 @@
         let said = String::from_utf8_lossy(&out.stderr).to_string();
         assert_eq!(out.status.code(), Some(1), "{said}");
         assert_eq!(said.lines().count(), 1, "{said}");
-        assert!(said.starts_with("frosthatch: ") && said.contains(says), "{said}");
+        assert!(
+            said.starts_with("frosthatch: ") && said.contains(says),
+            "{said}"
+        );
     }
-    let out = command(std::path::Path::new("/nowhere/config.json")).output().expect("it runs");
+    let out = command(std::path::Path::new("/nowhere/config.json"))
+        .output()
+        .expect("it runs");
     assert_eq!(out.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&out.stderr).contains("cannot be read"));
 }
--- a/crates/frosthatch/tests/plugins.rs
+++ b/crates/frosthatch/tests/plugins.rs
@@ -53,7 +53,12 @@
     let config = config_text(discovery.address, None, 1, "");
     let gateway = Gateway::start_as(&config, &["--operator", file.to_str().expect("a path")]);
     gateway.wait_ready();
-    Site { gateway, server, file, discovery }
+    Site {
+        gateway,
+        server,
+        file,
+        discovery,
+    }
 }
 
 fn of(plan: &str) -> Ask {
@@ -83,10 +88,16 @@
         .concat(),
     );
     let served = site.gateway.ask(&of("lille"));
-    assert_eq!((served.status(), served.header("x-shop"), &*served.body), (200, Some("seven"), "served"));
+    assert_eq!(
+        (served.status(), served.header("x-shop"), &*served.body),
+        (200, Some("seven"), "served")
+    );
     site.server.so_far();
     let refused = site.gateway.ask(&of("small"));
-    assert_eq!((refused.status(), refused.header("retry-after")), (429, Some("1.500")));
+    assert_eq!(
+        (refused.status(), refused.header("retry-after")),
+        (429, Some("1.500"))
+    );
     assert_eq!(site.gateway.ask(&of("capped")).status(), 502);
     assert_eq!(site.server.so_far().len(), 0, "nothing ran");
 }
@@ -105,7 +116,9 @@
                     let gateway = &site.gateway;
                     s.spawn(move || {
                         let since = Instant::now();
-                        let got = gateway.ask(&of("small").with("X-Api-Key", &format!("{n:016x}"))).status();
+                        let got = gateway
+                            .ask(&of("small").with("X-Api-Key", &format!("{n:016x}")))
+                            .status();
                         (got, since.elapsed())
                     })
                 })
@@ -150,7 +163,12 @@
 fn a_reload_that_cannot_be_used_leaves_the_old_version_and_swaps_whole() {
     let file = on_request(HEADER);
     let site = site(&plugin("adds", &file, ""));
-    let asked = |site: &Site| site.gateway.ask(&of("lille")).header("x-shop").map(String::from);
+    let asked = |site: &Site| {
+        site.gateway
+            .ask(&of("lille"))
+            .header("x-shop")
+            .map(String::from)
+    };
     assert_eq!(asked(&site).as_deref(), Some("seven"));
     for broken in [
         "(module",
@@ -182,7 +200,8 @@
 #[test]
 fn what_a_plugin_holds_ends_well_whatever_happens_meanwhile() {
     let spins = on_request(SPIN);
-    let more = "policy = \"open\"\nfuel_per_call = 1000000000\nfuel_per_s = 10000000000\nwait_ms = 400\n";
+    let more =
+        "policy = \"open\"\nfuel_per_call = 1000000000\nfuel_per_s = 10000000000\nwait_ms = 400\n";
     let mut site = site(&plugin("spins", &spins, more));
     // The client leaves: nothing is sent for it.
     let mut leaves = site.gateway.client();
@@ -196,7 +215,10 @@
     let mut held = site.gateway.client();
     held.send(&of("lille").text());
     sleep(Duration::from_millis(50));
-    let list = [target("a", site.server.address, 0, "Terminating"), target("b", other.address, 0, "Ready")];
+    let list = [
+        target("a", site.server.address, 0, "Terminating"),
+        target("b", other.address, 0, "Ready"),
+    ];
     site.discovery.tell(false, &list.join(","));
     assert_eq!(held.answer().expect("one answer").body, "other");
     // SIGTERM: what is held is answered, and the program ends in order.
@@ -221,7 +243,11 @@
                     .replace("0x000e0001", "0x000a0001")
                     .replace("i64.const 30", "i64.const 26"),
             );
-            plugin(&format!("p{}", names(n)), &file, &format!("order = {}\n", 100 - n))
+            plugin(
+                &format!("p{}", names(n)),
+                &file,
+                &format!("order = {}\n", 100 - n),
+            )
         })
         .collect();
     let site = site(&text);
@@ -237,27 +263,43 @@
 }
 
 fn run(words: &[&str]) -> Output {
-    Command::new(program()).args(words).output().expect("it runs")
+    Command::new(program())
+        .args(words)
+        .output()
+        .expect("it runs")
 }
 
 #[test]
 fn a_module_can_be_tried_outside_the_gateway() {
     let good = on_request(HEADER);
-    let request =
-        config_file(r#"{"customer":4512345678,"class":"top-up","plan":"lille","left_ms":700,"units":2}"#);
+    let request = config_file(
+        r#"{"customer":4512345678,"class":"top-up","plan":"lille","left_ms":700,"units":2}"#,
+    );
     let path = |p: &Path| p.to_str().expect("a path").to_string();
     let out = run(&["plugin", "check", &path(&good)]);
     let text = String::from_utf8_lossy(&out.stdout).to_string();
-    assert!(out.status.success() && text.contains("hooks on_request"), "{text}");
+    assert!(
+        out.status.success() && text.contains("hooks on_request"),
+        "{text}"
+    );
     let out = run(&["plugin", "run", &path(&good), "--request", &path(&request)]);
     let text = String::from_utf8_lossy(&out.stdout).to_string();
-    assert!(out.status.success() && text.contains("x-shop") && text.contains("fuel"), "{text}");
+    assert!(
+        out.status.success() && text.contains("x-shop") && text.contains("fuel"),
+        "{text}"
+    );
     for (bad, says) in [(on_request(SPIN), "fuel"), (module(""), "exports none")] {
         let out = run(&["plugin", "run", &path(&bad), "--request", &path(&request)]);
         let text = String::from_utf8_lossy(&out.stderr).to_string();
         assert!(!out.status.success() && text.contains(says), "{text}");
     }
-    let out = run(&["plugin", "run", &path(&good), "--request", &path(&config_file("{}"))]);
+    let out = run(&[
+        "plugin",
+        "run",
+        &path(&good),
+        "--request",
+        &path(&config_file("{}")),
+    ]);
     assert!(String::from_utf8_lossy(&out.stderr).contains("missing field"));
 }
 
@@ -266,10 +308,15 @@
     let discovery = Discovery::new("");
     let file = config_file(&plugin("bad", Path::new("/nowhere/bad.wasm"), ""));
     let config = config_file(&config_text(discovery.address, None, 1, ""));
-    let out =
-        command(&config).args(["--operator", file.to_str().expect("a path")]).output().expect("it runs");
+    let out = command(&config)
+        .args(["--operator", file.to_str().expect("a path")])
+        .output()
+        .expect("it runs");
     let text = String::from_utf8_lossy(&out.stderr).to_string();
-    assert!(!out.status.success() && text.contains("plugin bad: /nowhere/bad.wasm"), "{text}");
+    assert!(
+        !out.status.success() && text.contains("plugin bad: /nowhere/bad.wasm"),
+        "{text}"
+    );
     for (more, says) in [
         ("policy = \"maybe\"\n", "policy"),
         ("customers = [\"9-1\"]\n", "customers"),
@@ -277,7 +324,9 @@
         ("speed = 1\n", "speed is not known"),
     ] {
         let file = config_file(&plugin("bad", &on_request(HEADER), more));
-        let out = command(&config).args(["--operator", file.to_str().expect("a path"), "check"]).output();
+        let out = command(&config)
+            .args(["--operator", file.to_str().expect("a path"), "check"])
+            .output();
         let text = String::from_utf8_lossy(&out.expect("it runs").stdout).to_string();
         assert!(text.contains(says), "{says:?} in {text:?}");
     }
--- a/crates/frosthatch/tests/policy.rs
+++ b/crates/frosthatch/tests/policy.rs
@@ -38,12 +38,28 @@
         let agreed = Agreed::new(name, 3, 500);
         let process = |n: usize| {
             let discovery = agent.address;
-            let node =
-                Node { gateways: processes, me: n, discovery, counter: None, sockets: 256, memory_mb: 32 };
-            Process::new(node, Some(fleet_file(&relay, n, &key, &agreed.table(n, &more(n)))))
+            let node = Node {
+                gateways: processes,
+                me: n,
+                discovery,
+                counter: None,
+                sockets: 256,
+                memory_mb: 32,
+            };
+            Process::new(
+                node,
+                Some(fleet_file(&relay, n, &key, &agreed.table(n, &more(n)))),
+            )
         };
         let stage = Stage::new((0..processes).map(process).collect(), relay);
-        let mut fleet = Fleet { stage, agreed, key, _agent: agent, _server: server, _runtime: runtime };
+        let mut fleet = Fleet {
+            stage,
+            agreed,
+            key,
+            _agent: agent,
+            _server: server,
+            _runtime: runtime,
+        };
         fleet.stage.start_all();
         fleet.stage.wait_found();
         fleet.all_hold(0);
@@ -53,7 +69,12 @@
     /// A process gets another table, and starts anew with it.
     fn restart(&mut self, who: usize, more: &str) {
         self.stage.act(&Act::Kill { who: vec![who] });
-        let file = fleet_file(&self.stage.relay, who, &self.key, &self.agreed.table(who, more));
+        let file = fleet_file(
+            &self.stage.relay,
+            who,
+            &self.key,
+            &self.agreed.table(who, more),
+        );
         self.stage.processes[who].rewrite(&file);
         self.stage.start(who);
     }
@@ -66,7 +87,11 @@
         let since = Instant::now();
         while !holds(self) {
             let all = &self.stage.processes;
-            let says = || all.iter().map(|p| p.console().and_then(agreed::status)).collect::<Vec<_>>();
+            let says = || {
+                all.iter()
+                    .map(|p| p.console().and_then(agreed::status))
+                    .collect::<Vec<_>>()
+            };
             assert!(since.elapsed() < LONG, "{what}: {:#?}", says());
             std::thread::sleep(Duration::from_millis(20));
         }
@@ -74,7 +99,11 @@
 
     fn all_hold(&self, version: u64) {
         self.until(&format!("all hold {version}"), |f| {
-            f.stage.processes.iter().filter(|p| p.runs()).all(|p| agreed::holds(p) == Some(version))
+            f.stage
+                .processes
+                .iter()
+                .filter(|p| p.runs())
+                .all(|p| agreed::holds(p) == Some(version))
         });
     }
 
@@ -103,25 +132,41 @@
 
     fn asks(&self, by: usize) -> u16 {
         let ask = Ask::check().with("X-Tier", "mellem").text();
-        self.stage.processes[by].client().ask(&ask).map_or(0, |m| m.status())
+        self.stage.processes[by]
+            .client()
+            .ask(&ask)
+            .map_or(0, |m| m.status())
     }
 
     fn policy(&self, by: usize, words: &[&str]) -> (Option<i32>, String) {
         let mut command = std::process::Command::new(frosthatch_standins::program());
-        let out =
-            command.arg("policy").args(words).args(["--console", &self.console(by).to_string()]).output();
+        let out = command
+            .arg("policy")
+            .args(words)
+            .args(["--console", &self.console(by).to_string()])
+            .output();
         let out = out.expect("it runs");
         let said = [out.stdout, out.stderr].concat();
-        (out.status.code(), String::from_utf8_lossy(&said).to_string())
+        (
+            out.status.code(),
+            String::from_utf8_lossy(&said).to_string(),
+        )
     }
 
     /// I1, I2 and I5, by what each let in when.
     fn kept(&self, changes: usize) {
         let all = self.agreed.let_in(self.stage.processes.len());
         let (window, seen) = agreed::window(&all);
-        assert!(window <= 250_000, "let in under an old version for {window} us");
+        assert!(
+            window <= 250_000,
+            "let in under an old version for {window} us"
+        );
         assert_eq!(agreed::forks(&all), 0);
-        assert!(seen >= changes, "{seen} changes seen in {} requests", all.len());
+        assert!(
+            seen >= changes,
+            "{seen} changes seen in {} requests",
+            all.len()
+        );
     }
 }
 
@@ -143,15 +188,34 @@
     assert!((0..4).all(|n| fleet.asks(n) == 200));
     assert!(fleet.policy(1, &["show"]).1.contains("[plans.mellem]"));
     let (_, status) = fleet.policy(0, &["status"]);
-    assert!(status.contains("version 1, in force") && status.contains("this one keeps: state"), "{status}");
+    assert!(
+        status.contains("version 1, in force") && status.contains("this one keeps: state"),
+        "{status}"
+    );
     // Twice the same version: it is nowhere, and the caller is told.
-    let (code, said) =
-        fleet.policy(0, &["propose", config_file(&document(1, "", 90.0)).to_str().expect("a path")]);
-    assert!(code == Some(2) && said.contains("in its place"), "{code:?} {said}");
+    let (code, said) = fleet.policy(
+        0,
+        &[
+            "propose",
+            config_file(&document(1, "", 90.0))
+                .to_str()
+                .expect("a path"),
+        ],
+    );
+    assert!(
+        code == Some(2) && said.contains("in its place"),
+        "{code:?} {said}"
+    );
     // A mistake, with its place.
     let wrong = document(2, &agreed::digest(&first), 50.0).replace("burst = 400", "burst = -4");
-    let (code, said) = fleet.policy(2, &["propose", config_file(&wrong).to_str().expect("a path")]);
-    assert!(code == Some(2) && said.contains("line 6, column 9"), "{code:?} {said}");
+    let (code, said) = fleet.policy(
+        2,
+        &["propose", config_file(&wrong).to_str().expect("a path")],
+    );
+    assert!(
+        code == Some(2) && said.contains("line 6, column 9"),
+        "{code:?} {said}"
+    );
     let second = document(2, &agreed::digest(&first), 50.0);
     assert_eq!(fleet.propose(0, &second).0, "in force");
     fleet.all_hold(2);
@@ -171,7 +235,9 @@
     fleet.stage.act(&Act::Kill { who: vec![3] });
     fleet.stage.act(&Act::Stop { who: vec![4] });
     let others = vec![0, 1, 2];
-    fleet.stage.act(&Act::Split { groups: vec![others.clone(), vec![3], vec![4], vec![5]] });
+    fleet.stage.act(&Act::Split {
+        groups: vec![others.clone(), vec![3], vec![4], vec![5]],
+    });
     // It goes on by its leases for as long as they last, and then refuses at once.
     fleet.until("who is cut off refuses", |f| f.asks(5) == 429);
     fleet.until("the others hold the rest dead", |f| {
@@ -217,7 +283,10 @@
     fleet.all_see(2);
     let third = document(3, &agreed::digest(&second), 40.0);
     let (state, why) = fleet.propose(3, &third);
-    assert!(state == "refused" && why.contains("no majority"), "{state} {why}");
+    assert!(
+        state == "refused" && why.contains("no majority"),
+        "{state} {why}"
+    );
     fleet.stage.act(&Act::Kill { who: vec![2, 3] });
     fleet.stage.start_all();
     fleet.all_hold(2);
@@ -226,8 +295,14 @@
     // A state that was damaged is told, and nothing is guessed from it: the others do without this keeper.
     fleet.stage.act(&Act::Kill { who: vec![0] });
     let folder = fleet.agreed.folder_of(0);
-    let files = std::fs::read_dir(&folder).expect("a folder").flatten().map(|e| e.path());
-    let last = files.filter(|f| f.to_string_lossy().contains("keeper-")).max().expect("a state");
+    let files = std::fs::read_dir(&folder)
+        .expect("a folder")
+        .flatten()
+        .map(|e| e.path());
+    let last = files
+        .filter(|f| f.to_string_lossy().contains("keeper-"))
+        .max()
+        .expect("a state");
     let mut bytes = std::fs::read(&last).expect("a state");
     let middle = bytes.len() / 2;
     bytes[middle] ^= 4;
@@ -242,16 +317,25 @@
 fn a_member_that_cannot_take_it_keeps_it_from_all() {
     let mut fleet = Fleet::new("cannot", 3, "patience_ms = 3000\n");
     // Stopped, it says nothing, and it is not held dead yet: the change waits for it, and is nowhere in time.
-    fleet.stage.act(&Act::Cut { from: vec![2], to: vec![0] });
+    fleet.stage.act(&Act::Cut {
+        from: vec![2],
+        to: vec![0],
+    });
     let first = document(1, "", 100.0);
     let (state, why) = fleet.propose(0, &first);
-    assert!(state == "refused" && why.contains("n2") && why.contains("in time"), "{state} {why}");
+    assert!(
+        state == "refused" && why.contains("n2") && why.contains("in time"),
+        "{state} {why}"
+    );
     fleet.stage.act(&Act::Heal);
     assert!((0..3).all(|n| agreed::holds(&fleet.stage.processes[n]) == Some(0)));
     // What no gateway can serve under is told before anybody is asked.
     let unknown = first.replace("plans.counted]", "plans.other]");
     let (state, why) = fleet.propose(0, &unknown);
-    assert!(state == "refused" && why.contains("no plan \"other\""), "{state} {why}");
+    assert!(
+        state == "refused" && why.contains("no plan \"other\""),
+        "{state} {why}"
+    );
     assert_eq!(fleet.propose(0, &first).0, "in force");
     fleet.all_hold(1);
 }
@@ -268,7 +352,8 @@
     let old = folder.with_extension("old");
     std::fs::rename(&folder, &old).expect("it is moved");
     std::fs::create_dir(&folder).expect("a folder");
-    let keeps = |f: &Fleet| agreed::status(f.console(0)).map_or(String::new(), |s| s["keeps"].to_string());
+    let keeps =
+        |f: &Fleet| agreed::status(f.console(0)).map_or(String::new(), |s| s["keeps"].to_string());
     // An empty folder is not taken for a new keeper's.
     fleet.stage.start(0);
     fleet.until("it is told", |f| keeps(f).contains("policy init"));
@@ -300,7 +385,9 @@
 /// one in under the old version once somebody has under the new one.
 #[test]
 fn clocks_that_drift_apart_let_nobody_serve_too_long() {
-    let fleet = Fleet::each("drift", 5, |n| format!("skew = {}\n", [10, -10, 0, -10, 10][n]));
+    let fleet = Fleet::each("drift", 5, |n| {
+        format!("skew = {}\n", [10, -10, 0, -10, 10][n])
+    });
     let ending = std::sync::atomic::AtomicBool::new(false);
     std::thread::scope(|scope| {
         for address in fleet.stage.addresses() {
@@ -323,7 +410,11 @@
         ending.store(true, std::sync::atomic::Ordering::Relaxed);
     });
     let (window, seen) = agreed::window(&fleet.agreed.let_in(5));
-    assert_eq!((window, seen), (0, 6), "for so many us somebody let requests in under an old version");
+    assert_eq!(
+        (window, seen),
+        (0, 6),
+        "for so many us somebody let requests in under an old version"
+    );
 }
 
 /// Whoever proposes and each keeper, killed at each step by name, alone or with everybody else: what was told holds, and of the rest all
@@ -354,7 +445,10 @@
     for (turn, (who, step, after)) in steps.into_iter().enumerate() {
         fleet.restart(who, &format!("dies_at = {step:?}\ndies_after = {after}\n"));
         fleet.all_hold(version);
-        assert!((0..4).all(|n| fleet.asks(n) == 200), "before {step} {after}");
+        assert!(
+            (0..4).all(|n| fleet.asks(n) == 200),
+            "before {step} {after}"
+        );
         let mut next = document(version + 1, &parent, 100.0 + turn as f64);
         // It may die before it has said that it took it up.
         let propose = |f: &Fleet, next: &str| {
@@ -365,7 +459,9 @@
         while !fleet.stage.processes[who].ended() {
             assert!(since.elapsed() < LONG, "nobody died at {step} {after}");
             // A keeper whose word came too late to be needed may not have got there: then with the next one.
-            let ended = number.filter(|_| who != 3).and_then(|n| agreed::end(fleet.console(3), n));
+            let ended = number
+                .filter(|_| who != 3)
+                .and_then(|n| agreed::end(fleet.console(3), n));
             if ended.is_some_and(|(state, _)| state == "in force") {
                 std::thread::sleep(Duration::from_millis(700));
                 if !fleet.stage.processes[who].ended() {
@@ -376,21 +472,33 @@
             }
             std::thread::sleep(Duration::from_millis(5));
         }
-        let told = number.filter(|_| who != 3).and_then(|n| agreed::end(fleet.console(3), n));
+        let told = number
+            .filter(|_| who != 3)
+            .and_then(|n| agreed::end(fleet.console(3), n));
         let told = told.is_some_and(|(state, _)| state == "in force");
         let all: Vec<usize> = (0..4).filter(|n| turn % 2 == 1 || *n == who).collect();
         fleet.stage.act(&Act::Kill { who: all.clone() });
         if turn % 2 == 0 && who == 1 {
             // The others go on without it, and whoever proposed is told.
             let number = number.expect("it was taken up");
-            fleet.until("told", |f| agreed::end(f.console(3), number).is_some_and(|(s, _)| s != "open"));
+            fleet.until("told", |f| {
+                agreed::end(f.console(3), number).is_some_and(|(s, _)| s != "open")
+            });
         }
-        let file = fleet_file(&fleet.stage.relay, who, &fleet.key, &fleet.agreed.table(who, ""));
+        let file = fleet_file(
+            &fleet.stage.relay,
+            who,
+            &fleet.key,
+            &fleet.agreed.table(who, ""),
+        );
         fleet.stage.processes[who].rewrite(&file);
         all.into_iter().for_each(|n| fleet.stage.start(n));
         let high = |f: &Fleet| {
             let held: Vec<_> = f.stage.processes.iter().map(agreed::holds).collect();
-            held.iter().all(|v| v.is_some() && *v == held[0]).then(|| held[0]).flatten()
+            held.iter()
+                .all(|v| v.is_some() && *v == held[0])
+                .then(|| held[0])
+                .flatten()
         };
         fleet.until("all hold the same", |f| high(f).is_some());
         let mut held = high(&fleet).expect("they do");
@@ -404,7 +512,11 @@
             (version, parent) = (held, agreed::digest(&next));
             came += 1;
             again = document(version + 1, &parent, 300.0 + turn as f64);
-            assert_eq!(fleet.propose(0, &again).0, "in force", "after {step} {after}");
+            assert_eq!(
+                fleet.propose(0, &again).0,
+                "in force",
+                "after {step} {after}"
+            );
         }
         assert!(held <= version, "{held} after {step} {after}");
         (version, parent) = (version + 1, agreed::digest(&again));
@@ -412,7 +524,11 @@
         assert!((0..4).all(|n| fleet.asks(n) == 200));
     }
     // Both came about, or the steps were not where their names say.
-    assert!((3..steps.len() - 3).contains(&came), "{came} of {} came to be in force", steps.len());
+    assert!(
+        (3..steps.len() - 3).contains(&came),
+        "{came} of {} came to be in force",
+        steps.len()
+    );
     fleet.kept(steps.len());
 }
 
@@ -423,22 +539,39 @@
         (func (export "frosthatch_abi") (result i32) i32.const 1)
         (func (export "alloc") (param i32) (result i32) i32.const 1024)
         (func (export "on_request") (param i32 i32) (result i64) i64.const 0))"#;
-    let (file, other) = (config_file(module), config_file(&module.replace("1024", "2048")));
+    let (file, other) = (
+        config_file(module),
+        config_file(&module.replace("1024", "2048")),
+    );
     let table = |file: &PathBuf| format!("[plugins.till]\nfile = {file:?}\n");
     let mut fleet = Fleet::each("nine", 9, |n| table(if n == 8 { &other } else { &file }));
     let bytes = std::fs::read(&file).expect("the module");
     let digest = frosthatch_accord::document::hex(&frosthatch_accord::document::sha256(&bytes));
-    let first = format!("{}[plugins.till]\nsha256 = {digest:?}\n", document(1, "", 100.0));
+    let first = format!(
+        "{}[plugins.till]\nsha256 = {digest:?}\n",
+        document(1, "", 100.0)
+    );
     let (state, why) = fleet.propose(4, &first);
-    assert!(state == "refused" && why.contains("n8") && why.contains("another here"), "{state} {why}");
-    assert!(fleet.stage.processes.iter().all(|p| agreed::holds(p) == Some(0)));
+    assert!(
+        state == "refused" && why.contains("n8") && why.contains("another here"),
+        "{state} {why}"
+    );
+    assert!(fleet
+        .stage
+        .processes
+        .iter()
+        .all(|p| agreed::holds(p) == Some(0)));
     // One that joins in the middle of a change holds it, too.
     fleet.restart(8, &table(&file));
     fleet.stage.act(&Act::Kill { who: vec![7] });
     fleet.all_see(8);
-    let number = agreed::propose(fleet.console(4), &first).expect("an answer").expect("it can be proposed");
+    let number = agreed::propose(fleet.console(4), &first)
+        .expect("an answer")
+        .expect("it can be proposed");
     fleet.stage.start(7);
-    fleet.until("in force", |f| agreed::end(f.console(4), number).is_some_and(|(s, _)| s == "in force"));
+    fleet.until("in force", |f| {
+        agreed::end(f.console(4), number).is_some_and(|(s, _)| s == "in force")
+    });
     fleet.all_hold(1);
     assert!((0..9).all(|n| fleet.asks(n) == 200));
     fleet.kept(1);
--- a/crates/frosthatch/tests/push_over_tls.rs
+++ b/crates/frosthatch/tests/push_over_tls.rs
@@ -26,8 +26,10 @@
     let file = folder.join("operator.toml");
     std::fs::write(&file, text).expect("written");
     let nobody = "127.0.0.1:9".parse().expect("an address");
-    let gateway =
-        Gateway::start_as(&config_text(nobody, None, 1, ""), &["--operator", file.to_str().expect("a path")]);
+    let gateway = Gateway::start_as(
+        &config_text(nobody, None, 1, ""),
+        &["--operator", file.to_str().expect("a path")],
+    );
     gateway.wait_ready();
     gateway
 }
@@ -49,7 +51,12 @@
     let authority = Authority::new();
     let acceptor = acceptor(&authority.proof("push.example.org"), None);
     let folder = folder();
-    let gateway = start(&folder, &resolver, terminator(acceptor, resolver.push), &authority.pem());
+    let gateway = start(
+        &folder,
+        &resolver,
+        terminator(acceptor, resolver.push),
+        &authority.pem(),
+    );
     let since = Instant::now();
     while resolver.sessions() == 0 {
         assert!(since.elapsed() < LONG, "a session comes up");
@@ -69,10 +76,18 @@
 fn a_push_server_of_another_authority_or_name_is_not_listened_to() {
     let (_a, _b, resolver) = installation();
     let (authority, stranger) = (Authority::new(), Authority::new());
-    for (anchor, name) in [(&stranger, "push.example.org"), (&authority, "other.example.org")] {
+    for (anchor, name) in [
+        (&stranger, "push.example.org"),
+        (&authority, "other.example.org"),
+    ] {
         let folder = folder();
         let acceptor = acceptor(&authority.proof(name), None);
-        let gateway = start(&folder, &resolver, terminator(acceptor, resolver.push), &anchor.pem());
+        let gateway = start(
+            &folder,
+            &resolver,
+            terminator(acceptor, resolver.push),
+            &anchor.pem(),
+        );
         // It tries again and again, and serves meanwhile.
         for _ in 0..20 {
             assert_eq!(gateway.ask(&Ask::check()).status(), 200);
--- a/crates/frosthatch/tests/quiet_lists.rs
+++ b/crates/frosthatch/tests/quiet_lists.rs
@@ -28,9 +28,10 @@
     let discovery = Discovery::new(&target("a", a.address, 0, "Ready"));
     let gateway = Gateway::alone(&discovery);
     discovery.mood(Mood::DeafToWatches);
-    for (entry, body) in
-        [(target("b", b.address, 0, "Ready"), "b"), (target("a", a.address, 0, "Ready"), "a")]
-    {
+    for (entry, body) in [
+        (target("b", b.address, 0, "Ready"), "b"),
+        (target("a", a.address, 0, "Ready"), "a"),
+    ] {
         discovery.post(true, &entry);
         assert!(until_told(&gateway, body) < Duration::from_secs(6));
     }
@@ -43,9 +44,10 @@
     let (a, b) = servers();
     let discovery = Discovery::new(&target("a", a.address, 0, "Ready"));
     let gateway = Gateway::alone(&discovery);
-    for (entry, body) in
-        [(target("b", b.address, 0, "Ready"), "b"), (target("a", a.address, 0, "Ready"), "a")]
-    {
+    for (entry, body) in [
+        (target("b", b.address, 0, "Ready"), "b"),
+        (target("a", a.address, 0, "Ready"), "a"),
+    ] {
         discovery.mood(Mood::Down);
         // The last of these has just come, and is lost.
         discovery.asked_again(5);
@@ -61,17 +63,26 @@
 fn an_agent_that_has_begun_anew_is_asked_for_all_of_its_list() {
     let (a, b) = servers();
     let anew = Arc::new(AtomicBool::new(false));
-    let entries = [target("a", a.address, 0, "Ready"), target("b", b.address, 0, "Ready")];
+    let entries = [
+        target("a", a.address, 0, "Ready"),
+        target("b", b.address, 0, "Ready"),
+    ];
     let began = anew.clone();
     let agent = Server::new(move |m| {
         let whole = !m.line.contains("from=");
         match (began.load(Ordering::SeqCst), whole) {
-            (false, true) => ok(&format!(r#"{{"rev":90,"all":true,"targets":[{}]}}"#, entries[0])),
+            (false, true) => ok(&format!(
+                r#"{{"rev":90,"all":true,"targets":[{}]}}"#,
+                entries[0]
+            )),
             (false, false) => {
                 sleep(Duration::from_millis(50));
                 ok(r#"{"rev":90,"all":false,"targets":[]}"#)
             }
-            (true, true) => ok(&format!(r#"{{"rev":3,"all":true,"targets":[{}]}}"#, entries[1])),
+            (true, true) => ok(&format!(
+                r#"{{"rev":3,"all":true,"targets":[{}]}}"#,
+                entries[1]
+            )),
             (true, false) => ok(r#"{"rev":3,"all":false,"targets":[]}"#),
         }
     });
@@ -96,15 +107,20 @@
     for bad in bad {
         let (a, b) = servers();
         let (state, calls) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
-        let entries = [target("a", a.address, 0, "Ready"), target("b", b.address, 0, "Ready")];
+        let entries = [
+            target("a", a.address, 0, "Ready"),
+            target("b", b.address, 0, "Ready"),
+        ];
         let (now, called) = (state.clone(), calls.clone());
         let agent = Server::new(move |_| {
             called.fetch_add(1, Ordering::SeqCst);
             match now.load(Ordering::SeqCst) {
                 1 => bad(),
-                n => {
-                    ok(&format!(r#"{{"rev":{},"all":true,"targets":[{}]}}"#, n + 5, entries[n as usize / 2]))
-                }
+                n => ok(&format!(
+                    r#"{{"rev":{},"all":true,"targets":[{}]}}"#,
+                    n + 5,
+                    entries[n as usize / 2]
+                )),
             }
         });
         let gateway = Gateway::start(agent.address, None, 1, "");
@@ -147,7 +163,8 @@
     let discovery = Discovery::new("");
     discovery.mood(Mood::Down);
     let known = target("a", a.address, 0, "Ready");
-    let text = config_text(discovery.address, None, 1, &known).replace("\"sockets\":256", "\"sockets\":64");
+    let text = config_text(discovery.address, None, 1, &known)
+        .replace("\"sockets\":256", "\"sockets\":64");
     let gateway = Gateway::start_with(&text);
     let crowd: Vec<Client> = (0..200).map(|_| gateway.client()).collect();
     gateway.wait_ready();
@@ -171,13 +188,20 @@
     let counter = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let known = target("a", a.address, 0, "Ready");
     let text = config_text(discovery.address, counter.local_addr().ok(), 1, &known);
-    let text = text.replace("\"listen\":\"127.0.0.1:0\"", &format!("\"listen\":\"{}\"", first.address));
+    let text = text.replace(
+        "\"listen\":\"127.0.0.1:0\"",
+        &format!("\"listen\":\"{}\"", first.address),
+    );
     first.signal("-KILL");
     first.wait();
     let since = Instant::now();
     let again = Gateway::start_with(&text);
     again.wait_ready();
-    assert!(since.elapsed() < Duration::from_secs(10), "{:?}", since.elapsed());
+    assert!(
+        since.elapsed() < Duration::from_secs(10),
+        "{:?}",
+        since.elapsed()
+    );
     assert_eq!(again.ask(&Ask::check()).body, "a");
     drop(crowd);
 }
@@ -196,7 +220,11 @@
     assert_eq!(gateway.ask(&Ask::check()).body, "first");
     discovery.post(
         true,
-        &[target("a", first.address, 0, "Terminating"), target("b", second.address, 0, "Ready")].join(","),
+        &[
+            target("a", first.address, 0, "Terminating"),
+            target("b", second.address, 0, "Ready"),
+        ]
+        .join(","),
     );
     sleep(TOLD_WITHIN + GRACE);
     for _ in 0..10 {
--- a/crates/frosthatch/tests/quotas.rs
+++ b/crates/frosthatch/tests/quotas.rs
@@ -25,8 +25,14 @@
     fn new(gateways: usize, counter: Option<SocketAddr>, operator: Option<PathBuf>) -> Site {
         let server = Server::new(|_| ok(""));
         let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
-        let mut site =
-            Site { gateways: Vec::new(), _server: server, discovery, counter, operator, log: Log::default() };
+        let mut site = Site {
+            gateways: Vec::new(),
+            _server: server,
+            discovery,
+            counter,
+            operator,
+            log: Log::default(),
+        };
         for me in 0..gateways {
             let gateway = site.start(me, gateways);
             site.gateways.push(gateway);
@@ -39,8 +45,14 @@
             .replace("\"me\":0", &format!("\"me\":{me}"))
             // As a true one: a call that is not answered soon is given up.
             .replace("\"countWaitUs\":200000", "\"countWaitUs\":50000");
-        let operator = self.operator.as_ref().map(|f| f.to_str().expect("a path").to_string());
-        let words = operator.iter().flat_map(|f| ["--operator", f]).collect::<Vec<_>>();
+        let operator = self
+            .operator
+            .as_ref()
+            .map(|f| f.to_str().expect("a path").to_string());
+        let words = operator
+            .iter()
+            .flat_map(|f| ["--operator", f])
+            .collect::<Vec<_>>();
         let log = self.log.clone();
         let gateway = Gateway::start_with_log(&config, &words, move |line| {
             println!("gateway {me}: {line}");
@@ -52,15 +64,25 @@
 
     /// Asks so many times for six units each, one after another; how many were granted.
     fn granted(&self, gateway: usize, customer: u32, plan: &str, asks: usize) -> usize {
-        let ask = Ask::check().with("X-Tier", plan).with("X-Api-Key", &format!("{customer:016x}"));
-        let ask = ask.with("X-Call-Terms", &format!("units=6,spread={},first=0", self.gateways.len()));
+        let ask = Ask::check()
+            .with("X-Tier", plan)
+            .with("X-Api-Key", &format!("{customer:016x}"));
+        let ask = ask.with(
+            "X-Call-Terms",
+            &format!("units=6,spread={},first=0", self.gateways.len()),
+        );
         let mut client = self.gateways[gateway].client();
         let answers = (0..asks).filter_map(|_| client.ask(&ask.text()));
         answers.filter(|m| m.status() == 200).count()
     }
 
     fn logged(&self, text: &str) -> usize {
-        self.log.lock().expect("a log").iter().filter(|l| l.contains(text)).count()
+        self.log
+            .lock()
+            .expect("a log")
+            .iter()
+            .filter(|l| l.contains(text))
+            .count()
     }
 
     fn until_logged(&self, text: &str, times: usize) {
@@ -92,8 +114,18 @@
     }
     let came_in = since.elapsed().as_secs_f64() * 500.0;
     println!("{} units in {:?}", after * 6, since.elapsed());
-    assert!((after * 6) as f64 <= came_in + 500.0, "{} units in {:?}", after * 6, since.elapsed());
-    assert!((after * 6) as f64 >= came_in * 0.3, "{} units in {:?}", after * 6, since.elapsed());
+    assert!(
+        (after * 6) as f64 <= came_in + 500.0,
+        "{} units in {:?}",
+        after * 6,
+        since.elapsed()
+    );
+    assert!(
+        (after * 6) as f64 >= came_in * 0.3,
+        "{} units in {:?}",
+        after * 6,
+        since.elapsed()
+    );
     site.until_logged("counter doubtful: a total went back", 1);
 }
 
@@ -139,7 +171,10 @@
     }
     let (calls, connections) = (counter.calls(), counter.connections());
     assert!(calls >= 20, "{calls} calls");
-    assert!(connections <= 8, "{connections} connections for {calls} calls");
+    assert!(
+        connections <= 8,
+        "{connections} connections for {calls} calls"
+    );
 }
 
 /// UDP addresses of this test's own: a port that was free a moment ago could be taken by another test.
@@ -147,13 +182,22 @@
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let process = std::process::id();
     let first = NEXT.fetch_add(gateways, Ordering::SeqCst);
-    let at = |n| ([127, 128 + (process >> 8) as u8 % 64, process as u8, n], 7_400).into();
+    let at = |n| {
+        (
+            [127, 128 + (process >> 8) as u8 % 64, process as u8, n],
+            7_400,
+        )
+            .into()
+    };
     (first..first + gateways).map(at).collect()
 }
 
 fn peers(gateways: u8) -> PathBuf {
     let key = config_file("a key that is known to nobody but the test\n");
-    let addresses: Vec<String> = own_addresses(gateways).iter().map(|a| format!("\"{a}\"")).collect();
+    let addresses: Vec<String> = own_addresses(gateways)
+        .iter()
+        .map(|a| format!("\"{a}\""))
+        .collect();
     config_file(&format!(
         "[peers]\ngateways = [{}]\nkey_file = \"{}\"\ntick_ms = 20\n",
         addresses.join(", "),
@@ -168,7 +212,11 @@
     let mut site = Site::new(2, None, Some(peers(2)));
     (0..2).for_each(|n| site.until_logged(&format!("member gateway-{n}: ready"), 1));
     sleep(Duration::from_millis(500));
-    assert_eq!(site.granted(0, 1, "small", 3), 1, "all of it, at one gateway");
+    assert_eq!(
+        site.granted(0, 1, "small", 3),
+        1,
+        "all of it, at one gateway"
+    );
     sleep(Duration::from_millis(500));
     assert_eq!(site.granted(1, 1, "small", 3), 0);
     for again in 0..2 {
@@ -180,7 +228,13 @@
         // The new one hears the other, and is heard by it.
         site.until_logged(&ready, times + 1);
         sleep(Duration::from_millis(500));
-        assert_eq!((site.granted(0, 1, "small", 3), site.granted(1, 1, "small", 3)), (0, 0));
+        assert_eq!(
+            (
+                site.granted(0, 1, "small", 3),
+                site.granted(1, 1, "small", 3)
+            ),
+            (0, 0)
+        );
     }
     // Others are served.
     assert_eq!(site.granted(1, 2, "small", 1), 1);
@@ -192,9 +246,15 @@
     let short = config_file("too short");
     let cases = [
         ("gateways = [\"127.0.0.1:1\"]\n", "peers.gateways"),
-        ("gateways = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\n", "peers.key_file is missing"),
         (
-            &format!("gateways = [\"127.0.0.1:1\", \"x\"]\nkey_file = \"{}\"\n", short.display()),
+            "gateways = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\n",
+            "peers.key_file is missing",
+        ),
+        (
+            &format!(
+                "gateways = [\"127.0.0.1:1\", \"x\"]\nkey_file = \"{}\"\n",
+                short.display()
+            ),
             "fewer than 32 bytes",
         ),
         (
@@ -208,7 +268,9 @@
     for (text, says) in cases {
         let file = config_file(&format!("[peers]\n{text}"));
         let config = config_file(&config_text(discovery.address, None, 2, ""));
-        let out = command(&config).args(["--operator", file.to_str().expect("a path"), "check"]).output();
+        let out = command(&config)
+            .args(["--operator", file.to_str().expect("a path"), "check"])
+            .output();
         let out = String::from_utf8_lossy(&out.expect("it runs").stdout).to_string();
         assert!(out.contains(says), "{says:?} in {out:?}");
     }
--- a/crates/frosthatch/tests/reload.rs
+++ b/crates/frosthatch/tests/reload.rs
@@ -32,7 +32,10 @@
     let since = Instant::now();
     for customer in 0.. {
         let ask = Ask::check().with("X-Api-Key", &format!("{customer:016x}"));
-        gateway.ask(&ask.with("X-Tier", "small").with("X-Call-Terms", "units=3,spread=2,first=0"));
+        gateway.ask(
+            &ask.with("X-Tier", "small")
+                .with("X-Call-Terms", "units=3,spread=2,first=0"),
+        );
         if there.lines.recv_timeout(Duration::from_millis(50)).is_ok() {
             return;
         }
@@ -56,10 +59,19 @@
     for (place, body, count) in [(&second, "b", &counters[1]), (&first, "a", &counters[0])] {
         let mut held = gateway.client();
         // Whether it reaches the old server or the new one, it is answered.
-        held.send(&Ask { path: "/balance-check?slow", ..Ask::check() }.text());
+        held.send(
+            &Ask {
+                path: "/balance-check?slow",
+                ..Ask::check()
+            }
+            .text(),
+        );
         gateway.configure(&config_text(place.address, Some(count.address), 2, ""));
         until_served_by(&gateway, body);
-        assert_eq!(held.answer().expect("what was held is answered").status(), 200);
+        assert_eq!(
+            held.answer().expect("what was held is answered").status(),
+            200
+        );
         while count.lines.try_recv().is_ok() {}
         until_counted(&gateway, count);
     }
--- a/crates/frosthatch/tests/rules.rs
+++ b/crates/frosthatch/tests/rules.rs
@@ -8,7 +8,10 @@
 #[test]
 fn nothing_new_goes_to_a_server_that_drains_is_gone_or_is_left_out() {
     let (a, b) = (Server::new(|_| ok("a")), Server::new(|_| ok("b")));
-    let (here, other) = (target("a", a.address, 0, "Ready"), target("b", b.address, 0, "Ready"));
+    let (here, other) = (
+        target("a", a.address, 0, "Ready"),
+        target("b", b.address, 0, "Ready"),
+    );
     let both = [here.clone(), other.clone()].join(",");
     for (whole, news) in [
         (false, target("a", a.address, 0, "Terminating")),
@@ -54,7 +57,14 @@
         // A connection rests for a moment after each answer.
         std::thread::sleep(std::time::Duration::from_millis(100));
     }
-    assert_eq!(server.so_far().iter().filter(|s| matches!(s, Seen::Connected)).count(), 1);
+    assert_eq!(
+        server
+            .so_far()
+            .iter()
+            .filter(|s| matches!(s, Seen::Connected))
+            .count(),
+        1
+    );
 }
 
 /// Guards against waiting out a server that is known to be gone.
@@ -100,15 +110,23 @@
 #[test]
 fn an_entry_that_makes_no_sense_does_not_spoil_the_list() {
     let server = Server::new(|_| ok("fine"));
-    let entries =
-        [r#"{"uid":"x","endpoint":"nowhere","state":"Ready"}"#, &target("a", server.address, 0, "Ready")];
+    let entries = [
+        r#"{"uid":"x","endpoint":"nowhere","state":"Ready"}"#,
+        &target("a", server.address, 0, "Ready"),
+    ];
     let gateway = Gateway::alone(&Discovery::new(&entries.join(",")));
     assert_eq!(gateway.ask(&Ask::check()).body, "fine");
 }
 
 fn how_many_reach_at_once(boot_ms: u128) -> usize {
     let server = Server::new(|_| Reply::Silence);
-    let gateway = Gateway::alone(&Discovery::new(&started("a", server.address, 0, "Ready", boot_ms)));
+    let gateway = Gateway::alone(&Discovery::new(&started(
+        "a",
+        server.address,
+        0,
+        "Ready",
+        boot_ms,
+    )));
     let mut clients: Vec<Client> = (0..60).map(|_| gateway.client()).collect();
     for client in &mut clients {
         client.send(&Ask::check().with("X-Expires-In", "1.0").text());
@@ -121,7 +139,10 @@
 
 #[test]
 fn a_cold_server_gets_a_part_of_what_a_warm_one_gets() {
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock").as_millis();
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .expect("a clock")
+        .as_millis();
     let (cold, warm) = (how_many_reach_at_once(now), how_many_reach_at_once(0));
     assert_eq!(warm, 60);
     assert!(cold < 45, "{cold}");
@@ -132,13 +153,23 @@
     let server = Server::new(|_| ok(""));
     let gateway = Gateway::alone(&Discovery::new(&target("a", server.address, 0, "Ready")));
     let since = std::time::Instant::now();
-    let ask = || Ask::check().with("X-Tier", "capped").with("X-Call-Terms", "units=2,spread=1,first=0");
+    let ask = || {
+        Ask::check()
+            .with("X-Tier", "capped")
+            .with("X-Call-Terms", "units=2,spread=1,first=0")
+    };
     let answers: Vec<u16> = (0..60).map(|_| gateway.ask(&ask()).status()).collect();
     let served = answers.iter().filter(|&&s| s == 200).count();
     // The store holds 20 units and fills at 10 a second; a request may be a moment ahead of the clock here.
     let most = 20.0 + 10.0 * (since.elapsed().as_secs_f64() + 1.0);
-    assert!(served as f64 * 2.0 <= most, "{served} served, {most} units at most");
-    assert!(answers.iter().all(|s| [200, 429].contains(s)), "{answers:?}");
+    assert!(
+        served as f64 * 2.0 <= most,
+        "{served} served, {most} units at most"
+    );
+    assert!(
+        answers.iter().all(|s| [200, 429].contains(s)),
+        "{answers:?}"
+    );
     assert!(answers.contains(&429));
 }
 
@@ -148,7 +179,11 @@
     let deaf = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = deaf.local_addr().expect("an address");
     let server = Server::new(|_| ok("b"));
-    let entries = [target("a", address, 0, "Ready"), target("b", server.address, 1, "Ready")].join(",");
+    let entries = [
+        target("a", address, 0, "Ready"),
+        target("b", server.address, 1, "Ready"),
+    ]
+    .join(",");
     let discovery = Discovery::new(&entries);
     let gateway = Gateway::alone(&discovery);
     drop(deaf);
--- a/crates/frosthatch/tests/system_calls.rs
+++ b/crates/frosthatch/tests/system_calls.rs
@@ -27,8 +27,16 @@
     let mut kept = gateway.client();
     let mut all = Vec::new();
     for n in 0..REQUESTS {
-        let text = if n % 3 == 0 { Ask::top_up().text() } else { Ask::check().text() };
-        let answer = if n % 2 == 0 { gateway.client().ask(&text) } else { kept.ask(&text) };
+        let text = if n % 3 == 0 {
+            Ask::top_up().text()
+        } else {
+            Ask::check().text()
+        };
+        let answer = if n % 2 == 0 {
+            gateway.client().ask(&text)
+        } else {
+            kept.ask(&text)
+        };
         all.push(answer.as_ref().map_or(0, Message::status));
         if answer.is_none_or(|a| a.header("Connection") == Some("close")) {
             kept = gateway.client();
@@ -88,7 +96,9 @@
 #[test]
 fn a_shortage_of_this_machine_is_no_fault_of_the_servers() {
     let closing = |_: &Message| {
-        Reply::Bytes("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 6\r\n\r\nserved".into())
+        Reply::Bytes(
+            "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 6\r\n\r\nserved".into(),
+        )
     };
     for fault in [Fault::Connect, Fault::Socket] {
         let shim = Shim::new();
@@ -101,9 +111,17 @@
         shim.set(fault, 600);
         let all = statuses(&gateway);
         println!("{fault:?}: {} served", share(&all, 200));
-        assert!(share(&all, 200) >= 0.95, "{fault:?}: {} served", share(&all, 200));
+        assert!(
+            share(&all, 200) >= 0.95,
+            "{fault:?}: {} served",
+            share(&all, 200)
+        );
         shim.set(fault, 0);
-        assert_eq!(share(&statuses(&gateway), 200), 1.0, "{fault:?}: right after it");
+        assert_eq!(
+            share(&statuses(&gateway), 200),
+            1.0,
+            "{fault:?}: right after it"
+        );
     }
 }
 
@@ -112,8 +130,13 @@
 fn a_server_that_refuses_is_left_alone_also_during_a_shortage() {
     let shim = Shim::new();
     let served = Server::new(|_| ok("served"));
-    let refused = std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
-    let list = [target("a", served.address, 0, "Ready"), target("b", refused, 0, "Ready")];
+    let refused = std::net::TcpListener::bind("127.0.0.1:0")
+        .and_then(|l| l.local_addr())
+        .expect("a port");
+    let list = [
+        target("a", served.address, 0, "Ready"),
+        target("b", refused, 0, "Ready"),
+    ];
     let discovery = Discovery::new(&list.join(","));
     let gateway = Gateway::start_under(&config_text(discovery.address, None, 1, ""), &shim);
     gateway.wait_ready();
@@ -145,10 +168,14 @@
     let shim = Shim::new();
     let (first, go) = Server::held(|| status("500 Internal Server Error"));
     let second = Server::new(|_| ok("twice"));
-    let both = [target("a", first.address, 3, "Ready"), target("b", second.address, 3, "Draining")].join(",");
+    let both = [
+        target("a", first.address, 3, "Ready"),
+        target("b", second.address, 3, "Draining"),
+    ]
+    .join(",");
     let discovery = Discovery::new(&both.replace("Draining", "Terminating"));
-    let text =
-        config_text(discovery.address, None, 1, "").replace("\"windowUs\":7500000", "\"windowUs\":600000");
+    let text = config_text(discovery.address, None, 1, "")
+        .replace("\"windowUs\":7500000", "\"windowUs\":600000");
     let gateway = Gateway::start_under(&text, &shim);
     gateway.wait_ready();
     let mut client = gateway.client();
@@ -168,5 +195,8 @@
         }
     };
     client.answer().expect("an answer");
-    assert!(came.is_none_or(|came| came < WINDOW + SLACK), "the repeat came {came:?} after the first");
+    assert!(
+        came.is_none_or(|came| came < WINDOW + SLACK),
+        "the repeat came {came:?} after the first"
+    );
 }
--- a/crates/frosthatch/tests/unsafe_classes.rs
+++ b/crates/frosthatch/tests/unsafe_classes.rs
@@ -9,7 +9,8 @@
 /// A gateway of a site with such a class.
 fn gateway(entries: &str) -> (Discovery, Gateway) {
     let discovery = Discovery::new(entries);
-    let class = r#"{"aimUs":4000000,"deadlineUs":8000000,"effect":"once","name":"settle","worth":5.0},"#;
+    let class =
+        r#"{"aimUs":4000000,"deadlineUs":8000000,"effect":"once","name":"settle","worth":5.0},"#;
     let text = config_text(discovery.address, None, 1, "");
     let text = text.replace("\"services\":[", &format!("\"services\":[{class}"));
     let gateway = Gateway::start_with(&text);
@@ -18,7 +19,10 @@
 }
 
 fn settle() -> Ask {
-    let ask = Ask { path: "/settle", ..Ask::top_up() };
+    let ask = Ask {
+        path: "/settle",
+        ..Ask::top_up()
+    };
     ask.with("X-Qos", "settle").without("Idempotency-Key")
 }
 
@@ -27,7 +31,13 @@
     let spent = Arc::new(AtomicBool::new(false));
     let servers = [(); 2].map(|()| {
         let spent = spent.clone();
-        Server::new(move |_| if spent.swap(true, Ordering::SeqCst) { ok("second") } else { first() })
+        Server::new(move |_| {
+            if spent.swap(true, Ordering::SeqCst) {
+                ok("second")
+            } else {
+                first()
+            }
+        })
     });
     let entry = |i: usize| target(["a", "b"][i], servers[i].address, 0, "Ready");
     ([entry(0), entry(1)].join(","), servers)
@@ -45,9 +55,17 @@
     assert_eq!((answer.status(), answer.body.as_str()), (200, "done"));
     let seen = server.request();
     assert!(seen.line.starts_with("POST /settle "), "{}", seen.line);
-    assert_eq!((seen.header("Idempotency-Key"), seen.body.as_str()), (None, "amount=50"));
+    assert_eq!(
+        (seen.header("Idempotency-Key"), seen.body.as_str()),
+        (None, "amount=50")
+    );
     // Where servers drop repeats by it, it is owed.
-    assert_eq!(gateway.ask(&Ask::top_up().without("Idempotency-Key")).status(), 400);
+    assert_eq!(
+        gateway
+            .ask(&Ask::top_up().without("Idempotency-Key"))
+            .status(),
+        400
+    );
 }
 
 #[test]
@@ -79,9 +97,15 @@
 
 #[test]
 fn where_nobody_listens_it_never_ran() {
-    let nobody = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port");
+    let nobody = TcpListener::bind("127.0.0.1:0")
+        .and_then(|l| l.local_addr())
+        .expect("a free port");
     let server = Server::new(|_| ok("here"));
-    let entries = [target("a", nobody, 0, "Ready"), target("b", server.address, 0, "Ready")].join(",");
+    let entries = [
+        target("a", nobody, 0, "Ready"),
+        target("b", server.address, 0, "Ready"),
+    ]
+    .join(",");
     let (_discovery, gateway) = gateway(&entries);
     for _ in 0..8 {
         let answer = gateway.ask(&settle());
--- a/crates/frosthatch/tests/upgrade.rs
+++ b/crates/frosthatch/tests/upgrade.rs
@@ -19,9 +19,11 @@
 
 impl Place {
     fn new(name: &str) -> Place {
-        let folder = std::env::temp_dir().join(format!("frosthatch-upgrade-{}-{name}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("frosthatch-upgrade-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        std::fs::write(folder.join("operator.toml"), "[upgrade]\nsocket = \"s\"\n").expect("a file");
+        std::fs::write(folder.join("operator.toml"), "[upgrade]\nsocket = \"s\"\n")
+            .expect("a file");
         Place { folder }
     }
 
@@ -33,7 +35,10 @@
     fn process(&self, discovery: &Discovery, listen: SocketAddr) -> (Gateway, Log) {
         let text = config_text(discovery.address, None, 1, "");
         let text = text.replacen('{', "{\"console\":\"127.0.0.1:0\",", 1);
-        let text = text.replace("\"listen\":\"127.0.0.1:0\"", &format!("\"listen\":\"{listen}\""));
+        let text = text.replace(
+            "\"listen\":\"127.0.0.1:0\"",
+            &format!("\"listen\":\"{listen}\""),
+        );
         let file = self.folder.join("operator.toml");
         let words = ["--operator", file.to_str().expect("a path")];
         let (tell, lines) = channel();
@@ -41,7 +46,10 @@
             println!("gateway: {line}");
             let _ = tell.send(line.to_string());
         });
-        let mut log = Log { lines, console: listen };
+        let mut log = Log {
+            lines,
+            console: listen,
+        };
         let console = log.until("console on ");
         log.console = console["console on ".len()..].parse().expect("an address");
         (gateway, log)
@@ -50,7 +58,9 @@
     fn first(&self, discovery: &Discovery) -> (Gateway, Log) {
         let (gateway, log) = self.process(discovery, "127.0.0.1:0".parse().expect("an address"));
         log.wait_ready();
-        until("the socket is there", || UnixStream::connect(self.socket()).is_ok());
+        until("the socket is there", || {
+            UnixStream::connect(self.socket()).is_ok()
+        });
         (gateway, log)
     }
 }
@@ -69,7 +79,10 @@
 impl Log {
     fn until(&self, what: &str) -> String {
         loop {
-            let line = self.lines.recv_timeout(LONG).unwrap_or_else(|_| panic!("{what:?} is logged"));
+            let line = self
+                .lines
+                .recv_timeout(LONG)
+                .unwrap_or_else(|_| panic!("{what:?} is logged"));
             if line.contains(what) {
                 return line;
             }
@@ -81,7 +94,10 @@
         write!(stream, "{line} HTTP/1.1\r\nHost: c\r\n\r\n").expect("written");
         let mut text = String::new();
         stream.read_to_string(&mut text).expect("an answer");
-        text.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status")
+        text.split(' ')
+            .nth(1)
+            .and_then(|s| s.parse().ok())
+            .expect("a status")
     }
 
     fn wait_ready(&self) {
@@ -117,24 +133,31 @@
 
 impl Load {
     fn new(at: SocketAddr) -> Load {
-        let (over, served) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
+        let (over, served) = (
+            Arc::new(AtomicBool::new(false)),
+            Arc::new(AtomicUsize::new(0)),
+        );
         let client = |keeps: bool| {
             let (over, served) = (over.clone(), served.clone());
             thread::spawn(move || {
                 let mut kept: Option<TcpStream> = None;
                 while !over.load(Ordering::SeqCst) {
                     let used = kept.is_some();
-                    let mut stream =
-                        kept.take().unwrap_or_else(|| TcpStream::connect(at).expect("never refused"));
+                    let mut stream = kept
+                        .take()
+                        .unwrap_or_else(|| TcpStream::connect(at).expect("never refused"));
                     stream.set_read_timeout(Some(LONG)).expect("a time-out");
-                    stream.write_all(Ask::check().text().as_bytes()).expect("never reset");
+                    stream
+                        .write_all(Ask::check().text().as_bytes())
+                        .expect("never reset");
                     let mut read = std::io::BufReader::new(stream.try_clone().expect("a clone"));
                     match read_message(&mut read) {
                         Some(answer) => {
                             // Clients at full speed go beyond the quota.
                             assert!(matches!(answer.status(), 200 | 429), "{answer:?}");
                             served.fetch_add(1, Ordering::SeqCst);
-                            kept = Some(stream).filter(|_| keeps && answer.header("connection").is_none());
+                            kept = Some(stream)
+                                .filter(|_| keeps && answer.header("connection").is_none());
                         }
                         // A kept one may be closed between two requests, a new one never.
                         None => assert!(used, "a new connection is closed unheard"),
@@ -143,17 +166,25 @@
             })
         };
         let clients = [false, false, true, true].map(client).into();
-        Load { over, served, clients }
+        Load {
+            over,
+            served,
+            clients,
+        }
     }
 
     fn more(&self) {
         let before = self.served.load(Ordering::SeqCst);
-        until("more are served", || self.served.load(Ordering::SeqCst) > before + 50);
+        until("more are served", || {
+            self.served.load(Ordering::SeqCst) > before + 50
+        });
     }
 
     fn end(self) {
         self.over.store(true, Ordering::SeqCst);
-        self.clients.into_iter().for_each(|c| c.join().expect("no client fails"));
+        self.clients
+            .into_iter()
+            .for_each(|c| c.join().expect("no client fails"));
     }
 }
 
@@ -172,7 +203,9 @@
         assert!(old.wait().success());
         load.more();
         log.until("the old process has ended");
-        until("the next can call", || UnixStream::connect(place.socket()).is_ok());
+        until("the next can call", || {
+            UnixStream::connect(place.socket()).is_ok()
+        });
         old = new;
     }
     load.end();
@@ -183,7 +216,10 @@
 fn what_the_old_process_holds_it_answers() {
     let (server, discovery, place) = stage("held");
     let (mut old, _log) = place.first(&discovery);
-    let slow = Ask { path: "/top-up?slow", ..Ask::top_up() };
+    let slow = Ask {
+        path: "/top-up?slow",
+        ..Ask::top_up()
+    };
     let mut held = old.client();
     held.send(&slow.text());
     server.request();
@@ -197,10 +233,16 @@
     halved.send(&text[text.len() / 2..]);
     assert_eq!(halved.answer().expect("an answer").status(), 200);
     assert_eq!(held.answer().expect("an answer").status(), 200);
-    assert!(held.answer().is_none(), "one answer, and the end of the connection");
+    assert!(
+        held.answer().is_none(),
+        "one answer, and the end of the connection"
+    );
     assert!(old.wait().success());
-    let top_ups =
-        server.so_far().iter().filter(|s| matches!(s, Seen::Request(m) if m.line.contains("top-up"))).count();
+    let top_ups = server
+        .so_far()
+        .iter()
+        .filter(|s| matches!(s, Seen::Request(m) if m.line.contains("top-up")))
+        .count();
     assert_eq!(top_ups, 0, "the one was seen before");
 }
 
@@ -208,18 +250,31 @@
 #[test]
 fn marks_on_servers_hold_in_both_processes() {
     let (a, b) = (Server::new(|_| ok("a")), Server::new(|_| ok("b")));
-    let both = [target("a", a.address, 0, "Ready"), target("b", b.address, 0, "Ready")].join(",");
+    let both = [
+        target("a", a.address, 0, "Ready"),
+        target("b", b.address, 0, "Ready"),
+    ]
+    .join(",");
     let discovery = Discovery::new(&both);
     let place = Place::new("marks");
     let (mut old, log) = place.first(&discovery);
     // Kept: it stays with the old process.
     let mut kept = old.client();
-    assert_eq!(kept.ask(&Ask::check().text()).expect("an answer").status(), 200);
+    assert_eq!(
+        kept.ask(&Ask::check().text()).expect("an answer").status(),
+        200
+    );
     assert_eq!(log.call("POST /servers/disable?id=a"), 200);
     let (new, new_log) = place.process(&discovery, old.address);
     new_log.wait_ready();
     for _ in 0..20 {
-        assert_eq!(new.client_at(old.address).ask(&Ask::check().text()).expect("an answer").body, "b");
+        assert_eq!(
+            new.client_at(old.address)
+                .ask(&Ask::check().text())
+                .expect("an answer")
+                .body,
+            "b"
+        );
     }
     // What is marked at the new one counts at the old one.
     assert_eq!(new_log.call("POST /servers/enable?id=a"), 200);
@@ -238,8 +293,9 @@
     let (_server, discovery, place) = stage("fails");
     let (mut old, log) = place.first(&discovery);
     let load = Load::new(old.address);
-    let hello =
-        |major: u16| format!("{{\"Hello\":{{\"version\":{{\"major\":{major},\"minor\":0}},\"pid\":1}}}}");
+    let hello = |major: u16| {
+        format!("{{\"Hello\":{{\"version\":{{\"major\":{major},\"minor\":0}},\"pid\":1}}}}")
+    };
     let frame = |body: &str| {
         let mut bytes = (body.len() as u32).to_be_bytes().to_vec();
         bytes.extend(crc32fast::hash(body.as_bytes()).to_be_bytes());
@@ -283,7 +339,9 @@
         let _ = stream.read_to_end(&mut said);
         String::from_utf8_lossy(&said).into_owned()
     };
-    until("the silent one makes room", || refused(&frame(&hello(2))).contains("another major version"));
+    until("the silent one makes room", || {
+        refused(&frame(&hello(2))).contains("another major version")
+    });
     drop(silent);
     refused(b"GET / HTTP/1.1\r\n\r\n");
     let mut flipped = frame(&hello(1));
@@ -323,5 +381,11 @@
     old.signal("-KILL");
     old.wait();
     new_log.until("the old process has ended");
-    assert_eq!(new.client_at(old.address).ask(&Ask::check().text()).expect("an answer").status(), 200);
+    assert_eq!(
+        new.client_at(old.address)
+            .ask(&Ask::check().text())
+            .expect("an answer")
+            .status(),
+        200
+    );
 }
--- a/crates/handover/src/driver.rs
+++ b/crates/handover/src/driver.rs
@@ -88,8 +88,17 @@
                         log_line!("upgrade: {} listeners of {} came", fds.len(), names.len());
                         return None;
                     }
-                    let listeners = names.into_iter().zip(fds.into_iter().map(TcpListener::from)).collect();
-                    return Some(Inherited { listeners, state, heir, pipe, since });
+                    let listeners = names
+                        .into_iter()
+                        .zip(fds.into_iter().map(TcpListener::from))
+                        .collect();
+                    return Some(Inherited {
+                        listeners,
+                        state,
+                        heir,
+                        pipe,
+                        since,
+                    });
                 }
                 heir::Output::Bind => return None,
                 _ => {}
@@ -105,7 +114,12 @@
 
 /// Goes through the rest of a handover as the new process, and returns once it is alone; false: it is to end.
 async fn succeed(inherited: Inherited, host: &dyn Host, here: &mut mpsc::Receiver<Here>) -> bool {
-    let Inherited { mut heir, pipe, since, .. } = inherited;
+    let Inherited {
+        mut heir,
+        pipe,
+        since,
+        ..
+    } = inherited;
     let mut steps = Vec::new();
     while heir.stage() != heir::Stage::Alone {
         let input = tokio::select! {
@@ -171,7 +185,10 @@
     loop {
         let hear = async {
             match &link {
-                Some((pipe, _)) => pipe.hear().await.map_or(elder::Input::Left, elder::Input::Heard),
+                Some((pipe, _)) => pipe
+                    .hear()
+                    .await
+                    .map_or(elder::Input::Left, elder::Input::Heard),
                 None => std::future::pending().await,
             }
         };
@@ -203,7 +220,11 @@
                 (elder::Output::Say(message), Some(pipe)) => drop(pipe.say(&message, &[]).await),
                 (elder::Output::Lend, Some(pipe)) => {
                     let (listeners, fds): (_, Vec<OwnedFd>) = host.listeners().into_iter().unzip();
-                    let welcome = Message::Welcome { version: VERSION, listeners, state: host.state() };
+                    let welcome = Message::Welcome {
+                        version: VERSION,
+                        listeners,
+                        state: host.state(),
+                    };
                     drop(pipe.say(&welcome, &fds).await);
                 }
                 (elder::Output::HangUp, _) => link = None,
@@ -215,7 +236,9 @@
             }
         }
         // Guards against a caller that holds the link and says nothing.
-        let idle = link.as_ref().is_some_and(|(_, since)| since.elapsed() >= SPEAKS_WITHIN);
+        let idle = link
+            .as_ref()
+            .is_some_and(|(_, since)| since.elapsed() >= SPEAKS_WITHIN);
         if left || idle && elder.stage() == elder::Stage::Alone {
             link = None;
         }
--- a/crates/handover/src/elder.rs
+++ b/crates/handover/src/elder.rs
@@ -52,7 +52,10 @@
 
 impl Default for Elder {
     fn default() -> Self {
-        Elder { stage: Stage::Alone, ending: false }
+        Elder {
+            stage: Stage::Alone,
+            ending: false,
+        }
     }
 }
 
@@ -84,7 +87,10 @@
                     ]);
                     return;
                 };
-                out.extend([Output::Say(Message::Refused { why: why.into() }), Output::HangUp]);
+                out.extend([
+                    Output::Say(Message::Refused { why: why.into() }),
+                    Output::HangUp,
+                ]);
             }
             (Stage::Offered(_), Input::Heard(Message::Ready)) => {
                 self.stage = Stage::Succeeded;
@@ -94,12 +100,16 @@
             (Stage::Offered(by), Input::Tick) if now >= by => {
                 const WHY: &str = "upgrade: the new process was not ready in time";
                 // Said before the link ends, so that it is not taken for this process's death.
-                out.push(Output::Say(Message::Refused { why: "not ready in time".into() }));
+                out.push(Output::Say(Message::Refused {
+                    why: "not ready in time".into(),
+                }));
                 out.extend([Output::HangUp, Output::Log(WHY)]);
                 self.alone(out);
             }
             (Stage::Offered(_), Input::Left) => {
-                out.push(Output::Log("upgrade: the new process has gone before it was ready"));
+                out.push(Output::Log(
+                    "upgrade: the new process has gone before it was ready",
+                ));
                 self.alone(out);
             }
             (Stage::Succeeded, Input::Left) => {
--- a/crates/handover/src/heir.rs
+++ b/crates/handover/src/heir.rs
@@ -57,8 +57,14 @@
 impl Heir {
     /// Calls the process that is there.
     pub fn new(now: Duration, pid: u32, out: &mut Vec<Output>) -> Heir {
-        out.push(Output::Say(Message::Hello { version: VERSION, pid }));
-        Heir { stage: Stage::Joining(now + WELCOME_WITHIN), prepared: false }
+        out.push(Output::Say(Message::Hello {
+            version: VERSION,
+            pid,
+        }));
+        Heir {
+            stage: Stage::Joining(now + WELCOME_WITHIN),
+            prepared: false,
+        }
     }
 
     pub fn stage(&self) -> Stage {
@@ -67,7 +73,14 @@
 
     pub fn handle(&mut self, now: Duration, input: Input, out: &mut Vec<Output>) {
         match (self.stage, input) {
-            (Stage::Joining(_), Input::Heard(Message::Welcome { version, listeners, state })) => {
+            (
+                Stage::Joining(_),
+                Input::Heard(Message::Welcome {
+                    version,
+                    listeners,
+                    state,
+                }),
+            ) => {
                 if version.major != VERSION.major {
                     return self.bind("the old process is of another major version", true, out);
                 }
@@ -77,12 +90,16 @@
                     self.switch(out);
                 }
             }
-            (Stage::Joining(_), Input::Heard(Message::Refused { why })) => self.bind(&why, true, out),
+            (Stage::Joining(_), Input::Heard(Message::Refused { why })) => {
+                self.bind(&why, true, out)
+            }
             (Stage::Joining(by), Input::Tick) if now >= by => {
                 self.bind("the old process does not answer", true, out)
             }
             (Stage::Joining(_), Input::Left) => self.bind("the old process has gone", false, out),
-            (Stage::Joining(_), Input::Heard(_)) => self.bind("the old process makes no sense", true, out),
+            (Stage::Joining(_), Input::Heard(_)) => {
+                self.bind("the old process makes no sense", true, out)
+            }
             (Stage::Preparing, Input::Prepared) => self.switch(out),
             (_, Input::Prepared) => self.prepared = true,
             (Stage::Asking, Input::Heard(Message::Yours)) => {
@@ -97,15 +114,21 @@
             (Stage::Preparing | Stage::Asking, Input::Left) => {
                 self.stage = Stage::Alone;
                 out.extend([Output::Accept, Output::Whole]);
-                out.push(Output::Log("upgrade: the old process has gone before the switch".into()));
+                out.push(Output::Log(
+                    "upgrade: the old process has gone before the switch".into(),
+                ));
             }
             (Stage::Switched, Input::Left) => {
                 self.stage = Stage::Alone;
-                out.extend([Output::Whole, Output::Log("upgrade: the old process has ended".into())]);
-            }
-            (Stage::Preparing | Stage::Asking | Stage::Switched, Input::Heard(Message::Marked(mark))) => {
-                out.push(Output::Mark(mark))
+                out.extend([
+                    Output::Whole,
+                    Output::Log("upgrade: the old process has ended".into()),
+                ]);
             }
+            (
+                Stage::Preparing | Stage::Asking | Stage::Switched,
+                Input::Heard(Message::Marked(mark)),
+            ) => out.push(Output::Mark(mark)),
             (Stage::Preparing | Stage::Asking | Stage::Switched, Input::Marked(mark)) => {
                 out.push(Output::Say(Message::Marked(mark)))
             }
@@ -121,6 +144,9 @@
     fn bind(&mut self, why: &str, linked: bool, out: &mut Vec<Output>) {
         self.stage = Stage::Alone;
         out.extend(linked.then_some(Output::HangUp));
-        out.extend([Output::Log(format!("upgrade: {why}; listens by itself")), Output::Bind]);
+        out.extend([
+            Output::Log(format!("upgrade: {why}; listens by itself")),
+            Output::Bind,
+        ]);
     }
 }
--- a/crates/handover/src/message.rs
+++ b/crates/handover/src/message.rs
@@ -37,7 +37,11 @@
     /// New to old.
     Hello { version: Version, pid: u32 },
     /// Old to new; the listeners come along, in this order.
-    Welcome { version: Version, listeners: Vec<String>, state: State },
+    Welcome {
+        version: Version,
+        listeners: Vec<String>,
+        state: State,
+    },
     /// Old to new: not now, or not this one.
     Refused { why: String },
     /// New to old: it accepts.
@@ -82,13 +86,23 @@
 
 /// Takes the first message off what has come; none while it is not whole.
 pub fn take(buffer: &mut Vec<u8>) -> Result<Option<Message>, Broken> {
-    let word = |at: usize| buffer.get(at..at + 4)?.try_into().ok().map(u32::from_be_bytes);
-    let (Some(length), Some(sum)) = (word(0), word(4)) else { return Ok(None) };
+    let word = |at: usize| {
+        buffer
+            .get(at..at + 4)?
+            .try_into()
+            .ok()
+            .map(u32::from_be_bytes)
+    };
+    let (Some(length), Some(sum)) = (word(0), word(4)) else {
+        return Ok(None);
+    };
     let length = length as usize;
     if length > MOST_BYTES {
         return Err(Broken::TooLong(length));
     }
-    let Some(body) = buffer.get(HEADER_BYTES..HEADER_BYTES + length) else { return Ok(None) };
+    let Some(body) = buffer.get(HEADER_BYTES..HEADER_BYTES + length) else {
+        return Ok(None);
+    };
     if crc32fast::hash(body) != sum {
         return Err(Broken::Checksum);
     }
@@ -121,11 +135,24 @@
 
     #[test]
     fn messages_come_out_as_they_went_in_however_they_are_cut() {
-        let mark = Mark { server: "s-1".into(), out_ms: 5, back_ms: None };
-        let state = State { marks: vec![mark.clone()] };
+        let mark = Mark {
+            server: "s-1".into(),
+            out_ms: 5,
+            back_ms: None,
+        };
+        let state = State {
+            marks: vec![mark.clone()],
+        };
         let all = [
-            Message::Hello { version: VERSION, pid: 7 },
-            Message::Welcome { version: VERSION, listeners: vec!["clients".into()], state },
+            Message::Hello {
+                version: VERSION,
+                pid: 7,
+            },
+            Message::Welcome {
+                version: VERSION,
+                listeners: vec!["clients".into()],
+                state,
+            },
             Message::Ready,
             Message::Marked(mark),
         ];
@@ -147,7 +174,10 @@
             br#"{"Welcome":{"version":{"major":1,"minor":9,"x":0},"listeners":[],"state":{"new":[1]}}}"#;
         let read = take(&mut raw(more)).expect("in order");
         assert!(matches!(read, Some(Message::Welcome { state, .. }) if state == State::default()));
-        assert!(matches!(take(&mut raw(br#"{"Hello":{}}"#)), Err(Broken::Malformed(_))));
+        assert!(matches!(
+            take(&mut raw(br#"{"Hello":{}}"#)),
+            Err(Broken::Malformed(_))
+        ));
     }
 
     proptest! {
--- a/crates/handover/src/pipe.rs
+++ b/crates/handover/src/pipe.rs
@@ -23,23 +23,37 @@
 
 impl Pipe {
     pub fn new(stream: UnixStream) -> Pipe {
-        Pipe { stream, come: RefCell::default(), lent: RefCell::default() }
+        Pipe {
+            stream,
+            come: RefCell::default(),
+            lent: RefCell::default(),
+        }
     }
 
     /// Sends a message; descriptors go with its first bytes.
     pub async fn say(&self, message: &Message, with: &[OwnedFd]) -> io::Result<()> {
         let bytes = message.framed();
-        let fds: Vec<BorrowedFd<'_>> = with.iter().take(MOST_LISTENERS).map(|fd| fd.as_fd()).collect();
+        let fds: Vec<BorrowedFd<'_>> = with
+            .iter()
+            .take(MOST_LISTENERS)
+            .map(|fd| fd.as_fd())
+            .collect();
         let (mut written, mut fds) = (0, &fds[..]);
         while written < bytes.len() {
             let rest = &bytes[written..];
             let sent = self.stream.async_io(Interest::WRITABLE, || {
-                let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_LISTENERS))];
+                let mut space =
+                    [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_LISTENERS))];
                 let mut beside = SendAncillaryBuffer::new(&mut space);
                 if !fds.is_empty() {
                     beside.push(SendAncillaryMessage::ScmRights(fds));
                 }
-                Ok(sendmsg(&self.stream, &[IoSlice::new(rest)], &mut beside, SendFlags::NOSIGNAL)?)
+                Ok(sendmsg(
+                    &self.stream,
+                    &[IoSlice::new(rest)],
+                    &mut beside,
+                    SendFlags::NOSIGNAL,
+                )?)
             });
             written += sent.await?;
             fds = &[];
@@ -74,10 +88,16 @@
         let (read, fds) = self
             .stream
             .async_io(Interest::READABLE, || {
-                let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_LISTENERS))];
+                let mut space =
+                    [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_LISTENERS))];
                 let mut beside = RecvAncillaryBuffer::new(&mut space);
                 let mut into = [IoSliceMut::new(&mut chunk)];
-                let got = recvmsg(&self.stream, &mut into, &mut beside, RecvFlags::CMSG_CLOEXEC)?;
+                let got = recvmsg(
+                    &self.stream,
+                    &mut into,
+                    &mut beside,
+                    RecvFlags::CMSG_CLOEXEC,
+                )?;
                 let rights = beside.drain().filter_map(|m| match m {
                     RecvAncillaryMessage::ScmRights(fds) => Some(fds),
                     _ => None,
--- a/crates/handover/tests/golden_forms.rs
+++ b/crates/handover/tests/golden_forms.rs
@@ -5,16 +5,31 @@
 use std::fmt::Write;
 
 fn messages() -> Vec<Message> {
-    let mark = Mark { server: "s-1".into(), out_ms: 5, back_ms: None };
-    let back = Mark { server: "s-2".into(), out_ms: 5, back_ms: Some(9) };
+    let mark = Mark {
+        server: "s-1".into(),
+        out_ms: 5,
+        back_ms: None,
+    };
+    let back = Mark {
+        server: "s-2".into(),
+        out_ms: 5,
+        back_ms: Some(9),
+    };
     vec![
-        Message::Hello { version: VERSION, pid: 7 },
+        Message::Hello {
+            version: VERSION,
+            pid: 7,
+        },
         Message::Welcome {
             version: Version { major: 1, minor: 0 },
             listeners: vec!["clients".into()],
-            state: State { marks: vec![mark.clone(), back.clone()] },
+            state: State {
+                marks: vec![mark.clone(), back.clone()],
+            },
+        },
+        Message::Refused {
+            why: "it is busy".into(),
         },
-        Message::Refused { why: "it is busy".into() },
         Message::Ready,
         Message::Yours,
         Message::Marked(mark),
@@ -35,5 +50,9 @@
     if std::env::var_os("RECORD").is_some() {
         return std::fs::write(path, text).expect("written");
     }
-    assert_eq!(std::fs::read_to_string(path).expect("a recorded file"), text, "recorded on the left");
+    assert_eq!(
+        std::fs::read_to_string(path).expect("a recorded file"),
+        text,
+        "recorded on the left"
+    );
 }
--- a/crates/handover/tests/steps.rs
+++ b/crates/handover/tests/steps.rs
@@ -18,8 +18,14 @@
     TimePasses,
 }
 
-const ALL: [Next; 6] =
-    [Next::ToElder, Next::ToHeir, Next::Prepared, Next::HeirDies, Next::ElderDies, Next::TimePasses];
+const ALL: [Next; 6] = [
+    Next::ToElder,
+    Next::ToHeir,
+    Next::Prepared,
+    Next::HeirDies,
+    Next::ElderDies,
+    Next::TimePasses,
+];
 
 struct World {
     elder: Elder,
@@ -141,7 +147,11 @@
     /// All that is under way arrives.
     fn settle(&mut self) {
         for _ in 0..20 {
-            let moved = [self.step(Next::ToElder), self.step(Next::ToHeir), self.step(Next::Prepared)];
+            let moved = [
+                self.step(Next::ToElder),
+                self.step(Next::ToHeir),
+                self.step(Next::Prepared),
+            ];
             if moved == [false; 3] {
                 return;
             }
@@ -156,12 +166,17 @@
 }
 
 fn explore(steps: &mut Vec<Next>, depth: usize, seen: &mut usize) {
-    let Some(mut world) = played(steps) else { return };
+    let Some(mut world) = played(steps) else {
+        return;
+    };
     world.settle();
     *seen += 1;
     let accepting = world.accepts.iter().filter(|a| **a).count();
     let living = world.lives.iter().filter(|l| **l).count();
-    assert!(living == 0 || accepting >= 1, "nobody accepts after {steps:?}");
+    assert!(
+        living == 0 || accepting >= 1,
+        "nobody accepts after {steps:?}"
+    );
     assert!(accepting <= 1 || world.bound, "two accept after {steps:?}");
     if depth > 0 {
         for next in ALL {
@@ -181,10 +196,20 @@
 
 #[test]
 fn the_ordinary_way_ends_with_the_new_one() {
-    let steps = [Next::ToElder, Next::ToHeir, Next::Prepared, Next::ToElder, Next::ToHeir, Next::ElderDies];
+    let steps = [
+        Next::ToElder,
+        Next::ToHeir,
+        Next::Prepared,
+        Next::ToElder,
+        Next::ToHeir,
+        Next::ElderDies,
+    ];
     let mut world = played(&steps).expect("it can happen");
     world.settle();
-    assert_eq!((world.accepts, world.heir.stage()), ([false, true], heir::Stage::Alone));
+    assert_eq!(
+        (world.accepts, world.heir.stage()),
+        ([false, true], heir::Stage::Alone)
+    );
 }
 
 /// Guards against a new process that hangs: the way back is taken in time.
@@ -192,9 +217,16 @@
 fn one_that_hangs_is_given_up() {
     let mut elder = Elder::default();
     let mut out = Vec::new();
-    let hello = Message::Hello { version: Version { major: 1, minor: 3 }, pid: 1 };
+    let hello = Message::Hello {
+        version: Version { major: 1, minor: 3 },
+        pid: 1,
+    };
     elder.handle(Duration::ZERO, elder::Input::Heard(hello), &mut out);
-    elder.handle(elder::PREPARES_WITHIN - Duration::from_millis(1), elder::Input::Tick, &mut out);
+    elder.handle(
+        elder::PREPARES_WITHIN - Duration::from_millis(1),
+        elder::Input::Tick,
+        &mut out,
+    );
     assert!(matches!(elder.stage(), elder::Stage::Offered(_)));
     out.clear();
     elder.handle(elder::PREPARES_WITHIN, elder::Input::Tick, &mut out);
@@ -207,7 +239,10 @@
     let mut elder = Elder::default();
     let mut out = Vec::new();
     elder.handle(Duration::ZERO, elder::Input::Terminate, &mut out);
-    let hello = Message::Hello { version: Version { major: 1, minor: 0 }, pid: 1 };
+    let hello = Message::Hello {
+        version: Version { major: 1, minor: 0 },
+        pid: 1,
+    };
     elder.handle(Duration::ZERO, elder::Input::Heard(hello), &mut out);
     assert!(!out.contains(&elder::Output::Lend) && out.contains(&elder::Output::HangUp));
 }
--- a/crates/http1/src/backend.rs
+++ b/crates/http1/src/backend.rs
@@ -4,7 +4,9 @@
 use crate::conn::{Answer, Conn, Progress, Room, Sending, Unread};
 use crate::message::BODY_BYTES;
 use crate::staleness::Staleness;
-use frosthatch_engine::{Attempt, AttemptPermit, Ended, Fleet, Member, Payload, Protocol, State, Tally};
+use frosthatch_engine::{
+    Attempt, AttemptPermit, Ended, Fleet, Member, Payload, Protocol, State, Tally,
+};
 use frosthatch_engine::{ToldTime, Withheld};
 use std::any::Any;
 use std::cell::{Cell, RefCell};
@@ -87,7 +89,8 @@
 
 impl Payload for Outgoing {
     fn attempt(&self, server: &ServerId, deadline: Instant, permit: AttemptPermit) -> Attempt {
-        let (upstream, forward, server) = (self.upstream.clone(), self.forward.clone(), server.clone());
+        let (upstream, forward, server) =
+            (self.upstream.clone(), self.forward.clone(), server.clone());
         Box::pin(async move { upstream.attempt(&server, &forward, deadline, &permit).await })
     }
 }
@@ -152,8 +155,19 @@
     pub fn new(limits: Limits, tally: Rc<Tally>) -> Self {
         let room = Arc::new(AtomicUsize::new(limits.long_requests));
         let (servers, at, open, staleness) = Default::default();
-        let (connections, next_reconnect) = (Cell::new(limits.connections), Cell::new(Instant::now()));
-        Upstream { limits, connections, servers, at, open, tally, staleness, next_reconnect, room }
+        let (connections, next_reconnect) =
+            (Cell::new(limits.connections), Cell::new(Instant::now()));
+        Upstream {
+            limits,
+            connections,
+            servers,
+            at,
+            open,
+            tally,
+            staleness,
+            next_reconnect,
+            room,
+        }
     }
 
     /// Holds to so many connections from now on.
@@ -188,15 +202,28 @@
 
     fn put_back(&self, server: &ServerId, address: SocketAddr, conn: Conn, slot: Slot) {
         let mut servers = self.servers.borrow_mut();
-        let home = servers.get_mut(server).filter(|s| s.ready && s.address == address);
+        let home = servers
+            .get_mut(server)
+            .filter(|s| s.ready && s.address == address);
         if let Some(home) = home.filter(|_| conn.quiet()) {
-            home.idle.push(Idle { conn, since: Instant::now(), slot });
+            home.idle.push(Idle {
+                conn,
+                since: Instant::now(),
+                slot,
+            });
         }
     }
 
     /// A long answer has been passed on whole.
     pub fn passed(&self, passing: Passing) {
-        let Passing { conn, slot, server, address, reusable, .. } = passing;
+        let Passing {
+            conn,
+            slot,
+            server,
+            address,
+            reusable,
+            ..
+        } = passing;
         if reusable {
             self.put_back(&server, address, conn, slot);
         }
@@ -212,7 +239,8 @@
         self.staleness.borrow_mut().fade();
         let (now, most) = (Instant::now(), self.most_idle());
         for s in self.servers.borrow_mut().values_mut() {
-            s.idle.retain(|i| now.duration_since(i.since) < most && i.conn.quiet());
+            s.idle
+                .retain(|i| now.duration_since(i.since) < most && i.conn.quiet());
         }
     }
 
@@ -221,7 +249,10 @@
         if self.open.get() >= self.connections.get() {
             let mut servers = self.servers.borrow_mut();
             let oldest = |s: &&mut Server| s.idle.first().map(|i| i.since);
-            let s = servers.values_mut().filter(|s| !s.idle.is_empty()).min_by_key(oldest)?;
+            let s = servers
+                .values_mut()
+                .filter(|s| !s.idle.is_empty())
+                .min_by_key(oldest)?;
             s.idle.remove(0);
         }
         self.open.set(self.open.get() + 1);
@@ -237,9 +268,14 @@
         permit: &AttemptPermit,
     ) -> Ended {
         let never = Ended::without_answer(Status::NoConnection);
-        let Some((address, gone)) = self.wanted(server) else { return never };
+        let Some((address, gone)) = self.wanted(server) else {
+            return never;
+        };
         let shortage = Cell::new(false);
-        let connection = timeout_at(deadline, self.connection(server, address, permit, &shortage));
+        let connection = timeout_at(
+            deadline,
+            self.connection(server, address, permit, &shortage),
+        );
         let (conn, slot, idle) = match connection.await {
             Ok(Ok(connection)) => connection,
             // That this machine could not connect says nothing of the server.
@@ -271,7 +307,12 @@
             self.tally.attempted(forward.class);
         };
         let request = [&head[..], &forward.body[..]];
-        let sending = Sending { request, written: &written, may: &may, whole: &whole };
+        let sending = Sending {
+            request,
+            written: &written,
+            may: &may,
+            whole: &whole,
+        };
         let begun = Instant::now();
         let answer = tokio::select! {
             answer = timeout_at(deadline, conn.ask(sending, BODY_BYTES)) => answer,
@@ -305,8 +346,14 @@
                 let rest = match answer.rest.take() {
                     Some(unread) => {
                         let (server, reusable) = (server.clone(), answer.reusable);
-                        Some(Box::new(Passing { unread, conn, slot, server, address, reusable })
-                            as Box<dyn Any>)
+                        Some(Box::new(Passing {
+                            unread,
+                            conn,
+                            slot,
+                            server,
+                            address,
+                            reusable,
+                        }) as Box<dyn Any>)
                     }
                     None if answer.reusable => {
                         self.put_back(server, address, conn, slot);
@@ -346,7 +393,9 @@
                 let opening = timeout(self.limits.connect_timeout, Conn::open(address));
                 match opening.await {
                     Ok(Ok(conn)) => return Ok((conn, slot, None)),
-                    Ok(Err(e)) if e.is_local() => debug!(server = %server.0, reason = %e, "connect.shortage"),
+                    Ok(Err(e)) if e.is_local() => {
+                        debug!(server = %server.0, reason = %e, "connect.shortage")
+                    }
                     Ok(Err(_)) | Err(_) => return Err(NotConnected::Unreachable),
                 }
             }
@@ -372,7 +421,11 @@
         let (mut servers, mut at) = (self.servers.borrow_mut(), self.at.borrow_mut());
         let ours = |m: &&Member| m.protocol == Protocol::Http1;
         if whole {
-            let named: HashSet<&str> = members.iter().filter(ours).map(|m| m.uid.as_str()).collect();
+            let named: HashSet<&str> = members
+                .iter()
+                .filter(ours)
+                .map(|m| m.uid.as_str())
+                .collect();
             servers.retain(|id, s| {
                 let stays = named.contains(&*id.0);
                 if !stays {
@@ -390,8 +443,12 @@
                 continue;
             }
             let before = servers.get(&id).map(|s| s.address);
-            let fresh =
-                || Server { address: m.endpoint, ready: false, idle: Vec::new(), gone: Rc::default() };
+            let fresh = || Server {
+                address: m.endpoint,
+                ready: false,
+                idle: Vec::new(),
+                gone: Rc::default(),
+            };
             let s = servers.entry(id.clone()).or_insert_with(fresh);
             s.ready = m.state == State::Ready;
             if !s.ready || s.address != m.endpoint {
--- a/crates/http1/src/chunked.rs
+++ b/crates/http1/src/chunked.rs
@@ -47,20 +47,32 @@
         loop {
             let rest = &from[*used..];
             match self.at {
-                At::Size => match httparse::parse_chunk_size(rest).map_err(|_| Spoilt("a chunk's size"))? {
+                At::Size => match httparse::parse_chunk_size(rest)
+                    .map_err(|_| Spoilt("a chunk's size"))?
+                {
                     Status::Complete((line, size)) => {
                         (*used, self.around) = (*used + line, self.around + line);
                         let size = usize::try_from(size).map_err(|_| Spoilt("a chunk's size"))?;
-                        self.at = if size == 0 { At::Trailer } else { At::Data(size) };
+                        self.at = if size == 0 {
+                            At::Trailer
+                        } else {
+                            At::Data(size)
+                        };
+                    }
+                    Status::Partial if rest.len() > LINE_BYTES => {
+                        return Err(Spoilt("a chunk's size"))
                     }
-                    Status::Partial if rest.len() > LINE_BYTES => return Err(Spoilt("a chunk's size")),
                     Status::Partial => return Ok(false),
                 },
                 At::Data(left) => {
                     let n = left.min(rest.len());
                     into.extend_from_slice(&rest[..n]);
                     (*used, self.inside) = (*used + n, self.inside + n);
-                    self.at = if n == left { At::DataEnd } else { At::Data(left - n) };
+                    self.at = if n == left {
+                        At::DataEnd
+                    } else {
+                        At::Data(left - n)
+                    };
                     if n < left {
                         return Ok(false);
                     }
@@ -78,8 +90,11 @@
                 At::Trailer => match rest.windows(2).position(|w| w == b"\r\n") {
                     Some(end) => {
                         let line = &rest[..end];
-                        let field =
-                            line.is_empty() || line.iter().position(|&b| b == b':').is_some_and(|at| at > 0);
+                        let field = line.is_empty()
+                            || line
+                                .iter()
+                                .position(|&b| b == b':')
+                                .is_some_and(|at| at > 0);
                         if !field || line.contains(&b'\n') {
                             return Err(Spoilt("its trailer"));
                         }
@@ -143,6 +158,9 @@
             .flatten()
             .copied()
             .collect();
-        assert_eq!(all(&dust, 4_096).map(|_| ()), Err(Spoilt("too much around its chunks")));
+        assert_eq!(
+            all(&dust, 4_096).map(|_| ()),
+            Err(Spoilt("too much around its chunks"))
+        );
     }
 }
--- a/crates/http1/src/conn.rs
+++ b/crates/http1/src/conn.rs
@@ -66,7 +66,10 @@
     /// Whether there is room for so much in all; it is taken from then on.
     pub fn holds(&mut self, length: usize) -> bool {
         let more = length.saturating_sub(self.taken);
-        let held = self.shared.fetch_update(Relaxed, Relaxed, |left| left.checked_sub(more)).is_ok();
+        let held = self
+            .shared
+            .fetch_update(Relaxed, Relaxed, |left| left.checked_sub(more))
+            .is_ok();
         self.taken += if held { more } else { 0 };
         held
     }
@@ -117,9 +120,9 @@
                     false
                 }
             }
-            Framing::Chunked(chunked) => {
-                chunked.take(&mut self.buffer, into).map_err(|Spoilt(what)| spoilt(what))?
-            }
+            Framing::Chunked(chunked) => chunked
+                .take(&mut self.buffer, into)
+                .map_err(|Spoilt(what)| spoilt(what))?,
             Framing::UntilClose => {
                 into.append(&mut self.buffer);
                 ended
@@ -162,7 +165,9 @@
 
 impl Conn {
     pub async fn open(address: SocketAddr) -> Result<Conn, ConnectError> {
-        Ok(Conn { stream: connect(address).await? })
+        Ok(Conn {
+            stream: connect(address).await?,
+        })
     }
 
     /// Whether another request may go over it: it is open and nothing has come that nobody asked for.
@@ -174,7 +179,11 @@
     async fn send(&self, sending: &Sending<'_>) -> io::Result<()> {
         let ([head, body], written) = (sending.request, sending.written);
         let check = || {
-            let progress = if written.get() == 0 { Progress::NotBegun } else { Progress::Begun };
+            let progress = if written.get() == 0 {
+                Progress::NotBegun
+            } else {
+                Progress::Begun
+            };
             (sending.may)(progress).map_err(io::Error::other)?;
             // Guards against an answer to a request before, which would be taken for this one's: nothing that comes ahead of
             // a request's last byte answers it.
@@ -203,7 +212,11 @@
         if matches!(framing, Framing::Length(length) if length > BULK_BYTES) {
             return Err(spoilt("too long"));
         }
-        let mut unread = Unread { framing, buffer, seen: 0 };
+        let mut unread = Unread {
+            framing,
+            buffer,
+            seen: 0,
+        };
         let mut body = Vec::with_capacity(unread.length().unwrap_or(0).min(most + CHUNK));
         let long = unread.length().is_some_and(|length| length > most);
         loop {
@@ -302,9 +315,13 @@
         status,
         body: Bytes::new(),
         never_ran: header(h, NEVER_RAN) == Some("1"),
-        metered_use: header(h, USED).and_then(figure).map(|percent| percent / 100.0),
+        metered_use: header(h, USED)
+            .and_then(figure)
+            .map(|percent| percent / 100.0),
         report: header(h, LOAD).map_or_else(Vec::new, report),
-        reusable: head.version == Some(1) && !says_close(h) && !matches!(framing, Framing::UntilClose),
+        reusable: head.version == Some(1)
+            && !says_close(h)
+            && !matches!(framing, Framing::UntilClose),
         rest: None,
     };
     Ok(Some((Head::Final(answer, framing), end)))
@@ -327,7 +344,8 @@
         };
         Some((load, figure(value)?))
     };
-    text.strip_prefix("TEXT ").map_or_else(Vec::new, |t| t.split(',').filter_map(one).collect())
+    text.strip_prefix("TEXT ")
+        .map_or_else(Vec::new, |t| t.split(',').filter_map(one).collect())
 }
 
 #[cfg(test)]
--- a/crates/http1/src/message.rs
+++ b/crates/http1/src/message.rs
@@ -91,12 +91,19 @@
 
 /// The length that a message's headers give its body; an error where they give none that can be believed.
 pub fn content_length(headers: &[Header<'_>]) -> Result<Option<usize>, ()> {
-    let mut all = headers.iter().filter(|h| h.name.eq_ignore_ascii_case("content-length"));
+    let mut all = headers
+        .iter()
+        .filter(|h| h.name.eq_ignore_ascii_case("content-length"));
     match (all.next(), all.next()) {
         (None, _) => Ok(None),
         (Some(h), None) if !h.value.is_empty() && h.value.iter().all(u8::is_ascii_digit) => {
             // More digits than fit are a length all the same, and too long for anything here.
-            Ok(Some(std::str::from_utf8(h.value).map_err(drop)?.parse().unwrap_or(usize::MAX)))
+            Ok(Some(
+                std::str::from_utf8(h.value)
+                    .map_err(drop)?
+                    .parse()
+                    .unwrap_or(usize::MAX),
+            ))
         }
         _ => Err(()),
     }
@@ -110,5 +117,6 @@
 /// Whether a side says that it will close the connection.
 pub fn says_close(headers: &[Header<'_>]) -> bool {
     let said = header(headers, "connection").unwrap_or("");
-    said.split(',').any(|s| s.trim().eq_ignore_ascii_case("close"))
+    said.split(',')
+        .any(|s| s.trim().eq_ignore_ascii_case("close"))
 }
--- a/crates/http1/src/server/client.rs
+++ b/crates/http1/src/server/client.rs
@@ -47,7 +47,10 @@
 impl Client {
     /// What comes of something that the client waits for; none if it goes first. One that ends its side of the connection has
     /// gone: it cannot be told from one that has closed all of it.
-    pub(super) async fn while_there<T>(&mut self, mut awaited: impl Future<Output = T> + Unpin) -> Option<T> {
+    pub(super) async fn while_there<T>(
+        &mut self,
+        mut awaited: impl Future<Output = T> + Unpin,
+    ) -> Option<T> {
         loop {
             tokio::select! {
                 biased;
@@ -132,14 +135,22 @@
 
     /// Whether all of it was written in time.
     pub(super) async fn write(&self, text: &[u8]) -> bool {
-        timeout(READS_WITHIN, write_all(&self.stream, text, &Cell::new(0))).await.is_ok_and(|w| w.is_ok())
+        timeout(READS_WITHIN, write_all(&self.stream, text, &Cell::new(0)))
+            .await
+            .is_ok_and(|w| w.is_ok())
     }
 
     /// Says what is wrong: nothing behind it is read as a request. Whether all of that was written.
     pub(super) async fn reject(&mut self, bad: &BadRequest) -> bool {
         self.close_reason = "turned_away";
         debug!(connection = self.number, status = bad.status(), reason = %bad.text(), "request.turned_away");
-        self.write(&response(bad.status(), &bad.headers(), true, bad.text().as_bytes())).await
+        self.write(&response(
+            bad.status(),
+            &bad.headers(),
+            true,
+            bad.text().as_bytes(),
+        ))
+        .await
     }
 
     /// The one orderly end of a connection: the client hears that nothing more comes, and what it still sends is read, and
--- a/crates/http1/src/server/conversation.rs
+++ b/crates/http1/src/server/conversation.rs
@@ -39,17 +39,23 @@
             };
             client.kept = true;
             if let Some(ask) = &asked.ask {
-                debug!(connection = client.number, request = ask.request.id.0, "request.read");
+                debug!(
+                    connection = client.number,
+                    request = ask.request.id.0,
+                    "request.read"
+                );
             }
             let (mut added, crowded) = (String::new(), self.crowded());
             let answer = match asked.ask {
                 None => Reply::Ready(self.ready()),
                 Some(ask) => {
                     let answered = match crowded {
-                        true => {
-                            Ok(self
-                                .unsent(ask.forward.class, Answer::Refused { retry_after: RETRY_AFTER_FULL }))
-                        }
+                        true => Ok(self.unsent(
+                            ask.forward.class,
+                            Answer::Refused {
+                                retry_after: RETRY_AFTER_FULL,
+                            },
+                        )),
                         false => self.answer_by_rules(client, *ask, &mut added).await,
                     };
                     match answered {
@@ -63,7 +69,8 @@
             let close = asked.close || client.flooded || crowded || self.ends_connections();
             let written = match answer {
                 Reply::Answer(Answer::Passing(first, rest)) => {
-                    self.relay_body(client, first, rest, close, asked.old, &added).await
+                    self.relay_body(client, first, rest, close, asked.old, &added)
+                        .await
                 }
                 answer => client.write(&answer.text(close, &added)).await,
             };
@@ -80,9 +87,15 @@
     async fn read(&self, client: &mut Client) -> Result<Option<Asked>, BadRequest> {
         let (since, kept) = (Instant::now(), client.kept);
         let end = Rc::new(Notify::new());
-        self.idle
-            .borrow_mut()
-            .insert(client.number, IdleConnection { since, kept, begun: false, end: end.clone() });
+        self.idle.borrow_mut().insert(
+            client.number,
+            IdleConnection {
+                since,
+                kept,
+                begun: false,
+                end: end.clone(),
+            },
+        );
         let asked = self.read_idle(client, since, end).await;
         self.idle.borrow_mut().remove(&client.number);
         asked
@@ -94,7 +107,12 @@
         since: Instant,
         mut end: Rc<Notify>,
     ) -> Result<Option<Asked>, BadRequest> {
-        let mut by = since + if client.kept { KEEPALIVE_TIMEOUT } else { WHOLE_WITHIN };
+        let mut by = since
+            + if client.kept {
+                KEEPALIVE_TIMEOUT
+            } else {
+                WHOLE_WITHIN
+            };
         let mut head: Option<Head> = None;
         let (mut begun, mut looked_at) = (false, 0);
         // Its time is over, and what has come in time is read.
@@ -131,12 +149,16 @@
                 if self.take_body(head, buffer)? {
                     return Ok(Some(head.asked(client.arrived_at)));
                 }
-                if std::mem::take(&mut head.expects) && !client.write(b"HTTP/1.1 100 Continue\r\n\r\n").await
+                if std::mem::take(&mut head.expects)
+                    && !client.write(b"HTTP/1.1 100 Continue\r\n\r\n").await
                 {
                     return Ok(None);
                 }
             }
-            let leaving = self.leaving.get().is_some_and(|l| Instant::now() >= l.requests_until);
+            let leaving = self
+                .leaving
+                .get()
+                .is_some_and(|l| Instant::now() >= l.requests_until);
             let over = || match (begun, leaving) {
                 (false, _) => Ok(None),
                 (true, true) => Err(BadRequest::Leaving),
@@ -174,7 +196,9 @@
         mut ask: Ask,
         added: &mut String,
     ) -> Result<Option<Answer>, BadRequest> {
-        let Some(rules) = &self.rules else { return self.answer(client, ask).await };
+        let Some(rules) = &self.rules else {
+            return self.answer(client, ask).await;
+        };
         let (since, body) = (Instant::now(), rules.wants().1.min(ask.forward.body.len()));
         let mut ruling = Ruling {
             request: ask.request.clone(),
@@ -195,8 +219,15 @@
             Some(Ruled::Refuse { retry_after }) => {
                 self.unsent(ask.forward.class, Answer::Refused { retry_after })
             }
-            Some(Ruled::Fail) => self.unsent(ask.forward.class, Answer::Failed { timed_out: false }),
-            Some(Ruled::GoOn { units, lower, within, headers }) => {
+            Some(Ruled::Fail) => {
+                self.unsent(ask.forward.class, Answer::Failed { timed_out: false })
+            }
+            Some(Ruled::GoOn {
+                units,
+                lower,
+                within,
+                headers,
+            }) => {
                 ask.request.units = ask.request.units.max(units.unwrap_or(0.0));
                 ask.request.lower = lower;
                 ask.gone_at = within.map_or(ask.gone_at, |within| ask.gone_at.min(since + within));
@@ -205,7 +236,9 @@
             }
             None => self.answer(client, ask).await?,
         };
-        let Some(answer) = answer else { return Ok(None) };
+        let Some(answer) = answer else {
+            return Ok(None);
+        };
         ruling.left = ruling.left.saturating_sub(since.elapsed());
         if let Some(more) = rules.clone().answered(&ruling, &answer, since.elapsed()) {
             added.push_str(&more.await);
@@ -221,17 +254,34 @@
 
     /// The answer to a request; none if its client goes first.
     async fn answer(&self, client: &mut Client, ask: Ask) -> Result<Option<Answer>, BadRequest> {
-        let Ask { request, gone_at, forward, .. } = ask;
+        let Ask {
+            request,
+            gone_at,
+            forward,
+            ..
+        } = ask;
         // Guards against sending on what waited here, unread, until its client had gone.
         if client.has_gone() {
             return Ok(None);
         }
         let id = request.id;
-        let payload = Box::new(Outgoing { forward: Rc::new(forward), upstream: self.upstream.clone() });
-        let taken = self.engine.take(Arrival { request, gone_at, payload });
+        let payload = Box::new(Outgoing {
+            forward: Rc::new(forward),
+            upstream: self.upstream.clone(),
+        });
+        let taken = self.engine.take(Arrival {
+            request,
+            gone_at,
+            payload,
+        });
         let answer = taken.map_err(|Duplicate| BadRequest::Duplicate)?;
-        let mut waiting = Waiting { engine: &self.engine, id: Some(id) };
-        let Some(answer) = client.while_there(answer).await else { return Ok(None) };
+        let mut waiting = Waiting {
+            engine: &self.engine,
+            id: Some(id),
+        };
+        let Some(answer) = client.while_there(answer).await else {
+            return Ok(None);
+        };
         waiting.id = None;
         Ok(Some(answer.unwrap_or(Answer::Failed { timed_out: false })))
     }
--- a/crates/http1/src/server/draining.rs
+++ b/crates/http1/src/server/draining.rs
@@ -43,7 +43,9 @@
 impl HttpServer {
     /// From now on every answer closes its connection, and all have been given by that time.
     pub fn leave(&self, answers_until: Instant) {
-        let requests_until = answers_until.checked_sub(LAST_REQUESTS).unwrap_or(answers_until);
+        let requests_until = answers_until
+            .checked_sub(LAST_REQUESTS)
+            .unwrap_or(answers_until);
         self.leaving.set(Some(Leaving { requests_until }));
         self.engine.answer_all_by(answers_until);
     }
@@ -70,7 +72,10 @@
             sleep(DRAIN_STARTS_AFTER).await;
             while server.draining.get() == Some(since) {
                 let all = since.elapsed() >= DRAINED_WITHIN;
-                server.close_idle(if all { JUST_CONNECTED } else { DRAINS_IDLE_FOR }, JUST_CONNECTED);
+                server.close_idle(
+                    if all { JUST_CONNECTED } else { DRAINS_IDLE_FOR },
+                    JUST_CONNECTED,
+                );
                 sleep(JUST_CONNECTED / 2).await;
             }
         });
@@ -84,7 +89,11 @@
     /// Idle connections end now, but for those that have hardly come and may be about to ask; the others after their answer.
     /// In the end there is no time for an answer to what has not come whole: that is turned away.
     pub fn close(&self) {
-        if self.leaving.get().is_some_and(|leaving| Instant::now() >= leaving.requests_until) {
+        if self
+            .leaving
+            .get()
+            .is_some_and(|leaving| Instant::now() >= leaving.requests_until)
+        {
             self.idle.borrow().values().for_each(|i| i.end.notify_one());
         } else {
             self.close_idle(Duration::ZERO, ASKS_WITHIN);
@@ -95,9 +104,14 @@
     /// begun is not idle.
     pub(super) fn close_idle(&self, least: Duration, new: Duration) {
         let now = Instant::now();
-        let idle =
-            |i: &&IdleConnection| !i.begun && now - i.since >= if i.kept { least } else { least.max(new) };
-        self.idle.borrow().values().filter(idle).for_each(|i| i.end.notify_one());
+        let idle = |i: &&IdleConnection| {
+            !i.begun && now - i.since >= if i.kept { least } else { least.max(new) }
+        };
+        self.idle
+            .borrow()
+            .values()
+            .filter(idle)
+            .for_each(|i| i.end.notify_one());
     }
 
     /// Lets go of connections that have been idle for a while.
@@ -109,8 +123,14 @@
     pub(super) fn evict_idle(&self) -> bool {
         let now = Instant::now();
         let idle = self.idle.borrow();
-        let may_end =
-            |i: &&IdleConnection| now - i.since >= if i.kept { KEEPALIVE_AT_LEAST } else { ASKS_WITHIN };
+        let may_end = |i: &&IdleConnection| {
+            now - i.since
+                >= if i.kept {
+                    KEEPALIVE_AT_LEAST
+                } else {
+                    ASKS_WITHIN
+                }
+        };
         let longest = idle.values().filter(may_end).min_by_key(|i| i.since);
         longest.inspect(|i| i.end.notify_one()).is_some()
     }
--- a/crates/http1/src/server/listener.rs
+++ b/crates/http1/src/server/listener.rs
@@ -29,7 +29,9 @@
                 self.turned.notified().await;
             }
             // Guards against running out of descriptors: those that are idle make room.
-            while self.open() - self.lingering.get() >= self.most.get() - self.most.get() / LINGERING {
+            while self.open() - self.lingering.get()
+                >= self.most.get() - self.most.get() / LINGERING
+            {
                 unattended_since.get_or_insert_with(Instant::now);
                 match self.evict_idle() {
                     true => yield_now().await,
@@ -79,7 +81,12 @@
         let number = client.number;
         debug!(connection = number, "connection.accepted");
         let orderly = self.converse(&mut client).await;
-        debug!(connection = number, orderly, reason = client.close_reason, "connection.closed");
+        debug!(
+            connection = number,
+            orderly,
+            reason = client.close_reason,
+            "connection.closed"
+        );
         if orderly {
             let most = self.most.get() / LINGERING;
             // Where many end at once, or to make room, the last of them do without.
--- a/crates/http1/src/server/mod.rs
+++ b/crates/http1/src/server/mod.rs
@@ -85,7 +85,8 @@
     /// Requests under way have all places but those that others need to be heard at all.
     fn crowded(&self) -> bool {
         let most = self.most.get();
-        self.open.get() - self.lingering.get() - self.idle.borrow().len() > most - most / RESERVED_FRACTION
+        self.open.get() - self.lingering.get() - self.idle.borrow().len()
+            > most - most / RESERVED_FRACTION
     }
 
     pub fn open(&self) -> usize {
--- a/crates/http1/src/server/relay.rs
+++ b/crates/http1/src/server/relay.rs
@@ -29,7 +29,9 @@
         old: bool,
         added: &str,
     ) -> bool {
-        let Ok(mut passing) = rest.downcast::<Passing>() else { return false };
+        let Ok(mut passing) = rest.downcast::<Passing>() else {
+            return false;
+        };
         let length = passing.length();
         let chunked = length.is_none() && !old;
         if length.is_none() && old {
@@ -55,7 +57,11 @@
             if ended && chunked {
                 out.extend_from_slice(b"0\r\n\r\n");
             }
-            let written = timeout(BODY_STALL_TIMEOUT, write_all(&client.stream, &out, &Cell::new(0))).await;
+            let written = timeout(
+                BODY_STALL_TIMEOUT,
+                write_all(&client.stream, &out, &Cell::new(0)),
+            )
+            .await;
             if !matches!(written, Ok(Ok(()))) {
                 return false;
             }
@@ -65,7 +71,10 @@
                 return true;
             }
             out.clear();
-            match client.while_there(pin!(timeout(BODY_STALL_TIMEOUT, passing.go_on(&mut part)))).await {
+            match client
+                .while_there(pin!(timeout(BODY_STALL_TIMEOUT, passing.go_on(&mut part))))
+                .await
+            {
                 Some(Ok(Ok(whole))) => ended = whole,
                 // Spoilt, cut short, silent, or for nobody.
                 _ => return false,
