--- a/crates/http1/src/server/request.rs
+++ b/crates/http1/src/server/request.rs
@@ -71,18 +71,28 @@
             ask.gone_at = arrived_at + ask.patience;
             if !ask.safe {
                 // As a length, whatever form it came in.
-                ask.forward.head.extend(format!("Content-Length: {}\r\n", self.body.len()).into_bytes());
+                ask.forward
+                    .head
+                    .extend(format!("Content-Length: {}\r\n", self.body.len()).into_bytes());
             }
             ask.forward.body = std::mem::take(&mut self.body);
             ask.forward.room = self.room.take();
         }
-        Asked { ask, close: self.close, old: self.old }
+        Asked {
+            ask,
+            close: self.close,
+            old: self.old,
+        }
     }
 }
 
 impl HttpServer {
     /// Moves what has come of a body to where it is kept; whether that was all.
-    pub(super) fn take_body(&self, head: &mut Head, buffer: &mut Vec<u8>) -> Result<bool, BadRequest> {
+    pub(super) fn take_body(
+        &self,
+        head: &mut Head,
+        buffer: &mut Vec<u8>,
+    ) -> Result<bool, BadRequest> {
         if head.body.capacity() - head.body.len() < buffer.len() {
             head.body.reserve_exact(buffer.len().max(4 * CHUNK));
         }
@@ -92,9 +102,9 @@
                 head.body.extend(buffer.drain(..n));
                 head.body.len() == *length
             }
-            BodyFraming::Chunked(chunked) => {
-                chunked.take(buffer, &mut head.body).map_err(|_| BadRequest::Malformed)?
-            }
+            BodyFraming::Chunked(chunked) => chunked
+                .take(buffer, &mut head.body)
+                .map_err(|_| BadRequest::Malformed)?,
         };
         if head.body.len() > BULK_BYTES {
             return Err(BadRequest::BodyTooLong);
@@ -103,7 +113,12 @@
             let room = head.room.get_or_insert_with(|| self.upstream.room());
             if !room.holds(head.body.capacity()) {
                 if let Some(ask) = &head.ask {
-                    self.unsent(ask.forward.class, Answer::Refused { retry_after: NO_ROOM });
+                    self.unsent(
+                        ask.forward.class,
+                        Answer::Refused {
+                            retry_after: NO_ROOM,
+                        },
+                    );
                 }
                 return Err(BadRequest::NoRoom);
             }
@@ -129,7 +144,9 @@
         // send a length, and once.
         let old = request.version != Some(1);
         let length = content_length(h).map_err(|()| BadRequest::Header("Content-Length"))?;
-        let mut codings = h.iter().filter(|h| h.name.eq_ignore_ascii_case("transfer-encoding"));
+        let mut codings = h
+            .iter()
+            .filter(|h| h.name.eq_ignore_ascii_case("transfer-encoding"));
         let framing = match (length, codings.next(), codings.next()) {
             (length, None, _) => BodyFraming::Length(length.unwrap_or(0)),
             (None, Some(coding), None)
@@ -149,11 +166,26 @@
             && header(h, "expect").is_some_and(|e| e.trim().eq_ignore_ascii_case("100-continue"));
         let (body, room) = (Vec::new(), None);
         if path == "/ready" && bare {
-            return Ok(Head { end, framing, body, room, expects, close, old, ask: None });
+            return Ok(Head {
+                end,
+                framing,
+                body,
+                room,
+                expects,
+                close,
+                old,
+                ask: None,
+            });
         }
         let set = &self.settings;
-        let first = path.strip_prefix('/').and_then(|p| p.split(['/', '?']).next());
-        let class = set.classes.iter().find(|c| Some(&*c.name) == first).ok_or(BadRequest::Path)?;
+        let first = path
+            .strip_prefix('/')
+            .and_then(|p| p.split(['/', '?']).next());
+        let class = set
+            .classes
+            .iter()
+            .find(|c| Some(&*c.name) == first)
+            .ok_or(BadRequest::Path)?;
         if !path.bytes().all(|b| b.is_ascii_graphic()) {
             return Err(BadRequest::Path);
         }
@@ -170,15 +202,23 @@
         let trace = text(h, "X-Trace-Id")?;
         let id = hex16(trace).ok_or(BadRequest::Header("X-Trace-Id"))?;
         let customer = text(h, "X-Api-Key")?;
-        hex16(customer).filter(|&c| c < CUSTOMERS).ok_or(BadRequest::Header("X-Api-Key"))?;
+        hex16(customer)
+            .filter(|&c| c < CUSTOMERS)
+            .ok_or(BadRequest::Header("X-Api-Key"))?;
         let plan = text(h, "X-Tier")?;
-        let plan = set.plans.iter().find(|p| p.name == plan).ok_or(BadRequest::Header("X-Tier"))?;
+        let plan = set
+            .plans
+            .iter()
+            .find(|p| p.name == plan)
+            .ok_or(BadRequest::Header("X-Tier"))?;
         let patience = text(h, "X-Expires-In")?.parse::<f64>().ok();
         let patience = patience.filter(|&s| s > 0.0 && s <= MOST_PATIENCE_S);
         let patience = Duration::from_secs_f64(patience.ok_or(BadRequest::Header("X-Expires-In"))?);
-        let terms = Terms::parse(text(h, "X-Call-Terms")?, set).ok_or(BadRequest::Header("X-Call-Terms"))?;
+        let terms = Terms::parse(text(h, "X-Call-Terms")?, set)
+            .ok_or(BadRequest::Header("X-Call-Terms"))?;
         let host = text(h, "Host").unwrap_or("backend.local");
-        let mut head = format!("{method} {path} HTTP/1.1\r\nHost: {host}\r\nX-Trace-Id: {trace}\r\n");
+        let mut head =
+            format!("{method} {path} HTTP/1.1\r\nHost: {host}\r\nX-Trace-Id: {trace}\r\n");
         // Clients send a key where servers drop repeats by it, and only there. None is made up: what may not be repeated
         // stays what it is. One that comes all the same goes on.
         let keyed = matches!(class.effect, Effect::Keyed { .. });
@@ -202,7 +242,11 @@
             pin: None,
             lower: false,
         };
-        let wants = self.rules.as_ref().map(|r| r.wants()).filter(|w| !w.0.is_empty());
+        let wants = self
+            .rules
+            .as_ref()
+            .map(|r| r.wants())
+            .filter(|w| !w.0.is_empty());
         let shown = wants.map_or_else(Vec::new, |wants| {
             let named = |name: &String| Some((name.clone(), header(h, name)?.to_string()));
             wants.0.iter().filter_map(named).collect()
@@ -210,11 +254,32 @@
         // Nobody waits past the class's deadline, whatever the header says: what is kept for a request is short-lived.
         let patience = patience.min(Duration::from_micros(class.deadline_us));
         let class = self.engine.tally().class(&class.name);
-        let forward = Forward { head: head.into(), body: Vec::new(), room: None, class };
+        let forward = Forward {
+            head: head.into(),
+            body: Vec::new(),
+            room: None,
+            class,
+        };
         // Counted from the last byte, which comes later.
         let gone_at = Instant::now();
-        let ask = Some(Box::new(Ask { request, patience, gone_at, safe, forward, shown }));
-        Ok(Head { end, framing, body, room, expects, close, old, ask })
+        let ask = Some(Box::new(Ask {
+            request,
+            patience,
+            gone_at,
+            safe,
+            forward,
+            shown,
+        }));
+        Ok(Head {
+            end,
+            framing,
+            body,
+            room,
+            expects,
+            close,
+            old,
+            ask,
+        })
     }
 }
 
@@ -237,8 +302,11 @@
             let mut parts = text.split(',').filter_map(|p| p.trim().split_once('='));
             parts.find(|(n, _)| *n == name)?.1.parse().ok()
         }
-        let terms =
-            Terms { units: find(text, "units")?, spread: find(text, "spread")?, first: find(text, "first")? };
+        let terms = Terms {
+            units: find(text, "units")?,
+            spread: find(text, "spread")?,
+            first: find(text, "first")?,
+        };
         let fine = text.split(',').count() == 3
             && terms.units > 0.0
             && terms.units <= set.most_units
@@ -303,10 +371,15 @@
 
 /// A header that must be there once, as text that can go on as it is.
 fn text<'a>(headers: &[Header<'a>], name: &'static str) -> Result<&'a str, BadRequest> {
-    let mut all = headers.iter().filter(|h| h.name.eq_ignore_ascii_case(name)).map(|h| h.value);
+    let mut all = headers
+        .iter()
+        .filter(|h| h.name.eq_ignore_ascii_case(name))
+        .map(|h| h.value);
     let plain = |v: &&[u8]| !v.is_empty() && v.iter().all(|b| (b' '..=b'~').contains(b));
     let value = all.next().filter(plain).filter(|_| all.next().is_none());
-    value.and_then(|v| std::str::from_utf8(v).ok()).ok_or(BadRequest::Header(name))
+    value
+        .and_then(|v| std::str::from_utf8(v).ok())
+        .ok_or(BadRequest::Header(name))
 }
 
 fn hex16(text: &str) -> Option<u64> {
--- a/crates/http1/src/server/response.rs
+++ b/crates/http1/src/server/response.rs
@@ -37,6 +37,11 @@
 
 /// An answer as it is written; each of the `headers` has its end.
 pub(super) fn response(status: &str, headers: &str, close: bool, body: &[u8]) -> Vec<u8> {
-    let head = answer_head(status, headers, close, &format!("Content-Length: {}\r\n", body.len()));
+    let head = answer_head(
+        status,
+        headers,
+        close,
+        &format!("Content-Length: {}\r\n", body.len()),
+    );
     [head.as_bytes(), body].concat()
 }
--- a/crates/http1/src/staleness.rs
+++ b/crates/http1/src/staleness.rs
@@ -26,7 +26,9 @@
     const KEPT: f64 = 0.93;
 
     pub fn note(&mut self, idle: Duration, lost: bool) {
-        let doublings = (idle.as_secs_f64() / Self::LEAST.as_secs_f64()).max(1.0).log2() as usize;
+        let doublings = (idle.as_secs_f64() / Self::LEAST.as_secs_f64())
+            .max(1.0)
+            .log2() as usize;
         let tally = &mut self.0[doublings.min(self.0.len() - 1)];
         tally.used += 1.0;
         tally.lost += f64::from(u8::from(lost));
--- a/crates/lab/src/choices.rs
+++ b/crates/lab/src/choices.rs
@@ -48,14 +48,33 @@
         let r = one(with, lasts);
         let name = |what: &str| format!("{name}_{what}");
         let bound = |limit: f64| if with { limit } else { f64::INFINITY };
-        figures.show(&name("to_a_failing_server_in_3_s"), r.found_out as f64, "requests");
+        figures.show(
+            &name("to_a_failing_server_in_3_s"),
+            r.found_out as f64,
+            "requests",
+        );
         let turns = (lasts.as_secs_f64() / 4.0 + 2.0).ceil();
-        figures.at_most(&name("to_it_after"), r.kept_out as f64, "requests", bound(turns));
+        figures.at_most(
+            &name("to_it_after"),
+            r.kept_out as f64,
+            "requests",
+            bound(turns),
+        );
         figures.show(&name("to_a_slow_server"), r.slow as f64, "requests");
         figures.at_most(&name("back_after"), r.back, "s", bound(10.0));
         figures.at_most(&name("third_gone_dealt_anew"), r.covered, "s", bound(2.5));
-        figures.at_most(&name("servers_without_requests_then"), r.uncovered as f64, "servers", bound(0.0));
-        figures.at_most(&name("taken_out_by_one_that_accuses_all"), r.taken_out as f64, "servers", 0.0);
+        figures.at_most(
+            &name("servers_without_requests_then"),
+            r.uncovered as f64,
+            "servers",
+            bound(0.0),
+        );
+        figures.at_most(
+            &name("taken_out_by_one_that_accuses_all"),
+            r.taken_out as f64,
+            "servers",
+            0.0,
+        );
         for (k, part) in ["in_health", "in_two_halves", "by_four"].iter().enumerate() {
             figures.at_least(
                 &name(&format!("jain_{part}")),
@@ -67,9 +86,19 @@
         }
         figures.at_most(&name("work_to_a_cold_server"), r.cold, "of-can", 4.0);
         figures.show(&name("requests"), r.asked as f64, "requests");
-        figures.at_least(&name("served"), r.served as f64 / r.asked as f64, "of-asked", 0.98);
+        figures.at_least(
+            &name("served"),
+            r.served as f64 / r.asked as f64,
+            "of-asked",
+            0.98,
+        );
         figures.at_most(&name("unanswered"), r.unanswered as f64, "requests", 0.0);
-        figures.at_most(&name("top_ups_at_two_servers"), r.twice as f64, "requests", 0.0);
+        figures.at_most(
+            &name("top_ups_at_two_servers"),
+            r.twice as f64,
+            "requests",
+            0.0,
+        );
     }
 }
 
@@ -78,7 +107,11 @@
     let of = |console: SocketAddr| {
         let json: Value = serde_json::from_str(&call(console, "GET", "/fleet", "")?.1).ok()?;
         let figure = |name: &str| json["choices"][name].as_u64();
-        Some([figure("gateways")?, figure("servers_used")?, figure("servers_out")?])
+        Some([
+            figure("gateways")?,
+            figure("servers_used")?,
+            figure("servers_out")?,
+        ])
     };
     let running = site.stage.processes.iter().filter(|p| p.runs());
     running.map(|p| p.console().and_then(of)).collect()
@@ -99,7 +132,11 @@
 fn evenness(site: &Site, lasts: Duration) -> (f64, f64) {
     let since = Instant::now();
     pause(lasts);
-    let got: Vec<f64> = site.servers.iter().map(|s| s.came_since(since) as f64).collect();
+    let got: Vec<f64> = site
+        .servers
+        .iter()
+        .map(|s| s.came_since(since) as f64)
+        .collect();
     (jain(&got), worst(&got))
 }
 
@@ -107,26 +144,38 @@
     let runtime = Runtime::new().expect("a runtime");
     let on = runtime.handle();
     // Nobody listens there: its list tells other addresses under the names of all.
-    let nobody = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
-    let wrong: Vec<String> =
-        (0..SERVERS).map(|n| target(&format!("s{n}"), nobody, n as u64, "Ready")).collect();
+    let nobody = TcpListener::bind("127.0.0.1:0")
+        .and_then(|l| l.local_addr())
+        .expect("a port");
+    let wrong: Vec<String> = (0..SERVERS)
+        .map(|n| target(&format!("s{n}"), nobody, n as u64, "Ready"))
+        .collect();
     let blind = Discovery::new(&wrong.join(","));
     let of = |n: usize| (n, format!("name = \"n{n}\"\nchoices = {with}\n"));
     let at = |n| (n == ACCUSER).then_some(blind.address);
     let mut site = Site::listing(on, 1, (ALL, ALL), SERVERS, |n, _| of(n), at);
     let mut row = Row::default();
     let dealt = |site: &Site, gateways: u64| {
-        until(|| !with || says(site).iter().all(|s| s.is_some_and(|s| s[0] == gateways)))
+        until(|| {
+            !with
+                || says(site)
+                    .iter()
+                    .all(|s| s.is_some_and(|s| s[0] == gateways))
+        })
     };
 
     // Four, then all but the one that finds every server dead.
-    site.act(Act::Start { who: (0..4).collect() });
+    site.act(Act::Start {
+        who: (0..4).collect(),
+    });
     site.agrees(4);
     dealt(&site, 4);
     site.load(on, 1);
     pause(Duration::from_secs(1));
     row.even[2] = evenness(&site, lasts);
-    site.act(Act::Start { who: (4..ACCUSER).collect() });
+    site.act(Act::Start {
+        who: (4..ACCUSER).collect(),
+    });
     site.agrees(ACCUSER);
     dealt(&site, ACCUSER as u64);
     pause(Duration::from_secs(1));
@@ -164,7 +213,10 @@
     row.uncovered = {
         let since = Instant::now();
         pause(Duration::from_secs(3));
-        site.servers.iter().filter(|s| s.came_since(since) == 0).count()
+        site.servers
+            .iter()
+            .filter(|s| s.came_since(since) == 0)
+            .count()
     };
     site.act(Act::Start { who: vec![0, 4, 8] });
     site.agrees(ACCUSER);
@@ -181,7 +233,10 @@
                 .with("X-Trace-Id", &format!("{n:016x}"));
             let _ = frosthatch_standins::Client::at(at).ask(&ask.text());
         }
-        let others = says(&site).into_iter().enumerate().filter(|(n, _)| *n != ACCUSER);
+        let others = says(&site)
+            .into_iter()
+            .enumerate()
+            .filter(|(n, _)| *n != ACCUSER);
         let most = others.filter_map(|(_, s)| s.map(|s| s[2] as usize)).max();
         row.taken_out = row.taken_out.max(most.unwrap_or(0));
         pause(Duration::from_millis(100));
@@ -189,10 +244,20 @@
     site.stage.act(&Act::Kill { who: vec![ACCUSER] });
 
     // A cold one comes.
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    let cold = Server::with_meter(on, ([127, 0, 0, 1], 0).into(), true, Some(site.meter.clone()));
+    let since = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
+    let cold = Server::with_meter(
+        on,
+        ([127, 0, 0, 1], 0).into(),
+        true,
+        Some(site.meter.clone()),
+    );
     let newcomer = started("s-cold", cold.address, 999, "Ready", since.as_millis());
-    site.agent.post(true, &listed(&site.servers, "Ready", &format!(",{newcomer}")));
+    site.agent.post(
+        true,
+        &listed(&site.servers, "Ready", &format!(",{newcomer}")),
+    );
     pause(lasts);
     row.cold = cold.worst_multiple(Duration::from_secs(3));
 
--- a/crates/lab/src/choices_size.rs
+++ b/crates/lab/src/choices_size.rs
@@ -25,7 +25,14 @@
 
 enum What {
     Ask(usize),
-    Ends { by: usize, id: RequestId, attempt: u32, server: usize, status: Status, took: u64 },
+    Ends {
+        by: usize,
+        id: RequestId,
+        attempt: u32,
+        server: usize,
+        status: Status,
+        took: u64,
+    },
     Wakes(usize, Timer),
     Words,
     Hears(usize, u32, Words),
@@ -65,13 +72,21 @@
 
 fn entry(n: usize, started_us: u64) -> ServerEntry {
     let zone = ["a", "b", "c"][n % 3];
-    ServerEntry { cell: n as u64 / 4, started_us, ..ServerEntry::ready(&name(n).0, zone) }
+    ServerEntry {
+        cell: n as u64 / 4,
+        started_us,
+        ..ServerEntry::ready(&name(n).0, zone)
+    }
 }
 
 impl World {
     fn new(gateways: usize, servers: usize, talk: bool, seed: u64) -> World {
         let one = |me: usize| {
-            let mut set = Settings { gateways: gateways as u32, me: me as u32, ..Settings::example() };
+            let mut set = Settings {
+                gateways: gateways as u32,
+                me: me as u32,
+                ..Settings::example()
+            };
             (set.plans[0].rate, set.plans[0].burst) = (1e6, 1e6);
             Gateway::new(set, seed ^ me as u64).expect("settings")
         };
@@ -81,7 +96,13 @@
             now: 1_000 * S,
             rng: Pcg64Mcg::seed_from_u64(seed),
             gateways: (0..gateways).map(|n| Some(one(n))).collect(),
-            servers: (0..servers).map(|_| Server { cores: [0; CORES], fails: false, came: 0 }).collect(),
+            servers: (0..servers)
+                .map(|_| Server {
+                    cores: [0; CORES],
+                    fails: false,
+                    came: 0,
+                })
+                .collect(),
             places: (0..servers).map(|n| (name(n), n)).collect(),
             due: BinaryHeap::new(),
             to_come: BTreeMap::new(),
@@ -98,7 +119,13 @@
         };
         let entries: Vec<ServerEntry> = (0..servers).map(|n| entry(n, 0)).collect();
         for by in 0..gateways {
-            w.tell(by, Event::Servers { kind: ListKind::Complete, entries: entries.clone() });
+            w.tell(
+                by,
+                Event::Servers {
+                    kind: ListKind::Complete,
+                    entries: entries.clone(),
+                },
+            );
             let first = w.wait();
             w.comes(first, What::Ask(by));
         }
@@ -122,12 +149,18 @@
 
     fn tell(&mut self, by: usize, event: Event) {
         let mut out = Vec::new();
-        let Some(gateway) = &mut self.gateways[by] else { return };
+        let Some(gateway) = &mut self.gateways[by] else {
+            return;
+        };
         gateway.handle(self.now, event, &mut out);
         for action in out {
             match action {
-                Action::Send { request, server, .. } => self.send(by, request, &server),
-                Action::SetTimer { after_us, timer } => self.comes(after_us, What::Wakes(by, timer)),
+                Action::Send {
+                    request, server, ..
+                } => self.send(by, request, &server),
+                Action::SetTimer { after_us, timer } => {
+                    self.comes(after_us, What::Wakes(by, timer))
+                }
                 _ => {}
             }
         }
@@ -151,13 +184,27 @@
         let next = self.tries.entry(id).or_default();
         let attempt = *next;
         *next += 1;
-        self.comes(took, What::Ends { by, id, attempt, server: place, status, took });
+        self.comes(
+            took,
+            What::Ends {
+                by,
+                id,
+                attempt,
+                server: place,
+                status,
+                took,
+            },
+        );
     }
 
     fn step(&mut self) {
-        let Some(Reverse((at, number))) = self.due.pop() else { return };
+        let Some(Reverse((at, number))) = self.due.pop() else {
+            return;
+        };
         self.now = at;
-        let Some(what) = self.to_come.remove(&number) else { return };
+        let Some(what) = self.to_come.remove(&number) else {
+            return;
+        };
         match what {
             What::Ask(by) => {
                 if self.gateways[by].is_none() {
@@ -170,7 +217,14 @@
                 let next = self.wait();
                 self.comes(next, What::Ask(by));
             }
-            What::Ends { by, id, attempt, server, status, took } => {
+            What::Ends {
+                by,
+                id,
+                attempt,
+                server,
+                status,
+                took,
+            } => {
                 let mut o = Outcome::new(id, attempt, name(server), status, took);
                 o.closed = status == Status::Served;
                 self.served += usize::from(o.closed);
@@ -183,7 +237,9 @@
             What::Wakes(by, timer) => self.tell(by, Event::Timer(timer)),
             What::Words => {
                 for by in 0..self.gateways.len() {
-                    let Some(gateway) = self.gateways[by].as_ref().filter(|_| self.talk) else { continue };
+                    let Some(gateway) = self.gateways[by].as_ref().filter(|_| self.talk) else {
+                        continue;
+                    };
                     let words = gateway.words();
                     if words.of.is_empty() {
                         continue;
@@ -224,12 +280,26 @@
     let lasts = seconds.unwrap_or(10) * S;
     for (gateways, servers) in [(300, 200), (64, 5_000)] {
         for (how, talk) in [("told", true), ("alone", false)] {
-            one(gateways, servers, talk, lasts, &format!("{gateways}_by_{servers}_{how}"), figures);
+            one(
+                gateways,
+                servers,
+                talk,
+                lasts,
+                &format!("{gateways}_by_{servers}_{how}"),
+                figures,
+            );
         }
     }
 }
 
-fn one(gateways: usize, servers: usize, talk: bool, lasts: u64, prefix: &str, figures: &mut Figures) {
+fn one(
+    gateways: usize,
+    servers: usize,
+    talk: bool,
+    lasts: u64,
+    prefix: &str,
+    figures: &mut Figures,
+) {
     let seed = 7;
     figures.say(&format!("{prefix}: seed {seed}"));
     let began = Instant::now();
@@ -239,13 +309,25 @@
     (w.met, w.attempts, w.took) = (BTreeSet::new(), 0, Vec::new());
     let got = w.got(lasts, 0..servers);
     // Of few requests a server chance alone is uneven.
-    let even = if got.iter().sum::<f64>() > 30.0 * servers as f64 { 0.9 } else { 0.0 };
+    let even = if got.iter().sum::<f64>() > 30.0 * servers as f64 {
+        0.9
+    } else {
+        0.0
+    };
     figures.at_least(&name("jain"), jain(&got), "of-1", even);
     figures.show(&name("least_used"), worst(&got), "of-mean");
     figures.show(&name("most_used"), most(&got), "of-mean");
-    figures.show(&name("met_an_attempt"), w.met.len() as f64 / w.attempts as f64, "pairs");
+    figures.show(
+        &name("met_an_attempt"),
+        w.met.len() as f64 / w.attempts as f64,
+        "pairs",
+    );
     w.took.sort_unstable();
-    figures.show(&name("p99"), w.took[w.took.len() * 99 / 100] as f64 / 1e3, "ms");
+    figures.show(
+        &name("p99"),
+        w.took[w.took.len() * 99 / 100] as f64 / 1e3,
+        "ms",
+    );
 
     // One fails everything at once, and is well again.
     w.servers[8].fails = true;
@@ -253,12 +335,21 @@
     let after = w.got(lasts, 0..servers)[8];
     let well = (w.per_s * gateways as f64 / servers as f64) * lasts as f64 / 1e6;
     figures.show(&name("to_a_failing_one_in_3_s"), found, "requests");
-    let bound = if talk { lasts as f64 / 4e6 + 3.0 } else { f64::INFINITY };
+    let bound = if talk {
+        lasts as f64 / 4e6 + 3.0
+    } else {
+        f64::INFINITY
+    };
     figures.at_most(&name("to_it_after"), after, "requests", bound);
     w.servers[8].fails = false;
     w.run(5 * S);
     let back = w.got(lasts, 0..servers)[8] / well;
-    figures.at_least(&name("back"), back, "of-due", if talk && even > 0.0 { 0.5 } else { 0.0 });
+    figures.at_least(
+        &name("back"),
+        back,
+        "of-due",
+        if talk && even > 0.0 { 0.5 } else { 0.0 },
+    );
 
     // A third dies at once; the others know after a while, where they talk.
     let left: Vec<u32> = (0..gateways as u32).filter(|n| n % 3 > 0).collect();
@@ -268,14 +359,23 @@
         w.tell(*n as usize, Event::Gateways(left.clone()));
     }
     let got = w.got(lasts, 0..servers);
-    figures.at_least(&name("jain_two_thirds"), jain(&got), "of-1", if talk { even } else { 0.0 });
+    figures.at_least(
+        &name("jain_two_thirds"),
+        jain(&got),
+        "of-1",
+        if talk { even } else { 0.0 },
+    );
     figures.show(&name("most_used_by_two_thirds"), most(&got), "of-mean");
     let unused = got.iter().filter(|g| **g == 0.0).count();
     figures.at_most(
         &name("unused_by_two_thirds"),
         unused as f64,
         "servers",
-        if talk && even > 0.0 { 0.0 } else { f64::INFINITY },
+        if talk && even > 0.0 {
+            0.0
+        } else {
+            f64::INFINITY
+        },
     );
 
     // Six in ten are replaced by cold ones within 7 s, a tenth of that at a time.
@@ -284,22 +384,48 @@
     for step in 0..10 {
         let some = replaced * step / 10..replaced * (step + 1) / 10;
         let now = w.now;
-        let gone = some.clone().map(|n| ServerEntry { health: Health::Draining, ..entry(n, 0) });
+        let gone = some.clone().map(|n| ServerEntry {
+            health: Health::Draining,
+            ..entry(n, 0)
+        });
         let came = some.clone().map(|n| entry(servers + n, now));
         let entries: Vec<ServerEntry> = gone.chain(came).collect();
         for n in some {
             w.places.insert(self::name(servers + n), w.servers.len());
-            w.servers.push(Server { cores: [0; CORES], fails: false, came: 0 });
+            w.servers.push(Server {
+                cores: [0; CORES],
+                fails: false,
+                came: 0,
+            });
         }
         for by in left.iter() {
-            w.tell(*by as usize, Event::Servers { kind: ListKind::Partial, entries: entries.clone() });
+            w.tell(
+                *by as usize,
+                Event::Servers {
+                    kind: ListKind::Partial,
+                    entries: entries.clone(),
+                },
+            );
         }
         w.run(700 * MS);
     }
-    figures.show(&name("met_an_attempt_in_a_release"), w.met.len() as f64 / w.attempts as f64, "pairs");
+    figures.show(
+        &name("met_an_attempt_in_a_release"),
+        w.met.len() as f64 / w.attempts as f64,
+        "pairs",
+    );
     w.run(20 * S);
     let got = w.got(lasts, replaced..servers + replaced);
-    figures.at_least(&name("jain_after_a_release"), jain(&got), "of-1", if talk { even } else { 0.0 });
-    figures.show(&name("served"), w.served as f64 / w.asked as f64, "of-asked");
+    figures.at_least(
+        &name("jain_after_a_release"),
+        jain(&got),
+        "of-1",
+        if talk { even } else { 0.0 },
+    );
+    figures.show(
+        &name("served"),
+        w.served as f64 / w.asked as f64,
+        "of-asked",
+    );
     figures.show(&name("play_took"), began.elapsed().as_secs_f64(), "s");
 }
--- a/crates/lab/src/counter_faults.rs
+++ b/crates/lab/src/counter_faults.rs
@@ -29,8 +29,18 @@
     ceiling: Option<(f64, f64)>,
 }
 
-const COUNTED: Quota = Quota { plan: "counted", rate: 6.0, burst: 24.0, ceiling: None };
-const LARGE: Quota = Quota { plan: "counted-large", rate: 40.0, burst: 80.0, ceiling: Some((85.0, 170.0)) };
+const COUNTED: Quota = Quota {
+    plan: "counted",
+    rate: 6.0,
+    burst: 24.0,
+    ceiling: None,
+};
+const LARGE: Quota = Quota {
+    plan: "counted-large",
+    rate: 40.0,
+    burst: 80.0,
+    ceiling: Some((85.0, 170.0)),
+};
 
 /// Who asks, and what of: requests a second beside the quota's rate, and how they are spread over the gateways.
 struct Customer {
@@ -61,7 +71,11 @@
     let mut all = Vec::new();
     let mut add = |quota, of_rate| {
         let key = 100 + all.len() as u32;
-        all.push(Customer { key, quota, of_rate });
+        all.push(Customer {
+            key,
+            quota,
+            of_rate,
+        });
     };
     (0..14).for_each(|n| add(&COUNTED, [0.3, 0.5, 0.6, 0.8][n % 4]));
     (0..3).for_each(|n| add(&LARGE, [0.5, 0.7, 0.9][n]));
@@ -86,25 +100,84 @@
     begin: fn(&SharedCounter, &Meter),
     end: fn(&SharedCounter, &Meter),
 ) -> Fault {
-    Fault { name, lasts, begin, end, moves: false }
+    Fault {
+        name,
+        lasts,
+        begin,
+        end,
+        moves: false,
+    }
 }
 
 const FAULTS: [Fault; 15] = [
     fault("nothing", 10, |_, _| {}, |_, _| {}),
-    fault("lost_1s", 1, |c, _| c.lose(None, true), |c, _| c.lose(None, false)),
-    fault("lost_10s", 10, |c, _| c.lose(None, true), |c, _| c.lose(None, false)),
-    fault("lost_60s", 60, |c, _| c.lose(None, true), |c, _| c.lose(None, false)),
-    fault("one_part_lost", 10, |c, _| c.lose(Some(0), true), |c, _| c.lose(Some(0), false)),
+    fault(
+        "lost_1s",
+        1,
+        |c, _| c.lose(None, true),
+        |c, _| c.lose(None, false),
+    ),
+    fault(
+        "lost_10s",
+        10,
+        |c, _| c.lose(None, true),
+        |c, _| c.lose(None, false),
+    ),
+    fault(
+        "lost_60s",
+        60,
+        |c, _| c.lose(None, true),
+        |c, _| c.lose(None, false),
+    ),
+    fault(
+        "one_part_lost",
+        10,
+        |c, _| c.lose(Some(0), true),
+        |c, _| c.lose(Some(0), false),
+    ),
     fault("split", 60, |c, _| c.split(), |c, _| c.heal()),
-    Fault { moves: true, ..fault("split_and_move", 20, |c, _| c.split(), |c, _| c.heal()) },
+    Fault {
+        moves: true,
+        ..fault("split_and_move", 20, |c, _| c.split(), |c, _| c.heal())
+    },
     fault("swapped", 10, |c, _| c.swap(false), |_, _| {}),
     fault("swapped_broken", 10, |c, _| c.swap(true), |_, _| {}),
-    fault("swapped_back", 10, |c, _| c.swap(false), |c, _| c.swap_back()),
-    fault("late_1s", 10, |c, _| c.delay(Duration::from_secs(1)), |c, _| c.delay(Duration::ZERO)),
-    fault("lies_higher", 10, |c, _| c.lie(Some((30, Lie::Higher(500.0)))), |c, _| c.lie(None)),
-    fault("lies_lower", 10, |c, _| c.lie(Some((30, Lie::Lower(500.0)))), |c, _| c.lie(None)),
-    fault("no_number", 10, |c, _| c.lie(Some((30, Lie::NoNumber))), |c, _| c.lie(None)),
-    fault("counter_and_meter_lost", 10, |c, m| lose_both(c, m, true), |c, m| lose_both(c, m, false)),
+    fault(
+        "swapped_back",
+        10,
+        |c, _| c.swap(false),
+        |c, _| c.swap_back(),
+    ),
+    fault(
+        "late_1s",
+        10,
+        |c, _| c.delay(Duration::from_secs(1)),
+        |c, _| c.delay(Duration::ZERO),
+    ),
+    fault(
+        "lies_higher",
+        10,
+        |c, _| c.lie(Some((30, Lie::Higher(500.0)))),
+        |c, _| c.lie(None),
+    ),
+    fault(
+        "lies_lower",
+        10,
+        |c, _| c.lie(Some((30, Lie::Lower(500.0)))),
+        |c, _| c.lie(None),
+    ),
+    fault(
+        "no_number",
+        10,
+        |c, _| c.lie(Some((30, Lie::NoNumber))),
+        |c, _| c.lie(None),
+    ),
+    fault(
+        "counter_and_meter_lost",
+        10,
+        |c, m| lose_both(c, m, true),
+        |c, m| lose_both(c, m, false),
+    ),
 ];
 
 fn lose_both(counter: &SharedCounter, meter: &Meter, lost: bool) {
@@ -135,7 +208,9 @@
         thread::scope(|s| {
             for _ in 0..AT_ONCE {
                 s.spawn(|| loop {
-                    let Some(n) = next.lock().expect("faults").next() else { return };
+                    let Some(n) = next.lock().expect("faults").next() else {
+                        return;
+                    };
                     let row = one(&FAULTS[n], seconds, peers);
                     rows.lock().expect("rows").push((n, row));
                 });
@@ -187,8 +262,9 @@
     let everyone = Arc::new(customers());
     let meter = Meter::new(everyone.iter().map(|c| (c.key, c.quota.rate)));
     let anywhere = ([127, 0, 0, 1], 0).into();
-    let servers: Vec<Server> =
-        (0..5).map(|_| Server::with_meter(on, anywhere, false, Some(meter.clone()))).collect();
+    let servers: Vec<Server> = (0..5)
+        .map(|_| Server::with_meter(on, anywhere, false, Some(meter.clone())))
+        .collect();
     let agent = Discovery::new(&all_ready(&servers));
     let counter = SharedCounter::new(3);
     let peers = peers.then(|| Peers::new(GATEWAYS));
@@ -229,15 +305,30 @@
                         c.gateway(rng.next_u32(), moved),
                         u64::from(rng.next_u32()) << 32 | u64::from(c.key),
                     );
-                    let class = if rng.next_u32() % 100 < 71 { CHECK } else { TOP_UP };
+                    let class = if rng.next_u32() % 100 < 71 {
+                        CHECK
+                    } else {
+                        TOP_UP
+                    };
                     tokio::time::sleep_until(start + due).await;
                     let (load, shots) = (load.clone(), shots.clone());
                     let (plan, key) = (c.quota.plan, c.key);
                     out.spawn(async move {
-                        let shape = Shape { class, plan, customer: key, units: 1, id };
+                        let shape = Shape {
+                            class,
+                            plan,
+                            customer: key,
+                            units: 1,
+                            id,
+                        };
                         let got = load.ask(gateway, shape, start + due).await;
                         let in_time = start.elapsed().saturating_sub(due) <= class.1;
-                        shots.lock().expect("shots").push(Shot { due, customer: n, got, in_time });
+                        shots.lock().expect("shots").push(Shot {
+                            due,
+                            customer: n,
+                            got,
+                            in_time,
+                        });
                     });
                     while out.try_join_next().is_some() {}
                 }
@@ -256,7 +347,15 @@
     });
     let shots = shots.lock().expect("shots");
     let uses = meter.uses();
-    row(fault, lasts, &everyone, &shots, &uses, start, counter.calls())
+    row(
+        fault,
+        lasts,
+        &everyone,
+        &shots,
+        &uses,
+        start,
+        counter.calls(),
+    )
 }
 
 fn row(
@@ -273,12 +372,14 @@
     let (mut over_ceiling, mut over_quota, mut abnormal) = (0.0f64, 0.0f64, to);
     for c in everyone {
         let of = uses.iter().filter(|u| u.customer == c.key);
-        let of: Vec<(f64, f64)> =
-            of.map(|u| ((Instant::from_std(u.at) - start).as_secs_f64(), 1.0)).collect();
+        let of: Vec<(f64, f64)> = of
+            .map(|u| ((Instant::from_std(u.at) - start).as_secs_f64(), 1.0))
+            .collect();
         let q = c.quota;
         // A request is on its way for a moment: what came within it may have been sent in any order.
         let depth = q.burst + q.rate * 0.15;
-        over_quota = over_quota.max(beyond(&of, q.rate, depth, from, end) / (q.rate * (end - from)));
+        over_quota =
+            over_quota.max(beyond(&of, q.rate, depth, from, end) / (q.rate * (end - from)));
         if let Some((rate, depth)) = q.ceiling {
             let over = beyond(&of, rate, depth + rate * 0.15, from, end);
             over_ceiling = over_ceiling.max(over / (rate * (to - from).max(1.0)));
@@ -287,7 +388,11 @@
         if !c.honest() {
             for second in to as u64..end as u64 - 1 {
                 let (a, b) = (second as f64, second as f64 + 2.0);
-                let used: f64 = of.iter().filter(|(t, _)| (a..b).contains(t)).map(|(_, u)| u).sum();
+                let used: f64 = of
+                    .iter()
+                    .filter(|(t, _)| (a..b).contains(t))
+                    .map(|(_, u)| u)
+                    .sum();
                 let usual = 2.0 * q.rate;
                 if !(0.6 * usual..=1.4 * usual + 4.0).contains(&used) {
                     abnormal = abnormal.max(b);
@@ -296,7 +401,8 @@
         }
     }
     let share = |a: f64, b: f64| {
-        let honest = |s: &&Shot| everyone[s.customer].honest() && (a..b).contains(&s.due.as_secs_f64());
+        let honest =
+            |s: &&Shot| everyone[s.customer].honest() && (a..b).contains(&s.due.as_secs_f64());
         let (mut good, mut all) = (0.0, 0.0);
         for s in shots.iter().filter(honest) {
             all += 1.0;
@@ -317,7 +423,10 @@
         over_quota,
         honest: share(from, to) / before.max(1e-9),
         normal_after: abnormal - to,
-        unanswered: shots.iter().filter(|s| matches!(s.got, Got::Nothing | Got::Wrong)).count(),
+        unanswered: shots
+            .iter()
+            .filter(|s| matches!(s.got, Got::Nothing | Got::Wrong))
+            .count(),
         calls_a_request: calls as f64 / shots.len().max(1) as f64,
     }
 }
--- a/crates/lab/src/diameter.rs
+++ b/crates/lab/src/diameter.rs
@@ -25,7 +25,12 @@
 /// Answers are due within the class's deadline, as over HTTP.
 const TX_CHECK: Duration = Duration::from_millis(2_000);
 const TX_CHARGE: Duration = Duration::from_millis(750);
-const HOSTS: [&str; 4] = ["s0.example.org", "s1.example.org", "s2.example.org", "s3.example.org"];
+const HOSTS: [&str; 4] = [
+    "s0.example.org",
+    "s1.example.org",
+    "s2.example.org",
+    "s3.example.org",
+];
 /// The customer that asks far beyond its ceiling, and the ceiling (units a second, units).
 const GREEDY: &str = "4500000042";
 const CEILING: (f64, f64) = (20.0, 40.0);
@@ -47,8 +52,16 @@
 fn server(n: usize, mute: Arc<AtomicBool>, log: Log) -> DServer {
     DServer::new(HOSTS[n], move |ccr| {
         let charge = ccr.number(code::REQUESTED_ACTION) != Some(2);
-        let greedy = ccr.find(code::SUBSCRIPTION_ID).is_some_and(|a| contains(&a.data));
-        let ran = Ran { at: Instant::now(), server: n, end_to_end: ccr.header.end_to_end, charge, greedy };
+        let greedy = ccr
+            .find(code::SUBSCRIPTION_ID)
+            .is_some_and(|a| contains(&a.data));
+        let ran = Ran {
+            at: Instant::now(),
+            server: n,
+            end_to_end: ccr.header.end_to_end,
+            charge,
+            greedy,
+        };
         log.lock().expect("log").push(ran);
         let answer = granted(ccr, HOSTS[n]).with(Avp::of_u32(code::CC_SESSION_FAILOVER, 1));
         (!mute.load(Ordering::SeqCst)).then_some(answer)
@@ -65,7 +78,9 @@
 }
 
 fn free_port() -> SocketAddr {
-    std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port")
+    std::net::TcpListener::bind("127.0.0.1:0")
+        .and_then(|l| l.local_addr())
+        .expect("a port")
 }
 
 /// What a client sent, and every answer that it got.
@@ -92,7 +107,10 @@
             if message.header.command == command::CREDIT_CONTROL {
                 let (id, result) = (message.header.end_to_end, message.result().unwrap_or(0));
                 let mut book = answers.lock().expect("book");
-                book.answers.entry(id).or_default().push((Instant::now(), result));
+                book.answers
+                    .entry(id)
+                    .or_default()
+                    .push((Instant::now(), result));
             } else if message.header.flags & 0x80 != 0 {
                 let answer = with_result(&message, "till.example.org", result::SUCCESS);
                 let _ = reader.write_all(&answer.encode());
@@ -135,7 +153,10 @@
             };
             let mut message = message;
             message.avps[1] = Avp::of_text(code::ORIGIN_HOST, &host);
-            to.lock().expect("book").sent.insert(message.header.end_to_end, (Instant::now(), tx));
+            to.lock()
+                .expect("book")
+                .sent
+                .insert(message.header.end_to_end, (Instant::now(), tx));
             client.send(&message);
         }
         // The last answers.
@@ -169,16 +190,30 @@
 fn under_load(length: Duration, figures: &mut Figures) {
     let log: Log = Arc::default();
     let mutes: Vec<Arc<AtomicBool>> = (0..4).map(|_| Arc::default()).collect();
-    let servers: Vec<DServer> = (0..4).map(|n| server(n, mutes[n].clone(), log.clone())).collect();
+    let servers: Vec<DServer> = (0..4)
+        .map(|n| server(n, mutes[n].clone(), log.clone()))
+        .collect();
     let runtime = Runtime::new().expect("a runtime");
-    let web: Vec<Server> = (0..4).map(|_| Server::start(runtime.handle(), false)).collect();
+    let web: Vec<Server> = (0..4)
+        .map(|_| Server::start(runtime.handle(), false))
+        .collect();
     let mut list: Vec<String> = (0..4).map(|n| member(n, &servers[n], "Ready")).collect();
-    list.extend(web.iter().enumerate().map(|(n, s)| target(&format!("w{n}"), s.address, 9, "Ready")));
+    list.extend(
+        web.iter()
+            .enumerate()
+            .map(|(n, s)| target(&format!("w{n}"), s.address, 9, "Ready")),
+    );
     let agent = Discovery::new(&list.join(","));
     let address = free_port();
     let operator = operator(address, "");
-    let node =
-        Node { gateways: 1, me: 0, discovery: agent.address, counter: None, sockets: 1_024, memory_mb: 64 };
+    let node = Node {
+        gateways: 1,
+        me: 0,
+        discovery: agent.address,
+        counter: None,
+        sockets: 1_024,
+        memory_mb: 64,
+    };
     let gateway = node.start(Some(operator.path()));
     // The connections to the servers come up.
     pause(Duration::from_millis(500));
@@ -197,7 +232,9 @@
     pause(length / 4);
     servers[2].state_id.fetch_add(1, Ordering::SeqCst);
     servers[2].cut();
-    site::until("the clients end", || clients.iter().all(|(c, _)| c.is_finished()));
+    site::until("the clients end", || {
+        clients.iter().all(|(c, _)| c.is_finished())
+    });
     let used = (cpu(gateway.id()) - before).as_secs_f64();
 
     let (mut asked, mut without, mut late, mut good, mut refused) = (0, 0, 0, 0, 0);
@@ -207,11 +244,24 @@
             let answers = book.answers.get(id).map_or(&[][..], |a| a);
             asked += 1;
             without += usize::from(answers.len() != 1);
-            late += answers.iter().filter(|(t, _)| *t > *at + *tx + Duration::from_millis(50)).count();
-            good += answers.iter().filter(|(_, r)| *r == result::SUCCESS).count();
-            refused += answers.iter().filter(|(_, r)| *r == result::TOO_BUSY).count();
+            late += answers
+                .iter()
+                .filter(|(t, _)| *t > *at + *tx + Duration::from_millis(50))
+                .count();
+            good += answers
+                .iter()
+                .filter(|(_, r)| *r == result::SUCCESS)
+                .count();
+            refused += answers
+                .iter()
+                .filter(|(_, r)| *r == result::TOO_BUSY)
+                .count();
         }
-        without += book.answers.keys().filter(|id| !book.sent.contains_key(id)).count();
+        without += book
+            .answers
+            .keys()
+            .filter(|id| !book.sent.contains_key(id))
+            .count();
     }
     let ran = log.lock().expect("log");
     // Servers of one cell drop each other's repeats: a charge in two cells has run twice.
@@ -220,7 +270,10 @@
         cells.entry(r.end_to_end).or_default().insert(r.server / 2);
     }
     let twice = cells.values().filter(|c| c.len() > 1).count();
-    let after = ran.iter().filter(|r| r.server == 1 && r.at > drained + GRACE).count();
+    let after = ran
+        .iter()
+        .filter(|r| r.server == 1 && r.at > drained + GRACE)
+        .count();
     figures.at_least(
         "requests",
         f64::from(asked),
@@ -229,10 +282,20 @@
     );
     figures.at_most("without_one_final_answer", without as f64, "requests", 0.0);
     figures.at_most("charges_in_two_cells", twice as f64, "requests", 0.0);
-    figures.at_most("new_at_a_drained_server_after_the_grace", after as f64, "requests", 0.0);
+    figures.at_most(
+        "new_at_a_drained_server_after_the_grace",
+        after as f64,
+        "requests",
+        0.0,
+    );
     figures.at_most("worst_overrun_of_a_ceiling", overrun(&ran), "units", SLACK);
     let greedy = ran.iter().filter(|r| r.greedy).count();
-    figures.at_least("passed_on_under_the_ceiling", greedy as f64, "requests", length.as_secs_f64());
+    figures.at_least(
+        "passed_on_under_the_ceiling",
+        greedy as f64,
+        "requests",
+        length.as_secs_f64(),
+    );
     figures.at_most("answers_later_than_tx", late as f64, "answers", 0.0);
     figures.at_least("granted", good as f64 / f64::from(asked), "share", 0.85);
     figures.show("refused", refused as f64 / f64::from(asked), "share");
@@ -241,7 +304,12 @@
     drop(ran);
 
     let before = cpu(gateway.id());
-    let (load, task) = Load::start(runtime.handle(), vec![gateway.address], 200.0, Duration::from_secs(10));
+    let (load, task) = Load::start(
+        runtime.handle(),
+        vec![gateway.address],
+        200.0,
+        Duration::from_secs(10),
+    );
     site::until("the load ends", || task.is_finished());
     let used = (cpu(gateway.id()) - before).as_secs_f64();
     let shots = load.shots.lock().expect("shots");
@@ -249,7 +317,12 @@
     figures.show("cpu_an_http_request", http, "us");
     figures.at_most("diameter_beside_http", cost / http, "times", 2.0);
     let served = shots.iter().filter(|s| s.got == Got::Served).count();
-    figures.at_least("http_served", served as f64 / shots.len() as f64, "share", 0.99);
+    figures.at_least(
+        "http_served",
+        served as f64 / shots.len() as f64,
+        "share",
+        0.99,
+    );
 }
 
 /// How far the greedy customer's use went below nothing of a store that fills as the ceiling does.
@@ -273,8 +346,14 @@
     let agent = Discovery::new(&member(0, &server, "Ready"));
     let address = free_port();
     let operator = operator(address, "most_sessions = 200000\nmost_repeats = 1000\n");
-    let node =
-        Node { gateways: 1, me: 0, discovery: agent.address, counter: None, sockets: 256, memory_mb: 192 };
+    let node = Node {
+        gateways: 1,
+        me: 0,
+        discovery: agent.address,
+        counter: None,
+        sockets: 256,
+        memory_mb: 192,
+    };
     let gateway = node.start(Some(operator.path()));
     pause(Duration::from_millis(500));
     let mut client = DClient::new(address, "till.example.org");
--- a/crates/lab/src/dns_sd.rs
+++ b/crates/lab/src/dns_sd.rs
@@ -58,7 +58,9 @@
         sockets: 1_024,
         memory_mb: 64,
     };
-    let gateways: Vec<_> = (0..2).map(|me| node(me).start(Some(operator.path()))).collect();
+    let gateways: Vec<_> = (0..2)
+        .map(|me| node(me).start(Some(operator.path())))
+        .collect();
     if push {
         site::until("both gateways subscribe", || resolver.sessions() >= 2);
         pause(Duration::from_secs(1));
@@ -70,7 +72,9 @@
         pause(apart);
         if n % 2 == 0 {
             let (name, server) = (format!("new{n}"), Server::start(on, true));
-            resolver.change(|z| z.add_instance(SERVICE, &name, server.address, &["zone=hall-a", "cell=1"]));
+            resolver.change(|z| {
+                z.add_instance(SERVICE, &name, server.address, &["zone=hall-a", "cell=1"])
+            });
             fleet.push((name, server));
         } else {
             let (name, server) = fleet.remove(0);
@@ -81,28 +85,82 @@
     site::until("the load ends", || task.is_finished());
     let queries = resolver.queries() as f64 / length.as_secs_f64() / 2.0;
 
-    let mut late: Vec<Duration> =
-        gone.iter().map(|(_, s, since)| s.last_after(*since).unwrap_or_default()).collect();
+    let mut late: Vec<Duration> = gone
+        .iter()
+        .map(|(_, s, since)| s.last_after(*since).unwrap_or_default())
+        .collect();
     let worst = late.iter().max().copied().unwrap_or_default();
     let grace = GRACE.as_secs_f64() * 1e3;
-    figures.at_most(&format!("{how}_latest_send_to_removed"), worst.as_secs_f64() * 1e3, "ms", grace);
-    figures.show(&format!("{how}_median_last_send_to_removed"), percentile(&mut late, 0.5), "ms");
-    let all = || fleet.iter().map(|(_, s)| s).chain(gone.iter().map(|(_, s, _)| s));
-    let multiple = all().map(|s| s.worst_multiple(TIPS_AFTER)).fold(0.0, f64::max);
-    figures.at_most(&format!("{how}_most_work_to_cold"), multiple, "times", TIPS_AT);
+    figures.at_most(
+        &format!("{how}_latest_send_to_removed"),
+        worst.as_secs_f64() * 1e3,
+        "ms",
+        grace,
+    );
+    figures.show(
+        &format!("{how}_median_last_send_to_removed"),
+        percentile(&mut late, 0.5),
+        "ms",
+    );
+    let all = || {
+        fleet
+            .iter()
+            .map(|(_, s)| s)
+            .chain(gone.iter().map(|(_, s, _)| s))
+    };
+    let multiple = all()
+        .map(|s| s.worst_multiple(TIPS_AFTER))
+        .fold(0.0, f64::max);
+    figures.at_most(
+        &format!("{how}_most_work_to_cold"),
+        multiple,
+        "times",
+        TIPS_AT,
+    );
     // A new server that gets nothing would keep that rule, too.
-    let least = fleet.iter().filter(|(n, _)| n.starts_with("new")).map(|(_, s)| s.served()).max();
-    figures.at_least(&format!("{how}_most_served_by_a_new_one"), least.unwrap_or(0) as f64, "requests", 20.0);
+    let least = fleet
+        .iter()
+        .filter(|(n, _)| n.starts_with("new"))
+        .map(|(_, s)| s.served())
+        .max();
+    figures.at_least(
+        &format!("{how}_most_served_by_a_new_one"),
+        least.unwrap_or(0) as f64,
+        "requests",
+        20.0,
+    );
     let shots = load.shots.lock().expect("shots");
     let count = |got: &dyn Fn(Got) -> bool| shots.iter().filter(|s| got(s.got)).count() as f64;
     figures.show(&format!("{how}_requests"), shots.len() as f64, "requests");
     let without = count(&|g| matches!(g, Got::Nothing | Got::Wrong));
-    figures.at_most(&format!("{how}_without_one_final_answer"), without, "requests", 0.0);
-    let in_time = shots.iter().filter(|s| s.got == Got::Served && s.took <= s.wanted).count() as f64;
+    figures.at_most(
+        &format!("{how}_without_one_final_answer"),
+        without,
+        "requests",
+        0.0,
+    );
+    let in_time = shots
+        .iter()
+        .filter(|s| s.got == Got::Served && s.took <= s.wanted)
+        .count() as f64;
     // In less time the fleet is replaced faster than servers warm, and the rest is refused.
-    let share = if length >= Duration::from_secs(60) { 0.9 } else { 0.0 };
-    figures.at_least(&format!("{how}_served_in_time"), in_time / shots.len() as f64, "share", share);
+    let share = if length >= Duration::from_secs(60) {
+        0.9
+    } else {
+        0.0
+    };
+    figures.at_least(
+        &format!("{how}_served_in_time"),
+        in_time / shots.len() as f64,
+        "share",
+        share,
+    );
     figures.show(&format!("{how}_queries_of_a_gateway"), queries, "1/s");
     let changes = f64::from(CHANGES);
-    figures.at_least(&format!("{how}_changes"), changes.min(gone.len() as f64 * 2.0), "changes", changes);
+    figures.at_least(
+        &format!("{how}_changes"),
+        changes.min(gone.len() as f64 * 2.0),
+        "changes",
+        changes,
+    );
 }
--- a/crates/lab/src/figures.rs
+++ b/crates/lab/src/figures.rs
@@ -11,7 +11,11 @@
 
 impl Figures {
     pub fn new(json: bool) -> Self {
-        Figures { json, all: Map::new(), broken: 0 }
+        Figures {
+            json,
+            all: Map::new(),
+            broken: 0,
+        }
     }
 
     /// A remark for a reader; not part of the figures.
@@ -53,7 +57,10 @@
             Some(("at_most", limit, _)) => format!("<={limit}"),
             Some((_, limit, _)) => format!(">={limit}"),
         };
-        println!("{name} {value} {unit} {limit}{}", if holds { "" } else { " BROKEN" });
+        println!(
+            "{name} {value} {unit} {limit}{}",
+            if holds { "" } else { " BROKEN" }
+        );
     }
 
     pub fn finish(self) -> ExitCode {
--- a/crates/lab/src/fleet_site.rs
+++ b/crates/lab/src/fleet_site.rs
@@ -91,18 +91,37 @@
         let all = (0..processes).map(|n| {
             let (me, more) = of(n, &relay);
             let discovery = agents(n).unwrap_or(agent.address);
-            let node = Node { gateways, me, discovery, counter: None, sockets: 512, memory_mb: 64 };
+            let node = Node {
+                gateways,
+                me,
+                discovery,
+                counter: None,
+                sockets: 512,
+                memory_mb: 64,
+            };
             Process::new(node, Some(fleet_file(&relay, n, &key, &more)))
         });
         let stage = Stage::new(all.collect(), relay);
         let places = Arc::new(Mutex::new(vec![Place { at: None, moves: 0 }; processes]));
         let (ending, shots) = (Arc::default(), Arc::default());
-        Site { stage, gateways, places, servers, meter, agent, key, ending, shots, clients: None }
+        Site {
+            stage,
+            gateways,
+            places,
+            servers,
+            meter,
+            agent,
+            key,
+            ending,
+            shots,
+            clients: None,
+        }
     }
 
     /// Clients ask from now on.
     pub fn load(&mut self, on: &Handle, seed: u64) {
-        let (places, ending, shots) = (self.places.clone(), self.ending.clone(), self.shots.clone());
+        let (places, ending, shots) =
+            (self.places.clone(), self.ending.clone(), self.shots.clone());
         self.clients = Some(on.spawn(clients(places, self.gateways, ending, shots, seed)));
     }
 
@@ -113,16 +132,28 @@
     /// Clients ask no more; what became of all that they asked.
     pub fn end(&mut self, runtime: &Runtime) -> Shots {
         *self.ending.lock().expect("the end") = true;
-        self.clients.take().into_iter().for_each(|c| drop(runtime.block_on(c)));
+        self.clients
+            .take()
+            .into_iter()
+            .for_each(|c| drop(runtime.block_on(c)));
         self.shots()
     }
 
     /// Clients go to those that run, from now on.
     pub fn open(&self) {
-        for (place, p) in self.places.lock().expect("places").iter_mut().zip(&self.stage.processes) {
+        for (place, p) in self
+            .places
+            .lock()
+            .expect("places")
+            .iter_mut()
+            .zip(&self.stage.processes)
+        {
             let at = p.address().filter(|_| p.runs());
             if at != place.at {
-                *place = Place { at, moves: place.moves + 1 };
+                *place = Place {
+                    at,
+                    moves: place.moves + 1,
+                };
             }
         }
     }
@@ -130,7 +161,12 @@
     /// Clients go there no more.
     pub fn shut(&self, who: &[usize]) {
         let mut places = self.places.lock().expect("places");
-        who.iter().for_each(|w| places[*w] = Place { at: None, moves: places[*w].moves + 1 });
+        who.iter().for_each(|w| {
+            places[*w] = Place {
+                at: None,
+                moves: places[*w].moves + 1,
+            }
+        });
     }
 
     pub fn act(&mut self, act: Act) {
@@ -159,7 +195,10 @@
             let of = |n: &usize| {
                 let name = format!("member n{n}: ");
                 let mut seen: Vec<(Duration, usize)> = Vec::new();
-                for (at, who, _) in lines.iter().filter(|(at, _, l)| *at >= since && l.starts_with(&name)) {
+                for (at, who, _) in lines
+                    .iter()
+                    .filter(|(at, _, l)| *at >= since && l.starts_with(&name))
+                {
                     if seen.iter().all(|(_, w)| w != who) {
                         seen.push((*at, *who));
                     }
@@ -197,10 +236,16 @@
     /// Units of the greedy customer that do not fit its ceiling.
     pub fn beyond(&self) -> f64 {
         let (_, _, rate, depth) = GREEDY;
-        let uses: Vec<Instant> =
-            self.meter.uses().iter().filter(|u| u.customer == GREEDY.0).map(|u| u.at).collect();
+        let uses: Vec<Instant> = self
+            .meter
+            .uses()
+            .iter()
+            .filter(|u| u.customer == GREEDY.0)
+            .map(|u| u.at)
+            .collect();
         let first = uses.first().copied();
-        let since = |at: &Instant| first.map_or(0.0, |f| at.saturating_duration_since(f).as_secs_f64());
+        let since =
+            |at: &Instant| first.map_or(0.0, |f| at.saturating_duration_since(f).as_secs_f64());
         let uses: Vec<(f64, f64)> = uses.iter().map(|at| (since(at), 1.0)).collect();
         // A request is on its way for a moment: what came within it may have been sent in any order.
         load::beyond(&uses, rate, depth + rate * 0.15, 0.0, f64::INFINITY)
@@ -234,7 +279,12 @@
         while out.try_join_next().is_some() {}
         let there: Vec<(usize, Place)> = {
             let places = places.lock().expect("places");
-            places.iter().copied().enumerate().filter(|(_, p)| p.at.is_some()).collect()
+            places
+                .iter()
+                .copied()
+                .enumerate()
+                .filter(|(_, p)| p.at.is_some())
+                .collect()
         };
         if there.is_empty() {
             continue;
@@ -245,14 +295,24 @@
             true => (GREEDY.0, "ekstra-stor"),
             false => (rng.next_u32() % 400, "mellem"),
         };
-        let class = if rng.next_u32() % 100 < 71 { CHECK } else { TOP_UP };
+        let class = if rng.next_u32() % 100 < 71 {
+            CHECK
+        } else {
+            TOP_UP
+        };
         let id = u64::from(rng.next_u32()) << 32 | u64::from(customer);
         let (places, shots) = (places.clone(), shots.clone());
         out.spawn(async move {
             // The load's word for the width of a set: all of them.
             let Some(at) = place.at else { return };
             let load = Load::to(vec![at; gateways]);
-            let shape = Shape { class, plan, customer, units: 1, id };
+            let shape = Shape {
+                class,
+                plan,
+                customer,
+                units: 1,
+                id,
+            };
             let got = load.ask(0, shape, due).await;
             // One that was killed or stopped in between cannot answer.
             if places.lock().expect("places")[n].moves != place.moves {
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -13,10 +13,16 @@
 use tokio::time::{sleep_until, timeout_at, Instant};
 
 /// The brief's classes: share, what is wanted within, and when the client leaves.
-pub const CHECK: (&str, Duration, Duration) =
-    ("balance-check", Duration::from_millis(600), Duration::from_millis(2_000));
-pub const TOP_UP: (&str, Duration, Duration) =
-    ("top-up", Duration::from_millis(300), Duration::from_millis(750));
+pub const CHECK: (&str, Duration, Duration) = (
+    "balance-check",
+    Duration::from_millis(600),
+    Duration::from_millis(2_000),
+);
+pub const TOP_UP: (&str, Duration, Duration) = (
+    "top-up",
+    Duration::from_millis(300),
+    Duration::from_millis(750),
+);
 const CHECKS: f64 = 0.71;
 /// An answer may cross the client's leaving.
 const GRACE: Duration = Duration::from_millis(50);
@@ -62,8 +68,17 @@
 impl Load {
     /// Connections to these gateways, and no load yet.
     pub fn to(gateways: Vec<SocketAddr>) -> Load {
-        let idle = Arc::new(gateways.iter().map(|_| Mutex::default()).collect::<Vec<_>>());
-        Load { gateways: Arc::new(gateways), idle, shots: Arc::default() }
+        let idle = Arc::new(
+            gateways
+                .iter()
+                .map(|_| Mutex::default())
+                .collect::<Vec<_>>(),
+        );
+        Load {
+            gateways: Arc::new(gateways),
+            idle,
+            shots: Arc::default(),
+        }
     }
 
     /// `per_s` requests a second at even distances, for so long.
@@ -88,13 +103,28 @@
                 while out.try_join_next().is_some() {}
                 let (gateway, draw) = (rng.next_u32() as usize % l.gateways.len(), rng.next_u32());
                 let (customer, id) = (rng.next_u32() % CUSTOMERS, rng.next_u64());
-                let class = if f64::from(draw) < CHECKS * f64::from(u32::MAX) { CHECK } else { TOP_UP };
+                let class = if f64::from(draw) < CHECKS * f64::from(u32::MAX) {
+                    CHECK
+                } else {
+                    TOP_UP
+                };
                 let l = l.clone();
                 out.spawn(async move {
-                    let shape = Shape { class, plan: "mellem", customer, units: 1, id };
+                    let shape = Shape {
+                        class,
+                        plan: "mellem",
+                        customer,
+                        units: 1,
+                        id,
+                    };
                     let got = l.ask(gateway, shape, start + due).await;
                     let took = start.elapsed().saturating_sub(due);
-                    let shot = Shot { due, took, wanted: class.1, got };
+                    let shot = Shot {
+                        due,
+                        took,
+                        wanted: class.1,
+                        got,
+                    };
                     l.shots.lock().expect("shots").push(shot);
                 });
             }
@@ -104,14 +134,24 @@
     }
 
     pub async fn ask(&self, gateway: usize, shape: Shape<'_>, due: Instant) -> Got {
-        let Shape { class: (class, _, patience), plan, customer, units, id } = shape;
+        let Shape {
+            class: (class, _, patience),
+            plan,
+            customer,
+            units,
+            id,
+        } = shape;
         let (method, more, body) = match class {
-            "top-up" => {
-                ("POST", format!("Idempotency-Key: {id:016x}{id:016x}\r\nContent-Length: 9\r\n"), "amount=50")
-            }
+            "top-up" => (
+                "POST",
+                format!("Idempotency-Key: {id:016x}{id:016x}\r\nContent-Length: 9\r\n"),
+                "amount=50",
+            ),
             _ => ("GET", String::new(), ""),
         };
-        let left = (due + patience).saturating_duration_since(Instant::now()).as_secs_f64();
+        let left = (due + patience)
+            .saturating_duration_since(Instant::now())
+            .as_secs_f64();
         let request = format!(
             "{method} /{class} HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: {id:016x}\r\nX-Qos: {class}\r\n\
              X-Tier: {plan}\r\nX-Api-Key: {customer:016x}\r\nX-Expires-In: {left:.3}\r\n\
@@ -119,7 +159,9 @@
             self.gateways.len()
         );
         let by = due + patience + GRACE;
-        timeout_at(by, self.converse(gateway, &request, id)).await.unwrap_or(Got::Nothing)
+        timeout_at(by, self.converse(gateway, &request, id))
+            .await
+            .unwrap_or(Got::Nothing)
     }
 
     async fn converse(&self, gateway: usize, request: &str, id: u64) -> Got {
@@ -130,7 +172,9 @@
                 Some(stream) => Ok(stream),
                 None => TcpStream::connect(self.gateways[gateway]).await,
             };
-            let Ok(mut stream) = stream else { return Got::Nothing };
+            let Ok(mut stream) = stream else {
+                return Got::Nothing;
+            };
             let _ = stream.set_nodelay(true);
             let mut buffer = Vec::new();
             let (status, close, body) = match answer(&mut stream, request, &mut buffer).await {
@@ -140,7 +184,10 @@
                 None => return Got::Nothing,
             };
             if !close {
-                self.idle[gateway].lock().expect("connections").push_front(stream);
+                self.idle[gateway]
+                    .lock()
+                    .expect("connections")
+                    .push_front(stream);
             }
             return match status {
                 200 if body == format!("{id:016x}").as_bytes() => Got::Served,
@@ -153,7 +200,11 @@
 }
 
 /// Status, whether the connection ends, and the body of the one answer; more than one answer has status 0.
-async fn answer(stream: &mut TcpStream, request: &str, buffer: &mut Vec<u8>) -> Option<(u16, bool, Vec<u8>)> {
+async fn answer(
+    stream: &mut TcpStream,
+    request: &str,
+    buffer: &mut Vec<u8>,
+) -> Option<(u16, bool, Vec<u8>)> {
     stream.write_all(request.as_bytes()).await.ok()?;
     let mut whole = None;
     while whole.is_none_or(|whole| buffer.len() < whole) {
@@ -162,7 +213,9 @@
         }
         if let Some(end) = buffer.windows(4).position(|w| w == b"\r\n\r\n") {
             let head = String::from_utf8_lossy(&buffer[..end]).to_ascii_lowercase();
-            let length = head.lines().find_map(|l| l.strip_prefix("content-length:")?.trim().parse().ok());
+            let length = head
+                .lines()
+                .find_map(|l| l.strip_prefix("content-length:")?.trim().parse().ok());
             whole = Some(end + 4 + length.unwrap_or(0usize));
         }
     }
@@ -170,7 +223,11 @@
     let status = head.split(' ').nth(1)?.parse().ok()?;
     let close = head.to_ascii_lowercase().contains("connection: close");
     let body = buffer[head.find("\r\n\r\n")? + 4..].to_vec();
-    Some(if buffer.len() > whole? { (0, true, body) } else { (status, close, body) })
+    Some(if buffer.len() > whole? {
+        (0, true, body)
+    } else {
+        (status, close, body)
+    })
 }
 
 /// The share `p` of the way through sorted times, in milliseconds.
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -109,11 +109,19 @@
     let cli = Cli::parse();
     match cli.command {
         Cmd::List => {
-            SCENARIOS.iter().for_each(|(name, shows, _)| println!("{name:20} {shows}"));
+            SCENARIOS
+                .iter()
+                .for_each(|(name, shows, _)| println!("{name:20} {shows}"));
             ExitCode::SUCCESS
         }
         Cmd::Demo => play(demo::play, false),
-        Cmd::Soak { seed, seeds, gateways, seconds, json } => {
+        Cmd::Soak {
+            seed,
+            seeds,
+            gateways,
+            seconds,
+            json,
+        } => {
             let soak = |figures: &mut Figures| {
                 for seed in seed..seed + seeds {
                     let mut plan = soak::Plan::new(seed);
@@ -125,7 +133,11 @@
             };
             play(soak, json)
         }
-        Cmd::Run { name, json, seconds } => match SCENARIOS.iter().find(|(n, ..)| *n == name) {
+        Cmd::Run {
+            name,
+            json,
+            seconds,
+        } => match SCENARIOS.iter().find(|(n, ..)| *n == name) {
             Some((_, _, scenario)) => play(|figures| scenario(seconds, figures), json),
             None => {
                 eprintln!("frosthatch-lab: no scenario {name:?}; `list` names them");
--- a/crates/lab/src/members.rs
+++ b/crates/lab/src/members.rs
@@ -48,7 +48,10 @@
     let all = |f: fn(&Row) -> &Vec<f64>| {
         let mut all: Vec<f64> = rows.iter().flat_map(|r| f(r).iter().copied()).collect();
         all.sort_by(f64::total_cmp);
-        (all.get(all.len() / 2).copied().unwrap_or(f64::NAN), all.last().copied().unwrap_or(f64::NAN))
+        (
+            all.get(all.len() / 2).copied().unwrap_or(f64::NAN),
+            all.last().copied().unwrap_or(f64::NAN),
+        )
     };
     let sum = |f: fn(&Row) -> usize| rows.iter().map(f).sum::<usize>() as f64;
     let most = |f: fn(&Row) -> f64| rows.iter().map(f).fold(0.0, f64::max);
@@ -61,9 +64,24 @@
         figures.show(&format!("{name}_p50"), p50, "s");
         figures.at_most(&format!("{name}_worst"), worst, "s", limit);
     }
-    figures.at_most("accused_at_5_percent", sum(|r| r.accused[0]), "members", 0.0);
-    figures.at_most("accused_at_30_percent", sum(|r| r.accused[1]), "members", 3.0 * SEEDS as f64);
-    figures.at_most("accused_by_a_stopped_one", sum(|r| r.accused[2]), "members", 0.0);
+    figures.at_most(
+        "accused_at_5_percent",
+        sum(|r| r.accused[0]),
+        "members",
+        0.0,
+    );
+    figures.at_most(
+        "accused_at_30_percent",
+        sum(|r| r.accused[1]),
+        "members",
+        3.0 * SEEDS as f64,
+    );
+    figures.at_most(
+        "accused_by_a_stopped_one",
+        sum(|r| r.accused[2]),
+        "members",
+        0.0,
+    );
     figures.at_most("twin_told", most(|r| r.twin_told), "s", 4.5);
     figures.show("bytes_each", most(|r| r.bytes_s), "B/s");
     figures.at_most("messages_each", most(|r| r.messages_s), "1/s", 440.0);
@@ -71,10 +89,20 @@
     figures.show("requests", sum(|r| r.asked), "requests");
     figures.at_most("unanswered", sum(|r| r.unanswered), "requests", 0.0);
     figures.at_most("top_ups_at_two_servers", sum(|r| r.twice), "requests", 0.0);
-    figures.at_most("last_to_a_draining_server", most(|r| r.after_drain), "s", 0.5);
+    figures.at_most(
+        "last_to_a_draining_server",
+        most(|r| r.after_drain),
+        "s",
+        0.5,
+    );
     figures.at_most("work_to_a_cold_server", most(|r| r.cold), "of-can", 4.0);
     figures.at_most("over_ceiling", most(|r| r.over_ceiling), "units", 0.0);
-    figures.at_least("served", sum(|r| r.served) / sum(|r| r.asked), "of-asked", 0.99);
+    figures.at_least(
+        "served",
+        sum(|r| r.served) / sum(|r| r.asked),
+        "of-asked",
+        0.99,
+    );
 }
 
 fn one(seed: u64, lasts: Duration) -> Row {
@@ -83,13 +111,18 @@
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut site = Site::new(on, seed, (ALL, ALL + 1), SERVERS, |n, _| {
         let me = if n == TWIN { 7 } else { n };
-        let more =
-            format!("name = \"n{me}\"\nregion = \"r{}\"\nzone = \"z{}\"\nforget_ms = 60000", me % 2, me % 4);
+        let more = format!(
+            "name = \"n{me}\"\nregion = \"r{}\"\nzone = \"z{}\"\nforget_ms = 60000",
+            me % 2,
+            me % 4
+        );
         (me, more)
     });
     let mut row = Row::default();
     // All but two at once.
-    site.stage.act(&Act::Start { who: (0..ALL - 2).collect() });
+    site.stage.act(&Act::Start {
+        who: (0..ALL - 2).collect(),
+    });
     (0..ALL - 2).for_each(|n| site.stage.wait_ready(n));
     site.agrees(ALL - 2);
     site.open();
@@ -99,7 +132,10 @@
     for n in [ALL - 2, ALL - 1] {
         let since = site.now();
         site.act(Act::Start { who: vec![n] });
-        row.joins.push(site.known(since, &[n], ": ready", n).unwrap_or(f64::INFINITY));
+        row.joins.push(
+            site.known(since, &[n], ": ready", n)
+                .unwrap_or(f64::INFINITY),
+        );
     }
     // In health, what it costs.
     site.agrees(ALL);
@@ -110,14 +146,20 @@
         row.messages_s = row.messages_s.max((b.0 - a.0) as f64 / seconds);
         row.bytes_s = row.bytes_s.max((b.1 - a.1) as f64 / seconds);
     }
-    let more = cpus.iter().zip(used(&site)).map(|(a, b)| (b.saturating_sub(*a)).as_secs_f64() / seconds);
+    let more = cpus
+        .iter()
+        .zip(used(&site))
+        .map(|(a, b)| (b.saturating_sub(*a)).as_secs_f64() / seconds);
     row.cpu = more.fold(0.0, f64::max);
 
     // One leaves in good order, and comes back.
     let who = 3 + rng.next_u32() as usize % (ALL - 4);
     let since = site.now();
     site.act(Act::Leave { who: vec![who] });
-    row.leaves.push(site.known(since, &[who], ": draining", ALL - 1).unwrap_or(f64::INFINITY));
+    row.leaves.push(
+        site.known(since, &[who], ": draining", ALL - 1)
+            .unwrap_or(f64::INFINITY),
+    );
     if site.known(since, &[who], ": left", ALL - 1).is_none() {
         row.leaves.push(f64::INFINITY);
     }
@@ -125,10 +167,16 @@
     site.agrees(ALL);
 
     // One dies; a seed, with the first of them.
-    for who in [rng.next_u32() as usize % 3, 3 + rng.next_u32() as usize % (ALL - 3)] {
+    for who in [
+        rng.next_u32() as usize % 3,
+        3 + rng.next_u32() as usize % (ALL - 3),
+    ] {
         let since = site.now();
         site.act(Act::Kill { who: vec![who] });
-        row.deaths.push(site.known(since, &[who], ": dead", ALL - 1).unwrap_or(f64::INFINITY));
+        row.deaths.push(
+            site.known(since, &[who], ": dead", ALL - 1)
+                .unwrap_or(f64::INFINITY),
+        );
         site.act(Act::Start { who: vec![who] });
         row.agreed.push(site.agrees(ALL));
     }
@@ -136,10 +184,23 @@
     // Loss.
     for (k, loss, jitter_ms) in [(0, 0.05, 20), (1, 0.3, 200)] {
         let before = site.dead_lines().len();
-        site.act(Act::Links { faults: Faults { loss, jitter_ms, ..Faults::default() } });
+        site.act(Act::Links {
+            faults: Faults {
+                loss,
+                jitter_ms,
+                ..Faults::default()
+            },
+        });
         pause(lasts);
-        let mut accused: Vec<String> = site.dead_lines().split_off(before).into_iter().map(|l| l.2).collect();
-        accused.iter_mut().for_each(|l| l.truncate(l.find(':').unwrap_or(0)));
+        let mut accused: Vec<String> = site
+            .dead_lines()
+            .split_off(before)
+            .into_iter()
+            .map(|l| l.2)
+            .collect();
+        accused
+            .iter_mut()
+            .for_each(|l| l.truncate(l.find(':').unwrap_or(0)));
         accused.sort();
         accused.dedup();
         row.accused[k] += accused.len();
@@ -148,26 +209,48 @@
     }
 
     // A server drains and a cold one comes, while parts of the fleet do not hear each other.
-    let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-    let cold = Server::with_meter(on, ([127, 0, 0, 1], 0).into(), true, Some(site.meter.clone()));
+    let since = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .unwrap_or_default();
+    let cold = Server::with_meter(
+        on,
+        ([127, 0, 0, 1], 0).into(),
+        true,
+        Some(site.meter.clone()),
+    );
     let newcomer = started("s-cold", cold.address, 99, "Ready", since.as_millis());
-    site.agent.post(true, &listed(&site.servers, "Draining", &format!(",{newcomer}")));
+    site.agent.post(
+        true,
+        &listed(&site.servers, "Draining", &format!(",{newcomer}")),
+    );
     let drained = Instant::now();
 
     // Three parts, healed in another order.
     let mut order: Vec<usize> = (0..ALL).collect();
-    (1..ALL).rev().for_each(|k| order.swap(k, rng.next_u32() as usize % (k + 1)));
+    (1..ALL)
+        .rev()
+        .for_each(|k| order.swap(k, rng.next_u32() as usize % (k + 1)));
     let parts: Vec<Vec<usize>> = order.chunks(ALL / 3 + 1).map(<[usize]>::to_vec).collect();
-    site.act(Act::Split { groups: parts.clone() });
+    site.act(Act::Split {
+        groups: parts.clone(),
+    });
     pause(lasts);
-    site.act(Act::Split { groups: vec![[parts[1].clone(), parts[2].clone()].concat(), parts[0].clone()] });
+    site.act(Act::Split {
+        groups: vec![
+            [parts[1].clone(), parts[2].clone()].concat(),
+            parts[0].clone(),
+        ],
+    });
     pause(lasts / 2);
     site.act(Act::Heal);
     row.agreed.push(site.agrees(ALL));
     // One way only.
     let (a, b) = (order[0], order[1]);
     let before = site.dead_lines().len();
-    site.act(Act::Cut { from: vec![a], to: vec![b] });
+    site.act(Act::Cut {
+        from: vec![a],
+        to: vec![b],
+    });
     pause(lasts / 2);
     row.accused[0] += site.dead_lines().len() - before;
     site.act(Act::Heal);
@@ -179,40 +262,65 @@
     let since = site.now();
     site.act(Act::Continue { who: vec![who] });
     row.agreed.push(site.agrees(ALL));
-    let by_it = site.dead_lines().into_iter().filter(|(at, by, _)| *by == who && *at >= since);
+    let by_it = site
+        .dead_lines()
+        .into_iter()
+        .filter(|(at, by, _)| *by == who && *at >= since);
     row.accused[2] += by_it.count();
 
     // A third killed at once and started at once.
     let third = order[..ALL / 3].to_vec();
     let since = site.now();
     site.act(Act::Kill { who: third.clone() });
-    row.deaths.push(site.known(since, &third, ": dead", ALL - third.len()).unwrap_or(f64::INFINITY));
+    row.deaths.push(
+        site.known(since, &third, ": dead", ALL - third.len())
+            .unwrap_or(f64::INFINITY),
+    );
     site.act(Act::Start { who: third });
     row.agreed.push(site.agrees(ALL));
 
     // Two under one name.
     let since = Instant::now();
     site.stage.act(&Act::Start { who: vec![TWIN] });
-    let told = || !site.stage.history.lines("a later process runs as n7").is_empty();
+    let told = || {
+        !site
+            .stage
+            .history
+            .lines("a later process runs as n7")
+            .is_empty()
+    };
     while !told() && since.elapsed() < KNOWN_WITHIN {
         pause(Duration::from_millis(20));
     }
-    row.twin_told = if told() { since.elapsed().as_secs_f64() } else { f64::INFINITY };
+    row.twin_told = if told() {
+        since.elapsed().as_secs_f64()
+    } else {
+        f64::INFINITY
+    };
     site.stage.wait_ready(TWIN);
 
     let shots = site.end(&runtime);
     row.twice = site.meter.elsewhere();
-    row.after_drain = site.servers[0].last_after(drained).map_or(0.0, |d| d.as_secs_f64());
+    row.after_drain = site.servers[0]
+        .last_after(drained)
+        .map_or(0.0, |d| d.as_secs_f64());
     row.cold = cold.worst_multiple(Duration::from_secs(3));
     row.over_ceiling = site.beyond();
     (row.asked, row.served, row.unanswered) = (shots.asked, shots.served, shots.unanswered);
     if let Some(folder) = std::env::var_os("FROSTHATCH_HISTORY") {
         let file = std::path::Path::new(&folder).join(format!("members-{seed}.jsonl"));
-        site.stage.history.write(&file).expect("the history is written");
+        site.stage
+            .history
+            .write(&file)
+            .expect("the history is written");
     }
     row
 }
 
 fn used(site: &Site) -> Vec<Duration> {
-    site.stage.processes.iter().map(|p| p.id().map_or(Duration::ZERO, cpu)).collect()
+    site.stage
+        .processes
+        .iter()
+        .map(|p| p.id().map_or(Duration::ZERO, cpu))
+        .collect()
 }
--- a/crates/lab/src/members_size.rs
+++ b/crates/lab/src/members_size.rs
@@ -57,19 +57,26 @@
     figures.at_most(&name("messages_each"), r.messages_s, "1/s", 440.0);
     figures.show(&name("busy_each"), r.busy, "of-a-core");
     // On a machine that others use a call's time of the processor holds interruptions, too: some in a million.
-    figures.show(&name("longest_at_once"), r.longest.as_secs_f64() * 1e3, "ms");
+    figures.show(
+        &name("longest_at_once"),
+        r.longest.as_secs_f64() * 1e3,
+        "ms",
+    );
     figures.at_most(&name("over_1ms_at_once"), r.over_1ms, "of-a-million", 20.0);
 }
 
 fn one(size: usize, loss: f64, lasts: u64) -> Row {
     let mut w = World::settled(size, size as u64);
     // Tables of a thousand take a while to fill.
-    w.until(20 * S, |w| w.fleet(size - 1).view().ready == size && w.views_equal());
+    w.until(20 * S, |w| {
+        w.fleet(size - 1).view().ready == size && w.views_equal()
+    });
     w.loss = loss;
     w.delay = (500, 3_000);
     for n in 0..size {
         let node = w.node(n);
-        (node.bytes, node.messages, node.busy, node.longest) = (0, 0, Duration::ZERO, Duration::ZERO);
+        (node.bytes, node.messages, node.busy, node.longest) =
+            (0, 0, Duration::ZERO, Duration::ZERO);
         (node.calls, node.over_1ms) = (0, 0);
         node.logs.clear();
     }
@@ -81,19 +88,34 @@
     };
     let (bytes_s, messages_s) = (each(|n| n.bytes as f64), each(|n| n.messages as f64));
     let busy = each(|n| n.busy.as_secs_f64());
-    let longest = w.nodes.iter().flatten().map(|n| n.longest).max().unwrap_or_default();
+    let longest = w
+        .nodes
+        .iter()
+        .flatten()
+        .map(|n| n.longest)
+        .max()
+        .unwrap_or_default();
     let sum = |f: fn(&world::Node) -> u64| w.nodes.iter().flatten().map(f).sum::<u64>() as f64;
     let over_1ms = 1e6 * sum(|n| n.over_1ms) / sum(|n| n.calls);
     let memory = memory_mb(std::process::id());
     let mut accused: Vec<String> = w.accusations().into_iter().map(|a| a.2).collect();
-    accused.iter_mut().for_each(|l| l.truncate(l.find(':').unwrap_or(0)));
+    accused
+        .iter_mut()
+        .for_each(|l| l.truncate(l.find(':').unwrap_or(0)));
     accused.sort();
     accused.dedup();
     let dies = size / 2;
     w.kill(dies);
     let from = w.now;
-    let by = |w: &World| w.running().iter().filter(|n| w.state(dies, **n) == "dead").count();
-    let half = w.until(60 * S, |w| 2 * by(w) >= size - 1).map_or(f64::INFINITY, |us| us as f64 / 1e6);
+    let by = |w: &World| {
+        w.running()
+            .iter()
+            .filter(|n| w.state(dies, **n) == "dead")
+            .count()
+    };
+    let half = w
+        .until(60 * S, |w| 2 * by(w) >= size - 1)
+        .map_or(f64::INFINITY, |us| us as f64 / 1e6);
     let all = w.until(60 * S, |w| by(w) == size - 1);
     let all = all.map_or(f64::INFINITY, |_| (w.now - from) as f64 / 1e6);
     Row {
--- a/crates/lab/src/membership_size.rs
+++ b/crates/lab/src/membership_size.rs
@@ -24,7 +24,10 @@
 pub fn play(seconds: Option<u64>, figures: &mut Figures) {
     let length = Duration::from_secs(seconds.unwrap_or(10));
     for by_list in [true, false] {
-        let costs: Vec<f64> = SIZES.iter().map(|&size| part(by_list, size, length, figures)).collect();
+        let costs: Vec<f64> = SIZES
+            .iter()
+            .map(|&size| part(by_list, size, length, figures))
+            .collect();
         let growth = costs[SIZES.len() - 1] / costs[0];
         figures.at_most(
             &format!("{}_growth_of_a_request", source_name(by_list)),
@@ -61,7 +64,9 @@
 /// CPU that one request costs, in microseconds.
 fn part(by_list: bool, size: usize, length: Duration, figures: &mut Figures) -> f64 {
     let runtime = Runtime::new().expect("a runtime");
-    let servers: Vec<Server> = (0..size).map(|n| Server::start_at(runtime.handle(), at(n), false)).collect();
+    let servers: Vec<Server> = (0..size)
+        .map(|n| Server::start_at(runtime.handle(), at(n), false))
+        .collect();
     let nobody: SocketAddr = "127.0.0.1:9".parse().expect("an address");
     let (source, operator, discovery) = if by_list {
         let list: Vec<String> = servers
@@ -75,13 +80,22 @@
     } else {
         let mut zone = Zone::new("example.org");
         for (n, s) in servers.iter().enumerate() {
-            zone.add_instance(SERVICE, &format!("s{n}"), s.address, &["zone=hall-a", "cell=1"]);
-            zone.add(&subtype(n), frosthatch_standins::Rr::Ptr(format!("s{n}.{SERVICE}")));
+            zone.add_instance(
+                SERVICE,
+                &format!("s{n}"),
+                s.address,
+                &["zone=hall-a", "cell=1"],
+            );
+            zone.add(
+                &subtype(n),
+                frosthatch_standins::Rr::Ptr(format!("s{n}.{SERVICE}")),
+            );
         }
         zone.take_changes();
         let resolver = Resolver::new(zone);
-        let services: Vec<String> =
-            (0..=(size - 1) / A_SUBTYPE).map(|n| format!("\"{}\"", subtype(n * A_SUBTYPE))).collect();
+        let services: Vec<String> = (0..=(size - 1) / A_SUBTYPE)
+            .map(|n| format!("\"{}\"", subtype(n * A_SUBTYPE)))
+            .collect();
         let text = format!(
             "[membership]\nsource = \"dns-sd\"\n[dns-sd]\nservices = [{}]\nresolvers = [\"{}\"]\n\
              queries_per_s = 5000\n[dns-sd.push]\nservers = [\"{}\"]\n",
@@ -89,12 +103,27 @@
             resolver.address,
             resolver.push
         );
-        (Source::DnsSd(resolver), Some(OperatorFile::new(&text)), nobody)
+        (
+            Source::DnsSd(resolver),
+            Some(OperatorFile::new(&text)),
+            nobody,
+        )
+    };
+    let node = Node {
+        gateways: 1,
+        me: 0,
+        discovery,
+        counter: None,
+        sockets: 4_096,
+        memory_mb: 192,
     };
-    let node = Node { gateways: 1, me: 0, discovery, counter: None, sockets: 4_096, memory_mb: 192 };
     let gateway = node.start(operator.as_ref().map(OperatorFile::path));
     // All that is learned at the start, and what is asked for beside it, is over.
-    pause(Duration::from_secs(if by_list { 1 } else { 5 + size as u64 / 250 }));
+    pause(Duration::from_secs(if by_list {
+        1
+    } else {
+        5 + size as u64 / 250
+    }));
     let name = |what: &str| format!("{}_{size}_{what}", source_name(by_list));
     let idle = used(&gateway, length);
     figures.show(&name("cpu_idle"), idle * 1e3, "ms/s");
@@ -106,11 +135,18 @@
         match &source {
             Source::List(agent) => {
                 let state = if drains { "Terminating" } else { "Ready" };
-                agent.post(false, &target(&format!("s{n}"), servers[n].address, 1, state));
+                agent.post(
+                    false,
+                    &target(&format!("s{n}"), servers[n].address, 1, state),
+                );
             }
             Source::DnsSd(resolver) => drop(resolver.change(|zone| {
                 let full = format!("s{n}.{SERVICE}");
-                let state = if drains { "state=draining" } else { "state=ready" };
+                let state = if drains {
+                    "state=draining"
+                } else {
+                    "state=ready"
+                };
                 zone.remove(&full, |rr| matches!(rr, frosthatch_standins::Rr::Txt(_)));
                 let text = ["zone=hall-a", "cell=1", state].map(String::from).to_vec();
                 zone.add(&full, frosthatch_standins::Rr::Txt(text));
@@ -128,7 +164,12 @@
     let spent = (cpu(gateway.id()) - before).as_secs_f64() - idle * length.as_secs_f64();
     let shots = load.shots.lock().expect("shots");
     let served = shots.iter().filter(|s| s.got == Got::Served).count();
-    figures.at_least(&name("served"), served as f64 / shots.len() as f64, "share", 0.99);
+    figures.at_least(
+        &name("served"),
+        served as f64 / shots.len() as f64,
+        "share",
+        0.99,
+    );
     let cost = spent / shots.len() as f64 * 1e6;
     figures.show(&name("cpu_a_request"), cost, "us");
     cost
--- a/crates/lab/src/plugins.rs
+++ b/crates/lab/src/plugins.rs
@@ -48,20 +48,40 @@
 /// One gateway with these plug-ins: name, module, further keys.
 fn site(on: &Handle, plugins: &[(String, &str, &str)]) -> Site {
     let servers: Vec<Server> = (0..8).map(|_| Server::start(on, false)).collect();
-    let list: Vec<String> =
-        servers.iter().enumerate().map(|(n, s)| target(&format!("s{n}"), s.address, 1, "Ready")).collect();
+    let list: Vec<String> = servers
+        .iter()
+        .enumerate()
+        .map(|(n, s)| target(&format!("s{n}"), s.address, 1, "Ready"))
+        .collect();
     let agent = Discovery::new(&list.join(","));
-    let files: Vec<File> = plugins.iter().map(|(_, module, _)| File(config_file(module))).collect();
+    let files: Vec<File> = plugins
+        .iter()
+        .map(|(_, module, _)| File(config_file(module)))
+        .collect();
     let named = plugins.iter().zip(&files);
     let text: String = named
-        .map(|((name, _, more), file)| format!("[plugins.{name}]\nfile = \"{}\"\n{more}", file.0.display()))
+        .map(|((name, _, more), file)| {
+            format!("[plugins.{name}]\nfile = \"{}\"\n{more}", file.0.display())
+        })
         .collect();
     let operator = OperatorFile::new(&text);
-    let node =
-        Node { gateways: 1, me: 0, discovery: agent.address, counter: None, sockets: 1_024, memory_mb: 192 };
+    let node = Node {
+        gateways: 1,
+        me: 0,
+        discovery: agent.address,
+        counter: None,
+        sockets: 1_024,
+        memory_mb: 192,
+    };
     let since = Instant::now();
     let gateway = node.start(Some(operator.path()));
-    Site { gateway, _servers: servers, _agent: agent, _files: files, started: since.elapsed() }
+    Site {
+        gateway,
+        _servers: servers,
+        _agent: agent,
+        _files: files,
+        started: since.elapsed(),
+    }
 }
 
 pub fn play(seconds: Option<u64>, figures: &mut Figures) {
@@ -82,7 +102,10 @@
     let site = site(runtime.handle(), &plugins);
     let (load, task) = Load::start(runtime.handle(), vec![site.gateway.address], PER_S, length);
     if !plugins.is_empty() {
-        let (own, got) = (Load::to(vec![site.gateway.address]), Arc::<Mutex<Vec<(Got, bool)>>>::default());
+        let (own, got) = (
+            Load::to(vec![site.gateway.address]),
+            Arc::<Mutex<Vec<(Got, bool)>>>::default(),
+        );
         let start = Instant::now() + Duration::from_secs(2);
         for n in 0..STUCK_PER_S * STUCK_FOR.as_secs() as u32 {
             let (own, got) = (own.clone(), got.clone());
@@ -90,8 +113,13 @@
             runtime.spawn(async move {
                 tokio::time::sleep_until(due).await;
                 let class = if n % 10 < 7 { CHECK } else { TOP_UP };
-                let shape =
-                    Shape { class, plan: "counted", customer: n, units: 1, id: 1 << 40 | u64::from(n) };
+                let shape = Shape {
+                    class,
+                    plan: "counted",
+                    customer: n,
+                    units: 1,
+                    id: 1 << 40 | u64::from(n),
+                };
                 let answer = own.ask(0, shape, due).await;
                 let in_time = due.elapsed() < class.2;
                 got.lock().expect("answers").push((answer, in_time));
@@ -100,21 +128,44 @@
         pause(length);
         let got = got.lock().expect("answers");
         let all = f64::from(STUCK_PER_S) * STUCK_FOR.as_secs_f64();
-        let failed = got.iter().filter(|(got, in_time)| *got == Got::Failed && *in_time).count() as f64;
-        figures.at_least("requests_of_the_stuck_one", got.len() as f64, "requests", all);
-        figures.at_most("of_them_without_one_failed_answer_in_time", all - failed, "requests", 0.0);
+        let failed = got
+            .iter()
+            .filter(|(got, in_time)| *got == Got::Failed && *in_time)
+            .count() as f64;
+        figures.at_least(
+            "requests_of_the_stuck_one",
+            got.len() as f64,
+            "requests",
+            all,
+        );
+        figures.at_most(
+            "of_them_without_one_failed_answer_in_time",
+            all - failed,
+            "requests",
+            0.0,
+        );
     }
     runtime.block_on(async { drop(task.await) });
     let shots = load.shots.lock().expect("shots");
-    let wrong = shots.iter().filter(|s| matches!(s.got, Got::Nothing | Got::Wrong)).count();
+    let wrong = shots
+        .iter()
+        .filter(|s| matches!(s.got, Got::Nothing | Got::Wrong))
+        .count();
     figures.at_most(
-        if plugins.is_empty() { "unanswered_without" } else { "unanswered_beside_a_stuck_one" },
+        if plugins.is_empty() {
+            "unanswered_without"
+        } else {
+            "unanswered_beside_a_stuck_one"
+        },
         wrong as f64,
         "requests",
         0.0,
     );
-    let mut took: Vec<Duration> =
-        shots.iter().filter(|s| s.due > Duration::from_secs(2)).map(|s| s.took).collect();
+    let mut took: Vec<Duration> = shots
+        .iter()
+        .filter(|s| s.due > Duration::from_secs(2))
+        .map(|s| s.took)
+        .collect();
     percentile(&mut took, 0.99)
 }
 
@@ -145,12 +196,23 @@
         if name == "none" {
             none = (us, p50);
         }
-        let answered = shots.iter().filter(|s| matches!(s.got, Got::Served | Got::Refused)).count();
+        let answered = shots
+            .iter()
+            .filter(|s| matches!(s.got, Got::Served | Got::Refused))
+            .count();
         figures.show(&format!("{name}_cpu"), us, "us/request");
         figures.show(&format!("{name}_cpu_ratio"), us / none.0, "x");
         figures.show(&format!("{name}_p50_more"), p50 - none.1, "ms");
-        figures.show(&format!("{name}_memory"), memory_mb(site.gateway.id()), "MB");
-        figures.show(&format!("{name}_start"), site.started.as_secs_f64() * 1e3, "ms");
+        figures.show(
+            &format!("{name}_memory"),
+            memory_mb(site.gateway.id()),
+            "MB",
+        );
+        figures.show(
+            &format!("{name}_start"),
+            site.started.as_secs_f64() * 1e3,
+            "ms",
+        );
         figures.at_least(
             &format!("{name}_answered"),
             answered as f64 / shots.len().max(1) as f64,
--- a/crates/lab/src/policy.rs
+++ b/crates/lab/src/policy.rs
@@ -89,10 +89,15 @@
 pub fn play(seconds: Option<u64>, figures: &mut Figures) {
     // As many changes as fit, some two seconds each.
     let changes = seconds.map_or(CHANGES, |s| (s as usize / 2).max(11));
-    let rows: Vec<Row> = (1..=SEEDS).map(|seed| one(seed, changes, figures)).collect();
+    let rows: Vec<Row> = (1..=SEEDS)
+        .map(|seed| one(seed, changes, figures))
+        .collect();
     let sum = |f: fn(&Row) -> usize| rows.iter().map(f).sum::<usize>() as f64;
-    let ended =
-        |name: &str| rows.iter().map(|r| r.ends.get(name).copied().unwrap_or(0)).sum::<usize>() as f64;
+    let ended = |name: &str| {
+        rows.iter()
+            .map(|r| r.ends.get(name).copied().unwrap_or(0))
+            .sum::<usize>() as f64
+    };
     for (name, end) in [
         ("in_force", "in force"),
         ("refused", "refused"),
@@ -109,24 +114,58 @@
     let times = |f: fn(&Row) -> &Vec<f64>| {
         let mut all: Vec<f64> = rows.iter().flat_map(|r| f(r).iter().copied()).collect();
         all.sort_by(f64::total_cmp);
-        (all.get(all.len() / 2).copied().unwrap_or(f64::NAN), all.last().copied().unwrap_or(f64::NAN))
+        (
+            all.get(all.len() / 2).copied().unwrap_or(f64::NAN),
+            all.last().copied().unwrap_or(f64::NAN),
+        )
     };
-    for (name, (p50, worst)) in
-        [("in_health", times(|r| &r.health)), ("with_a_keeper_down", times(|r| &r.minority))]
-    {
+    for (name, (p50, worst)) in [
+        ("in_health", times(|r| &r.health)),
+        ("with_a_keeper_down", times(|r| &r.minority)),
+    ] {
         figures.show(&format!("change_{name}_p50"), p50, "s");
         figures.at_most(&format!("change_{name}_worst"), worst, "s", 4.0);
     }
     figures.show("let_in", sum(|r| r.let_in), "requests");
-    figures.at_least("versions_seen", sum(|r| r.seen), "versions", 0.5 * (changes * rows.len()) as f64);
+    figures.at_least(
+        "versions_seen",
+        sum(|r| r.seen),
+        "versions",
+        0.5 * (changes * rows.len()) as f64,
+    );
     let worst = rows.iter().map(|r| r.window).max().unwrap_or(0);
     figures.at_most("window", worst as f64 / 1e3, "ms", WINDOW_US as f64 / 1e3);
-    figures.at_most("two_documents_of_one_version", sum(|r| r.forks), "requests", 0.0);
-    figures.at_most("told_in_force_and_lost", sum(|r| r.told_in_force_lost), "changes", 0.0);
-    figures.at_most("told_nowhere_and_held", sum(|r| r.told_nowhere_held), "changes", 0.0);
+    figures.at_most(
+        "two_documents_of_one_version",
+        sum(|r| r.forks),
+        "requests",
+        0.0,
+    );
+    figures.at_most(
+        "told_in_force_and_lost",
+        sum(|r| r.told_in_force_lost),
+        "changes",
+        0.0,
+    );
+    figures.at_most(
+        "told_nowhere_and_held",
+        sum(|r| r.told_nowhere_held),
+        "changes",
+        0.0,
+    );
     figures.at_most("not_one_policy_in_time", sum(|r| r.apart), "times", 0.0);
-    figures.at_most("refused_in_health", sum(|r| r.refused_in_health), "requests", 0.0);
-    figures.at_most("refused_with_a_minority_down", sum(|r| r.refused_with_a_minority_down), "requests", 0.0);
+    figures.at_most(
+        "refused_in_health",
+        sum(|r| r.refused_in_health),
+        "requests",
+        0.0,
+    );
+    figures.at_most(
+        "refused_with_a_minority_down",
+        sum(|r| r.refused_with_a_minority_down),
+        "requests",
+        0.0,
+    );
     figures.show("requests", sum(|r| r.shots.asked), "requests");
     figures.show("refused", sum(|r| r.shots.refused), "requests");
     figures.at_most("unanswered", sum(|r| r.shots.unanswered), "requests", 0.0);
@@ -153,7 +192,9 @@
 impl World {
     fn new(on: &tokio::runtime::Handle, seed: u64, name: &str) -> World {
         let agreed = Agreed::new(&format!("{name}-{seed}"), KEEPERS, LEASE_MS);
-        let mut site = Site::new(on, seed, (ALL, ALL), SERVERS, |n, _| (n, agreed.table(n, "")));
+        let mut site = Site::new(on, seed, (ALL, ALL), SERVERS, |n, _| {
+            (n, agreed.table(n, ""))
+        });
         site.stage.start_all();
         let world = World {
             site,
@@ -173,7 +214,9 @@
     }
 
     fn console(&self, by: usize) -> Option<SocketAddr> {
-        self.site.stage.processes[by].console().filter(|_| self.site.stage.processes[by].runs())
+        self.site.stage.processes[by]
+            .console()
+            .filter(|_| self.site.stage.processes[by].runs())
     }
 
     /// The version and digest that all that run hold, and none below what was told as in force; none: not within the time.
@@ -181,12 +224,17 @@
         let least = self.in_force.last_key_value().map_or(0, |(v, _)| *v);
         let since = Instant::now();
         while since.elapsed() < PATIENCE {
-            let running: Vec<usize> = (0..ALL).filter(|n| self.site.stage.processes[*n].runs()).collect();
+            let running: Vec<usize> = (0..ALL)
+                .filter(|n| self.site.stage.processes[*n].runs())
+                .collect();
             let held: Vec<Option<(u64, String)>> = running
                 .iter()
                 .map(|n| {
                     let status = agreed::status(self.console(*n)?)?;
-                    let held = (status["version"].as_u64()?, status["digest"].as_str()?.to_string());
+                    let held = (
+                        status["version"].as_u64()?,
+                        status["digest"].as_str()?.to_string(),
+                    );
                     (status["state"] == "in force").then_some(held)
                 })
                 .collect();
@@ -205,7 +253,9 @@
         let since = Instant::now();
         while since.elapsed() < PATIENCE {
             match agreed::end(self.console(by)?, number) {
-                Some((state, _)) if state != "open" => return Some((state, since.elapsed().as_secs_f64())),
+                Some((state, _)) if state != "open" => {
+                    return Some((state, since.elapsed().as_secs_f64()))
+                }
                 _ => pause(Duration::from_millis(5)),
             }
         }
@@ -214,7 +264,12 @@
 
     /// Units of the greedy customer that came to servers and do not fit the ceiling that was in force.
     fn over_ceiling(&self, all: &[LetIn]) -> f64 {
-        let (now, unix) = (Instant::now(), SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default());
+        let (now, unix) = (
+            Instant::now(),
+            SystemTime::now()
+                .duration_since(UNIX_EPOCH)
+                .unwrap_or_default(),
+        );
         let end = unix.as_secs_f64();
         let uses = self.site.meter.uses();
         let mut uses: Vec<f64> = uses
@@ -229,7 +284,10 @@
             if l.version > high {
                 high = l.version;
                 let before = changes.last().map_or(20.0, |(_, c)| *c);
-                changes.push((l.at as f64 / 1e6, self.ceilings.get(&l.digest).copied().unwrap_or(before)));
+                changes.push((
+                    l.at as f64 / 1e6,
+                    self.ceilings.get(&l.digest).copied().unwrap_or(before),
+                ));
             }
         }
         over(&uses, &changes)
@@ -238,9 +296,12 @@
     /// What whoever proposed a document was told of it; none: nothing.
     fn told(&mut self, document: &str, version: u64, end: Option<&str>) {
         *self.ends.entry(end.unwrap_or_default().into()).or_default() += 1;
-        let ceiling =
-            document.split("ceiling_rate = ").nth(1).and_then(|rest| rest.lines().next()?.parse().ok());
-        self.ceilings.extend(ceiling.map(|c| (digest(document)[..12].to_string(), c)));
+        let ceiling = document
+            .split("ceiling_rate = ")
+            .nth(1)
+            .and_then(|rest| rest.lines().next()?.parse().ok());
+        self.ceilings
+            .extend(ceiling.map(|c| (digest(document)[..12].to_string(), c)));
         match end {
             Some("in force") => drop(self.in_force.insert(version, digest(document))),
             Some("refused" | "lost") => drop(self.nowhere.insert(digest(document))),
@@ -291,7 +352,9 @@
         }
         if std::env::var_os("FROSTHATCH_HISTORY").is_some() {
             let version = version + 1;
-            figures.say(&format!("seed {seed}: {version} {wrong:?} {end:?} {took:.3} s, {refused} refused"));
+            figures.say(&format!(
+                "seed {seed}: {version} {wrong:?} {end:?} {took:.3} s, {refused} refused"
+            ));
         }
     }
     row.shots = w.site.end(&runtime);
@@ -301,17 +364,27 @@
     (row.window, row.seen) = agreed::window(&all);
     row.forks = agreed::forks(&all);
     let is = |l: &LetIn, digest: &String| digest.starts_with(&l.digest);
-    row.told_nowhere_held =
-        w.nowhere.iter().filter(|d| all.iter().any(|l| l.version > 0 && is(l, d))).count();
+    row.told_nowhere_held = w
+        .nowhere
+        .iter()
+        .filter(|d| all.iter().any(|l| l.version > 0 && is(l, d)))
+        .count();
     let differs = |(v, d): &(&u64, &String)| all.iter().any(|l| l.version == **v && !is(l, d));
     row.told_in_force_lost = w.in_force.iter().filter(differs).count();
     let last = w.one_policy().map_or(0, |(v, _)| v);
     for (version, digest) in w.in_force.iter().filter(differs) {
-        figures.say(&format!("seed {seed}: version {version} was told as in force with {}", &digest[..12]));
+        figures.say(&format!(
+            "seed {seed}: version {version} was told as in force with {}",
+            &digest[..12]
+        ));
     }
     if let Some(folder) = std::env::var_os("FROSTHATCH_HISTORY") {
         let file = std::path::Path::new(&folder).join(format!("policy-{seed}.jsonl"));
-        w.site.stage.history.write(&file).expect("the history is written");
+        w.site
+            .stage
+            .history
+            .write(&file)
+            .expect("the history is written");
     }
     row.told_in_force_lost += w.in_force.keys().filter(|v| **v > last).count();
     row.twice = w.site.meter.elsewhere();
@@ -343,14 +416,25 @@
         Wrong::Stopped => w.site.act(Act::Stop { who: vec![plain] }),
         Wrong::CutOff => {
             w.site.shut(&[plain]);
-            w.site.stage.act(&Act::Split { groups: vec![others(plain), vec![plain]] });
+            w.site.stage.act(&Act::Split {
+                groups: vec![others(plain), vec![plain]],
+            });
         }
         Wrong::OneWay => {
             let to = (by + 1 + w.below(ALL - 1)) % ALL;
-            w.site.act(Act::Cut { from: vec![by], to: vec![to] });
+            w.site.act(Act::Cut {
+                from: vec![by],
+                to: vec![to],
+            });
         }
         Wrong::Loss => {
-            w.site.act(Act::Links { faults: Faults { loss: 0.3, jitter_ms: 200, ..Faults::default() } });
+            w.site.act(Act::Links {
+                faults: Faults {
+                    loss: 0.3,
+                    jitter_ms: 200,
+                    ..Faults::default()
+                },
+            });
         }
         // Two keepers on one side.
         Wrong::TwoParts => {
@@ -358,7 +442,9 @@
             let (a, b): (Vec<usize>, Vec<usize>) = (0..ALL).partition(in_a);
             w.site.shut(&b);
             by = a[0];
-            w.site.stage.act(&Act::Split { groups: vec![a, b.clone()] });
+            w.site.stage.act(&Act::Split {
+                groups: vec![a, b.clone()],
+            });
             // The other part changes it, too.
             let other = document.replace("rate = 6\n", "rate = 5\n");
             let at = w.console(b[0]);
@@ -398,8 +484,17 @@
 }
 
 /// Proposes by one, and does what goes wrong from then on.
-fn propose(w: &mut World, wrong: Wrong, by: usize, version: u64, document: &str) -> (Option<String>, f64) {
-    let (other, soon) = ((by + 1 + w.below(ALL - 1)) % ALL, Duration::from_millis(w.below(250) as u64));
+fn propose(
+    w: &mut World,
+    wrong: Wrong,
+    by: usize,
+    version: u64,
+    document: &str,
+) -> (Option<String>, f64) {
+    let (other, soon) = (
+        (by + 1 + w.below(ALL - 1)) % ALL,
+        Duration::from_millis(w.below(250) as u64),
+    );
     let number = match w.console(by).and_then(|at| agreed::propose(at, document)) {
         Some(Ok(number)) => number,
         // It has no lease, or too many are under way.
@@ -414,13 +509,19 @@
         }
         Wrong::Keepers => {
             pause(soon);
-            w.site.act(Act::Kill { who: (0..KEEPERS).collect() });
+            w.site.act(Act::Kill {
+                who: (0..KEEPERS).collect(),
+            });
             pause(Duration::from_secs(1));
-            w.site.stage.act(&Act::Start { who: (0..KEEPERS).collect() });
+            w.site.stage.act(&Act::Start {
+                who: (0..KEEPERS).collect(),
+            });
         }
         Wrong::Everybody => {
             pause(soon);
-            w.site.act(Act::Kill { who: (0..ALL).collect() });
+            w.site.act(Act::Kill {
+                who: (0..ALL).collect(),
+            });
         }
         Wrong::Two => {
             let two = document.replace("rate = 6\n", "rate = 5\n");
@@ -443,7 +544,9 @@
 /// All are there again, and clients go to them once they serve.
 fn back(w: &mut World) {
     w.site.stage.act(&Act::Heal);
-    let who: Vec<usize> = (0..ALL).filter(|n| !w.site.stage.processes[*n].runs()).collect();
+    let who: Vec<usize> = (0..ALL)
+        .filter(|n| !w.site.stage.processes[*n].runs())
+        .collect();
     w.site.stage.act(&Act::Start { who: who.clone() });
     who.iter().for_each(|n| w.site.stage.wait_ready(*n));
     w.one_policy();
@@ -459,10 +562,19 @@
     let table = |n: usize| {
         // What is let in is not written down: that is not for service.
         let all = agreed.table(n, "");
-        let kept: Vec<&str> = all.lines().filter(|l| leases && !l.starts_with("audit")).collect();
+        let kept: Vec<&str> = all
+            .lines()
+            .filter(|l| leases && !l.starts_with("audit"))
+            .collect();
         kept.join("\n")
     };
-    let mut site = Site::new(runtime.handle(), 9, (GATEWAYS, GATEWAYS), SERVERS, |n, _| (n, table(n)));
+    let mut site = Site::new(
+        runtime.handle(),
+        9,
+        (GATEWAYS, GATEWAYS),
+        SERVERS,
+        |n, _| (n, table(n)),
+    );
     site.stage.start_all();
     site.agrees(GATEWAYS);
     // Beyond the first lease.
@@ -492,19 +604,32 @@
             apart += 1;
             continue;
         };
-        if w.in_force.iter().any(|(v, d)| *v > version || *v == version && *d != parent) {
+        if w.in_force
+            .iter()
+            .any(|(v, d)| *v > version || *v == version && *d != parent)
+        {
             lost += 1;
         }
         let document = document_with(version + 1, &parent, 100.0 + n as f64, 20.0);
         let by = w.below(ALL);
-        let number = w.console(by).and_then(|at| agreed::propose(at, &document)).and_then(Result::ok);
+        let number = w
+            .console(by)
+            .and_then(|at| agreed::propose(at, &document))
+            .and_then(Result::ok);
         // From before the first word to after the last.
         pause(Duration::from_millis(w.below(120) as u64));
-        let end = number.zip(w.console(by)).and_then(|(n, at)| agreed::end(at, n)).map(|(end, _)| end);
-        w.site.stage.act(&Act::Kill { who: (0..ALL).collect() });
+        let end = number
+            .zip(w.console(by))
+            .and_then(|(n, at)| agreed::end(at, n))
+            .map(|(end, _)| end);
+        w.site.stage.act(&Act::Kill {
+            who: (0..ALL).collect(),
+        });
         told += usize::from(end.as_deref() == Some("in force"));
         w.told(&document, version + 1, end.as_deref());
-        torn += (0..KEEPERS).filter(|k| w.agreed.folder_of(*k).join("new").exists()).count();
+        torn += (0..KEEPERS)
+            .filter(|k| w.agreed.folder_of(*k).join("new").exists())
+            .count();
         w.site.stage.start_all();
         w.site.agrees(ALL);
     }
@@ -525,9 +650,18 @@
 /// the depth is twice the ceiling. Just after a change the larger counts, as what was let in before is still on its way.
 fn over(uses: &[f64], changes: &[(f64, f64)]) -> f64 {
     let at = |t: f64| {
-        let before = changes.iter().rev().find(|(since, _)| *since <= t - ON_THE_WAY);
-        let within = changes.iter().filter(|(since, _)| (t - ON_THE_WAY..=t).contains(since));
-        before.into_iter().chain(within).map(|(_, c)| *c).fold(0.0, f64::max)
+        let before = changes
+            .iter()
+            .rev()
+            .find(|(since, _)| *since <= t - ON_THE_WAY);
+        let within = changes
+            .iter()
+            .filter(|(since, _)| (t - ON_THE_WAY..=t).contains(since));
+        before
+            .into_iter()
+            .chain(within)
+            .map(|(_, c)| *c)
+            .fold(0.0, f64::max)
     };
     let (mut level, mut last, mut over) = (f64::MAX, f64::MIN, 0.0);
     for &t in uses {
@@ -549,12 +683,16 @@
 
     #[test]
     fn what_does_not_fit_a_ceiling_that_changes_is_counted() {
-        let every =
-            |n: usize, per_s: f64, from: f64| (0..n).map(|k| from + k as f64 / per_s).collect::<Vec<_>>();
+        let every = |n: usize, per_s: f64, from: f64| {
+            (0..n).map(|k| from + k as f64 / per_s).collect::<Vec<_>>()
+        };
         assert_eq!(over(&every(200, 20.0, 1.0), &[(0.0, 20.0)]), 0.0);
         assert!(over(&every(200, 40.0, 1.0), &[(0.0, 20.0)]) > 50.0);
         // Lowered to a half in the middle, and still asked for by the old one.
         assert!(over(&every(200, 20.0, 1.0), &[(0.0, 20.0), (5.0, 10.0)]) > 20.0);
-        assert_eq!(over(&every(200, 10.0, 1.0), &[(0.0, 20.0), (5.0, 10.0)]), 0.0);
+        assert_eq!(
+            over(&every(200, 10.0, 1.0), &[(0.0, 20.0), (5.0, 10.0)]),
+            0.0
+        );
     }
 }
--- a/crates/lab/src/policy_size.rs
+++ b/crates/lab/src/policy_size.rs
@@ -45,7 +45,10 @@
             let plan = Plan {
                 me: name(n),
                 keepers: (0..KEEPERS).map(name).collect(),
-                times: Times { lease_us: LEASE_US, drift: 10 },
+                times: Times {
+                    lease_us: LEASE_US,
+                    drift: 10,
+                },
                 patience_us: 10 * S,
                 again_us: 150_000,
                 on_lost: OnLost::Refuse,
@@ -89,10 +92,13 @@
 
     fn tick(&mut self) {
         let until = self.now + TICK_US;
-        while let Some(Reverse((at, number))) = self.due.peek().copied().filter(|r| r.0 .0 <= until) {
+        while let Some(Reverse((at, number))) = self.due.peek().copied().filter(|r| r.0 .0 <= until)
+        {
             self.due.pop();
             self.now = self.now.max(at);
-            let Some((to, what)) = self.to_come.remove(&number) else { continue };
+            let Some((to, what)) = self.to_come.remove(&number) else {
+                continue;
+            };
             let mut out = Vec::new();
             match what {
                 What::Letter(from, bytes) => {
@@ -122,15 +128,19 @@
     fn hold(&mut self, version: u64) -> usize {
         let now = self.now;
         let of = |n: &mut Node| matches!(n.standing(now), Standing::Under(id, None) if id.version == version);
-        self.nodes.iter_mut().filter_map(|n| of(n).then_some(())).count()
+        self.nodes
+            .iter_mut()
+            .filter_map(|n| of(n).then_some(()))
+            .count()
     }
 }
 
 pub fn play(seconds: Option<u64>, figures: &mut Figures) {
     let lasts = seconds.unwrap_or(10);
     let seed = 4;
-    figures
-        .say(&format!("{ALL} members, {KEEPERS} keepers, a lease of 1 s, ways of 0.5 to 3 ms, seed {seed}"));
+    figures.say(&format!(
+        "{ALL} members, {KEEPERS} keepers, a lease of 1 s, ways of 0.5 to 3 ms, seed {seed}"
+    ));
     let mut w = World::new(seed);
     w.run(3 * S);
     let without = ALL - w.hold(0);
@@ -144,7 +154,10 @@
     figures.at_most("without_a_lease_in_health", gaps as f64, "ticks", 0.0);
     let a_second = |sent: &[(u64, u64)], lasts: f64| {
         let all = sent.iter().fold((0, 0), |a, s| (a.0 + s.0, a.1 + s.1));
-        (all.0 as f64 / lasts / sent.len() as f64, all.1 as f64 / lasts / sent.len() as f64)
+        (
+            all.0 as f64 / lasts / sent.len() as f64,
+            all.1 as f64 / lasts / sent.len() as f64,
+        )
     };
     let (bytes, datagrams) = a_second(&w.sent[KEEPERS..], lasts as f64);
     figures.at_most("gateway_bytes", bytes, "B/s", 4_000.0);
@@ -163,12 +176,17 @@
         let by = 7 * version as usize;
         let others: Vec<String> = (0..ALL).filter(|n| *n != by).map(name).collect();
         let (from, mut out) = (w.now, Vec::new());
-        let number = w.nodes[by].propose(from, &text, &others, &mut out).expect("it can be proposed");
+        let number = w.nodes[by]
+            .propose(from, &text, &others, &mut out)
+            .expect("it can be proposed");
         w.outs(by, out);
         let mut told = None;
         while w.hold(version) < ALL && w.now < from + 20 * S {
             w.tick();
-            let end = w.nodes[by].proposals().find(|p| p.number == number).and_then(|p| p.end);
+            let end = w.nodes[by]
+                .proposals()
+                .find(|p| p.number == number)
+                .and_then(|p| p.end);
             if end.is_some() {
                 told.get_or_insert(w.now - from);
             }
--- a/crates/lab/src/quota_links.rs
+++ b/crates/lab/src/quota_links.rs
@@ -33,25 +33,68 @@
 }
 
 fn faults() -> Vec<Fault> {
-    let cut =
-        |who: usize| Act::Split { groups: vec![vec![who], (0..GATEWAYS).filter(|g| *g != who).collect()] };
-    let loss = Faults { loss: 0.3, ..Faults::default() };
-    let one_way = Act::Cut { from: vec![0], to: vec![1, 2, 3] };
+    let cut = |who: usize| Act::Split {
+        groups: vec![vec![who], (0..GATEWAYS).filter(|g| *g != who).collect()],
+    };
+    let loss = Faults {
+        loss: 0.3,
+        ..Faults::default()
+    };
+    let one_way = Act::Cut {
+        from: vec![0],
+        to: vec![1, 2, 3],
+    };
     let (kill, start) = (Act::Kill { who: vec![3] }, Act::Start { who: vec![3] });
     vec![
-        Fault { name: "nothing", begin: Act::Heal, end: Act::Heal },
-        Fault { name: "cut_least", begin: cut(3), end: Act::Heal },
-        Fault { name: "cut_most", begin: cut(0), end: Act::Heal },
-        Fault { name: "cut_one_way", begin: one_way, end: Act::Heal },
+        Fault {
+            name: "nothing",
+            begin: Act::Heal,
+            end: Act::Heal,
+        },
+        Fault {
+            name: "cut_least",
+            begin: cut(3),
+            end: Act::Heal,
+        },
+        Fault {
+            name: "cut_most",
+            begin: cut(0),
+            end: Act::Heal,
+        },
+        Fault {
+            name: "cut_one_way",
+            begin: one_way,
+            end: Act::Heal,
+        },
         Fault {
             name: "one_link",
-            begin: Act::Split { groups: vec![vec![0, 2, 3], vec![1, 2, 3]] },
+            begin: Act::Split {
+                groups: vec![vec![0, 2, 3], vec![1, 2, 3]],
+            },
+            end: Act::Heal,
+        },
+        Fault {
+            name: "halves",
+            begin: Act::Split {
+                groups: vec![vec![0, 3], vec![1, 2]],
+            },
+            end: Act::Heal,
+        },
+        Fault {
+            name: "loss_30",
+            begin: Act::Links { faults: loss },
             end: Act::Heal,
         },
-        Fault { name: "halves", begin: Act::Split { groups: vec![vec![0, 3], vec![1, 2]] }, end: Act::Heal },
-        Fault { name: "loss_30", begin: Act::Links { faults: loss }, end: Act::Heal },
-        Fault { name: "killed", begin: kill, end: start },
-        Fault { name: "stopped", begin: Act::Stop { who: vec![3] }, end: Act::Continue { who: vec![3] } },
+        Fault {
+            name: "killed",
+            begin: kill,
+            end: start,
+        },
+        Fault {
+            name: "stopped",
+            begin: Act::Stop { who: vec![3] },
+            end: Act::Continue { who: vec![3] },
+        },
     ]
 }
 
@@ -84,7 +127,9 @@
         // Installations at once: they share this machine's cores.
         for _ in 0..4 {
             s.spawn(|| loop {
-                let Some((n, fault)) = next.lock().expect("faults").next() else { return };
+                let Some((n, fault)) = next.lock().expect("faults").next() else {
+                    return;
+                };
                 let row = one(&fault, lasts, n as u64);
                 rows.lock().expect("rows").push((n, row));
             });
@@ -99,7 +144,12 @@
         figures.at_least(&name("honest_later"), r.later, "of-asked", 0.99);
         figures.show(&name("greedy_during"), r.greedy[0], "units/s");
         figures.at_least(&name("greedy_after"), r.greedy[1], "units/s", 0.9 * QUOTA.0);
-        figures.at_most(&name("over_quota"), r.over_quota, "units", 0.5 * QUOTA.0 * lasts.as_secs_f64());
+        figures.at_most(
+            &name("over_quota"),
+            r.over_quota,
+            "units",
+            0.5 * QUOTA.0 * lasts.as_secs_f64(),
+        );
         figures.at_most(&name("over_ceiling"), r.over_ceiling, "units", 0.0);
     }
 }
@@ -113,7 +163,14 @@
     let key = config_file("a key of the lab's own, long enough for all");
     let processes = (0..GATEWAYS).map(|me| {
         let discovery = agent.address;
-        let node = Node { gateways: GATEWAYS, me, discovery, counter: None, sockets: 1_024, memory_mb: 64 };
+        let node = Node {
+            gateways: GATEWAYS,
+            me,
+            discovery,
+            counter: None,
+            sockets: 1_024,
+            memory_mb: 64,
+        };
         Process::new(node, Some(fleet_file(&relay, me, &key, "")))
     });
     let mut stage = Stage::new(processes.collect(), relay);
@@ -136,7 +193,8 @@
         }
     };
     if let Act::Kill { who } | Act::Stop { who } = &fault.begin {
-        who.iter().for_each(|w| there.lock().expect("who is there")[*w] = false);
+        who.iter()
+            .for_each(|w| there.lock().expect("who is there")[*w] = false);
     }
     stage.act(&fault.begin);
     pause((start + BEFORE + lasts).saturating_duration_since(Instant::now()));
@@ -187,9 +245,20 @@
         let (load, shots) = (load.lock().expect("the load").clone(), shots.clone());
         let taken = there.lock().expect("who is there")[gateway];
         out.spawn(async move {
-            let shape = Shape { class: CHECK, plan: PLAN, customer: key, units: 1, id };
+            let shape = Shape {
+                class: CHECK,
+                plan: PLAN,
+                customer: key,
+                units: 1,
+                id,
+            };
             let served = taken && load.ask(gateway, shape, start + due).await == Got::Served;
-            let shot = Shot { due: due.as_secs_f64(), customer: key, served, taken };
+            let shot = Shot {
+                due: due.as_secs_f64(),
+                customer: key,
+                served,
+                taken,
+            };
             shots.lock().expect("shots").push(shot);
         });
         while out.try_join_next().is_some() {}
@@ -201,14 +270,20 @@
     let (from, to) = (BEFORE.as_secs_f64(), (BEFORE + lasts).as_secs_f64());
     let end = to + AFTER.as_secs_f64();
     let of = |key: u32, a: f64, b: f64| {
-        let these = shots.iter().filter(|s| s.customer == key && s.taken && (a..b).contains(&s.due));
-        let (asked, served) =
-            these.fold((0.0, 0.0), |(n, k), s| (n + 1.0, k + f64::from(u8::from(s.served))));
+        let these = shots
+            .iter()
+            .filter(|s| s.customer == key && s.taken && (a..b).contains(&s.due));
+        let (asked, served) = these.fold((0.0, 0.0), |(n, k), s| {
+            (n + 1.0, k + f64::from(u8::from(s.served)))
+        });
         (served / f64::max(asked, 1.0), served / (b - a))
     };
     let beyond = |(rate, depth): (f64, f64)| {
-        let mut due: Vec<f64> =
-            shots.iter().filter(|s| s.served && s.customer == GREEDY.0).map(|s| s.due).collect();
+        let mut due: Vec<f64> = shots
+            .iter()
+            .filter(|s| s.served && s.customer == GREEDY.0)
+            .map(|s| s.due)
+            .collect();
         due.sort_by(f64::total_cmp);
         let uses: Vec<(f64, f64)> = due.into_iter().map(|t| (t, 1.0)).collect();
         // A request is on its way for a moment: what came within it may have been sent in any order.
--- a/crates/lab/src/rig/agreed.rs
+++ b/crates/lab/src/rig/agreed.rs
@@ -31,9 +31,14 @@
     /// # Panics
     /// If they cannot be made.
     pub fn new(name: &str, keepers: usize, lease_ms: u64) -> Agreed {
-        let folder = std::env::temp_dir().join(format!("frosthatch-agreed-{}-{name}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("frosthatch-agreed-{}-{name}", std::process::id()));
         let _ = fs::remove_dir_all(&folder);
-        let agreed = Agreed { folder, keepers, lease_ms };
+        let agreed = Agreed {
+            folder,
+            keepers,
+            lease_ms,
+        };
         for n in 0..keepers {
             fs::create_dir_all(agreed.folder_of(n)).expect("a folder");
             Folder::open(&agreed.folder_of(n))
@@ -54,8 +59,11 @@
     /// The table for one process's file; `more`: lines of it.
     pub fn table(&self, who: usize, more: &str) -> String {
         let names: Vec<String> = (0..self.keepers).map(|n| format!("\"n{n}\"")).collect();
-        let folder =
-            if who < self.keepers { format!("folder = {:?}\n", self.folder_of(who)) } else { String::new() };
+        let folder = if who < self.keepers {
+            format!("folder = {:?}\n", self.folder_of(who))
+        } else {
+            String::new()
+        };
         let (names, lease, audit) = (names.join(", "), self.lease_ms, self.audit_of(who));
         format!("\n[policy]\nkeepers = [{names}]\n{folder}lease_ms = {lease}\naudit = {audit:?}\n{more}")
     }
@@ -68,8 +76,15 @@
             for line in text.lines() {
                 let mut words = line.split(' ');
                 let mut next = || words.next().unwrap_or("");
-                let (Ok(at), Ok(version)) = (next().parse(), next().parse()) else { continue };
-                all.push(LetIn { at, by, version, digest: next().into() });
+                let (Ok(at), Ok(version)) = (next().parse(), next().parse()) else {
+                    continue;
+                };
+                all.push(LetIn {
+                    at,
+                    by,
+                    version,
+                    digest: next().into(),
+                });
             }
         }
         all.sort_by_key(|l| l.at);
@@ -101,7 +116,9 @@
 /// Two documents of one version were in force.
 pub fn forks(all: &[LetIn]) -> usize {
     let mut seen: std::collections::BTreeMap<u64, &str> = std::collections::BTreeMap::new();
-    all.iter().filter(|l| *seen.entry(l.version).or_insert(&l.digest) != l.digest).count()
+    all.iter()
+        .filter(|l| *seen.entry(l.version).or_insert(&l.digest) != l.digest)
+        .count()
 }
 
 /// A document for the lab's own day, in which the plan with room for everybody has this rate.
@@ -111,7 +128,11 @@
 
 /// The same with another ceiling for the plan that has one, and twice that as its depth.
 pub fn document_with(version: u64, parent: &str, rate: f64, ceiling: f64) -> String {
-    let parent = if version > 1 { format!("parent = \"{parent}\"\n") } else { String::new() };
+    let parent = if version > 1 {
+        format!("parent = \"{parent}\"\n")
+    } else {
+        String::new()
+    };
     format!(
         "version = {version}\n{parent}
 [plans.mellem]\nrate = {rate}\nburst = 400\n
@@ -140,13 +161,17 @@
 /// The version that a process serves under now, if it does.
 pub fn holds(process: &Process) -> Option<u64> {
     let status = status(process.console()?)?;
-    (status["state"] == "in force").then(|| status["version"].as_u64()).flatten()
+    (status["state"] == "in force")
+        .then(|| status["version"].as_u64())
+        .flatten()
 }
 
 /// Proposes at a process: the number of the proposal, or what is wrong.
 pub fn propose(console: SocketAddr, document: &str) -> Option<Result<u64, String>> {
     match call(console, "POST", "/policy", document)? {
-        (202, body) => Some(Ok(serde_json::from_str::<Value>(&body).ok()?["number"].as_u64()?)),
+        (202, body) => Some(Ok(
+            serde_json::from_str::<Value>(&body).ok()?["number"].as_u64()?
+        )),
         (_, why) => Some(Err(why)),
     }
 }
@@ -164,15 +189,32 @@
     use super::*;
 
     fn at(at: u64, by: usize, version: u64) -> LetIn {
-        LetIn { at, by, version, digest: format!("d{version}") }
+        LetIn {
+            at,
+            by,
+            version,
+            digest: format!("d{version}"),
+        }
     }
 
     #[test]
     fn what_was_let_in_under_an_old_version_is_found_and_timed() {
         assert_eq!(window(&[at(1, 0, 1), at(5, 1, 2), at(6, 0, 2)]), (0, 2));
-        assert_eq!(window(&[at(1, 0, 1), at(5, 1, 2), at(8, 0, 1), at(9, 0, 2), at(20, 0, 1)]), (15, 2));
+        assert_eq!(
+            window(&[
+                at(1, 0, 1),
+                at(5, 1, 2),
+                at(8, 0, 1),
+                at(9, 0, 2),
+                at(20, 0, 1)
+            ]),
+            (15, 2)
+        );
         assert_eq!(forks(&[at(1, 0, 1), at(2, 1, 1)]), 0);
-        let other = LetIn { digest: "other".into(), ..at(3, 1, 1) };
+        let other = LetIn {
+            digest: "other".into(),
+            ..at(3, 1, 1)
+        };
         assert_eq!(forks(&[at(1, 0, 1), other]), 1);
     }
 }
--- a/crates/lab/src/rig/history.rs
+++ b/crates/lab/src/rig/history.rs
@@ -24,7 +24,10 @@
 
 impl Default for History {
     fn default() -> Self {
-        History { start: Instant::now(), events: Arc::default() }
+        History {
+            start: Instant::now(),
+            events: Arc::default(),
+        }
     }
 }
 
@@ -34,7 +37,11 @@
     }
 
     pub fn note(&self, process: Option<usize>, what: Value) {
-        let event = Event { at: self.now(), process, what };
+        let event = Event {
+            at: self.now(),
+            process,
+            what,
+        };
         self.events.lock().expect("the history").push(event);
     }
 
@@ -51,13 +58,17 @@
     pub fn lines(&self, with: &str) -> Vec<(Duration, usize, String)> {
         let all = self.events();
         let line = |e: &Event| Some((e.at, e.process?, e.what.get("log")?.as_str()?.to_string()));
-        all.iter().filter_map(line).filter(|(_, _, l)| l.contains(with)).collect()
+        all.iter()
+            .filter_map(line)
+            .filter(|(_, _, l)| l.contains(with))
+            .collect()
     }
 
     pub fn write(&self, file: &Path) -> std::io::Result<()> {
         let mut out = std::io::BufWriter::new(std::fs::File::create(file)?);
         for e in self.events() {
-            let line = json!({ "at_ms": e.at.as_millis() as u64, "process": e.process, "what": e.what });
+            let line =
+                json!({ "at_ms": e.at.as_millis() as u64, "process": e.process, "what": e.what });
             writeln!(out, "{line}")?;
         }
         out.flush()
--- a/crates/lab/src/rig/link.rs
+++ b/crates/lab/src/rig/link.rs
@@ -35,7 +35,11 @@
 
 impl Link {
     pub fn new(seed: u64) -> Link {
-        Link { faults: Faults::default(), rng: Pcg64Mcg::seed_from_u64(seed), busy_till: 0 }
+        Link {
+            faults: Faults::default(),
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            busy_till: 0,
+        }
     }
 
     fn chance(&mut self) -> f64 {
@@ -80,16 +84,33 @@
     #[test]
     fn a_healthy_link_passes_all_at_once_and_a_cut_one_nothing() {
         assert!(through(Faults::default(), 100).iter().all(|d| *d == [0]));
-        assert!(through(Faults { cut: true, ..Faults::default() }, 100).iter().all(Vec::is_empty));
+        assert!(through(
+            Faults {
+                cut: true,
+                ..Faults::default()
+            },
+            100
+        )
+        .iter()
+        .all(Vec::is_empty));
     }
 
     #[test]
     fn shares_are_kept_and_the_same_seed_draws_the_same() {
-        let faults = Faults { loss: 0.3, duplicate: 0.2, reorder: 0.1, jitter_ms: 200, ..Faults::default() };
+        let faults = Faults {
+            loss: 0.3,
+            duplicate: 0.2,
+            reorder: 0.1,
+            jitter_ms: 200,
+            ..Faults::default()
+        };
         let all = through(faults.clone(), 10_000);
         let lost = all.iter().filter(|d| d.is_empty()).count();
         let twice = all.iter().filter(|d| d.len() == 2).count();
-        assert!((2_800..3_200).contains(&lost) && (1_250..1_550).contains(&twice), "{lost} {twice}");
+        assert!(
+            (2_800..3_200).contains(&lost) && (1_250..1_550).contains(&twice),
+            "{lost} {twice}"
+        );
         assert!(all.iter().flatten().all(|after| *after < 250_000));
         assert_eq!(all, through(faults, 10_000));
     }
@@ -97,7 +118,13 @@
     #[test]
     fn a_limited_link_holds_back_and_then_drops() {
         // 100 bytes a millisecond come, half of that passes.
-        let all = through(Faults { bytes_per_s: 50_000, ..Faults::default() }, 2_000);
+        let all = through(
+            Faults {
+                bytes_per_s: 50_000,
+                ..Faults::default()
+            },
+            2_000,
+        );
         let passed = all.iter().filter(|d| !d.is_empty()).count();
         assert!((1_000..1_150).contains(&passed), "{passed}");
         assert!(all.iter().flatten().all(|after| *after <= QUEUE_US));
--- a/crates/lab/src/rig/relay.rs
+++ b/crates/lab/src/rig/relay.rs
@@ -45,10 +45,13 @@
                 Arc::new(UdpSocket::from_std(socket).expect("a socket"))
             })
             .collect();
-        let addresses: Vec<SocketAddr> =
-            sockets.iter().map(|s| s.local_addr().expect("an address")).collect();
+        let addresses: Vec<SocketAddr> = sockets
+            .iter()
+            .map(|s| s.local_addr().expect("an address"))
+            .collect();
         let both = (0..processes).flat_map(|a| (0..processes).map(move |b| (a, b)));
-        let seed_of = |(a, b): (usize, usize)| seed.wrapping_mul(1_000_003) ^ ((a * 1_000 + b) as u64);
+        let seed_of =
+            |(a, b): (usize, usize)| seed.wrapping_mul(1_000_003) ^ ((a * 1_000 + b) as u64);
         let state = Arc::new(Mutex::new(State {
             start: Instant::now(),
             real: vec![None; processes],
@@ -58,9 +61,17 @@
             record: 0,
         }));
         let tasks = (0..processes)
-            .map(|to| on.spawn(carry(to, sockets.clone(), state.clone())).abort_handle())
+            .map(|to| {
+                on.spawn(carry(to, sockets.clone(), state.clone()))
+                    .abort_handle()
+            })
             .collect();
-        Relay { addresses, sockets, state, tasks }
+        Relay {
+            addresses,
+            sockets,
+            state,
+            tasks,
+        }
     }
 
     fn with<T>(&self, f: impl FnOnce(&mut State) -> T) -> T {
@@ -128,15 +139,22 @@
 async fn carry(to: usize, sockets: Vec<Arc<UdpSocket>>, state: Arc<Mutex<State>>) {
     let mut buffer = vec![0; MOST_BYTES];
     loop {
-        let Ok((n, source)) = sockets[to].recv_from(&mut buffer).await else { continue };
+        let Ok((n, source)) = sockets[to].recv_from(&mut buffer).await else {
+            continue;
+        };
         let (copies, from, real) = {
             let mut s = state.lock().expect("the relay");
             // Nobody's that is known: another test's stray, or one that has not said yet where it listens.
-            let Some(from) = s.real.iter().position(|r| *r == Some(source)) else { continue };
+            let Some(from) = s.real.iter().position(|r| *r == Some(source)) else {
+                continue;
+            };
             s.sent[from].0 += 1;
             s.sent[from].1 += n as u64;
             let now = s.start.elapsed().as_micros() as u64;
-            let copies = s.links.get_mut(&(from, to)).map_or(Vec::new(), |l| l.pass(now, n));
+            let copies = s
+                .links
+                .get_mut(&(from, to))
+                .map_or(Vec::new(), |l| l.pass(now, n));
             if !copies.is_empty() && s.recorded.len() < s.record {
                 s.recorded.push((from, to, buffer[..n].to_vec()));
             }
@@ -182,19 +200,28 @@
         let state: Arc<Mutex<Piped>> = Arc::default();
         let piped = state.clone();
         let task = on.spawn(async move {
-            let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
+            let Ok(listener) = tokio::net::TcpListener::from_std(listener) else {
+                return;
+            };
             loop {
-                let Ok((client, _)) = listener.accept().await else { continue };
+                let Ok((client, _)) = listener.accept().await else {
+                    continue;
+                };
                 let mut s = piped.lock().expect("streams");
                 if s.cut {
                     continue;
                 }
                 s.open.retain(|t| !t.is_finished());
                 let of = piped.clone();
-                s.open.push(tokio::spawn(pipe(client, target, of)).abort_handle());
+                s.open
+                    .push(tokio::spawn(pipe(client, target, of)).abort_handle());
             }
         });
-        Streams { address, state, task: task.abort_handle() }
+        Streams {
+            address,
+            state,
+            task: task.abort_handle(),
+        }
     }
 
     /// Cuts all streams at once, in the middle of whatever they carry, or lets new ones pass again.
@@ -220,12 +247,19 @@
 impl Drop for Streams {
     fn drop(&mut self) {
         self.task.abort();
-        self.state.lock().expect("streams").open.drain(..).for_each(|t| t.abort());
+        self.state
+            .lock()
+            .expect("streams")
+            .open
+            .drain(..)
+            .for_each(|t| t.abort());
     }
 }
 
 async fn pipe(client: tokio::net::TcpStream, target: SocketAddr, state: Arc<Mutex<Piped>>) {
-    let Ok(server) = tokio::net::TcpStream::connect(target).await else { return };
+    let Ok(server) = tokio::net::TcpStream::connect(target).await else {
+        return;
+    };
     let ((mut from_client, mut to_client), (mut from_server, mut to_server)) =
         (client.into_split(), server.into_split());
     tokio::select! {
@@ -242,10 +276,14 @@
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let mut buffer = vec![0; 16 << 10];
     loop {
-        let Ok(n) = from.read(&mut buffer).await else { return };
+        let Ok(n) = from.read(&mut buffer).await else {
+            return;
+        };
         let (may, delay) = {
             let mut s = state.lock().expect("streams");
-            let may = s.left.map_or(n, |left| n.min(usize::try_from(left).unwrap_or(n)));
+            let may = s
+                .left
+                .map_or(n, |left| n.min(usize::try_from(left).unwrap_or(n)));
             s.left = s.left.map(|left| left - may as u64);
             s.cut |= may < n;
             (may, s.delay)
--- a/crates/lab/src/rig/stage.rs
+++ b/crates/lab/src/rig/stage.rs
@@ -41,7 +41,12 @@
     pub fn ask(console: SocketAddr) -> Option<Seen> {
         let json: Value = serde_json::from_str(&call(console, "GET", "/fleet", "")?.1).ok()?;
         let members = json["members"].as_array()?.iter();
-        let state = |m: &Value| Some((m["name"].as_str()?.to_string(), m["state"].as_str()?.to_string()));
+        let state = |m: &Value| {
+            Some((
+                m["name"].as_str()?.to_string(),
+                m["state"].as_str()?.to_string(),
+            ))
+        };
         Some(Seen {
             digest: json["view"]["digest"].as_str()?.into(),
             ready: json["view"]["ready"].as_u64()? as usize,
@@ -60,7 +65,12 @@
 
 /// The operator's file of one process: the others reach it through the relay. `more`: lines of the table.
 pub fn fleet_file(relay: &Relay, me: usize, key: &Path, more: &str) -> String {
-    let seeds: Vec<String> = relay.addresses.iter().take(3).map(|a| format!("\"{a}\"")).collect();
+    let seeds: Vec<String> = relay
+        .addresses
+        .iter()
+        .take(3)
+        .map(|a| format!("\"{a}\""))
+        .collect();
     format!(
         "[fleet]\nlisten = \"127.0.0.1:0\"\nadvertise = \"{}\"\nseeds = [{}]\nkey_file = \"{}\"\n{more}\n",
         relay.addresses[me],
@@ -80,7 +90,13 @@
     /// `operator`: the text of its own file.
     pub fn new(node: Node, operator: Option<String>) -> Process {
         let operator = operator.map(|text| OperatorFile::new(&text));
-        Process { node, operator, running: None, stopped: false, said: Arc::default() }
+        Process {
+            node,
+            operator,
+            running: None,
+            stopped: false,
+            said: Arc::default(),
+        }
     }
 
     /// Another file of its operator, from its next start on.
@@ -122,7 +138,12 @@
 
 impl Stage {
     pub fn new(processes: Vec<Process>, relay: Relay) -> Stage {
-        Stage { processes, relay, history: History::default(), began: Instant::now() }
+        Stage {
+            processes,
+            relay,
+            history: History::default(),
+            began: Instant::now(),
+        }
     }
 
     /// The timeline's times count from now.
@@ -140,7 +161,12 @@
     }
 
     pub fn wait_ready(&self, who: usize) {
-        until("a gateway gets ready", || self.processes[who].running.as_ref().is_some_and(Gateway::ready));
+        until("a gateway gets ready", || {
+            self.processes[who]
+                .running
+                .as_ref()
+                .is_some_and(Gateway::ready)
+        });
     }
 
     /// Starts all of them, and then waits until all are ready.
@@ -156,14 +182,23 @@
         let said = p.said.clone();
         let log = move |line: &str| {
             history.logged(who, line);
-            if let Some(at) = line.strip_prefix("fleet: bound to ").and_then(|a| a.parse().ok()) {
+            if let Some(at) = line
+                .strip_prefix("fleet: bound to ")
+                .and_then(|a| a.parse().ok())
+            {
                 real(at);
             }
-            if let Some(at) = line.strip_prefix("console on ").and_then(|a| a.parse().ok()) {
+            if let Some(at) = line
+                .strip_prefix("console on ")
+                .and_then(|a| a.parse().ok())
+            {
                 said.lock().expect("what it said").console = Some(at);
             }
         };
-        p.running = Some(p.node.launch(p.operator.as_ref().map(OperatorFile::path), log));
+        p.running = Some(
+            p.node
+                .launch(p.operator.as_ref().map(OperatorFile::path), log),
+        );
         p.stopped = false;
         self.history.note(None, json!({ "started": who }));
     }
@@ -172,7 +207,9 @@
     pub fn wait_found(&self) {
         let all = self.processes.iter().filter(|p| p.runs()).count();
         until("all find each other", || {
-            self.views().iter().all(|v| v.as_ref().is_some_and(|v| v.ready == all))
+            self.views()
+                .iter()
+                .all(|v| v.as_ref().is_some_and(|v| v.ready == all))
         });
     }
 
@@ -186,12 +223,16 @@
     pub fn agrees(&self, ready: usize) -> bool {
         let views = self.views();
         let first = views.first().and_then(|v| v.as_ref()).map(|v| &v.digest);
-        views.iter().all(|v| v.as_ref().is_some_and(|v| v.ready == ready && Some(&v.digest) == first))
+        views.iter().all(|v| {
+            v.as_ref()
+                .is_some_and(|v| v.ready == ready && Some(&v.digest) == first)
+        })
     }
 
     /// One act, now.
     pub fn act(&mut self, act: &Act) {
-        self.history.note(None, json!({ "act": format!("{act:?}") }));
+        self.history
+            .note(None, json!({ "act": format!("{act:?}") }));
         match act {
             Act::Cut { from, to } => {
                 let both = from.iter().flat_map(|a| to.iter().map(move |b| (*a, *b)));
@@ -200,7 +241,9 @@
             Act::Split { groups } => self.relay.split(groups),
             Act::Links { faults } => self.relay.set_all(faults),
             Act::Heal => self.relay.set_all(&super::Faults::default()),
-            Act::Kill { who } => who.iter().for_each(|w| drop(self.processes[*w].running.take())),
+            Act::Kill { who } => who
+                .iter()
+                .for_each(|w| drop(self.processes[*w].running.take())),
             Act::Leave { who } => {
                 for w in who {
                     if let Some(mut gateway) = self.processes[*w].running.take() {
@@ -218,7 +261,10 @@
 
     /// SIGHUP.
     pub fn hang_up(&self, who: usize) {
-        self.processes[who].running.iter().for_each(|g| g.signal("-HUP"));
+        self.processes[who]
+            .running
+            .iter()
+            .for_each(|g| g.signal("-HUP"));
     }
 
     fn signal(&mut self, who: usize, name: &str, stopped: bool) {
--- a/crates/lab/src/rig/timeline.rs
+++ b/crates/lab/src/rig/timeline.rs
@@ -102,16 +102,37 @@
             };
             let who = some(processes / 3);
             let rest: Who = (0..processes).filter(|p| !who.contains(p)).collect();
-            let loss = Faults { loss: 0.3, jitter_ms: 200, ..Faults::default() };
+            let loss = Faults {
+                loss: 0.3,
+                jitter_ms: 200,
+                ..Faults::default()
+            };
             let (begin, end) = match rng.next_u32() % 5 {
-                0 => (Act::Cut { from: who, to: rest }, Act::Heal),
-                1 => (Act::Split { groups: vec![who, rest] }, Act::Heal),
+                0 => (
+                    Act::Cut {
+                        from: who,
+                        to: rest,
+                    },
+                    Act::Heal,
+                ),
+                1 => (
+                    Act::Split {
+                        groups: vec![who, rest],
+                    },
+                    Act::Heal,
+                ),
                 2 => (Act::Kill { who: who.clone() }, Act::Start { who }),
                 3 => (Act::Stop { who: who.clone() }, Act::Continue { who }),
                 _ => (Act::Links { faults: loss }, Act::Heal),
             };
-            steps.push(Step { at_ms: from, act: begin });
-            steps.push(Step { at_ms: to, act: end });
+            steps.push(Step {
+                at_ms: from,
+                act: begin,
+            });
+            steps.push(Step {
+                at_ms: to,
+                act: end,
+            });
         }
         Timeline { steps }
     }
@@ -153,11 +174,21 @@
             do = "heal"
         "#;
         let t = Timeline::read(text, 3).expect("it is in order");
-        assert_eq!(t.steps[0].act, Act::Cut { from: vec![0], to: vec![1, 2] });
+        assert_eq!(
+            t.steps[0].act,
+            Act::Cut {
+                from: vec![0],
+                to: vec![1, 2]
+            }
+        );
         assert_eq!(t.steps.len(), 3);
-        assert!(Timeline::read(text, 2).expect_err("who is 2?").contains("step 1"));
+        assert!(Timeline::read(text, 2)
+            .expect_err("who is 2?")
+            .contains("step 1"));
         let back = text.replace("at_ms = 100", "at_ms = 300");
-        assert!(Timeline::read(&back, 3).expect_err("it goes back").contains("step 2"));
+        assert!(Timeline::read(&back, 3)
+            .expect_err("it goes back")
+            .contains("step 2"));
         assert!(Timeline::read(&text.replace("jitter_ms", "jiter_ms"), 3).is_err());
         assert!(Timeline::read(&text.replace("\"heal\"", "\"hail\""), 3).is_err());
     }
@@ -170,8 +201,14 @@
         let t = draw(5);
         assert!(t.steps.windows(2).all(|w| w[0].at_ms <= w[1].at_ms));
         let count = |f: fn(&Act) -> bool| t.steps.iter().filter(|s| f(&s.act)).count();
-        assert_eq!(count(|a| matches!(a, Act::Kill { .. })), count(|a| matches!(a, Act::Start { .. })));
-        assert_eq!(count(|a| matches!(a, Act::Stop { .. })), count(|a| matches!(a, Act::Continue { .. })));
+        assert_eq!(
+            count(|a| matches!(a, Act::Kill { .. })),
+            count(|a| matches!(a, Act::Start { .. }))
+        );
+        assert_eq!(
+            count(|a| matches!(a, Act::Stop { .. })),
+            count(|a| matches!(a, Act::Continue { .. }))
+        );
         assert!(count(|a| matches!(a, Act::Heal)) > 0);
     }
 }
--- a/crates/lab/src/servers.rs
+++ b/crates/lab/src/servers.rs
@@ -57,7 +57,12 @@
     /// `rates`: units a second of each customer. The low half of a request's id names its customer.
     pub fn new(rates: impl Iterator<Item = (u32, f64)>) -> Arc<Meter> {
         let (start, rates) = (Instant::now(), rates.collect());
-        Arc::new(Meter { start, rates, of: Mutex::default(), lost: AtomicBool::new(false) })
+        Arc::new(Meter {
+            start,
+            rates,
+            of: Mutex::default(),
+            lost: AtomicBool::new(false),
+        })
     }
 
     /// All that was used so far, in the order in which it came.
@@ -88,7 +93,9 @@
         };
         if first {
             of.uses.push(Use { at: now, customer });
-            *of.periods.entry((customer, (now - self.start).as_secs())).or_default() += 1.0;
+            *of.periods
+                .entry((customer, (now - self.start).as_secs()))
+                .or_default() += 1.0;
         }
         let told = (now - self.start).saturating_sub(METER_LATE).as_secs();
         match (self.rates.get(&customer), told.checked_sub(1)) {
@@ -142,7 +149,12 @@
         Server::with_meter(on, at, cold, None)
     }
 
-    pub fn with_meter(on: &Handle, at: SocketAddr, cold: bool, meter: Option<Arc<Meter>>) -> Server {
+    pub fn with_meter(
+        on: &Handle,
+        at: SocketAddr,
+        cold: bool,
+        meter: Option<Arc<Meter>>,
+    ) -> Server {
         let listener = std::net::TcpListener::bind(at).expect("a port");
         let address = listener.local_addr().expect("an address");
         listener.set_nonblocking(true).expect("a listener");
@@ -159,7 +171,9 @@
         let state = Arc::new(state);
         let serving = state.clone();
         let task = on.spawn(async move {
-            let Ok(listener) = TcpListener::from_std(listener) else { return };
+            let Ok(listener) = TcpListener::from_std(listener) else {
+                return;
+            };
             // Dropped with this task, and its connections with it.
             let mut open = JoinSet::new();
             loop {
@@ -171,7 +185,11 @@
                 }
             }
         });
-        Server { address, state, task: task.abort_handle() }
+        Server {
+            address,
+            state,
+            task: task.abort_handle(),
+        }
     }
 
     pub fn set(&self, mode: Mode) {
@@ -180,7 +198,14 @@
 
     /// Requests that came since then.
     pub fn came_since(&self, since: Instant) -> usize {
-        self.state.arrivals.lock().expect("arrivals").iter().rev().take_while(|(at, _)| *at >= since).count()
+        self.state
+            .arrivals
+            .lock()
+            .expect("arrivals")
+            .iter()
+            .rev()
+            .take_while(|(at, _)| *at >= since)
+            .count()
     }
 
     /// Its process dies: connections are reset, new ones refused.
@@ -195,12 +220,18 @@
     /// How long after that time the last request came; none if none did.
     pub fn last_after(&self, since: Instant) -> Option<Duration> {
         let arrivals = self.state.arrivals.lock().expect("arrivals");
-        arrivals.iter().rev().find(|(at, _)| *at > since).map(|(at, _)| *at - since)
+        arrivals
+            .iter()
+            .rev()
+            .find(|(at, _)| *at > since)
+            .map(|(at, _)| *at - since)
     }
 
     /// The most work that came within any such window, as a multiple of what the server could do in it.
     pub fn worst_multiple(&self, window: Duration) -> f64 {
-        let Some(born) = self.state.born else { return 0.0 };
+        let Some(born) = self.state.born else {
+            return 0.0;
+        };
         let arrivals = self.state.arrivals.lock().expect("arrivals");
         let (mut from, mut work, mut worst) = (0, Duration::ZERO, 0.0f64);
         for (n, (at, w)) in arrivals.iter().enumerate() {
@@ -247,7 +278,9 @@
         let head = String::from_utf8_lossy(&buffer[..end]).to_string();
         let header = |name: &str| {
             let mut lines = head.lines().filter_map(|l| l.split_once(':'));
-            lines.find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.trim().to_string())
+            lines
+                .find(|(n, _)| n.eq_ignore_ascii_case(name))
+                .map(|(_, v)| v.trim().to_string())
         };
         let length = header("content-length").map_or(0, |l| l.parse().unwrap_or(0));
         while buffer.len() < end + length {
@@ -259,26 +292,42 @@
         let id = header("x-trace-id").unwrap_or_default();
         let path = head.split(' ').nth(1).unwrap_or("");
         // Drawn from the id, so that a further attempt takes the same: half to one and a half of the mean.
-        let chance = u64::from_str_radix(&id, 16).unwrap_or(0).wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 32;
+        let chance = u64::from_str_radix(&id, 16)
+            .unwrap_or(0)
+            .wrapping_mul(0x9E37_79B9_7F4A_7C15)
+            >> 32;
         let work = mean_work(path).mul_f64(0.5 + chance as f64 / f64::from(u32::MAX));
-        state.arrivals.lock().expect("arrivals").push((Instant::now(), work));
-        let told = state
-            .meter
-            .as_ref()
-            .map_or(String::new(), |meter| meter.note(&id, state.number, path.starts_with("/top-up")));
+        state
+            .arrivals
+            .lock()
+            .expect("arrivals")
+            .push((Instant::now(), work));
+        let told = state.meter.as_ref().map_or(String::new(), |meter| {
+            meter.note(&id, state.number, path.starts_with("/top-up"))
+        });
         let mode = state.mode.load(Ordering::SeqCst);
         if mode == Mode::Failing as u8 {
-            let answer = format!("HTTP/1.1 500 Internal Server Error\r\n{told}Content-Length: 0\r\n\r\n");
+            let answer =
+                format!("HTTP/1.1 500 Internal Server Error\r\n{told}Content-Length: 0\r\n\r\n");
             if stream.write_all(answer.as_bytes()).await.is_err() {
                 return;
             }
             continue;
         }
-        let work = if mode == Mode::Slow as u8 { work * 10 } else { work };
-        let Ok(core) = state.cores.acquire().await else { return };
+        let work = if mode == Mode::Slow as u8 {
+            work * 10
+        } else {
+            work
+        };
+        let Ok(core) = state.cores.acquire().await else {
+            return;
+        };
         sleep(work.div_f64(warmth(state.born, Instant::now()))).await;
         drop(core);
-        let answer = format!("HTTP/1.1 200 OK\r\n{told}Content-Length: {}\r\n\r\n{id}", id.len());
+        let answer = format!(
+            "HTTP/1.1 200 OK\r\n{told}Content-Length: {}\r\n\r\n{id}",
+            id.len()
+        );
         if stream.write_all(answer.as_bytes()).await.is_err() {
             return;
         }
@@ -288,5 +337,10 @@
 /// The list in which all of them are ready, in one cell.
 pub fn all_ready(servers: &[Server]) -> String {
     let one = |(n, s): (usize, &Server)| target(&format!("s{n}"), s.address, 1, "Ready");
-    servers.iter().enumerate().map(one).collect::<Vec<_>>().join(",")
+    servers
+        .iter()
+        .enumerate()
+        .map(one)
+        .collect::<Vec<_>>()
+        .join(",")
 }
--- a/crates/lab/src/site.rs
+++ b/crates/lab/src/site.rs
@@ -12,7 +12,9 @@
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let cargo = std::env::var("CARGO").unwrap_or_else(|_| "cargo".into());
     let mut command = Command::new(cargo);
-    command.args(["build", "--quiet", "--package", "frosthatch"]).current_dir(root);
+    command
+        .args(["build", "--quiet", "--package", "frosthatch"])
+        .current_dir(root);
     if !cfg!(debug_assertions) {
         command.arg("--release");
     }
@@ -34,7 +36,10 @@
 /// Ctrl-C and SIGTERM end the scenario at its next pause, by unwinding: every child ends with its handle.
 pub fn end_on_signal() {
     std::thread::spawn(|| {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .expect("a runtime");
         runtime.block_on(async {
             use tokio::signal::unix::{signal, SignalKind};
             let mut term = signal(SignalKind::terminate()).expect("a signal");
@@ -120,7 +125,11 @@
     }
 
     /// The same; what it logs goes line by line to `log`.
-    pub fn start_with_log(&self, operator: Option<&Path>, log: impl Fn(&str) + Send + 'static) -> Gateway {
+    pub fn start_with_log(
+        &self,
+        operator: Option<&Path>,
+        log: impl Fn(&str) + Send + 'static,
+    ) -> Gateway {
         let gateway = self.launch(operator, log);
         until("a gateway gets ready", || gateway.ready());
         gateway
@@ -128,8 +137,9 @@
 
     /// The same, and does not wait until it is ready.
     pub fn launch(&self, operator: Option<&Path>, log: impl Fn(&str) + Send + 'static) -> Gateway {
-        let words =
-            operator.map_or_else(Vec::new, |f| vec!["--operator".to_string(), f.display().to_string()]);
+        let words = operator.map_or_else(Vec::new, |f| {
+            vec!["--operator".to_string(), f.display().to_string()]
+        });
         let words: Vec<&str> = words.iter().map(String::as_str).collect();
         Gateway::start_with_log(&self.config(), &words, log)
     }
@@ -158,8 +168,18 @@
 pub fn cpu(process: u32) -> Duration {
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).unwrap_or_default();
     // The name in parentheses may hold anything.
-    let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
-    let ticks = |n: usize| fields.get(n).and_then(|f| f.parse::<u64>().ok()).unwrap_or(0);
+    let fields: Vec<&str> = stat
+        .rsplit(')')
+        .next()
+        .unwrap_or("")
+        .split_whitespace()
+        .collect();
+    let ticks = |n: usize| {
+        fields
+            .get(n)
+            .and_then(|f| f.parse::<u64>().ok())
+            .unwrap_or(0)
+    };
     Duration::from_millis(10 * (ticks(11) + ticks(12)))
 }
 
@@ -180,14 +200,21 @@
 impl Peers {
     pub fn new(gateways: usize) -> Peers {
         // Ports that are free now; whoever takes one of them meanwhile makes the gateway say so and end.
-        let sockets: Vec<UdpSocket> =
-            (0..gateways).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port")).collect();
+        let sockets: Vec<UdpSocket> = (0..gateways)
+            .map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port"))
+            .collect();
         let at = |s: &UdpSocket| format!("\"{}\"", s.local_addr().expect("an address"));
         let addresses: Vec<String> = sockets.iter().map(at).collect();
         let key = frosthatch_standins::config_file("a key of the lab's own, long enough for all");
-        let text =
-            format!("[peers]\ngateways = [{}]\nkey_file = \"{}\"\n", addresses.join(", "), key.display());
-        Peers { file: OperatorFile::new(&text), key }
+        let text = format!(
+            "[peers]\ngateways = [{}]\nkey_file = \"{}\"\n",
+            addresses.join(", "),
+            key.display()
+        );
+        Peers {
+            file: OperatorFile::new(&text),
+            key,
+        }
     }
 
     pub fn path(&self) -> &Path {
--- a/crates/lab/src/soak/agent.rs
+++ b/crates/lab/src/soak/agent.rs
@@ -57,14 +57,22 @@
 impl List {
     fn text(&self) -> String {
         let one = |(uid, e): (&String, &Entry)| {
-            let state = if e.state == State::Ready { "Ready" } else { "Terminating" };
+            let state = if e.state == State::Ready {
+                "Ready"
+            } else {
+                "Terminating"
+            };
             format!(
                 r#"{{"uid":"{uid}","endpoint":"{}","az":"hall-a","model":"m","pod_group":{},"state":"{state}","capacity_hint":1.0,"boot_ms":{}}}"#,
                 e.endpoint, e.cell, e.boot_ms
             )
         };
         let all: Vec<String> = self.entries.iter().map(one).collect();
-        format!(r#"{{"rev":{},"all":true,"targets":[{}]}}"#, self.rev, all.join(","))
+        format!(
+            r#"{{"rev":{},"all":true,"targets":[{}]}}"#,
+            self.rev,
+            all.join(",")
+        )
     }
 }
 
@@ -102,7 +110,9 @@
         for (_, listener) in [first, second] {
             let agent = agent.clone();
             on.spawn(async move {
-                let Ok(listener) = TcpListener::from_std(listener) else { return };
+                let Ok(listener) = TcpListener::from_std(listener) else {
+                    return;
+                };
                 while let Ok((stream, _)) = listener.accept().await {
                     tokio::spawn(serve(stream, agent.clone()));
                 }
@@ -147,7 +157,10 @@
     pub fn learn(&self, list: &List, drains: Option<&str>) {
         let now = Instant::now();
         if let Some(uid) = drains {
-            self.untold.lock().expect("changes").push((uid.to_string(), list.rev));
+            self.untold
+                .lock()
+                .expect("changes")
+                .push((uid.to_string(), list.rev));
         }
         if self.mood() == Mood::Down {
             return;
@@ -170,7 +183,12 @@
     /// The list of this version was written to the gateway.
     fn written(&self, rev: u64) {
         let now = Instant::now();
-        for (uid, _) in self.untold.lock().expect("changes").extract_if(.., |(_, since)| *since <= rev) {
+        for (uid, _) in self
+            .untold
+            .lock()
+            .expect("changes")
+            .extract_if(.., |(_, since)| *since <= rev)
+        {
             let mut seen = self.history.seen();
             let told = seen.told.entry((self.gateway, uid)).or_insert(now);
             *told = (*told).min(now);
@@ -186,18 +204,28 @@
 
 impl Discovery {
     pub fn new(agents: Vec<Arc<Agent>>) -> Discovery {
-        Discovery { agents, list: Mutex::default() }
+        Discovery {
+            agents,
+            list: Mutex::default(),
+        }
     }
 
     fn change(&self, drains: Option<&str>, change: impl FnOnce(&mut BTreeMap<String, Entry>)) {
         let mut list = self.list.lock().expect("a list");
         list.rev += 1;
         change(&mut list.entries);
-        self.agents.iter().for_each(|agent| agent.learn(&list, drains));
+        self.agents
+            .iter()
+            .for_each(|agent| agent.learn(&list, drains));
     }
 
     pub fn add(&self, uid: &str, endpoint: SocketAddr, cell: u64, boot_ms: u64) {
-        let entry = Entry { endpoint, cell, boot_ms, state: State::Ready };
+        let entry = Entry {
+            endpoint,
+            cell,
+            boot_ms,
+            state: State::Ready,
+        };
         self.change(None, |entries| {
             entries.insert(uid.into(), entry);
         });
@@ -234,10 +262,18 @@
                 return;
             }
         };
-        let line = String::from_utf8_lossy(&buffer[..end]).lines().next().unwrap_or("").to_string();
+        let line = String::from_utf8_lossy(&buffer[..end])
+            .lines()
+            .next()
+            .unwrap_or("")
+            .to_string();
         buffer.drain(..end);
-        let from = line.split_once("from=").and_then(|(_, r)| r.split('&').next()?.parse::<u64>().ok());
-        let hold = line.split_once("hold_ms=").and_then(|(_, r)| r.split(' ').next()?.parse::<u64>().ok());
+        let from = line
+            .split_once("from=")
+            .and_then(|(_, r)| r.split('&').next()?.parse::<u64>().ok());
+        let hold = line
+            .split_once("hold_ms=")
+            .and_then(|(_, r)| r.split(' ').next()?.parse::<u64>().ok());
         let until = Instant::now() + Duration::from_millis(hold.unwrap_or(0));
         let waits = from.is_some() && hold.is_some_and(|hold| hold > 0);
         let (rev, text) = loop {
--- a/crates/lab/src/soak/clients.rs
+++ b/crates/lab/src/soak/clients.rs
@@ -48,7 +48,11 @@
 impl Clients {
     pub fn new(gateways: Arc<Vec<Gateway>>, history: Arc<History>) -> Clients {
         let kept = gateways.iter().map(|_| Mutex::default()).collect();
-        Clients { gateways, history, kept }
+        Clients {
+            gateways,
+            history,
+            kept,
+        }
     }
 
     /// Asks so often for so long, whatever becomes of it, and waits until the last has its end.
@@ -61,8 +65,12 @@
             }
             sleep_until(start + due).await;
             while out.try_join_next().is_some() {}
-            let taking: Vec<usize> =
-                self.gateways.iter().filter(|g| g.takes_clients()).map(|g| g.number).collect();
+            let taking: Vec<usize> = self
+                .gateways
+                .iter()
+                .filter(|g| g.takes_clients())
+                .map(|g| g.number)
+                .collect();
             if taking.is_empty() {
                 continue;
             }
@@ -89,8 +97,21 @@
             _ => DEADLINE,
         };
         let id = chance.number();
-        let mut request = Request { id, class, gateway, patience, sends: Vec::new() };
-        let text = text(&request, if manner == Manner::Long { 300 << 10 } else { 20 });
+        let mut request = Request {
+            id,
+            class,
+            gateway,
+            patience,
+            sends: Vec::new(),
+        };
+        let text = text(
+            &request,
+            if manner == Manner::Long {
+                300 << 10
+            } else {
+                20
+            },
+        );
         let mut over = if matches!(manner, Manner::Well | Manner::Leaves(_) | Manner::AtTheEnd) {
             Over::KeptConnection
         } else {
@@ -102,9 +123,13 @@
             if over == Over::NewConnection && !self.gateways[gateway].takes_clients() {
                 break;
             }
-            let Some((connection, over_now)) = self.connection(gateway, over).await else { break };
+            let Some((connection, over_now)) = self.connection(gateway, over).await else {
+                break;
+            };
             over = over_now;
-            let sent = self.send(&request, connection, over, &text, manner, &mut chance).await;
+            let sent = self
+                .send(&request, connection, over, &text, manner, &mut chance)
+                .await;
             let Some(sent) = sent else { break };
             request.sends.push(sent);
             match (over, sent.end) {
@@ -135,7 +160,10 @@
             }
             _ => {
                 if g.owes_connections() {
-                    self.history.incident("connection", format!("gateway {gateway} takes no connection"));
+                    self.history.incident(
+                        "connection",
+                        format!("gateway {gateway} takes no connection"),
+                    );
                 }
                 None
             }
@@ -168,7 +196,10 @@
             }
             Manner::Stops => {
                 let most = text.len() - 2;
-                stream.write_all(&text[..1 + chance.below(most)]).await.ok()?;
+                stream
+                    .write_all(&text[..1 + chance.below(most)])
+                    .await
+                    .ok()?;
                 self.await_error(request.gateway, stream).await;
                 return None;
             }
@@ -181,46 +212,78 @@
             if timeout_at(until, stream.peek(&mut byte)).await.is_err() {
                 drop(stream);
                 let end = SendEnd::ClientLeft { at: Instant::now() };
-                return Some(Sent { over, begun_at, whole_at, end });
+                return Some(Sent {
+                    over,
+                    begun_at,
+                    whole_at,
+                    end,
+                });
             }
         }
         let waits = (request.patience + WAITS_ON).saturating_sub(whole_at.elapsed());
         let end = match timeout(waits, read_answer(&mut stream)).await {
             Err(_) => SendEnd::Nothing,
-            Ok(Answer::Whole { status, body, keeps }) => {
+            Ok(Answer::Whole {
+                status,
+                body,
+                keeps,
+            }) => {
                 if keeps {
                     let mut kept = self.kept[request.gateway].lock().expect("connections");
                     if kept.len() < KEPT {
                         kept.push(stream);
                     }
                 }
-                let genuine = status != 200 || body == format!("made for {:016x}", request.id).as_bytes();
-                SendEnd::Answered { status, genuine, at: Instant::now() }
+                let genuine =
+                    status != 200 || body == format!("made for {:016x}", request.id).as_bytes();
+                SendEnd::Answered {
+                    status,
+                    genuine,
+                    at: Instant::now(),
+                }
             }
             Ok(Answer::None) => SendEnd::Closed { at: Instant::now() },
             Ok(Answer::Cut) => SendEnd::Cut,
         };
-        Some(Sent { over, begun_at, whole_at, end })
+        Some(Sent {
+            over,
+            begun_at,
+            whole_at,
+            end,
+        })
     }
 
     /// Whoever stops half-way is owed an error or a close.
     async fn await_error(&self, gateway: usize, mut stream: TcpStream) {
         let mut byte = [0; 1];
-        if timeout(BAD_CLIENTS_WITHIN, stream.read(&mut byte)).await.is_err() {
-            self.history
-                .incident("bad client", format!("gateway {gateway} leaves half a request unanswered"));
+        if timeout(BAD_CLIENTS_WITHIN, stream.read(&mut byte))
+            .await
+            .is_err()
+        {
+            self.history.incident(
+                "bad client",
+                format!("gateway {gateway} leaves half a request unanswered"),
+            );
         }
     }
 }
 
 fn text(request: &Request, body: usize) -> Vec<u8> {
     let (name, id) = (request.class.name(), request.id);
-    let method = if request.class == Class::Check { "GET" } else { "POST" };
+    let method = if request.class == Class::Check {
+        "GET"
+    } else {
+        "POST"
+    };
     let key = match request.class {
         Class::TopUp => format!("Idempotency-Key: {id:032x}\r\n"),
         _ => String::new(),
     };
-    let body = if request.class == Class::Check { String::new() } else { "x".repeat(body) };
+    let body = if request.class == Class::Check {
+        String::new()
+    } else {
+        "x".repeat(body)
+    };
     let length = match request.class {
         Class::Check => String::new(),
         _ => format!("Content-Length: {}\r\n", body.len()),
@@ -261,17 +324,28 @@
         }
     };
     let head = String::from_utf8_lossy(&buffer[..head_end]).to_lowercase();
-    let status = head.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0);
-    let length: Option<usize> =
-        head.split_once("content-length: ").and_then(|(_, l)| l.split('\r').next()?.parse().ok());
-    let Some(length) = length else { return Answer::Cut };
+    let status = head
+        .split(' ')
+        .nth(1)
+        .and_then(|s| s.parse().ok())
+        .unwrap_or(0);
+    let length: Option<usize> = head
+        .split_once("content-length: ")
+        .and_then(|(_, l)| l.split('\r').next()?.parse().ok());
+    let Some(length) = length else {
+        return Answer::Cut;
+    };
     while buffer.len() < head_end + length {
         if !matches!(read(stream, &mut buffer).await, Ok(n) if n > 0) {
             return Answer::Cut;
         }
     }
     let keeps = !head.contains("connection: close") && buffer.len() == head_end + length;
-    Answer::Whole { status, body: buffer.split_off(head_end), keeps }
+    Answer::Whole {
+        status,
+        body: buffer.split_off(head_end),
+        keeps,
+    }
 }
 
 async fn read(stream: &mut TcpStream, into: &mut Vec<u8>) -> io::Result<usize> {
--- a/crates/lab/src/soak/gateways.rs
+++ b/crates/lab/src/soak/gateways.rs
@@ -113,7 +113,13 @@
 
     /// Whether the process is meant to serve what comes over a new connection now.
     pub fn owes_connections(&self) -> bool {
-        match self.process.lock().expect("a process").as_ref().map(|p| p.meant) {
+        match self
+            .process
+            .lock()
+            .expect("a process")
+            .as_ref()
+            .map(|p| p.meant)
+        {
             Some(Meant::Running) => true,
             Some(Meant::Ending(since)) => since.elapsed() < STILL_COMING,
             Some(Meant::Dead) | None => false,
@@ -123,9 +129,18 @@
     /// Starts the process; the front takes it in once it is ready.
     pub fn start(&self) {
         let mut command = Command::new(program());
-        command.env("NODE_CONFIG", &self.config).env("FROSTHATCH_LOG", "debug");
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
-        let mut child = self.shim.preload(&mut command).spawn().expect("the gateway starts");
+        command
+            .env("NODE_CONFIG", &self.config)
+            .env("FROSTHATCH_LOG", "debug");
+        command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(Stdio::piped());
+        let mut child = self
+            .shim
+            .preload(&mut command)
+            .spawn()
+            .expect("the gateway starts");
         let lines = BufReader::new(child.stderr.take().expect("stderr"));
         let (history, number, log) = (self.history.clone(), self.number, self.log.clone());
         thread::spawn(move || {
@@ -136,12 +151,17 @@
                 log.lock().expect("a log").push(line);
             }
         });
-        *self.process.lock().expect("a process") = Some(Process { child, meant: Meant::Running });
+        *self.process.lock().expect("a process") = Some(Process {
+            child,
+            meant: Meant::Running,
+        });
         let since = Instant::now();
         while !self.says_ready() {
             if since.elapsed() > READY_WITHIN {
-                self.history
-                    .incident("ready", format!("gateway {} is not ready in {READY_WITHIN:?}", self.number));
+                self.history.incident(
+                    "ready",
+                    format!("gateway {} is not ready in {READY_WITHIN:?}", self.number),
+                );
                 return;
             }
             thread::sleep(Duration::from_millis(20));
@@ -151,7 +171,9 @@
 
     fn says_ready(&self) -> bool {
         use std::io::{Read, Write};
-        let Ok(mut stream) = std::net::TcpStream::connect(self.address) else { return false };
+        let Ok(mut stream) = std::net::TcpStream::connect(self.address) else {
+            return false;
+        };
         let _ = stream.set_read_timeout(Some(Duration::from_secs(1)));
         let _ = stream.write_all(b"GET /ready HTTP/1.1\r\nHost: g\r\nConnection: close\r\n\r\n");
         let mut answer = Vec::new();
@@ -161,7 +183,10 @@
 
     fn signal(&self, name: &str) {
         if let Some(process) = &*self.process.lock().expect("a process") {
-            let _ = Command::new("kill").arg(name).arg(process.child.id().to_string()).status();
+            let _ = Command::new("kill")
+                .arg(name)
+                .arg(process.child.id().to_string())
+                .status();
         }
     }
 
@@ -187,11 +212,17 @@
             match ended {
                 Some(status) if status.success() => break,
                 Some(status) => {
-                    self.history.incident("exit", format!("gateway {} told to end: {status}", self.number));
+                    self.history.incident(
+                        "exit",
+                        format!("gateway {} told to end: {status}", self.number),
+                    );
                     break;
                 }
                 None if since.elapsed() > most => {
-                    self.history.incident("exit", format!("gateway {} told to end still runs", self.number));
+                    self.history.incident(
+                        "exit",
+                        format!("gateway {} told to end still runs", self.number),
+                    );
                     self.kill();
                     break;
                 }
@@ -204,7 +235,10 @@
     /// Killed outright.
     pub fn kill(&self) {
         self.mean(Meant::Dead);
-        self.history.seen().kills.push((self.number, Instant::now()));
+        self.history
+            .seen()
+            .kills
+            .push((self.number, Instant::now()));
         if let Some(mut process) = self.process.lock().expect("a process").take() {
             let _ = process.child.kill();
             let _ = process.child.wait();
@@ -235,7 +269,8 @@
     pub fn check_running(&self) {
         if let Some(process) = &mut *self.process.lock().expect("a process") {
             if let (Meant::Running, Ok(Some(status))) = (process.meant, process.child.try_wait()) {
-                self.history.incident("crash", format!("gateway {} ended: {status}", self.number));
+                self.history
+                    .incident("crash", format!("gateway {} ended: {status}", self.number));
             }
         }
     }
@@ -244,7 +279,10 @@
     pub fn log_of(&self, id: u64) -> Vec<String> {
         let name = format!("request={id} ");
         let log = self.log.lock().expect("a log");
-        log.iter().filter(|line| format!("{line} ").contains(&name)).cloned().collect()
+        log.iter()
+            .filter(|line| format!("{line} ").contains(&name))
+            .cloned()
+            .collect()
     }
 }
 
--- a/crates/lab/src/soak/oracle.rs
+++ b/crates/lab/src/soak/oracle.rs
@@ -27,7 +27,9 @@
 /// All that was broken.
 pub fn violations(seen: &Seen) -> Vec<Violation> {
     let mut by_id: HashMap<u64, Vec<&Attempt>> = HashMap::new();
-    seen.attempts.iter().for_each(|a| by_id.entry(a.id).or_default().push(a));
+    seen.attempts
+        .iter()
+        .for_each(|a| by_id.entry(a.id).or_default().push(a));
     let mut found: Vec<Violation> = seen.incidents.iter().map(incident).collect();
     let nothing = Vec::new();
     for request in &seen.requests {
@@ -42,7 +44,11 @@
             told_too_much(request, attempts),
         ];
         for (rule, what) in broken.into_iter().flatten() {
-            found.push(Violation { rule, request: Some((request.gateway, request.id)), what });
+            found.push(Violation {
+                rule,
+                request: Some((request.gateway, request.id)),
+                what,
+            });
         }
     }
     found.extend(overrun_cold_servers(seen));
@@ -50,7 +56,11 @@
 }
 
 fn incident(incident: &Incident) -> Violation {
-    Violation { rule: incident.rule, request: None, what: incident.what.clone() }
+    Violation {
+        rule: incident.rule,
+        request: None,
+        what: incident.what.clone(),
+    }
 }
 
 type Broken = Option<(&'static str, String)>;
@@ -60,7 +70,9 @@
     let until = sent.whole_at + request.patience + LATE + MEASURED;
     // Noted just before it is.
     let hit = |at: Instant| at + MEASURED > sent.begun_at && at < until;
-    seen.kills.iter().any(|(gateway, at)| *gateway == request.gateway && hit(*at))
+    seen.kills
+        .iter()
+        .any(|(gateway, at)| *gateway == request.gateway && hit(*at))
 }
 
 /// Each request that was whole has one answer in its time.
@@ -72,16 +84,19 @@
         let limit = sent.whole_at + request.patience + LATE + MEASURED;
         let before = |at: Instant| attempts.iter().any(|a| a.first_byte_at < at);
         match (sent.end, sent.over) {
-            (SendEnd::Answered { at, .. }, _) if at > limit => {
-                Some(("lost", format!("answered {:?} after its time", at - limit + LATE)))
-            }
+            (SendEnd::Answered { at, .. }, _) if at > limit => Some((
+                "lost",
+                format!("answered {:?} after its time", at - limit + LATE),
+            )),
             (SendEnd::Nothing, _) => Some(("lost", "neither an answer nor an end".into())),
-            (SendEnd::Closed { .. }, Over::NewConnection) => {
-                Some(("lost", "its new connection was closed with no answer".into()))
-            }
-            (SendEnd::Closed { at }, Over::KeptConnection) if before(at) => {
-                Some(("lost", "it was forwarded, and its connection closed with no answer".into()))
-            }
+            (SendEnd::Closed { .. }, Over::NewConnection) => Some((
+                "lost",
+                "its new connection was closed with no answer".into(),
+            )),
+            (SendEnd::Closed { at }, Over::KeptConnection) if before(at) => Some((
+                "lost",
+                "it was forwarded, and its connection closed with no answer".into(),
+            )),
             _ => None,
         }
     })
@@ -90,7 +105,11 @@
 /// Nothing is served that no server made for it.
 fn forged(request: &Request) -> Broken {
     let forged = |s: &&Sent| matches!(s.end, SendEnd::Answered { genuine: false, .. });
-    request.sends.iter().find(forged).map(|_| ("forged", "served with what no server made for it".into()))
+    request
+        .sends
+        .iter()
+        .find(forged)
+        .map(|_| ("forged", "served with what no server made for it".into()))
 }
 
 /// No effect happens twice.
@@ -98,13 +117,24 @@
     let effects = attempts.iter().filter(|a| a.effect).count();
     (request.class != Class::Check && effects > 1).then(|| {
         let servers: Vec<&str> = attempts.iter().map(|a| a.server.as_str()).collect();
-        ("duplicate", format!("{effects} effects, at {}", servers.join(", ")))
+        (
+            "duplicate",
+            format!("{effects} effects, at {}", servers.join(", ")),
+        )
     })
 }
 
 /// Refused means that trying again is harmless.
 fn refused_after_it_ran(request: &Request, attempts: &[&Attempt]) -> Broken {
-    let refused = |s: &Sent| matches!(s.end, SendEnd::Answered { status: 429 | 503, .. });
+    let refused = |s: &Sent| {
+        matches!(
+            s.end,
+            SendEnd::Answered {
+                status: 429 | 503,
+                ..
+            }
+        )
+    };
     let ran = attempts.iter().any(|a| a.ran);
     (request.class != Class::Check && ran && request.sends.iter().any(refused))
         .then(|| ("refused", "refused although it may have run".into()))
@@ -114,8 +144,13 @@
 fn sent_to_a_draining_server(seen: &Seen, request: &Request, attempts: &[&Attempt]) -> Broken {
     attempts.iter().find_map(|a| {
         let told = *seen.told.get(&(request.gateway, a.server.clone()))?;
-        let late = a.first_byte_at.checked_duration_since(told + DRAIN_GRACE + MEASURED)?;
-        Some(("drain", format!("sent to {} {:?} after the grace", a.server, late + MEASURED)))
+        let late = a
+            .first_byte_at
+            .checked_duration_since(told + DRAIN_GRACE + MEASURED)?;
+        Some((
+            "drain",
+            format!("sent to {} {:?} after the grace", a.server, late + MEASURED),
+        ))
     })
 }
 
@@ -127,7 +162,14 @@
     })?;
     let late = |a: &&&Attempt| a.whole_at > left + GONE_SLACK + MEASURED;
     let a = attempts.iter().find(late)?;
-    Some(("left", format!("begun at {} {:?} after its client had gone", a.server, a.whole_at - left)))
+    Some((
+        "left",
+        format!(
+            "begun at {} {:?} after its client had gone",
+            a.server,
+            a.whole_at - left
+        ),
+    ))
 }
 
 /// A server is told no more time than the client has left.
@@ -136,7 +178,14 @@
     attempts.iter().find_map(|a| {
         let until = a.whole_at + a.told;
         let over = until.checked_duration_since(gone_at + TOLD_SLACK + MEASURED)?;
-        Some(("told time", format!("{} was told {:?} too much", a.server, over + TOLD_SLACK + MEASURED)))
+        Some((
+            "told time",
+            format!(
+                "{} was told {:?} too much",
+                a.server,
+                over + TOLD_SLACK + MEASURED
+            ),
+        ))
     })
 }
 
@@ -144,17 +193,28 @@
 fn overrun_cold_servers(seen: &Seen) -> Vec<Violation> {
     let mut found = Vec::new();
     for (server, started) in &seen.started {
-        let mut times: Vec<Instant> =
-            seen.attempts.iter().filter(|a| a.server == *server).map(|a| a.whole_at).collect();
+        let mut times: Vec<Instant> = seen
+            .attempts
+            .iter()
+            .filter(|a| a.server == *server)
+            .map(|a| a.whole_at)
+            .collect();
         times.sort_unstable();
         let worst = times.iter().enumerate().map(|(n, from)| {
-            let within = times[n..].iter().take_while(|at| **at < *from + TIP_AFTER).count() as f64;
+            let within = times[n..]
+                .iter()
+                .take_while(|at| **at < *from + TIP_AFTER)
+                .count() as f64;
             within / budget(from.saturating_duration_since(*started))
         });
         let worst = worst.fold(0.0, f64::max);
         if worst > 1.0 {
             let what = format!("{server} got {worst:.2} times its budget");
-            found.push(Violation { rule: "slow start", request: None, what });
+            found.push(Violation {
+                rule: "slow start",
+                request: None,
+                what,
+            });
         }
     }
     found
--- a/crates/lab/src/soak/proxy.rs
+++ b/crates/lab/src/soak/proxy.rs
@@ -62,7 +62,9 @@
 
     fn takes_reset(&self) -> bool {
         let taken = |n: u8| n.checked_sub(1);
-        self.resets.fetch_update(Ordering::SeqCst, Ordering::SeqCst, taken).is_ok()
+        self.resets
+            .fetch_update(Ordering::SeqCst, Ordering::SeqCst, taken)
+            .is_ok()
     }
 
     async fn wait_until_open(&self) {
@@ -109,7 +111,12 @@
 }
 
 /// Waits until the way is open; what comes meanwhile is noted and kept.
-async fn hold(path: &Path, from: &mut OwnedReadHalf, arrivals: &Arrivals, kept: &mut Vec<u8>) -> Held {
+async fn hold(
+    path: &Path,
+    from: &mut OwnedReadHalf,
+    arrivals: &Arrivals,
+    kept: &mut Vec<u8>,
+) -> Held {
     let mut chunk = vec![0; 64 << 10];
     while path.way() == Way::Held {
         tokio::select! {
@@ -156,8 +163,16 @@
             };
             path.wait_until_open().await;
             let way = path.way();
-            let bytes = if way == Way::CutsAnswers { &chunk[..n / 2] } else { &chunk[..n] };
-            let piece = if way == Way::Trickles { PIECE } else { bytes.len().max(1) };
+            let bytes = if way == Way::CutsAnswers {
+                &chunk[..n / 2]
+            } else {
+                &chunk[..n]
+            };
+            let piece = if way == Way::Trickles {
+                PIECE
+            } else {
+                bytes.len().max(1)
+            };
             for part in bytes.chunks(piece) {
                 if to_gateway.write_all(part).await.is_err() {
                     return false;
--- a/crates/lab/src/soak/servers.rs
+++ b/crates/lab/src/soak/servers.rs
@@ -116,7 +116,12 @@
                 }
             }
         });
-        Server { uid, address, shared, task: task.abort_handle() }
+        Server {
+            uid,
+            address,
+            shared,
+            task: task.abort_handle(),
+        }
     }
 
     pub fn set_mood(&self, mood: Mood) {
@@ -149,15 +154,26 @@
 fn read_head(text: &str) -> Head {
     let header = |name: &str| {
         let mut lines = text.lines().filter_map(|line| line.split_once(':'));
-        lines.find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| value.trim().to_string())
+        lines
+            .find(|(n, _)| n.eq_ignore_ascii_case(name))
+            .map(|(_, value)| value.trim().to_string())
     };
-    let class = text.split(' ').nth(1).and_then(|path| Class::named(path.trim_start_matches('/')));
-    let told = header("x-expires-in").and_then(|t| t.parse().ok()).unwrap_or(0.0);
+    let class = text
+        .split(' ')
+        .nth(1)
+        .and_then(|path| Class::named(path.trim_start_matches('/')));
+    let told = header("x-expires-in")
+        .and_then(|t| t.parse().ok())
+        .unwrap_or(0.0);
     Head {
-        id: header("x-trace-id").and_then(|id| u64::from_str_radix(&id, 16).ok()).unwrap_or(0),
+        id: header("x-trace-id")
+            .and_then(|id| u64::from_str_radix(&id, 16).ok())
+            .unwrap_or(0),
         class,
         told: Duration::from_secs_f64(told),
-        length: header("content-length").and_then(|l| l.parse().ok()).unwrap_or(0),
+        length: header("content-length")
+            .and_then(|l| l.parse().ok())
+            .unwrap_or(0),
     }
 }
 
@@ -234,7 +250,10 @@
     async fn answer(&self, stream: &mut DuplexStream, mood: Mood, id: u64) -> Then {
         let body = format!("made for {id:016x}");
         let whole = |status: &str, more: &str| {
-            format!("HTTP/1.1 {status}\r\n{more}Content-Length: {}\r\n\r\n{body}", body.len())
+            format!(
+                "HTTP/1.1 {status}\r\n{more}Content-Length: {}\r\n\r\n{body}",
+                body.len()
+            )
         };
         if mood == Mood::Hangs {
             sleep(Duration::from_secs(20)).await;
@@ -244,11 +263,15 @@
             let text = whole("503 Service Unavailable", "X-Never-Ran: 1\r\n");
             return Shared::write(stream, &text, Then::Next).await;
         }
-        let Ok(core) = self.cores.acquire().await else { return Then::Close };
+        let Ok(core) = self.cores.acquire().await else {
+            return Then::Close;
+        };
         sleep(if mood == Mood::Slow { WORK * 10 } else { WORK }).await;
         drop(core);
         match mood {
-            Mood::Fails => Shared::write(stream, &whole("500 Internal Server Error", ""), Then::Next).await,
+            Mood::Fails => {
+                Shared::write(stream, &whole("500 Internal Server Error", ""), Then::Next).await
+            }
             Mood::Resets => Then::Reset,
             Mood::Closes => Shared::write(stream, &whole("200 OK", ""), Then::Close).await,
             Mood::NoLength => {
--- a/crates/lab/src/soak/troubles.rs
+++ b/crates/lab/src/soak/troubles.rs
@@ -93,7 +93,10 @@
     }
 
     fn note(&self, what: String) {
-        self.log.lock().expect("a log").push(format!("{:6.2} {what}", self.since.elapsed().as_secs_f64()));
+        self.log
+            .lock()
+            .expect("a log")
+            .push(format!("{:6.2} {what}", self.since.elapsed().as_secs_f64()));
     }
 
     /// Another server; `fresh`: it starts now, and is cold.
@@ -103,10 +106,19 @@
             *next += 1;
             *next
         };
-        let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let now = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let boot_ms = if fresh { now.as_millis() as u64 } else { 0 };
         let (uid, cell) = (format!("s-{number}"), number % CELLS);
-        let server = Server::start(&self.on, uid.clone(), cell, fresh, &self.memory, &self.history);
+        let server = Server::start(
+            &self.on,
+            uid.clone(),
+            cell,
+            fresh,
+            &self.memory,
+            &self.history,
+        );
         self.discovery.add(&uid, server.address, cell, boot_ms);
         self.servers.lock().expect("servers").push(server);
     }
@@ -123,7 +135,9 @@
 
     /// Takes a server off, which drains and then goes.
     fn drain_one(&self, chance: &mut Chance, drains_for: Duration) {
-        let Some(server) = self.take_server(chance) else { return };
+        let Some(server) = self.take_server(chance) else {
+            return;
+        };
         self.note(format!("{} drains for {drains_for:?}", server.uid));
         self.discovery.drain(&server.uid);
         thread::sleep(drains_for);
@@ -182,7 +196,9 @@
             }
             Kind::DiscoveryMood => self.discovery_mood(&mut chance, length),
             _ => {
-                let Some(nth) = self.claim_gateway(&mut chance) else { return };
+                let Some(nth) = self.claim_gateway(&mut chance) else {
+                    return;
+                };
                 self.gateway_trouble(kind, nth, &mut chance, length);
                 self.release_gateway(nth);
             }
@@ -212,7 +228,12 @@
     }
 
     fn server_path(&self, chance: &mut Chance, length: Duration) {
-        let ways = [Way::Held, Way::Trickles, Way::CutsRequests, Way::CutsAnswers];
+        let ways = [
+            Way::Held,
+            Way::Trickles,
+            Way::CutsRequests,
+            Way::CutsAnswers,
+        ];
         let way = *chance.pick(&ways);
         let what = |uid: &str| format!("the way to {uid} {way:?} for {length:?}");
         self.server_for(
@@ -244,13 +265,20 @@
         };
         self.note(what(&uid));
         thread::sleep(length);
-        self.servers.lock().expect("servers").iter().filter(|s| s.uid == uid).for_each(end);
+        self.servers
+            .lock()
+            .expect("servers")
+            .iter()
+            .filter(|s| s.uid == uid)
+            .for_each(end);
     }
 
     /// A process dies; another takes its place, under a name of its own.
     fn server_restarts(&self, chance: &mut Chance) {
         self.add_server(true);
-        let Some(server) = self.take_server(chance) else { return };
+        let Some(server) = self.take_server(chance) else {
+            return;
+        };
         self.note(format!("{} dies", server.uid));
         server.kill();
         thread::sleep(chance.millis(0, 1_000));
@@ -259,13 +287,21 @@
 
     fn discovery_mood(&self, chance: &mut Chance, length: Duration) {
         use agent::Mood;
-        let mood = *chance.pick(&[Mood::DeafToWatches, Mood::Down, Mood::Slow, Mood::EndsWatches]);
+        let mood = *chance.pick(&[
+            Mood::DeafToWatches,
+            Mood::Down,
+            Mood::Slow,
+            Mood::EndsWatches,
+        ]);
         let all = chance.percent(50);
-        let of: Vec<usize> = (0..self.gateways.len()).filter(|_| all || chance.percent(30)).collect();
+        let of: Vec<usize> = (0..self.gateways.len())
+            .filter(|_| all || chance.percent(30))
+            .collect();
         self.note(format!("discovery {mood:?} for {of:?} for {length:?}"));
         of.iter().for_each(|g| self.discovery.set_mood(*g, mood));
         thread::sleep(length);
-        of.iter().for_each(|g| self.discovery.set_mood(*g, Mood::Telling));
+        of.iter()
+            .for_each(|g| self.discovery.set_mood(*g, Mood::Telling));
     }
 
     fn gateway_trouble(&self, kind: Kind, nth: usize, chance: &mut Chance, length: Duration) {
@@ -303,7 +339,9 @@
                 gateway.set(Fault::WallClockOffsetMs, step);
             }
             Kind::HeldUp => {
-                self.note(format!("gateway {nth} is held up before writes for {length:?}"));
+                self.note(format!(
+                    "gateway {nth} is held up before writes for {length:?}"
+                ));
                 gateway.set(Fault::StallMs, 140);
                 gateway.set(Fault::Stall, 30);
                 thread::sleep(length);
