--- a/crates/lab/src/upgrade.rs
+++ b/crates/lab/src/upgrade.rs
@@ -36,8 +36,12 @@
     }
 
     fn says(&self, what: &str) {
-        while !self.lines.recv_timeout(LONG).unwrap_or_else(|_| panic!("{what:?} is logged")).contains(what) {
-        }
+        while !self
+            .lines
+            .recv_timeout(LONG)
+            .unwrap_or_else(|_| panic!("{what:?} is logged"))
+            .contains(what)
+        {}
     }
 }
 
@@ -49,7 +53,14 @@
         if step == 0 {
             return;
         }
-        link.write_all(&Message::Hello { version: VERSION, pid: 0 }.framed()).expect("written");
+        link.write_all(
+            &Message::Hello {
+                version: VERSION,
+                pid: 0,
+            }
+            .framed(),
+        )
+        .expect("written");
         let mut said = [0; 1_024];
         let read = link.read(&mut said).unwrap_or(0);
         // The one before is not yet noticed to have gone.
@@ -69,18 +80,35 @@
 pub fn play(seconds: Option<u64>, figures: &mut Figures) {
     let length = seconds.map_or(LENGTH, Duration::from_secs);
     let runtime = Runtime::new().expect("a runtime");
-    let servers: Vec<Server> = (0..8).map(|_| Server::start(runtime.handle(), false)).collect();
-    let list: Vec<String> =
-        servers.iter().enumerate().map(|(n, s)| target(&format!("s{n}"), s.address, 1, "Ready")).collect();
+    let servers: Vec<Server> = (0..8)
+        .map(|_| Server::start(runtime.handle(), false))
+        .collect();
+    let list: Vec<String> = servers
+        .iter()
+        .enumerate()
+        .map(|(n, s)| target(&format!("s{n}"), s.address, 1, "Ready"))
+        .collect();
     let agent = Discovery::new(&list.join(","));
-    let socket: PathBuf = std::env::temp_dir().join(format!("frosthatch-lab-{}.sock", std::process::id()));
+    let socket: PathBuf =
+        std::env::temp_dir().join(format!("frosthatch-lab-{}.sock", std::process::id()));
     let operator = OperatorFile::new(&format!("[upgrade]\nsocket = \"{}\"\n", socket.display()));
-    let node =
-        Node { gateways: 1, me: 0, discovery: agent.address, counter: None, sockets: 1_024, memory_mb: 192 };
+    let node = Node {
+        gateways: 1,
+        me: 0,
+        discovery: agent.address,
+        counter: None,
+        sockets: 1_024,
+        memory_mb: 192,
+    };
     let mut running = Process::start(&node, operator.path());
     let there = |socket: &Path| UnixStream::connect(socket).is_ok();
     crate::site::until("the socket is there", || there(&socket));
-    let (load, task) = Load::start(runtime.handle(), vec![running.gateway.address], PER_S, length);
+    let (load, task) = Load::start(
+        runtime.handle(),
+        vec![running.gateway.address],
+        PER_S,
+        length,
+    );
     let begun = Instant::now();
     let (mut switches, mut failed) = (Vec::new(), 0);
     pause(Duration::from_secs(1));
@@ -98,7 +126,10 @@
         running.says("the new process accepts");
         switches.push(begun.elapsed());
         running.gateway.terminate();
-        assert!(running.gateway.wait().success(), "the old process ends well");
+        assert!(
+            running.gateway.wait().success(),
+            "the old process ends well"
+        );
         new.says("the old process has ended");
         crate::site::until("the next can call", || there(&socket));
         running = new;
@@ -114,12 +145,26 @@
         if seconds.is_some() { 1.0 } else { 25.0 },
     );
     figures.show("failed_starts", failed as f64, "upgrades");
-    figures.at_most("unanswered_or_reset", count(|s| s.got == Got::Nothing), "requests", 0.0);
-    figures.at_most("answered_twice_or_wrong", count(|s| s.got == Got::Wrong), "requests", 0.0);
+    figures.at_most(
+        "unanswered_or_reset",
+        count(|s| s.got == Got::Nothing),
+        "requests",
+        0.0,
+    );
+    figures.at_most(
+        "answered_twice_or_wrong",
+        count(|s| s.got == Got::Wrong),
+        "requests",
+        0.0,
+    );
     figures.at_most("failed", count(|s| s.got == Got::Failed), "requests", 0.0);
     let in_time = count(|s| s.got == Got::Served && s.took <= s.wanted) / shots.len() as f64;
     figures.at_least("in_time", in_time, "share", 0.99);
-    let near = |s: &&Shot| switches.iter().any(|&at| s.due + ROUND > at && s.due < at + ROUND);
+    let near = |s: &&Shot| {
+        switches
+            .iter()
+            .any(|&at| s.due + ROUND > at && s.due < at + ROUND)
+    };
     let (at, else_): (Vec<&Shot>, Vec<&Shot>) = shots.iter().partition(near);
     let p99 = |of: Vec<&Shot>| percentile(&mut of.iter().map(|s| s.took).collect::<Vec<_>>(), 0.99);
     let (at, else_) = (p99(at), p99(else_));
--- a/crates/lab/tests/soak_oracle.rs
+++ b/crates/lab/tests/soak_oracle.rs
@@ -17,13 +17,27 @@
 
 impl Case {
     fn new() -> Case {
-        Case { start: Instant::now(), seen: Seen::default() }
+        Case {
+            start: Instant::now(),
+            seen: Seen::default(),
+        }
     }
 
     /// One request that is whole at the start, and how it ends.
     fn request(mut self, class: Class, over: Over, end: impl Fn(Instant) -> SendEnd) -> Case {
-        let sent = Sent { over, begun_at: self.start, whole_at: self.start, end: end(self.start) };
-        self.seen.requests.push(Request { id: 1, class, gateway: 0, patience: PATIENCE, sends: vec![sent] });
+        let sent = Sent {
+            over,
+            begun_at: self.start,
+            whole_at: self.start,
+            end: end(self.start),
+        };
+        self.seen.requests.push(Request {
+            id: 1,
+            class,
+            gateway: 0,
+            patience: PATIENCE,
+            sends: vec![sent],
+        });
         self
     }
 
@@ -47,7 +61,11 @@
 }
 
 fn answered(status: u16, after: Duration) -> impl Fn(Instant) -> SendEnd {
-    move |start| SendEnd::Answered { status, genuine: true, at: start + after }
+    move |start| SendEnd::Answered {
+        status,
+        genuine: true,
+        at: start + after,
+    }
 }
 
 #[test]
@@ -59,14 +77,31 @@
 #[test]
 fn what_has_no_answer_in_time_is_lost() {
     let over = [Over::NewConnection, Over::KeptConnection];
-    for end in [answered(200, PATIENCE + ms(700)), answered(504, PATIENCE + ms(700))] {
-        assert_eq!(Case::new().request(Class::Check, over[0], end).rules(), ["lost"]);
+    for end in [
+        answered(200, PATIENCE + ms(700)),
+        answered(504, PATIENCE + ms(700)),
+    ] {
+        assert_eq!(
+            Case::new().request(Class::Check, over[0], end).rules(),
+            ["lost"]
+        );
     }
-    let closed = |start: Instant| SendEnd::Closed { at: start + ms(100) };
-    assert_eq!(Case::new().request(Class::Check, over[0], closed).rules(), ["lost"]);
+    let closed = |start: Instant| SendEnd::Closed {
+        at: start + ms(100),
+    };
+    assert_eq!(
+        Case::new().request(Class::Check, over[0], closed).rules(),
+        ["lost"]
+    );
     // A kept connection may be closed unread, but not once its request was forwarded.
-    assert!(Case::new().request(Class::Check, over[1], closed).rules().is_empty());
-    let forwarded = Case::new().request(Class::Check, over[1], closed).attempt("a", ms(5), ms(1), true);
+    assert!(Case::new()
+        .request(Class::Check, over[1], closed)
+        .rules()
+        .is_empty());
+    let forwarded =
+        Case::new()
+            .request(Class::Check, over[1], closed)
+            .attempt("a", ms(5), ms(1), true);
     assert_eq!(forwarded.rules(), ["lost"]);
     // A gateway that was killed loses what it held.
     let mut killed = Case::new().request(Class::Check, over[0], closed);
@@ -77,23 +112,37 @@
 #[test]
 fn two_effects_and_a_refusal_after_one_are_found() {
     let twice = Case::new().request(Class::TopUp, Over::NewConnection, answered(200, ms(40)));
-    let twice = twice.attempt("a", ms(5), ms(100), true).attempt("b", ms(20), ms(100), true);
+    let twice = twice
+        .attempt("a", ms(5), ms(100), true)
+        .attempt("b", ms(20), ms(100), true);
     assert_eq!(twice.rules(), ["duplicate"]);
     let refused = Case::new().request(Class::Transfer, Over::NewConnection, answered(429, ms(40)));
-    assert_eq!(refused.attempt("a", ms(5), ms(100), true).rules(), ["refused"]);
+    assert_eq!(
+        refused.attempt("a", ms(5), ms(100), true).rules(),
+        ["refused"]
+    );
 }
 
 #[test]
 fn drains_leaving_clients_and_told_times_are_checked() {
-    let mut drained = Case::new().request(Class::Check, Over::NewConnection, answered(200, ms(1_000)));
+    let mut drained =
+        Case::new().request(Class::Check, Over::NewConnection, answered(200, ms(1_000)));
     drained.seen.told.insert((0, "a".into()), drained.start);
     assert!(drained.rules().is_empty());
-    assert_eq!(drained.attempt("a", ms(800), ms(100), true).rules(), ["drain"]);
-    let left = |start: Instant| SendEnd::ClientLeft { at: start + ms(100) };
+    assert_eq!(
+        drained.attempt("a", ms(800), ms(100), true).rules(),
+        ["drain"]
+    );
+    let left = |start: Instant| SendEnd::ClientLeft {
+        at: start + ms(100),
+    };
     let gone = Case::new().request(Class::Check, Over::NewConnection, left);
     assert_eq!(gone.attempt("a", ms(400), ms(100), true).rules(), ["left"]);
     let told = Case::new().request(Class::Check, Over::NewConnection, answered(200, ms(1_000)));
-    assert_eq!(told.attempt("a", ms(900), PATIENCE, true).rules(), ["told time"]);
+    assert_eq!(
+        told.attempt("a", ms(900), PATIENCE, true).rules(),
+        ["told time"]
+    );
 }
 
 #[test]
--- a/crates/members/src/allowance.rs
+++ b/crates/members/src/allowance.rs
@@ -9,7 +9,11 @@
 
 impl Allowance {
     pub fn new(rate: f64) -> Allowance {
-        Allowance { rate, left: (rate / 10.0).max(1.0), at: 0 }
+        Allowance {
+            rate,
+            left: (rate / 10.0).max(1.0),
+            at: 0,
+        }
     }
 
     fn refill(&mut self, now: u64) -> f64 {
--- a/crates/members/src/detect.rs
+++ b/crates/members/src/detect.rs
@@ -73,7 +73,17 @@
     pub fn new(probe_us: u64, seed: u64) -> Detect {
         let rng = Pcg64Mcg::seed_from_u64(seed);
         let (order, suspects) = (Vec::new(), BTreeMap::new());
-        Detect { probe_us, rng, ill: 0, order, oldest: false, probe: None, due: 0, seq: 0, suspects }
+        Detect {
+            probe_us,
+            rng,
+            ill: 0,
+            order,
+            oldest: false,
+            probe: None,
+            due: 0,
+            seq: 0,
+            suspects,
+        }
     }
 
     pub fn worse(&mut self) {
@@ -106,9 +116,17 @@
 
     /// Somebody suspects a member, this one included.
     pub fn suspect(&mut self, now: u64, name: &str, incarnation: u64, accusers: usize) {
-        let s = self.suspects.entry(name.into()).or_insert(Suspicion { incarnation, since: now, accusers });
+        let s = self.suspects.entry(name.into()).or_insert(Suspicion {
+            incarnation,
+            since: now,
+            accusers,
+        });
         if s.incarnation != incarnation {
-            *s = Suspicion { incarnation, since: now, accusers };
+            *s = Suspicion {
+                incarnation,
+                since: now,
+                accusers,
+            };
         }
         s.accusers = s.accusers.max(accusers);
     }
@@ -152,7 +170,10 @@
             } else if p.again < AGAIN {
                 // Answers get lost, too.
                 p.again += 1;
-                out.push(Step::Ping { target: p.target.clone(), seq: p.seq });
+                out.push(Step::Ping {
+                    target: p.target.clone(),
+                    seq: p.seq,
+                });
             } else if !p.asked && now >= p.sent + (self.probe_us / 2) * u64::from(1 + self.ill) {
                 p.asked = true;
                 let (target, seq) = (p.target.clone(), p.seq);
@@ -173,12 +194,24 @@
         }
         if let Some(target) = self.target(now, usual, others, &heard) {
             let seq = self.next_seq();
-            self.probe = Some(Probe { target: target.clone(), seq, sent: now, asked: false, again: 0 });
+            self.probe = Some(Probe {
+                target: target.clone(),
+                seq,
+                sent: now,
+                asked: false,
+                again: 0,
+            });
             out.push(Step::Ping { target, seq });
         }
     }
 
-    fn judge(&mut self, now: u64, members: usize, heard: &impl Fn(&str) -> u64, out: &mut Vec<Step>) {
+    fn judge(
+        &mut self,
+        now: u64,
+        members: usize,
+        heard: &impl Fn(&str) -> u64,
+        out: &mut Vec<Step>,
+    ) {
         let mut over = Vec::new();
         for (name, s) in &self.suspects {
             if now.saturating_sub(s.since) >= self.stands_us(members, s.accusers) {
@@ -186,7 +219,9 @@
             }
         }
         for name in over {
-            let Some(s) = self.suspects.get_mut(&name) else { continue };
+            let Some(s) = self.suspects.get_mut(&name) else {
+                continue;
+            };
             if heard(&name) > s.since {
                 // Whoever accuses it, it is there.
                 s.since = now;
@@ -213,8 +248,10 @@
         self.oldest = !self.oldest;
         if self.oldest {
             let drawn = self.draw(others, DRAWN, "");
-            let oldest =
-                drawn.into_iter().filter(|n| !self.suspects.contains_key(n)).min_by_key(|n| heard(n));
+            let oldest = drawn
+                .into_iter()
+                .filter(|n| !self.suspects.contains_key(n))
+                .min_by_key(|n| heard(n));
             if let Some(name) = oldest.filter(|n| quiet(n)) {
                 return Some(name);
             }
@@ -274,16 +311,26 @@
     fn who_is_heard_is_not_probed_and_who_is_not_is_suspected_and_then_dead() {
         let mut d = Detect::new(P, 1);
         let silent_from = 1_000_000;
-        let heard = |name: &str, now: u64| if name == "b" { now.min(silent_from) } else { now };
+        let heard = |name: &str, now: u64| {
+            if name == "b" {
+                now.min(silent_from)
+            } else {
+                now
+            }
+        };
         let all = run(&mut d, 0, 20_000_000, &["a", "b", "c"], heard);
-        assert!(all.iter().all(|(_, s)| !matches!(s, Step::Ping { target, .. } if target != "b")), "{all:?}");
+        assert!(
+            all.iter()
+                .all(|(_, s)| !matches!(s, Step::Ping { target, .. } if target != "b")),
+            "{all:?}"
+        );
         let at = |step: Step| all.iter().find(|(_, s)| *s == step).map(|(at, _)| *at);
         let (suspect, dead) = (at(Step::Suspect("b".into())), at(Step::Dead("b".into())));
         assert!(suspect.expect("suspected") < silent_from + 4 * P);
         assert!(dead.expect("dead") > suspect.expect("suspected"));
-        assert!(all
-            .iter()
-            .any(|(_, s)| matches!(s, Step::Ask { via, target, .. } if target == "b" && via.len() == 2)));
+        assert!(all.iter().any(
+            |(_, s)| matches!(s, Step::Ask { via, target, .. } if target == "b" && via.len() == 2)
+        ));
     }
 
     #[test]
@@ -294,7 +341,11 @@
         assert_eq!(by[3] * 6, by[0]);
         (0..4).for_each(|_| d.worse());
         assert_eq!(d.stands_us(100, 4), 2 * by[3]);
-        assert_eq!(d.stands_us(2, 1), 2 * (SHORTEST * P as f64) as u64, "nobody else is there to accuse");
+        assert_eq!(
+            d.stands_us(2, 1),
+            2 * (SHORTEST * P as f64) as u64,
+            "nobody else is there to accuse"
+        );
     }
 
     #[test]
--- a/crates/members/src/driver.rs
+++ b/crates/members/src/driver.rs
@@ -54,7 +54,9 @@
     /// Sends a letter: once, as a datagram.
     pub fn post(&self, to: &str, bytes: Vec<u8>) {
         let mut out = Vec::new();
-        self.fleet.borrow_mut().post(self.now(), to, bytes, &mut out);
+        self.fleet
+            .borrow_mut()
+            .post(self.now(), to, bytes, &mut out);
         self.carry_out(&mut out);
     }
 
@@ -92,7 +94,9 @@
         for output in out.drain(..) {
             match output {
                 // What does not go out now is told again.
-                Output::Send { to, bytes } => drop(uninterrupted(|| self.socket.try_send_to(&bytes, to))),
+                Output::Send { to, bytes } => {
+                    drop(uninterrupted(|| self.socket.try_send_to(&bytes, to)))
+                }
                 Output::Told { heard, uses, past } => {
                     let engine = self.engine.borrow().clone();
                     engine.inspect(|e| e.told(heard, uses, past));
--- a/crates/members/src/facts.rs
+++ b/crates/members/src/facts.rs
@@ -44,7 +44,9 @@
 
     /// All figures: name, value, and when it was found out.
     pub fn all(&self) -> impl Iterator<Item = (&str, f64, u64)> + '_ {
-        self.all.iter().map(|(name, (value, at))| (name.as_str(), *value, *at))
+        self.all
+            .iter()
+            .map(|(name, (value, at))| (name.as_str(), *value, *at))
     }
 
     pub fn told(&self, now: u64) -> Vec<Fact> {
@@ -92,15 +94,25 @@
     #[test]
     fn they_are_bounded_and_figures() {
         let mut facts = Facts::default();
-        let set = (0..100).filter(|n| facts.set(1, &format!("f{n}"), 1.0)).count();
+        let set = (0..100)
+            .filter(|n| facts.set(1, &format!("f{n}"), 1.0))
+            .count();
         assert_eq!(set, MOST);
         assert!(!facts.set(1, "f1", f64::NAN) && facts.set(1, "f1", 2.0));
         let version = facts.version;
         facts.clear("f1");
         facts.clear("f1");
-        assert!(facts.get("f1").is_none() && facts.version == version + 1 && facts.set(1, "g", 1.0));
+        assert!(
+            facts.get("f1").is_none() && facts.version == version + 1 && facts.set(1, "g", 1.0)
+        );
         let mut other = Facts::default();
-        let many = (0..100).map(|n| Fact { name: format!("f{n}"), value: 1.0, age_ms: 0 }).collect();
+        let many = (0..100)
+            .map(|n| Fact {
+                name: format!("f{n}"),
+                value: 1.0,
+                age_ms: 0,
+            })
+            .collect();
         other.take(1, 5, many);
         assert_eq!(other.told(1).len(), MOST);
     }
--- a/crates/members/src/fleet.rs
+++ b/crates/members/src/fleet.rs
@@ -247,7 +247,8 @@
         let heard = |name: &str| self.peers.get(name).filter(|p| p.session.heard_at > 0);
         self.table.rows().map(move |row| Seen {
             record: row.record.clone(),
-            heard_us: heard(&row.record.name).map(|p| self.awake.saturating_sub(p.session.heard_at)),
+            heard_us: heard(&row.record.name)
+                .map(|p| self.awake.saturating_sub(p.session.heard_at)),
         })
     }
 
@@ -298,7 +299,15 @@
         self.gone = true;
         let names: Vec<String> = self.table.others().map(|r| r.name.clone()).collect();
         for name in names.into_iter().take(FAREWELLS) {
-            self.send(&name, now, Extra { own: true, ..Extra::default() }, out);
+            self.send(
+                &name,
+                now,
+                Extra {
+                    own: true,
+                    ..Extra::default()
+                },
+                out,
+            );
         }
     }
 
@@ -310,7 +319,15 @@
     /// Sends a letter, of at most [`MOST_POST`] bytes, to a member: once, and not at all to one that has not proven who it is.
     pub fn post(&mut self, now: u64, to: &str, bytes: Vec<u8>, out: &mut Vec<Output>) {
         if !self.yielded && !self.gone {
-            self.send(to, now, Extra { post: bytes, ..Extra::default() }, out);
+            self.send(
+                to,
+                now,
+                Extra {
+                    post: bytes,
+                    ..Extra::default()
+                },
+                out,
+            );
         }
     }
 
@@ -329,7 +346,9 @@
         if self.ticked_at > 0 && now.saturating_sub(self.ticked_at) > self.slept_us() {
             self.drowsy_till = self.drowsy_till.max(self.awake + self.plan.holds_us());
         }
-        let Some(body) = self.open(now, from, bytes) else { return };
+        let Some(body) = self.open(now, from, bytes) else {
+            return;
+        };
         let h = &body.head;
         if h.from == self.plan.name {
             // One's own, or another's under the same name; what it says of itself is in its records.
@@ -347,7 +366,10 @@
         if !peer.comes.take(now, 1.0) {
             return;
         }
-        match peer.session.take(life, h.to, h.life, h.incarnation, h.number) {
+        match peer
+            .session
+            .take(life, h.to, h.life, h.incarnation, h.number)
+        {
             Counts::Yes => {}
             Counts::Anew => {
                 (peer.told, peer.facts_acked, peer.facts) = Default::default();
@@ -361,7 +383,11 @@
                 if self.hellos.take(now, 1.0) {
                     // Whoever another life has replaced hears of that as the one that it is.
                     let replaced = (counts == Counts::Replaced).then_some(body.head.life);
-                    let extra = Extra { own: true, replaced, ..Extra::default() };
+                    let extra = Extra {
+                        own: true,
+                        replaced,
+                        ..Extra::default()
+                    };
                     self.send_to(&body.head.from, from, now, extra, out);
                 }
                 return;
@@ -384,7 +410,9 @@
         let body = self.keys.open(bytes).and_then(Body::read);
         if body.is_none() {
             if self.wrong.len() < ADDRESSES {
-                self.wrong.entry(from).or_insert_with(|| Allowance::new(WRONG_A_S));
+                self.wrong
+                    .entry(from)
+                    .or_insert_with(|| Allowance::new(WRONG_A_S));
             }
             match self.wrong.get_mut(&from) {
                 Some(of) => of.spend(now, 1.0),
@@ -396,24 +424,47 @@
 
     /// The number of a datagram's sender.
     fn number_of(&self, body: &Body) -> Option<u16> {
-        let own = body.members.iter().find(|m| m.record.name == body.head.from);
+        let own = body
+            .members
+            .iter()
+            .find(|m| m.record.name == body.head.from);
         let known = self.table.get(&body.head.from);
         own.map(|m| m.record.number).or(known.map(|r| r.number))
     }
 
     /// What a member that has proven who it is says.
     fn heard_from(&mut self, now: u64, body: Body, out: &mut Vec<Output>) {
-        let Body { head: h, members, uses, facts, post } = body;
+        let Body {
+            head: h,
+            members,
+            uses,
+            facts,
+            post,
+        } = body;
         let theirs = (!h.buckets.is_empty()).then(|| self.table.differing(&h.buckets));
-        let differing: Vec<wire::Told> = theirs.into_iter().flatten().map(|row| told(row, now)).collect();
+        let differing: Vec<wire::Told> = theirs
+            .into_iter()
+            .flatten()
+            .map(|row| told(row, now))
+            .collect();
         for m in members {
             self.member(now, m, out);
         }
-        let number = self.table.get(&h.from).filter(|r| r.life == h.life).map(|r| u32::from(r.number));
-        let Some(peer) = self.peers.get_mut(&h.from) else { return };
+        let number = self
+            .table
+            .get(&h.from)
+            .filter(|r| r.life == h.life)
+            .map(|r| u32::from(r.number));
+        let Some(peer) = self.peers.get_mut(&h.from) else {
+            return;
+        };
         peer.session.heard_at = self.awake.max(1);
         peer.told.wanted = h.wanted;
-        peer.told.acked = peer.told.acked.max(h.have).min(self.telling.uses().last_change());
+        peer.told.acked = peer
+            .told
+            .acked
+            .max(h.have)
+            .min(self.telling.uses().last_change());
         peer.facts_acked = peer.facts_acked.max(h.facts_have).min(self.facts.version);
         peer.facts.take(now, facts.0, facts.1);
         if h.ping != 0 && peer.acks.len() < MOST_PROBES {
@@ -430,14 +481,31 @@
             self.detect.answered(seq);
             // Made for another: it hears of it.
             if let Some((whom, theirs, _)) = self.relays.remove(&seq) {
-                self.send(&whom, now, Extra { acks: vec![theirs], ..Extra::default() }, out);
+                self.send(
+                    &whom,
+                    now,
+                    Extra {
+                        acks: vec![theirs],
+                        ..Extra::default()
+                    },
+                    out,
+                );
             }
         }
         for (target, seq) in h.asks {
             if self.relays.len() < RELAYS && self.table.get(&target).is_some_and(Record::there) {
                 let ours = self.detect.next_seq();
-                self.relays.insert(ours, (h.from.clone(), seq, self.awake + RELAY_US));
-                self.send(&target, now, Extra { ping: ours, ..Extra::default() }, out);
+                self.relays
+                    .insert(ours, (h.from.clone(), seq, self.awake + RELAY_US));
+                self.send(
+                    &target,
+                    now,
+                    Extra {
+                        ping: ours,
+                        ..Extra::default()
+                    },
+                    out,
+                );
             }
         }
         if h.ping != 0 {
@@ -447,7 +515,10 @@
             self.answer_sync(&h.from, now, differing, h.back, out);
         }
         if !post.is_empty() {
-            out.push(Output::Post { from: h.from, bytes: post });
+            out.push(Output::Post {
+                from: h.from,
+                bytes: post,
+            });
         }
     }
 
@@ -470,8 +541,16 @@
             if rest.peek().is_none() {
                 return;
             }
-            let buckets = if back && n == 0 { self.table.buckets() } else { Vec::new() };
-            let extra = Extra { buckets, members: Some(&mut rest), ..Extra::default() };
+            let buckets = if back && n == 0 {
+                self.table.buckets()
+            } else {
+                Vec::new()
+            };
+            let extra = Extra {
+                buckets,
+                members: Some(&mut rest),
+                ..Extra::default()
+            };
             self.send(to, now, extra, out);
         }
     }
@@ -500,7 +579,9 @@
             self.changed(now, &change, out);
         }
         // Others accuse it, too: the sooner is it settled.
-        let Some(known) = self.table.get(&m.record.name) else { return };
+        let Some(known) = self.table.get(&m.record.name) else {
+            return;
+        };
         let (name, incarnation) = (known.name.clone(), known.incarnation);
         if known.verdict == Verdict::Suspect && incarnation == m.record.incarnation {
             for by in by {
@@ -513,17 +594,26 @@
                 self.accuse(&name);
             }
             let accusers = self.table.accusers(&name).len();
-            self.detect.suspect(self.awake, &name, incarnation, accusers);
+            self.detect
+                .suspect(self.awake, &name, incarnation, accusers);
         }
     }
 
     /// This member is one of those that accuse a suspect.
     fn accuse(&mut self, name: &str) {
-        self.table.accused(name, hash(&self.plan.name) as u32, ACCUSERS + 1);
+        self.table
+            .accused(name, hash(&self.plan.name) as u32, ACCUSERS + 1);
     }
 
     /// Another process uses, or used, this one's name.
-    fn claimed(&mut self, now: u64, incarnation: u64, life: u64, there: bool, out: &mut Vec<Output>) {
+    fn claimed(
+        &mut self,
+        now: u64,
+        incarnation: u64,
+        life: u64,
+        there: bool,
+        out: &mut Vec<Output>,
+    ) {
         let mine = self.me();
         if (incarnation, life) < (mine.incarnation, mine.life) {
             return;
@@ -547,21 +637,44 @@
         if r.verdict != Verdict::Suspect {
             self.detect.settled(name);
         }
-        let same = change.before.as_ref().is_some_and(|b| b.life == r.life && b.state() == r.state());
+        let same = change
+            .before
+            .as_ref()
+            .is_some_and(|b| b.life == r.life && b.state() == r.state());
         if !same && r.verdict != Verdict::Suspect {
-            let back = change.before.as_ref().is_some_and(|b| b.verdict == Verdict::Dead) && r.there();
-            let what = if back { format!("{}, is back", r.state()) } else { r.state().to_string() };
-            let unheard = self.peers.get(name).map(|p| self.awake.saturating_sub(p.session.heard_at));
+            let back = change
+                .before
+                .as_ref()
+                .is_some_and(|b| b.verdict == Verdict::Dead)
+                && r.there();
+            let what = if back {
+                format!("{}, is back", r.state())
+            } else {
+                r.state().to_string()
+            };
+            let unheard = self
+                .peers
+                .get(name)
+                .map(|p| self.awake.saturating_sub(p.session.heard_at));
             let unheard = unheard.filter(|_| r.verdict == Verdict::Dead);
-            let unheard =
-                unheard.map_or(String::new(), |us| format!(", unheard for {:.1} s", us as f64 / 1e6));
+            let unheard = unheard.map_or(String::new(), |us| {
+                format!(", unheard for {:.1} s", us as f64 / 1e6)
+            });
             self.log(now, format!("member {name}: {what}{unheard}"), out);
         }
-        let clash = self.table.others().find(|o| o.number == r.number && o.name != *name && r.there());
+        let clash = self
+            .table
+            .others()
+            .find(|o| o.number == r.number && o.name != *name && r.there());
         let mine = r.number == self.plan.number && r.there() && r.name != self.plan.name;
-        if let Some(other) = clash.map(|o| o.name.clone()).or(mine.then(|| self.plan.name.clone())) {
-            let line =
-                format!("member {name}: has the number {} as {other} has; give each its own", r.number);
+        if let Some(other) = clash
+            .map(|o| o.name.clone())
+            .or(mine.then(|| self.plan.name.clone()))
+        {
+            let line = format!(
+                "member {name}: has the number {} as {other} has; give each its own",
+                r.number
+            );
             self.log(now, line, out);
         }
     }
@@ -583,7 +696,11 @@
         let news = self.telling.tick(now);
         if !(news.is_empty() && self.heard.is_empty()) {
             let heard = std::mem::take(&mut self.heard).into_iter().collect();
-            out.push(Output::Told { heard, uses: news.uses, past: news.past });
+            out.push(Output::Told {
+                heard,
+                uses: news.uses,
+                past: news.past,
+            });
         }
         if self.yielded {
             return;
@@ -619,18 +736,27 @@
         self.relays.retain(|_, (_, _, till)| *till > awake);
         let table = &self.table;
         // Whoever is no member and says nothing any more is not remembered.
-        self.peers.retain(|name, p| table.get(name).is_some() || awake < p.seen_at + RELAY_US);
+        self.peers
+            .retain(|name, p| table.get(name).is_some() || awake < p.seen_at + RELAY_US);
         if !self.met {
             return;
         }
         let mut there: Vec<bool> = vec![false; usize::from(self.plan.gateways)];
-        let rows = self.table.rows().map(|row| &row.record).filter(|r| r.phase != Phase::Left);
+        let rows = self
+            .table
+            .rows()
+            .map(|row| &row.record)
+            .filter(|r| r.phase != Phase::Left);
         for r in rows {
             if let Some(t) = there.get_mut(usize::from(r.number)) {
                 *t = true;
             }
         }
-        let absent: Vec<u32> = (0..).zip(&there).filter(|(_, t)| !**t).map(|(n, _)| n).collect();
+        let absent: Vec<u32> = (0..)
+            .zip(&there)
+            .filter(|(_, t)| !**t)
+            .map(|(n, _)| n)
+            .collect();
         if absent != self.absent {
             self.absent.clone_from(&absent);
             out.push(Output::Absent(absent));
@@ -647,21 +773,40 @@
         let mut seeds: Vec<SocketAddr> = self.plan.seeds.iter().filter(missing).copied().collect();
         let alone = there.is_empty();
         // Those that are held dead are called as well: a cut may be over.
-        let dead = self.table.rows().map(|r| &r.record).filter(|r| !r.there() && r.phase != Phase::Left);
+        let dead = self
+            .table
+            .rows()
+            .map(|r| &r.record)
+            .filter(|r| !r.there() && r.phase != Phase::Left);
         let dead: Vec<String> = dead.map(|r| r.name.clone()).collect();
-        self.seed_due = now + if alone && now < started + 30_000_000 { SEED_US } else { SEED_LATER_US };
+        self.seed_due = now
+            + if alone && now < started + 30_000_000 {
+                SEED_US
+            } else {
+                SEED_LATER_US
+            };
         if !alone && !seeds.is_empty() {
             seeds = vec![seeds[self.rng.next_u32() as usize % seeds.len()]];
         }
         for at in seeds.into_iter().take(FAREWELLS) {
             let head = self.head(0, 0);
             let mut writer = Writer::new(&head);
-            self.table.row(&self.plan.name).map(|own| writer.member(told(own, now), 0));
+            self.table
+                .row(&self.plan.name)
+                .map(|own| writer.member(told(own, now), 0));
             self.put(now, at, writer, head, out);
         }
         if !dead.is_empty() {
             let name = &dead[self.rng.next_u32() as usize % dead.len()];
-            self.send(name, now, Extra { own: true, ..Extra::default() }, out);
+            self.send(
+                name,
+                now,
+                Extra {
+                    own: true,
+                    ..Extra::default()
+                },
+                out,
+            );
         }
     }
 
@@ -672,38 +817,79 @@
             let heard = |name: &str| heard_at(&self.peers, name);
             if self.awake >= self.drowsy_till {
                 let usual = self.plan.interval_us(others.len());
-                self.detect.tick(self.awake, usual, &others, heard, &mut steps);
+                self.detect
+                    .tick(self.awake, usual, &others, heard, &mut steps);
             }
         }
         for step in steps {
             match step {
                 Step::Ping { target, seq } => {
-                    self.send(&target, now, Extra { ping: seq, ..Extra::default() }, out);
+                    self.send(
+                        &target,
+                        now,
+                        Extra {
+                            ping: seq,
+                            ..Extra::default()
+                        },
+                        out,
+                    );
                 }
                 Step::Ask { via, target, seq } => {
                     for name in via {
                         let asks = vec![(target.clone(), seq)];
-                        self.send(&name, now, Extra { asks, ..Extra::default() }, out);
+                        self.send(
+                            &name,
+                            now,
+                            Extra {
+                                asks,
+                                ..Extra::default()
+                            },
+                            out,
+                        );
                     }
                 }
                 Step::Suspect(name) => {
-                    let Some(r) = self.table.get(&name).filter(|r| r.there()) else { continue };
+                    let Some(r) = self.table.get(&name).filter(|r| r.there()) else {
+                        continue;
+                    };
                     let incarnation = r.incarnation;
                     if let Some(change) = self.table.judge(now, &name, Verdict::Suspect) {
                         self.changed(now, &change, out);
                     }
                     self.accuse(&name);
                     let accusers = self.table.accusers(&name).len();
-                    self.detect.suspect(self.awake, &name, incarnation, accusers);
+                    self.detect
+                        .suspect(self.awake, &name, incarnation, accusers);
                 }
-                Step::Warn(name) => self.send(&name, now, Extra { warn: true, ..Extra::default() }, out),
+                Step::Warn(name) => self.send(
+                    &name,
+                    now,
+                    Extra {
+                        warn: true,
+                        ..Extra::default()
+                    },
+                    out,
+                ),
                 Step::Dead(name) => {
-                    let suspect = self.table.get(&name).is_some_and(|r| r.verdict == Verdict::Suspect);
-                    let judged = suspect.then(|| self.table.judge(now, &name, Verdict::Dead)).flatten();
+                    let suspect = self
+                        .table
+                        .get(&name)
+                        .is_some_and(|r| r.verdict == Verdict::Suspect);
+                    let judged = suspect
+                        .then(|| self.table.judge(now, &name, Verdict::Dead))
+                        .flatten();
                     if let Some(change) = judged {
                         self.changed(now, &change, out);
                         // It hears of it, if it hears.
-                        self.send(&name, now, Extra { warn: true, ..Extra::default() }, out);
+                        self.send(
+                            &name,
+                            now,
+                            Extra {
+                                warn: true,
+                                ..Extra::default()
+                            },
+                            out,
+                        );
                     }
                 }
             }
@@ -721,8 +907,14 @@
             return;
         }
         let drawn = self.rng.next_u32() as usize % others;
-        let Some(name) = self.table.others().nth(drawn).map(|r| r.name.clone()) else { return };
-        let extra = Extra { buckets: self.table.buckets(), back: true, ..Extra::default() };
+        let Some(name) = self.table.others().nth(drawn).map(|r| r.name.clone()) else {
+            return;
+        };
+        let extra = Extra {
+            buckets: self.table.buckets(),
+            back: true,
+            ..Extra::default()
+        };
         self.send(&name, now, extra, out);
     }
 
@@ -759,13 +951,23 @@
     fn peer(&mut self, now: u64, name: &str) -> &mut Peer {
         let usual = 1e6 / self.plan.interval_us(self.table.len()) as f64;
         let first = self.first_number(now);
-        self.peers.entry(name.into()).or_insert_with(|| Peer::new(usual, first))
+        self.peers
+            .entry(name.into())
+            .or_insert_with(|| Peer::new(usual, first))
     }
 
     fn head(&self, life: u64, number: u64) -> Head {
         let me = self.me();
         let (from, incarnation, wanted) = (me.name.clone(), me.incarnation, self.unheard.clone());
-        Head { from, life: self.life, incarnation, to: life, number, wanted, ..Head::default() }
+        Head {
+            from,
+            life: self.life,
+            incarnation,
+            to: life,
+            number,
+            wanted,
+            ..Head::default()
+        }
     }
 
     /// Numbers of those that are not heard themselves: others tell of them.
@@ -780,19 +982,31 @@
     }
 
     fn send(&mut self, name: &str, now: u64, extra: Extra, out: &mut Vec<Output>) {
-        let Some(address) = self.table.get(name).map(|r| r.address) else { return };
+        let Some(address) = self.table.get(name).map(|r| r.address) else {
+            return;
+        };
         self.send_to(name, address, now, extra, out);
     }
 
-    fn send_to(&mut self, name: &str, address: SocketAddr, now: u64, extra: Extra, out: &mut Vec<Output>) {
+    fn send_to(
+        &mut self,
+        name: &str,
+        address: SocketAddr,
+        now: u64,
+        extra: Extra,
+        out: &mut Vec<Output>,
+    ) {
         let interval = self.plan.interval_us(self.table.len().saturating_sub(1));
         let known = self.table.get(name).map(|r| (r.life, r.there(), r.number));
         let peer = self.peer(now, name);
         peer.due = now + interval;
         peer.session.number += 1;
         // A life that it says to have, or that others say.
-        let life =
-            if peer.session.says != 0 { peer.session.says } else { known.map_or(0, |(life, ..)| life) };
+        let life = if peer.session.says != 0 {
+            peer.session.says
+        } else {
+            known.map_or(0, |(life, ..)| life)
+        };
         let life = extra.replaced.unwrap_or(life);
         let proven = peer.session.life != 0 && peer.session.life == life;
         let (number, have) = (peer.session.number, peer.told.have);
@@ -802,7 +1016,8 @@
         let own = extra.own || extra.back || peer.greetings < 3;
         peer.greetings = peer.greetings.saturating_add(u8::from(proven));
         let mut head = self.head(life, number);
-        (head.ping, head.asks, head.buckets, head.back) = (extra.ping, extra.asks, extra.buckets, extra.back);
+        (head.ping, head.asks, head.buckets, head.back) =
+            (extra.ping, extra.asks, extra.buckets, extra.back);
         head.acks = acks;
         head.acks.truncate(MOST_PROBES);
         (head.have, head.facts_have) = (have, facts_have);
@@ -827,13 +1042,16 @@
         if proven && !alone {
             match extra.members {
                 Some(rest) => while rest.next_if(|t| writer.member((*t).clone(), 0)).is_some() {},
-                None => self.table.passing(|row| writer.member(told(row, now), FOR_USE)),
+                None => self
+                    .table
+                    .passing(|row| writer.member(told(row, now), FOR_USE)),
             }
             let number_there = known.map_or(u16::MAX, |(.., number)| number);
             if let Some(peer) = self.peers.get_mut(name) {
                 head.base = peer.told.acked;
                 (head.upto, head.complete) =
-                    self.telling.fill(&mut peer.told, (number_there, life), &mut writer);
+                    self.telling
+                        .fill(&mut peer.told, (number_there, life), &mut writer);
             }
             if facts_acked < self.facts.version {
                 writer.facts(self.facts.version, self.facts.told(now));
@@ -893,7 +1111,15 @@
 
 fn told(row: &crate::table::Row, now: u64) -> wire::Told {
     let gone = !row.record.there();
-    let age_s = if gone { now.saturating_sub(row.since) / 1_000_000 } else { 0 };
+    let age_s = if gone {
+        now.saturating_sub(row.since) / 1_000_000
+    } else {
+        0
+    };
     let age_s = u32::try_from(age_s).unwrap_or(u32::MAX);
-    wire::Told { record: row.record.clone(), age_s, by: row.accusers.clone() }
+    wire::Told {
+        record: row.record.clone(),
+        age_s,
+        by: row.accusers.clone(),
+    }
 }
--- a/crates/members/src/merge.rs
+++ b/crates/members/src/merge.rs
@@ -49,7 +49,13 @@
 impl Uses {
     /// `most`: entries that are kept.
     pub fn new(most: usize) -> Uses {
-        Uses { most, slots: BTreeMap::new(), lives: BTreeMap::new(), changes: BTreeMap::new(), change: 0 }
+        Uses {
+            most,
+            slots: BTreeMap::new(),
+            lives: BTreeMap::new(),
+            changes: BTreeMap::new(),
+            change: 0,
+        }
     }
 
     pub fn len(&self) -> usize {
@@ -67,12 +73,18 @@
 
     /// All that is held, for comparison.
     pub fn totals(&self) -> BTreeMap<(Slot, u32), u64> {
-        let all = self.slots.iter().flat_map(|(s, of)| of.iter().map(|(tag, e)| ((*s, *tag), e.total)));
+        let all = self
+            .slots
+            .iter()
+            .flat_map(|(s, of)| of.iter().map(|(tag, e)| ((*s, *tag), e.total)));
         all.collect()
     }
 
     pub fn total(&self, slot: Slot, tag: u32) -> u64 {
-        self.slots.get(&slot).and_then(|of| of.get(&tag)).map_or(0, |e| e.total)
+        self.slots
+            .get(&slot)
+            .and_then(|of| of.get(&tag))
+            .map_or(0, |e| e.total)
     }
 
     /// Takes in one entry; by how much it grew. What is below what is held, or of a window that was dropped, changes
@@ -92,7 +104,10 @@
         if !self.lives.contains_key(&key) {
             self.forget_a_life(slot.gateway);
         }
-        let life = self.lives.entry(key).or_insert(Life { floor: 0, grew_at: now });
+        let life = self.lives.entry(key).or_insert(Life {
+            floor: 0,
+            grew_at: now,
+        });
         life.grew_at = now;
         let floor = slot.window.saturating_sub(WINDOWS - 1).max(life.floor);
         if floor > life.floor {
@@ -100,7 +115,10 @@
             self.drop_below(key, floor);
         }
         self.change += 1;
-        let entry = Entry { total, change: self.change };
+        let entry = Entry {
+            total,
+            change: self.change,
+        };
         let before = self.slots.entry(slot).or_default().insert(tag, entry);
         if let Some(before) = before {
             self.changes.remove(&before.change);
@@ -110,9 +128,21 @@
     }
 
     fn drop_below(&mut self, (gateway, life): (u16, u64), floor: u32) {
-        let from = Slot { gateway, life, window: 0 };
-        let old: Vec<Slot> =
-            self.slots.range(from..Slot { window: floor, ..from }).map(|(s, _)| *s).collect();
+        let from = Slot {
+            gateway,
+            life,
+            window: 0,
+        };
+        let old: Vec<Slot> = self
+            .slots
+            .range(
+                from..Slot {
+                    window: floor,
+                    ..from
+                },
+            )
+            .map(|(s, _)| *s)
+            .collect();
         old.into_iter().for_each(|slot| self.drop_slot(slot));
     }
 
@@ -151,11 +181,30 @@
     /// Drops what lives that are over have left behind; how far they had come is remembered.
     pub fn age(&mut self, now: u64) {
         let silent = |l: &Life| now.saturating_sub(l.grew_at) >= SILENT_US;
-        let over: Vec<_> = self.lives.iter().filter(|(_, l)| silent(l)).map(|(key, _)| *key).collect();
+        let over: Vec<_> = self
+            .lives
+            .iter()
+            .filter(|(_, l)| silent(l))
+            .map(|(key, _)| *key)
+            .collect();
         for (gateway, life) in over {
-            let from = Slot { gateway, life, window: 0 };
-            let last = self.slots.range(from..=Slot { window: u32::MAX, ..from }).next_back();
-            let Some(last) = last.map(|(s, _)| s.window) else { continue };
+            let from = Slot {
+                gateway,
+                life,
+                window: 0,
+            };
+            let last = self
+                .slots
+                .range(
+                    from..=Slot {
+                        window: u32::MAX,
+                        ..from
+                    },
+                )
+                .next_back();
+            let Some(last) = last.map(|(s, _)| s.window) else {
+                continue;
+            };
             if let Some(l) = self.lives.get_mut(&(gateway, life)) {
                 l.floor = last + 1;
             }
--- a/crates/members/src/record.rs
+++ b/crates/members/src/record.rs
@@ -88,7 +88,14 @@
     /// Of what all are to agree on. A suspicion is not: it is over soon, one way or the other.
     pub fn digest(&self) -> u64 {
         let mut h = hasher();
-        (&self.name, self.life, self.incarnation, self.phase, self.verdict == Verdict::Dead).hash(&mut h);
+        (
+            &self.name,
+            self.life,
+            self.incarnation,
+            self.phase,
+            self.verdict == Verdict::Dead,
+        )
+            .hash(&mut h);
         h.finish()
     }
 }
@@ -126,8 +133,14 @@
     #[test]
     fn the_later_incarnation_counts_and_of_one_the_worse_verdict() {
         let alive = record("n1", 5);
-        let dead = Record { verdict: Verdict::Dead, ..alive.clone() };
-        let back = Record { incarnation: 6, ..alive.clone() };
+        let dead = Record {
+            verdict: Verdict::Dead,
+            ..alive.clone()
+        };
+        let back = Record {
+            incarnation: 6,
+            ..alive.clone()
+        };
         assert!(dead.beats(&alive) && !alive.beats(&dead));
         assert!(back.beats(&dead) && !dead.beats(&back));
         assert!(!alive.beats(&alive));
--- a/crates/members/src/seal.rs
+++ b/crates/members/src/seal.rs
@@ -34,7 +34,11 @@
             Some((id.parse::<u8>().ok()?, secret.trim().to_string()))
         };
         let lines: Option<Vec<_>> = std::str::from_utf8(text).ok().and_then(|t| {
-            let all: Option<Vec<_>> = t.lines().filter(|l| !l.trim().is_empty()).map(line).collect();
+            let all: Option<Vec<_>> = t
+                .lines()
+                .filter(|l| !l.trim().is_empty())
+                .map(line)
+                .collect();
             all.filter(|all| !all.is_empty())
         });
         let Some(lines) = lines else {
@@ -55,7 +59,8 @@
             if keys.0.iter().any(|(known, _)| *known == id) {
                 return Err(format!("key {id} is there twice"));
             }
-            keys.0.push((id, hmac::Key::new(hmac::HMAC_SHA256, secret.as_bytes())));
+            keys.0
+                .push((id, hmac::Key::new(hmac::HMAC_SHA256, secret.as_bytes())));
         }
         Ok(keys)
     }
@@ -90,7 +95,10 @@
         let (text, seal) = bytes.split_at(bytes.len() - SEAL);
         // Compared in a time that does not depend on where it is wrong.
         let right = hmac::sign(key, text);
-        let differs = seal.iter().zip(right.as_ref()).fold(0, |d, (a, b)| d | (a ^ b));
+        let differs = seal
+            .iter()
+            .zip(right.as_ref())
+            .fold(0, |d, (a, b)| d | (a ^ b));
         (differs == 0).then_some(&text[MARK.len() + 1..])
     }
 }
@@ -108,7 +116,12 @@
 
     #[test]
     fn a_key_is_replaced_in_three_steps_and_all_hear_each_other_throughout() {
-        let steps = [format!("1 {A}"), format!("1 {A}\n2 {B}\n"), format!("2 {B}\n1 {A}"), format!("2 {B}")];
+        let steps = [
+            format!("1 {A}"),
+            format!("1 {A}\n2 {B}\n"),
+            format!("2 {B}\n1 {A}"),
+            format!("2 {B}"),
+        ];
         for step in steps.windows(2) {
             let (old, new) = (keys(&step[0]), keys(&step[1]));
             let sealed = old.seal(b"text");
--- a/crates/members/src/session.rs
+++ b/crates/members/src/session.rs
@@ -38,7 +38,10 @@
 impl Session {
     /// Nothing has come yet; what is sent begins above this number.
     pub fn from(number: u64) -> Session {
-        Session { number, ..Session::default() }
+        Session {
+            number,
+            ..Session::default()
+        }
     }
 
     /// `to`: the life that the datagram names; `me`: ours.
@@ -87,11 +90,19 @@
     fn only_what_names_our_life_counts_and_only_once() {
         let mut s = Session::default();
         assert_eq!(s.take(7, 0, 1, 10, 1), Counts::Unproven);
-        assert_eq!(s.take(7, 6, 1, 10, 2), Counts::Unproven, "of before our start");
+        assert_eq!(
+            s.take(7, 6, 1, 10, 2),
+            Counts::Unproven,
+            "of before our start"
+        );
         assert_eq!(s.take(7, 7, 1, 10, 3), Counts::Anew);
         assert_eq!(s.take(7, 7, 1, 10, 3), Counts::Twice);
         assert_eq!(s.take(7, 7, 1, 10, 100), Counts::Yes);
-        assert_eq!(s.take(7, 7, 1, 10, 60), Counts::Yes, "late, for the first time");
+        assert_eq!(
+            s.take(7, 7, 1, 10, 60),
+            Counts::Yes,
+            "late, for the first time"
+        );
         assert_eq!(s.take(7, 7, 1, 10, 60), Counts::Twice);
         assert_eq!(s.take(7, 7, 1, 10, 36), Counts::Twice, "too old to be told");
     }
--- a/crates/members/src/table.rs
+++ b/crates/members/src/table.rs
@@ -51,7 +51,15 @@
         let me = own.name.clone();
         let (rows, fresh) = (BTreeMap::new(), VecDeque::new());
         let (view, buckets) = (View::default(), vec![0; BUCKETS]);
-        let mut table = Table { me, most, forget_us, rows, fresh, view, buckets };
+        let mut table = Table {
+            me,
+            most,
+            forget_us,
+            rows,
+            fresh,
+            view,
+            buckets,
+        };
         table.put(0, own, 0);
         table
     }
@@ -82,7 +90,10 @@
 
     /// All others that are neither dead nor gone.
     pub fn others(&self) -> impl Iterator<Item = &Record> {
-        self.rows.values().map(|r| &r.record).filter(|r| r.there() && r.name != self.me)
+        self.rows
+            .values()
+            .map(|r| &r.record)
+            .filter(|r| r.there() && r.name != self.me)
     }
 
     /// Takes in what was told of a member, so long ago if it is gone. What changed, if anything did.
@@ -99,7 +110,10 @@
             return None;
         }
         self.put(now, told.clone(), now.saturating_sub(age_us));
-        Some(Change { before, now: told.clone() })
+        Some(Change {
+            before,
+            now: told.clone(),
+        })
     }
 
     /// Whether another member fits in; one that is gone makes room.
@@ -107,8 +121,13 @@
         if self.rows.len() < self.most {
             return true;
         }
-        let gone = self.rows.values().filter(|r| !r.record.there()).min_by_key(|r| r.since);
-        gone.map(|r| r.record.name.clone()).is_some_and(|name| self.remove(&name).is_some())
+        let gone = self
+            .rows
+            .values()
+            .filter(|r| !r.record.there())
+            .min_by_key(|r| r.since);
+        gone.map(|r| r.record.name.clone())
+            .is_some_and(|name| self.remove(&name).is_some())
     }
 
     fn remove(&mut self, name: &str) -> Option<Record> {
@@ -122,7 +141,11 @@
         self.buckets[bucket(&r.name)] ^= r.digest() as u32;
         if r.ready() {
             self.view.digest ^= hash((&r.region, &r.zone, &r.name, r.number, r.life));
-            self.view.ready = if in_it { self.view.ready + 1 } else { self.view.ready - 1 };
+            self.view.ready = if in_it {
+                self.view.ready + 1
+            } else {
+                self.view.ready - 1
+            };
         }
     }
 
@@ -130,7 +153,14 @@
         let (name, digest) = (record.name.clone(), self.view.digest);
         self.remove(&name);
         self.count(&record, true);
-        self.rows.insert(name.clone(), Row { record, since, accusers: Vec::new() });
+        self.rows.insert(
+            name.clone(),
+            Row {
+                record,
+                since,
+                accusers: Vec::new(),
+            },
+        );
         self.pass_on(&name);
         if self.view.digest != digest {
             self.view.since = now;
@@ -141,18 +171,34 @@
     pub fn say(&mut self, now: u64, phase: Phase, above: u64) {
         let me = self.me().clone();
         let incarnation = me.incarnation.max(above) + 1;
-        self.put(now, Record { phase, incarnation, verdict: Verdict::Alive, ..me }, now);
+        self.put(
+            now,
+            Record {
+                phase,
+                incarnation,
+                verdict: Verdict::Alive,
+                ..me
+            },
+            now,
+        );
     }
 
     /// Changes the verdict on one that is there.
     pub fn judge(&mut self, now: u64, name: &str, verdict: Verdict) -> Option<Change> {
-        let told = Record { verdict, ..self.get(name)?.clone() };
+        let told = Record {
+            verdict,
+            ..self.get(name)?.clone()
+        };
         self.merge(now, &told, 0)
     }
 
     /// One more accuses a suspect; whether that is news, among the first few.
     pub fn accused(&mut self, name: &str, by: u32, most: usize) -> bool {
-        let Some(row) = self.rows.get_mut(name).filter(|r| r.record.verdict == Verdict::Suspect) else {
+        let Some(row) = self
+            .rows
+            .get_mut(name)
+            .filter(|r| r.record.verdict == Verdict::Suspect)
+        else {
             return false;
         };
         let news = row.accusers.len() < most && !row.accusers.contains(&by);
@@ -177,8 +223,12 @@
     pub fn passing(&mut self, mut takes: impl FnMut(&Row) -> bool) {
         let most = PASSED_ON * (usize::BITS - self.rows.len().leading_zeros());
         for _ in 0..self.fresh.len() {
-            let Some((name, sent)) = self.fresh.pop_front() else { return };
-            let Some(row) = self.rows.get(&name) else { continue };
+            let Some((name, sent)) = self.fresh.pop_front() else {
+                return;
+            };
+            let Some(row) = self.rows.get(&name) else {
+                continue;
+            };
             if !takes(row) {
                 return self.fresh.push_front((name, sent));
             }
@@ -195,16 +245,29 @@
 
     /// The members of those parts in which the other's table differs.
     pub fn differing(&self, theirs: &[u32]) -> Vec<&Row> {
-        let differs: Vec<bool> = self.buckets.iter().zip(theirs).map(|(a, b)| a != b).collect();
+        let differs: Vec<bool> = self
+            .buckets
+            .iter()
+            .zip(theirs)
+            .map(|(a, b)| a != b)
+            .collect();
         let in_part = |name: &str| differs.get(bucket(name)).copied().unwrap_or(false);
-        self.rows.iter().filter(|(name, _)| in_part(name)).map(|(_, row)| row).collect()
+        self.rows
+            .iter()
+            .filter(|(name, _)| in_part(name))
+            .map(|(_, row)| row)
+            .collect()
     }
 
     /// Forgets those that have been gone for long enough; who they were.
     pub fn forget(&mut self, now: u64) -> Vec<Record> {
         let old = |r: &Row| !r.record.there() && now.saturating_sub(r.since) >= self.forget_us;
-        let gone: Vec<String> =
-            self.rows.values().filter(|r| old(r)).map(|r| r.record.name.clone()).collect();
+        let gone: Vec<String> = self
+            .rows
+            .values()
+            .filter(|r| old(r))
+            .map(|r| r.record.name.clone())
+            .collect();
         gone.iter().filter_map(|name| self.remove(name)).collect()
     }
 
@@ -215,8 +278,9 @@
     /// Those that the view is of: region, zone and name, in this order.
     pub fn ready(&self) -> Vec<(&str, &str, &str)> {
         let ready = self.rows.values().map(|r| &r.record).filter(|r| r.ready());
-        let mut ready: Vec<_> =
-            ready.map(|r| (r.region.as_str(), r.zone.as_str(), r.name.as_str())).collect();
+        let mut ready: Vec<_> = ready
+            .map(|r| (r.region.as_str(), r.zone.as_str(), r.name.as_str()))
+            .collect();
         ready.sort_unstable();
         ready
     }
@@ -240,25 +304,42 @@
     #[test]
     fn two_tables_that_have_heard_the_same_have_the_same_view_whatever_the_order() {
         let (mut a, mut b) = (table(), table());
-        let told = [record("n1", 3), record("n2", 1), Record { phase: Phase::Draining, ..record("n1", 4) }];
+        let told = [
+            record("n1", 3),
+            record("n2", 1),
+            Record {
+                phase: Phase::Draining,
+                ..record("n1", 4)
+            },
+        ];
         told.iter().for_each(|r| drop(a.merge(S, r, 0)));
         told.iter().rev().for_each(|r| drop(b.merge(2 * S, r, 0)));
         assert_eq!((a.view().digest, a.ready()), (b.view().digest, b.ready()));
-        assert_eq!((a.view().ready, a.ready().len()), (2, 2), "the draining one is not in it");
+        assert_eq!(
+            (a.view().ready, a.ready().len()),
+            (2, 2),
+            "the draining one is not in it"
+        );
         assert!(a.differing(&b.buckets()).is_empty());
         let since = a.view().since;
         a.merge(9 * S, &record("n2", 2), 0);
         assert_eq!(a.view().since, since, "who is ready has not changed");
         assert_eq!(
             a.differing(&b.buckets()).len(),
-            a.differing(&b.buckets()).iter().filter(|r| bucket(&r.record.name) == bucket("n2")).count()
+            a.differing(&b.buckets())
+                .iter()
+                .filter(|r| bucket(&r.record.name) == bucket("n2"))
+                .count()
         );
     }
 
     #[test]
     fn those_that_are_gone_are_forgotten_by_all_at_once_and_not_learned_again() {
         let (mut a, mut b) = (table(), table());
-        let dead = Record { verdict: Verdict::Dead, ..record("n1", 3) };
+        let dead = Record {
+            verdict: Verdict::Dead,
+            ..record("n1", 3)
+        };
         a.merge(S, &record("n1", 3), 0);
         a.merge(S, &dead, 0);
         // Told later, with its age.
--- a/crates/members/src/telling.rs
+++ b/crates/members/src/telling.rs
@@ -108,21 +108,34 @@
     pub fn tick(&mut self, now: u64) -> News {
         let started = *self.started.get_or_insert(now);
         let window = u32::try_from(now.saturating_sub(started) / WINDOW_US).unwrap_or(u32::MAX);
-        let slot = Slot { gateway: self.me, life: self.life, window };
+        let slot = Slot {
+            gateway: self.me,
+            life: self.life,
+            window,
+        };
         for (tag, units) in self.own.drain() {
-            let total = self.uses.total(slot, tag).saturating_add((units * PARTS).ceil() as u64);
+            let total = self
+                .uses
+                .total(slot, tag)
+                .saturating_add((units * PARTS).ceil() as u64);
             self.uses.merge(now, slot, tag, total);
         }
         self.uses.age(now);
         while self.known.len() > MOST_KNOWN {
-            let oldest = self.known.iter().min_by_key(|(_, since)| **since).map(|(key, _)| *key);
+            let oldest = self
+                .known
+                .iter()
+                .min_by_key(|(_, since)| **since)
+                .map(|(key, _)| *key);
             oldest.map(|key| self.known.remove(&key));
         }
         let parts = |n: u64| n as f64 / PARTS;
         let uses = std::mem::take(&mut self.grown).into_iter();
         let past = std::mem::take(&mut self.past).into_iter();
         News {
-            uses: uses.map(|((from, tag), n)| (u32::from(from), tag, parts(n))).collect(),
+            uses: uses
+                .map(|((from, tag), n)| (u32::from(from), tag, parts(n)))
+                .collect(),
             past: past.map(|(tag, n)| (tag, parts(n))).collect(),
         }
     }
@@ -142,8 +155,13 @@
         // What it does not hear from them it hears from here; all of it again and again, as room allows.
         let from = std::mem::take(&mut told.relayed);
         if !told.wanted.is_empty() {
-            let mut wants = self.uses.since(from).filter(|(_, s, ..)| told.wanted.contains(&s.gateway));
-            if let Some((change, ..)) = wants.find(|(_, s, tag, total)| !writer.usage(*s, *tag, *total)) {
+            let mut wants = self
+                .uses
+                .since(from)
+                .filter(|(_, s, ..)| told.wanted.contains(&s.gateway));
+            if let Some((change, ..)) =
+                wants.find(|(_, s, tag, total)| !writer.usage(*s, *tag, *total))
+            {
                 told.relayed = change - 1;
             }
         }
--- a/crates/members/src/wire.rs
+++ b/crates/members/src/wire.rs
@@ -69,8 +69,9 @@
     pub fn read(bytes: &[u8]) -> Option<Body> {
         let (body, rest) = postcard::take_from_bytes::<Body>(bytes).ok()?;
         let h = &body.head;
-        let fits =
-            h.wanted.len() <= MOST_WANTED && h.acks.len() <= MOST_PROBES && h.asks.len() <= MOST_PROBES;
+        let fits = h.wanted.len() <= MOST_WANTED
+            && h.acks.len() <= MOST_PROBES
+            && h.asks.len() <= MOST_PROBES;
         (rest.is_empty() && fits).then_some(body)
     }
 }
@@ -96,9 +97,19 @@
 impl Writer {
     /// `head`: as it will be, but for what of use is in it.
     pub fn new(head: &Head) -> Writer {
-        let widest = Head { base: u64::MAX, upto: u64::MAX, ..head.clone() };
+        let widest = Head {
+            base: u64::MAX,
+            upto: u64::MAX,
+            ..head.clone()
+        };
         let room = MOST_BYTES.saturating_sub(AROUND + size(&widest) + SLACK);
-        Writer { room, members: Vec::new(), uses: Vec::new(), facts: (0, Vec::new()), post: Vec::new() }
+        Writer {
+            room,
+            members: Vec::new(),
+            uses: Vec::new(),
+            facts: (0, Vec::new()),
+            post: Vec::new(),
+        }
     }
 
     fn takes(&mut self, bytes: usize) -> bool {
@@ -119,8 +130,14 @@
 
     pub fn usage(&mut self, slot: Slot, tag: u32, total: u64) -> bool {
         let bytes = varint(u64::from(tag)) + varint(total);
-        let of = self.uses.last().is_some_and(|(s, all)| *s == slot && all.len() < 127);
-        let group = varint(u64::from(slot.gateway)) + varint(slot.life) + varint(u64::from(slot.window)) + 1;
+        let of = self
+            .uses
+            .last()
+            .is_some_and(|(s, all)| *s == slot && all.len() < 127);
+        let group = varint(u64::from(slot.gateway))
+            + varint(slot.life)
+            + varint(u64::from(slot.window))
+            + 1;
         if !self.takes(bytes + if of { 0 } else { group }) {
             return false;
         }
@@ -154,7 +171,13 @@
     /// The body's bytes.
     pub fn finish(self, head: Head) -> Vec<u8> {
         let (members, uses, facts, post) = (self.members, self.uses, self.facts, self.post);
-        let body = Body { head, members, uses, facts, post };
+        let body = Body {
+            head,
+            members,
+            uses,
+            facts,
+            post,
+        };
         // It is made of plain values: nothing in it fails.
         postcard::to_allocvec(&body).unwrap_or_default()
     }
--- a/crates/members/tests/golden_forms.rs
+++ b/crates/members/tests/golden_forms.rs
@@ -12,11 +12,17 @@
 use world::{keys, plan, World, S, TICK};
 
 fn compare_with_recorded(file: &str, now: &str) {
-    let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file);
+    let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(file);
     if std::env::var_os("RECORD").is_some() {
         return std::fs::write(path, now).expect("written");
     }
-    assert_eq!(std::fs::read_to_string(path).expect("a recorded file"), now, "recorded on the left");
+    assert_eq!(
+        std::fs::read_to_string(path).expect("a recorded file"),
+        now,
+        "recorded on the left"
+    );
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -66,13 +72,32 @@
     assert!(writer.post(b"a message".to_vec()));
     for phase in [Phase::Joining, Phase::Ready, Phase::Draining, Phase::Left] {
         for verdict in [Verdict::Alive, Verdict::Suspect, Verdict::Dead] {
-            assert!(writer.member(Told { record: record(phase, verdict), age_s: 5, by: vec![1, 70_000] }, 0));
+            assert!(writer.member(
+                Told {
+                    record: record(phase, verdict),
+                    age_s: 5,
+                    by: vec![1, 70_000]
+                },
+                0
+            ));
         }
     }
     for (window, tag) in [(0, 7), (0, 8), (3, 7)] {
-        assert!(writer.usage(Slot { gateway: 300, life: 1 << 40, window }, tag, 2_500));
+        assert!(writer.usage(
+            Slot {
+                gateway: 300,
+                life: 1 << 40,
+                window
+            },
+            tag,
+            2_500
+        ));
     }
-    let fact = |name: &str, value| Fact { name: name.into(), value, age_ms: 9 };
+    let fact = |name: &str, value| Fact {
+        name: name.into(),
+        value,
+        age_ms: 9,
+    };
     assert!(writer.facts(3, vec![fact("strain", 0.5), fact("policy", 7.0)]));
     writer.finish(head)
 }
@@ -81,13 +106,22 @@
 fn the_bytes_of_a_datagram_are_those_that_were_recorded() {
     let mut text = String::new();
     writeln!(text, "full body {}", hex(&full_body())).expect("to memory");
-    let least = Head { from: "n0".into(), ..Head::default() };
-    writeln!(text, "least body {}", hex(&Writer::new(&least).finish(least.clone()))).expect("to memory");
+    let least = Head {
+        from: "n0".into(),
+        ..Head::default()
+    };
+    writeln!(
+        text,
+        "least body {}",
+        hex(&Writer::new(&least).finish(least.clone()))
+    )
+    .expect("to memory");
     writeln!(text, "sealed {}", hex(&keys().seal(b"some text"))).expect("to memory");
     for phase in [Phase::Joining, Phase::Ready, Phase::Draining, Phase::Left] {
         for verdict in [Verdict::Alive, Verdict::Suspect, Verdict::Dead] {
             let record = record(phase, verdict);
-            writeln!(text, "record {} {:016x}", record.state(), record.digest()).expect("to memory");
+            writeln!(text, "record {} {:016x}", record.state(), record.digest())
+                .expect("to memory");
         }
     }
     writeln!(text, "hash {:016x}", hash("n12")).expect("to memory");
@@ -106,8 +140,12 @@
 fn digest_of_sent(world: &mut World) -> String {
     let sent = world.record.take().unwrap_or_default();
     let step = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3);
-    let line = |(from, to, bytes): &(usize, usize, Vec<u8>)| format!("{from} {to} {}\n", hex(bytes));
-    let digest = sent.iter().flat_map(|s| line(s).into_bytes()).fold(0xcbf2_9ce4_8422_2325, step);
+    let line =
+        |(from, to, bytes): &(usize, usize, Vec<u8>)| format!("{from} {to} {}\n", hex(bytes));
+    let digest = sent
+        .iter()
+        .flat_map(|s| line(s).into_bytes())
+        .fold(0xcbf2_9ce4_8422_2325, step);
     world.record = Some(Vec::new());
     format!("{} {digest:016x}", sent.len())
 }
@@ -134,7 +172,10 @@
         let now = world.now;
         assert!(world.node(2).fleet.set_fact(now, "strain", 0.25));
         let mut out = Vec::new();
-        world.node(1).fleet.post(now, "n3", b"a message".to_vec(), &mut out);
+        world
+            .node(1)
+            .fleet
+            .post(now, "n3", b"a message".to_vec(), &mut out);
         for output in out {
             if let Output::Send { bytes, .. } = output {
                 world.deliver(3, world::at(1), &bytes);
--- a/crates/members/tests/members.rs
+++ b/crates/members/tests/members.rs
@@ -15,7 +15,10 @@
     assert!(took.is_some_and(|us| us <= S), "{took:?}");
     assert!(w.fleet(0).ready().contains(&("north", "z2", "n5")));
     w.run(2 * S);
-    assert!(w.now - w.fleet(3).view().since >= 2 * S, "nothing has changed since");
+    assert!(
+        w.now - w.fleet(3).view().since >= 2 * S,
+        "nothing has changed since"
+    );
 }
 
 #[test]
@@ -26,10 +29,16 @@
     assert!(took.is_some_and(|us| us <= 4 * S), "{took:?}");
     assert!(w.views_equal());
     let forgotten = w.until(60 * S, |w| w.all_hold(4, "unknown"));
-    assert!(forgotten.is_some_and(|us| (25 * S..40 * S).contains(&us)), "{forgotten:?}");
+    assert!(
+        forgotten.is_some_and(|us| (25 * S..40 * S).contains(&us)),
+        "{forgotten:?}"
+    );
     w.run(30 * S);
     assert!(w.all_hold(4, "unknown"), "nobody learns of it again");
-    assert!(w.node(0).absent.contains(&4), "nothing comes through it any more");
+    assert!(
+        w.node(0).absent.contains(&4),
+        "nothing comes through it any more"
+    );
 }
 
 #[test]
@@ -43,7 +52,10 @@
     let took = w.until(5 * S, |w| w.all_hold(4, "left"));
     assert!(took.is_some_and(|us| us <= S), "{took:?}");
     w.run(S);
-    assert!(w.running().iter().all(|n| w.nodes[*n].as_ref().expect("it runs").absent == [4]));
+    assert!(w
+        .running()
+        .iter()
+        .all(|n| w.nodes[*n].as_ref().expect("it runs").absent == [4]));
     assert!(w.accusations().is_empty(), "{:?}", w.accusations());
 }
 
@@ -72,14 +84,19 @@
         w.start_with(2, plan(2, 5, started));
         let life = w.fleet(2).me().life;
         let known = |w: &World| {
-            w.running()
-                .iter()
-                .all(|n| w.fleet(*n).members().any(|m| m.record.life == life && m.record.ready()))
+            w.running().iter().all(|n| {
+                w.fleet(*n)
+                    .members()
+                    .any(|m| m.record.life == life && m.record.ready())
+            })
         };
         let took = w.until(5 * S, known);
         assert!(took.is_some_and(|us| us <= S), "{back}: {took:?}");
         w.run(10 * S);
-        assert!(known(&w) && w.views_equal() && !w.fleet(2).yielded, "{back}");
+        assert!(
+            known(&w) && w.views_equal() && !w.fleet(2).yielded,
+            "{back}"
+        );
     }
 }
 
@@ -98,21 +115,36 @@
     w.run(10 * S);
     let other = of - 1;
     let twin = plan(twice, of, w.now / 1_000);
-    w.start_with(other, frosthatch_members::Plan { advertise: at(other), ..twin });
+    w.start_with(
+        other,
+        frosthatch_members::Plan {
+            advertise: at(other),
+            ..twin
+        },
+    );
     w.run(3 * S);
     assert!(w.fleet(twice).yielded && !w.fleet(other).yielded, "{of}");
-    assert!(w.node(twice).logs.iter().any(|(_, l)| l.contains(&format!("a later process runs as n{twice}"))));
+    assert!(w
+        .node(twice)
+        .logs
+        .iter()
+        .any(|(_, l)| l.contains(&format!("a later process runs as n{twice}"))));
     let life = w.fleet(other).me().life;
     for n in (0..of).filter(|n| *n != twice) {
         assert!(
-            w.fleet(n).members().any(|m| m.record.name == format!("n{twice}") && m.record.life == life),
+            w.fleet(n)
+                .members()
+                .any(|m| m.record.name == format!("n{twice}") && m.record.life == life),
             "{n}"
         );
     }
     let before = w.node(twice).messages;
     w.run(5 * S);
     assert_eq!(w.node(twice).messages, before);
-    assert!(w.fleet(other).members().all(|m| m.record.state() == "ready"));
+    assert!(w
+        .fleet(other)
+        .members()
+        .all(|m| m.record.state() == "ready"));
 }
 
 #[test]
@@ -186,7 +218,11 @@
         w.node(3).stopped = false;
         w.run(200_000);
     }
-    let by_it: Vec<_> = w.accusations().into_iter().filter(|(by, ..)| *by == 3).collect();
+    let by_it: Vec<_> = w
+        .accusations()
+        .into_iter()
+        .filter(|(by, ..)| *by == 3)
+        .collect();
     assert!(by_it.is_empty(), "{by_it:?}");
 }
 
@@ -214,7 +250,13 @@
     assert!(took.is_some_and(|us| us <= 8 * S), "{took:?}");
     // A newcomer that is told of one that lives gets in.
     let newcomer = plan(7, 8, w.now / 1_000);
-    w.start_with(7, frosthatch_members::Plan { seeds: vec![at(0), at(5)], ..newcomer });
+    w.start_with(
+        7,
+        frosthatch_members::Plan {
+            seeds: vec![at(0), at(5)],
+            ..newcomer
+        },
+    );
     w.run(3 * S);
     assert!(w.views_equal() && w.fleet(7).view().ready == 5);
 }
@@ -234,15 +276,29 @@
     w.run(S);
     w.start(2);
     w.run(3 * S);
-    let before: Vec<_> =
-        (0..4).map(|n| (w.fleet(n).view().digest, w.node(n).told.clone(), w.node(n).past.clone())).collect();
+    let before: Vec<_> = (0..4)
+        .map(|n| {
+            (
+                w.fleet(n).view().digest,
+                w.node(n).told.clone(),
+                w.node(n).past.clone(),
+            )
+        })
+        .collect();
     let logs: usize = (0..4).map(|n| w.node(n).logs.len()).sum();
     for (from, to, bytes) in &recorded {
         w.deliver(*to, at(*from), bytes);
     }
     w.run(3 * S);
-    let after: Vec<_> =
-        (0..4).map(|n| (w.fleet(n).view().digest, w.node(n).told.clone(), w.node(n).past.clone())).collect();
+    let after: Vec<_> = (0..4)
+        .map(|n| {
+            (
+                w.fleet(n).view().digest,
+                w.node(n).told.clone(),
+                w.node(n).past.clone(),
+            )
+        })
+        .collect();
     assert_eq!(before, after);
     assert_eq!(logs, (0..4).map(|n| w.node(n).logs.len()).sum::<usize>());
 }
@@ -261,7 +317,12 @@
         }
         w.run(TICK);
     }
-    let lines = w.node(1).logs.iter().filter(|(_, l)| l.contains("flood")).count();
+    let lines = w
+        .node(1)
+        .logs
+        .iter()
+        .filter(|(_, l)| l.contains("flood"))
+        .count();
     assert_eq!(lines, 1);
     assert!(w.accusations().is_empty() && w.all_hold(1, "ready"));
 }
--- a/crates/members/tests/merging.rs
+++ b/crates/members/tests/merging.rs
@@ -8,12 +8,17 @@
 type Entry = (Slot, u32, u64);
 
 fn slot(gateway: u16, life: u64, window: u32) -> Slot {
-    Slot { gateway, life, window }
+    Slot {
+        gateway,
+        life,
+        window,
+    }
 }
 
 fn entries() -> impl Strategy<Value = Vec<Entry>> {
     let one = (0u16..4, 1u64..3, 0..WINDOWS, 0u32..6, 1u64..1_000);
-    let one = one.prop_map(|(gateway, life, window, tag, total)| (slot(gateway, life, window), tag, total));
+    let one = one
+        .prop_map(|(gateway, life, window, tag, total)| (slot(gateway, life, window), tag, total));
     prop::collection::vec(one, 0..80)
 }
 
@@ -70,7 +75,11 @@
     assert_eq!(uses.merge(1, slot(1, 7, 0), 5, 40), 40);
     assert_eq!(uses.merge(2, slot(1, 7, WINDOWS), 5, 10), 10);
     assert_eq!(uses.len(), 1, "the first window is past");
-    assert_eq!(uses.merge(3, slot(1, 7, 0), 5, 50), 0, "an old word from elsewhere");
+    assert_eq!(
+        uses.merge(3, slot(1, 7, 0), 5, 50),
+        0,
+        "an old word from elsewhere"
+    );
     // After a long silence all of it goes, and stays away.
     uses.age(100_000_000);
     assert!(uses.is_empty());
@@ -93,8 +102,11 @@
         uses.merge(n, slot((n % 5) as u16, n % 40, 0), n as u32, 1);
         assert!(uses.len() <= 50);
     }
-    let lives: std::collections::BTreeSet<(u16, u64)> =
-        uses.totals().keys().map(|(s, _)| (s.gateway, s.life)).collect();
+    let lives: std::collections::BTreeSet<(u16, u64)> = uses
+        .totals()
+        .keys()
+        .map(|(s, _)| (s.gateway, s.life))
+        .collect();
     assert!(lives.len() <= 5 * LIVES);
     // One life alone cannot push out its own: it is told no.
     let mut one = Uses::new(10);
--- a/crates/members/tests/quotas.rs
+++ b/crates/members/tests/quotas.rs
@@ -6,8 +6,8 @@
 use frosthatch_members::{Fleet as Members, Output, Phase, Plan};
 use std::collections::{BTreeMap, VecDeque};
 use turndeck::{
-    Action, Event, Gateway, ListKind, Outcome, Request, RequestId, ServerEntry, ServerId, Settings, Status,
-    Timer,
+    Action, Event, Gateway, ListKind, Outcome, Request, RequestId, ServerEntry, ServerId, Settings,
+    Status, Timer,
 };
 
 const STEP: u64 = 10_000;
@@ -53,7 +53,10 @@
 impl Fleet {
     fn new(gateways: u16, loss: f64, seed: u64, quota: Quota, counter: bool) -> Fleet {
         let nodes = (0..gateways).map(|me| {
-            let plan = Plan { seed: seed + u64::from(me), ..world::plan(me.into(), gateways.into(), 1_000) };
+            let plan = Plan {
+                seed: seed + u64::from(me),
+                ..world::plan(me.into(), gateways.into(), 1_000)
+            };
             let mut set = Settings::example();
             (set.gateways, set.me) = (u32::from(gateways), u32::from(me));
             (set.plans[0].rate, set.plans[0].burst, set.most_units) = quota;
@@ -61,7 +64,12 @@
             let gateway = Gateway::new(set, seed ^ u64::from(me)).expect("settings");
             let mut members = Members::new(plan, world::keys());
             members.set_phase(0, Phase::Ready);
-            Node { gateway, members, timers: BTreeMap::new(), ends: VecDeque::new() }
+            Node {
+                gateway,
+                members,
+                timers: BTreeMap::new(),
+                ends: VecDeque::new(),
+            }
         });
         let mut fleet = Fleet {
             now: 1_000_000,
@@ -80,14 +88,25 @@
             answers: VecDeque::new(),
         };
         for n in 0..fleet.nodes.len() {
-            let entries = (0..20).map(|s| ServerEntry::ready(&format!("s{s}"), "a")).collect();
-            fleet.feed(n, Event::Servers { kind: ListKind::Complete, entries });
+            let entries = (0..20)
+                .map(|s| ServerEntry::ready(&format!("s{s}"), "a"))
+                .collect();
+            fleet.feed(
+                n,
+                Event::Servers {
+                    kind: ListKind::Complete,
+                    entries,
+                },
+            );
         }
         fleet
     }
 
     fn chance(&mut self) -> f64 {
-        self.state = self.state.wrapping_mul(0x5851_F42D_4C95_7F2D).wrapping_add(0x1405_7B7E_F767_814F);
+        self.state = self
+            .state
+            .wrapping_mul(0x5851_F42D_4C95_7F2D)
+            .wrapping_add(0x1405_7B7E_F767_814F);
         (self.state >> 33) as f64 / f64::from(1u32 << 31)
     }
 
@@ -97,20 +116,31 @@
         node.gateway.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { request, server, .. } => {
+                Action::Send {
+                    request, server, ..
+                } => {
                     let customer = self.of[&request];
                     self.sent.entry(customer).or_default().push((self.now, 1.0));
                     node.ends.push_back((self.now + SERVED, request, server));
                 }
                 Action::SetTimer { after_us, timer } => {
-                    node.timers.entry(self.now + after_us).or_default().push(timer);
+                    node.timers
+                        .entry(self.now + after_us)
+                        .or_default()
+                        .push(timer);
                 }
                 Action::Used { tag, units } => node.members.used(tag, units),
                 Action::Count { name, amount, .. } => {
-                    let Some(counts) = &mut self.counts else { continue };
+                    let Some(counts) = &mut self.counts else {
+                        continue;
+                    };
                     let total = counts.entry(name.clone()).or_default();
                     *total += amount;
-                    let answer = Event::Counted { name, status: Status::Served, total: *total };
+                    let answer = Event::Counted {
+                        name,
+                        status: Status::Served,
+                        total: *total,
+                    };
                     self.answers.push_back((self.now + ON_THE_WAY, n, answer));
                 }
                 _ => {}
@@ -136,8 +166,13 @@
                     true => [0, 0, 0, 0, 1, 1, 2, 3][(self.chance() * 8.0) as usize % 8],
                     false => (self.chance() * f64::from(WIDTH)) as u32 % WIDTH,
                 };
-                let mut request =
-                    Request::new(self.next, &format!("c{customer}"), "basic", "read", 1_000_000);
+                let mut request = Request::new(
+                    self.next,
+                    &format!("c{customer}"),
+                    "basic",
+                    "read",
+                    1_000_000,
+                );
                 (request.width, request.first_gateway) = (WIDTH.min(all), first);
                 self.of.insert(request.id, customer);
                 self.next += 1;
@@ -151,16 +186,31 @@
         while self.network.front().is_some_and(|(at, ..)| *at <= self.now) {
             let (at, to, from, bytes) = self.network.pop_front().expect("one");
             let mut out = Vec::new();
-            self.nodes[usize::from(to)].members.datagram(at, world::at(from), &bytes, &mut out);
+            self.nodes[usize::from(to)]
+                .members
+                .datagram(at, world::at(from), &bytes, &mut out);
             self.carry(usize::from(to), out);
         }
         for n in 0..self.nodes.len() {
-            while self.nodes[n].ends.front().is_some_and(|(at, ..)| *at <= self.now) {
+            while self.nodes[n]
+                .ends
+                .front()
+                .is_some_and(|(at, ..)| *at <= self.now)
+            {
                 let (_, id, server) = self.nodes[n].ends.pop_front().expect("one");
-                self.feed(n, Event::Outcome(Outcome::new(id, 0, server, Status::Served, SERVED).closing()));
+                self.feed(
+                    n,
+                    Event::Outcome(Outcome::new(id, 0, server, Status::Served, SERVED).closing()),
+                );
             }
-            while let Some(due) = self.nodes[n].timers.first_entry().filter(|e| *e.key() <= self.now) {
-                due.remove().into_iter().for_each(|t| self.feed(n, Event::Timer(t)));
+            while let Some(due) = self.nodes[n]
+                .timers
+                .first_entry()
+                .filter(|e| *e.key() <= self.now)
+            {
+                due.remove()
+                    .into_iter()
+                    .for_each(|t| self.feed(n, Event::Timer(t)));
             }
             // Ticks of different gateways fall at different times.
             if (self.now / STEP + n as u64).is_multiple_of(5) {
@@ -176,13 +226,18 @@
             match output {
                 Output::Send { to, bytes } => {
                     self.bytes += bytes.len() as u64;
-                    let to = (0..self.nodes.len()).find(|k| world::at(*k) == to).expect("a member") as u16;
+                    let to = (0..self.nodes.len())
+                        .find(|k| world::at(*k) == to)
+                        .expect("a member") as u16;
                     let cut = self.cut.is_some_and(|c| c == to || usize::from(c) == n);
                     if self.chance() >= self.loss && !cut {
-                        self.network.push_back((self.now + ON_THE_WAY, to, n, bytes));
+                        self.network
+                            .push_back((self.now + ON_THE_WAY, to, n, bytes));
                     }
                 }
-                Output::Told { heard, uses, past } => self.feed(n, Event::Used { heard, uses, past }),
+                Output::Told { heard, uses, past } => {
+                    self.feed(n, Event::Used { heard, uses, past })
+                }
                 Output::Absent(gateways) => self.feed(n, Event::Absent(gateways)),
                 Output::Log(_) | Output::Post { .. } => {}
             }
@@ -220,7 +275,11 @@
     let seconds = (fleet.now - from) as f64 / 1e6;
     let least = fleet.sent.values().map(Vec::len).min().unwrap_or(0) as f64;
     let a_second = (fleet.bytes - bytes) as f64 / seconds / f64::from(gateways);
-    (fleet.worst_overrun(from), least / (quota.0 * seconds + quota.1), a_second)
+    (
+        fleet.worst_overrun(from),
+        least / (quota.0 * seconds + quota.1),
+        a_second,
+    )
 }
 
 /// What others let through until they are heard is all that can come too much, with a counter and without: by fleet size,
@@ -228,9 +287,12 @@
 #[test]
 fn quotas_hold_by_word_of_the_others() {
     for (gateways, loss) in [(4, 0.0), (4, 0.3), (20, 0.3), (100, 0.3)] {
-        for (quota, counter, seed) in
-            [(LARGE, false, 1), (SMALL, false, 2), (SMALL, true, 3), (LARGE, true, 4)]
-        {
+        for (quota, counter, seed) in [
+            (LARGE, false, 1),
+            (SMALL, false, 2),
+            (SMALL, true, 3),
+            (LARGE, true, 4),
+        ] {
             // With so many one play has to do.
             if gateways == 100 && seed != 1 {
                 continue;
@@ -258,7 +320,8 @@
         let asked = |customer: u32| LARGE.0 * if customer < 3 { 0.75 } else { 4.0 };
         (0..600).for_each(|_| fleet.step_by(asked));
         let count = |fleet: &Fleet, from: u64| -> Vec<f64> {
-            let of = |sent: &Vec<(u64, f64)>| sent.iter().filter(|(t, _)| *t >= from).count() as f64;
+            let of =
+                |sent: &Vec<(u64, f64)>| sent.iter().filter(|(t, _)| *t >= from).count() as f64;
             fleet.sent.values().map(of).collect()
         };
         for (what, seconds) in [("cut", 10.0), ("healed", 2.0), ("later", 6.0)] {
@@ -266,12 +329,31 @@
             let (from, asks) = (fleet.now, fleet.next);
             (0..(seconds * 100.0) as u32).for_each(|_| fleet.step_by(asked));
             let (served, quota) = (count(&fleet, from), LARGE.0 * seconds);
-            let told = format!("{cut} {what}: {served:?} of {quota}; {} asks", fleet.next - asks);
+            let told = format!(
+                "{cut} {what}: {served:?} of {quota}; {} asks",
+                fleet.next - asks
+            );
             println!("{told}");
-            let honest = fleet.of.iter().filter(|(id, c)| id.0 >= asks && **c < 3).count() as f64;
-            assert!(served[..3].iter().sum::<f64>() >= 0.97 * honest, "{told}: {honest} honest");
-            let (least, most) = if what == "healed" { (0.4, 2.0) } else { (0.85, 1.25) };
-            assert!(served[3..].iter().all(|n| (least * quota..most * quota).contains(n)), "{told}");
+            let honest = fleet
+                .of
+                .iter()
+                .filter(|(id, c)| id.0 >= asks && **c < 3)
+                .count() as f64;
+            assert!(
+                served[..3].iter().sum::<f64>() >= 0.97 * honest,
+                "{told}: {honest} honest"
+            );
+            let (least, most) = if what == "healed" {
+                (0.4, 2.0)
+            } else {
+                (0.85, 1.25)
+            };
+            assert!(
+                served[3..]
+                    .iter()
+                    .all(|n| (least * quota..most * quota).contains(n)),
+                "{told}"
+            );
         }
     }
 }
--- a/crates/members/tests/telling.rs
+++ b/crates/members/tests/telling.rs
@@ -7,7 +7,11 @@
 use world::{at, plan, World, S, TICK};
 
 fn told(w: &World, who: usize, tag: u32) -> f64 {
-    w.nodes[who].as_ref().and_then(|n| n.told.get(&tag)).copied().unwrap_or(0.0)
+    w.nodes[who]
+        .as_ref()
+        .and_then(|n| n.told.get(&tag))
+        .copied()
+        .unwrap_or(0.0)
 }
 
 #[test]
@@ -20,7 +24,12 @@
     assert_eq!(all, [1.0, 2.5, 3.5, 3.5]);
     for n in 0..4 {
         let now = w.now;
-        let heard = w.node(n).heard.values().filter(|at| **at + 3 * TICK > now).count();
+        let heard = w
+            .node(n)
+            .heard
+            .values()
+            .filter(|at| **at + 3 * TICK > now)
+            .count();
         assert_eq!(heard, 3, "{n} hears all others in full");
     }
 }
@@ -36,12 +45,20 @@
         w.node(0).fleet.used(5, units);
         sum += units;
         w.run(TICK);
-        let old = w.record.as_ref().and_then(|r| r.get(r.len().checked_sub(1 + n as usize % 40)?)).cloned();
-        old.into_iter().for_each(|(from, to, bytes)| w.deliver(to, at(from), &bytes));
+        let old = w
+            .record
+            .as_ref()
+            .and_then(|r| r.get(r.len().checked_sub(1 + n as usize % 40)?))
+            .cloned();
+        old.into_iter()
+            .for_each(|(from, to, bytes)| w.deliver(to, at(from), &bytes));
     }
     w.loss = 0.0;
     w.run(S);
-    assert!((told(&w, 1, 5) - sum).abs() < 0.5 && (told(&w, 2, 5) - sum).abs() < 0.5, "{sum}");
+    assert!(
+        (told(&w, 1, 5) - sum).abs() < 0.5 && (told(&w, 2, 5) - sum).abs() < 0.5,
+        "{sum}"
+    );
 }
 
 #[test]
@@ -53,10 +70,16 @@
         w.run(TICK);
     }
     w.run(S / 2);
-    assert!((0..4).all(|n| (told(&w, n, 1) - 100.0).abs() < 0.1), "only the neighbour's");
+    assert!(
+        (0..4).all(|n| (told(&w, n, 1) - 100.0).abs() < 0.1),
+        "only the neighbour's"
+    );
     w.cut = Box::new(|_, _| false);
     w.run(3 * S);
-    assert!((0..4).all(|n| (told(&w, n, 1) - 300.0).abs() < 0.1), "all of all others'");
+    assert!(
+        (0..4).all(|n| (told(&w, n, 1) - 300.0).abs() < 0.1),
+        "all of all others'"
+    );
     w.run(S);
     assert!((0..4).all(|n| (told(&w, n, 1) - 300.0).abs() < 0.1), "once");
 }
@@ -81,7 +104,11 @@
     w.run(TICK);
     w.start(0);
     w.run(2 * S);
-    assert_eq!((told(&w, 0, 4), w.node(0).past.get(&4)), (0.0, Some(&5.0)), "its own, of before");
+    assert_eq!(
+        (told(&w, 0, 4), w.node(0).past.get(&4)),
+        (0.0, Some(&5.0)),
+        "its own, of before"
+    );
     w.node(0).fleet.used(4, 2.0);
     w.run(S);
     assert_eq!((told(&w, 1, 4), told(&w, 2, 4)), (7.0, 7.0));
@@ -122,7 +149,14 @@
 #[test]
 fn a_budget_that_is_too_small_is_shared_and_kept() {
     let mut w = World::new(4, 8);
-    w.start_with(0, Plan { bytes_per_s: 8_000, messages_per_s: 20, ..plan(0, 4, 1_000) });
+    w.start_with(
+        0,
+        Plan {
+            bytes_per_s: 8_000,
+            messages_per_s: 20,
+            ..plan(0, 4, 1_000)
+        },
+    );
     (1..4).for_each(|n| w.start(n));
     w.run(3 * S);
     let before = w.node(0).bytes;
@@ -131,16 +165,31 @@
         w.run(TICK);
     }
     let bytes = (w.node(0).bytes - before) as f64 / 10.0;
-    assert!((4_000.0..12_000.0).contains(&bytes), "{bytes} bytes a second");
+    assert!(
+        (4_000.0..12_000.0).contains(&bytes),
+        "{bytes} bytes a second"
+    );
     let heard: Vec<usize> = (1..4).map(|n| w.node(n).told.len()).collect();
     assert!(heard.iter().all(|n| *n > 100), "{heard:?}");
-    assert!(w.accusations().is_empty(), "members come before use: {:?}", w.accusations());
+    assert!(
+        w.accusations().is_empty(),
+        "members come before use: {:?}",
+        w.accusations()
+    );
 }
 
 #[test]
 fn use_that_never_ends_stays_within_the_entries() {
     let mut w = World::new(2, 9);
-    (0..2).for_each(|n| w.start_with(n, Plan { most_entries: 500, ..plan(n, 2, 1_000) }));
+    (0..2).for_each(|n| {
+        w.start_with(
+            n,
+            Plan {
+                most_entries: 500,
+                ..plan(n, 2, 1_000)
+            },
+        )
+    });
     for n in 0..20_000 {
         w.node(n as usize % 2).fleet.used(n, 1.0);
         if n % 20 == 0 {
@@ -156,7 +205,13 @@
 fn letters_are_not_held_up_and_do_not_carry_what_the_budget_does_not_bear() {
     let mut w = World::new(2, 6);
     for n in 0..2 {
-        w.start_with(n, Plan { bytes_per_s: 2_000, ..plan(n, 2, 1_000) });
+        w.start_with(
+            n,
+            Plan {
+                bytes_per_s: 2_000,
+                ..plan(n, 2, 1_000)
+            },
+        );
     }
     w.run(3 * S);
     // More than a datagram holds.
@@ -169,16 +224,24 @@
         let mut out = Vec::new();
         w.node(0).fleet.post(now, "n1", vec![n; 60], &mut out);
         for o in out {
-            let Output::Send { bytes: sent, .. } = o else { continue };
+            let Output::Send { bytes: sent, .. } = o else {
+                continue;
+            };
             bytes += sent.len();
             let mut there = Vec::new();
             w.node(1).fleet.datagram(now, at(0), &sent, &mut there);
-            let read = Output::Post { from: "n0".into(), bytes: vec![n; 60] };
+            let read = Output::Post {
+                from: "n0".into(),
+                bytes: vec![n; 60],
+            };
             came += usize::from(there.contains(&read));
         }
     }
     assert_eq!(came, 50);
     assert!(bytes < 50 * 200, "{bytes} bytes for fifty letters of 60");
     w.run(60 * S);
-    assert!((told(&w, 1, 399) - 1_000.0).abs() < 0.1, "and all is told in the end");
+    assert!(
+        (told(&w, 1, 399) - 1_000.0).abs() < 0.1,
+        "and all is told in the end"
+    );
 }
--- a/crates/members/tests/world/mod.rs
+++ b/crates/members/tests/world/mod.rs
@@ -162,7 +162,10 @@
     }
 
     pub fn chance(&mut self) -> f64 {
-        self.state = self.state.wrapping_mul(0x5851_F42D_4C95_7F2D).wrapping_add(0x1405_7B7E_F767_814F);
+        self.state = self
+            .state
+            .wrapping_mul(0x5851_F42D_4C95_7F2D)
+            .wrapping_add(0x1405_7B7E_F767_814F);
         (self.state >> 33) as f64 / f64::from(1u32 << 31)
     }
 
@@ -172,7 +175,9 @@
         while self.now < till {
             self.now += 1_000;
             while self.flying.peek().is_some_and(|f| f.0 .0 <= self.now) {
-                let Some(std::cmp::Reverse((_, _, to, from, bytes))) = self.flying.pop() else { break };
+                let Some(std::cmp::Reverse((_, _, to, from, bytes))) = self.flying.pop() else {
+                    break;
+                };
                 self.deliver(to, at(from), &bytes);
             }
             let phase = (self.now / 1_000 % (TICK / 1_000)) as usize;
@@ -184,11 +189,15 @@
 
     fn tick(&mut self, n: usize) {
         let now = self.now;
-        let Some(node) = self.nodes[n].as_mut().filter(|node| !node.stopped) else { return };
+        let Some(node) = self.nodes[n].as_mut().filter(|node| !node.stopped) else {
+            return;
+        };
         for (from, bytes) in std::mem::take(&mut node.waiting) {
             self.deliver(n, from, &bytes);
         }
-        let Some(node) = self.nodes[n].as_mut() else { return };
+        let Some(node) = self.nodes[n].as_mut() else {
+            return;
+        };
         let mut out = Vec::new();
         let since = ThreadTime::now();
         node.fleet.tick(now + node.skew, &mut out);
@@ -198,7 +207,9 @@
 
     pub fn deliver(&mut self, to: usize, from: SocketAddr, bytes: &[u8]) {
         let now = self.now;
-        let Some(node) = self.nodes[to].as_mut() else { return };
+        let Some(node) = self.nodes[to].as_mut() else {
+            return;
+        };
         if node.stopped {
             if node.waiting.len() < 200 {
                 node.waiting.push((from, bytes.to_vec()));
@@ -219,13 +230,17 @@
                 continue;
             }
             let now = self.now;
-            let Some(node) = self.nodes[n].as_mut() else { return };
+            let Some(node) = self.nodes[n].as_mut() else {
+                return;
+            };
             match output {
                 Output::Send { .. } | Output::Post { .. } => {}
                 Output::Told { heard, uses, past } => {
                     node.heard.extend(heard.into_iter().map(|h| (h, now)));
-                    uses.into_iter().for_each(|(_, tag, n)| *node.told.entry(tag).or_default() += n);
-                    past.into_iter().for_each(|(tag, n)| *node.past.entry(tag).or_default() += n);
+                    uses.into_iter()
+                        .for_each(|(_, tag, n)| *node.told.entry(tag).or_default() += n);
+                    past.into_iter()
+                        .for_each(|(tag, n)| *node.past.entry(tag).or_default() += n);
                 }
                 Output::Absent(absent) => node.absent = absent,
                 Output::Log(line) => node.logs.push((now, line)),
@@ -237,7 +252,9 @@
         assert!(bytes.len() <= 1_200);
         let node = self.nodes[from].as_mut().expect("it sends");
         (node.bytes, node.messages) = (node.bytes + bytes.len() as u64, node.messages + 1);
-        let Some(to) = place(to).filter(|n| *n < self.of) else { return };
+        let Some(to) = place(to).filter(|n| *n < self.of) else {
+            return;
+        };
         let lost = self.chance() < self.loss || (self.cut)(from, to);
         let more = (self.chance() * (self.delay.1 - self.delay.0) as f64) as u64;
         if !lost {
@@ -245,28 +262,46 @@
                 r.push((from, to, bytes.clone()));
             }
             self.sent += 1;
-            self.flying.push(std::cmp::Reverse((self.now + self.delay.0 + more, self.sent, to, from, bytes)));
+            self.flying.push(std::cmp::Reverse((
+                self.now + self.delay.0 + more,
+                self.sent,
+                to,
+                from,
+                bytes,
+            )));
         }
     }
 
     pub fn running(&self) -> Vec<usize> {
-        (0..self.of).filter(|n| self.nodes[*n].as_ref().is_some_and(|node| !node.stopped)).collect()
+        (0..self.of)
+            .filter(|n| self.nodes[*n].as_ref().is_some_and(|node| !node.stopped))
+            .collect()
     }
 
     /// What one holds of another.
     pub fn state(&self, of: usize, by: usize) -> &'static str {
         let name = format!("n{of}");
         let members: Vec<Record> = self.fleet(by).members().map(|m| m.record).collect();
-        members.iter().find(|r| r.name == name).map_or("unknown", Record::state)
+        members
+            .iter()
+            .find(|r| r.name == name)
+            .map_or("unknown", Record::state)
     }
 
     /// Whether all that run hold this of it.
     pub fn all_hold(&self, of: usize, state: &str) -> bool {
-        self.running().into_iter().filter(|by| *by != of).all(|by| self.state(of, by) == state)
+        self.running()
+            .into_iter()
+            .filter(|by| *by != of)
+            .all(|by| self.state(of, by) == state)
     }
 
     pub fn views_equal(&self) -> bool {
-        let digests: Vec<u64> = self.running().iter().map(|n| self.fleet(*n).view().digest).collect();
+        let digests: Vec<u64> = self
+            .running()
+            .iter()
+            .map(|n| self.fleet(*n).view().digest)
+            .collect();
         digests.windows(2).all(|w| w[0] == w[1])
     }
 
@@ -284,9 +319,18 @@
 
     /// Lines that say somebody is dead.
     pub fn accusations(&self) -> Vec<(usize, u64, String)> {
-        let all = self.nodes.iter().enumerate().filter_map(|(n, node)| Some((n, node.as_ref()?)));
+        let all = self
+            .nodes
+            .iter()
+            .enumerate()
+            .filter_map(|(n, node)| Some((n, node.as_ref()?)));
         let dead = |l: &&(u64, String)| l.1.contains(": dead");
-        all.flat_map(|(n, node)| node.logs.iter().filter(dead).map(move |(at, l)| (n, *at, l.clone())))
-            .collect()
+        all.flat_map(|(n, node)| {
+            node.logs
+                .iter()
+                .filter(dead)
+                .map(move |(at, l)| (n, *at, l.clone()))
+        })
+        .collect()
     }
 }
--- a/crates/membership/src/desk.rs
+++ b/crates/membership/src/desk.rs
@@ -14,7 +14,10 @@
 
 impl Desk {
     pub fn new(engine: Rc<Engine>) -> Rc<Desk> {
-        Rc::new(Desk { engine, roster: RefCell::default() })
+        Rc::new(Desk {
+            engine,
+            roster: RefCell::default(),
+        })
     }
 
     /// Takes a server out by hand; whether it is known. It is heard as draining before this returns.
@@ -22,7 +25,9 @@
         // As lists tell servers' starts, with which it is compared.
         let now = self.engine.wall();
         let known = self.roster.borrow_mut().take_out(now, uid);
-        known.map(|told| self.engine.servers(ListKind::Partial, told)).is_some()
+        known
+            .map(|told| self.engine.servers(ListKind::Partial, told))
+            .is_some()
     }
 
     /// Puts a server back; whether it is known.
@@ -30,7 +35,9 @@
         // As lists tell servers' starts, with which it is compared.
         let now = self.engine.wall();
         let known = self.roster.borrow_mut().put_back(now, uid);
-        known.map(|told| self.engine.servers(ListKind::Partial, told)).is_some()
+        known
+            .map(|told| self.engine.servers(ListKind::Partial, told))
+            .is_some()
     }
 
     /// What operators did to a server by hand.
@@ -40,7 +47,11 @@
 
     /// The same for all, by their names.
     pub fn marks(&self) -> Vec<(String, Mark)> {
-        self.roster.borrow().marks().map(|(uid, mark)| (uid.clone(), *mark)).collect()
+        self.roster
+            .borrow()
+            .marks()
+            .map(|(uid, mark)| (uid.clone(), *mark))
+            .collect()
     }
 
     /// Takes over what another process of this gateway was told of a server.
@@ -52,11 +63,17 @@
     /// Servers that are listed, and how many of them take nothing new.
     pub fn listed(&self) -> (usize, usize) {
         let roster = self.roster.borrow();
-        (roster.known().count(), roster.heard().filter(|m| m.state != State::Ready).count())
+        (
+            roster.known().count(),
+            roster.heard().filter(|m| m.state != State::Ready).count(),
+        )
     }
 
     pub(crate) fn tell(&self, kind: ListKind, members: Vec<Member>) {
-        let members = self.roster.borrow_mut().hear(self.engine.now(), kind, members);
+        let members = self
+            .roster
+            .borrow_mut()
+            .hear(self.engine.now(), kind, members);
         self.engine.servers(kind, members);
     }
 
--- a/crates/membership/src/dnssd/browser.rs
+++ b/crates/membership/src/dnssd/browser.rs
@@ -204,7 +204,10 @@
 impl Browser {
     /// `known` are the servers from before; `seed` is the only source of chance.
     pub fn new(plan: Plan, known: Vec<Member>, seed: u64, now: u64) -> Self {
-        let push = plan.push.as_ref().map(|p| Session::new(&plan.services, p.keepalive));
+        let push = plan
+            .push
+            .as_ref()
+            .map(|p| Session::new(&plan.services, p.keepalive));
         // What stands behind the two labels of the service: `_topup._tcp.`
         let domain = wire::split(&plan.base).and_then(|(_, rest)| wire::split(rest));
         Browser {
@@ -258,10 +261,14 @@
     pub fn handle(&mut self, now: u64, input: Option<Input>, out: &mut Vec<Output>) {
         match input {
             None => {}
-            Some(Input::Datagram { query, from, bytes }) => self.datagram(now, query, from, bytes, out),
+            Some(Input::Datagram { query, from, bytes }) => {
+                self.datagram(now, query, from, bytes, out)
+            }
             Some(Input::Stream { query, bytes }) => self.stream(now, query, bytes, out),
             Some(Input::Broken { query }) => self.failed(now, query, out),
-            Some(Input::PushOpened) => self.push_do(now, out, |push, heard| push.opened(now, heard)),
+            Some(Input::PushOpened) => {
+                self.push_do(now, out, |push, heard| push.opened(now, heard))
+            }
             Some(Input::PushMessage(bytes)) => {
                 self.push_do(now, out, |push, heard| push.message(now, bytes, heard));
             }
@@ -283,22 +290,40 @@
             self.tokens.1 + (wait_s * 1e6).ceil() as u64
         });
         let leaving = self.leaving.first().map(|(at, _)| *at);
-        let first = self.first_at.filter(|_| !self.listed).map(|at| at + COMPLETE_US);
+        let first = self
+            .first_at
+            .filter(|_| !self.listed)
+            .map(|at| at + COMPLETE_US);
         let untold = self.untold.values().min().map(|at| at + UNTOLD_US);
         let push = self.push.as_ref().and_then(|p| match self.connecting {
             true => p.next(),
             false => Some(p.not_before),
         });
         let late = self.late.first().map(|(at, _)| *at);
-        let all = queries.chain(poll).chain(detail).chain(leaving).chain(first).chain(late).chain(untold);
-        all.chain(push).min().unwrap_or(now + 1_000_000).min(now + 1_000_000)
+        let all = queries
+            .chain(poll)
+            .chain(detail)
+            .chain(leaving)
+            .chain(first)
+            .chain(late)
+            .chain(untold);
+        all.chain(push)
+            .min()
+            .unwrap_or(now + 1_000_000)
+            .min(now + 1_000_000)
     }
 
     // ---- Asking ------------------------------------------------------------------------------------
 
     fn due(&mut self, now: u64, out: &mut Vec<Output>) {
-        let over: Vec<u64> = self.queries.iter().filter(|(_, q)| q.by <= now).map(|(n, _)| *n).collect();
-        over.into_iter().for_each(|query| self.failed(now, query, out));
+        let over: Vec<u64> = self
+            .queries
+            .iter()
+            .filter(|(_, q)| q.by <= now)
+            .map(|(n, _)| *n)
+            .collect();
+        over.into_iter()
+            .for_each(|query| self.failed(now, query, out));
         if self.push.is_some() {
             self.push_due(now, out);
         }
@@ -319,15 +344,35 @@
     fn ask(&mut self, now: u64, mut q: Query, out: &mut Vec<Output>) {
         q.id = self.rng.next_u32() as u16;
         q.by = now + self.plan.timeout.as_micros() as u64;
-        let Some(bytes) = wire::query(q.id, &q.name, q.kind) else { return };
+        let Some(bytes) = wire::query(q.id, &q.name, q.kind) else {
+            return;
+        };
         self.next_query += 1;
-        out.push(Output::Ask { query: self.next_query, to: q.to, tcp: q.tcp, bytes });
+        out.push(Output::Ask {
+            query: self.next_query,
+            to: q.to,
+            tcp: q.tcp,
+            bytes,
+        });
         self.queries.insert(self.next_query, q);
     }
 
     fn query(&self, name: &Name, kind: Kind, purpose: Purpose) -> Query {
-        let (to, owner) = (self.plan.resolvers[self.leader % self.plan.resolvers.len()], name.clone());
-        Query { id: 0, name: name.clone(), kind, to, tcp: false, by: 0, purpose, hops: 0, owner }
+        let (to, owner) = (
+            self.plan.resolvers[self.leader % self.plan.resolvers.len()],
+            name.clone(),
+        );
+        Query {
+            id: 0,
+            name: name.clone(),
+            kind,
+            to,
+            tcp: false,
+            by: 0,
+            purpose,
+            hops: 0,
+            owner,
+        }
     }
 
     fn ask_round(&mut self, now: u64, out: &mut Vec<Output>) {
@@ -351,7 +396,11 @@
             self.ask(now, self.query(&name, Kind::Ptr, Purpose::Browse), out);
         }
         if serial {
-            self.ask(now, self.query(&self.zone.clone(), Kind::Soa, Purpose::Serial), out);
+            self.ask(
+                now,
+                self.query(&self.zone.clone(), Kind::Soa, Purpose::Serial),
+                out,
+            );
         }
     }
 
@@ -362,7 +411,9 @@
         let saved = tokens + rate * now.saturating_sub(at) as f64 / 1e6;
         self.tokens = (saved.min(rate / 10.0).max(1.0f64.min(saved)), now);
         while self.tokens.0 >= 1.0 && self.queries.len() < MOST_OUT {
-            let Some((name, kind)) = self.details.pop_front() else { return };
+            let Some((name, kind)) = self.details.pop_front() else {
+                return;
+            };
             self.queued.remove(&(name.clone(), kind));
             self.tokens.0 -= 1.0;
             self.ask(now, self.query(&name, kind, Purpose::Detail), out);
@@ -383,7 +434,9 @@
         let covered = |n: &Name| self.push.as_ref().is_some_and(|p| p.covers(n));
         let poll_us = self.plan.poll_most.as_micros() as u64;
         let old = |at: u64, n: &Name| now >= at + if covered(n) { COVERED_US } else { poll_us };
-        let Some(i) = self.instances.get(name).filter(|i| i.leaving.is_none()) else { return };
+        let Some(i) = self.instances.get(name).filter(|i| i.leaving.is_none()) else {
+            return;
+        };
         let mut wanted = Vec::new();
         for (kind, known, at) in [
             (Kind::Txt, i.text.value.is_some(), i.text.at),
@@ -393,10 +446,20 @@
                 wanted.push((name.clone(), kind, !known));
             }
         }
-        if let Some(target) = i.location.value.as_ref().map(|l| l.target.clone()).filter(|t| !t.is_empty()) {
+        if let Some(target) = i
+            .location
+            .value
+            .as_ref()
+            .map(|l| l.target.clone())
+            .filter(|t| !t.is_empty())
+        {
             let host = self.hosts.get(&target);
             if host.is_none_or(|h| h.at == 0 || old(h.at, &target)) {
-                wanted.push((target, Kind::A, host.is_none_or(|h| h.v4.is_empty() && h.v6.is_empty())));
+                wanted.push((
+                    target,
+                    Kind::A,
+                    host.is_none_or(|h| h.v4.is_empty() && h.v6.is_empty()),
+                ));
             }
         }
         for (name, kind, first) in wanted {
@@ -412,8 +475,17 @@
 
     // ---- Answers -----------------------------------------------------------------------------------
 
-    fn datagram(&mut self, now: u64, query: u64, from: SocketAddr, bytes: &[u8], out: &mut Vec<Output>) {
-        let Some(q) = self.queries.get(&query).filter(|q| !q.tcp) else { return };
+    fn datagram(
+        &mut self,
+        now: u64,
+        query: u64,
+        from: SocketAddr,
+        bytes: &[u8],
+        out: &mut Vec<Output>,
+    ) {
+        let Some(q) = self.queries.get(&query).filter(|q| !q.tcp) else {
+            return;
+        };
         let read = match from == q.to {
             true => wire::reply(bytes, q.id, &q.name, q.kind),
             false => Err(Unread::Foreign),
@@ -435,7 +507,9 @@
     }
 
     fn stream(&mut self, now: u64, query: u64, bytes: &[u8], out: &mut Vec<Output>) {
-        let Some(q) = self.queries.get(&query).filter(|q| q.tcp) else { return };
+        let Some(q) = self.queries.get(&query).filter(|q| q.tcp) else {
+            return;
+        };
         match wire::reply(bytes, q.id, &q.name, q.kind) {
             Ok(reply) => self.reply(now, query, reply, out),
             Err(_) => self.failed(now, query, out),
@@ -444,7 +518,9 @@
 
     /// The query brought nothing.
     fn failed(&mut self, now: u64, query: u64, out: &mut Vec<Output>) {
-        let Some(q) = self.queries.remove(&query) else { return };
+        let Some(q) = self.queries.remove(&query) else {
+            return;
+        };
         out.push(Output::Forget { query });
         match q.purpose {
             Purpose::Detail => {}
@@ -454,13 +530,17 @@
     }
 
     fn reply(&mut self, now: u64, query: u64, reply: Reply, out: &mut Vec<Output>) {
-        let Some(q) = self.queries.get(&query) else { return };
+        let Some(q) = self.queries.get(&query) else {
+            return;
+        };
         if reply.truncated {
             if q.tcp {
                 return self.failed(now, query, out);
             }
             // RFC 7766 section 5: what does not fit is asked for again over TCP.
-            let Some(q) = self.queries.remove(&query) else { return };
+            let Some(q) = self.queries.remove(&query) else {
+                return;
+            };
             out.push(Output::Forget { query });
             return self.ask(now, Query { tcp: true, ..q }, out);
         }
@@ -470,22 +550,40 @@
         let Some(end) = end_of_chain(&q.name, &reply.answer) else {
             return self.failed(now, query, out);
         };
-        let empty = !reply.answer.iter().any(|r| r.owner == end && !matches!(r.data, Data::Cname(_)));
+        let empty = !reply
+            .answer
+            .iter()
+            .any(|r| r.owner == end && !matches!(r.data, Data::Cname(_)));
         let further = end != q.name && empty && reply.code == Code::NoError;
         if further && q.hops >= MOST_HOPS {
             return self.failed(now, query, out);
         }
-        let Some(q) = self.queries.remove(&query) else { return };
+        let Some(q) = self.queries.remove(&query) else {
+            return;
+        };
         out.push(Output::Forget { query });
         if further {
-            return self.ask(now, Query { name: end, hops: q.hops + 1, ..q }, out);
+            return self.ask(
+                now,
+                Query {
+                    name: end,
+                    hops: q.hops + 1,
+                    ..q
+                },
+                out,
+            );
         }
         match q.purpose {
             Purpose::Serial => {
-                let serial = reply.answer.iter().chain(&reply.authority).find_map(|r| match r.data {
-                    Data::Soa { serial } => Some(serial),
-                    _ => None,
-                });
+                let serial =
+                    reply
+                        .answer
+                        .iter()
+                        .chain(&reply.authority)
+                        .find_map(|r| match r.data {
+                            Data::Soa { serial } => Some(serial),
+                            _ => None,
+                        });
                 self.round_has(now, out, |round| round.serial = serial);
             }
             Purpose::Browse => self.round_has(now, out, |round| {
@@ -508,14 +606,23 @@
     fn detail(&mut self, now: u64, owner: &Name, kind: Kind, end: &Name, reply: Reply) {
         // What is there is used under the name that was asked for; that there is nothing takes nothing away.
         let mine = reply.answer.into_iter().filter(|r| r.owner == *end);
-        let mut records: Vec<Record> = mine.map(|r| Record { owner: owner.clone(), ..r }).collect();
+        let mut records: Vec<Record> = mine
+            .map(|r| Record {
+                owner: owner.clone(),
+                ..r
+            })
+            .collect();
         if kind == Kind::A && records.is_empty() {
             if self.hosts.get(owner).is_some_and(|h| h.v4.is_empty()) {
                 self.queue(owner, Kind::Aaaa, true);
             }
         } else if kind == Kind::Txt && records.is_empty() && reply.code == Code::NoError {
             // RFC 6763 section 6.1: no TXT record is the same as an empty one.
-            records.push(Record { owner: owner.clone(), ttl: 0, data: Data::Txt(Vec::new()) });
+            records.push(Record {
+                owner: owner.clone(),
+                ttl: 0,
+                data: Data::Txt(Vec::new()),
+            });
         }
         records.extend(reply.additional);
         self.learn(now, records);
@@ -527,8 +634,18 @@
         let mut addresses: BTreeMap<Name, (Vec<IpAddr>, Vec<IpAddr>)> = BTreeMap::new();
         for Record { owner, data, .. } in records {
             match data {
-                Data::Srv { priority, weight, port, target } => {
-                    locations.entry(owner).or_default().push(Location { priority, weight, port, target });
+                Data::Srv {
+                    priority,
+                    weight,
+                    port,
+                    target,
+                } => {
+                    locations.entry(owner).or_default().push(Location {
+                        priority,
+                        weight,
+                        port,
+                        target,
+                    });
                 }
                 Data::Txt(strings) => self.learn_text(now, &owner, &strings),
                 Data::A(a) => addresses.entry(owner).or_default().0.push(a.into()),
@@ -538,7 +655,9 @@
         }
         let mut moved = Vec::new();
         for (name, locations) in locations {
-            let Some(i) = self.instances.get_mut(&name) else { continue };
+            let Some(i) = self.instances.get_mut(&name) else {
+                continue;
+            };
             i.location.at = now;
             let location = first_choice(locations);
             if i.location.value != location {
@@ -547,7 +666,11 @@
                 if before != target {
                     self.unuse(before, &name);
                     if let Some(target) = target.filter(|t| !t.is_empty()) {
-                        self.hosts.entry(target).or_default().users.insert(name.clone());
+                        self.hosts
+                            .entry(target)
+                            .or_default()
+                            .users
+                            .insert(name.clone());
                     }
                 }
                 self.dirty.insert(name.clone());
@@ -555,7 +678,9 @@
             }
         }
         for (name, (v4, v6)) in addresses {
-            let Some(h) = self.hosts.get_mut(&name) else { continue };
+            let Some(h) = self.hosts.get_mut(&name) else {
+                continue;
+            };
             h.at = now;
             let before = address(&h.v4).or(address(&h.v6));
             if !v4.is_empty() {
@@ -572,7 +697,9 @@
     }
 
     fn learn_text(&mut self, now: u64, name: &Name, strings: &[Vec<u8>]) {
-        let Some(i) = self.instances.get_mut(name) else { return };
+        let Some(i) = self.instances.get_mut(name) else {
+            return;
+        };
         i.text.at = now;
         match Text::read(strings) {
             Ok(text) => {
@@ -586,7 +713,8 @@
             Err(e) => {
                 if !std::mem::replace(&mut i.complained, true) {
                     self.dirty.insert(name.clone());
-                    self.notes.push(format!("dns-sd: {name}: {e}; the entry is left as it was"));
+                    self.notes
+                        .push(format!("dns-sd: {name}: {e}; the entry is left as it was"));
                 }
             }
         }
@@ -612,9 +740,16 @@
         if round.left > 0 {
             return;
         }
-        let Some(round) = self.round.take() else { return };
+        let Some(round) = self.round.take() else {
+            return;
+        };
         let in_force = self.push.as_ref().is_some_and(Session::in_force);
-        let check = self.plan.push.as_ref().filter(|_| in_force).map(|p| p.check);
+        let check = self
+            .plan
+            .push
+            .as_ref()
+            .filter(|_| in_force)
+            .map(|p| p.check);
         // The TTL may be anything (0, 2^31): the bounds hold in any case.
         let ttl = Duration::from_secs(u64::from(round.ttl));
         let interval = check.unwrap_or(ttl.clamp(self.plan.poll_least, self.plan.poll_most));
@@ -633,11 +768,17 @@
 
     fn round_failed(&mut self, now: u64, out: &mut Vec<Output>) {
         self.fails += 1;
-        self.poll_at = self.poll_at.min(now + self.plan.poll_most.as_micros() as u64);
+        self.poll_at = self
+            .poll_at
+            .min(now + self.plan.poll_most.as_micros() as u64);
         if self.fails.is_multiple_of(FAILS) {
             let to = self.plan.resolvers[self.leader % self.plan.resolvers.len()];
             if self.fails == FAILS {
-                self.log(now, format!("dns-sd: {to} gives no whole answer; keeping the last list"), out);
+                self.log(
+                    now,
+                    format!("dns-sd: {to} gives no whole answer; keeping the last list"),
+                    out,
+                );
             }
             if self.plan.resolvers.len() > 1 {
                 self.leader = (self.leader + 1) % self.plan.resolvers.len();
@@ -653,7 +794,11 @@
         let first = self.first_at.is_none();
         if first && round.names.is_empty() {
             // A start on nothing, like any empty answer: heard twice, and held where servers are known from before.
-            let known = if self.known.is_empty() { Duration::ZERO } else { self.plan.loss_hold };
+            let known = if self.known.is_empty() {
+                Duration::ZERO
+            } else {
+                self.plan.loss_hold
+            };
             let wait_us = self.plan.confirm.max(known).as_micros() as u64;
             if now - *self.empty_since.get_or_insert(now) < wait_us {
                 return;
@@ -677,7 +822,9 @@
         let missing: Vec<Name> = self
             .instances
             .iter()
-            .filter(|(n, i)| present(i) && i.pushed_at < round.asked_at && !round.names.contains(*n))
+            .filter(|(n, i)| {
+                present(i) && i.pushed_at < round.asked_at && !round.names.contains(*n)
+            })
             .map(|(n, _)| n.clone())
             .collect();
         names.iter().for_each(|n| self.want(now, n));
@@ -762,7 +909,14 @@
         }
         let old = self.instances.remove(name).and_then(|i| i.location.value);
         self.unuse(old.map(|l| l.target), name);
-        self.instances.insert(name.clone(), Instance { first_seen: now, initial, ..Instance::default() });
+        self.instances.insert(
+            name.clone(),
+            Instance {
+                first_seen: now,
+                initial,
+                ..Instance::default()
+            },
+        );
         self.missing.remove(name);
         self.open.insert(name.clone());
         self.late.insert((now + COMPLETE_US, name.clone()));
@@ -772,7 +926,9 @@
     /// Nothing new goes there from now on; what it has may finish.
     fn remove(&mut self, now: u64, name: &Name) {
         let gone_at = now + self.plan.linger.as_micros() as u64;
-        let Some(i) = self.instances.get_mut(name).filter(|i| i.leaving.is_none()) else { return };
+        let Some(i) = self.instances.get_mut(name).filter(|i| i.leaving.is_none()) else {
+            return;
+        };
         i.leaving = Some(gone_at);
         self.leaving.insert((gone_at, name.clone()));
         self.missing.remove(name);
@@ -787,8 +943,14 @@
         self.dirty.remove(name);
         self.open.remove(name);
         if let Some(m) = self.told.remove(name) {
-            let members = vec![Member { state: State::Gone, ..m }];
-            out.push(Output::Tell { kind: ListKind::Partial, members });
+            let members = vec![Member {
+                state: State::Gone,
+                ..m
+            }];
+            out.push(Output::Tell {
+                kind: ListKind::Partial,
+                members,
+            });
         }
     }
 
@@ -804,19 +966,25 @@
 
     fn push_due(&mut self, now: u64, out: &mut Vec<Output>) {
         if self.untold.values().any(|&at| at + UNTOLD_US <= now) {
-            self.push_do(now, out, |push, heard| push.over(now, "it did not tell a change", heard));
+            self.push_do(now, out, |push, heard| {
+                push.over(now, "it did not tell a change", heard)
+            });
         }
         self.push_do(now, out, |push, heard| push.tick(now, heard));
         let ready = self.push.as_ref().is_some_and(|p| p.not_before <= now);
         if let (false, true, Some(plan)) = (self.connecting, ready, &self.plan.push) {
             self.connecting = true;
-            out.push(Output::Connect(plan.servers[self.push_server % plan.servers.len()]));
+            out.push(Output::Connect(
+                plan.servers[self.push_server % plan.servers.len()],
+            ));
         }
     }
 
     /// The connection never came up, or has ended.
     fn push_closed(&mut self, now: u64, out: &mut Vec<Output>) {
-        self.push_do(now, out, |push, heard| push.over(now, "the connection ended", heard));
+        self.push_do(now, out, |push, heard| {
+            push.over(now, "the connection ended", heard)
+        });
         if std::mem::take(&mut self.connecting) {
             self.push_server += 1;
             if let Some(push) = &mut self.push {
@@ -825,7 +993,12 @@
         }
     }
 
-    fn push_do(&mut self, now: u64, out: &mut Vec<Output>, act: impl FnOnce(&mut Session, &mut Vec<Heard>)) {
+    fn push_do(
+        &mut self,
+        now: u64,
+        out: &mut Vec<Output>,
+        act: impl FnOnce(&mut Session, &mut Vec<Heard>),
+    ) {
         let Some(push) = &mut self.push else { return };
         let mut heard = Vec::new();
         act(push, &mut heard);
@@ -837,7 +1010,12 @@
                 Heard::InForce => {
                     self.in_force_since = now;
                     self.log(now, "dns-sd: push in force".into(), out);
-                    let names: Vec<Name> = self.instances.keys().chain(self.hosts.keys()).cloned().collect();
+                    let names: Vec<Name> = self
+                        .instances
+                        .keys()
+                        .chain(self.hosts.keys())
+                        .cloned()
+                        .collect();
                     let mut more = Vec::new();
                     if let Some(push) = &mut self.push {
                         names.iter().for_each(|n| push.watch(now, n, &mut more));
@@ -845,7 +1023,11 @@
                     heard.extend(more);
                 }
                 Heard::Over(why) => {
-                    self.log(now, format!("dns-sd: push is over: {why}; asking as before"), out);
+                    self.log(
+                        now,
+                        format!("dns-sd: push is over: {why}; asking as before"),
+                        out,
+                    );
                     out.push(Output::HangUp);
                     self.connecting = false;
                     self.push_server += 1;
@@ -858,9 +1040,17 @@
 
     fn pushed(&mut self, now: u64, change: Change, out: &mut Vec<Output>) {
         match change {
-            Change::Added(Record { owner, data: Data::Ptr(name), .. }) if self.is_service(&owner) => {
+            Change::Added(Record {
+                owner,
+                data: Data::Ptr(name),
+                ..
+            }) if self.is_service(&owner) => {
                 self.untold.remove(&name);
-                if self.instances.get(&name).is_none_or(|i| i.leaving.is_some()) {
+                if self
+                    .instances
+                    .get(&name)
+                    .is_none_or(|i| i.leaving.is_some())
+                {
                     let initial = !self.listed;
                     self.add(now, &name, initial, out);
                     self.want(now, &name);
@@ -870,7 +1060,11 @@
                 }
             }
             // One by one: it is meant, however many there are.
-            Change::Removed(Record { owner, data: Data::Ptr(name), .. }) if self.is_service(&owner) => {
+            Change::Removed(Record {
+                owner,
+                data: Data::Ptr(name),
+                ..
+            }) if self.is_service(&owner) => {
                 self.untold.remove(&name);
                 self.remove(now, &name);
                 if let Some(i) = self.instances.get_mut(&name) {
@@ -878,7 +1072,9 @@
                 }
             }
             // All at once is no better than an empty answer: what the service says is asked for.
-            Change::AllRemoved(name, None | Some(Kind::Ptr)) if self.is_service(&name) => self.poll_at = now,
+            Change::AllRemoved(name, None | Some(Kind::Ptr)) if self.is_service(&name) => {
+                self.poll_at = now
+            }
             Change::Added(record) => self.learn(now, vec![record]),
             // What has no successor yet holds.
             Change::Removed(_) | Change::AllRemoved(..) => {}
@@ -892,12 +1088,14 @@
     // ---- Telling -----------------------------------------------------------------------------------------
 
     fn tell(&mut self, now: u64, out: &mut Vec<Output>) {
-        let Some(first_at) = self.first_at else { return };
+        let Some(first_at) = self.first_at else {
+            return;
+        };
         let mut dirty = std::mem::take(&mut self.dirty);
         for name in &dirty {
             self.recount(now, name);
-            let settled =
-                self.instances.get(name).is_none_or(|i| i.complained) || self.view(now, name).is_some();
+            let settled = self.instances.get(name).is_none_or(|i| i.complained)
+                || self.view(now, name).is_some();
             if settled {
                 self.open.remove(name);
             }
@@ -914,14 +1112,19 @@
         let mut members = Vec::new();
         for name in dirty {
             // One that is not whole yet comes again with what it lacks, or without, when that is late.
-            let Some(m) = self.view(now, &name) else { continue };
+            let Some(m) = self.view(now, &name) else {
+                continue;
+            };
             if self.told.get(&name) != Some(&m) {
                 members.push(m.clone());
                 self.told.insert(name, m);
             }
         }
-        let kind =
-            if std::mem::replace(&mut self.listed, true) { ListKind::Partial } else { ListKind::Complete };
+        let kind = if std::mem::replace(&mut self.listed, true) {
+            ListKind::Partial
+        } else {
+            ListKind::Complete
+        };
         if kind == ListKind::Complete || !members.is_empty() {
             out.push(Output::Tell { kind, members });
         }
@@ -930,9 +1133,17 @@
     /// Counts an instance where it belongs: the lowest priority of which any is ready serves, the others wait (RFC 2782).
     /// Kept up one by one: with thousands of instances a look at all for each answer would stop everything else.
     fn recount(&mut self, now: u64, name: &Name) {
-        let ready = |i: &&Instance| i.leaving.is_none() && !i.text.value.as_ref().is_some_and(|t| t.draining);
-        let i = self.instances.get(name).filter(ready).filter(|_| self.endpoint(now, name).is_some());
-        let new = i.and_then(|i| i.location.value.as_ref()).map(|l| (l.priority, l.weight > 0));
+        let ready = |i: &&Instance| {
+            i.leaving.is_none() && !i.text.value.as_ref().is_some_and(|t| t.draining)
+        };
+        let i = self
+            .instances
+            .get(name)
+            .filter(ready)
+            .filter(|_| self.endpoint(now, name).is_some());
+        let new = i
+            .and_then(|i| i.location.value.as_ref())
+            .map(|l| (l.priority, l.weight > 0));
         let old = match new {
             Some(new) => self.counted.insert(name.clone(), new),
             None => self.counted.remove(name),
@@ -958,7 +1169,10 @@
         let l = i.location.value.as_ref()?;
         let late = now >= i.first_seen + COMPLETE_US;
         let described = i.text.value.is_some() || late && !i.complained;
-        let h = self.hosts.get(&l.target).filter(|_| described && l.port > 0)?;
+        let h = self
+            .hosts
+            .get(&l.target)
+            .filter(|_| described && l.port > 0)?;
         Some(SocketAddr::new(address(&h.v4).or(address(&h.v6))?, l.port))
     }
 
@@ -968,18 +1182,28 @@
         let uid = wire::split(name)?.0;
         let told = self.told.get(name);
         if i.leaving.is_some() {
-            return told.map(|m| Member { state: State::Draining, ..m.clone() });
+            return told.map(|m| Member {
+                state: State::Draining,
+                ..m.clone()
+            });
         }
         let known = self.known.get(uid).filter(|_| i.initial);
         let Some(endpoint) = self.endpoint(now, name) else {
-            let unavailable = i.location.value.as_ref().is_some_and(|l| l.target.is_empty());
+            let unavailable = i
+                .location
+                .value
+                .as_ref()
+                .is_some_and(|l| l.target.is_empty());
             return match (told, unavailable) {
-                (Some(m), true) => Some(Member { state: State::Draining, ..m.clone() }),
+                (Some(m), true) => Some(Member {
+                    state: State::Draining,
+                    ..m.clone()
+                }),
                 // Moved to where nobody knows yet, or not described yet: as it was, for a while also from before.
                 (Some(m), false) => Some(m.clone()),
-                (None, _) => {
-                    known.filter(|_| self.first_at.is_some_and(|at| now >= at + COMPLETE_US)).cloned()
-                }
+                (None, _) => known
+                    .filter(|_| self.first_at.is_some_and(|at| now >= at + COMPLETE_US))
+                    .cloned(),
             };
         };
         let l = i.location.value.as_ref()?;
--- a/crates/membership/src/dnssd/driver.rs
+++ b/crates/membership/src/dnssd/driver.rs
@@ -62,10 +62,15 @@
         };
         let input = match &next {
             None => None,
-            Some(Came::Datagram { query, from, bytes }) => {
-                Some(Input::Datagram { query: *query, from: *from, bytes })
-            }
-            Some(Came::Stream { query, bytes }) => Some(Input::Stream { query: *query, bytes }),
+            Some(Came::Datagram { query, from, bytes }) => Some(Input::Datagram {
+                query: *query,
+                from: *from,
+                bytes,
+            }),
+            Some(Came::Stream { query, bytes }) => Some(Input::Stream {
+                query: *query,
+                bytes,
+            }),
             Some(Came::Broken { query }) => Some(Input::Broken { query: *query }),
             // Of a session that was left already.
             Some(Came::Push(number, _)) if *number != pushes || push.is_none() => None,
@@ -76,7 +81,12 @@
         browser.handle(desk.now(), input, &mut out);
         for output in out.drain(..) {
             match output {
-                Output::Ask { query, to, tcp, bytes } => {
+                Output::Ask {
+                    query,
+                    to,
+                    tcp,
+                    bytes,
+                } => {
                     let tell = tell.clone();
                     let task = tasks.spawn_local(async move {
                         let asked = match tcp {
@@ -96,7 +106,8 @@
                         old.abort();
                     }
                     pushes += 1;
-                    let (number, tell, plan) = (pushes, tell.clone(), plan.push.clone().unwrap_or_default());
+                    let (number, tell, plan) =
+                        (pushes, tell.clone(), plan.push.clone().unwrap_or_default());
                     let (write, to_write) = mpsc::channel(WAITING);
                     let task = tasks.spawn_local(async move {
                         let _ = session(number, to, &plan, &tell, to_write).await;
@@ -118,7 +129,12 @@
     }
 }
 
-async fn ask_datagram(query: u64, to: SocketAddr, bytes: &[u8], tell: &mpsc::Sender<Came>) -> io::Result<()> {
+async fn ask_datagram(
+    query: u64,
+    to: SocketAddr,
+    bytes: &[u8],
+    tell: &mpsc::Sender<Came>,
+) -> io::Result<()> {
     let any: IpAddr = match to {
         SocketAddr::V4(_) => Ipv4Addr::UNSPECIFIED.into(),
         SocketAddr::V6(_) => Ipv6Addr::UNSPECIFIED.into(),
@@ -129,14 +145,23 @@
     let mut buffer = vec![0; DATAGRAM];
     loop {
         let (n, from) = socket.recv_from(&mut buffer).await?;
-        let came = Came::Datagram { query, from, bytes: buffer[..n].to_vec() };
+        let came = Came::Datagram {
+            query,
+            from,
+            bytes: buffer[..n].to_vec(),
+        };
         if tell.send(came).await.is_err() {
             return Ok(());
         }
     }
 }
 
-async fn ask_stream(query: u64, to: SocketAddr, bytes: &[u8], tell: &mpsc::Sender<Came>) -> io::Result<()> {
+async fn ask_stream(
+    query: u64,
+    to: SocketAddr,
+    bytes: &[u8],
+    tell: &mpsc::Sender<Came>,
+) -> io::Result<()> {
     let mut stream = Uninterrupted(connect(to).await?);
     stream.write_all(&framed(bytes)).await?;
     let bytes = message(&mut stream).await?;
@@ -169,20 +194,27 @@
 ) -> io::Result<()> {
     let open = async {
         let stream = Uninterrupted(connect(to).await?);
-        let Some((file, name)) = &plan.tls else { return Ok::<_, io::Error>((stream, None)) };
+        let Some((file, name)) = &plan.tls else {
+            return Ok::<_, io::Error>((stream, None));
+        };
         let invalid = |e: String| io::Error::new(io::ErrorKind::InvalidInput, e);
         let roots = read_anchor(file).map_err(invalid)?;
-        let name =
-            rustls::pki_types::ServerName::try_from(name.clone()).map_err(|e| invalid(e.to_string()))?;
+        let name = rustls::pki_types::ServerName::try_from(name.clone())
+            .map_err(|e| invalid(e.to_string()))?;
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let config = rustls::ClientConfig::builder_with_provider(provider)
             .with_safe_default_protocol_versions()
             .map_err(|e| invalid(e.to_string()))?
             .with_root_certificates(roots)
             .with_no_client_auth();
-        Ok((stream, Some((tokio_rustls::TlsConnector::from(Arc::new(config)), name))))
+        Ok((
+            stream,
+            Some((tokio_rustls::TlsConnector::from(Arc::new(config)), name)),
+        ))
     };
-    let (stream, tls) = timeout(OPENS_WITHIN, open).await.map_err(|_| io::ErrorKind::TimedOut)??;
+    let (stream, tls) = timeout(OPENS_WITHIN, open)
+        .await
+        .map_err(|_| io::ErrorKind::TimedOut)??;
     match tls {
         None => converse(number, stream, tell, to_write).await,
         Some((connector, name)) => {
@@ -206,7 +238,11 @@
     let reads = async {
         loop {
             let bytes = message(&mut read).await?;
-            if tell.send(Came::Push(number, Pushed::Message(bytes))).await.is_err() {
+            if tell
+                .send(Came::Push(number, Pushed::Message(bytes)))
+                .await
+                .is_err()
+            {
                 return Ok(());
             }
         }
--- a/crates/membership/src/dnssd/meaning.rs
+++ b/crates/membership/src/dnssd/meaning.rs
@@ -37,8 +37,11 @@
         let mut seen = Vec::new();
         for string in strings {
             let mut parts = string.splitn(2, |&b| b == b'=');
-            let key = String::from_utf8_lossy(parts.next().unwrap_or_default()).to_ascii_lowercase();
-            if !["zone", "cell", "state", "boot", "proto"].contains(&key.as_str()) || seen.contains(&key) {
+            let key =
+                String::from_utf8_lossy(parts.next().unwrap_or_default()).to_ascii_lowercase();
+            if !["zone", "cell", "state", "boot", "proto"].contains(&key.as_str())
+                || seen.contains(&key)
+            {
                 continue;
             }
             let value = parts.next().unwrap_or_default();
@@ -46,7 +49,9 @@
             let value = std::str::from_utf8(value).unwrap_or_default();
             let wrong = |right: &str| Err(format!("TXT key {key} is {value:?}, not {right}"));
             match key.as_str() {
-                _ if !plain || value.is_empty() => return wrong("up to 64 visible ASCII characters"),
+                _ if !plain || value.is_empty() => {
+                    return wrong("up to 64 visible ASCII characters")
+                }
                 "zone" => text.zone = value.into(),
                 "cell" => match value.parse() {
                     Ok(cell) => text.cell = cell,
@@ -89,15 +94,32 @@
     use super::*;
 
     fn read(strings: &[&str]) -> Result<Text, String> {
-        Text::read(&strings.iter().map(|s| s.as_bytes().to_vec()).collect::<Vec<_>>())
+        Text::read(
+            &strings
+                .iter()
+                .map(|s| s.as_bytes().to_vec())
+                .collect::<Vec<_>>(),
+        )
     }
 
     #[test]
     fn known_keys_are_read_and_others_skipped() {
-        let text =
-            read(&["txtvers=1", "Zone=hall-a", "cell=3", "zone=hall-b", "state=draining", "boot=17", ""]);
-        let right =
-            Text { zone: "hall-a".into(), cell: 3, draining: true, boot_ms: Some(17), ..Text::default() };
+        let text = read(&[
+            "txtvers=1",
+            "Zone=hall-a",
+            "cell=3",
+            "zone=hall-b",
+            "state=draining",
+            "boot=17",
+            "",
+        ]);
+        let right = Text {
+            zone: "hall-a".into(),
+            cell: 3,
+            draining: true,
+            boot_ms: Some(17),
+            ..Text::default()
+        };
         assert_eq!(text, Ok(right));
         assert_eq!(read(&[""]), Ok(Text::default()));
     }
@@ -112,13 +134,21 @@
             ("zone", "visible ASCII"),
             ("zone=a b", "visible ASCII"),
         ] {
-            assert!(read(&[string]).is_err_and(|e| e.contains(right)), "{string}");
+            assert!(
+                read(&[string]).is_err_and(|e| e.contains(right)),
+                "{string}"
+            );
         }
     }
 
     #[test]
     fn of_several_locations_all_gateways_take_one() {
-        let at = |priority, weight, port| Location { priority, weight, port, target: "h".into() };
+        let at = |priority, weight, port| Location {
+            priority,
+            weight,
+            port,
+            target: "h".into(),
+        };
         let all = vec![at(2, 9, 1), at(1, 5, 2), at(1, 7, 4), at(1, 7, 3)];
         let mut turned = all.clone();
         turned.reverse();
--- a/crates/membership/src/dnssd/mod.rs
+++ b/crates/membership/src/dnssd/mod.rs
@@ -84,12 +84,18 @@
                 Some((_, base)) => base.into(),
                 None => name.clone(),
             };
-            let typed = base.starts_with('_') && (base.contains("._tcp.") || base.contains("._udp."));
+            let typed =
+                base.starts_with('_') && (base.contains("._tcp.") || base.contains("._udp."));
             if !typed {
-                return Err(format!("{text:?} is no service and domain (RFC 6763 section 4.1)"));
+                return Err(format!(
+                    "{text:?} is no service and domain (RFC 6763 section 4.1)"
+                ));
             }
             if !self.base.is_empty() && self.base != base {
-                return Err(format!("{text:?} is of another service or domain than {}", self.base));
+                return Err(format!(
+                    "{text:?} is of another service or domain than {}",
+                    self.base
+                ));
             }
             self.base = base;
             self.services.push(name);
@@ -134,7 +140,9 @@
     let wrong = |e: &dyn std::fmt::Display| format!("{}: {e}", file.display());
     let mut roots = rustls::RootCertStore::empty();
     for certificate in CertificateDer::pem_file_iter(file).map_err(|e| wrong(&e))? {
-        roots.add(certificate.map_err(|e| wrong(&e))?).map_err(|e| wrong(&e))?;
+        roots
+            .add(certificate.map_err(|e| wrong(&e))?)
+            .map_err(|e| wrong(&e))?;
     }
     match roots.is_empty() {
         true => Err(wrong(&"no certificate in it")),
--- a/crates/membership/src/dnssd/push.rs
+++ b/crates/membership/src/dnssd/push.rs
@@ -113,7 +113,9 @@
 
     fn ask(&mut self, now: u64, heard: &mut Vec<Heard>) {
         while self.open && self.out.len() < MOST_OUT {
-            let Some((name, kind)) = self.wanted.pop() else { return };
+            let Some((name, kind)) = self.wanted.pop() else {
+                return;
+            };
             let id = self.id();
             if let Some(message) = wire::subscribe(id, &name, kind) {
                 self.out.insert(id, (now, Asked::Subscribed(name, kind)));
@@ -130,10 +132,17 @@
             None => self.over(now, "a message that makes no sense", heard),
             Some(Stateful::RetryDelay(ms)) => {
                 self.over(now, "the server wants it to end", heard);
-                self.not_before = self.not_before.max(now + u64::from(ms) * 1_000).min(now + PAUSE_MOST_US);
+                self.not_before = self
+                    .not_before
+                    .max(now + u64::from(ms) * 1_000)
+                    .min(now + PAUSE_MOST_US);
             }
             Some(Stateful::Push(changes)) => heard.extend(changes.into_iter().map(Heard::Change)),
-            Some(Stateful::Response { id, code, keepalive_ms }) => match self.out.remove(&id) {
+            Some(Stateful::Response {
+                id,
+                code,
+                keepalive_ms,
+            }) => match self.out.remove(&id) {
                 // RFC 8490 section 5.4.1: a response to nothing is fatal.
                 None => self.over(now, "a response to nothing", heard),
                 Some((_, Asked::Keepalive)) => {
@@ -143,7 +152,10 @@
                 }
                 Some((_, Asked::Subscribed(name, kind))) if code == 0 => {
                     self.granted.insert((name, kind));
-                    let all = self.services.iter().all(|s| self.granted.contains(&(s.clone(), Kind::Ptr)));
+                    let all = self
+                        .services
+                        .iter()
+                        .all(|s| self.granted.contains(&(s.clone(), Kind::Ptr)));
                     if all && !std::mem::replace(&mut self.in_force, all) {
                         self.pause_us = PAUSE_LEAST_US;
                         heard.push(Heard::InForce);
@@ -151,7 +163,11 @@
                     self.ask(now, heard);
                 }
                 Some((_, Asked::Subscribed(_, Kind::Ptr))) => {
-                    self.over(now, &format!("a subscription was refused, code {code}"), heard);
+                    self.over(
+                        now,
+                        &format!("a subscription was refused, code {code}"),
+                        heard,
+                    );
                 }
                 // Its records are asked for as without push.
                 Some((_, Asked::Subscribed(..))) => self.ask(now, heard),
@@ -163,7 +179,9 @@
     /// When something is due.
     pub fn next(&self) -> Option<u64> {
         let oldest = self.out.values().map(|(at, _)| at + RESPONSE_US);
-        self.open.then(|| oldest.chain([self.keepalive_at]).min()).flatten()
+        self.open
+            .then(|| oldest.chain([self.keepalive_at]).min())
+            .flatten()
     }
 
     pub fn tick(&mut self, now: u64, heard: &mut Vec<Heard>) {
@@ -177,7 +195,10 @@
             self.keepalive_at = now + self.keepalive_us;
             let id = self.id();
             self.out.insert(id, (now, Asked::Keepalive));
-            heard.push(Heard::Write(wire::keepalive(id, (self.keepalive_us / 1_000) as u32)));
+            heard.push(Heard::Write(wire::keepalive(
+                id,
+                (self.keepalive_us / 1_000) as u32,
+            )));
         }
     }
 
@@ -248,7 +269,9 @@
                 Some(bytes) => s.message(1, bytes, &mut heard),
                 None => s.tick(RESPONSE_US, &mut heard),
             }
-            let [Heard::Over(text)] = &heard[..] else { panic!("{heard:?}") };
+            let [Heard::Over(text)] = &heard[..] else {
+                panic!("{heard:?}")
+            };
             assert!(text.contains(why), "{text}");
             assert!(s.not_before > 0 && s.next().is_none());
         }
--- a/crates/membership/src/dnssd/wire.rs
+++ b/crates/membership/src/dnssd/wire.rs
@@ -51,12 +51,19 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Data {
     Ptr(Name),
-    Srv { priority: u16, weight: u16, port: u16, target: Name },
+    Srv {
+        priority: u16,
+        weight: u16,
+        port: u16,
+        target: Name,
+    },
     Txt(Vec<Vec<u8>>),
     A(Ipv4Addr),
     Aaaa(Ipv6Addr),
     Cname(Name),
-    Soa { serial: u32 },
+    Soa {
+        serial: u32,
+    },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -109,7 +116,10 @@
 }
 
 fn name_text<'a>(labels: impl Iterator<Item = &'a Label>) -> Name {
-    let labels: Vec<String> = labels.filter(|l| !l.is_root()).map(|l| label_text(l.as_slice())).collect();
+    let labels: Vec<String> = labels
+        .filter(|l| !l.is_root())
+        .map(|l| label_text(l.as_slice()))
+        .collect();
     labels.join(".").into()
 }
 
@@ -183,7 +193,14 @@
     if sections.is_none() && !header.tc() {
         return Err(Unread::Malformed);
     }
-    Ok(Reply { code, authoritative: header.aa(), truncated: header.tc(), answer, authority, additional })
+    Ok(Reply {
+        code,
+        authoritative: header.aa(),
+        truncated: header.tc(),
+        answer,
+        authority,
+        additional,
+    })
 }
 
 fn read_all<'a>(
@@ -210,7 +227,12 @@
             let record = record.to_record::<Srv<_>>().ok()??;
             let s = record.data();
             let target = text(s.target());
-            Data::Srv { priority: s.priority(), weight: s.weight(), port: s.port(), target }
+            Data::Srv {
+                priority: s.priority(),
+                weight: s.weight(),
+                port: s.port(),
+                target,
+            }
         }
         Rtype::TXT => {
             let record = record.to_record::<Txt<_>>().ok()??;
@@ -221,11 +243,17 @@
         Rtype::CNAME => Data::Cname(text(record.to_record::<Cname<_>>().ok()??.data().cname())),
         Rtype::SOA => {
             let record = record.to_record::<Soa<_>>().ok()??;
-            Data::Soa { serial: record.data().serial().into_int() }
+            Data::Soa {
+                serial: record.data().serial().into_int(),
+            }
         }
         _ => return Some(None),
     };
-    Some(Some(Record { owner: text(&record.owner()), ttl: record.ttl().as_secs(), data }))
+    Some(Some(Record {
+        owner: text(&record.owner()),
+        ttl: record.ttl().as_secs(),
+        data,
+    }))
 }
 
 // ---- DNS Stateful Operations (RFC 8490) and Push Notifications (RFC 8765) --------------------------
@@ -294,30 +322,48 @@
 pub fn stateful(bytes: &[u8]) -> Option<Stateful> {
     let message = Message::from_octets(bytes).ok()?;
     let (header, counts) = (message.header(), message.header_counts());
-    let none = [counts.qdcount(), counts.ancount(), counts.nscount(), counts.arcount()] == [0; 4];
+    let none = [
+        counts.qdcount(),
+        counts.ancount(),
+        counts.nscount(),
+        counts.arcount(),
+    ] == [0; 4];
     if header.opcode() != Opcode::DSO || !none {
         return None;
     }
     let tlv = |at: usize| -> Option<(u16, std::ops::Range<usize>)> {
         let head = bytes.get(at..at + 4)?;
-        let (kind, length) = (u16::from_be_bytes([head[0], head[1]]), u16::from_be_bytes([head[2], head[3]]));
+        let (kind, length) = (
+            u16::from_be_bytes([head[0], head[1]]),
+            u16::from_be_bytes([head[2], head[3]]),
+        );
         let range = at + 4..at + 4 + usize::from(length);
         bytes.get(range.clone()).map(|_| (kind, range))
     };
     let number = |at: usize| Some(u32::from_be_bytes(bytes.get(at..at + 4)?.try_into().ok()?));
-    let first = if bytes.len() > HEADER { Some(tlv(HEADER)?) } else { None };
+    let first = if bytes.len() > HEADER {
+        Some(tlv(HEADER)?)
+    } else {
+        None
+    };
     if header.qr() {
         let keepalive_ms = match &first {
             Some((DSO_KEEPALIVE, range)) if range.len() == 8 => Some(number(range.start + 4)?),
             _ => None,
         };
-        return Some(Stateful::Response { id: header.id(), code: header.rcode().to_int(), keepalive_ms });
+        return Some(Stateful::Response {
+            id: header.id(),
+            code: header.rcode().to_int(),
+            keepalive_ms,
+        });
     }
     match first? {
         (DSO_PUSH, range) if header.id() == 0 => {
             Some(Stateful::Push(changes(&bytes[..range.end], range.start)?))
         }
-        (DSO_RETRY_DELAY, range) if range.len() == 4 => Some(Stateful::RetryDelay(number(range.start)?)),
+        (DSO_RETRY_DELAY, range) if range.len() == 4 => {
+            Some(Stateful::RetryDelay(number(range.start)?))
+        }
         _ => Some(Stateful::Other),
     }
 }
@@ -329,16 +375,32 @@
     while parser.remaining() > 0 {
         let record: ParsedRecord<'_, &[u8]> = ParsedRecord::parse(&mut parser).ok()?;
         if record.ttl().as_secs() == TTL_ALL_REMOVED {
-            let kinds = [Kind::Ptr, Kind::Srv, Kind::Txt, Kind::A, Kind::Aaaa, Kind::Soa];
+            let kinds = [
+                Kind::Ptr,
+                Kind::Srv,
+                Kind::Txt,
+                Kind::A,
+                Kind::Aaaa,
+                Kind::Soa,
+            ];
             let kind = kinds.into_iter().find(|k| k.rtype() == record.rtype());
             if kind.is_some() || record.rtype() == Rtype::ANY {
-                changes.push(Change::AllRemoved(name_text(record.owner().iter_labels()), kind));
+                changes.push(Change::AllRemoved(
+                    name_text(record.owner().iter_labels()),
+                    kind,
+                ));
             }
             continue;
         }
         let removed = record.ttl().as_secs() == TTL_REMOVED;
-        let Some(record) = read(&record)? else { continue };
-        changes.push(if removed { Change::Removed(record) } else { Change::Added(record) });
+        let Some(record) = read(&record)? else {
+            continue;
+        };
+        changes.push(if removed {
+            Change::Removed(record)
+        } else {
+            Change::Added(record)
+        });
     }
     Some(changes)
 }
@@ -352,8 +414,14 @@
     fn a_name_has_one_form_whatever_its_case_and_escapes() {
         let one = name("Node\\0321\\.A._Topup._TCP.Example.ORG.").expect("a name");
         assert_eq!(&*one, "node\\0321\\.a._topup._tcp.example.org");
-        assert_eq!(name("node\\ 1\\046a._topup._tcp.example.org").expect("a name"), one);
-        assert_eq!(split(&one), Some(("node\\0321\\.a", "_topup._tcp.example.org")));
+        assert_eq!(
+            name("node\\ 1\\046a._topup._tcp.example.org").expect("a name"),
+            one
+        );
+        assert_eq!(
+            split(&one),
+            Some(("node\\0321\\.a", "_topup._tcp.example.org"))
+        );
         assert!(name("a..b").is_err() && name(&"a".repeat(64)).is_err());
     }
 
@@ -364,15 +432,34 @@
         m.extend(b"\x01S\x01t\x00\x00\x21\x00\x01"); // question: s.t SRV IN
         m.extend(b"\xc0\x0c\x00\x21\x00\x01\x00\x00\x00\x05\x00\x0b"); // s.t SRV IN, TTL 5, 11 bytes
         m.extend(b"\x00\x01\x00\x02\x1f\x90\x01h\xc0\x0e\x00"); // 1 2 8080 h.t and one byte too many
-        assert_eq!(reply(&m, 0x1234, "s.t", Kind::Srv).err(), Some(Unread::Malformed));
+        assert_eq!(
+            reply(&m, 0x1234, "s.t", Kind::Srv).err(),
+            Some(Unread::Malformed)
+        );
         m.pop();
         let at = m.len() - 11;
         m[at] = 0x0a;
         let read = reply(&m, 0x1234, "s.t", Kind::Srv).expect("an answer");
-        let data = Data::Srv { priority: 1, weight: 2, port: 8080, target: "h.t".into() };
-        assert_eq!(read.answer, [Record { owner: "s.t".into(), ttl: 5, data }]);
+        let data = Data::Srv {
+            priority: 1,
+            weight: 2,
+            port: 8080,
+            target: "h.t".into(),
+        };
+        assert_eq!(
+            read.answer,
+            [Record {
+                owner: "s.t".into(),
+                ttl: 5,
+                data
+            }]
+        );
         assert!(read.authoritative && !read.truncated);
-        for (id, n, kind) in [(1, "s.t", Kind::Srv), (0x1234, "x.t", Kind::Srv), (0x1234, "s.t", Kind::A)] {
+        for (id, n, kind) in [
+            (1, "s.t", Kind::Srv),
+            (0x1234, "x.t", Kind::Srv),
+            (0x1234, "s.t", Kind::A),
+        ] {
             assert_eq!(reply(&m, id, n, kind).err(), Some(Unread::Foreign));
         }
     }
@@ -396,9 +483,25 @@
         let length = (m.len() - 16) as u16;
         m[14..16].copy_from_slice(&length.to_be_bytes());
         let a = |last| Data::A(Ipv4Addr::new(127, 0, 0, last));
-        let Some(Stateful::Push(changes)) = stateful(&m) else { panic!("a push") };
-        assert_eq!(changes[0], Change::Added(Record { owner: "a".into(), ttl: 9, data: a(1) }));
-        assert_eq!(changes[1], Change::Removed(Record { owner: "a".into(), ttl: u32::MAX, data: a(2) }));
+        let Some(Stateful::Push(changes)) = stateful(&m) else {
+            panic!("a push")
+        };
+        assert_eq!(
+            changes[0],
+            Change::Added(Record {
+                owner: "a".into(),
+                ttl: 9,
+                data: a(1)
+            })
+        );
+        assert_eq!(
+            changes[1],
+            Change::Removed(Record {
+                owner: "a".into(),
+                ttl: u32::MAX,
+                data: a(2)
+            })
+        );
         assert_eq!(changes[2], Change::AllRemoved("b".into(), Some(Kind::Ptr)));
         m.truncate(m.len() - 1);
         assert_eq!(stateful(&m), None);
--- a/crates/membership/src/list.rs
+++ b/crates/membership/src/list.rs
@@ -44,9 +44,16 @@
 
 /// The entries of a list that make no sense, by their place, and why.
 pub fn unreadable(list: &serde_json::Value) -> Vec<(usize, String)> {
-    let entries = list.get("targets").and_then(|t| t.as_array()).map_or(&[][..], |t| &t[..]);
+    let entries = list
+        .get("targets")
+        .and_then(|t| t.as_array())
+        .map_or(&[][..], |t| &t[..]);
     let why = |e: &serde_json::Value| Target::deserialize(e).err().map(|e| e.to_string());
-    entries.iter().enumerate().filter_map(|(n, e)| Some((n, why(e)?))).collect()
+    entries
+        .iter()
+        .enumerate()
+        .filter_map(|(n, e)| Some((n, why(e)?)))
+        .collect()
 }
 
 /// Guards against an entry that makes no sense: it is left out, the rest of the list holds.
@@ -54,7 +61,10 @@
     let entries = Vec::<serde_json::Value>::deserialize(from)?;
     let read = |entry: serde_json::Value| {
         let target = Target::deserialize(&entry);
-        target.inspect_err(|e| log_line!("a server in the list makes no sense: {e}")).ok().map(Member::from)
+        target
+            .inspect_err(|e| log_line!("a server in the list makes no sense: {e}"))
+            .ok()
+            .map(Member::from)
     };
     Ok(entries.into_iter().filter_map(read).collect())
 }
@@ -170,8 +180,17 @@
             continue;
         }
         rev = Some(list.rev);
-        debug!(rev = list.rev, all = list.all, entries = list.targets.len(), "discovery.told");
-        let kind = if list.all { ListKind::Complete } else { ListKind::Partial };
+        debug!(
+            rev = list.rev,
+            all = list.all,
+            entries = list.targets.len(),
+            "discovery.told"
+        );
+        let kind = if list.all {
+            ListKind::Complete
+        } else {
+            ListKind::Partial
+        };
         desk.tell(kind, list.targets);
     }
 }
@@ -214,7 +233,10 @@
             Poll::Ready(output) => Some((nth, output)),
             Poll::Pending => None,
         };
-        of.iter_mut().enumerate().find_map(ended).map_or(Poll::Pending, Poll::Ready)
+        of.iter_mut()
+            .enumerate()
+            .find_map(ended)
+            .map_or(Poll::Pending, Poll::Ready)
     })
     .await
 }
@@ -232,12 +254,19 @@
     };
     let open = match conn.filter(Conn::quiet) {
         Some(open) => open,
-        None => Conn::open(address).await.map_err(|e| CallError::Io(e.into()))?,
+        None => Conn::open(address)
+            .await
+            .map_err(|e| CallError::Io(e.into()))?,
     };
     let request = format!("GET {path} HTTP/1.1\r\nHost: {address}\r\n\r\n");
     let written = Cell::new(0);
     let request = [request.as_bytes(), b""];
-    let sending = Sending { request, written: &written, may: &|_| Ok(()), whole: &|| () };
+    let sending = Sending {
+        request,
+        written: &written,
+        may: &|_| Ok(()),
+        whole: &|| (),
+    };
     let answer = open.ask(sending, LIST_BYTES).await.map_err(CallError::Io)?;
     if answer.rest.is_some() {
         return Err(CallError::TooLong);
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -56,7 +56,13 @@
         }
         Some(match out {
             true => self.heard_of(uid),
-            false => self.set_mark(uid, Mark { out_ms: now / 1_000, back_ms: None }),
+            false => self.set_mark(
+                uid,
+                Mark {
+                    out_ms: now / 1_000,
+                    back_ms: None,
+                },
+            ),
         })
     }
 
@@ -89,7 +95,11 @@
 
     /// One server, if it is listed, as the engine hears of it.
     fn heard_of(&self, uid: &str) -> Vec<Member> {
-        self.told.get(uid).map(|m| self.marked(m.clone())).into_iter().collect()
+        self.told
+            .get(uid)
+            .map(|m| self.marked(m.clone()))
+            .into_iter()
+            .collect()
     }
 
     /// Bounds the marks: those that say nothing any more go first, then those of servers that nobody lists.
@@ -98,10 +108,16 @@
             return;
         }
         let told = &self.told;
-        self.marks.retain(|uid, m| m.back_ms.is_none() || told.contains_key(uid));
+        self.marks
+            .retain(|uid, m| m.back_ms.is_none() || told.contains_key(uid));
         while self.marks.len() >= MOST_MARKS {
-            let oldest = self.marks.iter().min_by_key(|(uid, m)| (told.contains_key(*uid), m.out_ms));
-            let Some(oldest) = oldest.map(|(uid, _)| uid.clone()) else { return };
+            let oldest = self
+                .marks
+                .iter()
+                .min_by_key(|(uid, m)| (told.contains_key(*uid), m.out_ms));
+            let Some(oldest) = oldest.map(|(uid, _)| uid.clone()) else {
+                return;
+            };
             self.marks.remove(&oldest);
         }
     }
@@ -109,9 +125,14 @@
     /// A server as the operators' marks have it.
     fn marked(&self, mut m: Member) -> Member {
         match self.marks.get(&m.uid) {
-            Some(Mark { back_ms: None, .. }) if m.state == State::Ready => m.state = State::Draining,
+            Some(Mark { back_ms: None, .. }) if m.state == State::Ready => {
+                m.state = State::Draining
+            }
             // Guards against pushing over a server that was restarted while it was out, of which the list tells later.
-            Some(Mark { out_ms, back_ms: Some(back_ms) }) if m.boot_ms < *out_ms => m.boot_ms = *back_ms,
+            Some(Mark {
+                out_ms,
+                back_ms: Some(back_ms),
+            }) if m.boot_ms < *out_ms => m.boot_ms = *back_ms,
             _ => {}
         }
         m
@@ -122,12 +143,17 @@
         let whole = kind != ListKind::Partial;
         if whole {
             let named: HashSet<&str> = members.iter().map(|m| m.uid.as_str()).collect();
-            let mut left: Vec<Member> =
-                self.told.values().filter(|m| !named.contains(m.uid.as_str())).cloned().collect();
+            let mut left: Vec<Member> = self
+                .told
+                .values()
+                .filter(|m| !named.contains(m.uid.as_str()))
+                .cloned()
+                .collect();
             if std::mem::take(&mut self.taking_over) {
                 // Guards against cutting off what is out at servers that the two sources call by other names.
                 left.iter_mut().for_each(|m| m.state = State::Draining);
-                self.leaving.extend(left.iter().map(|m| (now + LINGER_US, m.uid.clone())));
+                self.leaving
+                    .extend(left.iter().map(|m| (now + LINGER_US, m.uid.clone())));
                 members.extend(left);
             }
             self.told.clear();
@@ -140,17 +166,26 @@
         }
         // Named again by the new source: it stays.
         let told = &self.told;
-        self.leaving.retain(|(_, uid)| told.get(uid).is_some_and(|m| m.state == State::Draining));
+        self.leaving
+            .retain(|(_, uid)| told.get(uid).is_some_and(|m| m.state == State::Draining));
         members.into_iter().map(|m| self.marked(m)).collect()
     }
 
     /// Those whose time to finish is over.
     pub fn due(&mut self, now: u64) -> Vec<Member> {
-        let gone: Vec<String> =
-            self.leaving.iter().filter(|(at, _)| *at <= now).map(|(_, uid)| uid.clone()).collect();
+        let gone: Vec<String> = self
+            .leaving
+            .iter()
+            .filter(|(at, _)| *at <= now)
+            .map(|(_, uid)| uid.clone())
+            .collect();
         self.leaving.retain(|(at, _)| *at > now);
         let gone = gone.into_iter().filter_map(|uid| self.told.remove(&uid));
-        gone.map(|m| Member { state: State::Gone, ..m }).collect()
+        gone.map(|m| Member {
+            state: State::Gone,
+            ..m
+        })
+        .collect()
     }
 }
 
@@ -180,10 +215,18 @@
         let told = roster.hear(1, ListKind::Complete, vec![member("b"), member("c")]);
         let state = |uid: &str| told.iter().find(|m| m.uid == uid).map(|m| m.state);
         assert_eq!(state("a"), Some(State::Draining));
-        assert_eq!((state("b"), state("c")), (Some(State::Ready), Some(State::Ready)));
+        assert_eq!(
+            (state("b"), state("c")),
+            (Some(State::Ready), Some(State::Ready))
+        );
         assert!(roster.due(LINGER_US).is_empty());
         let gone = roster.due(LINGER_US + 1);
-        assert_eq!(gone.iter().map(|m| (m.uid.as_str(), m.state)).collect::<Vec<_>>(), [("a", State::Gone)]);
+        assert_eq!(
+            gone.iter()
+                .map(|m| (m.uid.as_str(), m.state))
+                .collect::<Vec<_>>(),
+            [("a", State::Gone)]
+        );
         assert!(roster.due(u64::MAX).is_empty());
     }
 
@@ -204,10 +247,19 @@
         roster.hear(0, ListKind::Complete, vec![member("a"), member("b")]);
         assert_eq!(roster.take_out(5_000_000, "nobody"), None);
         let told = roster.take_out(5_000_000, "a").expect("known");
-        assert_eq!((told[0].uid.as_str(), told[0].state), ("a", State::Draining));
+        assert_eq!(
+            (told[0].uid.as_str(), told[0].state),
+            ("a", State::Draining)
+        );
         roster.take_out(6_000_000, "a").expect("a second call out");
-        for list in [vec![member("a")], vec![Member { state: State::Gone, ..member("a") }], vec![member("a")]]
-        {
+        for list in [
+            vec![member("a")],
+            vec![Member {
+                state: State::Gone,
+                ..member("a")
+            }],
+            vec![member("a")],
+        ] {
             for told in roster.hear(7_000_000, ListKind::Partial, list) {
                 assert_ne!(told.state, State::Ready);
             }
@@ -215,10 +267,20 @@
         let told = roster.put_back(9_000_000, "a").expect("known");
         assert_eq!((told[0].state, told[0].boot_ms), (State::Ready, 9_000));
         // The list's own word on its start counts once it is later than the mark.
-        let told = roster.hear(0, ListKind::Partial, vec![Member { boot_ms: 8_000, ..member("a") }]);
+        let told = roster.hear(
+            0,
+            ListKind::Partial,
+            vec![Member {
+                boot_ms: 8_000,
+                ..member("a")
+            }],
+        );
         assert_eq!(told[0].boot_ms, 8_000);
         assert_eq!(roster.put_back(9_000_000, "nobody"), None);
-        assert_eq!(roster.put_back(9_000_000, "b").expect("known")[0].boot_ms, 0);
+        assert_eq!(
+            roster.put_back(9_000_000, "b").expect("known")[0].boot_ms,
+            0
+        );
     }
 
     #[test]
@@ -232,7 +294,10 @@
             roster.take_out(n as u64, &uid).expect("known");
         }
         assert_eq!(roster.marks.len(), MOST_MARKS);
-        assert_eq!(roster.heard().find(|m| m.uid == "kept").map(|m| m.state), Some(State::Draining));
+        assert_eq!(
+            roster.heard().find(|m| m.uid == "kept").map(|m| m.state),
+            Some(State::Draining)
+        );
     }
 
     /// The list agent's whole lists mean what they say.
@@ -240,7 +305,10 @@
     fn a_whole_list_of_the_same_source_forgets_what_it_leaves_out() {
         let mut roster = Roster::default();
         roster.hear(0, ListKind::Complete, vec![member("a"), member("b")]);
-        assert_eq!(roster.hear(1, ListKind::Complete, vec![member("b")]), vec![member("b")]);
+        assert_eq!(
+            roster.hear(1, ListKind::Complete, vec![member("b")]),
+            vec![member("b")]
+        );
         assert_eq!(roster.known().count(), 1);
     }
 }
--- a/crates/membership/src/source.rs
+++ b/crates/membership/src/source.rs
@@ -21,7 +21,12 @@
 
 /// Follows the servers for good, wherever they are told. `known` are those from before the start; `seed` is the only
 /// source of chance.
-pub async fn run(mut sources: watch::Receiver<Source>, known: Vec<Member>, seed: u64, desk: Rc<Desk>) {
+pub async fn run(
+    mut sources: watch::Receiver<Source>,
+    known: Vec<Member>,
+    seed: u64,
+    desk: Rc<Desk>,
+) {
     desk.tell(ListKind::Persisted, known);
     tokio::task::spawn_local(let_go(desk.clone()));
     loop {
--- a/crates/membership/tests/browsing.rs
+++ b/crates/membership/tests/browsing.rs
@@ -18,9 +18,15 @@
     let mut w = World::new(plan(1), vec![zone(10)]);
     w.run(SECOND);
     let (_, kind, members) = &w.tellings[0];
-    assert_eq!((*kind, members.len(), w.tellings.len()), (ListKind::Complete, 10, 1));
+    assert_eq!(
+        (*kind, members.len(), w.tellings.len()),
+        (ListKind::Complete, 10, 1)
+    );
     let m = &w.fleet["n3"];
-    assert_eq!((m.endpoint, m.zone.as_str(), m.cell, m.state), (at(3), "hall-a", 1, State::Ready));
+    assert_eq!(
+        (m.endpoint, m.zone.as_str(), m.cell, m.state),
+        (at(3), "hall-a", 1, State::Ready)
+    );
     assert!(w.fleet.values().all(|m| m.boot_ms == 0 && m.share == 1.0));
 }
 
@@ -29,7 +35,10 @@
     let mut w = World::new(plan(1), vec![zone(0)]);
     w.zones[0].add_instance(SERVICE, "Till\\0321\\.A", at(0), &[]);
     w.zones[0].remove(SERVICE, |_| true);
-    w.zones[0].add(SERVICE, Rr::Ptr("tILL\\ 1\\046a._TopUp._TCP.Example.ORG".into()));
+    w.zones[0].add(
+        SERVICE,
+        Rr::Ptr("tILL\\ 1\\046a._TopUp._TCP.Example.ORG".into()),
+    );
     w.run(SECOND);
     assert_eq!(w.fleet.keys().collect::<Vec<_>>(), ["till\\0321\\.a"]);
     assert_eq!(w.ready(), 1);
@@ -72,7 +81,10 @@
     w.zones[0].remove_instance(SERVICE, "n1");
     w.run(KNOWN_US);
     assert_eq!(w.state("n1"), Some(State::Draining));
-    assert!(!w.tellings.iter().any(|(_, _, ms)| ms.iter().any(|m| m.state == State::Gone)));
+    assert!(!w
+        .tellings
+        .iter()
+        .any(|(_, _, ms)| ms.iter().any(|m| m.state == State::Gone)));
     w.run(11 * SECOND);
     assert_eq!((w.state("n1"), w.ready()), (None, 2));
 }
@@ -87,16 +99,26 @@
     w.zones[0].add_instance(SERVICE, "ahead", at(52), &["boot=99000000000000"]);
     w.run(KNOWN_US);
     let boot = |uid: &str| w.fleet[uid].boot_ms;
-    assert!((since..=since + 400).contains(&boot("new")), "{} {since}", boot("new"));
+    assert!(
+        (since..=since + 400).contains(&boot("new")),
+        "{} {since}",
+        boot("new")
+    );
     assert_eq!(boot("old"), 1_600_000_000_000);
-    assert!(boot("ahead") <= w.now / MS, "nothing has booted later than now");
+    assert!(
+        boot("ahead") <= w.now / MS,
+        "nothing has booted later than now"
+    );
     // It only moved: its warmth goes along.
     let before = boot("new");
     let host = "new.host.example.org";
     w.zones[0].remove(host, |_| true);
     w.zones[0].add(host, Rr::A([127, 1, 9, 9].into()));
     w.run(KNOWN_US);
-    assert_eq!(w.fleet["new"].endpoint, "127.1.9.9:8080".parse().expect("an address"));
+    assert_eq!(
+        w.fleet["new"].endpoint,
+        "127.1.9.9:8080".parse().expect("an address")
+    );
     assert_eq!(w.fleet["new"].boot_ms, before);
 }
 
@@ -109,12 +131,18 @@
         w.zones[0].remove_instance(SERVICE, old);
         w.zones[0].add_instance(SERVICE, new, at(1), &[]);
         w.run(KNOWN_US);
-        assert_eq!((w.state(old), w.state(new)), (Some(State::Draining), Some(State::Ready)));
+        assert_eq!(
+            (w.state(old), w.state(new)),
+            (Some(State::Draining), Some(State::Ready))
+        );
         assert!(w.fleet[new].boot_ms >= since, "{new} is cold");
         assert_eq!(w.fleet[new].endpoint, at(1));
     }
     w.run(20 * SECOND);
-    assert_eq!((w.state("m1"), w.state("n1"), w.ready()), (None, Some(State::Ready), 3));
+    assert_eq!(
+        (w.state("m1"), w.state("n1"), w.ready()),
+        (None, Some(State::Ready), 3)
+    );
 }
 
 #[test]
@@ -125,10 +153,16 @@
     w.zones[0].remove(&full, |rr| matches!(rr, Rr::Srv(..)));
     w.zones[0].add(&full, Rr::Srv(0, 0, 9090, "moved.example.org".into()));
     w.run(5 * SECOND);
-    assert_eq!((w.fleet["n1"].endpoint, w.state("n1")), (at(1), Some(State::Ready)));
+    assert_eq!(
+        (w.fleet["n1"].endpoint, w.state("n1")),
+        (at(1), Some(State::Ready))
+    );
     w.zones[0].add("moved.example.org", Rr::A([127, 1, 8, 8].into()));
     w.run(KNOWN_US);
-    assert_eq!(w.fleet["n1"].endpoint, "127.1.8.8:9090".parse().expect("an address"));
+    assert_eq!(
+        w.fleet["n1"].endpoint,
+        "127.1.8.8:9090".parse().expect("an address")
+    );
     assert_eq!(w.fleet["n1"].boot_ms, 0, "it has only moved");
 }
 
@@ -147,7 +181,13 @@
 
 #[test]
 fn of_two_thousand_only_the_one_that_changes_reaches_the_decisions() {
-    let mut w = World::new(Plan { queries_per_s: 5_000, ..plan(1) }, vec![zone(2_000)]);
+    let mut w = World::new(
+        Plan {
+            queries_per_s: 5_000,
+            ..plan(1)
+        },
+        vec![zone(2_000)],
+    );
     w.run(3 * SECOND);
     assert_eq!(w.ready(), 2_000);
     assert!(w.streams > 0, "it takes TCP");
@@ -165,7 +205,12 @@
 /// The bounds on how much is asked, whatever the TTL says.
 #[test]
 fn the_service_is_asked_between_floor_and_ceiling_whatever_the_ttl() {
-    for (ttl, apart) in [(0, 100 * MS), (1, 200 * MS), (1 << 31, 200 * MS), (u32::MAX, 200 * MS)] {
+    for (ttl, apart) in [
+        (0, 100 * MS),
+        (1, 200 * MS),
+        (1 << 31, 200 * MS),
+        (u32::MAX, 200 * MS),
+    ] {
         let mut z = zone(5);
         z.ttl = ttl;
         let mut w = World::new(plan(1), vec![z]);
@@ -175,7 +220,10 @@
         // PTR and SOA a round.
         let rounds = 10 * SECOND / apart;
         let asked = w.asked.len() as u64 / 2;
-        assert!(asked <= rounds && asked >= rounds * 9 / 10, "TTL {ttl}: {asked} of {rounds}");
+        assert!(
+            asked <= rounds && asked >= rounds * 9 / 10,
+            "TTL {ttl}: {asked} of {rounds}"
+        );
     }
 }
 
@@ -183,22 +231,43 @@
 fn what_is_open_is_asked_at_a_bounded_rate() {
     let mut bare = zone(500);
     bare.additional = false;
-    let mut w = World::new(Plan { queries_per_s: 100, ..plan(1) }, vec![bare]);
+    let mut w = World::new(
+        Plan {
+            queries_per_s: 100,
+            ..plan(1)
+        },
+        vec![bare],
+    );
     w.run(10 * SECOND);
     // PTR over UDP and TCP, and SOA, five times a second, beside it.
-    assert!(w.asked.len() <= 100 * 10 + 3 * 5 * 10 + 40, "{}", w.asked.len());
+    assert!(
+        w.asked.len() <= 100 * 10 + 3 * 5 * 10 + 40,
+        "{}",
+        w.asked.len()
+    );
 }
 
 #[test]
 fn a_resolver_that_gives_no_whole_answer_keeps_the_last_list() {
-    for mood in [Mood::Silent, Mood::Code(2), Mood::Code(5), Mood::Garbage, Mood::Half, Mood::OnlyTruncated] {
+    for mood in [
+        Mood::Silent,
+        Mood::Code(2),
+        Mood::Code(5),
+        Mood::Garbage,
+        Mood::Half,
+        Mood::OnlyTruncated,
+    ] {
         let mut w = World::new(plan(1), vec![zone(10)]);
         w.run(SECOND);
         w.moods[0] = mood;
         w.zones[0].remove_instance(SERVICE, "n1");
         w.run(60 * SECOND);
         assert_eq!((w.ready(), w.tellings.len()), (10, 1), "{mood:?}");
-        let said = w.log.iter().filter(|l| l.contains("keeping the last list")).count();
+        let said = w
+            .log
+            .iter()
+            .filter(|l| l.contains("keeping the last list"))
+            .count();
         assert_eq!(said, 1, "{mood:?}: {:?}", w.log);
         assert!(w.log.len() < 12, "{mood:?}: {:?}", w.log);
         w.moods[0] = Mood::Fine;
@@ -213,8 +282,16 @@
     w.moods[0] = Mood::Spoofed;
     w.run(5 * SECOND);
     assert_eq!((w.ready(), w.tellings.len()), (10, 1));
-    assert!(w.log.iter().any(|l| l.contains("1 answers dropped")), "{:?}", w.log);
-    assert!(w.log.iter().any(|l| l.contains("100 answers dropped")), "{:?}", w.log);
+    assert!(
+        w.log.iter().any(|l| l.contains("1 answers dropped")),
+        "{:?}",
+        w.log
+    );
+    assert!(
+        w.log.iter().any(|l| l.contains("100 answers dropped")),
+        "{:?}",
+        w.log
+    );
 }
 
 #[test]
@@ -226,7 +303,10 @@
     w.moods[0] = Mood::Fine;
     w.run(SECOND);
     assert_eq!((w.tellings[0].1, w.ready()), (ListKind::Complete, 10));
-    assert!(w.fleet.values().all(|m| m.boot_ms == 0), "a restarted gateway's fleet is warm");
+    assert!(
+        w.fleet.values().all(|m| m.boot_ms == 0),
+        "a restarted gateway's fleet is warm"
+    );
 }
 
 #[test]
@@ -242,15 +322,32 @@
     w.zones[0].serial = serial - 5;
     w.run(5 * SECOND);
     assert_eq!((w.state("n1"), w.state("late")), (Some(State::Ready), None));
-    assert_eq!(w.log.iter().filter(|l| l.contains("serial went back")).count(), 1, "{:?}", w.log);
+    assert_eq!(
+        w.log
+            .iter()
+            .filter(|l| l.contains("serial went back"))
+            .count(),
+        1,
+        "{:?}",
+        w.log
+    );
     w.run(10 * SECOND);
-    assert_eq!((w.state("n1"), w.state("late")), (Some(State::Draining), Some(State::Ready)));
+    assert_eq!(
+        (w.state("n1"), w.state("late")),
+        (Some(State::Draining), Some(State::Ready))
+    );
 }
 
 #[test]
 fn an_empty_answer_counts_when_heard_twice_and_held() {
     for nxdomain in [false, true] {
-        let mut w = World::new(Plan { loss_hold: Duration::from_secs(3), ..plan(1) }, vec![zone(4)]);
+        let mut w = World::new(
+            Plan {
+                loss_hold: Duration::from_secs(3),
+                ..plan(1)
+            },
+            vec![zone(4)],
+        );
         if !nxdomain {
             // The name stays: NOERROR and no records.
             w.zones[0].add(&format!("keeps.{SERVICE}"), Rr::A([127, 0, 0, 9].into()));
@@ -269,7 +366,13 @@
 /// One moment's nothing is nothing.
 #[test]
 fn an_empty_answer_heard_once_changes_nothing() {
-    let mut w = World::new(Plan { loss_hold: Duration::ZERO, ..plan(1) }, vec![zone(4)]);
+    let mut w = World::new(
+        Plan {
+            loss_hold: Duration::ZERO,
+            ..plan(1)
+        },
+        vec![zone(4)],
+    );
     w.run(SECOND);
     let full = std::mem::replace(&mut w.zones[0], Zone::new("example.org"));
     w.zones[0].serial = full.serial;
@@ -288,7 +391,12 @@
     }
     w.run(9 * SECOND);
     assert_eq!(w.ready(), 10);
-    assert_eq!(w.log.iter().filter(|l| l.contains("6 of 10")).count(), 1, "{:?}", w.log);
+    assert_eq!(
+        w.log.iter().filter(|l| l.contains("6 of 10")).count(),
+        1,
+        "{:?}",
+        w.log
+    );
     w.run(2 * SECOND);
     assert_eq!(w.ready(), 4);
 }
@@ -301,12 +409,22 @@
     other.add_instance(SERVICE, "n10", at(10), &[]);
     let mut w = World::new(plan(2), vec![zone(10), other]);
     w.run(5 * SECOND);
-    assert_eq!((w.state("n9"), w.state("n10")), (Some(State::Ready), None), "the first leads");
+    assert_eq!(
+        (w.state("n9"), w.state("n10")),
+        (Some(State::Ready), None),
+        "the first leads"
+    );
     w.moods[0] = Mood::Silent;
     w.run(900 * MS);
-    assert_eq!((w.state("n9"), w.state("n10")), (Some(State::Ready), Some(State::Ready)));
+    assert_eq!(
+        (w.state("n9"), w.state("n10")),
+        (Some(State::Ready), Some(State::Ready))
+    );
     w.run(2 * SECOND);
-    assert_eq!((w.state("n9"), w.state("n10")), (Some(State::Draining), Some(State::Ready)));
+    assert_eq!(
+        (w.state("n9"), w.state("n10")),
+        (Some(State::Draining), Some(State::Ready))
+    );
     w.moods[0] = Mood::Fine;
     let before = w.tellings.len();
     w.run(5 * SECOND);
@@ -318,13 +436,26 @@
     for cached_answers in [false, true] {
         let mut z = zone(10);
         z.authoritative = false;
-        let mut w = World::new(Plan { cached_answers, ..plan(1) }, vec![z]);
+        let mut w = World::new(
+            Plan {
+                cached_answers,
+                ..plan(1)
+            },
+            vec![z],
+        );
         w.run(SECOND);
         w.zones[0].remove_instance(SERVICE, "n1");
         w.zones[0].add_instance(SERVICE, "new", at(60), &[]);
         w.run(5 * SECOND);
-        let state = if cached_answers { State::Draining } else { State::Ready };
-        assert_eq!((w.state("n1"), w.state("new")), (Some(state), Some(State::Ready)));
+        let state = if cached_answers {
+            State::Draining
+        } else {
+            State::Ready
+        };
+        assert_eq!(
+            (w.state("n1"), w.state("new")),
+            (Some(state), Some(State::Ready))
+        );
     }
 }
 
@@ -336,14 +467,20 @@
     w.zones[0].remove(&full, |rr| matches!(rr, Rr::Srv(..)));
     w.zones[0].add(&full, Rr::Srv(5, 0, 8080, "spare.host.example.org".into()));
     w.run(SECOND);
-    assert_eq!((w.state("n0"), w.state("spare")), (Some(State::Ready), Some(State::Draining)));
+    assert_eq!(
+        (w.state("n0"), w.state("spare")),
+        (Some(State::Ready), Some(State::Draining))
+    );
     for n in ["n0", "n1"] {
         let full = format!("{n}.{SERVICE}");
         w.zones[0].remove(&full, |rr| matches!(rr, Rr::Txt(_)));
         w.zones[0].add(&full, Rr::Txt(vec!["state=draining".into()]));
     }
     w.run(KNOWN_US);
-    assert_eq!((w.state("n0"), w.state("spare")), (Some(State::Draining), Some(State::Ready)));
+    assert_eq!(
+        (w.state("n0"), w.state("spare")),
+        (Some(State::Draining), Some(State::Ready))
+    );
 }
 
 #[test]
@@ -352,7 +489,10 @@
     for (n, weight) in [(0, 100), (1, 50)] {
         let full = format!("n{n}.{SERVICE}");
         w.zones[0].remove(&full, |rr| matches!(rr, Rr::Srv(..)));
-        w.zones[0].add(&full, Rr::Srv(0, weight, 8080, format!("n{n}.host.example.org")));
+        w.zones[0].add(
+            &full,
+            Rr::Srv(0, weight, 8080, format!("n{n}.host.example.org")),
+        );
     }
     w.run(SECOND);
     let share = |uid: &str| w.fleet[uid].share;
@@ -365,7 +505,12 @@
     w.zones[0].add_instance(SERVICE, "bad", at(80), &["cell=many"]);
     w.run(10 * SECOND);
     assert_eq!((w.ready(), w.state("bad")), (3, None));
-    assert_eq!(w.log.iter().filter(|l| l.contains("TXT key cell")).count(), 1, "{:?}", w.log);
+    assert_eq!(
+        w.log.iter().filter(|l| l.contains("TXT key cell")).count(),
+        1,
+        "{:?}",
+        w.log
+    );
     let full = format!("bad.{SERVICE}");
     w.zones[0].remove(&full, |rr| matches!(rr, Rr::Txt(_)));
     w.zones[0].add(&full, Rr::Txt(vec!["cell=4".into()]));
@@ -378,9 +523,11 @@
     let mut w = World::new(plan(1), vec![zone(2)]);
     let zone = &mut w.zones[0];
     // An SRV whose target is the instance itself, one that stands for the service, and CNAMEs that go round.
-    for (n, target) in
-        [("self", format!("self.{SERVICE}")), ("up", SERVICE.into()), ("round", "a.example.org".into())]
-    {
+    for (n, target) in [
+        ("self", format!("self.{SERVICE}")),
+        ("up", SERVICE.into()),
+        ("round", "a.example.org".into()),
+    ] {
         let full = format!("{n}.{SERVICE}");
         zone.add(&full, Rr::Srv(0, 0, 1, target));
         zone.add(&full, Rr::Txt(vec![]));
@@ -407,10 +554,16 @@
 
 #[test]
 fn subtypes_are_added_up() {
-    let mut p = Plan { resolvers: vec![resolver(0)], ..Plan::default() };
+    let mut p = Plan {
+        resolvers: vec![resolver(0)],
+        ..Plan::default()
+    };
     let (a, b) = (format!("_a._sub.{SERVICE}"), format!("_b._sub.{SERVICE}"));
     p.set_services(&[&a, &b]).expect("subtypes of one service");
-    assert!(p.clone().set_services(&["_other._tcp.example.org"]).is_err());
+    assert!(p
+        .clone()
+        .set_services(&["_other._tcp.example.org"])
+        .is_err());
     let mut w = World::new(p, vec![zone(4)]);
     for (n, sub) in [(0, &a), (1, &a), (1, &b), (2, &b)] {
         w.zones[0].add(sub, ptr(&format!("n{n}")));
@@ -421,12 +574,28 @@
 
 #[test]
 fn instances_of_other_domains_and_beyond_the_bound_are_passed_over() {
-    let mut w = World::new(Plan { most_instances: 3, ..plan(1) }, vec![zone(5)]);
+    let mut w = World::new(
+        Plan {
+            most_instances: 3,
+            ..plan(1)
+        },
+        vec![zone(5)],
+    );
     w.zones[0].add(SERVICE, Rr::Ptr("evil._topup._tcp.example.net".into()));
     w.run(SECOND);
     assert_eq!(w.ready(), 3);
-    assert!(w.log.iter().any(|l| l.contains("another service or domain")), "{:?}", w.log);
-    assert!(w.log.iter().any(|l| l.contains("most_instances")), "{:?}", w.log);
+    assert!(
+        w.log
+            .iter()
+            .any(|l| l.contains("another service or domain")),
+        "{:?}",
+        w.log
+    );
+    assert!(
+        w.log.iter().any(|l| l.contains("most_instances")),
+        "{:?}",
+        w.log
+    );
 }
 
 /// One that is known from before and not yet described goes on as it was.
@@ -445,7 +614,10 @@
     let mut w = World::knowing(plan(1), vec![zone(3)], vec![known]);
     w.zones[0].remove("n1.host.example.org", |_| true);
     w.run(2 * SECOND);
-    assert_eq!((w.ready(), w.fleet["n1"].endpoint, w.fleet["n1"].boot_ms), (3, at(99), 5));
+    assert_eq!(
+        (w.ready(), w.fleet["n1"].endpoint, w.fleet["n1"].boot_ms),
+        (3, at(99), 5)
+    );
 }
 
 /// Guards against a resolver that knows nothing yet, or a zone that is half loaded, when the gateway starts.
@@ -470,7 +642,11 @@
     w.run(5 * SECOND);
     w.zones[0].add_instance(SERVICE, "n1", at(1), &[]);
     w.run(SECOND);
-    assert_eq!((w.ready(), w.fleet["n1"].boot_ms), (1, 0), "it is the first list, and warm");
+    assert_eq!(
+        (w.ready(), w.fleet["n1"].boot_ms),
+        (1, 0),
+        "it is the first list, and warm"
+    );
 }
 
 // ---- Push ------------------------------------------------------------------------------------------------
@@ -479,7 +655,11 @@
 fn a_pushed_change_is_known_at_once_and_the_service_is_asked_seldom() {
     let mut w = World::new(with_push(1), vec![zone(10)]);
     w.run(2 * SECOND);
-    assert!(w.log.iter().any(|l| l.contains("push in force")), "{:?}", w.log);
+    assert!(
+        w.log.iter().any(|l| l.contains("push in force")),
+        "{:?}",
+        w.log
+    );
     w.asked.clear();
     w.run(20 * SECOND);
     assert!(w.asked.len() < 10 * 2 + 20, "{}", w.asked.len());
@@ -539,7 +719,10 @@
     w.push_dies();
     w.push_up = false;
     w.run(KNOWN_US);
-    assert_eq!((w.state("n1"), w.state("n2")), (Some(State::Draining), Some(State::Draining)));
+    assert_eq!(
+        (w.state("n1"), w.state("n2")),
+        (Some(State::Draining), Some(State::Draining))
+    );
     w.zones[0].remove_instance(SERVICE, "n3");
     w.run(KNOWN_US);
     assert_eq!(w.state("n3"), Some(State::Draining), "asked as before");
@@ -559,7 +742,11 @@
     w.run(2_100 * MS);
     assert_eq!(w.state("n1"), Some(State::Draining), "within a check");
     w.run(1_100 * MS);
-    assert!(w.log.iter().any(|l| l.contains("did not tell a change")), "{:?}", w.log);
+    assert!(
+        w.log.iter().any(|l| l.contains("did not tell a change")),
+        "{:?}",
+        w.log
+    );
     w.change(|z| z.remove_instance(SERVICE, "n2"));
     w.run(KNOWN_US);
     assert_eq!(w.state("n2"), Some(State::Draining), "asked as before");
@@ -578,9 +765,15 @@
 fn nonsense_on_a_session_ends_it_and_nothing_else() {
     let mut w = World::new(with_push(1), vec![zone(3)]);
     w.run(2 * SECOND);
-    w.push_raw(vec![0, 0, 0x30, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0x41, 0xff, 0xff, 1]);
+    w.push_raw(vec![
+        0, 0, 0x30, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0x41, 0xff, 0xff, 1,
+    ]);
     w.run(10 * MS);
-    assert!(w.log.iter().any(|l| l.contains("makes no sense")), "{:?}", w.log);
+    assert!(
+        w.log.iter().any(|l| l.contains("makes no sense")),
+        "{:?}",
+        w.log
+    );
     w.run(10 * SECOND);
     assert_eq!((w.ready(), w.connects), (3, 2));
 }
