--- a/crates/turndeck/tests/counter_faults.rs
+++ b/crates/turndeck/tests/counter_faults.rs
@@ -123,29 +123,50 @@
     fn start(&mut self, n: usize) {
         self.gateways[n] = Some(Gateway::new(settings(n), 77 + n as u64).expect("settings"));
         self.timers[n].clear();
-        let entries = (0..40).map(|s| ServerEntry::ready(&format!("s{s}"), "a")).collect();
-        self.feed(n, Event::Servers { kind: ListKind::Complete, entries });
+        let entries = (0..40)
+            .map(|s| ServerEntry::ready(&format!("s{s}"), "a"))
+            .collect();
+        self.feed(
+            n,
+            Event::Servers {
+                kind: ListKind::Complete,
+                entries,
+            },
+        );
     }
 
     fn chance(&mut self) -> f64 {
-        self.state = self.state.wrapping_mul(0x5851_F42D_4C95_7F2D).wrapping_add(0x1405_7B7E_F767_814F);
+        self.state = self
+            .state
+            .wrapping_mul(0x5851_F42D_4C95_7F2D)
+            .wrapping_add(0x1405_7B7E_F767_814F);
         (self.state >> 33) as f64 / f64::from(1u32 << 31)
     }
 
     fn feed(&mut self, n: usize, event: Event) {
         let mut actions = Vec::new();
-        let Some(gateway) = &mut self.gateways[n] else { return };
+        let Some(gateway) = &mut self.gateways[n] else {
+            return;
+        };
         gateway.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { request, server, .. } => {
+                Action::Send {
+                    request, server, ..
+                } => {
                     let customer = self.customer_of[&request];
                     self.sent[customer].push(self.now);
-                    *self.periods.entry((customer, self.now / 1_000_000)).or_default() += 1.0;
+                    *self
+                        .periods
+                        .entry((customer, self.now / 1_000_000))
+                        .or_default() += 1.0;
                     self.ends.push_back((self.now + SERVED, n, request, server));
                 }
                 Action::SetTimer { after_us, timer } => {
-                    self.timers[n].entry(self.now + after_us).or_default().push(timer);
+                    self.timers[n]
+                        .entry(self.now + after_us)
+                        .or_default()
+                        .push(timer);
                 }
                 Action::Count { name, amount, .. } => self.count(n, name, amount),
                 Action::Log(line) => self.logs.push(line),
@@ -172,7 +193,17 @@
                 _ => {}
             }
         }
-        self.calls.insert((at, self.counted), (n, Event::Counted { name, status, total }));
+        self.calls.insert(
+            (at, self.counted),
+            (
+                n,
+                Event::Counted {
+                    name,
+                    status,
+                    total,
+                },
+            ),
+        );
     }
 
     fn step(&mut self) {
@@ -190,7 +221,13 @@
                 80..92 => 2,
                 _ => 3,
             };
-            let mut r = Request::new(self.next, &format!("c{customer}"), "basic", "read", 2_000_000);
+            let mut r = Request::new(
+                self.next,
+                &format!("c{customer}"),
+                "basic",
+                "read",
+                2_000_000,
+            );
             r.width = GATEWAYS as u32;
             self.next += 1;
             self.customer_of.insert(r.id, customer);
@@ -204,14 +241,26 @@
         while self.ends.front().is_some_and(|(at, ..)| *at <= self.now) {
             let (_, n, id, server) = self.ends.pop_front().expect("one");
             let mut o = Outcome::new(id, 0, server, Status::Served, SERVED).closing();
-            let period = ((self.now - METER_LATE) / 1_000_000 - 1, self.customer_of[&id]);
-            let used = self.periods.get(&(period.1, period.0)).copied().unwrap_or(0.0);
+            let period = (
+                (self.now - METER_LATE) / 1_000_000 - 1,
+                self.customer_of[&id],
+            );
+            let used = self
+                .periods
+                .get(&(period.1, period.0))
+                .copied()
+                .unwrap_or(0.0);
             o.metered_use = (!self.meter_lost).then_some(used / rate());
             self.feed(n, Event::Outcome(o));
         }
         for n in 0..GATEWAYS {
-            while let Some(due) = self.timers[n].first_entry().filter(|e| *e.key() <= self.now) {
-                due.remove().into_iter().for_each(|t| self.feed(n, Event::Timer(t)));
+            while let Some(due) = self.timers[n]
+                .first_entry()
+                .filter(|e| *e.key() <= self.now)
+            {
+                due.remove()
+                    .into_iter()
+                    .for_each(|t| self.feed(n, Event::Timer(t)));
             }
         }
     }
@@ -241,7 +290,10 @@
     /// Of what the honest asked since a time, the share that was sent on.
     fn honest(&self, from: Micros) -> f64 {
         let since = |all: &[Vec<Micros>]| -> f64 {
-            all[2..].iter().map(|of| of.iter().filter(|t| **t >= from).count() as f64).sum()
+            all[2..]
+                .iter()
+                .map(|of| of.iter().filter(|t| **t >= from).count() as f64)
+                .sum()
         };
         since(&self.sent) / since(&self.asked)
     }
@@ -249,7 +301,9 @@
     /// What whoever asks too much got since a time, beside the quota.
     fn heavy(&self, from: Micros) -> f64 {
         let seconds = (self.now - from) as f64 / 1e6;
-        let got = |n: usize| self.sent[n].iter().filter(|t| **t >= from).count() as f64 / (seconds * rate());
+        let got = |n: usize| {
+            self.sent[n].iter().filter(|t| **t >= from).count() as f64 / (seconds * rate())
+        };
         got(0).min(got(1))
     }
 
@@ -275,9 +329,16 @@
         assert!(honest >= least_honest, "the honest got {honest}");
         let usual = self.now;
         self.run(20.0);
-        let (over, honest, heavy) = (self.overrun(usual) / rate(), self.honest(usual), self.heavy(usual));
+        let (over, honest, heavy) = (
+            self.overrun(usual) / rate(),
+            self.honest(usual),
+            self.heavy(usual),
+        );
         println!("   then {over:.2} s, honest {honest:.3}, heavy {heavy:.2}");
-        assert!(over <= 4.0, "{over} seconds' worth too much, and all is well");
+        assert!(
+            over <= 4.0,
+            "{over} seconds' worth too much, and all is well"
+        );
         assert!(honest >= 0.96, "{honest}, and all is well");
         assert!((0.8..=1.2).contains(&heavy), "{heavy}, and all is well");
     }
@@ -296,9 +357,19 @@
     each(|| {
         for seconds in [1.0, 10.0, 60.0] {
             let mut world = World::new();
-            world.fault(seconds, |w| w.counter.lost = true, |w| w.counter.lost = false, 4.0, 0.85);
+            world.fault(
+                seconds,
+                |w| w.counter.lost = true,
+                |w| w.counter.lost = false,
+                4.0,
+                0.85,
+            );
             if seconds > 5.0 {
-                let lost = world.logs.iter().filter(|l| l.contains("counter lost")).count();
+                let lost = world
+                    .logs
+                    .iter()
+                    .filter(|l| l.contains("counter lost"))
+                    .count();
                 assert!((1..=GATEWAYS).contains(&lost), "{:?}", world.logs);
             }
         }
@@ -322,7 +393,11 @@
     each(|| {
         let mut world = World::new();
         world.fault(60.0, split, heal, 22.0, 0.85);
-        assert!(world.logs.iter().any(|l| l.contains("counter doubtful")), "{:?}", world.logs);
+        assert!(
+            world.logs.iter().any(|l| l.contains("counter doubtful")),
+            "{:?}",
+            world.logs
+        );
     });
 }
 
@@ -346,7 +421,11 @@
     each(|| {
         let mut world = World::new();
         world.fault(10.0, swap, |_| {}, 3.0, 0.95);
-        assert!(world.logs.iter().any(|l| l.contains("counter doubtful")), "{:?}", world.logs);
+        assert!(
+            world.logs.iter().any(|l| l.contains("counter doubtful")),
+            "{:?}",
+            world.logs
+        );
     });
 }
 
@@ -370,7 +449,13 @@
 #[test]
 fn answers_a_second_late() {
     each(|| {
-        World::new().fault(10.0, |w| w.counter.delay = 1_000_000, |w| w.counter.delay = CALL, 4.0, 0.85);
+        World::new().fault(
+            10.0,
+            |w| w.counter.delay = 1_000_000,
+            |w| w.counter.delay = CALL,
+            4.0,
+            0.85,
+        );
     });
 }
 
--- a/crates/turndeck/tests/fleet.rs
+++ b/crates/turndeck/tests/fleet.rs
@@ -22,7 +22,10 @@
             match a {
                 Action::Send { .. } if from_now == from => sends += 1,
                 Action::Tell { to, bytes } => {
-                    let answer = rigs[to as usize].tell(Event::Peer { from: from_now as u32, bytes });
+                    let answer = rigs[to as usize].tell(Event::Peer {
+                        from: from_now as u32,
+                        bytes,
+                    });
                     queue.push((to as usize, answer));
                 }
                 _ => {}
@@ -45,7 +48,10 @@
                 passed += deliver(&mut rigs, g, actions);
             }
         }
-        assert!((19..=21).contains(&passed), "{passed} of a burst of 20 with {gateways} gateways");
+        assert!(
+            (19..=21).contains(&passed),
+            "{passed} of a burst of 20 with {gateways} gateways"
+        );
     }
 }
 
@@ -55,10 +61,16 @@
         let slice_s = f64::from(gateways) / 10.0;
         let mut rig = fleet(gateways, |s| (s.plans[0].burst, s.most_units) = (5.0, 1.0)).remove(0);
         let passed = |rig: &mut Rig| sent(&rig.ask(|r| r.width = gateways).1).is_some();
-        assert!(!passed(&mut rig), "a fresh start owns a fraction of a request");
+        assert!(
+            !passed(&mut rig),
+            "a fresh start owns a fraction of a request"
+        );
         rig.now += (slice_s * 1e6) as Micros;
         let n = (0..5).filter(|_| passed(&mut rig)).count();
-        assert_eq!(n, 1, "one request is saved up in the time that the slice takes for it, and no more");
+        assert_eq!(
+            n, 1,
+            "one request is saved up in the time that the slice takes for it, and no more"
+        );
     }
 }
 
@@ -76,7 +88,10 @@
         let mut passed = 0;
         for n in 0..321 {
             let sent = ask(&mut rig);
-            assert!(n > 0 || sent.is_some(), "nothing is known of it: it is passed on");
+            assert!(
+                n > 0 || sent.is_some(),
+                "nothing is known of it: it is passed on"
+            );
             let Some((id, server)) = sent else { continue };
             passed += 1;
             let mut o = Outcome::new(id, 0, server, Status::Served, 0);
@@ -84,21 +99,35 @@
             rig.tell(Event::Outcome(o));
         }
         // The first, a sixteenth of the others, and what was saved up of the slice.
-        assert!((8..=40).contains(&passed), "{passed} of 321 by {gateways} gateways");
-        let ceiling = Some(Ceiling { rate: 15.0, depth: f64::from(gateways) * 0.9 });
+        assert!(
+            (8..=40).contains(&passed),
+            "{passed} of 321 by {gateways} gateways"
+        );
+        let ceiling = Some(Ceiling {
+            rate: 15.0,
+            depth: f64::from(gateways) * 0.9,
+        });
         let mut rig = fleet(gateways, |s| s.plans[0].ceiling = ceiling).remove(0);
-        assert!(ask(&mut rig).is_none(), "its slice is under one request, and the ceiling is no guess");
+        assert!(
+            ask(&mut rig).is_none(),
+            "its slice is under one request, and the ceiling is no guess"
+        );
     }
 }
 
 #[test]
 fn many_gateways_together_stay_inside_a_cold_servers_budget() {
     for gateways in [3, 150, 600] {
-        let mut rigs = fleet(gateways, |s| (s.plans[0].rate, s.plans[0].burst) = (1e6, 1e6));
+        let mut rigs = fleet(gateways, |s| {
+            (s.plans[0].rate, s.plans[0].burst) = (1e6, 1e6)
+        });
         let mut to_cold = 0;
         for rig in &mut rigs {
             // It is all there is: every request wants it.
-            let cold = ServerEntry { started_us: rig.now, ..ServerEntry::ready("cold", "a") };
+            let cold = ServerEntry {
+                started_us: rig.now,
+                ..ServerEntry::ready("cold", "a")
+            };
             rig.list(ListKind::Complete, vec![cold]);
             // The rule's window of two seconds, 600 requests a second for the fleet.
             for _ in 0..1200 / gateways {
@@ -111,7 +140,10 @@
             }
         }
         // A core that takes 125 ms for an attempt does 16 in two seconds, three times a fifth of it is ten.
-        assert!((1..=20).contains(&to_cold), "{to_cold} to a cold server by {gateways} gateways");
+        assert!(
+            (1..=20).contains(&to_cold),
+            "{to_cold} to a cold server by {gateways} gateways"
+        );
     }
 }
 
@@ -127,9 +159,17 @@
         deliver(rigs, g, actions)
     };
     // Each gateway sends one and is never heard of again.
-    assert_eq!((1..20).map(|g| pass(&mut rigs, g)).sum::<usize>(), 3, "the cap holds over all gateways");
+    assert_eq!(
+        (1..20).map(|g| pass(&mut rigs, g)).sum::<usize>(),
+        3,
+        "the cap holds over all gateways"
+    );
     rigs.iter_mut().for_each(|r| r.now += 2_000_000);
-    assert_eq!((20..40).map(|g| pass(&mut rigs, g)).sum::<usize>(), 3, "and its places come back");
+    assert_eq!(
+        (20..40).map(|g| pass(&mut rigs, g)).sum::<usize>(),
+        3,
+        "and its places come back"
+    );
 }
 
 #[test]
@@ -137,7 +177,10 @@
     for counter in [false, true] {
         let mut rig = fleet(150, |s| (s.counter, s.peer_messages) = (counter, !counter)).remove(0);
         let (id, actions) = rig.ask(|r| r.width = 150);
-        assert!(sent(&actions).is_none() && !refused(&actions), "it waits for an answer");
+        assert!(
+            sent(&actions).is_none() && !refused(&actions),
+            "it waits for an answer"
+        );
         let mut waits = 0;
         let mut last = Vec::new();
         while !refused(&last) && sent(&last).is_none() && waits < 5 {
@@ -158,13 +201,22 @@
         let mut rig = fleet(150, |s| s.counter = true).remove(0);
         let mut calls = [0, 0];
         for k in 0..1200 {
-            let (_, actions) = rig.ask(|r| (r.width, r.customer) = (150, CustomerId(format!("c{k}").into())));
+            let (_, actions) =
+                rig.ask(|r| (r.width, r.customer) = (150, CustomerId(format!("c{k}").into())));
             rig.now += 50_000;
             for a in actions {
                 if let Action::Count { name, amount, .. } = a {
                     calls[k / 600] += 1;
-                    let total = if status == Status::Served { amount } else { 0.0 };
-                    rig.tell(Event::Counted { name, status, total });
+                    let total = if status == Status::Served {
+                        amount
+                    } else {
+                        0.0
+                    };
+                    rig.tell(Event::Counted {
+                        name,
+                        status,
+                        total,
+                    });
                 }
             }
         }
@@ -172,9 +224,15 @@
     };
     let silent = calls(Status::NoAnswer);
     // A fifth of a call a second is always tried.
-    assert!(silent[0] > silent[1] && silent[1] <= 7, "{silent:?} in each half minute");
+    assert!(
+        silent[0] > silent[1] && silent[1] <= 7,
+        "{silent:?} in each half minute"
+    );
     let answers = calls(Status::Served);
-    assert!(silent[0] * 2 < answers[0] && silent[1] * 2 < answers[1], "{silent:?}, {answers:?} with answers");
+    assert!(
+        silent[0] * 2 < answers[0] && silent[1] * 2 < answers[1],
+        "{silent:?}, {answers:?} with answers"
+    );
 }
 
 #[test]
@@ -185,18 +243,27 @@
     let (mut silent, mut all) = (0, 0);
     for _ in 0..400 {
         let (id, actions) = rig.request("c");
-        let Some(server) = sent(&actions) else { continue };
+        let Some(server) = sent(&actions) else {
+            continue;
+        };
         all += 1;
         let dead = &*server.0 == "s0";
         silent += u32::from(dead);
-        let (status, after) = if dead { (Status::NoAnswer, 1_000_000) } else { (Status::Served, 100_000) };
+        let (status, after) = if dead {
+            (Status::NoAnswer, 1_000_000)
+        } else {
+            (Status::Served, 100_000)
+        };
         rig.outcome(id, 0, &server, status, after);
         rig.now += 200_000;
         if all % 5 == 0 {
             rig.tell(Event::Timer(Timer::Interval));
         }
     }
-    assert!(silent * 8 < all, "{silent} of {all} went to the silent server");
+    assert!(
+        silent * 8 < all,
+        "{silent} of {all} went to the silent server"
+    );
 }
 
 #[test]
@@ -206,14 +273,27 @@
         let mut rig = fleet(150, |s| s.counter = true).remove(0);
         rig.now = 1_230_000_000;
         let (_, actions) = rig.ask(|r| r.width = 150);
-        let Some(Action::Count { name, amount, .. }) =
-            actions.into_iter().find(|a| matches!(a, Action::Count { .. }))
+        let Some(Action::Count { name, amount, .. }) = actions
+            .into_iter()
+            .find(|a| matches!(a, Action::Count { .. }))
         else {
             panic!("it asks the counter")
         };
         let total = amount + name_made_before;
-        let next = rig.tell(Event::Counted { name, status: Status::Served, total });
-        next.iter().map(|a| if let Action::Count { amount, .. } = a { *amount } else { 0.0 }).sum::<f64>()
+        let next = rig.tell(Event::Counted {
+            name,
+            status: Status::Served,
+            total,
+        });
+        next.iter()
+            .map(|a| {
+                if let Action::Count { amount, .. } = a {
+                    *amount
+                } else {
+                    0.0
+                }
+            })
+            .sum::<f64>()
     };
     // Half a minute at ten a second filled in since the count's minute began.
     assert!((added(0.0) - 300.0).abs() < 2.0);
@@ -230,15 +310,23 @@
         s.counter = true;
     };
     let list = |at: Micros| {
-        let cold = ServerEntry { started_us: at, ..ServerEntry::ready("cold", "a") };
-        [warm.then(|| ServerEntry::ready("warm", "a")), Some(cold)].into_iter().flatten().collect()
+        let cold = ServerEntry {
+            started_us: at,
+            ..ServerEntry::ready("cold", "a")
+        };
+        [warm.then(|| ServerEntry::ready("warm", "a")), Some(cold)]
+            .into_iter()
+            .flatten()
+            .collect()
     };
     let mut rigs = fleet(gateways, change);
     let cold = Settings::example().cold;
     let begins = rigs[0].now;
     let mut dice = seed;
     let mut draw = |below: u64| {
-        dice = dice.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        dice = dice
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (dice >> 33) % below
     };
     // By time: who has something to do, and what: an answer, news of the start, a new beginning, an interval, a request.
@@ -251,10 +339,11 @@
     }
     let mut due: std::collections::BTreeMap<(Micros, u64), Due> = Default::default();
     let mut n = 0;
-    let mut at = |due: &mut std::collections::BTreeMap<(Micros, u64), Due>, t: Micros, what: Due| {
-        n += 1;
-        due.insert((t, n), what);
-    };
+    let mut at =
+        |due: &mut std::collections::BTreeMap<(Micros, u64), Due>, t: Micros, what: Due| {
+            n += 1;
+            due.insert((t, n), what);
+        };
     for g in 0..rigs.len() {
         at(&mut due, begins + draw(1_000_000), Due::News(g));
         if g % 5 == 4 {
@@ -263,7 +352,11 @@
         (1..6).for_each(|s| at(&mut due, begins + s * 1_000_000, Due::Interval(g)));
     }
     for k in 0..300 * cores as u64 {
-        at(&mut due, begins + k * 20_000 / cores as u64, Due::Request(draw(rigs.len() as u64) as usize));
+        at(
+            &mut due,
+            begins + k * 20_000 / cores as u64,
+            Due::Request(draw(rigs.len() as u64) as usize),
+        );
     }
     let mut to_cold: Vec<Micros> = Vec::new();
     let mut attempts: std::collections::BTreeMap<(usize, RequestId), u32> = Default::default();
@@ -295,11 +388,22 @@
             }
             Due::Request(g) => {
                 rigs[g].now = now;
-                (g, rigs[g].ask(|r| (r.id.0, r.width) = (r.id.0 * 1_000 + g as u64, 1)).1)
+                (
+                    g,
+                    rigs[g]
+                        .ask(|r| (r.id.0, r.width) = (r.id.0 * 1_000 + g as u64, 1))
+                        .1,
+                )
             }
         };
         for action in actions {
-            if let Action::Send { request, server, timeout_us, .. } = action {
+            if let Action::Send {
+                request,
+                server,
+                timeout_us,
+                ..
+            } = action
+            {
                 let is_cold = &*server.0 == "cold";
                 if is_cold {
                     to_cold.push(now);
@@ -313,8 +417,16 @@
                     true => (Status::NoAnswer, timeout_us),
                     false => (Status::Served, done - now),
                 };
-                *core = if status == Status::Served { done } else { *core };
-                at(&mut due, now + took, Due::Answer(g, request, *n, server, status, took));
+                *core = if status == Status::Served {
+                    done
+                } else {
+                    *core
+                };
+                at(
+                    &mut due,
+                    now + took,
+                    Due::Answer(g, request, *n, server, status, took),
+                );
                 *n += 1;
             }
         }
@@ -324,23 +436,36 @@
         cold.tip_multiple * warmth(from) * cores as f64 * cold.tip_after_us as f64 / WORK_US as f64
     };
     let over = |from: Micros| {
-        let sent = to_cold.iter().filter(|t| (from..from + cold.tip_after_us).contains(*t)).count();
+        let sent = to_cold
+            .iter()
+            .filter(|t| (from..from + cold.tip_after_us).contains(*t))
+            .count();
         (sent, allowed(from))
     };
-    let by_excess = |a: &(usize, f64), b: &(usize, f64)| (a.0 as f64 - a.1).total_cmp(&(b.0 as f64 - b.1));
-    to_cold.iter().map(|t| over(*t)).max_by(by_excess).unwrap_or((0, 1.0))
+    let by_excess =
+        |a: &(usize, f64), b: &(usize, f64)| (a.0 as f64 - a.1).total_cmp(&(b.0 as f64 - b.1));
+    to_cold
+        .iter()
+        .map(|t| over(*t))
+        .max_by(by_excess)
+        .unwrap_or((0, 1.0))
 }
 
 /// Guards against a server that falls under the sum of what all gateways send, each by its own part and by what it saved up.
 #[test]
 fn the_sum_of_all_gateways_leaves_a_cold_server_standing() {
-    let fleets = [2, 3, 20, 30, 300].into_iter().flat_map(|g| [1, 4].map(|cores| (g, cores)));
-    for (gateways, cores, warm) in fleets.flat_map(|(g, cores)| [true, false].map(|warm| (g, cores, warm))) {
+    let fleets = [2, 3, 20, 30, 300]
+        .into_iter()
+        .flat_map(|g| [1, 4].map(|cores| (g, cores)));
+    for (gateways, cores, warm) in
+        fleets.flat_map(|(g, cores)| [true, false].map(|warm| (g, cores, warm)))
+    {
         for seed in 1..4 {
             let (sent, allowed) = worst_span_of_a_cold_server(gateways, cores, warm, seed);
             let most = allowed + 2.0 * allowed.sqrt() + 2.0;
-            let what =
-                format!("{gateways} gateways, {cores} cores, warm {warm}: {sent} sent, {most:.1} at most");
+            let what = format!(
+                "{gateways} gateways, {cores} cores, warm {warm}: {sent} sent, {most:.1} at most"
+            );
             println!("{what}");
             assert!(sent > 0 && sent as f64 <= most, "{what}");
         }
--- a/crates/turndeck/tests/many.rs
+++ b/crates/turndeck/tests/many.rs
@@ -18,7 +18,11 @@
     let counts = spread(&mut rig, 5 * MANY);
     // By chance alone 1 in 150 gets none of five on average, and none gets many.
     assert!(counts.len() > MANY * 97 / 100, "{}", counts.len());
-    assert!(counts.values().max() < Some(&20), "{:?}", counts.values().max());
+    assert!(
+        counts.values().max() < Some(&20),
+        "{:?}",
+        counts.values().max()
+    );
 }
 
 /// The choice is for the least held, also where only some are looked at.
@@ -32,7 +36,11 @@
         busy.insert(sent(&actions).expect("sent"));
     }
     let counts = spread(&mut rig, MANY);
-    let to_busy: usize = counts.iter().filter(|(s, _)| busy.contains(s)).map(|(_, n)| n).sum();
+    let to_busy: usize = counts
+        .iter()
+        .filter(|(s, _)| busy.contains(s))
+        .map(|(_, n)| n)
+        .sum();
     assert!(to_busy < MANY / 20, "{to_busy}");
 }
 
@@ -40,9 +48,10 @@
 fn nothing_goes_to_those_that_drain_however_many_they_are() {
     let mut rig = Rig::with_servers(wide(), MANY);
     let draining = |n: usize| !n.is_multiple_of(20);
-    let entries = (0..MANY)
-        .filter(|&n| draining(n))
-        .map(|n| ServerEntry { health: Health::Draining, ..ServerEntry::ready(&format!("s{n}"), "a") });
+    let entries = (0..MANY).filter(|&n| draining(n)).map(|n| ServerEntry {
+        health: Health::Draining,
+        ..ServerEntry::ready(&format!("s{n}"), "a")
+    });
     rig.list(ListKind::Partial, entries.collect());
     for server in spread(&mut rig, 1_000).keys() {
         let n: usize = server.0[1..].parse().expect("a number");
@@ -54,15 +63,21 @@
 #[test]
 fn a_repeat_finds_the_one_other_server_that_drops_it() {
     let mut settings = wide();
-    settings.classes[0].effect = Effect::Keyed { scope: Scope::Cell, window_us: 1_000_000 };
+    settings.classes[0].effect = Effect::Keyed {
+        scope: Scope::Cell,
+        window_us: 1_000_000,
+    };
     let mut rig = Rig::new(settings);
-    let entries =
-        (0..MANY).map(|n| ServerEntry { cell: n as u64 / 2, ..ServerEntry::ready(&format!("s{n}"), "a") });
+    let entries = (0..MANY).map(|n| ServerEntry {
+        cell: n as u64 / 2,
+        ..ServerEntry::ready(&format!("s{n}"), "a")
+    });
     rig.list(ListKind::Complete, entries.collect());
     for _ in 0..5 {
         let (id, actions) = rig.request("c");
         let first = sent(&actions).expect("sent");
-        let second = sent(&rig.outcome(id, 0, &first, Status::ConnectionLost, 1_000)).expect("sent again");
+        let second =
+            sent(&rig.outcome(id, 0, &first, Status::ConnectionLost, 1_000)).expect("sent again");
         let cell = |s: &ServerId| s.0[1..].parse::<u64>().expect("a number") / 2;
         assert_eq!(cell(&first), cell(&second));
         assert_ne!(first, second, "the other one of the cell is tried first");
--- a/crates/turndeck/tests/mechanism.rs
+++ b/crates/turndeck/tests/mechanism.rs
@@ -32,7 +32,10 @@
     assert!((600..800).contains(&low), "three steps down: {low} of 1000");
     rig.interval();
     let back = run(&mut rig, 1000, 100_000);
-    assert!((850..950).contains(&back), "halfway back, on the grid: {back} of 1000");
+    assert!(
+        (850..950).contains(&back),
+        "halfway back, on the grid: {back} of 1000"
+    );
 }
 
 #[test]
@@ -62,8 +65,7 @@
                 rig.outcome(id, 0, &server, Status::Served, 0);
             }
             None => {
-                let advised =
-                    |a: &Action| matches!(a, Action::Refuse { retry_after_us, .. } if *retry_after_us > 0);
+                let advised = |a: &Action| matches!(a, Action::Refuse { retry_after_us, .. } if *retry_after_us > 0);
                 assert!(actions.iter().any(advised));
             }
         }
@@ -108,8 +110,16 @@
         let (id, actions) = rig.ask(|r| r.width = 2);
         for a in &actions {
             if let Action::Count { name, amount, .. } = a {
-                let status = if k % 3 == 0 { Status::NoAnswer } else { Status::Served };
-                rig.tell(Event::Counted { name: name.clone(), status, total: *amount });
+                let status = if k % 3 == 0 {
+                    Status::NoAnswer
+                } else {
+                    Status::Served
+                };
+                rig.tell(Event::Counted {
+                    name: name.clone(),
+                    status,
+                    total: *amount,
+                });
             }
         }
         if let Some(server) = sent(&actions) {
@@ -123,9 +133,15 @@
 #[test]
 fn attempts_out_at_once_are_capped() {
     let mut settings = wide();
-    (settings.plans[0].rate, settings.plans[0].burst, settings.plans[0].max_open) = (0.0, 0.0, 3);
+    (
+        settings.plans[0].rate,
+        settings.plans[0].burst,
+        settings.plans[0].max_open,
+    ) = (0.0, 0.0, 3);
     let mut rig = Rig::with_servers(settings, 4);
-    let n = (0..10).filter(|_| sent(&rig.request("c").1).is_some()).count();
+    let n = (0..10)
+        .filter(|_| sent(&rig.request("c").1).is_some())
+        .count();
     assert_eq!(n, 3);
 }
 
@@ -133,7 +149,11 @@
 fn a_cap_on_open_attempts_is_not_rounded_up_by_every_one_of_few_gateways_that_hear_nothing() {
     let mut settings = wide();
     settings.gateways = 8;
-    (settings.plans[0].rate, settings.plans[0].burst, settings.plans[0].max_open) = (0.0, 0.0, 3);
+    (
+        settings.plans[0].rate,
+        settings.plans[0].burst,
+        settings.plans[0].max_open,
+    ) = (0.0, 0.0, 3);
     let mut rig = Rig::with_servers(settings, 4);
     let passed = |rig: &mut Rig| !refused(&rig.ask(|r| r.width = 8).1);
     assert!(!passed(&mut rig), "a third of a place is none at the start");
@@ -148,20 +168,30 @@
 fn a_cap_on_open_attempts_is_held_by_the_meter_where_many_gateways_hear_nothing_else() {
     let mut settings = wide();
     (settings.gateways, settings.meter_period_us) = (100, 1_000_000);
-    (settings.plans[0].rate, settings.plans[0].burst, settings.plans[0].max_open) = (0.0, 0.0, 3);
+    (
+        settings.plans[0].rate,
+        settings.plans[0].burst,
+        settings.plans[0].max_open,
+    ) = (0.0, 0.0, 3);
     let mut rig = Rig::with_servers(settings, 4);
     let mut passed = 0;
     for n in 0..321 {
         let (id, actions) = rig.ask(|r| r.width = 100);
         let server = sent(&actions);
-        assert!(n > 0 || server.is_some(), "nothing is known of it: it is passed on");
+        assert!(
+            n > 0 || server.is_some(),
+            "nothing is known of it: it is passed on"
+        );
         let Some(server) = server else { continue };
         passed += 1;
         let mut o = Outcome::new(id, 0, server, Status::Served, 0);
         (o.closed, o.metered_use) = (true, Some(4.0));
         rig.tell(Event::Outcome(o));
     }
-    assert!((8..=40).contains(&passed), "{passed} of 321: the first, and a sixteenth of the others");
+    assert!(
+        (8..=40).contains(&passed),
+        "{passed} of 321: the first, and a sixteenth of the others"
+    );
 }
 
 #[test]
@@ -169,12 +199,20 @@
     let mut rig = Rig::with_servers(wide(), 2);
     for _ in 0..20 {
         let (id, actions) = rig.request("c");
-        rig.outcome(id, 0, &sent(&actions).expect("sent"), Status::Served, 50_000);
+        rig.outcome(
+            id,
+            0,
+            &sent(&actions).expect("sent"),
+            Status::Served,
+            50_000,
+        );
     }
     rig.now -= 1_000_000;
     rig.interval();
     // 20 a second were served: 100 at once would take five seconds.
-    let n = (0..100).filter(|_| sent(&rig.request("c").1).is_some()).count();
+    let n = (0..100)
+        .filter(|_| sent(&rig.request("c").1).is_some())
+        .count();
     assert!((5..20).contains(&n), "{n} passed");
 }
 
@@ -184,12 +222,23 @@
     let (mut bad, mut all) = (0, 0);
     for _ in 0..200 {
         let (id, actions) = rig.request("c");
-        let Some(server) = sent(&actions) else { continue };
+        let Some(server) = sent(&actions) else {
+            continue;
+        };
         all += 1;
         let failing = &*server.0 == "s0";
         bad += u32::from(failing);
-        let actions =
-            rig.outcome(id, 0, &server, if failing { Status::ServerError } else { Status::Served }, 1_000);
+        let actions = rig.outcome(
+            id,
+            0,
+            &server,
+            if failing {
+                Status::ServerError
+            } else {
+                Status::Served
+            },
+            1_000,
+        );
         if let Some(second) = sent(&actions) {
             assert_ne!(second, server);
             rig.outcome(id, 1, &second, Status::Served, 20_000);
@@ -203,8 +252,10 @@
     let mut settings = wide();
     settings.gateways = 12;
     let mut rig = Rig::new(settings);
-    let sized =
-        |i: usize| ServerEntry { share: 1.0 + i as f64 / 5.0, ..ServerEntry::ready(&format!("s{i}"), "a") };
+    let sized = |i: usize| ServerEntry {
+        share: 1.0 + i as f64 / 5.0,
+        ..ServerEntry::ready(&format!("s{i}"), "a")
+    };
     rig.list(ListKind::Complete, (0..4).map(sized).collect());
     let mut least = 0;
     for _ in 0..200 {
@@ -213,24 +264,42 @@
         least += u32::from(&*server.0 == "s0");
         rig.outcome(id, 0, &server, Status::Served, 1_000);
     }
-    assert!(least >= 8, "the smallest of four idle servers got {least} of 200");
+    assert!(
+        least >= 8,
+        "the smallest of four idle servers got {least} of 200"
+    );
 }
 
 #[test]
 fn unknown_names_get_one_answer_and_strangers_change_nothing() {
     let mut rig = Rig::with_servers(wide(), 2);
-    for change in [|r: &mut Request| r.plan = "?".into(), |r: &mut Request| r.class = "?".into()] {
+    for change in [
+        |r: &mut Request| r.plan = "?".into(),
+        |r: &mut Request| r.class = "?".into(),
+    ] {
         let (_, actions) = rig.ask(change);
-        assert_eq!(actions.iter().filter(|a| matches!(a, Action::Refuse { .. })).count(), 1);
+        assert_eq!(
+            actions
+                .iter()
+                .filter(|a| matches!(a, Action::Refuse { .. }))
+                .count(),
+            1
+        );
     }
     let stranger = Outcome::new(RequestId(99), 0, ServerId("x".into()), Status::Served, 1);
     assert!(rig.tell(Event::Outcome(stranger)).is_empty());
     assert!(rig.tell(Event::ClientGone(RequestId(99))).is_empty());
-    assert!(rig.tell(Event::Timer(Timer::Request(RequestId(99)))).is_empty());
+    assert!(rig
+        .tell(Event::Timer(Timer::Request(RequestId(99))))
+        .is_empty());
     let (id, actions) = rig.request("c");
     let server = sent(&actions).expect("sent");
     rig.outcome(id, 0, &server, Status::Served, 1);
-    assert!(rig.outcome(id, 0, &server, Status::ServerError, 1).is_empty(), "a repeated outcome is ignored");
+    assert!(
+        rig.outcome(id, 0, &server, Status::ServerError, 1)
+            .is_empty(),
+        "a repeated outcome is ignored"
+    );
 }
 
 #[test]
@@ -252,13 +321,22 @@
 #[test]
 fn memory_is_bounded_under_a_flood_of_customers() {
     let mut rig = Rig::with_servers(wide(), 2);
-    let answered = (0..70_000).filter(|i| refused(&rig.request(&format!("c{i}")).1)).count();
-    assert!(answered >= 70_000 - 24_576, "customers beyond the bound are refused");
+    let answered = (0..70_000)
+        .filter(|i| refused(&rig.request(&format!("c{i}")).1))
+        .count();
+    assert!(
+        answered >= 70_000 - 24_576,
+        "customers beyond the bound are refused"
+    );
 }
 
 /// Settings of one of several gateways that share a counter.
 fn counted(gateways: u32) -> Settings {
-    Settings { gateways, counter: true, ..Settings::example() }
+    Settings {
+        gateways,
+        counter: true,
+        ..Settings::example()
+    }
 }
 
 /// Guards against a second burst for every customer whenever the counts begin anew.
@@ -287,7 +365,10 @@
     let mut rig = Rig::with_servers(settings, 4);
     rig.now = 1_050_000_000;
     let mut total = 0.0;
-    assert!(passed_by_counter(&mut rig, 2, 30, &mut total) >= 9, "the burst");
+    assert!(
+        passed_by_counter(&mut rig, 2, 30, &mut total) >= 9,
+        "the burst"
+    );
     rig.now += 2_000_000;
     total = 0.0;
     let again = passed_by_counter(&mut rig, 2, 30, &mut total);
@@ -307,13 +388,20 @@
     });
     let mut total = 0.0;
     // Both ask before either has told what it makes up for.
-    let mut waiting: Vec<Vec<Action>> = rigs.iter_mut().map(|rig| rig.ask(|r| r.width = 2).1).collect();
+    let mut waiting: Vec<Vec<Action>> = rigs
+        .iter_mut()
+        .map(|rig| rig.ask(|r| r.width = 2).1)
+        .collect();
     while waiting.iter().any(|w| !w.is_empty()) {
         for (rig, actions) in rigs.iter_mut().zip(&mut waiting) {
             for action in std::mem::take(actions) {
                 if let Action::Count { name, amount, .. } = action {
                     total += amount;
-                    actions.extend(rig.tell(Event::Counted { name, status: Status::Served, total }));
+                    actions.extend(rig.tell(Event::Counted {
+                        name,
+                        status: Status::Served,
+                        total,
+                    }));
                 }
             }
         }
@@ -334,7 +422,10 @@
         let mut rig = Rig::with_servers(counted(2), 4);
         let (_, actions) = rig.ask(|r| r.width = 2);
         let all = settle_as(&mut rig, actions, &mut 0.0, || status);
-        let calls = all.iter().filter(|a| matches!(a, Action::Count { .. })).count();
+        let calls = all
+            .iter()
+            .filter(|a| matches!(a, Action::Count { .. }))
+            .count();
         assert!(calls <= 2, "{calls} calls");
     }
 }
@@ -344,7 +435,11 @@
 fn a_place_whose_call_was_lost_is_put_right() {
     for lost in 0..3 {
         let mut settings = counted(2);
-        (settings.plans[0].rate, settings.plans[0].burst, settings.plans[0].max_open) = (0.0, 0.0, 4);
+        (
+            settings.plans[0].rate,
+            settings.plans[0].burst,
+            settings.plans[0].max_open,
+        ) = (0.0, 0.0, 4);
         let mut rig = Rig::with_servers(settings, 4);
         let (mut total, mut calls) = (0.0, 0);
         let mut how = || {
@@ -376,7 +471,11 @@
 #[test]
 fn two_calls_that_are_out_are_told_apart() {
     let mut settings = counted(2);
-    (settings.plans[0].rate, settings.plans[0].burst, settings.plans[0].max_open) = (0.0, 0.0, 4);
+    (
+        settings.plans[0].rate,
+        settings.plans[0].burst,
+        settings.plans[0].max_open,
+    ) = (0.0, 0.0, 4);
     let mut rig = Rig::with_servers(settings, 4);
     let mut total = 0.0;
     let counts = |actions: &[Action]| {
@@ -398,7 +497,11 @@
     while !out.is_empty() {
         let (name, amount) = out.remove(0);
         total += amount;
-        let actions = rig.tell(Event::Counted { name, status: Status::Served, total });
+        let actions = rig.tell(Event::Counted {
+            name,
+            status: Status::Served,
+            total,
+        });
         out.extend(counts(&actions));
         sends.extend(sent(&actions));
     }
@@ -414,7 +517,11 @@
 #[test]
 fn a_place_is_taken_in_the_count_before_anything_is_sent() {
     let mut settings = counted(2);
-    (settings.plans[0].rate, settings.plans[0].burst, settings.plans[0].max_open) = (0.0, 0.0, 2);
+    (
+        settings.plans[0].rate,
+        settings.plans[0].burst,
+        settings.plans[0].max_open,
+    ) = (0.0, 0.0, 2);
     let mut rig = Rig::with_servers(settings, 4);
     let mut total = 0.0;
     // Several wait for one answer.
@@ -424,11 +531,18 @@
         match actions[k].clone() {
             Action::Count { name, amount, .. } => {
                 total += amount;
-                actions.extend(rig.tell(Event::Counted { name, status: Status::Served, total }));
+                actions.extend(rig.tell(Event::Counted {
+                    name,
+                    status: Status::Served,
+                    total,
+                }));
             }
             Action::Send { .. } => {
                 sends += 1;
-                assert!(total >= f64::from(sends), "{sends} sent with {total} in the count");
+                assert!(
+                    total >= f64::from(sends),
+                    "{sends} sent with {total} in the count"
+                );
             }
             _ => {}
         }
@@ -439,7 +553,11 @@
 
 fn places(gateways: u32, most: u32) -> Settings {
     let mut settings = counted(gateways);
-    (settings.plans[0].rate, settings.plans[0].burst, settings.plans[0].max_open) = (0.0, 0.0, most);
+    (
+        settings.plans[0].rate,
+        settings.plans[0].burst,
+        settings.plans[0].max_open,
+    ) = (0.0, 0.0, most);
     settings
 }
 
@@ -452,7 +570,11 @@
                 amounts.push(amount);
                 *total += amount;
                 rig.now += 20_000;
-                todo.extend(rig.tell(Event::Counted { name, status: Status::Served, total: *total }));
+                todo.extend(rig.tell(Event::Counted {
+                    name,
+                    status: Status::Served,
+                    total: *total,
+                }));
             }
             Action::Send { .. } => sends += 1,
             _ => {}
@@ -473,14 +595,25 @@
         let (calls, sends) = answered_late(&mut rig, actions, &mut total);
         match n {
             0 => assert_eq!((calls, sends), (vec![1.0], 1), "the first asks"),
-            _ => assert_eq!((calls, server.is_some()), (vec![], true), "the next has its place at once"),
+            _ => assert_eq!(
+                (calls, server.is_some()),
+                (vec![], true),
+                "the next has its place at once"
+            ),
         }
         let actions = rig.outcome(id, 0, &ServerId("s0".into()), Status::Served, 30_000);
         look = look.or(actions.iter().find_map(|a| match a {
-            Action::SetTimer { timer: Timer::Customer(of), .. } => Some(*of),
+            Action::SetTimer {
+                timer: Timer::Customer(of),
+                ..
+            } => Some(*of),
             _ => None,
         }));
-        assert_eq!(answered_late(&mut rig, actions, &mut total).0, vec![], "nothing is given back yet");
+        assert_eq!(
+            answered_late(&mut rig, actions, &mut total).0,
+            vec![],
+            "nothing is given back yet"
+        );
         assert_eq!(total, 1.0);
     }
     let of = look.expect("a look is due");
@@ -527,7 +660,11 @@
 #[test]
 fn places_come_back_when_their_count_begins_anew() {
     let mut settings = counted(2);
-    (settings.plans[0].rate, settings.plans[0].burst, settings.plans[0].max_open) = (0.0, 0.0, 4);
+    (
+        settings.plans[0].rate,
+        settings.plans[0].burst,
+        settings.plans[0].max_open,
+    ) = (0.0, 0.0, 4);
     let mut rig = Rig::with_servers(settings, 4);
     rig.now = 1_019_000_000;
     let mut total = 0.0;
@@ -563,7 +700,11 @@
         })
     };
     let (_, actions) = rig.request("c");
-    assert_eq!(time_out(&actions), Some(1_000_000), "nothing is known of what is usual");
+    assert_eq!(
+        time_out(&actions),
+        Some(1_000_000),
+        "nothing is known of what is usual"
+    );
     run(&mut rig, 10, 50_000);
     rig.interval();
     let (id, actions) = rig.request("d");
@@ -571,7 +712,10 @@
     assert!((200_000..=500_000).contains(&bound), "{bound}");
     let server = sent(&actions).expect("it is sent");
     let actions = rig.outcome(id, 0, &server, Status::NoAnswer, bound);
-    assert!(sent(&actions).is_some_and(|other| other != server), "{actions:?}");
+    assert!(
+        sent(&actions).is_some_and(|other| other != server),
+        "{actions:?}"
+    );
 }
 
 /// Guards against an answer that comes too late for its client to try elsewhere.
@@ -593,7 +737,8 @@
 
 /// The name that a call for a customer nobody has heard of yet goes by, if the counter is called.
 fn call_for(rig: &mut Rig, customer: u64) -> Option<String> {
-    let named = |r: &mut Request| (r.width, r.customer) = (2, CustomerId(format!("c{customer}").into()));
+    let named =
+        |r: &mut Request| (r.width, r.customer) = (2, CustomerId(format!("c{customer}").into()));
     let (_, actions) = rig.ask(named);
     actions.into_iter().find_map(|a| match a {
         Action::Count { name, .. } => Some(name),
@@ -610,13 +755,22 @@
         assert_eq!(out.len() as u64, lost);
         rig.now += 50_000;
         for name in out {
-            rig.tell(Event::Counted { name, status: Status::NoAnswer, total: 0.0 });
+            rig.tell(Event::Counted {
+                name,
+                status: Status::NoAnswer,
+                total: 0.0,
+            });
         }
         rig.now += 100_000;
-        (1_000..2_000).filter(|&n| call_for(&mut rig, n).is_some()).count()
+        (1_000..2_000)
+            .filter(|&n| call_for(&mut rig, n).is_some())
+            .count()
     };
     let (one, many) = (calls_after(1), calls_after(30));
-    assert!(many * 10 > one * 5, "{many} calls after thirty were lost, {one} after one");
+    assert!(
+        many * 10 > one * 5,
+        "{many} calls after thirty were lost, {one} after one"
+    );
 }
 
 #[test]
@@ -628,7 +782,11 @@
             .filter(|&n| {
                 let called = call_for(&mut rig, n).map(|name| {
                     rig.now += took;
-                    rig.tell(Event::Counted { name, status: Status::Served, total: 1.0 });
+                    rig.tell(Event::Counted {
+                        name,
+                        status: Status::Served,
+                        total: 1.0,
+                    });
                 });
                 rig.now += 100_000;
                 if n % 10 == 0 {
--- a/crates/turndeck/tests/replay.rs
+++ b/crates/turndeck/tests/replay.rs
@@ -43,7 +43,11 @@
     let known = (any::<bool>(), any::<bool>(), any::<bool>());
     let fleet = (0u8..3, 1usize..90, 1u32..16, 5.0..80.0f64);
     let quotas = (1.0..60.0f64, 1u32..9, prop_oneof![Just(0.0), 1.2..3.0f64]);
-    let rest = (prop_oneof![Just(0.0), 0.01..0.4f64], any::<bool>(), any::<u64>());
+    let rest = (
+        prop_oneof![Just(0.0), 0.01..0.4f64],
+        any::<bool>(),
+        any::<u64>(),
+    );
     (known, fleet, quotas, rest).prop_map(move |(known, fleet, quotas, rest)| World {
         gateways,
         counter: known.0,
@@ -74,7 +78,10 @@
         };
         let effect = match self.effect {
             0 => Effect::Repeatable,
-            1 => Effect::Keyed { scope: Scope::Cell, window_us: 750_000 },
+            1 => Effect::Keyed {
+                scope: Scope::Cell,
+                window_us: 750_000,
+            },
             _ => Effect::Once,
         };
         let plan = |name: &str, rate: f64, max_open, price, excess_worth, ceiling: f64| Plan {
@@ -85,7 +92,10 @@
             price,
             excess_worth,
             overrun_cost: 1.0 - excess_worth,
-            ceiling: (ceiling > 0.0).then_some(Ceiling { rate: rate * ceiling, depth: rate * ceiling * 2.0 }),
+            ceiling: (ceiling > 0.0).then_some(Ceiling {
+                rate: rate * ceiling,
+                depth: rate * ceiling * 2.0,
+            }),
         };
         Settings {
             gateways: self.gateways,
@@ -118,7 +128,10 @@
         ServerEntry {
             cell: (n % 5) as u64,
             share: 1.0 + (n % 3) as f64 / 2.0,
-            ..ServerEntry::ready(&format!("s{n}"), if n.is_multiple_of(2) { "a" } else { "b" })
+            ..ServerEntry::ready(
+                &format!("s{n}"),
+                if n.is_multiple_of(2) { "a" } else { "b" },
+            )
         }
     }
 
@@ -144,8 +157,9 @@
 impl Play {
     fn new(world: World) -> Play {
         let played = world.gateways.min(PLAYED);
-        let gateways = (0..played)
-            .map(|me| Gateway::new(world.settings(me), world.seed + u64::from(me)).expect("settings"));
+        let gateways = (0..played).map(|me| {
+            Gateway::new(world.settings(me), world.seed + u64::from(me)).expect("settings")
+        });
         let mut play = Play {
             rng: Pcg64Mcg::seed_from_u64(world.seed),
             now: 1_000_000_000,
@@ -159,14 +173,22 @@
             world,
         };
         for g in 0..played as usize {
-            play.later(0, g, Event::Servers { kind: ListKind::Complete, entries: play.world.list() });
+            play.later(
+                0,
+                g,
+                Event::Servers {
+                    kind: ListKind::Complete,
+                    entries: play.world.list(),
+                },
+            );
         }
         play
     }
 
     fn later(&mut self, after: Micros, gateway: usize, event: Event) {
         self.events += 1;
-        self.due.insert((self.now + after, self.events), (gateway, event));
+        self.due
+            .insert((self.now + after, self.events), (gateway, event));
     }
 
     fn chance(&mut self) -> f64 {
@@ -203,7 +225,13 @@
             }
             self.now = at;
             // A takeover: another process with the list that this one had. What was out is nobody's.
-            if matches!(&event, Event::Servers { kind: ListKind::Persisted, .. }) {
+            if matches!(
+                &event,
+                Event::Servers {
+                    kind: ListKind::Persisted,
+                    ..
+                }
+            ) {
                 let stays = |e: &Event| matches!(e, Event::Request(_) | Event::Servers { .. });
                 self.due.retain(|_, (of, e)| *of != g || stays(e));
                 let settings = self.world.settings(g as u32);
@@ -216,7 +244,10 @@
             }
         }
         let left: u64 = self.gateways.iter().map(|g| g.open_requests() as u64).sum();
-        self.note(&format!("{left} open, {} avoided", self.gateways[0].avoided()));
+        self.note(&format!(
+            "{left} open, {} avoided",
+            self.gateways[0].avoided()
+        ));
         (self.digest, self.seen)
     }
 
@@ -229,10 +260,17 @@
         let mut r = Request::new(id, &format!("customer-{n}"), plan, class, patience);
         r.units = f64::from(1 + self.below(6));
         r.width = [1, 2, 3, 60, 300][n as usize % 5].min(self.world.gateways);
-        r.first_gateway = if r.width < 4 { 0 } else { n % self.world.gateways };
+        r.first_gateway = if r.width < 4 {
+            0
+        } else {
+            n % self.world.gateways
+        };
         r.lower = self.chance() < 0.05;
         if self.chance() < 0.02 {
-            r.pin = Some((ServerId(format!("s{}", n % 4).as_str().into()), self.chance() < 0.5));
+            r.pin = Some((
+                ServerId(format!("s{}", n % 4).as_str().into()),
+                self.chance() < 0.5,
+            ));
         }
         r
     }
@@ -254,24 +292,40 @@
                 entry.started_us = 1_000_000_000 + second * 1_000_000;
                 ListKind::Partial
             }
-            4 => return Event::Servers { kind: ListKind::Complete, entries: self.world.list() },
+            4 => {
+                return Event::Servers {
+                    kind: ListKind::Complete,
+                    entries: self.world.list(),
+                }
+            }
             _ if self.world.seed.is_multiple_of(3) => {
-                return Event::Servers { kind: ListKind::Persisted, entries: self.world.list() }
+                return Event::Servers {
+                    kind: ListKind::Persisted,
+                    entries: self.world.list(),
+                }
             }
             _ => ListKind::Error,
         };
-        Event::Servers { kind, entries: vec![entry] }
+        Event::Servers {
+            kind,
+            entries: vec![entry],
+        }
     }
 
     fn take(&mut self, g: usize, action: Action) {
         let (now, recorded) = (self.now, recorded_form(&action));
         let kind = match action {
-            Action::Send { request, server, timeout_us, begin_within_us: _ } => {
+            Action::Send {
+                request,
+                server,
+                timeout_us,
+                begin_within_us: _,
+            } => {
                 let n = self.attempts.entry((g, request)).or_default();
                 let attempt = *n;
                 *n += 1;
-                let took =
-                    20_000 + Micros::from(self.below(120_000)) * if self.chance() < 0.05 { 8 } else { 1 };
+                let took = 20_000
+                    + Micros::from(self.below(120_000)) * if self.chance() < 0.05 { 8 } else { 1 };
                 let took = if self.slow() { took * 4 } else { took };
                 let (mut status, mut took) = match self.chance() < self.world.trouble {
                     false => (Status::Served, took),
@@ -293,8 +347,8 @@
                 let mut o = Outcome::new(request, attempt, server, status, took);
                 o.closed = status == Status::Served;
                 o.settled_units = (self.chance() < 0.1).then_some(2.0);
-                o.metered_use =
-                    (self.chance() < 0.5).then(|| f64::from((self.now / 1_000_000 % 5) as u32) * 0.6);
+                o.metered_use = (self.chance() < 0.5)
+                    .then(|| f64::from((self.now / 1_000_000 % 5) as u32) * 0.6);
                 self.later(took, g, Event::Outcome(o));
                 0
             }
@@ -307,11 +361,22 @@
             }
             Action::Tell { to, bytes } => {
                 if (to as usize) < self.gateways.len() && self.chance() > self.world.trouble {
-                    self.later(1_000, to as usize, Event::Peer { from: g as u32, bytes });
+                    self.later(
+                        1_000,
+                        to as usize,
+                        Event::Peer {
+                            from: g as u32,
+                            bytes,
+                        },
+                    );
                 }
                 4
             }
-            Action::Count { name, amount, ttl_us } => {
+            Action::Count {
+                name,
+                amount,
+                ttl_us,
+            } => {
                 self.count(g, name, amount);
                 5
             }
@@ -319,7 +384,11 @@
                 for other in (0..self.gateways.len()).filter(|o| *o != g) {
                     self.later(2_000, other, {
                         let (heard, uses) = (vec![g as u32], vec![(g as u32, tag, units)]);
-                        Event::Used { heard, uses, past: Vec::new() }
+                        Event::Used {
+                            heard,
+                            uses,
+                            past: Vec::new(),
+                        }
                     });
                 }
                 6
@@ -337,20 +406,36 @@
 
     /// The others of the fleet add, too; now and then it fails, and once it is down for two seconds.
     fn count(&mut self, g: usize, name: String, amount: f64) {
-        let others = f64::from(self.world.gateways.saturating_sub(PLAYED)).min(20.0) * self.chance() * 0.05;
-        let down = (5_000_000..7_000_000).contains(&(self.now - 1_000_000_000)) && self.world.trouble > 0.0;
+        let others =
+            f64::from(self.world.gateways.saturating_sub(PLAYED)).min(20.0) * self.chance() * 0.05;
+        let down = (5_000_000..7_000_000).contains(&(self.now - 1_000_000_000))
+            && self.world.trouble > 0.0;
         let status = match down || self.chance() < self.world.trouble {
             false => Status::Served,
-            true => [Status::ServerError, Status::NoAnswer, Status::NoConnection][self.below(3) as usize],
+            true => [Status::ServerError, Status::NoAnswer, Status::NoConnection]
+                [self.below(3) as usize],
         };
         let total = self.counts.entry(name.clone()).or_default();
         if matches!(status, Status::Served | Status::NoAnswer) {
             *total += amount + others.floor();
         }
         let total = *total;
-        let after =
-            1_500 + Micros::from(self.below(4_000)) + if status == Status::NoAnswer { 50_000 } else { 0 };
-        self.later(after, g, Event::Counted { name, status, total });
+        let after = 1_500
+            + Micros::from(self.below(4_000))
+            + if status == Status::NoAnswer {
+                50_000
+            } else {
+                0
+            };
+        self.later(
+            after,
+            g,
+            Event::Counted {
+                name,
+                status,
+                total,
+            },
+        );
     }
 
     /// FNV-1a, 64 bits.
@@ -395,12 +480,16 @@
 }
 
 fn play_all() -> String {
-    let mut text =
-        String::from("# gateways world: sends cancels refusals failures tells counts uses timers digest\n");
+    let mut text = String::from(
+        "# gateways world: sends cancels refusals failures tells counts uses timers digest\n",
+    );
     for gateways in [1, 3, 30, 300] {
         let mut runner = TestRunner::deterministic();
         for n in 0..WORLDS {
-            let world = worlds(gateways).new_tree(&mut runner).expect("a world").current();
+            let world = worlds(gateways)
+                .new_tree(&mut runner)
+                .expect("a world")
+                .current();
             let (digest, seen) = Play::new(world).run();
             let seen = seen.map(|n| n.to_string()).join(" ");
             writeln!(text, "{gateways} {n}: {seen} {digest:016x}").expect("to memory");
@@ -432,7 +521,9 @@
     let mut sums = [0u64; 8];
     for line in RESULTS.lines().skip(1) {
         let figures = line.split_once(": ").expect("figures").1.split(' ');
-        figures.zip(&mut sums).for_each(|(f, sum)| *sum += f.parse::<u64>().unwrap_or(0));
+        figures
+            .zip(&mut sums)
+            .for_each(|(f, sum)| *sum += f.parse::<u64>().unwrap_or(0));
     }
     assert!(sums.iter().all(|n| *n > 100), "{sums:?}");
 }
--- a/crates/turndeck/tests/rules.rs
+++ b/crates/turndeck/tests/rules.rs
@@ -6,12 +6,18 @@
 
 fn keyed(scope: Scope) -> Settings {
     let mut s = wide();
-    s.classes[0].effect = Effect::Keyed { scope, window_us: 1_000_000 };
+    s.classes[0].effect = Effect::Keyed {
+        scope,
+        window_us: 1_000_000,
+    };
     s
 }
 
 fn in_cell(server: &str, cell: u64) -> ServerEntry {
-    ServerEntry { cell, ..ServerEntry::ready(server, "a") }
+    ServerEntry {
+        cell,
+        ..ServerEntry::ready(server, "a")
+    }
 }
 
 #[test]
@@ -48,14 +54,20 @@
     let (id, actions) = rig.request("c");
     assert!(sent(&actions).is_none() && !refused(&actions));
     let timer = actions.iter().find_map(|a| match a {
-        Action::SetTimer { after_us, timer: Timer::Request(r) } if *r == id => Some(*after_us),
+        Action::SetTimer {
+            after_us,
+            timer: Timer::Request(r),
+        } if *r == id => Some(*after_us),
         _ => None,
     });
     let after = timer.expect("a held request needs a timer");
     assert!(after < 4_000_000);
     rig.now += after;
     assert!(refused(&rig.tell(Event::Timer(Timer::Request(id)))));
-    assert!(!refused(&rig.tell(Event::Timer(Timer::Request(id)))), "one answer only");
+    assert!(
+        !refused(&rig.tell(Event::Timer(Timer::Request(id)))),
+        "one answer only"
+    );
 }
 
 #[test]
@@ -83,7 +95,8 @@
     let mut rig = Rig::with_servers(settings, 3);
     let (id, actions) = rig.request("c");
     let server = sent(&actions).expect("sent");
-    let again = sent(&rig.outcome(id, 0, &server, Status::NoConnection, 1_000)).expect("sent again");
+    let again =
+        sent(&rig.outcome(id, 0, &server, Status::NoConnection, 1_000)).expect("sent again");
     assert_ne!(again, server);
 }
 
@@ -91,10 +104,14 @@
 fn a_keyed_request_that_may_have_run_stays_in_its_cell() {
     for _ in 0..8 {
         let mut rig = Rig::new(keyed(Scope::Cell));
-        rig.list(ListKind::Complete, (0..8).map(|i| in_cell(&format!("s{i}"), i / 2)).collect());
+        rig.list(
+            ListKind::Complete,
+            (0..8).map(|i| in_cell(&format!("s{i}"), i / 2)).collect(),
+        );
         let (id, actions) = rig.request("c");
         let server = sent(&actions).expect("sent");
-        let again = sent(&rig.outcome(id, 0, &server, Status::ServerError, 1_000)).expect("sent again");
+        let again =
+            sent(&rig.outcome(id, 0, &server, Status::ServerError, 1_000)).expect("sent again");
         let cell = |s: &ServerId| s.0[1..].parse::<u64>().expect("number") / 2;
         assert_eq!(cell(&again), cell(&server));
     }
@@ -123,7 +140,10 @@
 #[test]
 fn nothing_new_goes_to_a_server_that_drains_or_is_gone() {
     let mut rig = Rig::with_servers(wide(), 2);
-    let drained = ServerEntry { health: Health::Draining, ..ServerEntry::ready("s0", "a") };
+    let drained = ServerEntry {
+        health: Health::Draining,
+        ..ServerEntry::ready("s0", "a")
+    };
     rig.list(ListKind::Partial, vec![drained]);
     for _ in 0..20 {
         let (_, actions) = rig.request("c");
@@ -137,7 +157,10 @@
 #[test]
 fn a_cold_server_gets_no_more_than_its_part_though_it_is_empty() {
     let mut rig = Rig::with_servers(wide(), 4);
-    let cold = ServerEntry { started_us: rig.now, ..ServerEntry::ready("cold", "a") };
+    let cold = ServerEntry {
+        started_us: rig.now,
+        ..ServerEntry::ready("cold", "a")
+    };
     rig.list(ListKind::Partial, vec![cold]);
     let mut to_cold = 0;
     for _ in 0..100 {
@@ -151,15 +174,27 @@
         rig.now += 20_000;
     }
     // A fifth of what one of five like servers would get in the two seconds is four.
-    assert!((1..=6).contains(&to_cold), "{to_cold} of 100 went to the cold server");
+    assert!(
+        (1..=6).contains(&to_cold),
+        "{to_cold} of 100 went to the cold server"
+    );
 }
 
 /// Guards against a server that stays unused after it was put back, and that never grows warm: beside idle ones a cold
 /// one is always dear.
 #[test]
 fn a_cold_server_is_used_though_the_others_are_idle() {
-    let mut rig = Rig::with_servers(Settings { gateways: 4, ..wide() }, 8);
-    let cold = ServerEntry { started_us: rig.now, ..ServerEntry::ready("cold", "a") };
+    let mut rig = Rig::with_servers(
+        Settings {
+            gateways: 4,
+            ..wide()
+        },
+        8,
+    );
+    let cold = ServerEntry {
+        started_us: rig.now,
+        ..ServerEntry::ready("cold", "a")
+    };
     rig.list(ListKind::Partial, vec![cold]);
     for second in 0..5 {
         let mut to_cold = 0;
@@ -172,14 +207,23 @@
         }
         assert!(to_cold >= 1 || second == 0, "nothing in second {second}");
         // 50 a second over eight and a fifth.
-        assert!(to_cold <= 3, "{to_cold} in second {second}: no more than its share");
+        assert!(
+            to_cold <= 3,
+            "{to_cold} in second {second}: no more than its share"
+        );
     }
 }
 
 /// Latencies grow with queues: were a cold server's part to go by them, it would shrink just when it is needed most.
 #[test]
 fn a_cold_server_keeps_its_part_while_the_others_are_overloaded() {
-    let mut rig = Rig::with_servers(Settings { gateways: 2, ..wide() }, 3);
+    let mut rig = Rig::with_servers(
+        Settings {
+            gateways: 2,
+            ..wide()
+        },
+        3,
+    );
     let mut held: Vec<(Micros, RequestId, ServerId, Micros)> = Vec::new();
     // A second of 100 requests, warm servers taking so long; how many of them went to the cold one.
     let mut second = |took: Micros| {
@@ -201,7 +245,10 @@
         }
         rig.tell(Event::Timer(Timer::Interval));
         if took == 400_000 && to_cold == 0 {
-            let cold = ServerEntry { started_us: rig.now, ..ServerEntry::ready("cold", "a") };
+            let cold = ServerEntry {
+                started_us: rig.now,
+                ..ServerEntry::ready("cold", "a")
+            };
             rig.list(ListKind::Partial, vec![cold]);
         }
         to_cold
@@ -218,7 +265,10 @@
 fn with_ceiling() -> Settings {
     let mut s = wide();
     s.gateways = 2;
-    s.plans[0].ceiling = Some(Ceiling { rate: 10.0, depth: 20.0 });
+    s.plans[0].ceiling = Some(Ceiling {
+        rate: 10.0,
+        depth: 20.0,
+    });
     s
 }
 
@@ -229,9 +279,17 @@
 #[test]
 fn a_restart_mints_no_second_ceiling_burst() {
     let mut rig = Rig::with_servers(with_ceiling(), 2);
-    assert_eq!(passed(&mut rig, 50), 0, "a gateway that has just started owns nothing of the ceiling");
+    assert_eq!(
+        passed(&mut rig, 50),
+        0,
+        "a gateway that has just started owns nothing of the ceiling"
+    );
     rig.now += 1_000_000;
-    assert_eq!(passed(&mut rig, 50), 5, "half of the ceiling's rate for a second");
+    assert_eq!(
+        passed(&mut rig, 50),
+        5,
+        "half of the ceiling's rate for a second"
+    );
     rig.now += 60_000_000;
     assert_eq!(passed(&mut rig, 50), 10, "half of the ceiling's depth");
 }
@@ -239,13 +297,22 @@
 #[test]
 fn nothing_heard_raises_the_ceiling_slice() {
     let mut settings = with_ceiling();
-    (settings.peer_messages, settings.mail_per_s, settings.counter) = (true, 100.0, true);
+    (
+        settings.peer_messages,
+        settings.mail_per_s,
+        settings.counter,
+    ) = (true, 100.0, true);
     let mut rig = Rig::with_servers(settings, 2);
     for k in 0..200u8 {
         rig.now += 10_000;
         rig.tell(Event::Peer {
             from: u32::from(k % 4),
-            bytes: [&[3 + k % 2][..], &[k; 10], &[k; 1][..usize::from(1 - k % 2)]].concat(),
+            bytes: [
+                &[3 + k % 2][..],
+                &[k; 10],
+                &[k; 1][..usize::from(1 - k % 2)],
+            ]
+            .concat(),
         });
     }
     assert_eq!(passed_by_counter(&mut rig, 2, 50, &mut -1e9), 10);
--- a/crates/turndeck/tests/streams.rs
+++ b/crates/turndeck/tests/streams.rs
@@ -10,8 +10,14 @@
 fn settings() -> Settings {
     let mut s = common::wide();
     (s.gateways, s.peer_messages, s.mail_per_s, s.counter) = (3, true, 100.0, true);
-    s.plans[0].ceiling = Some(Ceiling { rate: 50.0, depth: 30.0 });
-    s.classes[0].effect = Effect::Keyed { scope: Scope::Cell, window_us: 500_000 };
+    s.plans[0].ceiling = Some(Ceiling {
+        rate: 50.0,
+        depth: 30.0,
+    });
+    s.classes[0].effect = Effect::Keyed {
+        scope: Scope::Cell,
+        window_us: 500_000,
+    };
     s
 }
 
@@ -44,7 +50,10 @@
         timers.sort_by_key(|t| t.0);
         out.sort_by_key(|o| deadlines[&o.0]);
         let timer_at = timers.first().map_or(Micros::MAX, |t| t.0);
-        let overdue = out.first().map(|o| deadlines[&o.0]).filter(|d| *d <= until.min(timer_at));
+        let overdue = out
+            .first()
+            .map(|o| deadlines[&o.0])
+            .filter(|d| *d <= until.min(timer_at));
         if let Some(at) = overdue {
             let (id, n, server, sent) = out.remove(0);
             now = now.max(at);
@@ -52,7 +61,11 @@
             o.closed = answered.contains_key(&id);
             events.push(Event::Outcome(o));
         }
-        match timers.first().copied().filter(|t| t.0 <= until && overdue.is_none()) {
+        match timers
+            .first()
+            .copied()
+            .filter(|t| t.0 <= until && overdue.is_none())
+        {
             Some((at, t)) => {
                 timers.remove(0);
                 now = now.max(at);
@@ -70,7 +83,8 @@
                 }
                 2 => {
                     now = until;
-                    let health = [Health::Ready, Health::Draining, Health::Removed][usize::from(pick) % 3];
+                    let health =
+                        [Health::Ready, Health::Draining, Health::Removed][usize::from(pick) % 3];
                     let entry = ServerEntry {
                         health,
                         cell: u64::from(pick % 2),
@@ -81,9 +95,15 @@
                     } else {
                         listed.remove(&entry.server);
                     }
-                    events.push(Event::Servers { kind: ListKind::Partial, entries: vec![entry] });
+                    events.push(Event::Servers {
+                        kind: ListKind::Partial,
+                        entries: vec![entry],
+                    });
                 }
-                3 => events.push(Event::Peer { from: u32::from(pick % 3), bytes: vec![1, pick, 0, 0, pick] }),
+                3 => events.push(Event::Peer {
+                    from: u32::from(pick % 3),
+                    bytes: vec![1, pick, 0, 0, pick],
+                }),
                 _ if !out.is_empty() => {
                     let (id, n, server, sent) = out.remove(usize::from(pick) % out.len());
                     now = until;
@@ -103,8 +123,13 @@
             g.handle(now, event, &mut actions);
             for a in &actions {
                 match a {
-                    Action::Send { request, server, .. } => {
-                        assert!(listed.contains(server), "sent to a server that drains or is gone");
+                    Action::Send {
+                        request, server, ..
+                    } => {
+                        assert!(
+                            listed.contains(server),
+                            "sent to a server that drains or is gone"
+                        );
                         assert!(!answered.contains_key(request), "sent after the answer");
                         let n = attempts.entry(*request).or_default();
                         drawn += f64::from(u8::from(*n == 0));
@@ -125,7 +150,10 @@
         let slice = 10.0 + 50.0 / 3.0 * ((now - start) as f64 / 1e6);
         assert!(drawn <= slice + 1e-6, "{drawn} drawn of a slice of {slice}");
     }
-    let unanswered = deadlines.keys().filter(|id| !answered.contains_key(id)).count();
+    let unanswered = deadlines
+        .keys()
+        .filter(|id| !answered.contains_key(id))
+        .count();
     assert_eq!(unanswered, 0, "every request is answered");
     (all, drawn)
 }
--- a/crates/turndeck/tests/subsets.rs
+++ b/crates/turndeck/tests/subsets.rs
@@ -9,7 +9,11 @@
 const SERVERS: usize = 200;
 
 fn one(me: u32, change: impl FnOnce(&mut Settings)) -> Rig {
-    let mut settings = Settings { gateways: GATEWAYS, me, ..wide() };
+    let mut settings = Settings {
+        gateways: GATEWAYS,
+        me,
+        ..wide()
+    };
     change(&mut settings);
     Rig::seeded(settings, u64::from(me))
 }
@@ -23,7 +27,9 @@
 
 /// So many requests, one after the other: where they went.
 fn used(rig: &mut Rig, requests: usize) -> BTreeSet<ServerId> {
-    one_by_one(rig, requests, 50_000, 50_000).into_keys().collect()
+    one_by_one(rig, requests, 50_000, 50_000)
+        .into_keys()
+        .collect()
 }
 
 #[test]
@@ -46,17 +52,27 @@
     rig.list(ListKind::Complete, (0..SERVERS).map(entry).collect());
     let before = used(&mut rig, 200);
     let drains = |n: &usize| before.contains(&entry(*n).server);
-    let entries = (0..SERVERS).filter(drains).map(|n| ServerEntry { health: Health::Draining, ..entry(n) });
+    let entries = (0..SERVERS).filter(drains).map(|n| ServerEntry {
+        health: Health::Draining,
+        ..entry(n)
+    });
     rig.list(ListKind::Partial, entries.collect());
     let after = used(&mut rig, 200);
-    assert!(before.is_disjoint(&after), "{:?}", before.intersection(&after).collect::<Vec<_>>());
+    assert!(
+        before.is_disjoint(&after),
+        "{:?}",
+        before.intersection(&after).collect::<Vec<_>>()
+    );
     assert_eq!(after.len(), 7);
 }
 
 /// A repeat may go only to the cell that drops it, of which the part may hold no other server.
 #[test]
 fn a_repeat_leaves_the_part_where_only_others_drop_it() {
-    let keyed = Effect::Keyed { scope: Scope::Cell, window_us: 1_000_000 };
+    let keyed = Effect::Keyed {
+        scope: Scope::Cell,
+        window_us: 1_000_000,
+    };
     let mut rig = one(11, |s| s.classes[0].effect = keyed);
     rig.list(ListKind::Complete, (0..SERVERS).map(entry).collect());
     let part = used(&mut rig, 200);
@@ -67,7 +83,8 @@
         rig.now += 200_000;
         let (id, actions) = rig.request("c");
         let first = sent(&actions).expect("sent");
-        let second = sent(&rig.outcome(id, 0, &first, Status::ConnectionLost, 1_000)).expect("sent again");
+        let second =
+            sent(&rig.outcome(id, 0, &first, Status::ConnectionLost, 1_000)).expect("sent again");
         assert_eq!(cell(&first), cell(&second));
         assert_ne!(first, second, "the cell has others");
         left += usize::from(!part.contains(&second));
@@ -80,7 +97,12 @@
 /// only some of them use it, and each has nowhere else to go: all servers are cold.
 #[test]
 fn cold_servers_are_not_pushed_over_by_those_that_use_them() {
-    let cold = ColdStart { from: 0.27, warm_us: 18_000_000, tip_multiple: 4.0, tip_after_us: 3_000_000 };
+    let cold = ColdStart {
+        from: 0.27,
+        warm_us: 18_000_000,
+        tip_multiple: 4.0,
+        tip_after_us: 3_000_000,
+    };
     let mut to_each = std::collections::BTreeMap::<ServerId, usize>::new();
     for me in 0..GATEWAYS {
         let mut rig = one(me, |s| s.cold = cold);
@@ -91,7 +113,12 @@
         let now = rig.now;
         rig.list(
             ListKind::Complete,
-            (0..SERVERS).map(|n| ServerEntry { started_us: now, ..entry(n) }).collect(),
+            (0..SERVERS)
+                .map(|n| ServerEntry {
+                    started_us: now,
+                    ..entry(n)
+                })
+                .collect(),
         );
         for _ in 0..60 {
             rig.now += 50_000;
@@ -103,16 +130,23 @@
         }
     }
     // Each did 30 a second for all gateways before; cold 0.27 of it, times 4, for 3 s.
-    let (allowed, sum) = (30.0 * 0.27 * 4.0 * 3.0, to_each.values().sum::<usize>() as f64);
+    let (allowed, sum) = (
+        30.0 * 0.27 * 4.0 * 3.0,
+        to_each.values().sum::<usize>() as f64,
+    );
     let most = to_each.values().max().copied().unwrap_or(0) as f64;
     assert!(most < allowed, "{most} to one of {allowed}");
-    assert!(sum > allowed * SERVERS as f64 / 5.0, "{sum}: they are used, so that they grow warm");
+    assert!(
+        sum > allowed * SERVERS as f64 / 5.0,
+        "{sum}: they are used, so that they grow warm"
+    );
 }
 
 /// Where gateways know who is there, those that are left take all servers over; few that are left use all.
 #[test]
 fn those_that_are_left_use_all_servers_between_them() {
-    let (numbers, left): (Vec<u32>, Vec<u32>) = ((0..30).collect(), (0..30).filter(|n| n % 3 > 0).collect());
+    let (numbers, left): (Vec<u32>, Vec<u32>) =
+        ((0..30).collect(), (0..30).filter(|n| n % 3 > 0).collect());
     let of = |gateways: &[u32], shown: &[u32]| {
         let mut all = BTreeSet::new();
         for me in gateways {
@@ -145,7 +179,17 @@
         let (id, actions) = rig.request("c");
         let first = sent(&actions).expect("sent");
         let bad = part.contains(&first);
-        rig.outcome(id, 0, &first, if bad { Status::NoConnection } else { Status::Served }, 1_000);
+        rig.outcome(
+            id,
+            0,
+            &first,
+            if bad {
+                Status::NoConnection
+            } else {
+                Status::Served
+            },
+            1_000,
+        );
         rig.tell(Event::ClientGone(id));
         served += usize::from(!bad);
     }
--- a/crates/turndeck/tests/terms.rs
+++ b/crates/turndeck/tests/terms.rs
@@ -7,11 +7,19 @@
 
 fn plan(rate: f64, burst: f64, ceiling: Option<f64>) -> Plan {
     let ceiling = ceiling.map(|c| Ceiling { rate: c, depth: c });
-    Plan { rate, burst, ceiling, ..Settings::example().plans[0].clone() }
+    Plan {
+        rate,
+        burst,
+        ceiling,
+        ..Settings::example().plans[0].clone()
+    }
 }
 
 fn settings(plan: Plan) -> Settings {
-    Settings { plans: vec![plan], ..Settings::example() }
+    Settings {
+        plans: vec![plan],
+        ..Settings::example()
+    }
 }
 
 fn terms(plan: Plan) -> Event {
@@ -40,7 +48,11 @@
     let mut rig = Rig::with_servers(settings(plan(10.0, 20.0, None)), 2);
     assert_eq!(passes(&mut rig, 15), 15);
     rig.tell(terms(plan(2.0, 4.0, None)));
-    assert_eq!(passes(&mut rig, 15), 4, "of the five that were left as many as fit the smaller store");
+    assert_eq!(
+        passes(&mut rig, 15),
+        4,
+        "of the five that were left as many as fit the smaller store"
+    );
     rig.now += 1_000_000;
     assert_eq!(passes(&mut rig, 15), 2);
 }
@@ -58,7 +70,11 @@
     rig.now += 125_000;
     rig.tell(Event::Timer(Timer::Interval));
     rig.now += 500_000;
-    assert_eq!(passes(&mut rig, 100), 20, "half a second by the new rate, and half a unit from before");
+    assert_eq!(
+        passes(&mut rig, 100),
+        20,
+        "half a second by the new rate, and half a unit from before"
+    );
 }
 
 /// Whatever the order of changes, no more passes in any time than the largest ceiling, and in the window than the smaller.
@@ -78,15 +94,24 @@
             })
             .sum();
         let smaller = f64::min(first, then);
-        assert!(within as f64 <= smaller + 0.25 * smaller, "{first} to {then}: {within} within the window");
+        assert!(
+            within as f64 <= smaller + 0.25 * smaller,
+            "{first} to {then}: {within} within the window"
+        );
         let after: usize = (0..100)
             .map(|_| {
                 rig.now += 25_000;
                 passes(&mut rig, 50)
             })
             .sum();
-        assert!(after as f64 <= then * 2.5 + 1.0, "{first} to {then}: {after} after it");
-        assert!(after as f64 >= then * 2.4 - 1.0, "{first} to {then}: {after} after it");
+        assert!(
+            after as f64 <= then * 2.5 + 1.0,
+            "{first} to {then}: {after} after it"
+        );
+        assert!(
+            after as f64 >= then * 2.4 - 1.0,
+            "{first} to {then}: {after} after it"
+        );
     }
 }
 
@@ -104,8 +129,16 @@
     rig.tell(terms(plan(1.0, 2.0, None)));
     let actions = rig.tell(Event::Standing(Standing::Open));
     let n = |which: fn(&Action) -> bool| actions.iter().filter(|a| which(a)).count();
-    assert_eq!(n(|a| matches!(a, Action::Send { .. })), 2, "as many as the new terms allow");
-    assert_eq!(n(|a| matches!(a, Action::Refuse { .. })), 4, "and the rest is answered at once");
+    assert_eq!(
+        n(|a| matches!(a, Action::Send { .. })),
+        2,
+        "as many as the new terms allow"
+    );
+    assert_eq!(
+        n(|a| matches!(a, Action::Refuse { .. })),
+        4,
+        "and the rest is answered at once"
+    );
 }
 
 #[test]
@@ -114,7 +147,10 @@
     rig.tell(Event::Standing(Standing::Soon));
     let (id, actions) = rig.request("c");
     let after = actions.iter().find_map(|a| match a {
-        Action::SetTimer { after_us, timer: Timer::Request(r) } if *r == id => Some(*after_us),
+        Action::SetTimer {
+            after_us,
+            timer: Timer::Request(r),
+        } if *r == id => Some(*after_us),
         _ => None,
     });
     rig.now += after.expect("a timer");
@@ -129,7 +165,10 @@
     rig.tell(Event::Standing(Standing::Soon));
     let (_, held) = rig.request("c");
     assert!(!refused(&held));
-    assert!(refused(&rig.tell(Event::Standing(Standing::Closed))), "what was held is answered");
+    assert!(
+        refused(&rig.tell(Event::Standing(Standing::Closed))),
+        "what was held is answered"
+    );
     let (_, actions) = rig.request("c");
     let after = actions.iter().find_map(|a| match a {
         Action::Refuse { retry_after_us, .. } => Some(*retry_after_us),
@@ -148,11 +187,27 @@
     let set = Settings::example();
     let of = |rate: f64, burst: f64, cap: u32, ceiling: Option<f64>| {
         let ceiling = ceiling.map(|c| Ceiling { rate: c, depth: c });
-        let plan = Plan { rate, burst, max_open: cap, ceiling, ..set.plans[0].clone() };
-        Terms { plans: vec![plan], classes: set.classes.clone(), retries: set.retries }
+        let plan = Plan {
+            rate,
+            burst,
+            max_open: cap,
+            ceiling,
+            ..set.plans[0].clone()
+        };
+        Terms {
+            plans: vec![plan],
+            classes: set.classes.clone(),
+            retries: set.retries,
+        }
     };
     let both = of(5.0, 20.0, 0, Some(30.0)).smaller(&of(10.0, 8.0, 4, None));
     let p = &both.plans[0];
     assert_eq!((p.rate, p.burst, p.max_open), (5.0, 8.0, 4));
-    assert_eq!(p.ceiling, Some(Ceiling { rate: 30.0, depth: 30.0 }));
+    assert_eq!(
+        p.ceiling,
+        Some(Ceiling {
+            rate: 30.0,
+            depth: 30.0
+        })
+    );
 }
--- a/crates/turndeck/tests/wide_sets.rs
+++ b/crates/turndeck/tests/wide_sets.rs
@@ -8,7 +8,11 @@
 
 /// One of many gateways. The plan's burst spread over the set is under one request.
 fn one(seed: u64) -> Rig {
-    let mut settings = Settings { gateways: GATEWAYS, counter: true, ..Settings::example() };
+    let mut settings = Settings {
+        gateways: GATEWAYS,
+        counter: true,
+        ..Settings::example()
+    };
     settings.me = seed as u32 % GATEWAYS;
     (settings.plans[0].overrun_cost, settings.plans[0].price) = (0.5, 1.0);
     Rig::seeded(settings, seed).listing(4)
@@ -16,7 +20,11 @@
 
 fn calls(actions: &[Action]) -> Vec<(String, f64, Micros)> {
     let call = |a: &Action| match a {
-        Action::Count { name, amount, ttl_us } => Some((name.clone(), *amount, *ttl_us)),
+        Action::Count {
+            name,
+            amount,
+            ttl_us,
+        } => Some((name.clone(), *amount, *ttl_us)),
         _ => None,
     };
     actions.iter().filter_map(call).collect()
@@ -32,10 +40,15 @@
     let made: usize = (0..u64::from(GATEWAYS))
         .map(|seed| {
             let mut rig = one(seed);
-            (0..10).map(|c| calls(&rig.ask(named(c)).1).len()).sum::<usize>()
+            (0..10)
+                .map(|c| calls(&rig.ask(named(c)).1).len())
+                .sum::<usize>()
         })
         .sum();
-    assert!((50..=300).contains(&made), "{made} calls by {GATEWAYS} gateways, none answered yet");
+    assert!(
+        (50..=300).contains(&made),
+        "{made} calls by {GATEWAYS} gateways, none answered yet"
+    );
 }
 
 /// Asked in vain, a slice of next to nothing is no reason to refuse.
@@ -59,18 +72,38 @@
             rig.outcome(id, 0, &server, Status::Served, 0);
         }
     }
-    assert!((4..=30).contains(&passed), "{passed} of 200 passed, a sixteenth is due");
+    assert!(
+        (4..=30).contains(&passed),
+        "{passed} of 200 passed, a sixteenth is due"
+    );
 }
 
 /// Many gateways with neither a counter nor each other's word, each with a request of a customer now and then. Its quota is 2
 /// units a second; it asks for so many, one at a time. How many are passed on in each second, `metered` or not.
 fn passed_without_a_counter(per_s: usize, metered: bool) -> Vec<usize> {
-    let mut settings = Settings { gateways: GATEWAYS, counter: false, ..Settings::example() };
-    (settings.peer_messages, settings.told_us, settings.most_units) = (false, 0, 4.0);
+    let mut settings = Settings {
+        gateways: GATEWAYS,
+        counter: false,
+        ..Settings::example()
+    };
+    (
+        settings.peer_messages,
+        settings.told_us,
+        settings.most_units,
+    ) = (false, 0, 4.0);
     (settings.plans[0].rate, settings.plans[0].burst) = (2.0, 8.0);
     (settings.plans[0].overrun_cost, settings.plans[0].price) = (0.6, 1.0);
     let mut rigs: Vec<Rig> = (0..GATEWAYS)
-        .map(|me| Rig::seeded(Settings { me, ..settings.clone() }, me.into()).listing(4))
+        .map(|me| {
+            Rig::seeded(
+                Settings {
+                    me,
+                    ..settings.clone()
+                },
+                me.into(),
+            )
+            .listing(4)
+        })
         .collect();
     let (mut asked, mut passed) = (0, vec![0; 40]);
     let begins = rigs[0].now;
@@ -80,7 +113,9 @@
             let rig = &mut rigs[asked * 37 % GATEWAYS as usize];
             rig.now = begins + (second as u64 * 1_000_000) + (n * 1_000_000 / per_s) as u64;
             let (id, actions) = rig.ask(|r| (r.width, r.units) = (GATEWAYS, 1.0));
-            let Some(server) = sent(&actions) else { continue };
+            let Some(server) = sent(&actions) else {
+                continue;
+            };
             passed[second] += 1;
             let mut o = Outcome::new(id, 0, server, Status::Served, 0);
             // Of the last period that is over.
@@ -107,7 +142,10 @@
     let passed = passed_without_a_counter(12, true);
     let late: usize = passed[10..].iter().sum();
     let times = late as f64 / (passed.len() - 10) as f64 / 2.0;
-    assert!((0.75..=2.25).contains(&times), "{times} times its quota of six asked for: {passed:?}");
+    assert!(
+        (0.75..=2.25).contains(&times),
+        "{times} times its quota of six asked for: {passed:?}"
+    );
 }
 
 /// Guards against use that stays untold until its customer comes again, which may be never.
@@ -115,15 +153,24 @@
 fn what_was_asked_for_and_not_used_goes_back_though_its_customer_stays_away() {
     let mut rig = one(1);
     let (_, actions) = rig.ask(|r| (r.width, r.units) = (GATEWAYS, 3.0));
-    let [(name, asked, _)] = &calls(&actions)[..] else { panic!("it asks: {actions:?}") };
-    let mut told = rig.tell(Event::Counted { name: name.clone(), status: Status::Served, total: 1e3 });
+    let [(name, asked, _)] = &calls(&actions)[..] else {
+        panic!("it asks: {actions:?}")
+    };
+    let mut told = rig.tell(Event::Counted {
+        name: name.clone(),
+        status: Status::Served,
+        total: 1e3,
+    });
     assert!(refused(&told), "all is used: {told:?}");
     let mut back = calls(&told).iter().map(|c| c.1).sum::<f64>();
     for _ in 0..10 {
         let timers: Vec<(Micros, Timer)> = told
             .iter()
             .filter_map(|a| match a {
-                Action::SetTimer { after_us, timer: timer @ Timer::Customer(_) } => Some((*after_us, *timer)),
+                Action::SetTimer {
+                    after_us,
+                    timer: timer @ Timer::Customer(_),
+                } => Some((*after_us, *timer)),
                 _ => None,
             })
             .collect();
@@ -140,8 +187,16 @@
 /// A cap over so many gateways is one sum, which begins anew every few seconds: what a gateway that died held is free again.
 #[test]
 fn places_that_a_dead_gateway_held_are_free_again_soon() {
-    let mut settings = Settings { gateways: GATEWAYS, counter: true, ..Settings::example() };
-    (settings.plans[0].rate, settings.plans[0].burst, settings.plans[0].max_open) = (0.0, 0.0, 2);
+    let mut settings = Settings {
+        gateways: GATEWAYS,
+        counter: true,
+        ..Settings::example()
+    };
+    (
+        settings.plans[0].rate,
+        settings.plans[0].burst,
+        settings.plans[0].max_open,
+    ) = (0.0, 0.0, 2);
     settings.plans[0].overrun_cost = 1.0;
     let mut counts = std::collections::HashMap::new();
     let mut passes = |seed: u64, later: Micros, ends: bool| {
@@ -155,7 +210,11 @@
                 Action::Count { name, amount, .. } => {
                     let total: &mut f64 = counts.entry(name.clone()).or_default();
                     *total += amount;
-                    let told = Event::Counted { name, status: Status::Served, total: *total };
+                    let told = Event::Counted {
+                        name,
+                        status: Status::Served,
+                        total: *total,
+                    };
                     actions.extend(rig.tell(told));
                 }
                 Action::Send { server: to, .. } if ends => {
@@ -169,10 +228,19 @@
         }
         server.is_some()
     };
-    assert!((0..3).all(|seed| passes(seed, 0, true)), "one after the other");
-    assert!(passes(3, 0, false) && passes(4, 0, false), "two at once, whose gateways die");
+    assert!(
+        (0..3).all(|seed| passes(seed, 0, true)),
+        "one after the other"
+    );
+    assert!(
+        passes(3, 0, false) && passes(4, 0, false),
+        "two at once, whose gateways die"
+    );
     assert!(!passes(5, 0, true), "and no third");
-    assert!(passes(6, 3_000_000, true), "a few seconds later both places are free");
+    assert!(
+        passes(6, 3_000_000, true),
+        "a few seconds later both places are free"
+    );
 }
 
 /// Where each server is met rarely its own answers tell too late that all of its zone is gone.
@@ -191,8 +259,13 @@
             let in_a = server.0[1..].parse::<usize>().expect("its number") < 30;
             to_a += usize::from(in_a);
             let lost = in_a && gone;
-            let status = if lost { Status::NoConnection } else { Status::Served };
-            let again = sent(&rig.outcome(id, 0, &server, status, if lost { 250_000 } else { 100_000 }));
+            let status = if lost {
+                Status::NoConnection
+            } else {
+                Status::Served
+            };
+            let again =
+                sent(&rig.outcome(id, 0, &server, status, if lost { 250_000 } else { 100_000 }));
             rig.tell(Event::ClientGone(id));
             // Its client does not wait for the further attempt, which is called off.
             if let Some(server) = again {
@@ -214,9 +287,17 @@
 
 /// One of many gateways, where the plan's ceiling is twice its quota.
 fn one_with_a_ceiling(me: u32) -> Rig {
-    let mut s = Settings { gateways: GATEWAYS, counter: true, me, ..Settings::example() };
+    let mut s = Settings {
+        gateways: GATEWAYS,
+        counter: true,
+        me,
+        ..Settings::example()
+    };
     (s.plans[0].rate, s.plans[0].burst) = (10.0, 60.0);
-    s.plans[0].ceiling = Some(Ceiling { rate: 20.0, depth: 120.0 });
+    s.plans[0].ceiling = Some(Ceiling {
+        rate: 20.0,
+        depth: 120.0,
+    });
     s.plans[0].overrun_cost = 1.0;
     Rig::seeded(s, u64::from(me)).listing(4)
 }
@@ -257,8 +338,14 @@
             }
         }
         let most = 120.0 + 20.0 * SECONDS as f64;
-        assert!(passed <= most, "{passed} units of {most} with answers: {answers}");
-        assert!(!answers || passed >= 0.8 * (60.0 + 10.0 * SECONDS as f64), "{passed} units served");
+        assert!(
+            passed <= most,
+            "{passed} units of {most} with answers: {answers}"
+        );
+        assert!(
+            !answers || passed >= 0.8 * (60.0 + 10.0 * SECONDS as f64),
+            "{passed} units served"
+        );
     }
 }
 
@@ -271,17 +358,36 @@
     let asks = |r: &mut Request| (r.width, r.units) = (SET, 3.0);
     // What the slice above the quota holds at the start is nothing, so all goes by the count.
     let (first, actions) = rig.ask(asks);
-    let [(name, asked, _)] = &calls(&actions)[..] else { panic!("it asks: {actions:?}") };
+    let [(name, asked, _)] = &calls(&actions)[..] else {
+        panic!("it asks: {actions:?}")
+    };
     let waiting: Vec<RequestId> = (0..2).map(|_| rig.ask(asks).0).collect();
     // Of the count's life 40 s are over, in which 400 units came in and were used, and 20 more.
     let mut total = 420.0 + asked;
-    let told = rig.tell(Event::Counted { name: name.clone(), status: Status::Served, total });
-    assert!(!refused(&told), "nobody is refused before it was asked for: {told:?}");
+    let told = rig.tell(Event::Counted {
+        name: name.clone(),
+        status: Status::Served,
+        total,
+    });
+    assert!(
+        !refused(&told),
+        "nobody is refused before it was asked for: {told:?}"
+    );
     let again = calls(&told);
     assert_eq!(again.len(), 1, "one call for all that wait: {told:?}");
     total += again[0].1;
-    let told = rig.tell(Event::Counted { name: name.clone(), status: Status::Served, total });
-    let passed = |id| told.iter().any(|a| matches!(a, Action::Send { request, .. } if *request == id));
-    assert!(passed(first) && waiting.iter().all(|id| passed(*id)), "{told:?}");
+    let told = rig.tell(Event::Counted {
+        name: name.clone(),
+        status: Status::Served,
+        total,
+    });
+    let passed = |id| {
+        told.iter()
+            .any(|a| matches!(a, Action::Send { request, .. } if *request == id))
+    };
+    assert!(
+        passed(first) && waiting.iter().all(|id| passed(*id)),
+        "{told:?}"
+    );
     assert_eq!(total, 429.0, "and no more units are taken than they draw");
 }
--- a/crates/turndeck/tests/words.rs
+++ b/crates/turndeck/tests/words.rs
@@ -26,11 +26,17 @@
 impl Fleet {
     fn new(talk: bool, bad: fn(u32, &ServerId) -> bool) -> Fleet {
         let one = |me: u32| {
-            let settings = Settings { gateways: GATEWAYS, me, ..wide() };
+            let settings = Settings {
+                gateways: GATEWAYS,
+                me,
+                ..wide()
+            };
             let mut rig = Rig::seeded(settings, u64::from(me));
             rig.list(
                 ListKind::Complete,
-                (0..SERVERS).map(|n| ServerEntry::ready(&format!("s{n}"), "a")).collect(),
+                (0..SERVERS)
+                    .map(|n| ServerEntry::ready(&format!("s{n}"), "a"))
+                    .collect(),
             );
             rig
         };
@@ -55,8 +61,9 @@
                     rig.tell(Event::Timer(Timer::Interval));
                 }
                 let now = rig.now;
-                let (due, later) =
-                    std::mem::take(&mut self.out).into_iter().partition(|o| o.0 == me && o.1 <= now);
+                let (due, later) = std::mem::take(&mut self.out)
+                    .into_iter()
+                    .partition(|o| o.0 == me && o.1 <= now);
                 self.out = later;
                 let due: Vec<(u32, u64, RequestId, u32, ServerId)> = due;
                 for (_, _, id, attempt, server) in due {
@@ -71,7 +78,13 @@
                             self.out.push((me, now + 3 * STEP, id, attempt, server));
                             break;
                         }
-                        actions = self.all[me as usize].end(id, attempt, &server, Status::ServerError, 1_000);
+                        actions = self.all[me as usize].end(
+                            id,
+                            attempt,
+                            &server,
+                            Status::ServerError,
+                            1_000,
+                        );
                         attempt += 1;
                     }
                 }
@@ -87,14 +100,21 @@
         for (me, rig) in (0..).zip(&mut self.all) {
             for (from, words) in (0..).zip(&words) {
                 if from != me && !self.deaf.contains(&me) && !self.deaf.contains(&from) {
-                    rig.tell(Event::Words { from, words: words.clone() });
+                    rig.tell(Event::Words {
+                        from,
+                        words: words.clone(),
+                    });
                 }
             }
         }
     }
 
     fn sent_to(&self, server: &str) -> usize {
-        self.sends.iter().filter(|((_, s), _)| *s.0 == *server).map(|(_, n)| n).sum()
+        self.sends
+            .iter()
+            .filter(|((_, s), _)| *s.0 == *server)
+            .map(|(_, n)| n)
+            .sum()
     }
 
     fn left_alone(&self) -> Vec<usize> {
@@ -113,7 +133,11 @@
     together.run(30);
     let kept_out = (alone.sent_to("s7"), together.sent_to("s7"));
     // Of 14,400 requests; one in each turn of four seconds.
-    assert!(together.left_alone().iter().all(|out| *out == 1), "{:?}", together.left_alone());
+    assert!(
+        together.left_alone().iter().all(|out| *out == 1),
+        "{:?}",
+        together.left_alone()
+    );
     assert!((5..=10).contains(&kept_out.1), "{kept_out:?}");
     assert!(kept_out.1 * 4 < kept_out.0, "{kept_out:?}");
     assert!(found_out.1 <= found_out.0, "{found_out:?}");
@@ -123,7 +147,11 @@
     assert!(together.left_alone().iter().all(|out| *out == 0));
     together.run(5);
     // As much as others, within chance.
-    assert!((40..160).contains(&together.sent_to("s7")), "{}", together.sent_to("s7"));
+    assert!(
+        (40..160).contains(&together.sent_to("s7")),
+        "{}",
+        together.sent_to("s7")
+    );
 }
 
 /// One whose own network is bad finds all servers bad, and takes none from the others.
@@ -131,12 +159,21 @@
 fn one_that_accuses_all_takes_none_from_the_others() {
     let mut fleet = Fleet::new(true, |me, _| me == 3);
     fleet.run(10);
-    let others = fleet.left_alone().into_iter().enumerate().filter(|(n, _)| *n != 3).all(|(_, out)| out == 0);
+    let others = fleet
+        .left_alone()
+        .into_iter()
+        .enumerate()
+        .filter(|(n, _)| *n != 3)
+        .all(|(_, out)| out == 0);
     assert!(others, "{:?}", fleet.left_alone());
     // It can reach a part only: still one witness.
     let mut fleet = Fleet::new(true, |me, s| me == 3 && s.0.ends_with('1'));
     fleet.run(10);
-    assert!(fleet.left_alone().iter().all(|out| *out == 0), "{:?}", fleet.left_alone());
+    assert!(
+        fleet.left_alone().iter().all(|out| *out == 0),
+        "{:?}",
+        fleet.left_alone()
+    );
 }
 
 /// One that hears nobody goes by its own word: nothing is out for it but it does without the server nearly as before.
@@ -146,7 +183,12 @@
     fleet.deaf = vec![5];
     fleet.run(10);
     let out = fleet.left_alone();
-    assert!(out.iter().enumerate().all(|(n, out)| *out == usize::from(n != 5)), "{out:?}");
+    assert!(
+        out.iter()
+            .enumerate()
+            .all(|(n, out)| *out == usize::from(n != 5)),
+        "{out:?}"
+    );
 }
 
 /// What was found out of a server's earlier process is void.
@@ -159,8 +201,18 @@
     for rig in &mut fleet.all {
         rig.now += 10_000;
         let started_us = rig.now;
-        rig.list(ListKind::Partial, vec![ServerEntry { started_us, ..ServerEntry::ready("s7", "a") }]);
+        rig.list(
+            ListKind::Partial,
+            vec![ServerEntry {
+                started_us,
+                ..ServerEntry::ready("s7", "a")
+            }],
+        );
     }
     fleet.say();
-    assert!(fleet.left_alone().iter().all(|out| *out == 0), "{:?}", fleet.left_alone());
+    assert!(
+        fleet.left_alone().iter().all(|out| *out == 0),
+        "{:?}",
+        fleet.left_alone()
+    );
 }
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -29,13 +29,22 @@
         let mut out = Vec::new();
         for msg in batch.msgs {
             let i = msg.instance();
-            match catch_unwind(AssertUnwindSafe(|| step(&mut gateways, batch.time_us, msg, &mut out))) {
+            match catch_unwind(AssertUnwindSafe(|| {
+                step(&mut gateways, batch.time_us, msg, &mut out)
+            })) {
                 Ok(result) => result.map_err(|e| format!("line {}: {e}", n + 1))?,
-                Err(panic) => out.push(Out::GiveIn { i, line: panic_text(panic.as_ref()) }),
+                Err(panic) => out.push(Out::GiveIn {
+                    i,
+                    line: panic_text(panic.as_ref()),
+                }),
             }
         }
-        let reply = Reply { batch: batch.batch, out };
-        serde_json::to_writer(&mut output, &reply).map_err(|e| format!("cannot write the reply: {e}"))?;
+        let reply = Reply {
+            batch: batch.batch,
+            out,
+        };
+        serde_json::to_writer(&mut output, &reply)
+            .map_err(|e| format!("cannot write the reply: {e}"))?;
         output
             .write_all(b"\n")
             .and_then(|()| output.flush())
@@ -44,10 +53,17 @@
     Ok(())
 }
 
-fn step(gateways: &mut BTreeMap<u32, Gateway>, now: u64, msg: Msg, out: &mut Vec<Out>) -> Result<(), String> {
+fn step(
+    gateways: &mut BTreeMap<u32, Gateway>,
+    now: u64,
+    msg: Msg,
+    out: &mut Vec<Out>,
+) -> Result<(), String> {
     let i = msg.instance();
     match msg {
-        Msg::Start { prng, boot_info, .. } => {
+        Msg::Start {
+            prng, boot_info, ..
+        } => {
             let gateway = Gateway::new(boot_info.settings(), prng).map_err(|e| e.to_string())?;
             gateways.insert(i, gateway);
         }
@@ -70,5 +86,6 @@
 
 fn panic_text(panic: &(dyn std::any::Any + Send)) -> String {
     let text = panic.downcast_ref::<String>().cloned();
-    text.or_else(|| panic.downcast_ref::<&str>().map(|s| s.to_string())).unwrap_or_else(|| "panic".into())
+    text.or_else(|| panic.downcast_ref::<&str>().map(|s| s.to_string()))
+        .unwrap_or_else(|| "panic".into())
 }
--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -169,16 +169,21 @@
 fn request_id(text: &str) -> Result<RequestId, String> {
     let digits = text.len() == 16 && text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
     let id = digits.then(|| u64::from_str_radix(text, 16).ok()).flatten();
-    id.map(RequestId).ok_or_else(|| format!("request id {text:?} is not 16 lower-case hex digits"))
+    id.map(RequestId)
+        .ok_or_else(|| format!("request id {text:?} is not 16 lower-case hex digits"))
 }
 
 fn hex(text: &str) -> Result<Vec<u8>, String> {
     let pairs = text.as_bytes().chunks(2);
     let byte = |p: &[u8]| {
         let digits = p.len() == 2 && p.iter().all(u8::is_ascii_hexdigit);
-        digits.then(|| u8::from_str_radix(std::str::from_utf8(p).ok()?, 16).ok()).flatten()
+        digits
+            .then(|| u8::from_str_radix(std::str::from_utf8(p).ok()?, 16).ok())
+            .flatten()
     };
-    pairs.map(|p| byte(p).ok_or_else(|| format!("message content {text:?} is not hex bytes"))).collect()
+    pairs
+        .map(|p| byte(p).ok_or_else(|| format!("message content {text:?} is not hex bytes")))
+        .collect()
 }
 
 impl Msg {
@@ -212,7 +217,15 @@
                 entries: items.into_iter().map(Item::entry).collect(),
             },
             Msg::WorkItem {
-                id, first_door, width, grace_us, contract, grade, account, cost_units, ..
+                id,
+                first_door,
+                width,
+                grace_us,
+                contract,
+                grade,
+                account,
+                cost_units,
+                ..
             } => Event::Request(Request {
                 id: request_id(&id)?,
                 customer: CustomerId(account.into()),
@@ -247,19 +260,32 @@
                 closed: over,
                 settled_units: (settled > 0.0).then_some(settled),
                 metered_use: (fleet_use >= 1.0).then_some((fleet_use - 1.0) / 100.0),
-                report: telemetry.iter().filter_map(|(name, v)| load(name, v)).collect(),
+                report: telemetry
+                    .iter()
+                    .filter_map(|(name, v)| load(name, v))
+                    .collect(),
             }),
             Msg::TimedOutClient { id, .. } => Event::ClientGone(request_id(&id)?),
             Msg::Alarm { name, .. } => match timer(&name) {
                 Some(t) => Event::Timer(t),
                 None => return Ok(None),
             },
-            Msg::NeighbourSays { neighbour, content, .. } => {
-                Event::Peer { from: neighbour, bytes: hex(&content)? }
-            }
-            Msg::TallyBack { name, status, result_value, .. } => {
-                Event::Counted { name, status: status.into(), total: result_value }
-            }
+            Msg::NeighbourSays {
+                neighbour, content, ..
+            } => Event::Peer {
+                from: neighbour,
+                bytes: hex(&content)?,
+            },
+            Msg::TallyBack {
+                name,
+                status,
+                result_value,
+                ..
+            } => Event::Counted {
+                name,
+                status: status.into(),
+                total: result_value,
+            },
         }))
     }
 }
@@ -365,27 +391,65 @@
         let text = |id: RequestId| format!("{:016x}", id.0);
         Some(match action {
             // There an attempt begins as it is sent.
-            Action::Send { request, server, timeout_us, begin_within_us: _ } => {
-                Out::Issue { i, id: text(request), server: server.0.to_string(), timeout_us }
-            }
-            Action::Cancel { request, attempt } => Out::Revoke { i, id: text(request), leg: attempt },
-            Action::Refuse { request, retry_after_us, reason: _ } => {
-                Out::Decline { i, id: text(request), backoff_us: retry_after_us }
-            }
-            Action::Fail { request, reason: _ } => Out::Fail { i, id: text(request) },
+            Action::Send {
+                request,
+                server,
+                timeout_us,
+                begin_within_us: _,
+            } => Out::Issue {
+                i,
+                id: text(request),
+                server: server.0.to_string(),
+                timeout_us,
+            },
+            Action::Cancel { request, attempt } => Out::Revoke {
+                i,
+                id: text(request),
+                leg: attempt,
+            },
+            Action::Refuse {
+                request,
+                retry_after_us,
+                reason: _,
+            } => Out::Decline {
+                i,
+                id: text(request),
+                backoff_us: retry_after_us,
+            },
+            Action::Fail { request, reason: _ } => Out::Fail {
+                i,
+                id: text(request),
+            },
             Action::SetTimer { after_us, timer } => {
                 let name = match timer {
                     Timer::Interval => "interval".into(),
                     Timer::Request(id) => text(id),
                     Timer::Customer(tag) => format!("c{tag:x}"),
                 };
-                Out::SetTimer { i, offset_us: after_us, name }
+                Out::SetTimer {
+                    i,
+                    offset_us: after_us,
+                    name,
+                }
             }
             Action::Tell { to, bytes } => {
                 let content = bytes.iter().map(|b| format!("{b:02x}")).collect();
-                Out::Post { i, target: to, content }
+                Out::Post {
+                    i,
+                    target: to,
+                    content,
+                }
             }
-            Action::Count { name, amount, ttl_us } => Out::PostAmount { i, name, delta: amount, ttl_us },
+            Action::Count {
+                name,
+                amount,
+                ttl_us,
+            } => Out::PostAmount {
+                i,
+                name,
+                delta: amount,
+                ttl_us,
+            },
             // Only where gateways tell each other by a way of their own.
             Action::Used { .. } => return None,
             Action::Subscribe => Out::Tail { i, active: true },
--- a/crates/wirehost/tests/golden_forms.rs
+++ b/crates/wirehost/tests/golden_forms.rs
@@ -63,7 +63,10 @@
     }
 
     fn below(&mut self, n: u64) -> u64 {
-        self.drawn = self.drawn.wrapping_mul(0x5851_F42D_4C95_7F2D).wrapping_add(0x1405_7B7E_F767_814F);
+        self.drawn = self
+            .drawn
+            .wrapping_mul(0x5851_F42D_4C95_7F2D)
+            .wrapping_add(0x1405_7B7E_F767_814F);
         (self.drawn >> 33) % n
     }
 
@@ -76,7 +79,9 @@
         self.batch += 1;
         let line = json!({ "timeUs": self.now, "batch": self.batch, "msgs": messages });
         let input = self.child.stdin.as_mut().expect("its input");
-        writeln!(input, "{line}").and_then(|()| input.flush()).expect("written");
+        writeln!(input, "{line}")
+            .and_then(|()| input.flush())
+            .expect("written");
         let reply = self.lines.next().expect("a reply").expect("a line");
         let reply: Value = serde_json::from_str(&reply).expect("a reply in JSON");
         assert_eq!(reply["batch"], self.batch);
@@ -88,8 +93,13 @@
     fn take(&mut self, out: &Value) {
         let text = rounded(out).to_string();
         let step = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3);
-        self.digest = format!("{} {text}\n", self.now).bytes().fold(self.digest, step);
-        let (kind, fields) = out.as_object().and_then(|o| o.iter().next()).expect("one of its kinds");
+        self.digest = format!("{} {text}\n", self.now)
+            .bytes()
+            .fold(self.digest, step);
+        let (kind, fields) = out
+            .as_object()
+            .and_then(|o| o.iter().next())
+            .expect("one of its kinds");
         *self.counts.entry(kind.clone()).or_default() += 1;
         let examples = self.first.entry(kind.clone()).or_default();
         if examples.len() < 5 && kind != "WriteLog" {
@@ -98,11 +108,20 @@
         let i = fields["i"].clone();
         match kind.as_str() {
             "Issue" => {
-                let leg =
-                    self.legs.entry((i.as_u64().expect("a number"), fields["ref"].to_string())).or_default();
+                let leg = self
+                    .legs
+                    .entry((i.as_u64().expect("a number"), fields["ref"].to_string()))
+                    .or_default();
                 let number = *leg;
                 *leg += 1;
-                let statuses = ["served", "served", "served", "turned_away", "no_answer", "server_error"];
+                let statuses = [
+                    "served",
+                    "served",
+                    "served",
+                    "turned_away",
+                    "no_answer",
+                    "server_error",
+                ];
                 let status = statuses[self.below(6) as usize];
                 let took = 15_000 + self.below(60_000);
                 let report = json!({ "inflight": self.below(9), "queue": 1, "latency_ms": 12.5, "other": 1 });
@@ -113,7 +132,10 @@
             }
             "SetTimer" => {
                 let offset = fields["offsetUs"].as_u64().expect("a time");
-                self.later(offset, json!({ "Alarm": { "i": i, "name": fields["name"] } }));
+                self.later(
+                    offset,
+                    json!({ "Alarm": { "i": i, "name": fields["name"] } }),
+                );
             }
             "Post" => {
                 let to = fields["target"].clone();
@@ -127,9 +149,12 @@
                 let total = self.totals.entry(name.clone()).or_default();
                 *total += fields["delta"].as_f64().expect("an amount");
                 let total = *total;
-                let status = if self.below(10) == 0 { "no_answer" } else { "served" };
-                let back =
-                    json!({ "TallyBack": { "i": i, "name": name, "status": status, "resultValue": total } });
+                let status = if self.below(10) == 0 {
+                    "no_answer"
+                } else {
+                    "served"
+                };
+                let back = json!({ "TallyBack": { "i": i, "name": name, "status": status, "resultValue": total } });
                 self.later(3_000, back);
             }
             _ => {}
@@ -192,8 +217,7 @@
                 } else {
                     vec![item]
                 };
-                let told =
-                    |i: u32| json!({ "Announce": { "i": i, "mode": mode, "serial": 2, "items": items } });
+                let told = |i: u32| json!({ "Announce": { "i": i, "mode": mode, "serial": 2, "items": items } });
                 messages.extend((0..2 * GATEWAYS).map(told));
             }
             if step % 50 == 49 {
@@ -234,7 +258,11 @@
     if std::env::var_os("RECORD").is_some() {
         return std::fs::write(path, text).expect("written");
     }
-    assert_eq!(std::fs::read_to_string(path).expect("a recorded file"), text, "recorded on the left");
+    assert_eq!(
+        std::fs::read_to_string(path).expect("a recorded file"),
+        text,
+        "recorded on the left"
+    );
 }
 
 impl Drop for Session {
--- a/crates/wirehost/tests/wire.rs
+++ b/crates/wirehost/tests/wire.rs
@@ -10,7 +10,12 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the binary starts");
-    child.stdin.take().expect("stdin").write_all(lines.as_bytes()).expect("written");
+    child
+        .stdin
+        .take()
+        .expect("stdin")
+        .write_all(lines.as_bytes())
+        .expect("written");
     child.wait_with_output().expect("ended")
 }
 
@@ -24,22 +29,38 @@
     let lines: Vec<&str> = text.lines().collect();
     assert!(out.status.success());
     assert_eq!(lines.len(), 2);
-    assert!(lines[1].contains(r#"{"Issue":{"i":2,"ref":"00000000000000ab","server":"h:1""#), "{}", lines[1]);
+    assert!(
+        lines[1].contains(r#"{"Issue":{"i":2,"ref":"00000000000000ab","server":"h:1""#),
+        "{}",
+        lines[1]
+    );
 }
 
 #[test]
 fn malformed_lines_end_it_with_a_message() {
     let bad_id = WORK.replace("00000000000000ab", "xyz");
     let unstarted = WORK.replace("\"i\":2", "\"i\":7");
-    for line in ["{", "[]", r#"{"timeUs":-1,"batch":1,"msgs":[]}"#, bad_id.as_str(), unstarted.as_str()] {
+    for line in [
+        "{",
+        "[]",
+        r#"{"timeUs":-1,"batch":1,"msgs":[]}"#,
+        bad_id.as_str(),
+        unstarted.as_str(),
+    ] {
         let out = host(&format!("{START}\n{line}\n"));
         assert!(!out.status.success(), "{line}");
-        assert!(String::from_utf8_lossy(&out.stderr).contains("turndeck-wirehost: line 2"), "{line}");
+        assert!(
+            String::from_utf8_lossy(&out.stderr).contains("turndeck-wirehost: line 2"),
+            "{line}"
+        );
     }
 }
 
 #[test]
 fn an_empty_batch_has_an_empty_reply() {
     let out = host("{\"timeUs\":8412250,\"batch\":7,\"msgs\":[]}\n");
-    assert_eq!(String::from_utf8_lossy(&out.stdout), "{\"batch\":7,\"out\":[]}\n");
+    assert_eq!(
+        String::from_utf8_lossy(&out.stdout),
+        "{\"batch\":7,\"out\":[]}\n"
+    );
 }
