--- a/crates/policy-consensus/src/proposer.rs
+++ b/crates/policy-consensus/src/proposer.rs
@@ -1,13 +1,13 @@
 //! Who changes the register: first all members that are there look at the policy, then a majority of the keepers promises, then it
 //! accepts. A change is whole or none: what a proposer that stopped left half done the next one finishes, whatever it wanted itself.
 
-use crate::keeper::{Answer, Ask};
+use crate::acceptor::{AcceptorReply, AcceptorRequest};
 use crate::{majority, Ballot, Policy};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How a change ended, as far as this proposer knows.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum End {
+pub enum ProposalOutcome {
     /// It is in force, for good.
     InForce,
     /// Nothing has changed: who refused it, and why.
@@ -20,11 +20,11 @@
 
 /// What is to be sent to all.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
+pub enum ProposerOutput {
     /// To the members that are there: can they take it?
     Check(Policy),
-    Keepers(Ask),
-    End(End),
+    Keepers(AcceptorRequest),
+    End(ProposalOutcome),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -62,7 +62,7 @@
     tries: u32,
     /// Some keeper may have accepted what it wants.
     sent: bool,
-    end: Option<End>,
+    end: Option<ProposalOutcome>,
 }
 
 impl Proposer {
@@ -101,7 +101,7 @@
         }
     }
 
-    pub fn end(&self) -> Option<&End> {
+    pub fn end(&self) -> Option<&ProposalOutcome> {
         self.end.as_ref()
     }
 
@@ -109,28 +109,36 @@
         self.wants.as_ref()
     }
 
-    fn ends(&mut self, end: End, out: &mut Vec<Out>) {
+    fn ends(&mut self, end: ProposalOutcome, out: &mut Vec<ProposerOutput>) {
         self.step = Step::Done;
         self.end = Some(end.clone());
-        out.push(Out::End(end));
+        out.push(ProposerOutput::End(end));
     }
 
     /// A member says whether it can take the policy.
-    pub fn checked(&mut self, member: u64, says: Result<(), String>, out: &mut Vec<Out>) {
+    pub fn checked(
+        &mut self,
+        member: u64,
+        says: Result<(), String>,
+        out: &mut Vec<ProposerOutput>,
+    ) {
         let Step::Checking { yes, .. } = &mut self.step else {
             return;
         };
         match says {
             Ok(()) => drop(yes.insert(member)),
-            Err(why) => self.ends(End::Refused(vec![(member, why)]), out),
+            Err(why) => self.ends(ProposalOutcome::Refused(vec![(member, why)]), out),
         }
     }
 
     /// Ends it if it is certain that it is nowhere yet. False: keepers may have it.
-    pub fn abort(&mut self, out: &mut Vec<Out>) -> bool {
+    pub fn abort(&mut self, out: &mut Vec<ProposerOutput>) -> bool {
         let may = !self.sent && self.end.is_none();
         if may {
-            self.ends(End::Refused(vec![(0, "it was called off".into())]), out);
+            self.ends(
+                ProposalOutcome::Refused(vec![(0, "it was called off".into())]),
+                out,
+            );
         }
         may
     }
@@ -159,14 +167,16 @@
         }
     }
 
-    fn prepare(&mut self, now: u64, out: &mut Vec<Out>) {
+    fn prepare(&mut self, now: u64, out: &mut Vec<ProposerOutput>) {
         self.ballot.number += 1;
         (self.outrun, self.tries) = (false, self.tries + 1);
         self.step = Step::Preparing {
             promises: BTreeMap::new(),
         };
         self.next = now + self.again_us;
-        out.push(Out::Keepers(Ask::Prepare(self.ballot)));
+        out.push(ProposerOutput::Keepers(AcceptorRequest::Prepare(
+            self.ballot,
+        )));
     }
 
     /// `life`: of the keeper that answers.
@@ -175,12 +185,14 @@
         now: u64,
         keeper: u64,
         life: u64,
-        answer: Answer,
-        out: &mut Vec<Out>,
+        answer: AcceptorReply,
+        out: &mut Vec<ProposerOutput>,
     ) {
         let most = majority(self.keepers);
         match answer {
-            Answer::Outrun(higher) if higher > self.ballot && !matches!(self.step, Step::Done) => {
+            AcceptorReply::Outrun(higher)
+                if higher > self.ballot && !matches!(self.step, Step::Done) =>
+            {
                 self.ballot.number = higher.number;
                 // Of two that outrun each other one waits longer than the other, and longer each time.
                 let share = self.again_us / 16 * (1 + self.ballot.proposer % 7);
@@ -189,7 +201,7 @@
                     self.next = now + wait;
                 }
             }
-            Answer::Promised(ballot, was) if ballot == self.ballot => {
+            AcceptorReply::Promised(ballot, was) if ballot == self.ballot => {
                 let Step::Preparing { promises } = &mut self.step else {
                     return;
                 };
@@ -212,7 +224,7 @@
                     (Some(was), _) => was,
                     (None, _) => {
                         let why = "no policy is there yet: the first has the version 1";
-                        return self.ends(End::Refused(vec![(0, why.into())]), out);
+                        return self.ends(ProposalOutcome::Refused(vec![(0, why.into())]), out);
                     }
                 };
                 self.sent |= Some(&value) == self.wants.as_ref();
@@ -221,9 +233,13 @@
                     value,
                     rests: rests.clone(),
                 };
-                out.push(Out::Keepers(Ask::Accept(self.ballot, value, rests)));
+                out.push(ProposerOutput::Keepers(AcceptorRequest::Accept(
+                    self.ballot,
+                    value,
+                    rests,
+                )));
             }
-            Answer::Accepted(ballot) if ballot == self.ballot => {
+            AcceptorReply::Accepted(ballot) if ballot == self.ballot => {
                 let Step::Accepting {
                     accepted, value, ..
                 } = &mut self.step
@@ -236,30 +252,33 @@
                 }
                 let value = *value;
                 match &self.wants {
-                    Some(wants) if *wants == value => self.ends(End::InForce, out),
+                    Some(wants) if *wants == value => self.ends(ProposalOutcome::InForce, out),
                     // Whatever was there is in force now; ours may follow on it, or never.
                     Some(wants) if wants.follows(Some(&value)) => self.prepare(now, out),
                     Some(wants) => {
                         // Ours may have been accepted unheard, and others may have followed on it.
                         let end = match value.version.checked_sub(wants.version) {
-                            _ if !self.sent => End::Lost(value),
-                            Some(0) => End::Lost(value),
-                            Some(1) if value.parent == wants.digest => End::InForce,
-                            Some(1) => End::Lost(value),
-                            _ => End::Open,
+                            _ if !self.sent => ProposalOutcome::Lost(value),
+                            Some(0) => ProposalOutcome::Lost(value),
+                            Some(1) if value.parent == wants.digest => ProposalOutcome::InForce,
+                            Some(1) => ProposalOutcome::Lost(value),
+                            _ => ProposalOutcome::Open,
                         };
                         self.ends(end, out);
                     }
-                    None => self.ends(End::InForce, out),
+                    None => self.ends(ProposalOutcome::InForce, out),
                 }
             }
             // Asked again in time.
-            Answer::Busy(left) => self.next = self.next.min(now + left),
-            Answer::Outrun(_) | Answer::Promised(..) | Answer::Accepted(_) | Answer::Lease(_) => {}
+            AcceptorReply::Busy(left) => self.next = self.next.min(now + left),
+            AcceptorReply::Outrun(_)
+            | AcceptorReply::Promised(..)
+            | AcceptorReply::Accepted(_)
+            | AcceptorReply::Lease(_) => {}
         }
     }
 
-    pub fn tick(&mut self, now: u64, out: &mut Vec<Out>) {
+    pub fn tick(&mut self, now: u64, out: &mut Vec<ProposerOutput>) {
         match &self.step {
             Step::Done => return,
             Step::Checking { yes, of } => {
@@ -274,11 +293,14 @@
                             "it did not say in time whether it can take it".to_string(),
                         )
                     };
-                    return self.ends(End::Refused(missing.into_iter().map(late).collect()), out);
+                    return self.ends(
+                        ProposalOutcome::Refused(missing.into_iter().map(late).collect()),
+                        out,
+                    );
                 }
                 if now >= self.next {
                     self.next = now + self.again_us;
-                    out.extend(self.wants.map(Out::Check));
+                    out.extend(self.wants.map(ProposerOutput::Check));
                 }
                 return;
             }
@@ -287,22 +309,25 @@
         if now >= self.till {
             // Nobody was asked to accept it: then it is nowhere, and never will be.
             let end = match self.sent {
-                true => End::Open,
-                false => End::Refused(vec![(0, "no majority of the keepers was heard".into())]),
+                true => ProposalOutcome::Open,
+                false => ProposalOutcome::Refused(vec![(
+                    0,
+                    "no majority of the keepers was heard".into(),
+                )]),
             };
             return self.ends(end, out);
         }
         if now >= self.next {
             // What it asked or what was answered may have been lost.
             let again = match &self.step {
-                Step::Preparing { .. } if !self.outrun => Ask::Prepare(self.ballot),
+                Step::Preparing { .. } if !self.outrun => AcceptorRequest::Prepare(self.ballot),
                 Step::Accepting { value, rests, .. } if !self.outrun => {
-                    Ask::Accept(self.ballot, *value, rests.clone())
+                    AcceptorRequest::Accept(self.ballot, *value, rests.clone())
                 }
                 _ => return self.prepare(now, out),
             };
             self.next = now + self.again_us;
-            out.push(Out::Keepers(again));
+            out.push(ProposerOutput::Keepers(again));
         }
     }
 }
--- a/crates/policy-consensus/src/record.rs
+++ b/crates/policy-consensus/src/record.rs
@@ -6,8 +6,8 @@
 //! "FHKEEPER" | major u8 | minor u8 | body (postcard) | SHA-256 of all before it
 //! ```
 
+use crate::acceptor::AcceptorState;
 use crate::document::sha256;
-use crate::keeper::Durable;
 use serde::{Deserialize, Serialize};
 
 const MARK: &[u8; 8] = b"FHKEEPER";
@@ -20,34 +20,34 @@
 pub const KEPT: u64 = 2;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Record {
+pub struct AcceptorRecord {
     /// Whose it is: a folder copied from another keeper is told apart.
     pub keeper: String,
     /// Grows by one with each state.
     pub state: u64,
-    pub durable: Durable,
+    pub durable: AcceptorState,
     /// Of the policy that was accepted.
     pub text: String,
 }
 
-impl Record {
+impl AcceptorRecord {
     /// A new keeper's.
-    pub fn first(keeper: &str) -> Record {
-        Record {
+    pub fn first(keeper: &str) -> AcceptorRecord {
+        AcceptorRecord {
             keeper: keeper.into(),
             state: 1,
-            durable: Durable::first(),
+            durable: AcceptorState::first(),
             text: String::new(),
         }
     }
 
     /// Of one that takes the place of a keeper that is gone for good: it learns from the others what that one promised.
-    pub fn joining(keeper: &str) -> Record {
-        let durable = Durable {
+    pub fn joining(keeper: &str) -> AcceptorRecord {
+        let durable = AcceptorState {
             joining: true,
-            ..Durable::default()
+            ..AcceptorState::default()
         };
-        Record {
+        AcceptorRecord {
             keeper: keeper.into(),
             state: 1,
             durable,
@@ -64,7 +64,7 @@
 
     /// # Errors
     /// What is wrong with it.
-    pub fn read(bytes: &[u8]) -> Result<Record, String> {
+    pub fn read(bytes: &[u8]) -> Result<AcceptorRecord, String> {
         if bytes.len() < MARK.len() + 2 + SUM || !bytes.starts_with(MARK) {
             return Err("it is no keeper's state, or not whole".into());
         }
@@ -80,7 +80,7 @@
         }
         // A newer minor has more behind what is known here.
         let body = &text[MARK.len() + 2..];
-        let (record, _) = postcard::take_from_bytes::<Record>(body)
+        let (record, _) = postcard::take_from_bytes::<AcceptorRecord>(body)
             .map_err(|e| format!("it makes no sense: {e}"))?;
         let policy = record.durable.accepted.map(|(_, p)| p).unwrap_or_default();
         let digest = if record.text.is_empty() {
@@ -109,12 +109,12 @@
 ///
 /// # Errors
 /// Why it cannot start: then it is told, and somebody has to decide.
-pub fn choose(keeper: &str, files: &[(u64, Vec<u8>)]) -> Result<Record, String> {
+pub fn choose(keeper: &str, files: &[(u64, Vec<u8>)]) -> Result<AcceptorRecord, String> {
     let Some((state, bytes)) = files.iter().max_by_key(|(state, _)| *state) else {
         let right = "if it is a new keeper, make its first state by `frosthatch policy init`; if its folder was lost, see the page";
         return Err(format!("there is no state; {right}"));
     };
-    let record = Record::read(bytes).map_err(|e| format!("{}: {e}", file_name(*state)))?;
+    let record = AcceptorRecord::read(bytes).map_err(|e| format!("{}: {e}", file_name(*state)))?;
     if record.state != *state {
         return Err(format!(
             "{}: it is the state {} under another name",
@@ -136,7 +136,7 @@
     use super::*;
     use crate::{Ballot, Policy};
 
-    fn record(state: u64) -> Record {
+    fn record(state: u64) -> AcceptorRecord {
         let policy = Policy {
             version: 3,
             digest: sha256("text"),
@@ -146,12 +146,12 @@
             number: state,
             proposer: 5,
         };
-        let durable = Durable {
+        let durable = AcceptorState {
             promised: ballot,
             accepted: Some((ballot, policy)),
-            ..Durable::default()
+            ..AcceptorState::default()
         };
-        Record {
+        AcceptorRecord {
             keeper: "n1".into(),
             state,
             durable,
@@ -166,8 +166,8 @@
         assert_eq!(state_of(&file_name(8)), Some(8));
         assert_eq!(state_of("keeper-8.new"), None);
         assert_eq!(
-            Record::read(&Record::first("n1").write()),
-            Ok(Record::first("n1"))
+            AcceptorRecord::read(&AcceptorRecord::first("n1").write()),
+            Ok(AcceptorRecord::first("n1"))
         );
     }
 
@@ -180,12 +180,12 @@
             // Not even with the state before beside it: what was promised since is not known.
             let said = choose("n1", &[(7, record(7).write()), (8, flipped)]);
             assert!(said.is_err(), "byte {n}");
-            assert!(Record::read(&good[..n]).is_err(), "cut at {n}");
+            assert!(AcceptorRecord::read(&good[..n]).is_err(), "cut at {n}");
         }
         assert!(choose("n2", &[(8, good.clone())]).is_err_and(|e| e.contains("folder of n1")));
         assert!(choose("n1", &[(9, good)]).is_err_and(|e| e.contains("another name")));
         assert!(choose("n1", &[]).is_err_and(|e| e.contains("policy init")));
-        let other = Record {
+        let other = AcceptorRecord {
             text: "other".into(),
             ..record(8)
         };
@@ -201,7 +201,7 @@
             bytes.extend(sha256(&bytes));
             bytes
         };
-        assert!(Record::read(&sealed(2, 0, &[])).is_err_and(|e| e.contains("form is 2")));
-        assert_eq!(Record::read(&sealed(1, 9, b"more")), Ok(record(8)));
+        assert!(AcceptorRecord::read(&sealed(2, 0, &[])).is_err_and(|e| e.contains("form is 2")));
+        assert_eq!(AcceptorRecord::read(&sealed(1, 9, b"more")), Ok(record(8)));
     }
 }
--- a/crates/policy-consensus/src/folder.rs
+++ b/crates/policy-consensus/src/state_directory.rs
@@ -1,27 +1,27 @@
 //! A keeper's folder: thin; what is in the files and which one counts is in [`record`](crate::record).
 
-use crate::record::{choose, file_name, state_of, Record, KEPT, MOST_BYTES};
+use crate::record::{choose, file_name, state_of, AcceptorRecord, KEPT, MOST_BYTES};
 use std::fs::{self, File, TryLockError};
 use std::io::{Read, Write};
 use std::path::{Path, PathBuf};
 
-pub struct Folder {
+pub struct StateDirectory {
     path: PathBuf,
     /// Held as long as the folder is used: two processes under one name do not both write there. None: another part of this
     /// process holds it.
     _lock: Option<File>,
 }
 
-impl Folder {
+impl StateDirectory {
     /// Locks a folder.
     ///
     /// # Errors
     /// It cannot be read or written, or another process uses it.
-    pub fn open(path: &Path) -> Result<Folder, String> {
+    pub fn open(path: &Path) -> Result<StateDirectory, String> {
         let wrong = |e: std::io::Error| format!("{}: {e}", path.display());
         let lock = File::create(path.join("lock")).map_err(wrong)?;
         match lock.try_lock() {
-            Ok(()) => Ok(Folder {
+            Ok(()) => Ok(StateDirectory {
                 path: path.into(),
                 _lock: Some(lock),
             }),
@@ -33,8 +33,8 @@
     }
 
     /// The same folder for another thread of the process that holds its lock.
-    pub fn attached(&self) -> Folder {
-        Folder {
+    pub fn attached(&self) -> StateDirectory {
+        StateDirectory {
             path: self.path.clone(),
             _lock: None,
         }
@@ -53,7 +53,7 @@
     ///
     /// # Errors
     /// It cannot start from what is there.
-    pub fn read(&self, keeper: &str) -> Result<Record, String> {
+    pub fn read(&self, keeper: &str) -> Result<AcceptorRecord, String> {
         let wrong = |e: String| format!("{}: {e}", self.path.display());
         let mut files = Vec::new();
         for state in self.states().map_err(|e| wrong(e.to_string()))? {
@@ -78,9 +78,9 @@
             return Err(wrong("there is a state already; nothing is changed".into()));
         }
         let first = if replaces {
-            Record::joining(keeper)
+            AcceptorRecord::joining(keeper)
         } else {
-            Record::first(keeper)
+            AcceptorRecord::first(keeper)
         };
         self.write(&first).map_err(wrong)
     }
@@ -89,7 +89,7 @@
     ///
     /// # Errors
     /// It may be there or not.
-    pub fn write(&self, record: &Record) -> Result<(), String> {
+    pub fn write(&self, record: &AcceptorRecord) -> Result<(), String> {
         let (new, name) = (
             self.path.join("new"),
             self.path.join(file_name(record.state)),
@@ -139,7 +139,7 @@
     #[test]
     fn states_are_kept_and_old_ones_dropped_and_one_process_uses_it() {
         let place = Place::new("kept");
-        let folder = Folder::open(&place.0).expect("it opens");
+        let folder = StateDirectory::open(&place.0).expect("it opens");
         assert!(folder.read("n1").is_err_and(|e| e.contains("policy init")));
         folder.init("n1", false).expect("it is made");
         assert!(folder
@@ -147,19 +147,19 @@
             .is_err_and(|e| e.contains("already")));
         for state in 2..6 {
             folder
-                .write(&Record {
+                .write(&AcceptorRecord {
                     state,
-                    ..Record::first("n1")
+                    ..AcceptorRecord::first("n1")
                 })
                 .expect("it is written");
         }
         assert_eq!(folder.read("n1").map(|r| r.state), Ok(5));
         assert_eq!(folder.states().expect("it is read"), [4, 5]);
-        assert!(Folder::open(&place.0).is_err_and(|e| e.contains("another process")));
+        assert!(StateDirectory::open(&place.0).is_err_and(|e| e.contains("another process")));
         drop(folder);
         // A write that was cut off is not there; a file that was damaged is told.
         fs::write(place.0.join("new"), b"half").expect("it is written");
-        let folder = Folder::open(&place.0).expect("it opens");
+        let folder = StateDirectory::open(&place.0).expect("it opens");
         assert_eq!(folder.read("n1").map(|r| r.state), Ok(5));
         fs::write(place.0.join(file_name(5)), b"half").expect("it is written");
         assert!(folder.read("n1").is_err_and(|e| e.contains("not whole")));
@@ -168,10 +168,10 @@
     #[test]
     fn what_cannot_be_written_is_told() {
         let place = Place::new("full");
-        let folder = Folder::open(&place.0).expect("it opens");
+        let folder = StateDirectory::open(&place.0).expect("it opens");
         // A folder in the way of the file, as a disk that takes no more.
         fs::create_dir(place.0.join("new")).expect("a folder");
-        assert!(folder.write(&Record::first("n1")).is_err());
-        assert!(Folder::open(&place.0.join("nowhere")).is_err());
+        assert!(folder.write(&AcceptorRecord::first("n1")).is_err());
+        assert!(StateDirectory::open(&place.0.join("nowhere")).is_err());
     }
 }
--- a/crates/policy-consensus/tests/explore.rs
+++ b/crates/policy-consensus/tests/explore.rs
@@ -3,16 +3,18 @@
 //! that hears nothing for a while: what it holds is looked at in every state.
 #![expect(clippy::semicolon_if_nothing_returned)]
 
-use frosthatch_policy_consensus::keeper::{Answer, Ask, Durable, Grant, Keeper};
-use frosthatch_policy_consensus::proposer::{End, Out, Proposer};
-use frosthatch_policy_consensus::tenant::Tenant;
-use frosthatch_policy_consensus::{Id, Policy, Times};
+use frosthatch_policy_consensus::acceptor::{
+    Acceptor, AcceptorReply, AcceptorRequest, AcceptorState, LeaseGrant,
+};
+use frosthatch_policy_consensus::lease_holder::LeaseHolder;
+use frosthatch_policy_consensus::proposer::{ProposalOutcome, Proposer, ProposerOutput};
+use frosthatch_policy_consensus::{LeaseConfig, Policy, PolicyId};
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A step of time; a lease is two of them.
 const TICK: u64 = 1_000;
-const TIMES: Times = Times {
+const TIMES: LeaseConfig = LeaseConfig {
     lease_us: 2 * TICK,
     drift: 0,
 };
@@ -20,26 +22,26 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Letter {
-    ToKeeper(usize, usize, Ask),
-    ToProposer(usize, usize, Answer),
-    Leased(usize, usize, u64, Grant),
+    ToKeeper(usize, usize, AcceptorRequest),
+    ToProposer(usize, usize, AcceptorReply),
+    Leased(usize, usize, u64, LeaseGrant),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     now: u64,
-    keepers: Vec<Option<Keeper>>,
-    disks: Vec<Durable>,
-    tenants: Vec<Tenant>,
+    keepers: Vec<Option<Acceptor>>,
+    disks: Vec<AcceptorState>,
+    tenants: Vec<LeaseHolder>,
     proposers: Vec<Proposer>,
     letters: BTreeSet<Letter>,
     /// Who asked whom for a lease since the last step of time: once is enough.
     leased: BTreeSet<(usize, usize)>,
     kills: u8,
     high: u64,
-    held: BTreeSet<Id>,
-    in_force: BTreeMap<u64, Id>,
-    nowhere: BTreeSet<Id>,
+    held: BTreeSet<PolicyId>,
+    in_force: BTreeMap<u64, PolicyId>,
+    nowhere: BTreeSet<PolicyId>,
     broken: Option<&'static str>,
 }
 
@@ -74,20 +76,20 @@
         }
     }
 
-    fn outs(&mut self, p: usize, out: Vec<Out>) {
+    fn outs(&mut self, p: usize, out: Vec<ProposerOutput>) {
         for o in out {
             match o {
-                Out::Check(_) => {}
-                Out::Keepers(ask) => {
+                ProposerOutput::Check(_) => {}
+                ProposerOutput::Keepers(ask) => {
                     self.letters
                         .extend((0..KEEPERS).map(|k| Letter::ToKeeper(p, k, ask.clone())));
                 }
-                Out::End(end) => {
+                ProposerOutput::End(end) => {
                     let Some(id) = self.proposers[p].wants().map(Policy::id) else {
                         continue;
                     };
                     match end {
-                        End::InForce => {
+                        ProposalOutcome::InForce => {
                             let other = self.in_force.insert(id.version, id);
                             self.break_unless(
                                 other.is_none_or(|o| o == id),
@@ -99,7 +101,7 @@
                                 "I3: one that was told to be nowhere is in force",
                             );
                         }
-                        End::Refused(_) | End::Lost(_) => {
+                        ProposalOutcome::Refused(_) | ProposalOutcome::Lost(_) => {
                             let there =
                                 self.held.contains(&id) || self.in_force.values().any(|i| *i == id);
                             self.break_unless(
@@ -108,7 +110,7 @@
                             );
                             self.nowhere.insert(id);
                         }
-                        End::Open => {}
+                        ProposalOutcome::Open => {}
                     }
                 }
             }
@@ -116,15 +118,19 @@
     }
 
     fn lease(&mut self, t: usize, k: usize) -> Option<Letter> {
-        match self.keepers[k].as_mut()?.ask(self.now, Ask::Lease).0 {
-            Answer::Lease(grant) => Some(Letter::Leased(t, k, self.now, grant)),
+        match self.keepers[k]
+            .as_mut()?
+            .ask(self.now, AcceptorRequest::Lease)
+            .0
+        {
+            AcceptorReply::Lease(grant) => Some(Letter::Leased(t, k, self.now, grant)),
             _ => None,
         }
     }
 
     fn look(&mut self) {
         let (now, tenants) = (self.now, &mut self.tenants);
-        let all: Vec<Id> = tenants.iter_mut().filter_map(|t| t.holds(now)).collect();
+        let all: Vec<PolicyId> = tenants.iter_mut().filter_map(|t| t.holds(now)).collect();
         let high = all
             .iter()
             .map(|id| id.version)
@@ -155,8 +161,8 @@
     /// All gateways hold version 0 by leases of all keepers, and all proposers have begun.
     fn begins(&self) -> State {
         let now = 10 * TICK;
-        let first = Durable::first();
-        let keeper = |k: usize| Some(Keeper::new(TIMES, k as u64, first.clone(), 0));
+        let first = AcceptorState::first();
+        let keeper = |k: usize| Some(Acceptor::new(TIMES, k as u64, first.clone(), 0));
         let proposer = |p: u64| {
             let wants = Some(policy(p as u8 + 1));
             Proposer::new(
@@ -174,7 +180,7 @@
             now,
             keepers: (0..KEEPERS).map(keeper).collect(),
             disks: vec![first.clone(); KEEPERS],
-            tenants: vec![Tenant::new(TIMES, KEEPERS); self.gateways],
+            tenants: vec![LeaseHolder::new(TIMES, KEEPERS); self.gateways],
             proposers: (0..self.proposers as u64).map(proposer).collect(),
             letters: BTreeSet::new(),
             leased: BTreeSet::new(),
@@ -206,14 +212,14 @@
             number: 1,
             proposer: 1,
         };
-        let was = Durable::first().accepted;
+        let was = AcceptorState::first().accepted;
         let rests = vec![(0, 0), (1, 0)];
-        let accept = Ask::Accept(ballot, policy(1), rests);
+        let accept = AcceptorRequest::Accept(ballot, policy(1), rests);
         let way = [
-            Letter::ToKeeper(0, 0, Ask::Prepare(ballot)),
-            Letter::ToKeeper(0, 1, Ask::Prepare(ballot)),
-            Letter::ToProposer(0, 0, Answer::Promised(ballot, was)),
-            Letter::ToProposer(0, 1, Answer::Promised(ballot, was)),
+            Letter::ToKeeper(0, 0, AcceptorRequest::Prepare(ballot)),
+            Letter::ToKeeper(0, 1, AcceptorRequest::Prepare(ballot)),
+            Letter::ToProposer(0, 0, AcceptorReply::Promised(ballot, was)),
+            Letter::ToProposer(0, 1, AcceptorReply::Promised(ballot, was)),
             Letter::ToKeeper(0, 0, accept.clone()),
             Letter::ToKeeper(0, 1, accept),
         ];
@@ -301,7 +307,7 @@
                 s.kills += 1;
             }
             Action::Start(k) => {
-                s.keepers[k] = Some(Keeper::new(TIMES, k as u64, s.disks[k].clone(), s.now))
+                s.keepers[k] = Some(Acceptor::new(TIMES, k as u64, s.disks[k].clone(), s.now))
             }
             Action::Tick => {
                 s.now += TICK;
--- a/crates/policy-consensus/tests/golden_forms.rs
+++ b/crates/policy-consensus/tests/golden_forms.rs
@@ -1,10 +1,12 @@
 //! Recorded bytes of what members say to each other about policies, and of what is on disk: another version of the program
 //! has to read them. `RECORD=1 cargo test --test golden_forms` records them anew.
 
+use frosthatch_policy_consensus::acceptor::{
+    AcceptorReply, AcceptorRequest, AcceptorState, LeaseGrant,
+};
 use frosthatch_policy_consensus::document::{hex, sha256};
-use frosthatch_policy_consensus::keeper::{Answer, Ask, Durable, Grant};
-use frosthatch_policy_consensus::letter::Letter;
-use frosthatch_policy_consensus::record::{file_name, Record};
+use frosthatch_policy_consensus::message::Message;
+use frosthatch_policy_consensus::record::{file_name, AcceptorRecord};
 use frosthatch_policy_consensus::{Ballot, Policy};
 use std::fmt::Write;
 
@@ -35,52 +37,52 @@
     }
 }
 
-fn letters() -> Vec<Letter> {
+fn letters() -> Vec<Message> {
     let asks = [
-        Ask::Prepare(BALLOT),
-        Ask::Join(BALLOT, 2),
-        Ask::Accept(BALLOT, policy(), vec![(0, 0), (1, 900)]),
-        Ask::Lease,
+        AcceptorRequest::Prepare(BALLOT),
+        AcceptorRequest::Join(BALLOT, 2),
+        AcceptorRequest::Accept(BALLOT, policy(), vec![(0, 0), (1, 900)]),
+        AcceptorRequest::Lease,
     ];
-    let grant = Grant {
+    let grant = LeaseGrant {
         before: Some((policy().id(), BALLOT, 250_000)),
         now: Some((policy(), BALLOT, 250_000, 500_000)),
     };
     let answers = [
-        Answer::Promised(BALLOT, None),
-        Answer::Promised(BALLOT, Some((BALLOT, policy()))),
-        Answer::Accepted(BALLOT),
-        Answer::Outrun(BALLOT),
-        Answer::Busy(123_456),
-        Answer::Lease(Grant::default()),
-        Answer::Lease(grant),
+        AcceptorReply::Promised(BALLOT, None),
+        AcceptorReply::Promised(BALLOT, Some((BALLOT, policy()))),
+        AcceptorReply::Accepted(BALLOT),
+        AcceptorReply::Outrun(BALLOT),
+        AcceptorReply::Busy(123_456),
+        AcceptorReply::Lease(LeaseGrant::default()),
+        AcceptorReply::Lease(grant),
     ];
-    let mut all: Vec<Letter> = asks
+    let mut all: Vec<Message> = asks
         .into_iter()
-        .map(|ask| Letter::Ask {
+        .map(|ask| Message::Ask {
             number: 1_000,
             seen: (5, 6),
             ask,
         })
         .collect();
-    all.extend(answers.into_iter().map(|answer| Letter::Answer {
+    all.extend(answers.into_iter().map(|answer| Message::Answer {
         number: 1_000,
         state: 53,
         lives: (8, vec![(1, 9), (2, 300)]),
         answer,
     }));
     all.extend([
-        Letter::Check {
+        Message::Check {
             number: 4,
             policy: policy(),
         },
-        Letter::checked(4, Ok(())),
-        Letter::checked(4, Err("there is no plan \"x\" here".into())),
-        Letter::Want {
+        Message::checked(4, Ok(())),
+        Message::checked(4, Err("there is no plan \"x\" here".into())),
+        Message::Want {
             digest: sha256("text"),
             at: vec![0, 800],
         },
-        Letter::Part {
+        Message::Part {
             digest: sha256("text"),
             at: 0,
             of: 4,
@@ -95,13 +97,13 @@
     let mut text = String::new();
     for letter in letters() {
         writeln!(text, "{} {}", letter.name(), hex(&letter.write())).expect("to memory");
-        assert_eq!(Letter::read(&letter.write()), Some(letter));
+        assert_eq!(Message::read(&letter.write()), Some(letter));
     }
     compare_with_recorded("messages.txt", &text);
 }
 
-fn records() -> [Record; 3] {
-    let durable = Durable {
+fn records() -> [AcceptorRecord; 3] {
+    let durable = AcceptorState {
         promised: Ballot {
             number: 301,
             proposer: 9,
@@ -111,13 +113,17 @@
         lives: [(0, 1), (2, 900)].into(),
         joining: false,
     };
-    let whole = Record {
+    let whole = AcceptorRecord {
         keeper: "n1".into(),
         state: 8,
         durable,
         text: "text".into(),
     };
-    [Record::first("n1"), Record::joining("n1"), whole]
+    [
+        AcceptorRecord::first("n1"),
+        AcceptorRecord::joining("n1"),
+        whole,
+    ]
 }
 
 #[test]
@@ -125,7 +131,7 @@
     let mut text = String::new();
     for record in records() {
         writeln!(text, "{} {}", file_name(record.state), hex(&record.write())).expect("to memory");
-        assert_eq!(Record::read(&record.write()), Ok(record));
+        assert_eq!(AcceptorRecord::read(&record.write()), Ok(record));
     }
     compare_with_recorded("records.txt", &text);
 }
--- a/crates/policy-consensus/tests/nodes.rs
+++ b/crates/policy-consensus/tests/nodes.rs
@@ -6,13 +6,15 @@
 mod common;
 use common::{Clock, Draw};
 use frosthatch_policy_consensus::document::{hex, sha256, Document};
-use frosthatch_policy_consensus::node::{Node, OnLost, Out, Plan, Standing};
-use frosthatch_policy_consensus::proposer::End;
-use frosthatch_policy_consensus::record::Record;
-use frosthatch_policy_consensus::{Id, Times};
+use frosthatch_policy_consensus::node::{
+    ConsensusNode, LeaseLossPolicy, NodeConfig, NodeOutput, ServingState,
+};
+use frosthatch_policy_consensus::proposer::ProposalOutcome;
+use frosthatch_policy_consensus::record::AcceptorRecord;
+use frosthatch_policy_consensus::{LeaseConfig, PolicyId};
 use std::collections::{BTreeMap, BTreeSet};
 
-const TIMES: Times = Times {
+const TIMES: LeaseConfig = LeaseConfig {
     lease_us: 500_000,
     drift: 10,
 };
@@ -23,15 +25,15 @@
 
 /// One member: what runs, and what is on its disk.
 struct Member {
-    node: Option<Node>,
-    disk: Option<Record>,
+    node: Option<ConsensusNode>,
+    disk: Option<AcceptorRecord>,
     /// Being written: when it is done.
-    writing: Option<(u64, Record)>,
+    writing: Option<(u64, AcceptorRecord)>,
     clock: Clock,
     stopped: bool,
     life: u64,
     /// Of before its folder was lost.
-    copy: Option<Record>,
+    copy: Option<AcceptorRecord>,
     /// Letters that come while it is stopped.
     waiting: Vec<(usize, Vec<u8>)>,
 }
@@ -44,12 +46,12 @@
     parts: [usize; ALL],
     loss: u64,
     trouble: bool,
-    on_lost: OnLost,
-    proposed: BTreeMap<(usize, u64, u64), (Id, String)>,
+    on_lost: LeaseLossPolicy,
+    proposed: BTreeMap<(usize, u64, u64), (PolicyId, String)>,
     ended: BTreeSet<(usize, u64, u64)>,
-    in_force: BTreeMap<u64, Id>,
-    nowhere: BTreeSet<Id>,
-    held: BTreeSet<Id>,
+    in_force: BTreeMap<u64, PolicyId>,
+    nowhere: BTreeSet<PolicyId>,
+    held: BTreeSet<PolicyId>,
     high: u64,
     /// Steps in which one that runs held nothing while the keepers were well.
     without: usize,
@@ -82,7 +84,7 @@
 }
 
 impl World {
-    fn new(seed: u64, on_lost: OnLost) -> World {
+    fn new(seed: u64, on_lost: LeaseLossPolicy) -> World {
         let mut w = World {
             now: 5_000_000,
             draw: Draw::new(seed),
@@ -106,7 +108,7 @@
         };
         for n in 0..ALL {
             let clock = w.draw.clock();
-            let disk = (n < KEEPERS).then(|| Record::first(&name(n)));
+            let disk = (n < KEEPERS).then(|| AcceptorRecord::first(&name(n)));
             let waiting = Vec::new();
             w.members.push(Member {
                 node: None,
@@ -129,7 +131,7 @@
 
     fn start(&mut self, n: usize) {
         let (at, seed) = (self.at(n), self.draw.seed());
-        let plan = Plan {
+        let plan = NodeConfig {
             me: name(n),
             keepers: (0..KEEPERS).map(name).collect(),
             times: TIMES,
@@ -145,7 +147,12 @@
         };
         let m = &mut self.members[n];
         m.life += 1;
-        m.node = Some(Node::new(at, plan, m.disk.clone().map(Ok), Box::new(judge)));
+        m.node = Some(ConsensusNode::new(
+            at,
+            plan,
+            m.disk.clone().map(Ok),
+            Box::new(judge),
+        ));
     }
 
     /// SIGKILL: what was being written is on disk or is not.
@@ -158,10 +165,10 @@
         (m.node, m.stopped, m.waiting) = (None, false, Vec::new());
     }
 
-    fn outs(&mut self, n: usize, out: Vec<Out>) {
+    fn outs(&mut self, n: usize, out: Vec<NodeOutput>) {
         for o in out {
             match o {
-                Out::Send { to, bytes } => {
+                NodeOutput::Send { to, bytes } => {
                     let to: usize = to[1..].parse().expect("a number");
                     let draws = [self.draw.below(100), self.draw.below(100)];
                     let copies = match draws[0] {
@@ -178,11 +185,11 @@
                         self.letters.push((self.now + late, n, to, bytes.clone()));
                     }
                 }
-                Out::Store(record) => {
+                NodeOutput::Store(record) => {
                     let takes = self.draw.below(30_000);
                     self.members[n].writing = Some((self.now + takes, record));
                 }
-                Out::Log(line) => {
+                NodeOutput::Log(line) => {
                     if std::env::var_os("SHOW").is_some() {
                         eprintln!("{:.2} n{n} {line}", self.now as f64 / 1e6);
                     }
@@ -210,7 +217,7 @@
                 continue;
             }
             match end {
-                End::InForce => {
+                ProposalOutcome::InForce => {
                     let other = self.in_force.insert(id.version, id);
                     assert!(
                         other.is_none_or(|o| o == id),
@@ -221,7 +228,7 @@
                         "I3: one that was told to be nowhere is in force"
                     );
                 }
-                End::Refused(_) | End::Lost(_) => {
+                ProposalOutcome::Refused(_) | ProposalOutcome::Lost(_) => {
                     assert!(
                         !self.held.contains(&id),
                         "I3: one that holds was told to be nowhere"
@@ -232,7 +239,7 @@
                     );
                     self.nowhere.insert(id);
                 }
-                End::Open => {}
+                ProposalOutcome::Open => {}
             }
         }
     }
@@ -252,7 +259,7 @@
         let Some(node) = &mut self.members[n].node else {
             return;
         };
-        let Standing::Under(id, with) = node.standing(at) else {
+        let ServingState::Under(id, with) = node.standing(at) else {
             self.without += 1;
             return;
         };
@@ -344,7 +351,7 @@
         let on = node.history().last().map(|(id, _)| *id).unwrap_or_default();
         let text = text(on.version + 1, on.digest, worth, rate);
         let (id, mut out) = (
-            Id {
+            PolicyId {
                 version: on.version + 1,
                 digest: sha256(&text),
             },
@@ -400,7 +407,7 @@
         if !m.disk.as_ref().is_some_and(|d| d.durable.joining) {
             m.copy = m.disk.take();
         }
-        m.disk = Some(Record::joining(&name(n)));
+        m.disk = Some(AcceptorRecord::joining(&name(n)));
         self.lost += 1;
         self.start(n);
     }
@@ -447,7 +454,7 @@
         (0..us / STEP).for_each(|_| self.step());
     }
 
-    fn standings(&mut self) -> Vec<Standing> {
+    fn standings(&mut self) -> Vec<ServingState> {
         let at: Vec<u64> = (0..ALL).map(|n| self.at(n)).collect();
         let nodes = self.members.iter_mut().zip(at);
         nodes
@@ -456,7 +463,7 @@
     }
 }
 
-fn play(seeds: std::ops::Range<u64>, on_lost: OnLost, lasts: u64) -> (usize, usize) {
+fn play(seeds: std::ops::Range<u64>, on_lost: LeaseLossPolicy, lasts: u64) -> (usize, usize) {
     let (mut changes, mut nowhere, mut lost, mut back) = (0, 0, 0, 0);
     for seed in seeds {
         let mut w = World::new(seed, on_lost);
@@ -472,12 +479,18 @@
         w.all_well();
         w.run(2_000_000);
         // Put back from a copy it is never of use again.
-        let frail = w.members[w.frail].node.as_ref().and_then(Node::keeps);
+        let frail = w.members[w.frail]
+            .node
+            .as_ref()
+            .and_then(ConsensusNode::keeps);
         if w.back > 0 || frail.is_some_and(|keeps| keeps.is_err()) {
             w.loses();
         }
         w.run(PATIENCE + 4_000_000);
-        let keeps = w.members[w.frail].node.as_ref().and_then(Node::keeps);
+        let keeps = w.members[w.frail]
+            .node
+            .as_ref()
+            .and_then(ConsensusNode::keeps);
         assert!(
             keeps.as_ref().is_some_and(Result::is_ok),
             "seed {seed}: {keeps:?}"
@@ -485,7 +498,7 @@
         (lost, back) = (lost + w.lost, back + w.back);
         let standings = w.standings();
         let last = w.in_force.last_key_value().map_or(0, |(v, _)| *v);
-        let Standing::Under(id, None) = standings[0] else {
+        let ServingState::Under(id, None) = standings[0] else {
             panic!("seed {seed}: {standings:?}")
         };
         // One that was not there may not be able to serve under what was decided: then it refuses.
@@ -493,8 +506,8 @@
             .proposed
             .values()
             .any(|(i, worth)| *i == id && worth == NOT_THE_LAST);
-        let same = |(n, s): (usize, &Standing)| {
-            *s == standings[0] || cannot && n == ALL - 1 && *s == Standing::Lost
+        let same = |(n, s): (usize, &ServingState)| {
+            *s == standings[0] || cannot && n == ALL - 1 && *s == ServingState::Lost
         };
         assert!(
             standings.iter().enumerate().all(same),
@@ -538,7 +551,7 @@
 
 #[test]
 fn no_schedule_breaks_the_promise() {
-    let (changes, nowhere) = play(0..120, OnLost::Refuse, 3);
+    let (changes, nowhere) = play(0..120, LeaseLossPolicy::Refuse, 3);
     println!("{changes} changes in force, {nowhere} nowhere");
     assert!(
         changes > 300 && nowhere > 300,
@@ -548,20 +561,20 @@
 
 #[test]
 fn nor_where_the_stricter_of_both_is_served_without_a_lease() {
-    let (changes, _) = play(1_000..1_030, OnLost::Stricter, 3);
+    let (changes, _) = play(1_000..1_030, LeaseLossPolicy::Stricter, 3);
     assert!(changes > 60, "{changes}");
 }
 
 #[test]
 fn nor_does_one_whose_folder_is_lost_and_put_back_again_and_again() {
-    let (changes, _) = play(2_000..2_120, OnLost::Refuse, 1);
+    let (changes, _) = play(2_000..2_120, LeaseLossPolicy::Refuse, 1);
     assert!(changes > 200, "{changes}");
 }
 
 /// One way down of three keepers, and ten changes: nobody is without a lease but for its turns.
 #[test]
 fn a_keeper_that_is_gone_costs_nothing_and_one_that_comes_back_catches_up() {
-    let mut w = World::new(3, OnLost::Refuse);
+    let mut w = World::new(3, LeaseLossPolicy::Refuse);
     w.trouble = false;
     w.run(2_000_000);
     w.kill(1);
@@ -590,7 +603,7 @@
 /// A change that a member cannot take is told with that member's name, and is nowhere.
 #[test]
 fn who_cannot_take_it_is_named() {
-    let mut w = World::new(4, OnLost::Refuse);
+    let mut w = World::new(4, LeaseLossPolicy::Refuse);
     w.trouble = false;
     w.run(2_000_000);
     let (at, there, mut out) = (w.at(1), w.there(1), Vec::new());
--- a/crates/policy-consensus/tests/promise.rs
+++ b/crates/policy-consensus/tests/promise.rs
@@ -5,13 +5,15 @@
 
 mod common;
 use common::{Clock, Draw};
-use frosthatch_policy_consensus::keeper::{Answer, Ask, Durable, Grant, Keeper};
-use frosthatch_policy_consensus::proposer::{End, Out, Proposer};
-use frosthatch_policy_consensus::tenant::Tenant;
-use frosthatch_policy_consensus::{Id, Policy, Times};
+use frosthatch_policy_consensus::acceptor::{
+    Acceptor, AcceptorReply, AcceptorRequest, AcceptorState, LeaseGrant,
+};
+use frosthatch_policy_consensus::lease_holder::LeaseHolder;
+use frosthatch_policy_consensus::proposer::{ProposalOutcome, Proposer, ProposerOutput};
+use frosthatch_policy_consensus::{LeaseConfig, Policy, PolicyId};
 use std::collections::{BTreeMap, BTreeSet};
 
-const TIMES: Times = Times {
+const TIMES: LeaseConfig = LeaseConfig {
     lease_us: 1_000_000,
     drift: 10,
 };
@@ -23,12 +25,12 @@
     ToKeeper {
         proposer: usize,
         keeper: usize,
-        ask: Ask,
+        ask: AcceptorRequest,
     },
     ToProposer {
         proposer: usize,
         keeper: usize,
-        answer: Answer,
+        answer: AcceptorReply,
     },
     AskLease {
         tenant: usize,
@@ -41,16 +43,16 @@
         life: u64,
         keeper: usize,
         asked: u64,
-        grant: Grant,
+        grant: LeaseGrant,
     },
 }
 
 struct World {
     now: u64,
     draw: Draw,
-    keepers: Vec<Option<Keeper>>,
-    disks: Vec<Durable>,
-    tenants: Vec<Tenant>,
+    keepers: Vec<Option<Acceptor>>,
+    disks: Vec<AcceptorState>,
+    tenants: Vec<LeaseHolder>,
     lives: Vec<u64>,
     stopped: Vec<bool>,
     asked: Vec<u64>,
@@ -59,10 +61,10 @@
     clocks: Vec<Clock>,
     /// What was told as in force, by version; and what will never be.
     in_force: BTreeMap<u64, Policy>,
-    never: BTreeSet<Id>,
+    never: BTreeSet<PolicyId>,
     /// The highest version under which a request was let in, by anybody.
     high: u64,
-    held: BTreeSet<Id>,
+    held: BTreeSet<PolicyId>,
     /// Steps in which a gateway that runs held none, while at least two keepers ran.
     without: usize,
     trouble: bool,
@@ -74,8 +76,10 @@
             now: 1_000_000,
             draw: Draw::new(seed),
             keepers: Vec::new(),
-            disks: vec![Durable::default(); KEEPERS],
-            tenants: (0..TENANTS).map(|_| Tenant::new(TIMES, KEEPERS)).collect(),
+            disks: vec![AcceptorState::default(); KEEPERS],
+            tenants: (0..TENANTS)
+                .map(|_| LeaseHolder::new(TIMES, KEEPERS))
+                .collect(),
             lives: vec![0; TENANTS],
             stopped: vec![false; TENANTS],
             asked: vec![0; TENANTS],
@@ -94,7 +98,12 @@
             w.clocks.push(clock);
         }
         for k in 0..KEEPERS {
-            let keeper = Keeper::new(TIMES, k as u64, Durable::default(), w.clocks[k].at(w.now));
+            let keeper = Acceptor::new(
+                TIMES,
+                k as u64,
+                AcceptorState::default(),
+                w.clocks[k].at(w.now),
+            );
             w.keepers.push(Some(keeper));
         }
         w
@@ -135,29 +144,29 @@
         id
     }
 
-    fn outs(&mut self, proposer: usize, out: Vec<Out>) {
+    fn outs(&mut self, proposer: usize, out: Vec<ProposerOutput>) {
         for o in out {
             match o {
-                Out::Check(_) => {}
-                Out::Keepers(ask) => (0..KEEPERS).for_each(|keeper| {
+                ProposerOutput::Check(_) => {}
+                ProposerOutput::Keepers(ask) => (0..KEEPERS).for_each(|keeper| {
                     self.post(|| Letter::ToKeeper {
                         proposer,
                         keeper,
                         ask: ask.clone(),
                     });
                 }),
-                Out::End(end) => self.ended(proposer, end),
+                ProposerOutput::End(end) => self.ended(proposer, end),
             }
         }
     }
 
     /// I3, I4, I5: what one proposer was told.
-    fn ended(&mut self, proposer: usize, end: End) {
+    fn ended(&mut self, proposer: usize, end: ProposalOutcome) {
         let Some(wanted) = self.proposers[proposer].wants().cloned() else {
             return;
         };
         match end {
-            End::InForce => {
+            ProposalOutcome::InForce => {
                 let other = self.in_force.insert(wanted.version, wanted);
                 assert!(
                     other.is_none_or(|o| o == wanted),
@@ -168,7 +177,7 @@
                     "I3: one that was refused is in force"
                 );
             }
-            End::Refused(_) | End::Lost(_) => {
+            ProposalOutcome::Refused(_) | ProposalOutcome::Lost(_) => {
                 assert!(
                     !self.held.contains(&wanted.id()),
                     "I3: one that holds was told to be nowhere"
@@ -179,7 +188,7 @@
                 );
                 self.never.insert(wanted.id());
             }
-            End::Open => {}
+            ProposalOutcome::Open => {}
         }
     }
 
@@ -229,7 +238,7 @@
                 let Some(k) = &mut self.keepers[keeper] else {
                     return;
                 };
-                if let (Answer::Lease(grant), _) = k.ask(at, Ask::Lease) {
+                if let (AcceptorReply::Lease(grant), _) = k.ask(at, AcceptorRequest::Lease) {
                     self.post(|| Letter::Leased {
                         tenant,
                         life,
@@ -344,7 +353,8 @@
             }
             16 => {
                 let t = self.draw.below(TENANTS as u64) as usize;
-                (self.tenants[t], self.lives[t]) = (Tenant::new(TIMES, KEEPERS), self.lives[t] + 1);
+                (self.tenants[t], self.lives[t]) =
+                    (LeaseHolder::new(TIMES, KEEPERS), self.lives[t] + 1);
             }
             17..20 => {
                 let (version, digest) = self.known();
@@ -370,7 +380,7 @@
 
     fn start(&mut self, k: usize) {
         let at = self.clocks[k].at(self.now);
-        self.keepers[k] = Some(Keeper::new(TIMES, k as u64, self.disks[k].clone(), at));
+        self.keepers[k] = Some(Acceptor::new(TIMES, k as u64, self.disks[k].clone(), at));
     }
 }
 
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,8 +1,8 @@
 //! The wire's messages and their translation; names are the wire's, nothing is decided here.
 
 use frosthatch_traffic_control::{
-    Action, BootInfo, CustomerId, Event, Health, ListKind, Load, Outcome, Request, RequestId,
-    ServerEntry, ServerId, Status, Timer,
+    Action, AttemptOutcome, BootInfo, CompletionStatus, CustomerId, Event, Health, ListKind,
+    LoadMetric, Request, RequestId, ServerEntry, ServerId, Timer,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -154,17 +154,17 @@
     Terminated,
 }
 
-impl From<WireStatus> for Status {
+impl From<WireStatus> for CompletionStatus {
     fn from(s: WireStatus) -> Self {
         match s {
-            WireStatus::Served => Status::Served,
-            WireStatus::ServerError => Status::ServerError,
-            WireStatus::TurnedAway => Status::TurnedAway,
-            WireStatus::NoAnswer => Status::NoAnswer,
-            WireStatus::NoConnection => Status::NoConnection,
-            WireStatus::ConnectionLost => Status::ConnectionLost,
-            WireStatus::CalledOff => Status::CalledOff,
-            WireStatus::NotSent => Status::NotSent,
+            WireStatus::Served => CompletionStatus::Served,
+            WireStatus::ServerError => CompletionStatus::ServerError,
+            WireStatus::TurnedAway => CompletionStatus::TurnedAway,
+            WireStatus::NoAnswer => CompletionStatus::NoAnswer,
+            WireStatus::NoConnection => CompletionStatus::NoConnection,
+            WireStatus::ConnectionLost => CompletionStatus::ConnectionLost,
+            WireStatus::CalledOff => CompletionStatus::CalledOff,
+            WireStatus::NotSent => CompletionStatus::NotSent,
         }
     }
 }
@@ -254,7 +254,7 @@
                 fleet_use,
                 telemetry,
                 ..
-            } => Event::Outcome(Outcome {
+            } => Event::Outcome(AttemptOutcome {
                 request: request_id(&id)?,
                 attempt: leg,
                 server: ServerId(server.into()),
@@ -293,11 +293,11 @@
     }
 }
 
-fn load(name: &str, value: &serde_json::Value) -> Option<(Load, f64)> {
+fn load(name: &str, value: &serde_json::Value) -> Option<(LoadMetric, f64)> {
     let kind = match name {
-        "inflight" => Load::Inflight,
-        "queue" => Load::Queue,
-        "latency_ms" => Load::ServiceMs,
+        "inflight" => LoadMetric::Inflight,
+        "queue" => LoadMetric::Queue,
+        "latency_ms" => LoadMetric::ServiceMs,
         _ => return None,
     };
     Some((kind, value.as_f64()?))
--- a/crates/test-doubles/src/program.rs
+++ b/crates/test-doubles/src/program.rs
@@ -191,7 +191,7 @@
         Client::at(address)
     }
 
-    pub fn ask(&self, request: &Ask) -> Message {
+    pub fn ask(&self, request: &ClientRequest) -> Message {
         self.client().ask(&request.text()).expect("an answer")
     }
 
@@ -289,7 +289,9 @@
 
     /// The body of the answer to another check, over the same connection.
     pub fn ask_again(&mut self) -> String {
-        self.ask(&Ask::check().text()).expect("an answer").body
+        self.ask(&ClientRequest::check().text())
+            .expect("an answer")
+            .body
     }
 
     pub fn ask(&mut self, text: &str) -> Option<Message> {
@@ -300,15 +302,15 @@
 
 /// A client's request that is in order, until a test changes it.
 #[derive(Clone)]
-pub struct Ask {
+pub struct ClientRequest {
     pub method: &'static str,
     pub path: &'static str,
     pub headers: Vec<(&'static str, String)>,
     pub body: String,
 }
 
-impl Ask {
-    pub fn check() -> Ask {
+impl ClientRequest {
+    pub fn check() -> ClientRequest {
         let id = format!("{:016x}", NEXT.fetch_add(1, Ordering::SeqCst));
         let headers = vec![
             ("Host", "backend.local".into()),
@@ -319,7 +321,7 @@
             ("X-Expires-In", "8.0".into()),
             ("X-Call-Terms", "units=1,spread=1,first=0".into()),
         ];
-        Ask {
+        ClientRequest {
             method: "GET",
             path: "/balance-check",
             headers,
@@ -327,20 +329,20 @@
         }
     }
 
-    pub fn top_up() -> Ask {
-        let mut ask = Ask::check();
+    pub fn top_up() -> ClientRequest {
+        let mut ask = ClientRequest::check();
         (ask.method, ask.path, ask.body) = ("POST", "/top-up", "amount=50".into());
         ask.with("X-Qos", "top-up")
             .with("Idempotency-Key", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
     }
 
-    pub fn with(mut self, name: &'static str, value: &str) -> Ask {
+    pub fn with(mut self, name: &'static str, value: &str) -> ClientRequest {
         self.headers.retain(|(n, _)| *n != name);
         self.headers.push((name, value.into()));
         self
     }
 
-    pub fn without(mut self, name: &str) -> Ask {
+    pub fn without(mut self, name: &str) -> ClientRequest {
         self.headers.retain(|(n, _)| *n != name);
         self
     }
--- a/crates/traffic-control/benches/decisions.rs
+++ b/crates/traffic-control/benches/decisions.rs
@@ -2,7 +2,8 @@
 //! Gateways: one of 100, with a counter that answers at once.
 
 use frosthatch_traffic_control::{
-    Action, Event, Gateway, ListKind, Outcome, Plan, Request, ServerEntry, Settings, Status, Timer,
+    Action, AttemptOutcome, CompletionStatus, Event, Gateway, ListKind, Plan, Request, ServerEntry,
+    Settings, Timer,
 };
 use std::hint::black_box;
 use std::time::Instant;
@@ -70,11 +71,12 @@
                 Action::Send {
                     request, server, ..
                 } => Event::Outcome(
-                    Outcome::new(request, 0, server, Status::Served, 20_000).closing(),
+                    AttemptOutcome::new(request, 0, server, CompletionStatus::Served, 20_000)
+                        .closing(),
                 ),
                 Action::Count { name, amount, .. } => Event::Counted {
                     name,
-                    status: Status::Served,
+                    status: CompletionStatus::Served,
                     total: amount,
                 },
                 _ => Event::Timer(Timer::Customer(0)),
--- a/crates/traffic-control/src/boot.rs
+++ b/crates/traffic-control/src/boot.rs
@@ -1,6 +1,8 @@
 //! The settings in the form in which the operators hand them out, for whatever hosts a gateway.
 
-use crate::interface::{Ceiling, Class, ColdStart, Effect, Plan, Retries, Scope, Settings};
+use crate::interface::{
+    Ceiling, Effect, Plan, RequestClass, RetryBudget, Scope, Settings, SlowStart,
+};
 use serde::Deserialize;
 
 /// The settings as the operators write them; what is left out is zero or empty, what is unknown is skipped.
@@ -97,7 +99,7 @@
             },
             _ => Effect::Once,
         };
-        let classes = self.services.iter().map(|s| Class {
+        let classes = self.services.iter().map(|s| RequestClass {
             name: s.name.clone(),
             aim_us: s.aim_us,
             deadline_us: s.deadline_us,
@@ -125,7 +127,7 @@
             zone: self.zone,
             classes: classes.collect(),
             plans: plans.collect(),
-            cold: ColdStart {
+            cold: SlowStart {
                 from: self.rules.cold_from,
                 warm_us: self.rules.cold_us,
                 tip_multiple: self.rules.tip_multiple,
@@ -147,7 +149,7 @@
             list_on_request: self.discovery == "on_request",
             cross_zone_cost: self.penalties.cross_zone,
             most_units: family.units_top,
-            retries: Retries::default(),
+            retries: RetryBudget::default(),
         }
     }
 }
--- a/crates/traffic-control/src/fleet.rs
+++ b/crates/traffic-control/src/fleet.rs
@@ -3,11 +3,15 @@
 
 use crate::customer::RATE_TAU_US;
 use crate::decayed::Decayed;
-use crate::interface::{ColdStart, Health, ListKind, Micros, ServerEntry, ServerId, Status};
-use crate::seen::Words;
+use crate::interface::{
+    CompletionStatus, Health, ListKind, Micros, ServerEntry, ServerId, SlowStart,
+};
+use crate::seen::HealthReports;
 use crate::server::{Server, Zones};
 use crate::subset::Subset;
-use frosthatch_load_balancing::signals::{Common, Word, BAD, ENDS_US, MOST_WORDS, WELL};
+use frosthatch_load_balancing::outlier_signals::{
+    HealthReport, OutlierSignals, BAD, ENDS_US, MOST_WORDS, WELL,
+};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -35,7 +39,7 @@
     pub part: f64,
     pub subset: Subset,
     /// What gateways say of servers in trouble.
-    pub common: Common,
+    pub common: OutlierSignals,
     totals: Totals,
     pub zones: Zones,
     sends: Decayed,
@@ -45,7 +49,7 @@
     pub fn new(subset: Subset) -> Self {
         Fleet {
             subset,
-            common: Common::default(),
+            common: OutlierSignals::default(),
             servers: BTreeMap::new(),
             names: Arc::default(),
             part: 1.0,
@@ -60,7 +64,7 @@
     }
 
     /// Sums over the servers; over many of them they are not taken anew for each request.
-    pub fn totals(&self, cold: &ColdStart, now: Micros) -> Totals {
+    pub fn totals(&self, cold: &SlowStart, now: Micros) -> Totals {
         if self.names.is_empty() {
             self.sum_up(cold, now)
         } else {
@@ -68,7 +72,7 @@
         }
     }
 
-    pub fn sum_up(&self, cold: &ColdStart, now: Micros) -> Totals {
+    pub fn sum_up(&self, cold: &SlowStart, now: Micros) -> Totals {
         Totals {
             at: now,
             out: self.servers.values().map(|s| f64::from(s.out)).sum(),
@@ -78,7 +82,7 @@
     }
 
     /// A request comes: sums over many that have become old are taken anew.
-    pub fn look(&mut self, cold: &ColdStart, now: Micros) {
+    pub fn look(&mut self, cold: &SlowStart, now: Micros) {
         if !self.names.is_empty() && now >= self.totals.at + TOTALS_US {
             self.totals = self.sum_up(cold, now);
         }
@@ -130,7 +134,7 @@
     /// so many servers, if not all; of `most` at most all are looked at, again and again.
     pub fn deal(
         &mut self,
-        cold: &ColdStart,
+        cold: &SlowStart,
         now: Micros,
         size: impl Fn(usize, usize) -> Option<usize>,
         most: usize,
@@ -166,7 +170,7 @@
     pub fn ended(
         &mut self,
         server: &ServerId,
-        cold: &ColdStart,
+        cold: &SlowStart,
         now: Micros,
     ) -> Option<(f64, bool)> {
         let s = self.servers.get_mut(server)?;
@@ -189,7 +193,7 @@
     pub fn judge(
         &mut self,
         server: &ServerId,
-        status: Status,
+        status: CompletionStatus,
         ratio: f64,
         now: Micros,
         zones: bool,
@@ -200,10 +204,14 @@
         };
         // Unanswered is slow and failed in one: guards against servers, or a class on them, gone silent.
         let (slow, failed, weight) = match status {
-            Status::Served => (ratio, 0.0, ANSWER_WEIGHT),
-            Status::NoAnswer | Status::CalledOff if ratio > 1.0 => (ratio, 1.0, ANSWER_WEIGHT),
-            Status::NoConnection => (s.slowness, 1.0, UNREACHABLE_WEIGHT),
-            Status::NoAnswer | Status::CalledOff | Status::NotSent => (s.slowness, s.errors, 0.0),
+            CompletionStatus::Served => (ratio, 0.0, ANSWER_WEIGHT),
+            CompletionStatus::NoAnswer | CompletionStatus::CalledOff if ratio > 1.0 => {
+                (ratio, 1.0, ANSWER_WEIGHT)
+            }
+            CompletionStatus::NoConnection => (s.slowness, 1.0, UNREACHABLE_WEIGHT),
+            CompletionStatus::NoAnswer
+            | CompletionStatus::CalledOff
+            | CompletionStatus::NotSent => (s.slowness, s.errors, 0.0),
             _ => (s.slowness, 1.0, ANSWER_WEIGHT),
         };
         // Tried in its turn and well: what was thought of it is past.
@@ -219,7 +227,7 @@
 
     /// What this gateway says of servers: those in trouble, and those that somebody says are and that are well as seen from here. How many
     /// it uses; key, part that failed, and when that was found out.
-    pub fn words(&self, now: Micros) -> Words {
+    pub fn words(&self, now: Micros) -> HealthReports {
         let fresh = |s: &&Server| s.judged_at > s.started && s.judged_at + ENDS_US > now;
         let word = |s: &Server| (s.key, s.trouble(), s.judged_at);
         let tells = |w: &(u64, f64, Micros)| {
@@ -230,7 +238,7 @@
         // Of more the latest.
         of.sort_by_key(|w| std::cmp::Reverse(w.2));
         of.truncate(MOST_WORDS);
-        Words {
+        HealthReports {
             uses: used.round() as usize,
             of,
         }
@@ -244,8 +252,8 @@
     }
 
     /// All that another gateway says.
-    pub fn hear(&mut self, from: u32, words: Words, now: Micros) {
-        let word = |(server, errors, at)| (server, Word { errors, at });
+    pub fn hear(&mut self, from: u32, words: HealthReports, now: Micros) {
+        let word = |(server, errors, at)| (server, HealthReport { errors, at });
         self.common
             .hear(u64::from(from), words.uses, words.of.into_iter().map(word));
         self.settle(now);
@@ -255,7 +263,7 @@
     pub fn settle(&mut self, now: Micros) {
         let (me, mine) = (self.subset.me(), self.words(now));
         if !(mine.of.is_empty() && self.common.quiet()) {
-            let word = |(server, errors, at)| (server, Word { errors, at });
+            let word = |(server, errors, at)| (server, HealthReport { errors, at });
             self.common
                 .hear(me, mine.uses, mine.of.into_iter().map(word));
         }
--- a/crates/traffic-control/src/interface.rs
+++ b/crates/traffic-control/src/interface.rs
@@ -53,7 +53,7 @@
 
 /// A class of request.
 #[derive(Clone, Debug)]
-pub struct Class {
+pub struct RequestClass {
     /// Name that requests carry.
     pub name: String,
     /// An answer within this earns full worth.
@@ -100,16 +100,16 @@
 
 /// The budget of further attempts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Retries {
+pub struct RetryBudget {
     /// Further attempts that one first attempt earns.
     pub share: f64,
     /// Those that are saved up at most: they stay a small share of load.
     pub most: f64,
 }
 
-impl Default for Retries {
+impl Default for RetryBudget {
     fn default() -> Self {
-        Retries {
+        RetryBudget {
             share: 0.15,
             most: 10.0,
         }
@@ -118,13 +118,13 @@
 
 /// What an agreed policy sets: plans and classes are those of the settings, in their order, with other figures.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct PolicyTerms {
     /// All plans.
     pub plans: Vec<Plan>,
     /// All classes.
-    pub classes: Vec<Class>,
+    pub classes: Vec<RequestClass>,
     /// Further attempts.
-    pub retries: Retries,
+    pub retries: RetryBudget,
 }
 
 /// Whether requests may be let in, where gateways agree on their policy.
@@ -140,7 +140,7 @@
 
 /// How a server that has just started warms, and what pushes it over.
 #[derive(Clone, Copy, Debug)]
-pub struct ColdStart {
+pub struct SlowStart {
     /// Share of its capacity at the start, at least.
     pub from: f64,
     /// Warm after this, at the latest.
@@ -153,7 +153,7 @@
 
 /// What a figure in a load report means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Load {
+pub enum LoadMetric {
     /// Requests that the server holds.
     Inflight,
     /// Requests that wait at the server.
@@ -172,11 +172,11 @@
     /// This gateway's zone.
     pub zone: String,
     /// Request classes.
-    pub classes: Vec<Class>,
+    pub classes: Vec<RequestClass>,
     /// Customer plans.
     pub plans: Vec<Plan>,
     /// Cold servers.
-    pub cold: ColdStart,
+    pub cold: SlowStart,
     /// Attempts allowed for a request.
     pub max_attempts: u32,
     /// May two attempts of one request be out at once.
@@ -202,7 +202,7 @@
     /// Most units of one request.
     pub most_units: f64,
     /// Further attempts.
-    pub retries: Retries,
+    pub retries: RetryBudget,
 }
 
 impl Settings {
@@ -266,7 +266,7 @@
             gateways: 1,
             me: 0,
             zone: "a".into(),
-            classes: vec![Class {
+            classes: vec![RequestClass {
                 name: "read".into(),
                 aim_us: 1_000_000,
                 deadline_us: 4_000_000,
@@ -284,7 +284,7 @@
                 overrun_cost: 1.0,
                 ceiling: None,
             }],
-            cold: ColdStart {
+            cold: SlowStart {
                 from: 0.2,
                 warm_us: 20_000_000,
                 tip_multiple: 3.0,
@@ -302,7 +302,7 @@
             list_on_request: false,
             cross_zone_cost: 0.0,
             most_units: 1.0,
-            retries: Retries::default(),
+            retries: RetryBudget::default(),
         }
     }
 }
@@ -426,7 +426,7 @@
 
 /// How an attempt, or a call to the counter, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Status {
+pub enum CompletionStatus {
     /// Done.
     Served,
     /// The server answered with an error; it may have run.
@@ -445,19 +445,21 @@
     NotSent,
 }
 
-impl Status {
+impl CompletionStatus {
     /// Whether this end proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
-            Status::TurnedAway | Status::NoConnection | Status::NotSent
+            CompletionStatus::TurnedAway
+                | CompletionStatus::NoConnection
+                | CompletionStatus::NotSent
         )
     }
 }
 
 /// The end of one attempt.
 #[derive(Clone, Debug)]
-pub struct Outcome {
+pub struct AttemptOutcome {
     /// The request.
     pub request: RequestId,
     /// Number of the attempt, from 0.
@@ -465,7 +467,7 @@
     /// The server.
     pub server: ServerId,
     /// How it ended.
-    pub status: Status,
+    pub status: CompletionStatus,
     /// Time since the send.
     pub elapsed_us: Micros,
     /// Set once the client has its final answer.
@@ -475,19 +477,19 @@
     /// The customer's use over all gateways in the meter's last period, as a share of its rate or open limit.
     pub metered_use: Option<f64>,
     /// The server's load report.
-    pub report: Vec<(Load, f64)>,
+    pub report: Vec<(LoadMetric, f64)>,
 }
 
-impl Outcome {
+impl AttemptOutcome {
     /// An outcome that carries nothing besides its end and leaves the request open.
     pub fn new(
         request: RequestId,
         attempt: u32,
         server: ServerId,
-        status: Status,
+        status: CompletionStatus,
         elapsed_us: Micros,
     ) -> Self {
-        Outcome {
+        AttemptOutcome {
             request,
             attempt,
             server,
@@ -533,7 +535,7 @@
     /// A streamed answer has begun: the attempt is the client's now.
     Streaming(RequestId),
     /// An attempt ended.
-    Outcome(Outcome),
+    Outcome(AttemptOutcome),
     /// The client has gone.
     ClientGone(RequestId),
     /// A timer fell due.
@@ -561,7 +563,7 @@
         /// Its number.
         from: u32,
         /// What it says.
-        words: crate::seen::Words,
+        words: crate::seen::HealthReports,
     },
     /// All gateways of which is known that nothing comes through them: they left, or never were there.
     Absent(Vec<u32>),
@@ -572,7 +574,7 @@
         ahead_us: i64,
     },
     /// From now on other terms are in force. What customers used carries over, and for a moment the smaller of both holds.
-    Terms(Terms),
+    Terms(PolicyTerms),
     /// Whether requests may be let in from now on.
     Standing(Standing),
     /// The counter answered a call.
@@ -580,7 +582,7 @@
         /// The name counted.
         name: String,
         /// How the call ended.
-        status: Status,
+        status: CompletionStatus,
         /// The total after the call, if served.
         total: f64,
     },
@@ -588,7 +590,7 @@
 
 /// Why a request was not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum UnservedReason {
     /// Its class or plan is not among the settings.
     UnknownClass,
     /// More customers are active than are kept.
@@ -607,18 +609,18 @@
     AttemptsFailed,
 }
 
-impl Reason {
+impl UnservedReason {
     /// As logs name it.
     pub fn name(self) -> &'static str {
         match self {
-            Reason::UnknownClass => "unknown_class",
-            Reason::TooManyCustomers => "too_many_customers",
-            Reason::NoLease => "no_lease",
-            Reason::Quota => "quota",
-            Reason::Ceiling => "ceiling",
-            Reason::Pressure => "pressure",
-            Reason::NoServer => "no_server",
-            Reason::AttemptsFailed => "attempts_failed",
+            UnservedReason::UnknownClass => "unknown_class",
+            UnservedReason::TooManyCustomers => "too_many_customers",
+            UnservedReason::NoLease => "no_lease",
+            UnservedReason::Quota => "quota",
+            UnservedReason::Ceiling => "ceiling",
+            UnservedReason::Pressure => "pressure",
+            UnservedReason::NoServer => "no_server",
+            UnservedReason::AttemptsFailed => "attempts_failed",
         }
     }
 }
@@ -652,14 +654,14 @@
         /// How long to stay away; 0: no advice.
         retry_after_us: Micros,
         /// Why; for logs and figures.
-        reason: Reason,
+        reason: UnservedReason,
     },
     /// Final answer: failed, with no promise.
     Fail {
         /// The request.
         request: RequestId,
         /// Why; for logs and figures.
-        reason: Reason,
+        reason: UnservedReason,
     },
     /// Wake the gateway.
     SetTimer {
--- a/crates/traffic-control/src/latency.rs
+++ b/crates/traffic-control/src/latency.rs
@@ -1,6 +1,6 @@
 //! How long attempts of a class take, and how many units they carry. Measurement only.
 
-use crate::interface::{Class, Micros};
+use crate::interface::{Micros, RequestClass};
 
 const FLOOR_DRIFT: f64 = 1.01; // growth of the lowest latency an interval, to forget an old floor
 const ENOUGH: u32 = 3; // answers that make a mean worth acting on
@@ -63,7 +63,7 @@
     }
 
     /// How long an attempt takes now, in seconds, and how long at idle servers.
-    pub fn attempt_s(&self, class: &Class) -> (f64, f64) {
+    pub fn attempt_s(&self, class: &RequestClass) -> (f64, f64) {
         let least = class.aim_us as f64 / UNMEASURED;
         let idle = if self.lowest > 0.0 {
             self.lowest
--- a/crates/traffic-control/src/lib.rs
+++ b/crates/traffic-control/src/lib.rs
@@ -62,4 +62,4 @@
 
 pub use gateway::Gateway;
 pub use interface::*;
-pub use seen::Words;
+pub use seen::HealthReports;
--- a/crates/traffic-control/src/pace.rs
+++ b/crates/traffic-control/src/pace.rs
@@ -1,7 +1,7 @@
 //! How fast the servers are as seen from here: latencies by class, answers an interval, how many times their idle time
 //! attempts take. Measurement only.
 
-use crate::interface::{Class, Micros, Status};
+use crate::interface::{CompletionStatus, Micros, RequestClass};
 use crate::latency::ClassLatency;
 
 const STRETCH_MOST: f64 = 10.0; // times idle that one attempt may tell of
@@ -23,7 +23,7 @@
 }
 
 impl Pace {
-    pub fn new(classes: &[Class]) -> Self {
+    pub fn new(classes: &[RequestClass]) -> Self {
         let unmeasured = vec![ClassLatency::default(); classes.len()];
         let mut pace = Pace {
             classes: unmeasured,
@@ -44,15 +44,21 @@
         &mut self,
         class: usize,
         units: f64,
-        status: Status,
+        status: CompletionStatus,
         elapsed_us: Micros,
         ready: bool,
     ) -> f64 {
         let l = &mut self.classes[class];
         let ratio = l.ratio(units, elapsed_us);
-        let answered = matches!(status, Status::Served | Status::ServerError);
+        let answered = matches!(
+            status,
+            CompletionStatus::Served | CompletionStatus::ServerError
+        );
         self.done += f64::from(u8::from(answered && ready));
-        if matches!(status, Status::Served | Status::NoAnswer) {
+        if matches!(
+            status,
+            CompletionStatus::Served | CompletionStatus::NoAnswer
+        ) {
             if let Some(times) = l.times_idle(units, elapsed_us) {
                 self.stretch += STRETCH_WEIGHT * (times.min(STRETCH_MOST) - self.stretch);
             }
@@ -67,7 +73,7 @@
     }
 
     /// An interval of so many seconds is over. Which classes have a mean that is worth acting on.
-    pub fn interval(&mut self, classes: &[Class], seconds: f64, size: f64) -> Vec<bool> {
+    pub fn interval(&mut self, classes: &[RequestClass], seconds: f64, size: f64) -> Vec<bool> {
         let measured = self
             .classes
             .iter_mut()
@@ -80,7 +86,7 @@
         measured
     }
 
-    fn sum_up(&mut self, classes: &[Class]) {
+    fn sum_up(&mut self, classes: &[RequestClass]) {
         let times: Vec<_> = self
             .classes
             .iter()
--- a/crates/traffic-control/src/policy/asks.rs
+++ b/crates/traffic-control/src/policy/asks.rs
@@ -10,7 +10,7 @@
 use crate::decayed::Decayed;
 use crate::gateway::{Cell, Gateway};
 use crate::gossip::{self, CellNews, Message};
-use crate::interface::{Action, Micros, RequestId, Status, Timer};
+use crate::interface::{Action, CompletionStatus, Micros, RequestId, Timer};
 use rand_pcg::rand_core::RngCore;
 
 const NEWS_TO: u32 = 2; // peers told the fractions and rates an interval: a sample, whatever the fleet's size
@@ -329,7 +329,7 @@
     pub(super) fn on_counted(
         &mut self,
         name: &str,
-        status: Status,
+        status: CompletionStatus,
         total: f64,
         out: &mut Vec<Action>,
     ) {
@@ -344,8 +344,14 @@
             ..
         } = answer.call;
         // No connection, or one that broke, says nothing of how busy the counter is; an answer without a number does.
-        let answered = matches!(status, Status::Served | Status::ServerError);
-        if !matches!(status, Status::ConnectionLost | Status::NoConnection) {
+        let answered = matches!(
+            status,
+            CompletionStatus::Served | CompletionStatus::ServerError
+        );
+        if !matches!(
+            status,
+            CompletionStatus::ConnectionLost | CompletionStatus::NoConnection
+        ) {
             self.calls.learn(self.now, sent, answered);
         }
         let Some(c) = self.customers.get_mut(&customer) else {
@@ -356,7 +362,7 @@
         // Guards against places that two gateways see free at once, and refusals for want of units that nobody asked for, as
         // the call only read or others have come to wait since: all that wait are in the count before they are decided.
         let mut lacks = None;
-        if status != Status::Served || !total.is_finite() {
+        if status != CompletionStatus::Served || !total.is_finite() {
             c.no_total(&q, amount, status.never_ran(), self.now);
         } else if c.digits.is_some() || c.by_epochs(&q) {
             c.hear_places(&q, &answer, self.now);
--- a/crates/traffic-control/src/policy/attempts.rs
+++ b/crates/traffic-control/src/policy/attempts.rs
@@ -7,8 +7,8 @@
 use crate::gateway::Gateway;
 use crate::gossip;
 use crate::interface::{
-    Action, Effect, Micros, Outcome, Reason, Request, RequestId, Scope, Settings, Standing, Status,
-    Timer, GONE_SLACK_US, HELD_UP_US,
+    Action, AttemptOutcome, CompletionStatus, Effect, Micros, Request, RequestId, Scope, Settings,
+    Standing, Timer, UnservedReason, GONE_SLACK_US, HELD_UP_US,
 };
 use crate::ledger::Evidence;
 use crate::request::{Attempt, Pending};
@@ -95,7 +95,7 @@
             reason,
         };
         let (Some(class), Some(plan)) = (class, plan) else {
-            return out.push(never(Reason::UnknownClass));
+            return out.push(never(UnservedReason::UnknownClass));
         };
         let units = if r.units.is_finite() {
             r.units.max(0.0)
@@ -127,7 +127,7 @@
             .min(deadline - MARGIN_US.min(deadline));
         self.cells[cell].arrivals += 1.0;
         self.pace.classes[class].came(units);
-        let too_many = never(Reason::TooManyCustomers);
+        let too_many = never(UnservedReason::TooManyCustomers);
         let Some(c) = self.customer(tag, plan, width, keeper, place) else {
             return out.push(too_many);
         };
@@ -161,14 +161,14 @@
             return;
         };
         if self.standing == Standing::Closed {
-            return self.finish(id, UNLEASED_US, Reason::NoLease, out);
+            return self.finish(id, UNLEASED_US, UnservedReason::NoLease, out);
         }
         let (now, class, customer, units, lower) =
             (self.now, p.class, p.customer, p.draws, p.lower);
         let (fraction, plan) = (self.cells[p.cell].fraction, p.cell % self.set.plans.len());
         let q = self.quotas[plan];
         let Some(c) = self.customers.get_mut(&customer) else {
-            return self.finish(id, 0.0, Reason::TooManyCustomers, out);
+            return self.finish(id, 0.0, UnservedReason::TooManyCustomers, out);
         };
         self.peers.tell(now, &self.set, &q, c);
         c.refill(&q, now);
@@ -201,7 +201,7 @@
             let fraction = if lower { fraction * fraction } else { fraction };
             let lucky = fraction >= 1.0 || chance(&mut self.rng) < fraction;
             if !lucky || self.crowded(class, plan) {
-                return self.finish(id, self.bound(class), Reason::Pressure, out);
+                return self.finish(id, self.bound(class), UnservedReason::Pressure, out);
             }
             if known.is_none() && self.ask(id, out) {
                 return;
@@ -213,7 +213,7 @@
             false => {
                 // What could not be told yet may be why it looks used up.
                 self.post(customer, out);
-                self.finish(id, wait_us, Reason::Quota, out);
+                self.finish(id, wait_us, UnservedReason::Quota, out);
             }
         }
     }
@@ -238,9 +238,9 @@
         let choice = if may { self.choose(id) } else { None };
         let late = now >= unsent_by;
         let given_up = match &choice {
-            None if !first => Some(Reason::AttemptsFailed),
-            None => late.then_some(Reason::NoServer),
-            Some(_) => (first && !self.draw(id, out)).then_some(Reason::Ceiling),
+            None if !first => Some(UnservedReason::AttemptsFailed),
+            None => late.then_some(UnservedReason::NoServer),
+            Some(_) => (first && !self.draw(id, out)).then_some(UnservedReason::Ceiling),
         };
         if let Some(reason) = given_up {
             return self.finish(id, self.bound(class), reason, out);
@@ -313,7 +313,7 @@
         &mut self,
         id: RequestId,
         wait_us: f64,
-        reason: Reason,
+        reason: UnservedReason,
         out: &mut Vec<Action>,
     ) {
         let Some(p) = self.requests.get(&id).filter(|p| !p.closed) else {
@@ -358,7 +358,7 @@
         }
     }
 
-    pub(super) fn on_outcome(&mut self, o: Outcome, out: &mut Vec<Action>) {
+    pub(super) fn on_outcome(&mut self, o: AttemptOutcome, out: &mut Vec<Action>) {
         let Some(p) = self.requests.get_mut(&o.request) else {
             return;
         };
@@ -368,7 +368,7 @@
             .filter(|a| a.may_have_run.is_none());
         let Some(a) = a else { return };
         a.may_have_run = Some(!o.status.never_ran());
-        a.not_sent = o.status == Status::NotSent;
+        a.not_sent = o.status == CompletionStatus::NotSent;
         let refund = if a.not_sent { a.cost } else { 0.0 };
         self.retry_tokens = (self.retry_tokens + refund).min(self.set.retries.most);
         let (class, server, customer, units) = (p.class, a.server.clone(), p.customer, p.units);
--- a/crates/traffic-control/src/policy/choice.rs
+++ b/crates/traffic-control/src/policy/choice.rs
@@ -8,7 +8,7 @@
 use crate::gateway::Gateway;
 use crate::interface::{Health, Micros, RequestId, ServerId};
 use crate::server::Server;
-use frosthatch_load_balancing::{subset::Size, turns};
+use frosthatch_load_balancing::{rotating_lease, subset::SubsetSize};
 use rand_pcg::rand_core::RngCore;
 
 const CHANCE: f64 = 1.5; // slowness up to this is chance: work differs more than servers do
@@ -16,7 +16,7 @@
 const ERROR_COST: f64 = 10.0; // times dearer is a server that fails everything
 const COLD_SHARE: f64 = 0.5; // of the cold budget that all gateways let themselves use: half as much again is saved up
                              // Servers that one of many gateways uses: each is met again within about a second, and each is used by a few.
-const SUBSET: Size = Size { least: 7, users: 3 };
+const SUBSET: SubsetSize = SubsetSize { least: 7, users: 3 };
 const TURN_US: Micros = 4_000_000; // µs; one of its users tries a server that is left alone in each: shorter than words last
 const LOOKED_AT: usize = 64; // servers compared for a request: of more, so many drawn by chance are as good as all
 
@@ -101,7 +101,7 @@
     /// Whether it is this gateway's turn to try a server that all leave alone, and it has not yet.
     fn tries(&self, s: &Server) -> bool {
         let users = self.fleet.subset.users(s.key).into_iter();
-        let turn = turns::holds(self.fleet.subset.me(), s.key, users, self.now, TURN_US);
+        let turn = rotating_lease::holds(self.fleet.subset.me(), s.key, users, self.now, TURN_US);
         turn && s.out == 0 && s.judged_at < self.now - self.now % TURN_US
     }
 
--- a/crates/traffic-control/src/policy/mod.rs
+++ b/crates/traffic-control/src/policy/mod.rs
@@ -14,7 +14,7 @@
 
 use crate::customer::Customer;
 use crate::gateway::Gateway;
-use crate::interface::{Action, Event, ListKind, Micros, Reason, Timer};
+use crate::interface::{Action, Event, ListKind, Micros, Timer, UnservedReason};
 use rand_pcg::rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
 
@@ -60,7 +60,7 @@
             Event::Timer(Timer::Interval) => self.on_interval(out),
             Event::Timer(Timer::Customer(tag)) => self.on_customer_timer(tag, out),
             Event::Timer(Timer::Request(id)) if self.waiting.contains(&id) => {
-                self.finish(id, 0.0, Reason::NoServer, out)
+                self.finish(id, 0.0, UnservedReason::NoServer, out)
             }
             Event::Timer(Timer::Request(id)) => self.unanswered(id, out),
             Event::Peer { from, bytes } => self.hear_peer(from, &bytes, out),
--- a/crates/traffic-control/src/policy/terms.rs
+++ b/crates/traffic-control/src/policy/terms.rs
@@ -5,7 +5,7 @@
 use crate::calls::FEW;
 use crate::customer::Quota;
 use crate::gateway::Gateway;
-use crate::interface::{Action, Ceiling, Micros, Plan, Standing, Terms};
+use crate::interface::{Action, Ceiling, Micros, Plan, PolicyTerms, Standing};
 
 const WINDOW_US: Micros = 250_000; // µs; others may still, or already, serve under the other terms
 
@@ -32,9 +32,9 @@
     }
 }
 
-impl Terms {
+impl PolicyTerms {
     /// The smaller of both, plan by plan; worth, aims and retries are these.
-    pub fn smaller(self, other: &Terms) -> Terms {
+    pub fn smaller(self, other: &PolicyTerms) -> PolicyTerms {
         // No cap is the largest.
         let cap = |a: u32, b: u32| if a == 0 || b == 0 { a.max(b) } else { a.min(b) };
         let plan = |(a, b): (Plan, &Plan)| Plan {
@@ -45,13 +45,13 @@
             ..a
         };
         let plans = self.plans.into_iter().zip(&other.plans).map(plan).collect();
-        Terms { plans, ..self }
+        PolicyTerms { plans, ..self }
     }
 }
 
 impl Gateway {
     /// Stores stay as they are, less what no longer fits.
-    pub(super) fn on_terms(&mut self, terms: Terms) {
+    pub(super) fn on_terms(&mut self, terms: PolicyTerms) {
         (self.set.plans, self.set.classes) = (terms.plans, terms.classes);
         self.set.retries = terms.retries;
         let new = Quota::all(&self.set, self.pace.attempt_s, FEW);
--- a/crates/traffic-control/src/seen.rs
+++ b/crates/traffic-control/src/seen.rs
@@ -2,11 +2,11 @@
 
 use crate::calls::FEW;
 use crate::gateway::Gateway;
-use crate::interface::{Micros, Outcome, ServerId};
+use crate::interface::{AttemptOutcome, Micros, ServerId};
 
 /// What a gateway says of servers to the others.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Words {
+pub struct HealthReports {
     /// Servers that it uses.
     pub uses: usize,
     /// Key of a server, part of what was sent there that failed of late, and when that was found out.
@@ -41,12 +41,18 @@
     }
 
     /// What this gateway says of servers: those in trouble as seen from here, and those that others say are and that are well.
-    pub fn words(&self) -> Words {
+    pub fn words(&self) -> HealthReports {
         self.fleet.words(self.now)
     }
 
     /// An attempt ended: what it tells of its server and its class.
-    pub(crate) fn measure(&mut self, o: &Outcome, class: usize, units: f64, server: &ServerId) {
+    pub(crate) fn measure(
+        &mut self,
+        o: &AttemptOutcome,
+        class: usize,
+        units: f64,
+        server: &ServerId,
+    ) {
         let Some((warmth, ready)) = self.fleet.ended(server, &self.set.cold, self.now) else {
             return;
         };
--- a/crates/traffic-control/src/server.rs
+++ b/crates/traffic-control/src/server.rs
@@ -1,7 +1,7 @@
 //! What is known of one server: where it stands, how warm it must be by now, what is out there, and what its answers
 //! were like. Knowledge only; which server a request goes to is decided elsewhere.
 
-use crate::interface::{ColdStart, Health, Micros};
+use crate::interface::{Health, Micros, SlowStart};
 use std::collections::BTreeMap;
 
 #[derive(Default)]
@@ -25,7 +25,7 @@
 
 impl Server {
     /// Share of its capacity at least: evenly from the stated start.
-    pub fn warmth(&self, cold: &ColdStart, now: Micros) -> f64 {
+    pub fn warmth(&self, cold: &SlowStart, now: Micros) -> f64 {
         let age = now.saturating_sub(self.started) as f64 / cold.warm_us.max(1) as f64;
         let share = if self.started == 0 || cold.warm_us == 0 {
             1.0
--- a/crates/traffic-control/tests/common/mod.rs
+++ b/crates/traffic-control/tests/common/mod.rs
@@ -62,7 +62,7 @@
         id: RequestId,
         attempt: u32,
         server: &ServerId,
-        status: Status,
+        status: CompletionStatus,
         after: Micros,
     ) -> Vec<Action> {
         self.now += after;
@@ -75,11 +75,11 @@
         id: RequestId,
         attempt: u32,
         server: &ServerId,
-        status: Status,
+        status: CompletionStatus,
         took: Micros,
     ) -> Vec<Action> {
-        let mut o = Outcome::new(id, attempt, server.clone(), status, took);
-        o.closed = status == Status::Served;
+        let mut o = AttemptOutcome::new(id, attempt, server.clone(), status, took);
+        o.closed = status == CompletionStatus::Served;
         self.tell(Event::Outcome(o))
     }
 
@@ -102,13 +102,13 @@
     rig: &mut Rig,
     mut actions: Vec<Action>,
     total: &mut f64,
-    mut how: impl FnMut() -> Status,
+    mut how: impl FnMut() -> CompletionStatus,
 ) -> Vec<Action> {
     let mut k = 0;
     while k < actions.len() {
         if let Action::Count { name, amount, .. } = actions[k].clone() {
             let status = how();
-            *total += if status == Status::Served {
+            *total += if status == CompletionStatus::Served {
                 amount
             } else {
                 0.0
@@ -125,7 +125,7 @@
 }
 
 pub fn settle(rig: &mut Rig, actions: Vec<Action>, total: &mut f64) -> Option<ServerId> {
-    sent(&settle_as(rig, actions, total, || Status::Served))
+    sent(&settle_as(rig, actions, total, || CompletionStatus::Served))
 }
 
 /// How many of `tries` requests are passed on while a counter that stands at `total` answers at once.
@@ -135,7 +135,7 @@
         let (id, actions) = rig.ask(|r| r.width = width);
         if let Some(server) = settle(rig, actions, total) {
             n += 1;
-            rig.outcome(id, 0, &server, Status::Served, 0);
+            rig.outcome(id, 0, &server, CompletionStatus::Served, 0);
         }
     }
     n
@@ -154,7 +154,7 @@
         let (id, actions) = rig.request("c");
         let server = sent(&actions).expect("sent");
         *counts.entry(server.clone()).or_default() += 1;
-        rig.outcome(id, 0, &server, Status::Served, takes);
+        rig.outcome(id, 0, &server, CompletionStatus::Served, takes);
     }
     counts
 }
--- a/crates/traffic-control/tests/counter_faults.rs
+++ b/crates/traffic-control/tests/counter_faults.rs
@@ -180,16 +180,17 @@
         let c = &mut self.counter;
         let part = name.bytes().map(usize::from).sum::<usize>() % 3;
         let silent = c.lost || c.lost_part == Some(part);
-        let (mut status, mut total, mut at) = (Status::NoAnswer, 0.0, self.now + PATIENCE);
+        let (mut status, mut total, mut at) =
+            (CompletionStatus::NoAnswer, 0.0, self.now + PATIENCE);
         if !silent {
             let held = c.books[c.of[n]].entry(name.clone()).or_default();
             *held += amount;
             if c.delay < PATIENCE {
-                (status, total, at) = (Status::Served, *held, self.now + c.delay);
+                (status, total, at) = (CompletionStatus::Served, *held, self.now + c.delay);
             }
             match c.lie {
-                Lie::By(by) if status == Status::Served => total += by,
-                Lie::NoNumber => status = Status::ServerError,
+                Lie::By(by) if status == CompletionStatus::Served => total += by,
+                Lie::NoNumber => status = CompletionStatus::ServerError,
                 _ => {}
             }
         }
@@ -240,7 +241,8 @@
         }
         while self.ends.front().is_some_and(|(at, ..)| *at <= self.now) {
             let (_, n, id, server) = self.ends.pop_front().expect("one");
-            let mut o = Outcome::new(id, 0, server, Status::Served, SERVED).closing();
+            let mut o =
+                AttemptOutcome::new(id, 0, server, CompletionStatus::Served, SERVED).closing();
             let period = (
                 (self.now - METER_LATE) / 1_000_000 - 1,
                 self.customer_of[&id],
--- a/crates/traffic-control/tests/fleet.rs
+++ b/crates/traffic-control/tests/fleet.rs
@@ -101,7 +101,7 @@
             );
             let Some((id, server)) = sent else { continue };
             passed += 1;
-            let mut o = Outcome::new(id, 0, server, Status::Served, 0);
+            let mut o = AttemptOutcome::new(id, 0, server, CompletionStatus::Served, 0);
             (o.closed, o.metered_use) = (true, Some(4.0));
             rig.tell(Event::Outcome(o));
         }
@@ -141,7 +141,7 @@
                 let (id, actions) = rig.request("c");
                 if let Some(server) = sent(&actions) {
                     to_cold += 1;
-                    rig.outcome(id, 0, &server, Status::Served, 0);
+                    rig.outcome(id, 0, &server, CompletionStatus::Served, 0);
                 }
                 rig.now += 2_000_000 / u64::from(1200 / gateways);
             }
@@ -204,7 +204,7 @@
 
 #[test]
 fn calls_back_off_while_the_counter_is_silent() {
-    let calls = |status: Status| {
+    let calls = |status: CompletionStatus| {
         let mut rig = fleet(150, |s| s.counter = true).remove(0);
         let mut calls = [0, 0];
         for k in 0..1200 {
@@ -214,7 +214,7 @@
             for a in actions {
                 if let Action::Count { name, amount, .. } = a {
                     calls[k / 600] += 1;
-                    let total = if status == Status::Served {
+                    let total = if status == CompletionStatus::Served {
                         amount
                     } else {
                         0.0
@@ -229,13 +229,13 @@
         }
         calls
     };
-    let silent = calls(Status::NoAnswer);
+    let silent = calls(CompletionStatus::NoAnswer);
     // A fifth of a call a second is always tried.
     assert!(
         silent[0] > silent[1] && silent[1] <= 7,
         "{silent:?} in each half minute"
     );
-    let answers = calls(Status::Served);
+    let answers = calls(CompletionStatus::Served);
     assert!(
         silent[0] * 2 < answers[0] && silent[1] * 2 < answers[1],
         "{silent:?}, {answers:?} with answers"
@@ -257,9 +257,9 @@
         let dead = &*server.0 == "s0";
         silent += u32::from(dead);
         let (status, after) = if dead {
-            (Status::NoAnswer, 1_000_000)
+            (CompletionStatus::NoAnswer, 1_000_000)
         } else {
-            (Status::Served, 100_000)
+            (CompletionStatus::Served, 100_000)
         };
         rig.outcome(id, 0, &server, status, after);
         rig.now += 200_000;
@@ -289,7 +289,7 @@
         let total = amount + name_made_before;
         let next = rig.tell(Event::Counted {
             name,
-            status: Status::Served,
+            status: CompletionStatus::Served,
             total,
         });
         next.iter()
@@ -338,7 +338,7 @@
     };
     // By time: who has something to do, and what: an answer, news of the start, a new beginning, an interval, a request.
     enum Due {
-        Answer(usize, RequestId, u32, ServerId, Status, Micros),
+        Answer(usize, RequestId, u32, ServerId, CompletionStatus, Micros),
         News(usize),
         Anew(usize),
         Interval(usize),
@@ -421,10 +421,10 @@
                 let done = now.max(*core) + (WORK_US as f64 / speed) as Micros;
                 // Who has given up is not worked for.
                 let (status, took) = match done - now > timeout_us {
-                    true => (Status::NoAnswer, timeout_us),
-                    false => (Status::Served, done - now),
+                    true => (CompletionStatus::NoAnswer, timeout_us),
+                    false => (CompletionStatus::Served, done - now),
                 };
-                *core = if status == Status::Served {
+                *core = if status == CompletionStatus::Served {
                     done
                 } else {
                     *core
--- a/crates/traffic-control/tests/many.rs
+++ b/crates/traffic-control/tests/many.rs
@@ -76,12 +76,12 @@
     for _ in 0..5 {
         let (id, actions) = rig.request("c");
         let first = sent(&actions).expect("sent");
-        let second =
-            sent(&rig.outcome(id, 0, &first, Status::ConnectionLost, 1_000)).expect("sent again");
+        let second = sent(&rig.outcome(id, 0, &first, CompletionStatus::ConnectionLost, 1_000))
+            .expect("sent again");
         let cell = |s: &ServerId| s.0[1..].parse::<u64>().expect("a number") / 2;
         assert_eq!(cell(&first), cell(&second));
         assert_ne!(first, second, "the other one of the cell is tried first");
-        rig.outcome(id, 1, &second, Status::Served, 1_000);
+        rig.outcome(id, 1, &second, CompletionStatus::Served, 1_000);
     }
 }
 
--- a/crates/traffic-control/tests/mechanism.rs
+++ b/crates/traffic-control/tests/mechanism.rs
@@ -13,7 +13,7 @@
         let (id, actions) = rig.request("c");
         if let Some(server) = sent(&actions) {
             passed += 1;
-            rig.outcome(id, 0, &server, Status::Served, latency);
+            rig.outcome(id, 0, &server, CompletionStatus::Served, latency);
             rig.now -= latency;
         }
     }
@@ -63,7 +63,7 @@
         match sent(&actions) {
             Some(server) => {
                 passed += 1;
-                rig.outcome(id, 0, &server, Status::Served, 0);
+                rig.outcome(id, 0, &server, CompletionStatus::Served, 0);
             }
             None => {
                 let advised = |a: &Action| matches!(a, Action::Refuse { retry_after_us, .. } if *retry_after_us > 0);
@@ -112,9 +112,9 @@
         for a in &actions {
             if let Action::Count { name, amount, .. } = a {
                 let status = if k % 3 == 0 {
-                    Status::NoAnswer
+                    CompletionStatus::NoAnswer
                 } else {
-                    Status::Served
+                    CompletionStatus::Served
                 };
                 rig.tell(Event::Counted {
                     name: name.clone(),
@@ -125,7 +125,7 @@
         }
         if let Some(server) = sent(&actions) {
             n += 1;
-            rig.outcome(id, 0, &server, Status::Served, 0);
+            rig.outcome(id, 0, &server, CompletionStatus::Served, 0);
         }
     }
     assert!(n <= 20, "{n} passed of a burst of 20");
@@ -185,7 +185,7 @@
         );
         let Some(server) = server else { continue };
         passed += 1;
-        let mut o = Outcome::new(id, 0, server, Status::Served, 0);
+        let mut o = AttemptOutcome::new(id, 0, server, CompletionStatus::Served, 0);
         (o.closed, o.metered_use) = (true, Some(4.0));
         rig.tell(Event::Outcome(o));
     }
@@ -204,7 +204,7 @@
             id,
             0,
             &sent(&actions).expect("sent"),
-            Status::Served,
+            CompletionStatus::Served,
             50_000,
         );
     }
@@ -234,15 +234,15 @@
             0,
             &server,
             if failing {
-                Status::ServerError
+                CompletionStatus::ServerError
             } else {
-                Status::Served
+                CompletionStatus::Served
             },
             1_000,
         );
         if let Some(second) = sent(&actions) {
             assert_ne!(second, server);
-            rig.outcome(id, 1, &second, Status::Served, 20_000);
+            rig.outcome(id, 1, &second, CompletionStatus::Served, 20_000);
         }
     }
     assert!(bad * 10 < all, "{bad} of {all} went to the failing server");
@@ -263,7 +263,7 @@
         let (id, actions) = rig.request("c");
         let server = sent(&actions).expect("sent");
         least += u32::from(&*server.0 == "s0");
-        rig.outcome(id, 0, &server, Status::Served, 1_000);
+        rig.outcome(id, 0, &server, CompletionStatus::Served, 1_000);
     }
     assert!(
         least >= 8,
@@ -287,7 +287,13 @@
             1
         );
     }
-    let stranger = Outcome::new(RequestId(99), 0, ServerId("x".into()), Status::Served, 1);
+    let stranger = AttemptOutcome::new(
+        RequestId(99),
+        0,
+        ServerId("x".into()),
+        CompletionStatus::Served,
+        1,
+    );
     assert!(rig.tell(Event::Outcome(stranger)).is_empty());
     assert!(rig.tell(Event::ClientGone(RequestId(99))).is_empty());
     assert!(rig
@@ -295,9 +301,9 @@
         .is_empty());
     let (id, actions) = rig.request("c");
     let server = sent(&actions).expect("sent");
-    rig.outcome(id, 0, &server, Status::Served, 1);
+    rig.outcome(id, 0, &server, CompletionStatus::Served, 1);
     assert!(
-        rig.outcome(id, 0, &server, Status::ServerError, 1)
+        rig.outcome(id, 0, &server, CompletionStatus::ServerError, 1)
             .is_empty(),
         "a repeated outcome is ignored"
     );
@@ -400,7 +406,7 @@
                     total += amount;
                     actions.extend(rig.tell(Event::Counted {
                         name,
-                        status: Status::Served,
+                        status: CompletionStatus::Served,
                         total,
                     }));
                 }
@@ -419,7 +425,7 @@
 /// Guards against calls in a circle while nobody answers them.
 #[test]
 fn a_call_that_was_not_added_is_not_made_again_at_once() {
-    for status in [Status::NoConnection, Status::TurnedAway] {
+    for status in [CompletionStatus::NoConnection, CompletionStatus::TurnedAway] {
         let mut rig = Rig::with_servers(counted(2), 4);
         let (_, actions) = rig.ask(|r| r.width = 2);
         let all = settle_as(&mut rig, actions, &mut 0.0, || status);
@@ -446,16 +452,16 @@
         let mut how = || {
             calls += 1;
             if calls - 1 == lost {
-                Status::ConnectionLost
+                CompletionStatus::ConnectionLost
             } else {
-                Status::Served
+                CompletionStatus::Served
             }
         };
         for _ in 0..4 {
             let (id, actions) = rig.ask(|r| r.width = 2);
             let actions = settle_as(&mut rig, actions, &mut total, &mut how);
             if let Some(server) = sent(&actions) {
-                let actions = rig.outcome(id, 0, &server, Status::Served, 10_000);
+                let actions = rig.outcome(id, 0, &server, CompletionStatus::Served, 10_000);
                 settle_as(&mut rig, actions, &mut total, &mut how);
             }
         }
@@ -500,7 +506,7 @@
         total += amount;
         let actions = rig.tell(Event::Counted {
             name,
-            status: Status::Served,
+            status: CompletionStatus::Served,
             total,
         });
         out.extend(counts(&actions));
@@ -534,7 +540,7 @@
                 total += amount;
                 actions.extend(rig.tell(Event::Counted {
                     name,
-                    status: Status::Served,
+                    status: CompletionStatus::Served,
                     total,
                 }));
             }
@@ -573,7 +579,7 @@
                 rig.now += 20_000;
                 todo.extend(rig.tell(Event::Counted {
                     name,
-                    status: Status::Served,
+                    status: CompletionStatus::Served,
                     total: *total,
                 }));
             }
@@ -602,7 +608,13 @@
                 "the next has its place at once"
             ),
         }
-        let actions = rig.outcome(id, 0, &ServerId("s0".into()), Status::Served, 30_000);
+        let actions = rig.outcome(
+            id,
+            0,
+            &ServerId("s0".into()),
+            CompletionStatus::Served,
+            30_000,
+        );
         look = look.or(actions.iter().find_map(|a| match a {
             Action::SetTimer {
                 timer: Timer::Customer(of),
@@ -636,7 +648,13 @@
         for _ in 0..20 {
             let (id, actions) = rig.ask(|r| r.width = 2);
             if answered_late(&mut rig, actions, &mut total).1 > 0 {
-                let actions = rig.outcome(id, 0, &ServerId("s0".into()), Status::Served, 30_000);
+                let actions = rig.outcome(
+                    id,
+                    0,
+                    &ServerId("s0".into()),
+                    CompletionStatus::Served,
+                    30_000,
+                );
                 answered_late(&mut rig, actions, &mut total);
             }
             rig.now += 300_000;
@@ -646,11 +664,11 @@
             // What was kept is long given back; the counter says nothing.
             rig.now += 2_000_000;
             let (id, actions) = rig.ask(|r| r.width = 2);
-            let actions = settle_as(&mut rig, actions, &mut total, || Status::NoAnswer);
+            let actions = settle_as(&mut rig, actions, &mut total, || CompletionStatus::NoAnswer);
             if let Some(server) = sent(&actions) {
                 sends += 1;
-                let actions = rig.outcome(id, 0, &server, Status::Served, 30_000);
-                settle_as(&mut rig, actions, &mut total, || Status::NoAnswer);
+                let actions = rig.outcome(id, 0, &server, CompletionStatus::Served, 30_000);
+                settle_as(&mut rig, actions, &mut total, || CompletionStatus::NoAnswer);
             }
         }
         assert_eq!(sends, passed, "with {others} of 2 used by the others");
@@ -683,7 +701,7 @@
     rig.now = 1_022_000_000;
     total = 0.0;
     for (id, server) in first {
-        let actions = rig.outcome(id, 0, &server, Status::Served, 0);
+        let actions = rig.outcome(id, 0, &server, CompletionStatus::Served, 0);
         settle(&mut rig, actions, &mut total);
     }
     let then = open(&mut rig, &mut total).len();
@@ -712,7 +730,7 @@
     let bound = time_out(&actions).expect("it is sent");
     assert!((200_000..=500_000).contains(&bound), "{bound}");
     let server = sent(&actions).expect("it is sent");
-    let actions = rig.outcome(id, 0, &server, Status::NoAnswer, bound);
+    let actions = rig.outcome(id, 0, &server, CompletionStatus::NoAnswer, bound);
     assert!(
         sent(&actions).is_some_and(|other| other != server),
         "{actions:?}"
@@ -758,7 +776,7 @@
         for name in out {
             rig.tell(Event::Counted {
                 name,
-                status: Status::NoAnswer,
+                status: CompletionStatus::NoAnswer,
                 total: 0.0,
             });
         }
@@ -785,7 +803,7 @@
                     rig.now += took;
                     rig.tell(Event::Counted {
                         name,
-                        status: Status::Served,
+                        status: CompletionStatus::Served,
                         total: 1.0,
                     });
                 });
--- a/crates/traffic-control/tests/replay.rs
+++ b/crates/traffic-control/tests/replay.rs
@@ -74,7 +74,7 @@
 
 impl World {
     fn settings(&self, me: u32) -> Settings {
-        let class = |name: &str, aim_us, worth, effect| Class {
+        let class = |name: &str, aim_us, worth, effect| RequestClass {
             name: name.into(),
             aim_us,
             deadline_us: 3 * aim_us,
@@ -334,24 +334,24 @@
                     + Micros::from(self.below(120_000)) * if self.chance() < 0.05 { 8 } else { 1 };
                 let took = if self.slow() { took * 4 } else { took };
                 let (mut status, mut took) = match self.chance() < self.world.trouble {
-                    false => (Status::Served, took),
+                    false => (CompletionStatus::Served, took),
                     true => {
                         let bad = [
-                            Status::ServerError,
-                            Status::TurnedAway,
-                            Status::NoAnswer,
-                            Status::NoConnection,
-                            Status::ConnectionLost,
-                            Status::NotSent,
+                            CompletionStatus::ServerError,
+                            CompletionStatus::TurnedAway,
+                            CompletionStatus::NoAnswer,
+                            CompletionStatus::NoConnection,
+                            CompletionStatus::ConnectionLost,
+                            CompletionStatus::NotSent,
                         ];
                         (bad[self.below(6) as usize], took / 3)
                     }
                 };
                 if timeout_us > 0 && took > timeout_us {
-                    (status, took) = (Status::NoAnswer, timeout_us);
+                    (status, took) = (CompletionStatus::NoAnswer, timeout_us);
                 }
-                let mut o = Outcome::new(request, attempt, server, status, took);
-                o.closed = status == Status::Served;
+                let mut o = AttemptOutcome::new(request, attempt, server, status, took);
+                o.closed = status == CompletionStatus::Served;
                 o.settled_units = (self.chance() < 0.1).then_some(2.0);
                 o.metered_use = (self.chance() < 0.5)
                     .then(|| f64::from((self.now / 1_000_000 % 5) as u32) * 0.6);
@@ -417,18 +417,24 @@
         let down = (5_000_000..7_000_000).contains(&(self.now - 1_000_000_000))
             && self.world.trouble > 0.0;
         let status = match down || self.chance() < self.world.trouble {
-            false => Status::Served,
-            true => [Status::ServerError, Status::NoAnswer, Status::NoConnection]
-                [self.below(3) as usize],
+            false => CompletionStatus::Served,
+            true => [
+                CompletionStatus::ServerError,
+                CompletionStatus::NoAnswer,
+                CompletionStatus::NoConnection,
+            ][self.below(3) as usize],
         };
         let total = self.counts.entry(name.clone()).or_default();
-        if matches!(status, Status::Served | Status::NoAnswer) {
+        if matches!(
+            status,
+            CompletionStatus::Served | CompletionStatus::NoAnswer
+        ) {
             *total += amount + others.floor();
         }
         let total = *total;
         let after = 1_500
             + Micros::from(self.below(4_000))
-            + if status == Status::NoAnswer {
+            + if status == CompletionStatus::NoAnswer {
                 50_000
             } else {
                 0
--- a/crates/traffic-control/tests/rules.rs
+++ b/crates/traffic-control/tests/rules.rs
@@ -25,7 +25,7 @@
     let mut rig = Rig::with_servers(wide(), 2);
     let (id, actions) = rig.request("c");
     let server = sent(&actions).expect("sent");
-    let actions = rig.outcome(id, 0, &server, Status::NoAnswer, 4_000_000);
+    let actions = rig.outcome(id, 0, &server, CompletionStatus::NoAnswer, 4_000_000);
     assert!(refused(&actions) && sent(&actions).is_none());
     assert_eq!(rig.gateway.open_requests(), 0);
 }
@@ -43,7 +43,7 @@
             _ => None,
         });
         assert_eq!(timeout, Some(expected));
-        let actions = rig.outcome(id, 0, &server, Status::NoAnswer, expected);
+        let actions = rig.outcome(id, 0, &server, CompletionStatus::NoAnswer, expected);
         assert!(refused(&actions) && sent(&actions).is_none());
     }
 }
@@ -84,7 +84,7 @@
     let mut rig = Rig::with_servers(settings, 3);
     let (id, actions) = rig.request("c");
     let server = sent(&actions).expect("sent");
-    let actions = rig.outcome(id, 0, &server, Status::ConnectionLost, 1_000);
+    let actions = rig.outcome(id, 0, &server, CompletionStatus::ConnectionLost, 1_000);
     assert!(sent(&actions).is_none() && !refused(&actions) && failed(&actions));
 }
 
@@ -95,8 +95,8 @@
     let mut rig = Rig::with_servers(settings, 3);
     let (id, actions) = rig.request("c");
     let server = sent(&actions).expect("sent");
-    let again =
-        sent(&rig.outcome(id, 0, &server, Status::NoConnection, 1_000)).expect("sent again");
+    let again = sent(&rig.outcome(id, 0, &server, CompletionStatus::NoConnection, 1_000))
+        .expect("sent again");
     assert_ne!(again, server);
 }
 
@@ -110,8 +110,8 @@
         );
         let (id, actions) = rig.request("c");
         let server = sent(&actions).expect("sent");
-        let again =
-            sent(&rig.outcome(id, 0, &server, Status::ServerError, 1_000)).expect("sent again");
+        let again = sent(&rig.outcome(id, 0, &server, CompletionStatus::ServerError, 1_000))
+            .expect("sent again");
         let cell = |s: &ServerId| s.0[1..].parse::<u64>().expect("number") / 2;
         assert_eq!(cell(&again), cell(&server));
     }
@@ -122,7 +122,7 @@
     let mut rig = Rig::with_servers(keyed(Scope::Cell), 3);
     let (id, actions) = rig.request("c");
     let server = sent(&actions).expect("sent");
-    let actions = rig.outcome(id, 0, &server, Status::ServerError, 1_000_001);
+    let actions = rig.outcome(id, 0, &server, CompletionStatus::ServerError, 1_000_001);
     assert!(sent(&actions).is_none() && failed(&actions) && !refused(&actions));
 }
 
@@ -169,7 +169,7 @@
         // The others hold what they get; the cold one answers at once and always looks empty.
         if &*server.0 == "cold" {
             to_cold += 1;
-            rig.outcome(id, 0, &server, Status::Served, 0);
+            rig.outcome(id, 0, &server, CompletionStatus::Served, 0);
         }
         rig.now += 20_000;
     }
@@ -203,7 +203,7 @@
             let (id, actions) = rig.request("c");
             let server = sent(&actions).expect("sent");
             to_cold += u32::from(&*server.0 == "cold");
-            rig.outcome(id, 0, &server, Status::Served, 0);
+            rig.outcome(id, 0, &server, CompletionStatus::Served, 0);
         }
         assert!(to_cold >= 1 || second == 0, "nothing in second {second}");
         // 50 a second over eight and a fifth.
@@ -239,7 +239,8 @@
             rig.now += 10_000;
             let now = rig.now;
             for (_, id, server, took) in held.extract_if(.., |h| h.0 <= now) {
-                let outcome = Outcome::new(id, 0, server, Status::Served, took).closing();
+                let outcome =
+                    AttemptOutcome::new(id, 0, server, CompletionStatus::Served, took).closing();
                 rig.tell(Event::Outcome(outcome));
             }
         }
--- a/crates/traffic-control/tests/streams.rs
+++ b/crates/traffic-control/tests/streams.rs
@@ -22,13 +22,13 @@
     s
 }
 
-const STATUSES: [Status; 6] = [
-    Status::Served,
-    Status::ServerError,
-    Status::TurnedAway,
-    Status::NoAnswer,
-    Status::NoConnection,
-    Status::ConnectionLost,
+const STATUSES: [CompletionStatus; 6] = [
+    CompletionStatus::Served,
+    CompletionStatus::ServerError,
+    CompletionStatus::TurnedAway,
+    CompletionStatus::NoAnswer,
+    CompletionStatus::NoConnection,
+    CompletionStatus::ConnectionLost,
 ];
 
 /// Plays the stream and checks every action; returns all actions, and what the ceiling slice let through.
@@ -58,7 +58,7 @@
         if let Some(at) = overdue {
             let (id, n, server, sent) = out.remove(0);
             now = now.max(at);
-            let mut o = Outcome::new(id, n, server, Status::NoAnswer, now - sent);
+            let mut o = AttemptOutcome::new(id, n, server, CompletionStatus::NoAnswer, now - sent);
             o.closed = answered.contains_key(&id);
             events.push(Event::Outcome(o));
         }
@@ -109,9 +109,9 @@
                     let (id, n, server, sent) = out.remove(usize::from(pick) % out.len());
                     now = until;
                     let status = STATUSES[usize::from(pick) % 6];
-                    let mut o = Outcome::new(id, n, server, status, now - sent);
-                    o.closed = answered.contains_key(&id) || status == Status::Served;
-                    if status == Status::Served {
+                    let mut o = AttemptOutcome::new(id, n, server, status, now - sent);
+                    o.closed = answered.contains_key(&id) || status == CompletionStatus::Served;
+                    if status == CompletionStatus::Served {
                         answered.entry(id).or_insert(1);
                     }
                     events.push(Event::Outcome(o));
--- a/crates/traffic-control/tests/subsets.rs
+++ b/crates/traffic-control/tests/subsets.rs
@@ -83,12 +83,12 @@
         rig.now += 200_000;
         let (id, actions) = rig.request("c");
         let first = sent(&actions).expect("sent");
-        let second =
-            sent(&rig.outcome(id, 0, &first, Status::ConnectionLost, 1_000)).expect("sent again");
+        let second = sent(&rig.outcome(id, 0, &first, CompletionStatus::ConnectionLost, 1_000))
+            .expect("sent again");
         assert_eq!(cell(&first), cell(&second));
         assert_ne!(first, second, "the cell has others");
         left += usize::from(!part.contains(&second));
-        rig.outcome(id, 1, &second, Status::Served, 1_000);
+        rig.outcome(id, 1, &second, CompletionStatus::Served, 1_000);
     }
     assert!(left > 0, "of most cells the part has one server");
 }
@@ -97,7 +97,7 @@
 /// only some of them use it, and each has nowhere else to go: all servers are cold.
 #[test]
 fn cold_servers_are_not_pushed_over_by_those_that_use_them() {
-    let cold = ColdStart {
+    let cold = SlowStart {
         from: 0.27,
         warm_us: 18_000_000,
         tip_multiple: 4.0,
@@ -125,7 +125,7 @@
             let (id, actions) = rig.request("c");
             if let Some(server) = sent(&actions) {
                 *to_each.entry(server.clone()).or_default() += 1;
-                rig.outcome(id, 0, &server, Status::Served, 0);
+                rig.outcome(id, 0, &server, CompletionStatus::Served, 0);
             }
         }
     }
@@ -184,9 +184,9 @@
             0,
             &first,
             if bad {
-                Status::NoConnection
+                CompletionStatus::NoConnection
             } else {
-                Status::Served
+                CompletionStatus::Served
             },
             1_000,
         );
--- a/crates/traffic-control/tests/terms.rs
+++ b/crates/traffic-control/tests/terms.rs
@@ -23,10 +23,10 @@
 }
 
 fn terms(plan: Plan) -> Event {
-    Event::Terms(Terms {
+    Event::Terms(PolicyTerms {
         plans: vec![plan],
         classes: Settings::example().classes,
-        retries: Retries::default(),
+        retries: RetryBudget::default(),
     })
 }
 
@@ -37,7 +37,7 @@
         let (id, actions) = rig.request("c");
         if let Some(server) = sent(&actions) {
             passed += 1;
-            rig.outcome(id, 0, &server, Status::Served, 0);
+            rig.outcome(id, 0, &server, CompletionStatus::Served, 0);
         }
     }
     passed
@@ -176,7 +176,7 @@
     });
     assert_eq!(after, Some(1_000_000));
     // Its first attempt was let in: a further one is no other request.
-    let actions = rig.outcome(running, 0, &server, Status::TurnedAway, 10_000);
+    let actions = rig.outcome(running, 0, &server, CompletionStatus::TurnedAway, 10_000);
     assert!(sent(&actions).is_some());
     rig.tell(Event::Standing(Standing::Open));
     assert!(sent(&rig.request("c").1).is_some());
@@ -194,7 +194,7 @@
             ceiling,
             ..set.plans[0].clone()
         };
-        Terms {
+        PolicyTerms {
             plans: vec![plan],
             classes: set.classes.clone(),
             retries: set.retries,
--- a/crates/traffic-control/tests/wide_sets.rs
+++ b/crates/traffic-control/tests/wide_sets.rs
@@ -58,19 +58,19 @@
     let mut rig = one(1);
     let (id, actions) = rig.ask(named(1));
     assert_eq!(calls(&actions).len(), 1, "it asks: {actions:?}");
-    let told = settle_as(&mut rig, actions, &mut 0.0, || Status::NoAnswer);
+    let told = settle_as(&mut rig, actions, &mut 0.0, || CompletionStatus::NoAnswer);
     let server = sent(&told).expect("passed on");
     // The meter says that the customer uses four times its quota: as many pass as leave it used in sum.
-    let mut o = Outcome::new(id, 0, server, Status::Served, 50_000);
+    let mut o = AttemptOutcome::new(id, 0, server, CompletionStatus::Served, 50_000);
     (o.closed, o.metered_use) = (true, Some(4.0));
     rig.tell(Event::Outcome(o));
     let mut passed = 0;
     for _ in 0..200 {
         let (id, actions) = rig.ask(named(1));
-        let actions = settle_as(&mut rig, actions, &mut 0.0, || Status::TurnedAway);
+        let actions = settle_as(&mut rig, actions, &mut 0.0, || CompletionStatus::TurnedAway);
         if let Some(server) = sent(&actions) {
             passed += 1;
-            rig.outcome(id, 0, &server, Status::Served, 0);
+            rig.outcome(id, 0, &server, CompletionStatus::Served, 0);
         }
     }
     assert!(
@@ -118,7 +118,7 @@
                 continue;
             };
             passed[second] += 1;
-            let mut o = Outcome::new(id, 0, server, Status::Served, 0);
+            let mut o = AttemptOutcome::new(id, 0, server, CompletionStatus::Served, 0);
             // Of the last period that is over.
             let told = passed[second.saturating_sub(1)] as f64 / 2.0;
             (o.closed, o.metered_use) = (true, metered.then_some(told));
@@ -159,7 +159,7 @@
     };
     let mut told = rig.tell(Event::Counted {
         name: name.clone(),
-        status: Status::Served,
+        status: CompletionStatus::Served,
         total: 1e3,
     });
     assert!(refused(&told), "all is used: {told:?}");
@@ -213,13 +213,13 @@
                     *total += amount;
                     let told = Event::Counted {
                         name,
-                        status: Status::Served,
+                        status: CompletionStatus::Served,
                         total: *total,
                     };
                     actions.extend(rig.tell(told));
                 }
                 Action::Send { server: to, .. } if ends => {
-                    actions.extend(rig.outcome(id, 0, &to, Status::Served, 50_000));
+                    actions.extend(rig.outcome(id, 0, &to, CompletionStatus::Served, 50_000));
                     server = Some(to);
                 }
                 Action::Send { server: to, .. } => server = Some(to),
@@ -261,16 +261,16 @@
             to_a += usize::from(in_a);
             let lost = in_a && gone;
             let status = if lost {
-                Status::NoConnection
+                CompletionStatus::NoConnection
             } else {
-                Status::Served
+                CompletionStatus::Served
             };
             let again =
                 sent(&rig.outcome(id, 0, &server, status, if lost { 250_000 } else { 100_000 }));
             rig.tell(Event::ClientGone(id));
             // Its client does not wait for the further attempt, which is called off.
             if let Some(server) = again {
-                rig.outcome(id, 1, &server, Status::CalledOff, 0);
+                rig.outcome(id, 1, &server, CompletionStatus::CalledOff, 0);
             }
             rig.now += 50_000;
         }
@@ -321,15 +321,15 @@
             let mut how = || {
                 n += 1;
                 if answers && n % 5 != 4 {
-                    Status::Served
+                    CompletionStatus::Served
                 } else {
-                    Status::TurnedAway
+                    CompletionStatus::TurnedAway
                 }
             };
             let actions = settle_as(rig, actions, &mut total, &mut how);
             if let Some(server) = sent(&actions) {
                 passed += 3.0;
-                let ended = rig.outcome(id, 0, &server, Status::Served, 0);
+                let ended = rig.outcome(id, 0, &server, CompletionStatus::Served, 0);
                 settle_as(rig, ended, &mut total, &mut how);
             }
             for rig in &mut rigs {
@@ -367,7 +367,7 @@
     let mut total = 420.0 + asked;
     let told = rig.tell(Event::Counted {
         name: name.clone(),
-        status: Status::Served,
+        status: CompletionStatus::Served,
         total,
     });
     assert!(
@@ -379,7 +379,7 @@
     total += again[0].1;
     let told = rig.tell(Event::Counted {
         name: name.clone(),
-        status: Status::Served,
+        status: CompletionStatus::Served,
         total,
     });
     let passed = |id| {
--- a/crates/traffic-control/tests/words.rs
+++ b/crates/traffic-control/tests/words.rs
@@ -67,7 +67,7 @@
                 self.out = later;
                 let due: Vec<(u32, u64, RequestId, u32, ServerId)> = due;
                 for (_, _, id, attempt, server) in due {
-                    rig.end(id, attempt, &server, Status::Served, 3 * STEP);
+                    rig.end(id, attempt, &server, CompletionStatus::Served, 3 * STEP);
                 }
                 for _ in 0..2 {
                     let (id, mut actions) = self.all[me as usize].request("c");
@@ -82,7 +82,7 @@
                             id,
                             attempt,
                             &server,
-                            Status::ServerError,
+                            CompletionStatus::ServerError,
                             1_000,
                         );
                         attempt += 1;
@@ -96,7 +96,7 @@
     }
 
     fn say(&mut self) {
-        let words: Vec<Words> = self.all.iter().map(|r| r.gateway.words()).collect();
+        let words: Vec<HealthReports> = self.all.iter().map(|r| r.gateway.words()).collect();
         for (me, rig) in (0..).zip(&mut self.all) {
             for (from, words) in (0..).zip(&words) {
                 if from != me && !self.deaf.contains(&me) && !self.deaf.contains(&from) {
