--- a/crates/cluster-membership/src/driver.rs
+++ b/crates/cluster-membership/src/driver.rs
@@ -56,23 +56,23 @@
         let mut out = Vec::new();
         self.fleet
             .borrow_mut()
-            .post(self.now(), to, bytes, &mut out);
+            .send_message(self.now(), to, bytes, &mut out);
         self.carry_out(&mut out);
     }
 
     /// One of this member's figures for the others.
     pub fn set_fact(&self, name: &str, value: f64) {
-        self.fleet.borrow_mut().set_fact(self.now(), name, value);
+        self.fleet.borrow_mut().set_gauge(self.now(), name, value);
     }
 
     /// The same, found out at that time.
     pub fn set_fact_of(&self, at: u64, name: &str, value: f64) {
-        self.fleet.borrow_mut().set_fact(at, name, value);
+        self.fleet.borrow_mut().set_gauge(at, name, value);
     }
 
     /// It is told no more.
     pub fn clear_fact(&self, name: &str) {
-        self.fleet.borrow_mut().clear_fact(name);
+        self.fleet.borrow_mut().clear_gauge(name);
     }
 
     pub fn set_phase(&self, phase: LifecyclePhase) {
@@ -97,15 +97,15 @@
                 Output::Send { to, bytes } => {
                     drop(uninterrupted(|| self.socket.try_send_to(&bytes, to)))
                 }
-                Output::Told { heard, uses, past } => {
+                Output::UsageReported { heard, uses, past } => {
                     let engine = self.engine.borrow().clone();
-                    engine.inspect(|e| e.told(heard, uses, past));
+                    engine.inspect(|e| e.record_peer_usage(heard, uses, past));
                 }
-                Output::Absent(gateways) => {
+                Output::GatewaysAbsent(gateways) => {
                     let engine = self.engine.borrow().clone();
-                    engine.inspect(|e| e.absent(gateways));
+                    engine.inspect(|e| e.set_absent_gateways(gateways));
                 }
-                Output::Post { from, bytes } => {
+                Output::MessageReceived { from, bytes } => {
                     let reader = self.reader.borrow().clone();
                     reader.inspect(|r| r.letter(&from, &bytes));
                 }
@@ -140,7 +140,7 @@
 }
 
 impl UsageReporter for MembershipHandle {
-    fn used(&self, tag: u32, units: f64) {
-        self.fleet.borrow_mut().used(tag, units);
+    fn record_usage(&self, tag: u32, units: f64) {
+        self.fleet.borrow_mut().record_usage(tag, units);
     }
 }
--- a/crates/cluster-membership/src/fleet.rs
+++ b/crates/cluster-membership/src/fleet.rs
@@ -98,15 +98,15 @@
     },
     /// Use of others that was not known, by gateway and customer; what is of before they were heard, by customer; and who has told
     /// all of its own.
-    Told {
+    UsageReported {
         heard: Vec<u32>,
         uses: Vec<(u32, u32, f64)>,
         past: Vec<(u32, f64)>,
     },
     /// All numbers under which nobody can let anything through.
-    Absent(Vec<u32>),
+    GatewaysAbsent(Vec<u32>),
     /// A letter came from a member, as it was given to [`Fleet::post`] there.
-    Post {
+    MessageReceived {
         from: String,
         bytes: Vec<u8>,
     },
@@ -170,7 +170,7 @@
     met: bool,
     absent: Vec<u32>,
     /// Another process runs under this name: this one talks no more.
-    pub yielded: bool,
+    pub superseded: bool,
     gone: bool,
 }
 
@@ -184,7 +184,7 @@
             zone: plan.zone.clone(),
             region: plan.region.clone(),
             address: plan.advertise,
-            life,
+            instance_id: life,
             incarnation: plan.started_ms.max(1),
             phase: LifecyclePhase::Joining,
             verdict: Liveness::Alive,
@@ -219,7 +219,7 @@
             met: plan.seeds.iter().all(|s| *s == plan.advertise),
             absent: Vec::new(),
             unheard: Vec::new(),
-            yielded: false,
+            superseded: false,
             gone: false,
             plan,
         }
@@ -253,26 +253,26 @@
     }
 
     /// This gateway let units of a customer through.
-    pub fn used(&mut self, tag: u32, units: f64) {
+    pub fn record_usage(&mut self, tag: u32, units: f64) {
         self.telling.used(tag, units);
     }
 
     /// One of this member's figures for the others.
-    pub fn set_fact(&mut self, now: u64, name: &str, value: f64) -> bool {
+    pub fn set_gauge(&mut self, now: u64, name: &str, value: f64) -> bool {
         self.facts.set(now, name, value)
     }
 
-    pub fn clear_fact(&mut self, name: &str) {
+    pub fn clear_gauge(&mut self, name: &str) {
         self.facts.clear(name);
     }
 
     /// All of another member's figures: name, value, and when each was found out, by this member's clock; its version of them.
-    pub fn facts(&self, member: &str) -> Option<&Gauges> {
+    pub fn gauges(&self, member: &str) -> Option<&Gauges> {
         Some(&self.peers.get(member)?.facts)
     }
 
     /// A member's figures, and when each was found out, by this member's clock.
-    pub fn fact(&self, member: &str, name: &str) -> Option<(f64, u64)> {
+    pub fn gauge(&self, member: &str, name: &str) -> Option<(f64, u64)> {
         match member == self.plan.name {
             true => self.facts.get(name),
             false => self.peers.get(member)?.facts.get(name),
@@ -292,7 +292,7 @@
 
     /// Tells the others that it goes. From then on it only says that, again and again as long as it is asked to tick.
     pub fn leave(&mut self, now: u64, out: &mut Vec<Output>) {
-        if self.yielded {
+        if self.superseded {
             return;
         }
         self.set_phase(now, LifecyclePhase::Left);
@@ -317,8 +317,8 @@
     }
 
     /// Sends a letter, of at most [`MOST_POST`] bytes, to a member: once, and not at all to one that has not proven who it is.
-    pub fn post(&mut self, now: u64, to: &str, bytes: Vec<u8>, out: &mut Vec<Output>) {
-        if !self.yielded && !self.gone {
+    pub fn send_message(&mut self, now: u64, to: &str, bytes: Vec<u8>, out: &mut Vec<Output>) {
+        if !self.superseded && !self.gone {
             self.send(
                 to,
                 now,
@@ -340,7 +340,7 @@
 
     /// Takes in what came by the network.
     pub fn datagram(&mut self, now: u64, from: SocketAddr, bytes: &[u8], out: &mut Vec<Output>) {
-        if self.yielded {
+        if self.superseded {
             return;
         }
         if self.ticked_at > 0 && now.saturating_sub(self.ticked_at) > self.slept_us() {
@@ -453,7 +453,7 @@
         let number = self
             .table
             .get(&h.from)
-            .filter(|r| r.life == h.life)
+            .filter(|r| r.instance_id == h.life)
             .map(|r| u32::from(r.number));
         let Some(peer) = self.peers.get_mut(&h.from) else {
             return;
@@ -517,7 +517,7 @@
             self.answer_sync(&h.from, now, differing, h.back, out);
         }
         if !post.is_empty() {
-            out.push(Output::Post {
+            out.push(Output::MessageReceived {
                 from: h.from,
                 bytes: post,
             });
@@ -561,7 +561,7 @@
     fn member(&mut self, now: u64, m: wire::MemberUpdate, out: &mut Vec<Output>) {
         let r = &m.record;
         if r.name == self.plan.name {
-            if r.life == self.life {
+            if r.instance_id == self.life {
                 let (phase, incarnation) = (self.me().phase, self.me().incarnation);
                 let accused = r.verdict != Liveness::Alive || r.phase == LifecyclePhase::Left;
                 if r.incarnation >= incarnation && accused && !self.gone {
@@ -571,7 +571,7 @@
                 }
             } else {
                 let there = r.there();
-                self.claimed(now, r.incarnation, r.life, there, out);
+                self.claimed(now, r.incarnation, r.instance_id, there, out);
             }
             return;
         }
@@ -617,7 +617,7 @@
         out: &mut Vec<Output>,
     ) {
         let mine = self.me();
-        if (incarnation, life) < (mine.incarnation, mine.life) {
+        if (incarnation, life) < (mine.incarnation, mine.instance_id) {
             return;
         }
         let young = now.saturating_sub(self.started.unwrap_or(now)) < CLAIM_US;
@@ -626,7 +626,7 @@
             self.table.say(now, phase, incarnation);
             return;
         }
-        self.yielded = true;
+        self.superseded = true;
         let name = &self.plan.name;
         out.push(Output::Log(format!(
             "fleet: a later process runs as {name}; this one talks to nobody any more"
@@ -642,7 +642,7 @@
         let same = change
             .before
             .as_ref()
-            .is_some_and(|b| b.life == r.life && b.state() == r.state());
+            .is_some_and(|b| b.instance_id == r.instance_id && b.state() == r.state());
         if !same && r.verdict != Liveness::Suspect {
             let back = change
                 .before
@@ -698,13 +698,13 @@
         let news = self.telling.tick(now);
         if !(news.is_empty() && self.heard.is_empty()) {
             let heard = std::mem::take(&mut self.heard).into_iter().collect();
-            out.push(Output::Told {
+            out.push(Output::UsageReported {
                 heard,
                 uses: news.uses,
                 past: news.past,
             });
         }
-        if self.yielded {
+        if self.superseded {
             return;
         }
         if self.gone {
@@ -761,7 +761,7 @@
             .collect();
         if absent != self.absent {
             self.absent.clone_from(&absent);
-            out.push(Output::Absent(absent));
+            out.push(Output::GatewaysAbsent(absent));
         }
     }
 
@@ -999,7 +999,10 @@
         out: &mut Vec<Output>,
     ) {
         let interval = self.plan.interval_us(self.table.len().saturating_sub(1));
-        let known = self.table.get(name).map(|r| (r.life, r.there(), r.number));
+        let known = self
+            .table
+            .get(name)
+            .map(|r| (r.instance_id, r.there(), r.number));
         let peer = self.peer(now, name);
         peer.due = now + interval;
         peer.session.number += 1;
--- a/crates/cluster-membership/src/record.rs
+++ b/crates/cluster-membership/src/record.rs
@@ -38,7 +38,7 @@
     /// Where the others reach it.
     pub address: SocketAddr,
     /// Drawn by the process at its start: a restarted one is another.
-    pub life: u64,
+    pub instance_id: u64,
     /// Begins with the time of its start in milliseconds, and grows with each change and each refutation.
     pub incarnation: u64,
     pub phase: LifecyclePhase,
@@ -49,7 +49,7 @@
 impl MemberRecord {
     /// Whether this telling replaces the other.
     pub fn beats(&self, other: &MemberRecord) -> bool {
-        let order = |r: &MemberRecord| (r.incarnation, r.life, r.verdict);
+        let order = |r: &MemberRecord| (r.incarnation, r.instance_id, r.verdict);
         order(self) > order(other)
     }
 
@@ -90,7 +90,7 @@
         let mut h = hasher();
         (
             &self.name,
-            self.life,
+            self.instance_id,
             self.incarnation,
             self.phase,
             self.verdict == Liveness::Dead,
@@ -122,7 +122,7 @@
             zone: "a".into(),
             region: String::new(),
             address: ([127, 0, 0, 1], 7_400).into(),
-            life: 1,
+            instance_id: 1,
             incarnation,
             phase: LifecyclePhase::Ready,
             verdict: Liveness::Alive,
--- a/crates/cluster-membership/src/table.rs
+++ b/crates/cluster-membership/src/table.rs
@@ -140,7 +140,7 @@
     fn count(&mut self, r: &MemberRecord, in_it: bool) {
         self.buckets[bucket(&r.name)] ^= r.digest() as u32;
         if r.ready() {
-            self.view.digest ^= hash((&r.region, &r.zone, &r.name, r.number, r.life));
+            self.view.digest ^= hash((&r.region, &r.zone, &r.name, r.number, r.instance_id));
             self.view.ready = if in_it {
                 self.view.ready + 1
             } else {
--- a/crates/cluster-membership/tests/golden_forms.rs
+++ b/crates/cluster-membership/tests/golden_forms.rs
@@ -59,7 +59,7 @@
         zone: "a".into(),
         region: "north".into(),
         address: ([127, 0, 0, 1], 7_400).into(),
-        life: 99,
+        instance_id: 99,
         incarnation: 1_700_000_000_124,
         phase,
         verdict,
@@ -177,17 +177,17 @@
         };
         note("join", &mut world);
         for n in 0..30 {
-            world.node(n % 6).fleet.used(n as u32 % 4, 1.5);
+            world.node(n % 6).fleet.record_usage(n as u32 % 4, 1.5);
             world.run(TICK);
         }
         note("use", &mut world);
         let now = world.now;
-        assert!(world.node(2).fleet.set_fact(now, "strain", 0.25));
+        assert!(world.node(2).fleet.set_gauge(now, "strain", 0.25));
         let mut out = Vec::new();
         world
             .node(1)
             .fleet
-            .post(now, "n3", b"a message".to_vec(), &mut out);
+            .send_message(now, "n3", b"a message".to_vec(), &mut out);
         for output in out {
             if let Output::Send { bytes, .. } = output {
                 world.deliver(3, world::at(1), &bytes);
--- a/crates/cluster-membership/tests/members.rs
+++ b/crates/cluster-membership/tests/members.rs
@@ -82,19 +82,19 @@
         w.run(200_000);
         let started = w.now / 1_000 - back;
         w.start_with(2, plan(2, 5, started));
-        let life = w.fleet(2).me().life;
+        let life = w.fleet(2).me().instance_id;
         let known = |w: &World| {
             w.running().iter().all(|n| {
                 w.fleet(*n)
                     .members()
-                    .any(|m| m.record.life == life && m.record.ready())
+                    .any(|m| m.record.instance_id == life && m.record.ready())
             })
         };
         let took = w.until(5 * S, known);
         assert!(took.is_some_and(|us| us <= S), "{back}: {took:?}");
         w.run(10 * S);
         assert!(
-            known(&w) && w.views_equal() && !w.fleet(2).yielded,
+            known(&w) && w.views_equal() && !w.fleet(2).superseded,
             "{back}"
         );
     }
@@ -123,18 +123,21 @@
         },
     );
     w.run(3 * S);
-    assert!(w.fleet(twice).yielded && !w.fleet(other).yielded, "{of}");
+    assert!(
+        w.fleet(twice).superseded && !w.fleet(other).superseded,
+        "{of}"
+    );
     assert!(w
         .node(twice)
         .logs
         .iter()
         .any(|(_, l)| l.contains(&format!("a later process runs as n{twice}"))));
-    let life = w.fleet(other).me().life;
+    let life = w.fleet(other).me().instance_id;
     for n in (0..of).filter(|n| *n != twice) {
         assert!(
             w.fleet(n)
                 .members()
-                .any(|m| m.record.name == format!("n{twice}") && m.record.life == life),
+                .any(|m| m.record.name == format!("n{twice}") && m.record.instance_id == life),
             "{n}"
         );
     }
@@ -265,7 +268,7 @@
 fn what_was_recorded_a_minute_ago_changes_nothing() {
     let mut w = World::settled(4, 14);
     w.record = Some(Vec::new());
-    w.node(0).fleet.used(1, 3.0);
+    w.node(0).fleet.record_usage(1, 3.0);
     w.run(S);
     let recorded = w.record.take().expect("recorded");
     let now = w.now;
@@ -361,14 +364,14 @@
 fn figures_reach_the_others_with_their_age() {
     let mut w = World::settled(3, 17);
     let now = w.now;
-    w.node(0).fleet.set_fact(now, "strain", 0.5);
+    w.node(0).fleet.set_gauge(now, "strain", 0.5);
     w.run(S);
-    let (value, found) = w.fleet(2).fact("n0", "strain").expect("it is known");
+    let (value, found) = w.fleet(2).gauge("n0", "strain").expect("it is known");
     assert!(value == 0.5 && found.abs_diff(now) < 100_000);
     let now = w.now;
-    w.node(0).fleet.set_fact(now, "strain", 0.75);
+    w.node(0).fleet.set_gauge(now, "strain", 0.75);
     w.run(S);
-    assert_eq!(w.fleet(1).fact("n0", "strain").map(|f| f.0), Some(0.75));
+    assert_eq!(w.fleet(1).gauge("n0", "strain").map(|f| f.0), Some(0.75));
 }
 
 #[test]
@@ -453,7 +456,7 @@
             w.node(n).stopped = false;
         }
         let took = w.until(5 * S, |w| w.views_equal() && w.fleet(0).view().ready == 3);
-        prop_assert!(took.is_some(), "{:?}", (0..3).map(|n| (w.fleet(n).yielded, w.fleet(n).view().ready)).collect::<Vec<_>>());
-        prop_assert!((0..3).all(|n| !w.fleet(n).yielded));
+        prop_assert!(took.is_some(), "{:?}", (0..3).map(|n| (w.fleet(n).superseded, w.fleet(n).view().ready)).collect::<Vec<_>>());
+        prop_assert!((0..3).all(|n| !w.fleet(n).superseded));
     }
 }
--- a/crates/cluster-membership/tests/quotas.rs
+++ b/crates/cluster-membership/tests/quotas.rs
@@ -66,8 +66,8 @@
             };
             let mut set = Settings::example();
             (set.gateways, set.me) = (u32::from(gateways), u32::from(me));
-            (set.plans[0].rate, set.plans[0].burst, set.most_units) = quota;
-            (set.told_us, set.counter) = (plan.holds_us(), counter);
+            (set.plans[0].rate, set.plans[0].burst, set.max_units) = quota;
+            (set.usage_report_ttl_us, set.counter) = (plan.holds_us(), counter);
             let gateway = Gateway::new(set, seed ^ u64::from(me)).expect("settings");
             let mut members = Members::new(plan, world::keys());
             members.set_phase(0, LifecyclePhase::Ready);
@@ -136,14 +136,14 @@
                         .or_default()
                         .push(timer);
                 }
-                Action::Used { tag, units } => node.members.used(tag, units),
-                Action::Count { name, amount, .. } => {
+                Action::ReportUsage { tag, units } => node.members.record_usage(tag, units),
+                Action::AddToCounter { name, amount, .. } => {
                     let Some(counts) = &mut self.counts else {
                         continue;
                     };
                     let total = counts.entry(name.clone()).or_default();
                     *total += amount;
-                    let answer = Event::Counted {
+                    let answer = Event::CounterReply {
                         name,
                         status: CompletionStatus::Served,
                         total: *total,
@@ -180,7 +180,7 @@
                     "read",
                     1_000_000,
                 );
-                (request.width, request.first_gateway) = (WIDTH.min(all), first);
+                (request.gateway_count, request.first_gateway) = (WIDTH.min(all), first);
                 self.of.insert(request.id, customer);
                 self.next += 1;
                 self.feed(((first + place) % all) as usize, Event::Request(request));
@@ -245,11 +245,11 @@
                             .push_back((self.now + ON_THE_WAY, to, n, bytes));
                     }
                 }
-                Output::Told { heard, uses, past } => {
-                    self.feed(n, Event::Used { heard, uses, past })
+                Output::UsageReported { heard, uses, past } => {
+                    self.feed(n, Event::UsageReported { heard, uses, past })
                 }
-                Output::Absent(gateways) => self.feed(n, Event::Absent(gateways)),
-                Output::Log(_) | Output::Post { .. } => {}
+                Output::GatewaysAbsent(gateways) => self.feed(n, Event::GatewaysAbsent(gateways)),
+                Output::Log(_) | Output::MessageReceived { .. } => {}
             }
         }
     }
--- a/crates/cluster-membership/tests/world/mod.rs
+++ b/crates/cluster-membership/tests/world/mod.rs
@@ -236,15 +236,15 @@
                 return;
             };
             match output {
-                Output::Send { .. } | Output::Post { .. } => {}
-                Output::Told { heard, uses, past } => {
+                Output::Send { .. } | Output::MessageReceived { .. } => {}
+                Output::UsageReported { heard, uses, past } => {
                     node.heard.extend(heard.into_iter().map(|h| (h, now)));
                     uses.into_iter()
                         .for_each(|(_, tag, n)| *node.told.entry(tag).or_default() += n);
                     past.into_iter()
                         .for_each(|(tag, n)| *node.past.entry(tag).or_default() += n);
                 }
-                Output::Absent(absent) => node.absent = absent,
+                Output::GatewaysAbsent(absent) => node.absent = absent,
                 Output::Log(line) => node.logs.push((now, line)),
             }
         }
--- a/crates/counter/src/lib.rs
+++ b/crates/counter/src/lib.rs
@@ -161,7 +161,7 @@
         let Some(n) = self.lines.iter().position(same).or_else(fewest) else {
             return self
                 .engine
-                .counted(call.name, CompletionStatus::NoConnection, 0.0);
+                .counter_replied(call.name, CompletionStatus::NoConnection, 0.0);
         };
         self.lines[n].add(call, &self.engine);
         if self.lines[n].write().is_err() {
@@ -290,7 +290,7 @@
 
     fn add(&mut self, call: CounterCall, engine: &Rc<Engine>) {
         if self.waiting.len() >= MOST_OUT {
-            return engine.counted(call.name, CompletionStatus::TurnedAway, 0.0);
+            return engine.counter_replied(call.name, CompletionStatus::Rejected, 0.0);
         }
         let mut text = String::new();
         let _ = write!(
@@ -356,7 +356,7 @@
             .filter(|t| t.is_finite());
         let (status, total) = match (text, total) {
             (_, Some(total)) => (CompletionStatus::Served, total),
-            ("busy" | "error", _) => (CompletionStatus::TurnedAway, 0.0),
+            ("busy" | "error", _) => (CompletionStatus::Rejected, 0.0),
             // One answer to one call, and added; what it stands at now it does not say.
             (text, _) if text == "ok" || text.starts_with("ok ") => {
                 (CompletionStatus::ServerError, 0.0)
@@ -368,7 +368,7 @@
         self.usual
             .set(self.usual.get().mul_f64(1.0 - USUAL_WEIGHT) + took.mul_f64(USUAL_WEIGHT));
         if let Some(name) = waiting.name {
-            engine.counted(name, status, total);
+            engine.counter_replied(name, status, total);
         }
         Ok(())
     }
@@ -382,7 +382,7 @@
             .filter(|w| w.since + self.patience <= now)
         {
             if let Some(name) = w.name.take() {
-                engine.counted(name, CompletionStatus::NoAnswer, 0.0);
+                engine.counter_replied(name, CompletionStatus::NoAnswer, 0.0);
             }
         }
     }
@@ -396,7 +396,7 @@
                 CompletionStatus::NoConnection
             };
             if let Some(name) = w.name {
-                engine.counted(name, status, 0.0);
+                engine.counter_replied(name, status, 0.0);
             }
         }
     }
--- a/crates/diameter/src/front.rs
+++ b/crates/diameter/src/front.rs
@@ -274,12 +274,12 @@
             plan: ask.plan,
             class: ask.class,
             units: ask.units,
-            width: plan.gateways,
+            gateway_count: plan.gateways,
             first_gateway: 0,
-            patience_us: 0,
+            remaining_us: 0,
             pool: Protocol::Diameter as u8,
-            pin,
-            lower: false,
+            sticky_server: pin,
+            low_priority: false,
         };
         let bytes = size(&ccr);
         let ccr = Rc::new(ccr);
@@ -305,7 +305,7 @@
             },
         );
         self.open_bytes.set(self.open_bytes.get() + bytes);
-        let Ok(answer) = self.engine.take(arrival) else {
+        let Ok(answer) = self.engine.submit(arrival) else {
             self.close(id);
             return self.answer(
                 &key,
@@ -323,12 +323,12 @@
             let Ok(answer) = answer.await else { return };
             front.close(id);
             let by = answered_by.borrow().clone();
-            let refused = matches!(answer, Response::Refused { .. });
+            let refused = matches!(answer, Response::Rejected { .. });
             let mut answer = match answer {
                 Response::Served(bytes) => Message::decode(bytes).unwrap_or(own),
-                Response::Refused { retry_after } => refusal(own, retry_after),
+                Response::Rejected { retry_after } => refusal(own, retry_after),
                 // Of HTTP only is an answer passed on in parts.
-                Response::Failed { .. } | Response::Passing(..) => own,
+                Response::Failed { .. } | Response::Streaming(..) => own,
             };
             {
                 let (mut reporter, now) = (front.reporter.borrow_mut(), front.engine.now());
--- a/crates/diameter/src/servers.rs
+++ b/crates/diameter/src/servers.rs
@@ -282,7 +282,7 @@
             .borrow()
             .spares((self.clock)(), &mut self.rng.borrow_mut())
         {
-            return AttemptResult::without_answer(CompletionStatus::TurnedAway);
+            return AttemptResult::without_answer(CompletionStatus::Rejected);
         }
         let hop = link.hop();
         let mut message = forwarded(ccr, from, hop, again);
@@ -317,7 +317,7 @@
                 s.heeded.borrow_mut().hear((self.clock)(), &answer);
                 let status = match verdict(&answer) {
                     Verdict::Answered => CompletionStatus::Served,
-                    Verdict::TurnedAway => CompletionStatus::TurnedAway,
+                    Verdict::TurnedAway => CompletionStatus::Rejected,
                     Verdict::Error => CompletionStatus::ServerError,
                 };
                 AttemptResult {
@@ -373,14 +373,14 @@
             }
             let moved = servers
                 .get(&id)
-                .is_none_or(|s| s.address != Some(m.endpoint));
+                .is_none_or(|s| s.address != Some(m.address));
             if moved {
                 let server = Rc::new(Server {
-                    address: Some(m.endpoint),
+                    address: Some(m.address),
                     ..Server::default()
                 });
                 if let Some(me) = self.me.upgrade() {
-                    let keep = me.keep(id.clone(), Rc::downgrade(&server), m.endpoint);
+                    let keep = me.keep(id.clone(), Rc::downgrade(&server), m.address);
                     *server.task.borrow_mut() = Some(tokio::task::spawn_local(keep).abort_handle());
                 }
                 if let Some(before) = servers.insert(id.clone(), server) {
--- a/crates/discovery/src/dnssd/browser.rs
+++ b/crates/discovery/src/dnssd/browser.rs
@@ -1212,12 +1212,12 @@
         let boot_ms = match (text.boot_ms, i.initial) {
             (Some(ms), _) => ms.min(now / 1_000),
             // A fleet that was there when this gateway started is not cold.
-            (None, true) => known.map_or(0, |m| m.boot_ms),
+            (None, true) => known.map_or(0, |m| m.started_ms),
             (None, false) => i.first_seen / 1_000,
         };
         Some(Endpoint {
             uid: uid.into(),
-            endpoint,
+            address: endpoint,
             zone: text.zone,
             cell: text.cell,
             state: if waits {
@@ -1225,13 +1225,13 @@
             } else {
                 EndpointState::Ready
             },
-            share: match l.weight {
+            weight: match l.weight {
                 0 if !self.weighted => 1.0,
                 // RFC 2782: beside others a weight of 0 has a very small chance.
                 0 => 0.01,
                 weight => f64::from(weight) / 100.0,
             },
-            boot_ms,
+            started_ms: boot_ms,
             protocol: text.protocol,
         })
     }
--- a/crates/discovery/src/endpoint_table.rs
+++ b/crates/discovery/src/endpoint_table.rs
@@ -132,7 +132,7 @@
             Some(OperatorMark {
                 out_ms,
                 back_ms: Some(back_ms),
-            }) if m.boot_ms < *out_ms => m.boot_ms = *back_ms,
+            }) if m.started_ms < *out_ms => m.started_ms = *back_ms,
             _ => {}
         }
         m
@@ -200,12 +200,12 @@
     fn member(uid: &str) -> Endpoint {
         Endpoint {
             uid: uid.into(),
-            endpoint: ([127, 0, 0, 1], 1).into(),
+            address: ([127, 0, 0, 1], 1).into(),
             zone: String::new(),
             cell: 0,
             state: EndpointState::Ready,
-            share: 1.0,
-            boot_ms: 0,
+            weight: 1.0,
+            started_ms: 0,
             protocol: Protocol::Http1,
         }
     }
@@ -269,7 +269,7 @@
         }
         let told = roster.put_back(9_000_000, "a").expect("known");
         assert_eq!(
-            (told[0].state, told[0].boot_ms),
+            (told[0].state, told[0].started_ms),
             (EndpointState::Ready, 9_000)
         );
         // The list's own word on its start counts once it is later than the mark.
@@ -277,14 +277,14 @@
             0,
             ListKind::Partial,
             vec![Endpoint {
-                boot_ms: 8_000,
+                started_ms: 8_000,
                 ..member("a")
             }],
         );
-        assert_eq!(told[0].boot_ms, 8_000);
+        assert_eq!(told[0].started_ms, 8_000);
         assert_eq!(roster.put_back(9_000_000, "nobody"), None);
         assert_eq!(
-            roster.put_back(9_000_000, "b").expect("known")[0].boot_ms,
+            roster.put_back(9_000_000, "b").expect("known")[0].started_ms,
             0
         );
     }
--- a/crates/discovery/src/list.rs
+++ b/crates/discovery/src/list.rs
@@ -108,7 +108,7 @@
     fn from(t: Target) -> Endpoint {
         Endpoint {
             uid: t.uid,
-            endpoint: t.endpoint,
+            address: t.endpoint,
             zone: t.az,
             cell: t.pod_group,
             state: match t.state {
@@ -116,8 +116,8 @@
                 Told::Terminating => EndpointState::Draining,
                 Told::Gone => EndpointState::Gone,
             },
-            share: t.capacity_hint,
-            boot_ms: t.boot_ms,
+            weight: t.capacity_hint,
+            started_ms: t.boot_ms,
             protocol: t.proto,
         }
     }
--- a/crates/discovery/src/registry.rs
+++ b/crates/discovery/src/registry.rs
@@ -23,20 +23,20 @@
     /// Takes a server out by hand; whether it is known. It is heard as draining before this returns.
     pub fn take_out(&self, uid: &str) -> bool {
         // As lists tell servers' starts, with which it is compared.
-        let now = self.engine.wall();
+        let now = self.engine.wall_clock_us();
         let known = self.roster.borrow_mut().take_out(now, uid);
         known
-            .map(|told| self.engine.servers(ListKind::Partial, told))
+            .map(|told| self.engine.update_endpoints(ListKind::Partial, told))
             .is_some()
     }
 
     /// Puts a server back; whether it is known.
     pub fn put_back(&self, uid: &str) -> bool {
         // As lists tell servers' starts, with which it is compared.
-        let now = self.engine.wall();
+        let now = self.engine.wall_clock_us();
         let known = self.roster.borrow_mut().put_back(now, uid);
         known
-            .map(|told| self.engine.servers(ListKind::Partial, told))
+            .map(|told| self.engine.update_endpoints(ListKind::Partial, told))
             .is_some()
     }
 
@@ -57,7 +57,7 @@
     /// Takes over what another process of this gateway was told of a server.
     pub fn set_mark(&self, uid: &str, mark: OperatorMark) {
         let told = self.roster.borrow_mut().set_mark(uid, mark);
-        self.engine.servers(ListKind::Partial, told);
+        self.engine.update_endpoints(ListKind::Partial, told);
     }
 
     /// Servers that are listed, and how many of them take nothing new.
@@ -77,7 +77,7 @@
             .roster
             .borrow_mut()
             .hear(self.engine.now(), kind, members);
-        self.engine.servers(kind, members);
+        self.engine.update_endpoints(kind, members);
     }
 
     pub(crate) fn now(&self) -> u64 {
@@ -96,6 +96,6 @@
     /// What the source before told and the one now does not is gone when its time is over.
     pub(crate) fn let_go(&self) {
         let gone = self.roster.borrow_mut().due(self.engine.now());
-        self.engine.servers(ListKind::Partial, gone);
+        self.engine.update_endpoints(ListKind::Partial, gone);
     }
 }
--- a/crates/discovery/tests/browsing.rs
+++ b/crates/discovery/tests/browsing.rs
@@ -25,10 +25,13 @@
     );
     let m = &w.fleet["n3"];
     assert_eq!(
-        (m.endpoint, m.zone.as_str(), m.cell, m.state),
+        (m.address, m.zone.as_str(), m.cell, m.state),
         (at(3), "hall-a", 1, EndpointState::Ready)
     );
-    assert!(w.fleet.values().all(|m| m.boot_ms == 0 && m.share == 1.0));
+    assert!(w
+        .fleet
+        .values()
+        .all(|m| m.started_ms == 0 && m.weight == 1.0));
 }
 
 #[test]
@@ -102,7 +105,7 @@
     w.zones[0].add_instance(SERVICE, "old", at(51), &["boot=1600000000000"]);
     w.zones[0].add_instance(SERVICE, "ahead", at(52), &["boot=99000000000000"]);
     w.run(KNOWN_US);
-    let boot = |uid: &str| w.fleet[uid].boot_ms;
+    let boot = |uid: &str| w.fleet[uid].started_ms;
     assert!(
         (since..=since + 400).contains(&boot("new")),
         "{} {since}",
@@ -120,10 +123,10 @@
     w.zones[0].add(host, Rr::A([127, 1, 9, 9].into()));
     w.run(KNOWN_US);
     assert_eq!(
-        w.fleet["new"].endpoint,
+        w.fleet["new"].address,
         "127.1.9.9:8080".parse().expect("an address")
     );
-    assert_eq!(w.fleet["new"].boot_ms, before);
+    assert_eq!(w.fleet["new"].started_ms, before);
 }
 
 #[test]
@@ -139,8 +142,8 @@
             (w.state(old), w.state(new)),
             (Some(EndpointState::Draining), Some(EndpointState::Ready))
         );
-        assert!(w.fleet[new].boot_ms >= since, "{new} is cold");
-        assert_eq!(w.fleet[new].endpoint, at(1));
+        assert!(w.fleet[new].started_ms >= since, "{new} is cold");
+        assert_eq!(w.fleet[new].address, at(1));
     }
     w.run(20 * SECOND);
     assert_eq!(
@@ -158,16 +161,16 @@
     w.zones[0].add(&full, Rr::Srv(0, 0, 9090, "moved.example.org".into()));
     w.run(5 * SECOND);
     assert_eq!(
-        (w.fleet["n1"].endpoint, w.state("n1")),
+        (w.fleet["n1"].address, w.state("n1")),
         (at(1), Some(EndpointState::Ready))
     );
     w.zones[0].add("moved.example.org", Rr::A([127, 1, 8, 8].into()));
     w.run(KNOWN_US);
     assert_eq!(
-        w.fleet["n1"].endpoint,
+        w.fleet["n1"].address,
         "127.1.8.8:9090".parse().expect("an address")
     );
-    assert_eq!(w.fleet["n1"].boot_ms, 0, "it has only moved");
+    assert_eq!(w.fleet["n1"].started_ms, 0, "it has only moved");
 }
 
 #[test]
@@ -180,7 +183,10 @@
     }
     w.run(SECOND);
     assert_eq!(w.ready(), 50);
-    assert_eq!(w.fleet.values().filter(|m| m.boot_ms >= since).count(), 40);
+    assert_eq!(
+        w.fleet.values().filter(|m| m.started_ms >= since).count(),
+        40
+    );
 }
 
 #[test]
@@ -308,7 +314,7 @@
     w.run(SECOND);
     assert_eq!((w.tellings[0].1, w.ready()), (ListKind::Complete, 10));
     assert!(
-        w.fleet.values().all(|m| m.boot_ms == 0),
+        w.fleet.values().all(|m| m.started_ms == 0),
         "a restarted gateway's fleet is warm"
     );
 }
@@ -502,7 +508,7 @@
         );
     }
     w.run(SECOND);
-    let share = |uid: &str| w.fleet[uid].share;
+    let share = |uid: &str| w.fleet[uid].weight;
     assert_eq!((share("n0"), share("n1"), share("n2")), (1.0, 0.5, 0.01));
 }
 
@@ -610,19 +616,19 @@
 fn a_known_instance_without_an_address_yet_stays_in_the_first_list() {
     let known = Endpoint {
         uid: "n1".into(),
-        endpoint: at(99),
+        address: at(99),
         zone: "hall-a".into(),
         cell: 1,
         state: EndpointState::Ready,
-        share: 1.0,
-        boot_ms: 5,
+        weight: 1.0,
+        started_ms: 5,
         protocol: Default::default(),
     };
     let mut w = World::knowing(plan(1), vec![zone(3)], vec![known]);
     w.zones[0].remove("n1.host.example.org", |_| true);
     w.run(2 * SECOND);
     assert_eq!(
-        (w.ready(), w.fleet["n1"].endpoint, w.fleet["n1"].boot_ms),
+        (w.ready(), w.fleet["n1"].address, w.fleet["n1"].started_ms),
         (3, at(99), 5)
     );
 }
@@ -632,12 +638,12 @@
 fn a_first_list_that_is_empty_does_not_take_the_known_servers_away_at_once() {
     let known = Endpoint {
         uid: "n1".into(),
-        endpoint: at(1),
+        address: at(1),
         zone: String::new(),
         cell: 0,
         state: EndpointState::Ready,
-        share: 1.0,
-        boot_ms: 0,
+        weight: 1.0,
+        started_ms: 0,
         protocol: Default::default(),
     };
     let mut w = World::knowing(plan(1), vec![zone(0)], vec![known.clone()]);
@@ -650,7 +656,7 @@
     w.zones[0].add_instance(SERVICE, "n1", at(1), &[]);
     w.run(SECOND);
     assert_eq!(
-        (w.ready(), w.fleet["n1"].boot_ms),
+        (w.ready(), w.fleet["n1"].started_ms),
         (1, 0),
         "it is the first list, and warm"
     );
@@ -676,7 +682,7 @@
     w.change(|z| z.add_instance(SERVICE, "new", at(60), &[]));
     w.run(50 * MS);
     assert_eq!(w.state("new"), Some(EndpointState::Ready));
-    assert!(w.fleet["new"].boot_ms > 0);
+    assert!(w.fleet["new"].started_ms > 0);
     w.run(60 * SECOND);
     assert_eq!(w.connects, 1, "{:?}", w.log);
 }
--- a/crates/engine/src/counters.rs
+++ b/crates/engine/src/counters.rs
@@ -42,8 +42,8 @@
             return;
         };
         let count = match answer {
-            Response::Served(_) | Response::Passing(..) => &c.served,
-            Response::Refused { .. } => &c.refused,
+            Response::Served(_) | Response::Streaming(..) => &c.served,
+            Response::Rejected { .. } => &c.refused,
             Response::Failed { .. } => &c.failed,
         };
         count.set(count.get() + 1);
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -139,12 +139,12 @@
     }
 
     /// From now on this one knows under what requests may be let in.
-    pub fn set_warrant(&self, warrant: Rc<dyn PolicyLease>) {
+    pub fn set_policy_lease(&self, warrant: Rc<dyn PolicyLease>) {
         self.warrant.replace(Some(warrant));
     }
 
     /// What the warrant says may have changed: held requests go on.
-    pub fn look(self: &Rc<Self>) {
+    pub fn refresh_policy_lease(self: &Rc<Self>) {
         self.feed_all(None);
     }
 
@@ -154,7 +154,7 @@
     }
 
     /// What has been done so far.
-    pub fn tally(&self) -> &RequestCounters {
+    pub fn counters(&self) -> &RequestCounters {
         &self.tally
     }
 
@@ -164,7 +164,7 @@
     }
 
     /// Requests taken and not yet answered.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.inner
             .borrow()
             .held
@@ -174,12 +174,12 @@
     }
 
     /// Ready servers that are left out by choice.
-    pub fn avoided(&self) -> usize {
+    pub fn avoided_endpoints(&self) -> usize {
         self.inner.borrow().gateway.avoided()
     }
 
     /// The wall clock now, in microseconds since 1970.
-    pub fn wall(&self) -> Micros {
+    pub fn wall_clock_us(&self) -> Micros {
         self.clock.wall()
     }
 
@@ -189,7 +189,7 @@
     }
 
     /// News of the servers.
-    pub fn servers(self: &Rc<Self>, kind: ListKind, members: Vec<Endpoint>) {
+    pub fn update_endpoints(self: &Rc<Self>, kind: ListKind, members: Vec<Endpoint>) {
         if kind == ListKind::Partial && members.is_empty() {
             return;
         }
@@ -216,7 +216,7 @@
                 server: ServerId(t.uid.into()),
                 zone: t.zone,
                 cell: t.cell,
-                share: t.share,
+                weight: t.weight,
                 started_us,
                 health: match t.state {
                     EndpointState::Ready => Health::Ready,
@@ -232,8 +232,8 @@
     }
 
     /// A call to the counter ended.
-    pub fn counted(self: &Rc<Self>, name: String, status: CompletionStatus, total: f64) {
-        self.feed(Event::Counted {
+    pub fn counter_replied(self: &Rc<Self>, name: String, status: CompletionStatus, total: f64) {
+        self.feed(Event::CounterReply {
             name,
             status,
             total,
@@ -242,37 +242,44 @@
 
     /// Other gateways told what they let through: who told all of it; what is new, by gateway and customer; and what is of
     /// before they were heard.
-    pub fn told(
+    pub fn record_peer_usage(
         self: &Rc<Self>,
         heard: Vec<u32>,
         uses: Vec<(u32, u32, f64)>,
         past: Vec<(u32, f64)>,
     ) {
-        self.feed(Event::Used { heard, uses, past });
+        self.feed(Event::UsageReported { heard, uses, past });
     }
 
     /// Nothing comes through these gateways.
-    pub fn absent(self: &Rc<Self>, gateways: Vec<u32>) {
-        self.feed(Event::Absent(gateways));
+    pub fn set_absent_gateways(self: &Rc<Self>, gateways: Vec<u32>) {
+        self.feed(Event::GatewaysAbsent(gateways));
     }
 
     /// These gateways are there, by number: servers are dealt out among them.
-    pub fn gateways(self: &Rc<Self>, gateways: Vec<u32>) {
+    pub fn set_gateways(self: &Rc<Self>, gateways: Vec<u32>) {
         self.feed(Event::Gateways(gateways));
     }
 
     /// Another gateway says this of servers.
-    pub fn said(self: &Rc<Self>, from: u32, words: frosthatch_traffic_control::HealthReports) {
-        self.feed(Event::Words { from, words });
+    pub fn record_health_reports(
+        self: &Rc<Self>,
+        from: u32,
+        words: frosthatch_traffic_control::HealthReports,
+    ) {
+        self.feed(Event::HealthReports {
+            from,
+            reports: words,
+        });
     }
 
     /// What this one says of servers.
-    pub fn words(&self) -> frosthatch_traffic_control::HealthReports {
+    pub fn health_reports(&self) -> frosthatch_traffic_control::HealthReports {
         self.inner.borrow().gateway.words()
     }
 
     /// Gateways among which servers are dealt out, servers that this one uses, and those that all leave alone.
-    pub fn choices(&self) -> [usize; 3] {
+    pub fn subset_counts(&self) -> [usize; 3] {
         self.inner.borrow().gateway.choices()
     }
 
@@ -302,7 +309,7 @@
     }
 
     /// Takes a request. Its one answer comes by the receiver before the client leaves.
-    pub fn take(
+    pub fn submit(
         self: &Rc<Self>,
         arrival: IncomingRequest,
     ) -> Result<oneshot::Receiver<Response>, DuplicateRequest> {
@@ -335,8 +342,8 @@
             self.set(&mut inner, answer_by, Due::Backstop(request.id.0));
         }
         let left = gone_at.saturating_duration_since(Instant::now() + MARGIN);
-        request.patience_us = left.as_micros() as u64;
-        debug!(request = request.id.0, class = %request.class, patience_us = request.patience_us, "request.taken");
+        request.remaining_us = left.as_micros() as u64;
+        debug!(request = request.id.0, class = %request.class, patience_us = request.remaining_us, "request.taken");
         self.feed(Event::Request(request));
         Ok(receiver)
     }
@@ -367,7 +374,7 @@
             if ended.status == CompletionStatus::Served {
                 let answer = match ended.rest {
                     None => Response::Served(ended.body),
-                    Some(rest) => Response::Passing(ended.body, rest),
+                    Some(rest) => Response::Streaming(ended.body, rest),
                 };
                 held.give(&self.tally, answer);
             }
@@ -377,7 +384,7 @@
                 AttemptOutcome::new(id, attempt as u32, out.server, ended.status, elapsed);
             outcome.closed = held.answer.is_none();
             outcome.metered_use = ended.metered_use;
-            outcome.report = ended.report;
+            outcome.load_report = ended.load_report;
             outcome
         };
         self.feed(Event::Outcome(outcome));
@@ -392,7 +399,7 @@
     fn feed_all(self: &Rc<Self>, event: Option<Event>) {
         let mut inner = self.inner.borrow_mut();
         if let Some(warrant) = &*self.warrant.borrow() {
-            warrant.due(self.now(), &mut inner.events);
+            warrant.collect_events(self.now(), &mut inner.events);
         }
         inner.events.extend(event);
         while let Some(event) = inner.events.pop_front() {
@@ -428,14 +435,14 @@
                         request,
                         attempt,
                         out.server,
-                        CompletionStatus::CalledOff,
+                        CompletionStatus::Cancelled,
                         elapsed,
                     );
                     inner.events.push_back(Event::Outcome(outcome.closing()));
                     forget(inner, request);
                 }
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after_us,
                 reason,
@@ -445,7 +452,7 @@
                     reason = reason.name(),
                     "request.refused"
                 );
-                self.answer(inner, request, |_| Response::Refused {
+                self.answer(inner, request, |_| Response::Rejected {
                     retry_after: Duration::from_micros(retry_after_us),
                 });
             }
@@ -465,7 +472,7 @@
                 };
                 self.set(inner, Instant::now() + Duration::from_micros(after_us), due);
             }
-            Action::Count {
+            Action::AddToCounter {
                 name,
                 amount,
                 ttl_us,
@@ -478,21 +485,21 @@
                 if let Err(e) = self.counter.try_send(call) {
                     // Too many wait: turned away before it was written, as the counter does with a long line.
                     let name = e.into_inner().name;
-                    inner.events.push_back(Event::Counted {
+                    inner.events.push_back(Event::CounterReply {
                         name,
-                        status: CompletionStatus::TurnedAway,
+                        status: CompletionStatus::Rejected,
                         total: 0.0,
                     });
                 }
             }
-            Action::Used { tag, units } => {
+            Action::ReportUsage { tag, units } => {
                 if let Some(ledger) = &self.ledger {
-                    ledger.used(tag, units);
+                    ledger.record_usage(tag, units);
                 }
             }
             Action::Log(line) => log_line!("{line}"),
             // The list is watched in any case; what gateways tell each other is use, and goes by the ledger.
-            Action::Subscribe | Action::Tell { .. } => {}
+            Action::Subscribe | Action::SendToPeer { .. } => {}
         }
     }
 
@@ -518,7 +525,7 @@
         };
         let (engine, attempt, since) = (self.clone(), held.attempts.len(), Instant::now());
         if let (0, Some(warrant)) = (attempt, &*self.warrant.borrow()) {
-            warrant.let_in(id);
+            warrant.record_admitted(id);
         }
         debug!(request = id.0, attempt, server = %server.0, timeout_us = ends, begin_within_us = begins, "attempt.sent");
         let latest_start = since + Duration::from_micros(begins);
--- a/crates/engine/src/ports.rs
+++ b/crates/engine/src/ports.rs
@@ -17,15 +17,15 @@
 pub struct Endpoint {
     /// The same at every gateway.
     pub uid: String,
-    pub endpoint: SocketAddr,
+    pub address: SocketAddr,
     pub zone: String,
     /// The servers that share which keys they have seen.
     pub cell: u64,
     pub state: EndpointState,
     /// Its size beside the others'.
-    pub share: f64,
+    pub weight: f64,
     /// When it last started, Unix time in milliseconds; 0: long ago.
-    pub boot_ms: u64,
+    pub started_ms: u64,
     /// What it speaks: requests of another protocol never go there.
     pub protocol: Protocol,
 }
@@ -86,7 +86,7 @@
     /// More of the answer comes: what the front of its protocol passes on.
     pub rest: Option<Box<dyn Any>>,
     pub metered_use: Option<f64>,
-    pub report: Vec<(LoadMetric, f64)>,
+    pub load_report: Vec<(LoadMetric, f64)>,
 }
 
 impl AttemptResult {
@@ -96,7 +96,7 @@
             body: Bytes::new(),
             rest: None,
             metered_use: None,
-            report: Vec::new(),
+            load_report: Vec::new(),
         }
     }
 }
@@ -113,8 +113,8 @@
 pub enum Response {
     Served(Bytes),
     /// Served, with more to come than the first bytes: by the backend, for the front of the same protocol.
-    Passing(Bytes, Box<dyn Any>),
-    Refused {
+    Streaming(Bytes, Box<dyn Any>),
+    Rejected {
         retry_after: Duration,
     },
     /// By a server or on the way to it, or because there was no answer in time.
@@ -129,19 +129,19 @@
 /// Whoever tells the other gateways what this one let through.
 pub trait UsageReporter {
     /// Units of a customer, by its short name.
-    fn used(&self, tag: u32, units: f64);
+    fn record_usage(&self, tag: u32, units: f64);
 }
 
 /// Whoever knows under what policy requests may be let in, where gateways agree on it.
 pub trait PolicyLease {
     /// What the decisions are to hear before they decide on anything at this time.
-    fn due(
+    fn collect_events(
         &self,
         now: frosthatch_traffic_control::Micros,
         events: &mut VecDeque<frosthatch_traffic_control::Event>,
     );
     /// A request was let in, by what was heard last.
-    fn let_in(&self, request: frosthatch_traffic_control::RequestId);
+    fn record_admitted(&self, request: frosthatch_traffic_control::RequestId);
 }
 
 /// One call to the counter: add `amount` to `name`, which lives for `ttl_ms` if new.
@@ -166,7 +166,7 @@
 /// What the rules make of a request before it is taken.
 #[derive(Debug, PartialEq)]
 pub enum PluginVerdict {
-    GoOn {
+    Continue {
         /// More than it asked for.
         units: Option<f64>,
         /// It comes after others like it.
@@ -176,7 +176,7 @@
         /// Header lines for its answer.
         headers: String,
     },
-    Refuse {
+    Reject {
         retry_after: Duration,
     },
     Fail,
@@ -185,11 +185,14 @@
 /// Rules of the operator's own, which may be slow or wrong: each waits for so long and no longer.
 pub trait RequestPlugins {
     /// Headers, by their names in lower case, and bytes of the body that they want to see.
-    fn wants(&self) -> Rc<(Vec<String>, usize)>;
+    fn wanted_input(&self) -> Rc<(Vec<String>, usize)>;
     /// None: there is no rule for it.
-    fn asked(self: Rc<Self>, ruling: &PluginRequest) -> Option<BoxedFuture<PluginVerdict>>;
+    fn evaluate_request(
+        self: Rc<Self>,
+        ruling: &PluginRequest,
+    ) -> Option<BoxedFuture<PluginVerdict>>;
     /// Header lines to add to an answer that took so long.
-    fn answered(
+    fn evaluate_response(
         self: Rc<Self>,
         ruling: &PluginRequest,
         answer: &Response,
--- a/crates/engine/src/starts.rs
+++ b/crates/engine/src/starts.rs
@@ -52,7 +52,7 @@
         let most_lie_ahead = told == Told::First && most_lie_ahead(wall_us, members);
         let starts = members.iter().map(|m| {
             let started = match self.known.get(&m.uid) {
-                Some(known) if known.boot_ms == m.boot_ms => known.started,
+                Some(known) if known.boot_ms == m.started_ms => known.started,
                 before => self.started(now, wall_us, told, most_lie_ahead, before.copied(), m),
             };
             (m, started)
@@ -60,7 +60,7 @@
         let starts: Vec<(&Endpoint, Micros)> = starts.collect();
         for (m, started) in &starts {
             let known = Known {
-                boot_ms: m.boot_ms,
+                boot_ms: m.started_ms,
                 started: *started,
                 told_at: now,
             };
@@ -80,10 +80,10 @@
         before: Option<Known>,
         member: &Endpoint,
     ) -> Micros {
-        if member.boot_ms == 0 {
+        if member.started_ms == 0 {
             return LONG_AGO;
         }
-        let Some(age) = wall_us.checked_sub(member.boot_ms.saturating_mul(1_000)) else {
+        let Some(age) = wall_us.checked_sub(member.started_ms.saturating_mul(1_000)) else {
             // A start in the future: the clocks differ, and by how much nobody knows.
             return if most_lie_ahead { LONG_AGO } else { now };
         };
@@ -114,7 +114,7 @@
     let ready = members.iter().filter(|m| m.state == EndpointState::Ready);
     let ahead = ready
         .clone()
-        .filter(|m| m.boot_ms.saturating_mul(1_000) > wall_us);
+        .filter(|m| m.started_ms.saturating_mul(1_000) > wall_us);
     ahead.count() * 2 > ready.count()
 }
 
@@ -131,12 +131,12 @@
     fn member(uid: &str, boot_us: Micros) -> Endpoint {
         Endpoint {
             uid: uid.into(),
-            endpoint: ([127, 0, 0, 1], 1).into(),
+            address: ([127, 0, 0, 1], 1).into(),
             zone: String::new(),
             cell: 0,
             state: EndpointState::Ready,
-            share: 1.0,
-            boot_ms: boot_us / 1_000,
+            weight: 1.0,
+            started_ms: boot_us / 1_000,
             protocol: Protocol::Http1,
         }
     }
--- a/crates/frosthatch/src/choices.rs
+++ b/crates/frosthatch/src/choices.rs
@@ -97,7 +97,7 @@
     fn said(&mut self, fleet: &Membership) -> Vec<(u32, HealthReports)> {
         let mut new = Vec::new();
         for m in fleet.members().filter(|m| m.record.name != fleet.me().name) {
-            let Some(facts) = fleet.facts(&m.record.name) else {
+            let Some(facts) = fleet.gauges(&m.record.name) else {
                 continue;
             };
             let heard = self.heard.entry(m.record.name.clone()).or_default();
@@ -109,7 +109,7 @@
                 new.push((u32::from(m.record.number), words(all)));
             }
         }
-        self.heard.retain(|name, _| fleet.facts(name).is_some());
+        self.heard.retain(|name, _| fleet.gauges(name).is_some());
         new
     }
 
@@ -140,11 +140,11 @@
         ticks.tick().await;
         let view = member.with(|f| known.view(engine.now(), f));
         view.into_iter()
-            .for_each(|gateways| engine.gateways(gateways));
+            .for_each(|gateways| engine.set_gateways(gateways));
         for (from, words) in member.with(|f| known.said(f)) {
-            engine.said(from, words);
+            engine.record_health_reports(from, words);
         }
-        let (gone, new) = known.tell(&engine.words());
+        let (gone, new) = known.tell(&engine.health_reports());
         gone.iter().for_each(|name| member.clear_fact(name));
         for (name, (value, at)) in new {
             member.set_fact_of(at, &name, value);
--- a/crates/frosthatch/src/console.rs
+++ b/crates/frosthatch/src/console.rs
@@ -47,7 +47,7 @@
     }
 
     fn figures(&self) -> Metrics {
-        let classes = self.engine.tally().classes.iter().map(|c| ClassMetrics {
+        let classes = self.engine.counters().classes.iter().map(|c| ClassMetrics {
             name: c.name.clone(),
             success: c.served.get(),
             busy: c.refused.get(),
@@ -57,9 +57,9 @@
         let (hosts_listed, not_ready) = self.servers.listed();
         Metrics {
             classes: classes.collect(),
-            inflight: self.engine.open(),
+            inflight: self.engine.open_requests(),
             hosts_listed,
-            hosts_down: not_ready + self.engine.avoided(),
+            hosts_down: not_ready + self.engine.avoided_endpoints(),
             reconfig_ok: self.reloads[0].get(),
             reconfig_failed: self.reloads[1].get(),
             violations: Rule::ALL
@@ -79,7 +79,7 @@
     fn fleet(&self) -> Option<String> {
         let member = self.member.as_ref()?;
         let now = self.engine.now();
-        let [gateways, servers_used, servers_out] = self.engine.choices();
+        let [gateways, servers_used, servers_out] = self.engine.subset_counts();
         let choices = fleet::ShownChoices {
             gateways,
             servers_used,
--- a/crates/frosthatch/src/diameter.rs
+++ b/crates/frosthatch/src/diameter.rs
@@ -89,7 +89,7 @@
         charge: d.charge_class.clone(),
         plans: d.plans.clone(),
         otherwise: d.default_plan.clone(),
-        most_units: config.settings.most_units,
+        most_units: config.settings.max_units,
         session_us: micros(d.session),
         repeats_us: micros(d.repeats),
         most_sessions: d.most_sessions.min(config.memory_mb * SESSIONS_A_MB),
--- a/crates/frosthatch/src/fleet.rs
+++ b/crates/frosthatch/src/fleet.rs
@@ -78,7 +78,7 @@
         // Another life with each start, also where the platform gives the same seed again.
         seed: config.seed ^ started.as_nanos() as u64 ^ u64::from(std::process::id()) << 32,
     };
-    config.settings.told_us = plan.holds_us();
+    config.settings.usage_report_ttl_us = plan.holds_us();
     if !frosthatch_cluster_membership::MemberRecord::is_plain(&plan.name)
         || !frosthatch_cluster_membership::MemberRecord::is_plain(&plan.zone)
     {
@@ -150,7 +150,7 @@
     };
     Shown {
         me: fleet.me().name.clone(),
-        replaced: fleet.yielded,
+        replaced: fleet.superseded,
         view: ShownView {
             digest: format!("{:016x}", view.digest),
             stable_ms: now.saturating_sub(view.since) / 1_000,
--- a/crates/frosthatch/src/policy.rs
+++ b/crates/frosthatch/src/policy.rs
@@ -114,9 +114,9 @@
             ));
         }
         classes.push(RequestClass {
-            aim_us,
-            worth: of.worth,
-            late_worth: of.late_worth,
+            latency_objective_us: aim_us,
+            priority_weight: of.worth,
+            late_weight: of.late_worth,
             ..c.clone()
         });
     }
@@ -131,8 +131,8 @@
     }
     let (share, most) = (d.retries.share, d.retries.most);
     let retries = frosthatch_traffic_control::RetryBudget {
-        share: share.unwrap_or(set.retries.share),
-        most: most.unwrap_or(set.retries.most),
+        ratio: share.unwrap_or(set.retries.ratio),
+        max_saved: most.unwrap_or(set.retries.max_saved),
     };
     let terms = PolicyTerms {
         plans,
@@ -247,8 +247,8 @@
             });
         }
         member.set_reader(desk.clone());
-        engine.set_warrant(desk.clone());
-        engine.look();
+        engine.set_policy_lease(desk.clone());
+        engine.refresh_policy_lease();
         tokio::task::spawn_local(desk.clone().run(written, folder));
         Ok(desk)
     }
@@ -274,7 +274,7 @@
             Ok(record) => log_line!("policy: keeps state={}", record.state),
             Err(why) => log_line!("policy: keeper-silent why={why:?}"),
         }
-        self.node.borrow_mut().keep_from(self.now(), read);
+        self.node.borrow_mut().load_acceptor(self.now(), read);
     }
 
     async fn run(
@@ -290,7 +290,7 @@
             tokio::select! {
                 Some(how) = written.recv() => {
                     self.dies_at("stored");
-                    self.node.borrow_mut().stored(self.now(), how, &mut out);
+                    self.node.borrow_mut().record_stored(self.now(), how, &mut out);
                 }
                 _ = ticks.tick() => {
                     tell_audit(self.audit.borrow_mut().as_mut().and_then(Audit::write));
@@ -306,7 +306,7 @@
                 }
             }
             self.carry_out(out);
-            self.engine.look();
+            self.engine.refresh_policy_lease();
         }
     }
 
@@ -368,7 +368,7 @@
     /// Other plug-ins run.
     pub fn reloaded(&self, plugins: &[plugins::PluginConfig]) {
         self.running.replace(digests(plugins));
-        self.node.borrow_mut().judge_anew();
+        self.node.borrow_mut().revalidate();
     }
 
     /// # Errors
@@ -399,7 +399,7 @@
     pub fn shown(&self) -> Shown {
         let now = self.now();
         let mut node = self.node.borrow_mut();
-        let standing = node.standing(now);
+        let standing = node.serving_state(now);
         let leased = node
             .leased_till()
             .map_or(0, |(_, till)| till.saturating_sub(now));
@@ -407,13 +407,13 @@
             ServingState::Under(_, None) if leased > 0 => "in force",
             ServingState::Under(_, None) => "grace",
             ServingState::Under(..) => "stricter",
-            ServingState::Soon(_) => "turning",
+            ServingState::Pending(_) => "turning",
             ServingState::Lost => "refusing",
         };
         let (id, _) = self.under.get();
         let version = |name: &str| {
             self.member
-                .with(|f| f.fact(name, FACT))
+                .with(|f| f.gauge(name, FACT))
                 .map(|(v, _)| v as u64)
         };
         let mut names = self.others();
@@ -455,15 +455,15 @@
         let mut out = Vec::new();
         self.node
             .borrow_mut()
-            .letter(self.now(), from, bytes, &mut out);
+            .handle_message(self.now(), from, bytes, &mut out);
         self.carry_out(out);
     }
 }
 
 impl PolicyLease for PolicyService {
-    fn due(&self, now: Micros, events: &mut VecDeque<Event>) {
+    fn collect_events(&self, now: Micros, events: &mut VecDeque<Event>) {
         self.looked_at.set(now);
-        let standing = self.node.borrow_mut().standing(self.clock(now));
+        let standing = self.node.borrow_mut().serving_state(self.clock(now));
         if Some(standing) == self.given.get() {
             return;
         }
@@ -484,14 +484,14 @@
             log_line!("policy: lost version={}", self.under.get().0.short());
         }
         self.given.set(Some(standing));
-        events.push_back(Event::Standing(match standing {
-            ServingState::Soon(_) => frosthatch_traffic_control::Standing::Soon,
-            _ if open => frosthatch_traffic_control::Standing::Open,
-            _ => frosthatch_traffic_control::Standing::Closed,
+        events.push_back(Event::LeaseStateChanged(match standing {
+            ServingState::Pending(_) => frosthatch_traffic_control::LeaseState::Pending,
+            _ if open => frosthatch_traffic_control::LeaseState::Held,
+            _ => frosthatch_traffic_control::LeaseState::Missing,
         }));
     }
 
-    fn let_in(&self, request: RequestId) {
+    fn record_admitted(&self, request: RequestId) {
         let mut audit = self.audit.borrow_mut();
         let Some(audit) = &mut *audit else { return };
         // The clock that all processes of a machine share, of when it was looked under what.
@@ -534,7 +534,7 @@
         log_line!("policy: holds version={}", id.short());
         self.under.set((id, with));
         self.member.set_fact(FACT, id.version as f64);
-        events.push_back(Event::Terms(terms));
+        events.push_back(Event::PolicyChanged(terms));
         true
     }
 }
@@ -638,7 +638,10 @@
             (5.0, 8.0, 1.0)
         );
         assert_eq!(
-            (terms.classes[0].aim_us, terms.classes[0].deadline_us),
+            (
+                terms.classes[0].latency_objective_us,
+                terms.classes[0].deadline_us
+            ),
             (900_000, 4_000_000)
         );
     }
--- a/crates/frosthatch/src/serve.rs
+++ b/crates/frosthatch/src/serve.rs
@@ -213,7 +213,7 @@
         false => Some(
             Plugins::start(
                 operator.plugins.clone(),
-                config.settings.most_units,
+                config.settings.max_units,
                 clock.reader(),
             )
             .await?,
--- a/crates/http1/src/backend.rs
+++ b/crates/http1/src/backend.rs
@@ -369,7 +369,7 @@
                     body: answer.body,
                     rest,
                     metered_use: answer.metered_use,
-                    report: answer.report,
+                    load_report: answer.report,
                 }
             }
             // Not written whole: it never began. Else it may have run, or may yet.
@@ -447,18 +447,18 @@
             }
             let before = servers.get(&id).map(|s| s.address);
             let fresh = || Server {
-                address: m.endpoint,
+                address: m.address,
                 ready: false,
                 idle: Vec::new(),
                 gone: Rc::default(),
             };
             let s = servers.entry(id.clone()).or_insert_with(fresh);
             s.ready = m.state == EndpointState::Ready;
-            if !s.ready || s.address != m.endpoint {
+            if !s.ready || s.address != m.address {
                 s.idle.clear();
             }
-            s.address = m.endpoint;
-            if before == Some(m.endpoint) {
+            s.address = m.address;
+            if before == Some(m.address) {
                 continue;
             }
             if let Some(before) = before {
@@ -466,7 +466,7 @@
             }
             // Guards against reaching a new server under the name of the one that stood there before: addresses are
             // used again, and news that the old one is gone may come later.
-            let there = at.entry(m.endpoint).or_default();
+            let there = at.entry(m.address).or_default();
             for old in there.iter() {
                 if let Some(old) = servers.get_mut(old) {
                     old.ready = false;
@@ -491,7 +491,7 @@
 fn status(answer: &Answer) -> CompletionStatus {
     match answer.status {
         200 => CompletionStatus::Served,
-        503 | 504 if answer.never_ran => CompletionStatus::TurnedAway,
+        503 | 504 if answer.never_ran => CompletionStatus::Rejected,
         _ => CompletionStatus::ServerError,
     }
 }
--- a/crates/http1/src/server/conversation.rs
+++ b/crates/http1/src/server/conversation.rs
@@ -54,7 +54,7 @@
                     let answered = match crowded {
                         true => Ok(self.unsent(
                             ask.forward.class,
-                            Response::Refused {
+                            Response::Rejected {
                                 retry_after: RETRY_AFTER_FULL,
                             },
                         )),
@@ -70,7 +70,7 @@
             };
             let close = asked.close || client.flooded || crowded || self.ends_connections();
             let written = match answer {
-                Reply::Answer(Response::Passing(first, rest)) => {
+                Reply::Answer(Response::Streaming(first, rest)) => {
                     self.relay_body(client, first, rest, close, asked.old, &added)
                         .await
                 }
@@ -201,7 +201,10 @@
         let Some(rules) = &self.rules else {
             return self.answer(client, ask).await;
         };
-        let (since, body) = (Instant::now(), rules.wants().1.min(ask.forward.body.len()));
+        let (since, body) = (
+            Instant::now(),
+            rules.wanted_input().1.min(ask.forward.body.len()),
+        );
         let mut ruling = PluginRequest {
             request: ask.request.clone(),
             left: ask.gone_at.saturating_duration_since(since),
@@ -209,7 +212,7 @@
             headers: std::mem::take(&mut ask.shown),
             body: ask.forward.body[..body].to_vec(),
         };
-        let ruled = match rules.clone().asked(&ruling) {
+        let ruled = match rules.clone().evaluate_request(&ruling) {
             None => None,
             Some(ruled) => match client.while_there(ruled).await {
                 Some(ruled) => Some(ruled),
@@ -218,20 +221,20 @@
         };
         let answer = match ruled {
             // Nothing has run, whatever its class.
-            Some(PluginVerdict::Refuse { retry_after }) => {
-                self.unsent(ask.forward.class, Response::Refused { retry_after })
+            Some(PluginVerdict::Reject { retry_after }) => {
+                self.unsent(ask.forward.class, Response::Rejected { retry_after })
             }
             Some(PluginVerdict::Fail) => {
                 self.unsent(ask.forward.class, Response::Failed { timed_out: false })
             }
-            Some(PluginVerdict::GoOn {
+            Some(PluginVerdict::Continue {
                 units,
                 lower,
                 within,
                 headers,
             }) => {
                 ask.request.units = ask.request.units.max(units.unwrap_or(0.0));
-                ask.request.lower = lower;
+                ask.request.low_priority = lower;
                 ask.gone_at = within.map_or(ask.gone_at, |within| ask.gone_at.min(since + within));
                 added.push_str(&headers);
                 self.answer(client, ask).await?
@@ -242,7 +245,10 @@
             return Ok(None);
         };
         ruling.left = ruling.left.saturating_sub(since.elapsed());
-        if let Some(more) = rules.clone().answered(&ruling, &answer, since.elapsed()) {
+        if let Some(more) = rules
+            .clone()
+            .evaluate_response(&ruling, &answer, since.elapsed())
+        {
             added.push_str(&more.await);
         }
         Ok(Some(answer))
@@ -250,7 +256,7 @@
 
     /// The answer to a request that the engine never heard of.
     pub(super) fn unsent(&self, class: usize, answer: Response) -> Option<Response> {
-        self.engine.tally().answered(class, &answer);
+        self.engine.counters().answered(class, &answer);
         Some(answer)
     }
 
@@ -271,12 +277,12 @@
             forward: Rc::new(forward),
             upstream: self.upstream.clone(),
         });
-        let taken = self.engine.take(IncomingRequest {
+        let taken = self.engine.submit(IncomingRequest {
             request,
             gone_at,
             payload,
         });
-        let answer = taken.map_err(|Duplicate| BadRequest::Duplicate)?;
+        let answer = taken.map_err(|DuplicateRequest| BadRequest::Duplicate)?;
         let mut waiting = Waiting {
             engine: &self.engine,
             id: Some(id),
--- a/crates/http1/src/server/request.rs
+++ b/crates/http1/src/server/request.rs
@@ -117,7 +117,7 @@
                 if let Some(ask) = &head.ask {
                     self.unsent(
                         ask.forward.class,
-                        Response::Refused {
+                        Response::Rejected {
                             retry_after: NO_ROOM,
                         },
                     );
@@ -237,17 +237,17 @@
             plan: plan.name.clone(),
             class: class.name.clone(),
             units: terms.units,
-            width: terms.spread,
+            gateway_count: terms.spread,
             first_gateway: terms.first,
-            patience_us: 0,
+            remaining_us: 0,
             pool: Protocol::Http1 as u8,
-            pin: None,
-            lower: false,
+            sticky_server: None,
+            low_priority: false,
         };
         let wants = self
             .rules
             .as_ref()
-            .map(|r| r.wants())
+            .map(|r| r.wanted_input())
             .filter(|w| !w.0.is_empty());
         let shown = wants.map_or_else(Vec::new, |wants| {
             let named = |name: &String| Some((name.clone(), header(h, name)?.to_string()));
@@ -255,7 +255,7 @@
         });
         // Nobody waits past the class's deadline, whatever the header says: what is kept for a request is short-lived.
         let patience = patience.min(Duration::from_micros(class.deadline_us));
-        let class = self.engine.tally().class(&class.name);
+        let class = self.engine.counters().class(&class.name);
         let forward = Forward {
             head: head.into(),
             body: Vec::new(),
@@ -311,7 +311,7 @@
         };
         let fine = text.split(',').count() == 3
             && terms.units > 0.0
-            && terms.units <= set.most_units
+            && terms.units <= set.max_units
             && (1..=set.gateways).contains(&terms.spread)
             && terms.first < set.gateways;
         fine.then_some(terms)
--- a/crates/http1/src/server/response.rs
+++ b/crates/http1/src/server/response.rs
@@ -15,14 +15,14 @@
             Reply::Ready(true) => response("200 OK", "", close, b"ready"),
             Reply::Ready(false) => response("503 Service Unavailable", "", close, b"not ready"),
             Reply::Answer(Response::Served(body)) => response("200 OK", added, close, body),
-            Reply::Answer(Response::Refused { retry_after }) => {
+            Reply::Answer(Response::Rejected { retry_after }) => {
                 let when = format!("Retry-After: {:.3}\r\n{added}", retry_after.as_secs_f64());
                 response("429 Too Many Requests", &when, close, b"refused")
             }
             Reply::Answer(Response::Failed { timed_out: true }) => {
                 response("504 Gateway Timeout", added, close, b"failed")
             }
-            Reply::Answer(Response::Failed { .. } | Response::Passing(..)) => {
+            Reply::Answer(Response::Failed { .. } | Response::Streaming(..)) => {
                 response("502 Bad Gateway", added, close, b"failed")
             }
         }
--- a/crates/lab/src/choices_size.rs
+++ b/crates/lab/src/choices_size.rs
@@ -253,7 +253,13 @@
                 }
                 self.comes(WORDS, What::Words);
             }
-            What::Hears(to, from, words) => self.tell(to, Event::Words { from, words }),
+            What::Hears(to, from, words) => self.tell(
+                to,
+                Event::HealthReports {
+                    from,
+                    reports: words,
+                },
+            ),
         }
     }
 
--- a/crates/lab/src/policy_size.rs
+++ b/crates/lab/src/policy_size.rs
@@ -104,9 +104,9 @@
             let mut out = Vec::new();
             match what {
                 What::Letter(from, bytes) => {
-                    self.nodes[to].letter(self.now, &name(from), &bytes, &mut out);
+                    self.nodes[to].handle_message(self.now, &name(from), &bytes, &mut out);
                 }
-                What::Stored => self.nodes[to].stored(self.now, Ok(()), &mut out),
+                What::Stored => self.nodes[to].record_stored(self.now, Ok(()), &mut out),
             }
             self.outs(to, out);
         }
@@ -129,7 +129,7 @@
     /// Those that hold this version now.
     fn hold(&mut self, version: u64) -> usize {
         let now = self.now;
-        let of = |n: &mut ConsensusNode| matches!(n.standing(now), ServingState::Under(id, None) if id.version == version);
+        let of = |n: &mut ConsensusNode| matches!(n.serving_state(now), ServingState::Under(id, None) if id.version == version);
         self.nodes
             .iter_mut()
             .filter_map(|n| of(n).then_some(()))
--- a/crates/plugins/src/host.rs
+++ b/crates/plugins/src/host.rs
@@ -328,7 +328,7 @@
                 verdict.unwrap_or_else(|| p.plan.policy.verdict()),
             ) {
                 Some(Verdict::Refuse { wait_ms }) => {
-                    return PluginVerdict::Refuse {
+                    return PluginVerdict::Reject {
                         retry_after: Duration::from_millis(wait_ms.into()),
                     };
                 }
@@ -336,7 +336,7 @@
                 None => {}
             }
         }
-        PluginVerdict::GoOn {
+        PluginVerdict::Continue {
             units: sum.units,
             lower: sum.lower,
             within: sum.deadline_ms.map(|ms| Duration::from_millis(ms.into())),
@@ -391,16 +391,19 @@
 }
 
 impl RequestPlugins for Plugins {
-    fn wants(&self) -> Rc<(Vec<String>, usize)> {
+    fn wanted_input(&self) -> Rc<(Vec<String>, usize)> {
         self.shown.borrow().clone()
     }
 
-    fn asked(self: Rc<Self>, ruling: &PluginRequest) -> Option<BoxedFuture<PluginVerdict>> {
+    fn evaluate_request(
+        self: Rc<Self>,
+        ruling: &PluginRequest,
+    ) -> Option<BoxedFuture<PluginVerdict>> {
         let (chosen, shown) = self.chosen(ruling, |h| h.request)?;
         Some(Box::pin(self.ruled(chosen, shown)))
     }
 
-    fn answered(
+    fn evaluate_response(
         self: Rc<Self>,
         ruling: &PluginRequest,
         answer: &Response,
@@ -408,8 +411,8 @@
     ) -> Option<BoxedFuture<String>> {
         let (chosen, shown) = self.chosen(ruling, |h| h.answer)?;
         let outcome = match answer {
-            Response::Served(_) | Response::Passing(..) => Outcome::Served,
-            Response::Refused { .. } => Outcome::Refused,
+            Response::Served(_) | Response::Streaming(..) => Outcome::Served,
+            Response::Rejected { .. } => Outcome::Refused,
             Response::Failed { .. } => Outcome::Failed,
         };
         Some(Box::pin(self.added(chosen, shown, outcome, millis(took))))
--- a/crates/policy-consensus/src/acceptor.rs
+++ b/crates/policy-consensus/src/acceptor.rs
@@ -15,9 +15,9 @@
     pub promised: Ballot,
     pub accepted: Option<(Ballot, Policy)>,
     /// The number of the ballot by which it joined in the place of an earlier keeper; 0: it is the first in its place.
-    pub life: u64,
+    pub incarnation: u64,
     /// Of the other keepers, by their place, as far as they were told here: an earlier life's word counts no more.
-    pub lives: BTreeMap<u64, u64>,
+    pub incarnations: BTreeMap<u64, u64>,
     /// It takes an earlier one's place and has not heard enough of the others yet: it keeps nothing.
     pub joining: bool,
 }
@@ -49,7 +49,7 @@
     Promised(Ballot, Option<(Ballot, Policy)>),
     Accepted(Ballot),
     /// A higher ballot was promised.
-    Outrun(Ballot),
+    Preempted(Ballot),
     /// The policy before is still granted, for so long: no other is accepted meanwhile.
     Busy(u64),
     /// What may be served under what, by this keeper's word.
@@ -96,7 +96,7 @@
     }
 
     /// The answer, and whether the state has to be on disk before it goes out.
-    pub fn ask(&mut self, now: u64, ask: AcceptorRequest) -> (AcceptorReply, bool) {
+    pub fn handle(&mut self, now: u64, ask: AcceptorRequest) -> (AcceptorReply, bool) {
         match ask {
             // Asked again it says so again: the answer may have been lost.
             AcceptorRequest::Prepare(ballot) if ballot >= self.state.promised => {
@@ -109,7 +109,7 @@
                 if ballot.number > self.state.promised.number && place != self.me =>
             {
                 self.state.promised = ballot;
-                self.state.lives.insert(place, ballot.number);
+                self.state.incarnations.insert(place, ballot.number);
                 (AcceptorReply::Promised(ballot, self.state.accepted), true)
             }
             AcceptorRequest::Accept(ballot, policy, rests)
@@ -133,7 +133,7 @@
             }
             AcceptorRequest::Prepare(_)
             | AcceptorRequest::Join(..)
-            | AcceptorRequest::Accept(..) => (AcceptorReply::Outrun(self.state.promised), false),
+            | AcceptorRequest::Accept(..) => (AcceptorReply::Preempted(self.state.promised), false),
             AcceptorRequest::Lease => (AcceptorReply::Lease(self.grant(now)), false),
         }
     }
@@ -141,10 +141,10 @@
     /// One of these promises was given by a keeper whose place another has taken.
     fn outlived(&self, rests: &[(u64, u64)]) -> bool {
         rests.iter().any(|(place, life)| match *place == self.me {
-            true => *life != self.state.life,
+            true => *life != self.state.incarnation,
             false => self
                 .state
-                .lives
+                .incarnations
                 .get(place)
                 .is_some_and(|known| life < known),
         })
@@ -175,7 +175,7 @@
     };
 
     fn grant(k: &mut Acceptor, now: u64) -> LeaseGrant {
-        match k.ask(now, AcceptorRequest::Lease) {
+        match k.handle(now, AcceptorRequest::Lease) {
             (AcceptorReply::Lease(g), false) => g,
             other => panic!("{other:?}"),
         }
@@ -185,18 +185,18 @@
     fn a_lower_ballot_is_outrun_and_what_was_accepted_is_told() {
         let mut k = Acceptor::new(TIMES, 0, AcceptorState::default(), 0);
         assert_eq!(
-            k.ask(0, AcceptorRequest::Prepare(ballot(2))),
+            k.handle(0, AcceptorRequest::Prepare(ballot(2))),
             (AcceptorReply::Promised(ballot(2), None), true)
         );
         assert_eq!(
-            k.ask(0, AcceptorRequest::Accept(ballot(1), policy(1), Vec::new())),
-            (AcceptorReply::Outrun(ballot(2)), false)
+            k.handle(0, AcceptorRequest::Accept(ballot(1), policy(1), Vec::new())),
+            (AcceptorReply::Preempted(ballot(2)), false)
         );
         assert_eq!(
-            k.ask(0, AcceptorRequest::Accept(ballot(2), policy(1), Vec::new())),
+            k.handle(0, AcceptorRequest::Accept(ballot(2), policy(1), Vec::new())),
             (AcceptorReply::Accepted(ballot(2)), true)
         );
-        let told = k.ask(0, AcceptorRequest::Prepare(ballot(3))).0;
+        let told = k.handle(0, AcceptorRequest::Prepare(ballot(3))).0;
         assert_eq!(
             told,
             AcceptorReply::Promised(ballot(3), Some((ballot(2), policy(1))))
@@ -206,7 +206,7 @@
     #[test]
     fn the_one_before_is_granted_until_the_turn_and_the_new_one_from_then_on() {
         let mut k = Acceptor::new(TIMES, 0, AcceptorState::default(), 0);
-        k.ask(0, AcceptorRequest::Accept(ballot(1), policy(1), Vec::new()));
+        k.handle(0, AcceptorRequest::Accept(ballot(1), policy(1), Vec::new()));
         assert_eq!(
             grant(&mut k, 400),
             LeaseGrant {
@@ -221,7 +221,7 @@
                 now: Some((policy(1), ballot(1), 0, 1_000))
             }
         );
-        k.ask(
+        k.handle(
             5_000,
             AcceptorRequest::Accept(ballot(2), policy(2), Vec::new()),
         );
@@ -235,7 +235,7 @@
         );
         assert_eq!(grant(&mut k, 6_000).before, None);
         // Accepted again under another ballot, as a proposer does that finishes another's change: the turn stays.
-        k.ask(
+        k.handle(
             6_000,
             AcceptorRequest::Accept(ballot(3), policy(2), Vec::new()),
         );
@@ -248,20 +248,20 @@
     #[test]
     fn a_change_within_a_turn_has_to_wait_for_its_end() {
         let mut k = Acceptor::new(TIMES, 0, AcceptorState::default(), 0);
-        k.ask(0, AcceptorRequest::Accept(ballot(1), policy(1), Vec::new()));
-        k.ask(
+        k.handle(0, AcceptorRequest::Accept(ballot(1), policy(1), Vec::new()));
+        k.handle(
             5_000,
             AcceptorRequest::Accept(ballot(2), policy(2), Vec::new()),
         );
         assert_eq!(
-            k.ask(
+            k.handle(
                 5_500,
                 AcceptorRequest::Accept(ballot(3), policy(3), Vec::new())
             ),
             (AcceptorReply::Busy(500), false)
         );
         assert_eq!(
-            k.ask(
+            k.handle(
                 6_000,
                 AcceptorRequest::Accept(ballot(3), policy(3), Vec::new())
             ),
@@ -277,31 +277,31 @@
     fn what_rests_on_the_word_of_a_keeper_whose_place_was_taken_is_not_accepted() {
         let mut k = Acceptor::new(TIMES, 0, AcceptorState::first(), 0);
         assert!(matches!(
-            k.ask(0, AcceptorRequest::Join(ballot(5), 2)).0,
+            k.handle(0, AcceptorRequest::Join(ballot(5), 2)).0,
             AcceptorReply::Promised(..)
         ));
         assert_eq!(
-            k.ask(0, AcceptorRequest::Prepare(ballot(6))).0,
+            k.handle(0, AcceptorRequest::Prepare(ballot(6))).0,
             AcceptorReply::Promised(ballot(6), Some(Default::default()))
         );
         let accept = |rests: Vec<(u64, u64)>| AcceptorRequest::Accept(ballot(6), policy(1), rests);
         assert_eq!(
-            k.ask(5_000, accept(vec![(0, 0), (2, 0)])).0,
-            AcceptorReply::Outrun(ballot(6))
+            k.handle(5_000, accept(vec![(0, 0), (2, 0)])).0,
+            AcceptorReply::Preempted(ballot(6))
         );
         assert_eq!(
-            k.ask(5_000, accept(vec![(0, 3), (1, 0)])).0,
-            AcceptorReply::Outrun(ballot(6)),
+            k.handle(5_000, accept(vec![(0, 3), (1, 0)])).0,
+            AcceptorReply::Preempted(ballot(6)),
             "of another life of its own"
         );
         assert_eq!(
-            k.ask(5_000, accept(vec![(0, 0), (2, 5)])).0,
+            k.handle(5_000, accept(vec![(0, 0), (2, 5)])).0,
             AcceptorReply::Accepted(ballot(6))
         );
         assert!(
             matches!(
-                k.ask(0, AcceptorRequest::Join(ballot(6), 2)).0,
-                AcceptorReply::Outrun(_)
+                k.handle(0, AcceptorRequest::Join(ballot(6), 2)).0,
+                AcceptorReply::Preempted(_)
             ),
             "it has to be above all"
         );
@@ -310,8 +310,8 @@
     #[test]
     fn a_keeper_that_starts_again_waits_a_lease_before_it_grants_what_it_accepted() {
         let mut k = Acceptor::new(TIMES, 0, AcceptorState::default(), 0);
-        k.ask(0, AcceptorRequest::Accept(ballot(1), policy(1), Vec::new()));
-        k.ask(
+        k.handle(0, AcceptorRequest::Accept(ballot(1), policy(1), Vec::new()));
+        k.handle(
             5_000,
             AcceptorRequest::Accept(ballot(2), policy(2), Vec::new()),
         );
--- a/crates/policy-consensus/src/lease_holder.rs
+++ b/crates/policy-consensus/src/lease_holder.rs
@@ -55,7 +55,7 @@
                 id,
                 ballot,
                 from: 0,
-                till: asked + self.times.surely(left),
+                till: asked + self.times.shrink_for_drift(left),
             });
         }
         if let Some((policy, ballot, left, length)) = grant.now {
@@ -63,13 +63,13 @@
             let from = if left == 0 {
                 0
             } else {
-                now + self.times.passed(left)
+                now + self.times.stretch_for_drift(left)
             };
             leases.push(Lease {
                 id,
                 ballot,
                 from,
-                till: asked + self.times.surely(left + length),
+                till: asked + self.times.shrink_for_drift(left + length),
             });
             self.policies.insert(id, policy);
         }
@@ -127,7 +127,7 @@
     }
 
     /// None is held now: from when on one is, by the leases that are there.
-    pub fn soon(&self, now: u64) -> Option<u64> {
+    pub fn pending_until(&self, now: u64) -> Option<u64> {
         let mut after: Vec<u64> = self.bounds().filter(|at| *at > now).collect();
         after.sort_unstable();
         after.into_iter().find(|at| self.at(*at).is_some())
--- a/crates/policy-consensus/src/lib.rs
+++ b/crates/policy-consensus/src/lib.rs
@@ -80,12 +80,12 @@
 
 impl LeaseConfig {
     /// For so long a tenant takes a lease of such a length: its clock may be slow, the keeper's fast.
-    pub fn surely(&self, us: u64) -> u64 {
+    pub fn shrink_for_drift(&self, us: u64) -> u64 {
         us * (1_000 - self.drift) / (1_000 + self.drift)
     }
 
     /// After so long by its own clock a tenant may be sure that such a time has passed at a keeper.
-    pub fn passed(&self, us: u64) -> u64 {
+    pub fn stretch_for_drift(&self, us: u64) -> u64 {
         (us * (1_000 + self.drift)).div_ceil(1_000 - self.drift)
     }
 }
@@ -124,9 +124,18 @@
         // So much true time passes while a clock of such a rate shows so much.
         let truly = |shows: u64, rate: u64| shows as f64 * 1_000.0 / rate as f64;
         for us in [1, 999, 1_000_000, 60_000_000] {
-            assert!(truly(times.surely(us), 990) <= truly(us, 1_010), "{us}");
-            assert!(truly(times.passed(us), 1_010) >= truly(us, 990), "{us}");
+            assert!(
+                truly(times.shrink_for_drift(us), 990) <= truly(us, 1_010),
+                "{us}"
+            );
+            assert!(
+                truly(times.stretch_for_drift(us), 1_010) >= truly(us, 990),
+                "{us}"
+            );
         }
-        assert!(times.surely(1_000_000) > 980_000 && times.passed(1_000_000) < 1_021_000);
+        assert!(
+            times.shrink_for_drift(1_000_000) > 980_000
+                && times.stretch_for_drift(1_000_000) < 1_021_000
+        );
     }
 }
--- a/crates/policy-consensus/src/message.rs
+++ b/crates/policy-consensus/src/message.rs
@@ -71,7 +71,7 @@
                 ..
             } => "accepted",
             Message::Answer {
-                answer: AcceptorReply::Outrun(_),
+                answer: AcceptorReply::Preempted(_),
                 ..
             } => "outrun",
             Message::Answer {
--- a/crates/policy-consensus/src/node.rs
+++ b/crates/policy-consensus/src/node.rs
@@ -75,7 +75,7 @@
     /// Under this policy; under the smaller of it and another where both may be in force.
     Under(PolicyId, Option<PolicyId>),
     /// From that time on, by the leases that are there.
-    Soon(u64),
+    Pending(u64),
     Lost,
 }
 
@@ -196,12 +196,13 @@
             held: VecDeque::new(),
             plan,
         };
-        own.into_iter().for_each(|read| node.keep_from(now, read));
+        own.into_iter()
+            .for_each(|read| node.load_acceptor(now, read));
         node
     }
 
     /// As a keeper: starts with what its folder holds, or keeps nothing.
-    pub fn keep_from(&mut self, now: u64, read: Result<AcceptorRecord, String>) {
+    pub fn load_acceptor(&mut self, now: u64, read: Result<AcceptorRecord, String>) {
         let (durable, state, silent) = match read {
             Ok(record) => {
                 self.texts.put(&record.text);
@@ -239,7 +240,7 @@
     }
 
     /// Under what requests may be let in at this time.
-    pub fn standing(&mut self, now: u64) -> ServingState {
+    pub fn serving_state(&mut self, now: u64) -> ServingState {
         if now >= self.stands_till {
             (self.standing, self.stands_till) = self.look(now);
         }
@@ -267,8 +268,8 @@
                 false => (ServingState::Lost, next),
             };
         }
-        if let Some(at) = self.tenant.soon(now) {
-            return (ServingState::Soon(at), next);
+        if let Some(at) = self.tenant.pending_until(now) {
+            return (ServingState::Pending(at), next);
         }
         // One that it could not serve under may have been in force since.
         let last = self
@@ -320,7 +321,7 @@
     }
 
     /// What this member can serve under may have changed.
-    pub fn judge_anew(&mut self) {
+    pub fn revalidate(&mut self) {
         self.judged.clear();
         self.unsettle();
     }
@@ -465,7 +466,7 @@
         self.join(now, out);
         if now >= self.ask_due {
             let every = self.tenant.asks_every_us();
-            let holds = matches!(self.standing(now), ServingState::Under(..));
+            let holds = matches!(self.serving_state(now), ServingState::Under(..));
             self.ask_due = now + if holds { every } else { every / 2 };
             let number = self.rng.next_u64();
             self.asked.push_back((number, now));
@@ -490,7 +491,13 @@
     }
 
     /// A letter came from a member.
-    pub fn letter(&mut self, now: u64, from: &str, bytes: &[u8], out: &mut Vec<NodeOutput>) {
+    pub fn handle_message(
+        &mut self,
+        now: u64,
+        from: &str,
+        bytes: &[u8],
+        out: &mut Vec<NodeOutput>,
+    ) {
         if let Some(letter) = Message::read(bytes) {
             self.take(now, from, letter, out);
             self.work(now, out);
@@ -646,7 +653,7 @@
             return;
         };
         match answer {
-            AcceptorReply::Outrun(higher) if higher.number >= joining.ballot.number => {
+            AcceptorReply::Preempted(higher) if higher.number >= joining.ballot.number => {
                 joining.ballot.number = higher.number + 1;
                 joining.promises.clear();
             }
@@ -678,8 +685,8 @@
         let durable = AcceptorState {
             promised: ballot,
             accepted,
-            life,
-            lives: lives.collect(),
+            incarnation: life,
+            incarnations: lives.collect(),
             joining: false,
         };
         let text = self.texts.get(&digest).unwrap_or_default().to_string();
@@ -727,7 +734,7 @@
         let Some(own) = self.own.as_mut().filter(|own| own.keeps()) else {
             return;
         };
-        let life = own.keeper.state().life;
+        let life = own.keeper.state().incarnation;
         if seen > (life, own.state) {
             let told = seen.1;
             let why = format!(
@@ -744,11 +751,11 @@
         if own.writing.is_some() {
             return;
         }
-        let (answer, durable) = own.keeper.ask(now, ask);
+        let (answer, durable) = own.keeper.handle(now, ask);
         let others = own
             .keeper
             .state()
-            .lives
+            .incarnations
             .iter()
             .map(|(place, life)| (*place, *life))
             .collect();
@@ -776,7 +783,7 @@
     }
 
     /// What became of the last [`Out::Store`].
-    pub fn stored(&mut self, now: u64, how: Result<(), String>, out: &mut Vec<NodeOutput>) {
+    pub fn record_stored(&mut self, now: u64, how: Result<(), String>, out: &mut Vec<NodeOutput>) {
         let Some(own) = &mut self.own else { return };
         match how {
             Ok(()) => {
@@ -789,7 +796,7 @@
                         "policy: joined state={}",
                         record.state
                     )));
-                    return self.keep_from(now, Ok(record));
+                    return self.load_acceptor(now, Ok(record));
                 }
                 if own.again_at.take().is_some() {
                     out.push(NodeOutput::Log(format!(
--- a/crates/policy-consensus/src/proposer.rs
+++ b/crates/policy-consensus/src/proposer.rs
@@ -190,7 +190,7 @@
     ) {
         let most = majority(self.keepers);
         match answer {
-            AcceptorReply::Outrun(higher)
+            AcceptorReply::Preempted(higher)
                 if higher > self.ballot && !matches!(self.step, Step::Done) =>
             {
                 self.ballot.number = higher.number;
@@ -271,7 +271,7 @@
             }
             // Asked again in time.
             AcceptorReply::Busy(left) => self.next = self.next.min(now + left),
-            AcceptorReply::Outrun(_)
+            AcceptorReply::Preempted(_)
             | AcceptorReply::Promised(..)
             | AcceptorReply::Accepted(_)
             | AcceptorReply::Lease(_) => {}
--- a/crates/policy-consensus/tests/explore.rs
+++ b/crates/policy-consensus/tests/explore.rs
@@ -120,7 +120,7 @@
     fn lease(&mut self, t: usize, k: usize) -> Option<Letter> {
         match self.keepers[k]
             .as_mut()?
-            .ask(self.now, AcceptorRequest::Lease)
+            .handle(self.now, AcceptorRequest::Lease)
             .0
         {
             AcceptorReply::Lease(grant) => Some(Letter::Leased(t, k, self.now, grant)),
@@ -280,7 +280,7 @@
                 s.letters.remove(&letter);
                 match letter {
                     Letter::ToKeeper(p, k, ask) => {
-                        let (answer, durable) = s.keepers[k].as_mut()?.ask(s.now, ask);
+                        let (answer, durable) = s.keepers[k].as_mut()?.handle(s.now, ask);
                         if durable {
                             s.disks[k] = s.keepers[k].as_ref()?.state().clone();
                         }
--- a/crates/policy-consensus/tests/golden_forms.rs
+++ b/crates/policy-consensus/tests/golden_forms.rs
@@ -52,7 +52,7 @@
         AcceptorReply::Promised(BALLOT, None),
         AcceptorReply::Promised(BALLOT, Some((BALLOT, policy()))),
         AcceptorReply::Accepted(BALLOT),
-        AcceptorReply::Outrun(BALLOT),
+        AcceptorReply::Preempted(BALLOT),
         AcceptorReply::Busy(123_456),
         AcceptorReply::Lease(LeaseGrant::default()),
         AcceptorReply::Lease(grant),
@@ -109,8 +109,8 @@
             proposer: 9,
         },
         accepted: Some((BALLOT, policy())),
-        life: 12,
-        lives: [(0, 1), (2, 900)].into(),
+        incarnation: 12,
+        incarnations: [(0, 1), (2, 900)].into(),
         joining: false,
     };
     let whole = AcceptorRecord {
--- a/crates/policy-consensus/tests/nodes.rs
+++ b/crates/policy-consensus/tests/nodes.rs
@@ -259,7 +259,7 @@
         let Some(node) = &mut self.members[n].node else {
             return;
         };
-        let ServingState::Under(id, with) = node.standing(at) else {
+        let ServingState::Under(id, with) = node.serving_state(at) else {
             self.without += 1;
             return;
         };
@@ -322,7 +322,7 @@
                 m.disk = m.writing.take().map(|(_, record)| record);
                 m.node
                     .iter_mut()
-                    .for_each(|node| node.stored(at, Ok(()), &mut out));
+                    .for_each(|node| node.record_stored(at, Ok(()), &mut out));
             }
             m.node
                 .iter_mut()
@@ -337,7 +337,7 @@
         let Some(node) = &mut self.members[to].node else {
             return;
         };
-        node.letter(at, &name(from), bytes, &mut out);
+        node.handle_message(at, &name(from), bytes, &mut out);
         self.outs(to, out);
     }
 
@@ -420,7 +420,7 @@
             return;
         };
         // An older copy of the one that keeps is told apart only by those who remember.
-        if disk.durable.joining || disk.durable.life > copy.durable.life {
+        if disk.durable.joining || disk.durable.incarnation > copy.durable.incarnation {
             self.show("its folder is put back");
             self.kill(n);
             let m = &mut self.members[n];
@@ -458,7 +458,7 @@
         let at: Vec<u64> = (0..ALL).map(|n| self.at(n)).collect();
         let nodes = self.members.iter_mut().zip(at);
         nodes
-            .filter_map(|(m, at)| m.node.as_mut().map(|node| node.standing(at)))
+            .filter_map(|(m, at)| m.node.as_mut().map(|node| node.serving_state(at)))
             .collect()
     }
 }
--- a/crates/policy-consensus/tests/promise.rs
+++ b/crates/policy-consensus/tests/promise.rs
@@ -203,7 +203,7 @@
                 let Some(k) = &mut self.keepers[keeper] else {
                     return;
                 };
-                let (answer, durable) = k.ask(at, ask);
+                let (answer, durable) = k.handle(at, ask);
                 if durable {
                     self.disks[keeper] = k.state().clone();
                     // It may die before the answer goes out.
@@ -238,7 +238,7 @@
                 let Some(k) = &mut self.keepers[keeper] else {
                     return;
                 };
-                if let (AcceptorReply::Lease(grant), _) = k.ask(at, AcceptorRequest::Lease) {
+                if let (AcceptorReply::Lease(grant), _) = k.handle(at, AcceptorRequest::Lease) {
                     self.post(|| Letter::Leased {
                         tenant,
                         life,
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -159,11 +159,11 @@
         match s {
             WireStatus::Served => CompletionStatus::Served,
             WireStatus::ServerError => CompletionStatus::ServerError,
-            WireStatus::TurnedAway => CompletionStatus::TurnedAway,
+            WireStatus::TurnedAway => CompletionStatus::Rejected,
             WireStatus::NoAnswer => CompletionStatus::NoAnswer,
             WireStatus::NoConnection => CompletionStatus::NoConnection,
             WireStatus::ConnectionLost => CompletionStatus::ConnectionLost,
-            WireStatus::CalledOff => CompletionStatus::CalledOff,
+            WireStatus::CalledOff => CompletionStatus::Cancelled,
             WireStatus::NotSent => CompletionStatus::NotSent,
         }
     }
@@ -235,12 +235,12 @@
                 plan: contract,
                 class: grade,
                 units: cost_units,
-                width: width as u32,
+                gateway_count: width as u32,
                 first_gateway: first_door as u32,
-                patience_us: grace_us,
+                remaining_us: grace_us,
                 pool: 0,
-                pin: None,
-                lower: false,
+                sticky_server: None,
+                low_priority: false,
             }),
             Msg::Flowing { id, .. } => Event::Streaming(request_id(&id)?),
             Msg::Response {
@@ -263,7 +263,7 @@
                 closed: over,
                 settled_units: (settled > 0.0).then_some(settled),
                 metered_use: (fleet_use >= 1.0).then_some((fleet_use - 1.0) / 100.0),
-                report: telemetry
+                load_report: telemetry
                     .iter()
                     .filter_map(|(name, v)| load(name, v))
                     .collect(),
@@ -284,7 +284,7 @@
                 status,
                 result_value,
                 ..
-            } => Event::Counted {
+            } => Event::CounterReply {
                 name,
                 status: status.into(),
                 total: result_value,
@@ -319,7 +319,7 @@
             server: ServerId(self.server.into()),
             zone: self.hall,
             cell: self.bay,
-            share: self.share,
+            weight: self.share,
             started_us: self.born_us,
             health: match self.health {
                 WireHealth::InService => Health::Ready,
@@ -410,7 +410,7 @@
                 id: text(request),
                 leg: attempt,
             },
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after_us,
                 reason: _,
@@ -435,7 +435,7 @@
                     name,
                 }
             }
-            Action::Tell { to, bytes } => {
+            Action::SendToPeer { to, bytes } => {
                 let content = bytes.iter().map(|b| format!("{b:02x}")).collect();
                 Out::Post {
                     i,
@@ -443,7 +443,7 @@
                     content,
                 }
             }
-            Action::Count {
+            Action::AddToCounter {
                 name,
                 amount,
                 ttl_us,
@@ -454,7 +454,7 @@
                 ttl_us,
             },
             // Only where gateways tell each other by a way of their own.
-            Action::Used { .. } => return None,
+            Action::ReportUsage { .. } => return None,
             Action::Subscribe => Out::Tail { i, active: true },
             Action::Log(line) => Out::WriteLog { i, line },
         })
--- a/crates/traffic-control/benches/decisions.rs
+++ b/crates/traffic-control/benches/decisions.rs
@@ -62,7 +62,7 @@
             "read",
             1_000_000,
         );
-        request.width = 100;
+        request.gateway_count = 100;
         out.clear();
         gateway.handle(now, Event::Request(request), &mut out);
         let mut k = 0;
@@ -74,7 +74,7 @@
                     AttemptOutcome::new(request, 0, server, CompletionStatus::Served, 20_000)
                         .closing(),
                 ),
-                Action::Count { name, amount, .. } => Event::Counted {
+                Action::AddToCounter { name, amount, .. } => Event::CounterReply {
                     name,
                     status: CompletionStatus::Served,
                     total: amount,
--- a/crates/traffic-control/src/boot.rs
+++ b/crates/traffic-control/src/boot.rs
@@ -101,11 +101,11 @@
         };
         let classes = self.services.iter().map(|s| RequestClass {
             name: s.name.clone(),
-            aim_us: s.aim_us,
+            latency_objective_us: s.aim_us,
             deadline_us: s.deadline_us,
             effect: effect(s),
-            worth: s.worth,
-            late_worth: s.late_worth,
+            priority_weight: s.worth,
+            late_weight: s.late_worth,
         });
         let plans = self.tariffs.iter().map(|t| Plan {
             name: t.name.clone(),
@@ -113,7 +113,7 @@
             burst: t.burst,
             max_open: t.max_out,
             price: t.pays,
-            excess_worth: t.excess_worth,
+            excess_weight: t.excess_worth,
             overrun_cost: t.overrun_cost,
             ceiling: (t.ceiling_rate > 0.0).then_some(Ceiling {
                 rate: t.ceiling_rate,
@@ -127,11 +127,11 @@
             zone: self.zone,
             classes: classes.collect(),
             plans: plans.collect(),
-            cold: SlowStart {
-                from: self.rules.cold_from,
-                warm_us: self.rules.cold_us,
-                tip_multiple: self.rules.tip_multiple,
-                tip_after_us: self.rules.tip_after_us,
+            slow_start: SlowStart {
+                initial_share: self.rules.cold_from,
+                duration_us: self.rules.cold_us,
+                overload_multiple: self.rules.tip_multiple,
+                overload_after_us: self.rules.tip_after_us,
             },
             max_attempts: limits.max_attempts,
             parallel_attempts: limits.parallel_tries,
@@ -142,13 +142,13 @@
                 0
             },
             peer_messages: limits.peer_messages,
-            mail_per_s: family.mail_per_s,
+            peer_messages_per_s: family.mail_per_s,
             counter: family.shared_counter,
-            told_us: 0,
+            usage_report_ttl_us: 0,
             meter_period_us: family.use_period_us,
             list_on_request: self.discovery == "on_request",
             cross_zone_cost: self.penalties.cross_zone,
-            most_units: family.units_top,
+            max_units: family.units_top,
             retries: RetryBudget::default(),
         }
     }
--- a/crates/traffic-control/src/customer.rs
+++ b/crates/traffic-control/src/customer.rs
@@ -251,7 +251,8 @@
     /// By plan, while an attempt takes so long. `few`: gateways, of more each has few calls.
     pub fn all(set: &Settings, attempt_s: f64, few: u32) -> Vec<Quota> {
         let counter = set.counter;
-        let alone = (counter || !set.peer_messages) && set.told_us == 0 && set.gateways > few;
+        let alone =
+            (counter || !set.peer_messages) && set.usage_report_ttl_us == 0 && set.gateways > few;
         let cost = |p: &Plan| p.price * p.overrun_cost;
         let most_cost = set.plans.iter().map(cost).fold(0.0, f64::max);
         let store = |p: &Plan| {
@@ -261,7 +262,7 @@
                 1e12
             };
             let (rate, most, largest) = match p.rate > 0.0 {
-                true => (p.rate, p.burst, set.most_units),
+                true => (p.rate, p.burst, set.max_units),
                 false => (most / attempt_s, most, 1.0),
             };
             let places = p.rate <= 0.0 && p.max_open > 0;
--- a/crates/traffic-control/src/fleet.rs
+++ b/crates/traffic-control/src/fleet.rs
@@ -118,8 +118,8 @@
             s.key = key;
             (s.group, s.started, s.health, s.pool) =
                 ((e.zone, e.cell), e.started_us, e.health, e.pool);
-            s.share = if e.share.is_finite() && e.share > 0.0 {
-                e.share
+            s.share = if e.weight.is_finite() && e.weight > 0.0 {
+                e.weight
             } else {
                 1.0
             };
@@ -205,12 +205,12 @@
         // Unanswered is slow and failed in one: guards against servers, or a class on them, gone silent.
         let (slow, failed, weight) = match status {
             CompletionStatus::Served => (ratio, 0.0, ANSWER_WEIGHT),
-            CompletionStatus::NoAnswer | CompletionStatus::CalledOff if ratio > 1.0 => {
+            CompletionStatus::NoAnswer | CompletionStatus::Cancelled if ratio > 1.0 => {
                 (ratio, 1.0, ANSWER_WEIGHT)
             }
             CompletionStatus::NoConnection => (s.slowness, 1.0, UNREACHABLE_WEIGHT),
             CompletionStatus::NoAnswer
-            | CompletionStatus::CalledOff
+            | CompletionStatus::Cancelled
             | CompletionStatus::NotSent => (s.slowness, s.errors, 0.0),
             _ => (s.slowness, 1.0, ANSWER_WEIGHT),
         };
--- a/crates/traffic-control/src/gateway.rs
+++ b/crates/traffic-control/src/gateway.rs
@@ -6,7 +6,7 @@
 use crate::customer::{Customer, Quota};
 use crate::decayed::Decayed;
 use crate::fleet::Fleet;
-use crate::interface::{Micros, RequestId, Settings, SettingsError, Standing};
+use crate::interface::{LeaseState, Micros, RequestId, Settings, SettingsError};
 use crate::ledger::CounterWatch;
 use crate::pace::Pace;
 use crate::peers::Peers;
@@ -44,7 +44,7 @@
     pub(crate) requests: BTreeMap<RequestId, Pending>,
     pub(crate) waiting: BTreeSet<RequestId>,
     pub(crate) retry_tokens: f64,
-    pub(crate) standing: Standing,
+    pub(crate) standing: LeaseState,
     pub(crate) settles: Option<Micros>, // till then the smaller of two terms holds
     pub(crate) started: Option<Micros>,
 }
@@ -68,7 +68,7 @@
             now: 0,
             quotas: Quota::all(&set, pace.attempt_s, FEW),
             odds: vec![Default::default(); set.plans.len()],
-            calls: Calls::new(set.gateways, set.told_us == 0),
+            calls: Calls::new(set.gateways, set.usage_report_ttl_us == 0),
             peers: Peers::new(cells.len()),
             fleet: Fleet::new(Subset::new(set.me, set.gateways)),
             cells,
@@ -79,8 +79,8 @@
             watch: CounterWatch::default(),
             requests: BTreeMap::new(),
             waiting: BTreeSet::new(),
-            retry_tokens: set.retries.most,
-            standing: Standing::Open,
+            retry_tokens: set.retries.max_saved,
+            standing: LeaseState::Held,
             settles: None,
             started: None,
             set,
--- a/crates/traffic-control/src/interface.rs
+++ b/crates/traffic-control/src/interface.rs
@@ -57,15 +57,15 @@
     /// Name that requests carry.
     pub name: String,
     /// An answer within this earns full worth.
-    pub aim_us: Micros,
+    pub latency_objective_us: Micros,
     /// The client's whole patience.
     pub deadline_us: Micros,
     /// May it run again.
     pub effect: Effect,
     /// Worth of one request before the plan's price and the units.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth that an answer between aim and deadline earns.
-    pub late_worth: f64,
+    pub late_weight: f64,
 }
 
 /// A hard ceiling: a second store of units that no customer of the plan may overdraw, all gateways together.
@@ -91,7 +91,7 @@
     /// Multiplier on worth.
     pub price: f64,
     /// Share of its worth that a request passed on beyond the quota earns.
-    pub excess_worth: f64,
+    pub excess_weight: f64,
     /// Share of its worth that passing on beyond the quota costs.
     pub overrun_cost: f64,
     /// Hard ceiling, if any.
@@ -102,16 +102,16 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
     /// Further attempts that one first attempt earns.
-    pub share: f64,
+    pub ratio: f64,
     /// Those that are saved up at most: they stay a small share of load.
-    pub most: f64,
+    pub max_saved: f64,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
         RetryBudget {
-            share: 0.15,
-            most: 10.0,
+            ratio: 0.15,
+            max_saved: 10.0,
         }
     }
 }
@@ -129,26 +129,26 @@
 
 /// Whether requests may be let in, where gateways agree on their policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum LeaseState {
     /// They may.
-    Open,
+    Held,
     /// Soon: they are held meanwhile, as long as their clients' time allows.
-    Soon,
+    Pending,
     /// Nobody knows under what, or until when: they are refused at once.
-    Closed,
+    Missing,
 }
 
 /// How a server that has just started warms, and what pushes it over.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
     /// Share of its capacity at the start, at least.
-    pub from: f64,
+    pub initial_share: f64,
     /// Warm after this, at the latest.
-    pub warm_us: Micros,
+    pub duration_us: Micros,
     /// It falls when sent more than this multiple of what it can do...
-    pub tip_multiple: f64,
+    pub overload_multiple: f64,
     /// ...for this long.
-    pub tip_after_us: Micros,
+    pub overload_after_us: Micros,
 }
 
 /// What a figure in a load report means.
@@ -176,7 +176,7 @@
     /// Customer plans.
     pub plans: Vec<Plan>,
     /// Cold servers.
-    pub cold: SlowStart,
+    pub slow_start: SlowStart,
     /// Attempts allowed for a request.
     pub max_attempts: u32,
     /// May two attempts of one request be out at once.
@@ -188,11 +188,11 @@
     /// May gateways message each other.
     pub peer_messages: bool,
     /// Messages a second that a gateway takes in.
-    pub mail_per_s: f64,
+    pub peer_messages_per_s: f64,
     /// Is there a shared counter.
     pub counter: bool,
     /// Gateways tell each other what customers use, and their word counts for so long; 0: they do not.
-    pub told_us: Micros,
+    pub usage_report_ttl_us: Micros,
     /// Period of the usage meter; 0: none.
     pub meter_period_us: Micros,
     /// Is the server list only told on request.
@@ -200,7 +200,7 @@
     /// Points lost for an attempt into another zone, as a share of a request's worth.
     pub cross_zone_cost: f64,
     /// Most units of one request.
-    pub most_units: f64,
+    pub max_units: f64,
     /// Further attempts.
     pub retries: RetryBudget,
 }
@@ -224,11 +224,9 @@
         if self.gateways == 0 || self.me >= self.gateways {
             bad.push("`gateways` must be at least 1 and `me` below it".into());
         }
-        for c in self
-            .classes
-            .iter()
-            .filter(|c| !(fine(c.worth) && fine(c.late_worth) && c.aim_us > 0))
-        {
+        for c in self.classes.iter().filter(|c| {
+            !(fine(c.priority_weight) && fine(c.late_weight) && c.latency_objective_us > 0)
+        }) {
             bad.push(format!(
                 "class {:?} needs a positive aim and finite, non-negative worths",
                 c.name
@@ -237,7 +235,7 @@
         let plan_fine = |p: &&Plan| {
             let ceiling = p.ceiling.is_none_or(|c| fine(c.rate) && fine(c.depth));
             ceiling
-                && [p.rate, p.burst, p.price, p.excess_worth, p.overrun_cost]
+                && [p.rate, p.burst, p.price, p.excess_weight, p.overrun_cost]
                     .into_iter()
                     .all(fine)
         };
@@ -247,10 +245,17 @@
                 p.name
             ));
         }
-        let cold = [self.cold.from, self.cold.tip_multiple];
+        let cold = [
+            self.slow_start.initial_share,
+            self.slow_start.overload_multiple,
+        ];
         if !cold
             .into_iter()
-            .chain([self.mail_per_s, self.cross_zone_cost, self.most_units])
+            .chain([
+                self.peer_messages_per_s,
+                self.cross_zone_cost,
+                self.max_units,
+            ])
             .all(fine)
         {
             bad.push(
@@ -268,11 +273,11 @@
             zone: "a".into(),
             classes: vec![RequestClass {
                 name: "read".into(),
-                aim_us: 1_000_000,
+                latency_objective_us: 1_000_000,
                 deadline_us: 4_000_000,
                 effect: Effect::Repeatable,
-                worth: 1.0,
-                late_worth: 0.0,
+                priority_weight: 1.0,
+                late_weight: 0.0,
             }],
             plans: vec![Plan {
                 name: "basic".into(),
@@ -280,28 +285,28 @@
                 burst: 20.0,
                 max_open: 0,
                 price: 1.0,
-                excess_worth: 0.0,
+                excess_weight: 0.0,
                 overrun_cost: 1.0,
                 ceiling: None,
             }],
-            cold: SlowStart {
-                from: 0.2,
-                warm_us: 20_000_000,
-                tip_multiple: 3.0,
-                tip_after_us: 2_000_000,
+            slow_start: SlowStart {
+                initial_share: 0.2,
+                duration_us: 20_000_000,
+                overload_multiple: 3.0,
+                overload_after_us: 2_000_000,
             },
             max_attempts: 3,
             parallel_attempts: true,
             cancel: true,
             max_retry_after_us: 2_000_000,
             peer_messages: false,
-            mail_per_s: 0.0,
+            peer_messages_per_s: 0.0,
             counter: false,
-            told_us: 0,
+            usage_report_ttl_us: 0,
             meter_period_us: 0,
             list_on_request: false,
             cross_zone_cost: 0.0,
-            most_units: 1.0,
+            max_units: 1.0,
             retries: RetryBudget::default(),
         }
     }
@@ -354,7 +359,7 @@
     /// Its cell: the servers that share which keys they have seen.
     pub cell: u64,
     /// Its size beside the others'.
-    pub share: f64,
+    pub weight: f64,
     /// When it last started; 0: long ago.
     pub started_us: Micros,
     /// Its state.
@@ -370,7 +375,7 @@
             server: ServerId(server.into()),
             zone: zone.into(),
             cell: 0,
-            share: 1.0,
+            weight: 1.0,
             started_us: 0,
             health: Health::Ready,
             pool: 0,
@@ -392,17 +397,17 @@
     /// Units that it draws.
     pub units: f64,
     /// Gateways that the customer uses.
-    pub width: u32,
+    pub gateway_count: u32,
     /// Index of the first of them; the others follow, counted round.
     pub first_gateway: u32,
     /// Time until the client gives this try up.
-    pub patience_us: Micros,
+    pub remaining_us: Micros,
     /// The servers that it may go to.
     pub pool: u8,
     /// The one of them where it belongs, and whether it may go elsewhere once that one is lost.
-    pub pin: Option<(ServerId, bool)>,
+    pub sticky_server: Option<(ServerId, bool)>,
     /// It comes after others of its class and plan where not all can be served.
-    pub lower: bool,
+    pub low_priority: bool,
 }
 
 impl Request {
@@ -414,12 +419,12 @@
             plan: plan.into(),
             class: class.into(),
             units: 1.0,
-            width: 1,
+            gateway_count: 1,
             first_gateway: 0,
-            patience_us,
+            remaining_us: patience_us,
             pool: 0,
-            pin: None,
-            lower: false,
+            sticky_server: None,
+            low_priority: false,
         }
     }
 }
@@ -432,7 +437,7 @@
     /// The server answered with an error; it may have run.
     ServerError,
     /// Turned away unseen; it never ran.
-    TurnedAway,
+    Rejected,
     /// No answer in time; it may have run.
     NoAnswer,
     /// No connection; it never ran.
@@ -440,7 +445,7 @@
     /// The connection broke; it may have run.
     ConnectionLost,
     /// Withdrawn; it may have run.
-    CalledOff,
+    Cancelled,
     /// Not sent at all.
     NotSent,
 }
@@ -450,9 +455,7 @@
     pub fn never_ran(self) -> bool {
         matches!(
             self,
-            CompletionStatus::TurnedAway
-                | CompletionStatus::NoConnection
-                | CompletionStatus::NotSent
+            CompletionStatus::Rejected | CompletionStatus::NoConnection | CompletionStatus::NotSent
         )
     }
 }
@@ -477,7 +480,7 @@
     /// The customer's use over all gateways in the meter's last period, as a share of its rate or open limit.
     pub metered_use: Option<f64>,
     /// The server's load report.
-    pub report: Vec<(LoadMetric, f64)>,
+    pub load_report: Vec<(LoadMetric, f64)>,
 }
 
 impl AttemptOutcome {
@@ -498,7 +501,7 @@
             closed: false,
             settled_units: None,
             metered_use: None,
-            report: Vec::new(),
+            load_report: Vec::new(),
         }
     }
 
@@ -548,7 +551,7 @@
         bytes: Vec<u8>,
     },
     /// Other gateways told what they let through within quotas.
-    Used {
+    UsageReported {
         /// The gateways that told, since the last such event, all that they had let through until now.
         heard: Vec<u32>,
         /// Gateways, short names of customers, and the units.
@@ -559,14 +562,14 @@
     /// The gateways that are there, by number, in place of all that the settings count: servers are dealt out among them.
     Gateways(Vec<u32>),
     /// All that another gateway says of servers, in place of what it said before.
-    Words {
+    HealthReports {
         /// Its number.
         from: u32,
         /// What it says.
-        words: crate::seen::HealthReports,
+        reports: crate::seen::HealthReports,
     },
     /// All gateways of which is known that nothing comes through them: they left, or never were there.
-    Absent(Vec<u32>),
+    GatewaysAbsent(Vec<u32>),
     /// The wall clock, by which all gateways name counts, is so many microseconds ahead of the clock that events come with:
     /// it was stepped.
     WallClock {
@@ -574,11 +577,11 @@
         ahead_us: i64,
     },
     /// From now on other terms are in force. What customers used carries over, and for a moment the smaller of both holds.
-    Terms(PolicyTerms),
+    PolicyChanged(PolicyTerms),
     /// Whether requests may be let in from now on.
-    Standing(Standing),
+    LeaseStateChanged(LeaseState),
     /// The counter answered a call.
-    Counted {
+    CounterReply {
         /// The name counted.
         name: String,
         /// How the call ended.
@@ -648,7 +651,7 @@
         attempt: u32,
     },
     /// Final answer: refused; trying again is harmless.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// How long to stay away; 0: no advice.
@@ -671,14 +674,14 @@
         timer: Timer,
     },
     /// Send a message to another gateway.
-    Tell {
+    SendToPeer {
         /// Its number.
         to: u32,
         /// At most 256 bytes.
         bytes: Vec<u8>,
     },
     /// Add to a named count.
-    Count {
+    AddToCounter {
         /// The name.
         name: String,
         /// The amount.
@@ -687,7 +690,7 @@
         ttl_us: Micros,
     },
     /// Units of a customer were let through within its quota: the other gateways are to know. Only with `ledger`.
-    Used {
+    ReportUsage {
         /// The customer's short name.
         tag: u32,
         /// The units.
--- a/crates/traffic-control/src/latency.rs
+++ b/crates/traffic-control/src/latency.rs
@@ -64,7 +64,7 @@
 
     /// How long an attempt takes now, in seconds, and how long at idle servers.
     pub fn attempt_s(&self, class: &RequestClass) -> (f64, f64) {
-        let least = class.aim_us as f64 / UNMEASURED;
+        let least = class.latency_objective_us as f64 / UNMEASURED;
         let idle = if self.lowest > 0.0 {
             self.lowest
         } else {
--- a/crates/traffic-control/src/lib.rs
+++ b/crates/traffic-control/src/lib.rs
@@ -9,7 +9,7 @@
 //! otherwise moves halfway to targets that maximise worth; per-customer token buckets hold the quotas.
 //!
 //! ```
-//! use frosthatch_traffic_control::{Action, Event, Gateway, ListKind, Outcome, Request, ServerEntry, Settings, Status};
+//! use frosthatch_traffic_control::{Action, Event, Gateway, ListKind, AttemptOutcome, Request, ServerEntry, Settings, CompletionStatus};
 //!
 //! let settings = Settings::example();
 //! let mut gateway = Gateway::new(settings, 7)?;
@@ -24,7 +24,7 @@
 //!     panic!("an idle fleet serves a request inside its quota");
 //! };
 //!
-//! let outcome = Outcome::new(*request, 0, server.clone(), Status::Served, 20_000).closing();
+//! let outcome = AttemptOutcome::new(*request, 0, server.clone(), CompletionStatus::Served, 20_000).closing();
 //! gateway.handle(22_000, Event::Outcome(outcome), &mut actions);
 //! assert_eq!(gateway.open_requests(), 0);
 //! # Ok::<(), frosthatch_traffic_control::SettingsError>(())
--- a/crates/traffic-control/src/peers.rs
+++ b/crates/traffic-control/src/peers.rs
@@ -68,7 +68,7 @@
     /// The others of a customer's set may have told again, or fallen silent: what was let through until then they know, and of
     /// those that are silent a part of the store is set aside.
     pub fn tell(&self, now: Micros, set: &Settings, q: &Quota, c: &mut Customer) {
-        if set.told_us == 0 || q.places || c.width <= 1 {
+        if set.usage_report_ttl_us == 0 || q.places || c.width <= 1 {
             return;
         }
         let mut silent = Vec::new();
@@ -77,7 +77,9 @@
             let g = (c.first + k) % set.gateways;
             match self.told_at.get(&g).copied() {
                 _ if g == set.me || self.absent.contains(&g) => {}
-                Some(at) if at + set.told_us > now => till = till.min(at + set.told_us),
+                Some(at) if at + set.usage_report_ttl_us > now => {
+                    till = till.min(at + set.usage_report_ttl_us)
+                }
                 // Until the last refill its part came in here: no more of that is set aside.
                 told => silent.push((g, told.unwrap_or(c.at).max(c.at))),
             }
@@ -89,7 +91,7 @@
         }
         // Where nobody else is there, nobody has to tell.
         if till == Micros::MAX && silent.is_empty() {
-            till = now + set.told_us;
+            till = now + set.usage_report_ttl_us;
         }
         // Where all that are not silent are heard that does, unless there is a counter that knows of all.
         match till < Micros::MAX && (silent.is_empty() || !set.counter) {
--- a/crates/traffic-control/src/policy/asks.rs
+++ b/crates/traffic-control/src/policy/asks.rs
@@ -39,7 +39,7 @@
         };
         let first = self.rng.next_u32() % others.max(1);
         let to = |k| (self.set.me + 1 + (first + k) % others) % self.set.gateways;
-        out.extend((0..NEWS_TO.min(others)).map(|k| Action::Tell {
+        out.extend((0..NEWS_TO.min(others)).map(|k| Action::SendToPeer {
             to: to(k),
             bytes: bytes.clone(),
         }));
@@ -110,7 +110,7 @@
                 },
             );
             let amount = amount * c.digits.map_or(1.0, |d| d.weight());
-            return out.push(Action::Count {
+            return out.push(Action::AddToCounter {
                 name,
                 amount,
                 ttl_us,
@@ -126,7 +126,7 @@
                 wanted,
                 extra,
             };
-            out.push(Action::Tell {
+            out.push(Action::SendToPeer {
                 to: c.keeper,
                 bytes: gossip::encode(&ask, MESSAGE_BYTES),
             });
@@ -304,7 +304,7 @@
                     },
                     MESSAGE_BYTES,
                 );
-                out.extend((wanted > 0.0).then_some(Action::Tell { to: from, bytes }));
+                out.extend((wanted > 0.0).then_some(Action::SendToPeer { to: from, bytes }));
             }
             Some(Message::Answer {
                 tag,
--- a/crates/traffic-control/src/policy/attempts.rs
+++ b/crates/traffic-control/src/policy/attempts.rs
@@ -7,8 +7,8 @@
 use crate::gateway::Gateway;
 use crate::gossip;
 use crate::interface::{
-    Action, AttemptOutcome, CompletionStatus, Effect, Micros, Request, RequestId, Scope, Settings,
-    Standing, Timer, UnservedReason, GONE_SLACK_US, HELD_UP_US,
+    Action, AttemptOutcome, CompletionStatus, Effect, LeaseState, Micros, Request, RequestId,
+    Scope, Settings, Timer, UnservedReason, GONE_SLACK_US, HELD_UP_US,
 };
 use crate::ledger::Evidence;
 use crate::request::{Attempt, Pending};
@@ -86,10 +86,10 @@
             return;
         }
         let (now, set) = (self.now, &self.set);
-        self.fleet.look(&set.cold, now);
+        self.fleet.look(&set.slow_start, now);
         let class = set.classes.iter().position(|c| c.name == r.class);
         let plan = set.plans.iter().position(|p| p.name == r.plan);
-        let never = |reason| Action::Refuse {
+        let never = |reason| Action::Reject {
             request: r.id,
             retry_after_us: set.max_retry_after_us,
             reason,
@@ -100,7 +100,7 @@
         let units = if r.units.is_finite() {
             r.units.max(0.0)
         } else {
-            set.most_units
+            set.max_units
         };
         let cell = class * set.plans.len() + plan;
         // What it takes of the quota: its units, or one place where only open attempts are capped.
@@ -110,20 +110,20 @@
             1.0
         };
         let tag = gossip::tag(&r.customer.0);
-        let (all, width) = (set.gateways, r.width.clamp(1, set.gateways));
+        let (all, width) = (set.gateways, r.gateway_count.clamp(1, set.gateways));
         let first = r.first_gateway % all;
         let (keeper, place) = ((first + tag % width) % all, (set.me + all - first) % all);
         // Where a late answer is worth nothing the aim ends it: unanswered attempts are no queue.
         let k = &set.classes[class];
-        let useful = if k.late_worth > 0.0 {
+        let useful = if k.late_weight > 0.0 {
             Micros::MAX
         } else {
-            k.aim_us
+            k.latency_objective_us
         };
-        let deadline = now.saturating_add(r.patience_us.min(useful));
+        let deadline = now.saturating_add(r.remaining_us.min(useful));
         // An answer after half of its time costs more where nothing was sent: nobody can try elsewhere any more.
         let unsent_by = now
-            .saturating_add(r.patience_us / 100 * UNSENT_PERCENT)
+            .saturating_add(r.remaining_us / 100 * UNSENT_PERCENT)
             .min(deadline - MARGIN_US.min(deadline));
         self.cells[cell].arrivals += 1.0;
         self.pace.classes[class].came(units);
@@ -132,7 +132,7 @@
             return out.push(too_many);
         };
         c.asks(now, units);
-        let (pool, pin, lower) = (r.pool, r.pin, r.lower);
+        let (pool, pin, lower) = (r.pool, r.sticky_server, r.low_priority);
         let of = Pending {
             class,
             cell,
@@ -160,7 +160,7 @@
         let Some(p) = self.requests.get(&id).filter(|p| !p.closed) else {
             return;
         };
-        if self.standing == Standing::Closed {
+        if self.standing == LeaseState::Missing {
             return self.finish(id, UNLEASED_US, UnservedReason::NoLease, out);
         }
         let (now, class, customer, units, lower) =
@@ -231,7 +231,7 @@
         let spent =
             p.attempts.len() as u32 >= self.set.max_attempts || retries && self.retry_tokens < 1.0;
         let may = if first {
-            self.standing == Standing::Open
+            self.standing == LeaseState::Held
         } else {
             !spent && left > MARGIN_US
         };
@@ -256,11 +256,11 @@
         self.cells[cell].admitted += f64::from(u8::from(first));
         let bound = self.attempt_bound(id, left);
         let (earned, cost) = match (first, retries) {
-            (true, _) => (self.set.retries.share, 0.0),
+            (true, _) => (self.set.retries.ratio, 0.0),
             (false, true) => (0.0, 1.0),
             (false, false) => (0.0, 0.0),
         };
-        self.retry_tokens = (self.retry_tokens + earned - cost).min(self.set.retries.most);
+        self.retry_tokens = (self.retry_tokens + earned - cost).min(self.set.retries.max_saved);
         self.waiting.remove(&id);
         self.place(customer, true, out);
         self.post(customer, out);
@@ -320,7 +320,7 @@
             return;
         };
         let wait_us = (wait_us.max(RETRY_AFTER_MIN_US) as Micros).min(self.set.max_retry_after_us);
-        let refuse = Action::Refuse {
+        let refuse = Action::Reject {
             request: id,
             retry_after_us: wait_us,
             reason,
@@ -370,7 +370,7 @@
         a.may_have_run = Some(!o.status.never_ran());
         a.not_sent = o.status == CompletionStatus::NotSent;
         let refund = if a.not_sent { a.cost } else { 0.0 };
-        self.retry_tokens = (self.retry_tokens + refund).min(self.set.retries.most);
+        self.retry_tokens = (self.retry_tokens + refund).min(self.set.retries.max_saved);
         let (class, server, customer, units) = (p.class, a.server.clone(), p.customer, p.units);
         self.measure(&o, class, units, &server);
         self.place(customer, false, out);
--- a/crates/traffic-control/src/policy/choice.rs
+++ b/crates/traffic-control/src/policy/choice.rs
@@ -29,16 +29,17 @@
                 .of(gateways, ready)
                 .filter(|_| gateways > FEW as usize)
         };
-        self.fleet.deal(&self.set.cold, self.now, size, LOOKED_AT);
+        self.fleet
+            .deal(&self.set.slow_start, self.now, size, LOOKED_AT);
         self.pace
-            .sized(self.fleet.totals(&self.set.cold, self.now).size);
+            .sized(self.fleet.totals(&self.set.slow_start, self.now).size);
     }
 
     /// Sends left in this gateway's part of a cold server's budget, saved up from a part drawn by chance, so
     /// that many take turns: a multiple of what servers were seen to do, or a share of one core's work. Both go by
     /// idle servers: a fleet that grows slow must not give its cold ones less.
     fn cold_room(&self, name: &ServerId, s: &Server, warmth: f64) -> f64 {
-        let cold = &self.set.cold;
+        let cold = &self.set.slow_start;
         // Guards against gateways that have no warm server left in their subset and turn to others' cold ones.
         if self.fleet.part < 1.0 && !self.fleet.names.contains(name) {
             return 0.0;
@@ -47,8 +48,8 @@
         let core = 1.0 / self.pace.work_s / f64::from(self.set.gateways);
         let does = core.max(self.pace.throughput * s.share);
         // Only those that have it in their subset send to it.
-        let rate = cold.tip_multiple * COLD_SHARE * warmth * does / self.fleet.part;
-        let window_s = cold.tip_after_us as f64 / 1e6;
+        let rate = cold.overload_multiple * COLD_SHARE * warmth * does / self.fleet.part;
+        let window_s = cold.overload_after_us as f64 / 1e6;
         let saved = s.credit.0 + rate * self.now.saturating_sub(s.credit.1) as f64 / 1e6;
         saved.min((rate * window_s / 2.0).max(1.0))
     }
@@ -107,7 +108,7 @@
 
     /// The cheapest of some, or of all.
     fn cheapest(&mut self, id: RequestId, of: Option<&[ServerId]>) -> Option<(ServerId, f64)> {
-        let (p, now, cold) = (self.requests.get(&id)?, self.now, &self.set.cold);
+        let (p, now, cold) = (self.requests.get(&id)?, self.now, &self.set.slow_start);
         let forget_us = self.fleet.forget_us(now);
         let used = self.fleet.part * self.fleet.totals(cold, now).size;
         let each_us = used / self.fleet.sends_per_s(now) * 1e6;
--- a/crates/traffic-control/src/policy/fractions.rs
+++ b/crates/traffic-control/src/policy/fractions.rs
@@ -16,13 +16,13 @@
 
 impl Gateway {
     pub(super) fn bound(&self, class: usize) -> f64 {
-        self.set.classes[class].aim_us as f64 * BOUND
+        self.set.classes[class].latency_objective_us as f64 * BOUND
     }
 
     /// Worth of a class for a second of work, before the plan's price.
     fn value(&self, class: usize) -> f64 {
         let l = &self.pace.classes[class];
-        self.set.classes[class].worth * l.units / l.lowest.max(1.0)
+        self.set.classes[class].priority_weight * l.units / l.lowest.max(1.0)
     }
 
     /// This class and those that were measured.
@@ -41,7 +41,7 @@
     }
 
     pub(super) fn move_fractions(&mut self) -> Option<String> {
-        let size = self.fleet.sum_up(&self.set.cold, self.now).size;
+        let size = self.fleet.sum_up(&self.set.slow_start, self.now).size;
         let measured = self.pace.interval(&self.set.classes, INTERVAL_S, size);
         let over =
             (0..measured.len()).find(|&c| measured[c] && self.pace.classes[c].mean > self.bound(c));
@@ -84,7 +84,7 @@
         if self.set.gateways > FEW {
             return self.strained(class, plan);
         }
-        let t = self.fleet.totals(&self.set.cold, self.now);
+        let t = self.fleet.totals(&self.set.slow_start, self.now);
         let free = t.ready * FREE_OUT / f64::from(self.set.gateways);
         let rate = self.pace.throughput * t.size;
         // One queue holds every class: the tightest bound holds for all, and the cheapest work waits first.
@@ -107,7 +107,8 @@
             .map(|p| p.price)
             .fold(f64::MIN_POSITIVE, f64::max);
         let worth = self.standing(class) * self.set.plans[plan].price / dearest;
-        let bound = self.set.classes[class].aim_us as f64 * (BOUND + (1.0 - BOUND) * worth);
+        let bound =
+            self.set.classes[class].latency_objective_us as f64 * (BOUND + (1.0 - BOUND) * worth);
         let takes = self.pace.classes[class].lowest * self.pace.stretch;
         let part = ((takes / bound - 1.0) / STRAIN).min(STRAIN_MOST);
         part > 0.0 && chance(&mut self.rng) < part
--- a/crates/traffic-control/src/policy/mod.rs
+++ b/crates/traffic-control/src/policy/mod.rs
@@ -43,8 +43,8 @@
         }
         self.settle();
         match event {
-            Event::Terms(terms) => self.on_terms(terms),
-            Event::Standing(standing) => self.on_standing(standing, out),
+            Event::PolicyChanged(terms) => self.on_terms(terms),
+            Event::LeaseStateChanged(standing) => self.on_standing(standing, out),
             Event::Servers { kind, entries } => {
                 let ask = kind == ListKind::Error && self.set.list_on_request;
                 out.extend(ask.then_some(Action::Subscribe));
@@ -68,11 +68,14 @@
                 self.fleet.among(&gateways);
                 self.deal();
             }
-            Event::Words { from, words } => self.fleet.hear(from, words, self.now),
+            Event::HealthReports {
+                from,
+                reports: words,
+            } => self.fleet.hear(from, words, self.now),
             Event::WallClock { ahead_us } => self.count_clock.step(self.now, ahead_us),
-            Event::Absent(gateways) => self.peers.absent = gateways.into_iter().collect(),
-            Event::Used { heard, uses, past } => self.on_used(&heard, &uses, &past),
-            Event::Counted {
+            Event::GatewaysAbsent(gateways) => self.peers.absent = gateways.into_iter().collect(),
+            Event::UsageReported { heard, uses, past } => self.on_used(&heard, &uses, &past),
+            Event::CounterReply {
                 name,
                 status,
                 total,
--- a/crates/traffic-control/src/policy/quota.rs
+++ b/crates/traffic-control/src/policy/quota.rs
@@ -37,7 +37,7 @@
 
 /// Beyond its quota a request earns more than half of what it does within, less what that costs.
 pub(super) fn earns_beyond(plan: &Plan) -> bool {
-    plan.excess_worth - plan.overrun_cost > EXCESS
+    plan.excess_weight - plan.overrun_cost > EXCESS
 }
 
 /// A part of the rate by the meter alone: what this gateway used, and an even part of what all left unused; where all
@@ -251,7 +251,7 @@
             let known = unseen.map_or(q.most, |u| u.left(q, now));
             let mut c = Customer::new(tag, q, width, place, set, at);
             // Where gateways tell, the parts of those that do not are set aside; else the even slice is all there is.
-            let most = if set.told_us > 0 && !q.places {
+            let most = if set.usage_report_ttl_us > 0 && !q.places {
                 q.most
             } else {
                 q.most / f64::from(width)
@@ -306,9 +306,9 @@
         };
         let within = !q.places && c.level >= units;
         c.used(self.now, units, within);
-        if within && self.set.told_us > 0 {
+        if within && self.set.usage_report_ttl_us > 0 {
             c.shares.used(self.now, self.set.me, units);
-            out.push(Action::Used {
+            out.push(Action::ReportUsage {
                 tag: p.customer,
                 units,
             });
--- a/crates/traffic-control/src/policy/terms.rs
+++ b/crates/traffic-control/src/policy/terms.rs
@@ -5,7 +5,7 @@
 use crate::calls::FEW;
 use crate::customer::Quota;
 use crate::gateway::Gateway;
-use crate::interface::{Action, Ceiling, Micros, Plan, PolicyTerms, Standing};
+use crate::interface::{Action, Ceiling, LeaseState, Micros, Plan, PolicyTerms};
 
 const WINDOW_US: Micros = 250_000; // µs; others may still, or already, serve under the other terms
 
@@ -80,9 +80,9 @@
     }
 
     /// Those that wait are decided on anew, under what holds now.
-    pub(super) fn on_standing(&mut self, standing: Standing, out: &mut Vec<Action>) {
+    pub(super) fn on_standing(&mut self, standing: LeaseState, out: &mut Vec<Action>) {
         self.standing = standing;
-        if standing != Standing::Soon {
+        if standing != LeaseState::Pending {
             self.waiting
                 .clone()
                 .into_iter()
--- a/crates/traffic-control/src/seen.rs
+++ b/crates/traffic-control/src/seen.rs
@@ -53,7 +53,7 @@
         units: f64,
         server: &ServerId,
     ) {
-        let Some((warmth, ready)) = self.fleet.ended(server, &self.set.cold, self.now) else {
+        let Some((warmth, ready)) = self.fleet.ended(server, &self.set.slow_start, self.now) else {
             return;
         };
         let ratio = self
--- a/crates/traffic-control/src/server.rs
+++ b/crates/traffic-control/src/server.rs
@@ -26,13 +26,13 @@
 impl Server {
     /// Share of its capacity at least: evenly from the stated start.
     pub fn warmth(&self, cold: &SlowStart, now: Micros) -> f64 {
-        let age = now.saturating_sub(self.started) as f64 / cold.warm_us.max(1) as f64;
-        let share = if self.started == 0 || cold.warm_us == 0 {
+        let age = now.saturating_sub(self.started) as f64 / cold.duration_us.max(1) as f64;
+        let share = if self.started == 0 || cold.duration_us == 0 {
             1.0
         } else {
             age.min(1.0)
         };
-        cold.from + (1.0 - cold.from) * share
+        cold.initial_share + (1.0 - cold.initial_share) * share
     }
 
     /// Slowness and errors now: what is thought of a silent server fades, so that it is tried again. It fades to what is
--- a/crates/traffic-control/tests/common/mod.rs
+++ b/crates/traffic-control/tests/common/mod.rs
@@ -106,14 +106,14 @@
 ) -> Vec<Action> {
     let mut k = 0;
     while k < actions.len() {
-        if let Action::Count { name, amount, .. } = actions[k].clone() {
+        if let Action::AddToCounter { name, amount, .. } = actions[k].clone() {
             let status = how();
             *total += if status == CompletionStatus::Served {
                 amount
             } else {
                 0.0
             };
-            actions.extend(rig.tell(Event::Counted {
+            actions.extend(rig.tell(Event::CounterReply {
                 name,
                 status,
                 total: *total,
@@ -132,7 +132,7 @@
 pub fn passed_by_counter(rig: &mut Rig, width: u32, tries: usize, total: &mut f64) -> usize {
     let mut n = 0;
     for _ in 0..tries {
-        let (id, actions) = rig.ask(|r| r.width = width);
+        let (id, actions) = rig.ask(|r| r.gateway_count = width);
         if let Some(server) = settle(rig, actions, total) {
             n += 1;
             rig.outcome(id, 0, &server, CompletionStatus::Served, 0);
@@ -160,7 +160,7 @@
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
--- a/crates/traffic-control/tests/counter_faults.rs
+++ b/crates/traffic-control/tests/counter_faults.rs
@@ -82,7 +82,7 @@
 fn settings(me: usize) -> Settings {
     let mut s = Settings::example();
     (s.gateways, s.me, s.counter) = (GATEWAYS as u32, me as u32, true);
-    (s.plans[0].rate, s.plans[0].burst, s.most_units) = PLAN.with(std::cell::Cell::get);
+    (s.plans[0].rate, s.plans[0].burst, s.max_units) = PLAN.with(std::cell::Cell::get);
     (s.meter_period_us, s.parallel_attempts) = (1_000_000, false);
     s
 }
@@ -168,7 +168,7 @@
                         .or_default()
                         .push(timer);
                 }
-                Action::Count { name, amount, .. } => self.count(n, name, amount),
+                Action::AddToCounter { name, amount, .. } => self.count(n, name, amount),
                 Action::Log(line) => self.logs.push(line),
                 _ => {}
             }
@@ -198,7 +198,7 @@
             (at, self.counted),
             (
                 n,
-                Event::Counted {
+                Event::CounterReply {
                     name,
                     status,
                     total,
@@ -229,7 +229,7 @@
                 "read",
                 2_000_000,
             );
-            r.width = GATEWAYS as u32;
+            r.gateway_count = GATEWAYS as u32;
             self.next += 1;
             self.customer_of.insert(r.id, customer);
             self.asked[customer].push(self.now);
--- a/crates/traffic-control/tests/fleet.rs
+++ b/crates/traffic-control/tests/fleet.rs
@@ -14,7 +14,7 @@
 fn fleet(gateways: u32, change: impl Fn(&mut Settings)) -> Vec<Rig> {
     let one = |me| {
         let mut settings = Settings::example();
-        (settings.gateways, settings.me, settings.mail_per_s) = (gateways, me, 100.0);
+        (settings.gateways, settings.me, settings.peer_messages_per_s) = (gateways, me, 100.0);
         change(&mut settings);
         Rig::seeded(settings, u64::from(me) + 1).listing(4)
     };
@@ -28,7 +28,7 @@
         for a in actions {
             match a {
                 Action::Send { .. } if from_now == from => sends += 1,
-                Action::Tell { to, bytes } => {
+                Action::SendToPeer { to, bytes } => {
                     let answer = rigs[to as usize].tell(Event::Peer {
                         from: from_now as u32,
                         bytes,
@@ -51,7 +51,7 @@
         let mut passed = 0;
         for g in 0..rigs.len().min(150) {
             for _ in 0..(150 / rigs.len()).max(1) {
-                let (_, actions) = rigs[g].ask(|r| r.width = gateways);
+                let (_, actions) = rigs[g].ask(|r| r.gateway_count = gateways);
                 passed += deliver(&mut rigs, g, actions);
             }
         }
@@ -66,8 +66,8 @@
 fn unheard_few_gateways_serve_a_slice_under_one_request_on_the_mean_and_a_restart_mints_nothing() {
     for gateways in [7, 8] {
         let slice_s = f64::from(gateways) / 10.0;
-        let mut rig = fleet(gateways, |s| (s.plans[0].burst, s.most_units) = (5.0, 1.0)).remove(0);
-        let passed = |rig: &mut Rig| sent(&rig.ask(|r| r.width = gateways).1).is_some();
+        let mut rig = fleet(gateways, |s| (s.plans[0].burst, s.max_units) = (5.0, 1.0)).remove(0);
+        let passed = |rig: &mut Rig| sent(&rig.ask(|r| r.gateway_count = gateways).1).is_some();
         assert!(
             !passed(&mut rig),
             "a fresh start owns a fraction of a request"
@@ -89,7 +89,7 @@
     for gateways in [9, 150, 600] {
         let mut rig = fleet(gateways, |s| s.meter_period_us = 1_000_000).remove(0);
         let ask = |rig: &mut Rig| {
-            let (id, actions) = rig.ask(|r| r.width = gateways);
+            let (id, actions) = rig.ask(|r| r.gateway_count = gateways);
             sent(&actions).map(|server| (id, server))
         };
         let mut passed = 0;
@@ -162,7 +162,7 @@
     };
     let mut rigs = fleet(150, capped);
     let pass = |rigs: &mut Vec<Rig>, g: usize| {
-        let (_, actions) = rigs[g].ask(|r| r.width = 150);
+        let (_, actions) = rigs[g].ask(|r| r.gateway_count = 150);
         deliver(rigs, g, actions)
     };
     // Each gateway sends one and is never heard of again.
@@ -183,7 +183,7 @@
 fn a_request_is_not_held_for_a_silent_keeper_or_counter() {
     for counter in [false, true] {
         let mut rig = fleet(150, |s| (s.counter, s.peer_messages) = (counter, !counter)).remove(0);
-        let (id, actions) = rig.ask(|r| r.width = 150);
+        let (id, actions) = rig.ask(|r| r.gateway_count = 150);
         assert!(
             sent(&actions).is_none() && !refused(&actions),
             "it waits for an answer"
@@ -197,7 +197,7 @@
         }
         assert!(waits <= 2, "answered after {waits} waits");
         // A client about to leave cannot wait at all.
-        let (_, actions) = rig.ask(|r| (r.width, r.patience_us) = (150, 60_000));
+        let (_, actions) = rig.ask(|r| (r.gateway_count, r.remaining_us) = (150, 60_000));
         assert!(refused(&actions) || sent(&actions).is_some());
     }
 }
@@ -208,18 +208,18 @@
         let mut rig = fleet(150, |s| s.counter = true).remove(0);
         let mut calls = [0, 0];
         for k in 0..1200 {
-            let (_, actions) =
-                rig.ask(|r| (r.width, r.customer) = (150, CustomerId(format!("c{k}").into())));
+            let (_, actions) = rig
+                .ask(|r| (r.gateway_count, r.customer) = (150, CustomerId(format!("c{k}").into())));
             rig.now += 50_000;
             for a in actions {
-                if let Action::Count { name, amount, .. } = a {
+                if let Action::AddToCounter { name, amount, .. } = a {
                     calls[k / 600] += 1;
                     let total = if status == CompletionStatus::Served {
                         amount
                     } else {
                         0.0
                     };
-                    rig.tell(Event::Counted {
+                    rig.tell(Event::CounterReply {
                         name,
                         status,
                         total,
@@ -279,22 +279,22 @@
     let added = |name_made_before: f64| {
         let mut rig = fleet(150, |s| s.counter = true).remove(0);
         rig.now = 1_230_000_000;
-        let (_, actions) = rig.ask(|r| r.width = 150);
-        let Some(Action::Count { name, amount, .. }) = actions
+        let (_, actions) = rig.ask(|r| r.gateway_count = 150);
+        let Some(Action::AddToCounter { name, amount, .. }) = actions
             .into_iter()
-            .find(|a| matches!(a, Action::Count { .. }))
+            .find(|a| matches!(a, Action::AddToCounter { .. }))
         else {
             panic!("it asks the counter")
         };
         let total = amount + name_made_before;
-        let next = rig.tell(Event::Counted {
+        let next = rig.tell(Event::CounterReply {
             name,
             status: CompletionStatus::Served,
             total,
         });
         next.iter()
             .map(|a| {
-                if let Action::Count { amount, .. } = a {
+                if let Action::AddToCounter { amount, .. } = a {
                     *amount
                 } else {
                     0.0
@@ -327,7 +327,7 @@
             .collect()
     };
     let mut rigs = fleet(gateways, change);
-    let cold = Settings::example().cold;
+    let cold = Settings::example().slow_start;
     let begins = rigs[0].now;
     let mut dice = seed;
     let mut draw = |below: u64| {
@@ -368,8 +368,8 @@
     let mut to_cold: Vec<Micros> = Vec::new();
     let mut attempts: std::collections::BTreeMap<(usize, RequestId), u32> = Default::default();
     let warmth = |now: Micros| {
-        let age = (now - begins) as f64 / cold.warm_us as f64;
-        cold.from + (1.0 - cold.from) * age.min(1.0)
+        let age = (now - begins) as f64 / cold.duration_us as f64;
+        cold.initial_share + (1.0 - cold.initial_share) * age.min(1.0)
     };
     // When each core of the warm server and of the cold one is free.
     let mut free = vec![vec![0; cores]; 2];
@@ -398,7 +398,7 @@
                 (
                     g,
                     rigs[g]
-                        .ask(|r| (r.id.0, r.width) = (r.id.0 * 1_000 + g as u64, 1))
+                        .ask(|r| (r.id.0, r.gateway_count) = (r.id.0 * 1_000 + g as u64, 1))
                         .1,
                 )
             }
@@ -440,12 +440,13 @@
     }
     // A multiple of what its warmth lets it do.
     let allowed = |from: Micros| {
-        cold.tip_multiple * warmth(from) * cores as f64 * cold.tip_after_us as f64 / WORK_US as f64
+        cold.overload_multiple * warmth(from) * cores as f64 * cold.overload_after_us as f64
+            / WORK_US as f64
     };
     let over = |from: Micros| {
         let sent = to_cold
             .iter()
-            .filter(|t| (from..from + cold.tip_after_us).contains(*t))
+            .filter(|t| (from..from + cold.overload_after_us).contains(*t))
             .count();
         (sent, allowed(from))
     };
--- a/crates/traffic-control/tests/many.rs
+++ b/crates/traffic-control/tests/many.rs
@@ -89,7 +89,7 @@
 #[test]
 fn a_cold_server_among_many_gets_no_more_than_its_part() {
     let mut settings = wide();
-    (settings.gateways, settings.cold.from) = (2, 0.25);
+    (settings.gateways, settings.slow_start.initial_share) = (2, 0.25);
     let mut rig = Rig::with_servers(settings, MANY);
     let mut cold = ServerEntry::ready("cold", "a");
     cold.started_us = rig.now;
--- a/crates/traffic-control/tests/mechanism.rs
+++ b/crates/traffic-control/tests/mechanism.rs
@@ -59,14 +59,14 @@
     let mut rig = Rig::with_servers(settings, 4);
     let mut passed = 0;
     for _ in 0..30 {
-        let (id, actions) = rig.ask(|r| r.width = 2);
+        let (id, actions) = rig.ask(|r| r.gateway_count = 2);
         match sent(&actions) {
             Some(server) => {
                 passed += 1;
                 rig.outcome(id, 0, &server, CompletionStatus::Served, 0);
             }
             None => {
-                let advised = |a: &Action| matches!(a, Action::Refuse { retry_after_us, .. } if *retry_after_us > 0);
+                let advised = |a: &Action| matches!(a, Action::Reject { retry_after_us, .. } if *retry_after_us > 0);
                 assert!(actions.iter().any(advised));
             }
         }
@@ -108,15 +108,15 @@
     let mut rig = Rig::with_servers(settings, 4);
     let mut n = 0;
     for k in 0..60 {
-        let (id, actions) = rig.ask(|r| r.width = 2);
+        let (id, actions) = rig.ask(|r| r.gateway_count = 2);
         for a in &actions {
-            if let Action::Count { name, amount, .. } = a {
+            if let Action::AddToCounter { name, amount, .. } = a {
                 let status = if k % 3 == 0 {
                     CompletionStatus::NoAnswer
                 } else {
                     CompletionStatus::Served
                 };
-                rig.tell(Event::Counted {
+                rig.tell(Event::CounterReply {
                     name: name.clone(),
                     status,
                     total: *amount,
@@ -156,7 +156,7 @@
         settings.plans[0].max_open,
     ) = (0.0, 0.0, 3);
     let mut rig = Rig::with_servers(settings, 4);
-    let passed = |rig: &mut Rig| !refused(&rig.ask(|r| r.width = 8).1);
+    let passed = |rig: &mut Rig| !refused(&rig.ask(|r| r.gateway_count = 8).1);
     assert!(!passed(&mut rig), "a third of a place is none at the start");
     rig.now += 5_000_000;
     assert!(passed(&mut rig), "saved up to one place");
@@ -177,7 +177,7 @@
     let mut rig = Rig::with_servers(settings, 4);
     let mut passed = 0;
     for n in 0..321 {
-        let (id, actions) = rig.ask(|r| r.width = 100);
+        let (id, actions) = rig.ask(|r| r.gateway_count = 100);
         let server = sent(&actions);
         assert!(
             n > 0 || server.is_some(),
@@ -254,7 +254,7 @@
     settings.gateways = 12;
     let mut rig = Rig::new(settings);
     let sized = |i: usize| ServerEntry {
-        share: 1.0 + i as f64 / 5.0,
+        weight: 1.0 + i as f64 / 5.0,
         ..ServerEntry::ready(&format!("s{i}"), "a")
     };
     rig.list(ListKind::Complete, (0..4).map(sized).collect());
@@ -282,7 +282,7 @@
         assert_eq!(
             actions
                 .iter()
-                .filter(|a| matches!(a, Action::Refuse { .. }))
+                .filter(|a| matches!(a, Action::Reject { .. }))
                 .count(),
             1
         );
@@ -397,14 +397,14 @@
     // Both ask before either has told what it makes up for.
     let mut waiting: Vec<Vec<Action>> = rigs
         .iter_mut()
-        .map(|rig| rig.ask(|r| r.width = 2).1)
+        .map(|rig| rig.ask(|r| r.gateway_count = 2).1)
         .collect();
     while waiting.iter().any(|w| !w.is_empty()) {
         for (rig, actions) in rigs.iter_mut().zip(&mut waiting) {
             for action in std::mem::take(actions) {
-                if let Action::Count { name, amount, .. } = action {
+                if let Action::AddToCounter { name, amount, .. } = action {
                     total += amount;
-                    actions.extend(rig.tell(Event::Counted {
+                    actions.extend(rig.tell(Event::CounterReply {
                         name,
                         status: CompletionStatus::Served,
                         total,
@@ -425,13 +425,13 @@
 /// Guards against calls in a circle while nobody answers them.
 #[test]
 fn a_call_that_was_not_added_is_not_made_again_at_once() {
-    for status in [CompletionStatus::NoConnection, CompletionStatus::TurnedAway] {
+    for status in [CompletionStatus::NoConnection, CompletionStatus::Rejected] {
         let mut rig = Rig::with_servers(counted(2), 4);
-        let (_, actions) = rig.ask(|r| r.width = 2);
+        let (_, actions) = rig.ask(|r| r.gateway_count = 2);
         let all = settle_as(&mut rig, actions, &mut 0.0, || status);
         let calls = all
             .iter()
-            .filter(|a| matches!(a, Action::Count { .. }))
+            .filter(|a| matches!(a, Action::AddToCounter { .. }))
             .count();
         assert!(calls <= 2, "{calls} calls");
     }
@@ -458,7 +458,7 @@
             }
         };
         for _ in 0..4 {
-            let (id, actions) = rig.ask(|r| r.width = 2);
+            let (id, actions) = rig.ask(|r| r.gateway_count = 2);
             let actions = settle_as(&mut rig, actions, &mut total, &mut how);
             if let Some(server) = sent(&actions) {
                 let actions = rig.outcome(id, 0, &server, CompletionStatus::Served, 10_000);
@@ -467,7 +467,7 @@
         }
         let mut open = 0;
         for _ in 0..8 {
-            let (_, actions) = rig.ask(|r| r.width = 2);
+            let (_, actions) = rig.ask(|r| r.gateway_count = 2);
             open += usize::from(settle(&mut rig, actions, &mut total).is_some());
         }
         assert_eq!((open, total), (4, 4.0), "call {lost} was lost");
@@ -487,24 +487,24 @@
     let mut total = 0.0;
     let counts = |actions: &[Action]| {
         let count = |a: &Action| match a {
-            Action::Count { name, amount, .. } => Some((name.clone(), *amount)),
+            Action::AddToCounter { name, amount, .. } => Some((name.clone(), *amount)),
             _ => None,
         };
         actions.iter().filter_map(count).collect::<Vec<_>>()
     };
     // The answer does not come while the request can wait for it, and the next request calls anew.
-    let (first, actions) = rig.ask(|r| r.width = 2);
+    let (first, actions) = rig.ask(|r| r.gateway_count = 2);
     let mut out = counts(&actions);
     rig.now += 100_000;
     let after = rig.tell(Event::Timer(Timer::Request(first)));
     out.extend(counts(&after));
-    out.extend(counts(&rig.ask(|r| r.width = 2).1));
+    out.extend(counts(&rig.ask(|r| r.gateway_count = 2).1));
     assert!(out.len() >= 2, "{out:?}");
     let mut sends = Vec::new();
     while !out.is_empty() {
         let (name, amount) = out.remove(0);
         total += amount;
-        let actions = rig.tell(Event::Counted {
+        let actions = rig.tell(Event::CounterReply {
             name,
             status: CompletionStatus::Served,
             total,
@@ -514,7 +514,7 @@
     }
     let mut open = sends.len() + usize::from(sent(&after).is_some());
     for _ in 0..8 {
-        let (_, actions) = rig.ask(|r| r.width = 2);
+        let (_, actions) = rig.ask(|r| r.gateway_count = 2);
         open += usize::from(settle(&mut rig, actions, &mut total).is_some());
     }
     assert_eq!((open, total), (4, 4.0));
@@ -532,13 +532,15 @@
     let mut rig = Rig::with_servers(settings, 4);
     let mut total = 0.0;
     // Several wait for one answer.
-    let mut actions: Vec<Action> = (0..5).flat_map(|_| rig.ask(|r| r.width = 2).1).collect();
+    let mut actions: Vec<Action> = (0..5)
+        .flat_map(|_| rig.ask(|r| r.gateway_count = 2).1)
+        .collect();
     let (mut sends, mut k) = (0, 0);
     while k < actions.len() {
         match actions[k].clone() {
-            Action::Count { name, amount, .. } => {
+            Action::AddToCounter { name, amount, .. } => {
                 total += amount;
-                actions.extend(rig.tell(Event::Counted {
+                actions.extend(rig.tell(Event::CounterReply {
                     name,
                     status: CompletionStatus::Served,
                     total,
@@ -573,11 +575,11 @@
     let (mut amounts, mut sends, mut todo) = (Vec::new(), 0, VecDeque::from(actions));
     while let Some(action) = todo.pop_front() {
         match action {
-            Action::Count { name, amount, .. } => {
+            Action::AddToCounter { name, amount, .. } => {
                 amounts.push(amount);
                 *total += amount;
                 rig.now += 20_000;
-                todo.extend(rig.tell(Event::Counted {
+                todo.extend(rig.tell(Event::CounterReply {
                     name,
                     status: CompletionStatus::Served,
                     total: *total,
@@ -597,7 +599,7 @@
     let (mut total, tag) = (0.0, Timer::Customer);
     let mut look = None;
     for n in 0..3 {
-        let (id, actions) = rig.ask(|r| r.width = 2);
+        let (id, actions) = rig.ask(|r| r.gateway_count = 2);
         let server = sent(&actions);
         let (calls, sends) = answered_late(&mut rig, actions, &mut total);
         match n {
@@ -646,7 +648,7 @@
         // The others' digit is the second.
         let mut total = others * 16.0;
         for _ in 0..20 {
-            let (id, actions) = rig.ask(|r| r.width = 2);
+            let (id, actions) = rig.ask(|r| r.gateway_count = 2);
             if answered_late(&mut rig, actions, &mut total).1 > 0 {
                 let actions = rig.outcome(
                     id,
@@ -663,7 +665,7 @@
         for _ in 0..5 {
             // What was kept is long given back; the counter says nothing.
             rig.now += 2_000_000;
-            let (id, actions) = rig.ask(|r| r.width = 2);
+            let (id, actions) = rig.ask(|r| r.gateway_count = 2);
             let actions = settle_as(&mut rig, actions, &mut total, || CompletionStatus::NoAnswer);
             if let Some(server) = sent(&actions) {
                 sends += 1;
@@ -691,7 +693,7 @@
     let open = |rig: &mut Rig, total: &mut f64| {
         let mut out = Vec::new();
         for _ in 0..6 {
-            let (id, actions) = rig.ask(|r| r.width = 2);
+            let (id, actions) = rig.ask(|r| r.gateway_count = 2);
             out.extend(settle(rig, actions, total).map(|server| (id, server)));
         }
         out
@@ -741,7 +743,7 @@
 #[test]
 fn a_request_that_no_server_can_take_is_answered_before_half_of_its_time_is_over() {
     let mut settings = Settings::example();
-    settings.classes[0].late_worth = 1.0;
+    settings.classes[0].late_weight = 1.0;
     let mut rig = Rig::new(settings);
     let (id, actions) = rig.request("c");
     let wait = actions.iter().find_map(|a| match a {
@@ -756,11 +758,12 @@
 
 /// The name that a call for a customer nobody has heard of yet goes by, if the counter is called.
 fn call_for(rig: &mut Rig, customer: u64) -> Option<String> {
-    let named =
-        |r: &mut Request| (r.width, r.customer) = (2, CustomerId(format!("c{customer}").into()));
+    let named = |r: &mut Request| {
+        (r.gateway_count, r.customer) = (2, CustomerId(format!("c{customer}").into()))
+    };
     let (_, actions) = rig.ask(named);
     actions.into_iter().find_map(|a| match a {
-        Action::Count { name, .. } => Some(name),
+        Action::AddToCounter { name, .. } => Some(name),
         _ => None,
     })
 }
@@ -774,7 +777,7 @@
         assert_eq!(out.len() as u64, lost);
         rig.now += 50_000;
         for name in out {
-            rig.tell(Event::Counted {
+            rig.tell(Event::CounterReply {
                 name,
                 status: CompletionStatus::NoAnswer,
                 total: 0.0,
@@ -801,7 +804,7 @@
             .filter(|&n| {
                 let called = call_for(&mut rig, n).map(|name| {
                     rig.now += took;
-                    rig.tell(Event::Counted {
+                    rig.tell(Event::CounterReply {
                         name,
                         status: CompletionStatus::Served,
                         total: 1.0,
--- a/crates/traffic-control/tests/replay.rs
+++ b/crates/traffic-control/tests/replay.rs
@@ -76,11 +76,11 @@
     fn settings(&self, me: u32) -> Settings {
         let class = |name: &str, aim_us, worth, effect| RequestClass {
             name: name.into(),
-            aim_us,
+            latency_objective_us: aim_us,
             deadline_us: 3 * aim_us,
             effect,
-            worth,
-            late_worth: 0.0,
+            priority_weight: worth,
+            late_weight: 0.0,
         };
         let effect = match self.effect {
             0 => Effect::Repeatable,
@@ -96,7 +96,7 @@
             burst: rate * 2.0,
             max_open,
             price,
-            excess_worth,
+            excess_weight: excess_worth,
             overrun_cost: 1.0 - excess_worth,
             ceiling: (ceiling > 0.0).then_some(Ceiling {
                 rate: rate * ceiling,
@@ -119,12 +119,12 @@
             parallel_attempts: false,
             cancel: self.cancel,
             peer_messages: self.peers,
-            mail_per_s: 100.0,
+            peer_messages_per_s: 100.0,
             counter: self.counter,
-            told_us: if self.told { 400_000 } else { 0 },
+            usage_report_ttl_us: if self.told { 400_000 } else { 0 },
             meter_period_us: 1_000_000,
             cross_zone_cost: 0.02,
-            most_units: 6.0,
+            max_units: 6.0,
             retries: Default::default(),
             ..Settings::example()
         }
@@ -133,7 +133,7 @@
     fn entry(&self, n: usize) -> ServerEntry {
         ServerEntry {
             cell: (n % 5) as u64,
-            share: 1.0 + (n % 3) as f64 / 2.0,
+            weight: 1.0 + (n % 3) as f64 / 2.0,
             ..ServerEntry::ready(
                 &format!("s{n}"),
                 if n.is_multiple_of(2) { "a" } else { "b" },
@@ -265,15 +265,15 @@
         let id = self.events + 1;
         let mut r = Request::new(id, &format!("customer-{n}"), plan, class, patience);
         r.units = f64::from(1 + self.below(6));
-        r.width = [1, 2, 3, 60, 300][n as usize % 5].min(self.world.gateways);
-        r.first_gateway = if r.width < 4 {
+        r.gateway_count = [1, 2, 3, 60, 300][n as usize % 5].min(self.world.gateways);
+        r.first_gateway = if r.gateway_count < 4 {
             0
         } else {
             n % self.world.gateways
         };
-        r.lower = self.chance() < 0.05;
+        r.low_priority = self.chance() < 0.05;
         if self.chance() < 0.02 {
-            r.pin = Some((
+            r.sticky_server = Some((
                 ServerId(format!("s{}", n % 4).as_str().into()),
                 self.chance() < 0.5,
             ));
@@ -338,7 +338,7 @@
                     true => {
                         let bad = [
                             CompletionStatus::ServerError,
-                            CompletionStatus::TurnedAway,
+                            CompletionStatus::Rejected,
                             CompletionStatus::NoAnswer,
                             CompletionStatus::NoConnection,
                             CompletionStatus::ConnectionLost,
@@ -359,13 +359,13 @@
                 0
             }
             Action::Cancel { .. } => 1,
-            Action::Refuse { .. } => 2,
+            Action::Reject { .. } => 2,
             Action::Fail { .. } => 3,
             Action::SetTimer { after_us, timer } => {
                 self.later(after_us, g, Event::Timer(timer));
                 7
             }
-            Action::Tell { to, bytes } => {
+            Action::SendToPeer { to, bytes } => {
                 if (to as usize) < self.gateways.len() && self.chance() > self.world.trouble {
                     self.later(
                         1_000,
@@ -378,7 +378,7 @@
                 }
                 4
             }
-            Action::Count {
+            Action::AddToCounter {
                 name,
                 amount,
                 ttl_us: _,
@@ -386,11 +386,11 @@
                 self.count(g, name, amount);
                 5
             }
-            Action::Used { tag, units } => {
+            Action::ReportUsage { tag, units } => {
                 for other in (0..self.gateways.len()).filter(|o| *o != g) {
                     self.later(2_000, other, {
                         let (heard, uses) = (vec![g as u32], vec![(g as u32, tag, units)]);
-                        Event::Used {
+                        Event::UsageReported {
                             heard,
                             uses,
                             past: Vec::new(),
@@ -442,7 +442,7 @@
         self.later(
             after,
             g,
-            Event::Counted {
+            Event::CounterReply {
                 name,
                 status,
                 total,
@@ -470,7 +470,7 @@
             format!("Cancel {{ request: {}, attempt: {attempt} }}", of(request))
         }
         // Reasons are for logs.
-        Action::Refuse { request, retry_after_us, reason: _ } => {
+        Action::Reject { request, retry_after_us, reason: _ } => {
             format!("Refuse {{ request: {}, retry_after_us: {retry_after_us} }}", of(request))
         }
         Action::Fail { request, reason: _ } => format!("Fail {{ request: {} }}", of(request)),
@@ -482,10 +482,10 @@
             };
             format!("SetTimer {{ after_us: {after_us}, timer: {timer} }}")
         }
-        Action::Tell { to, bytes } => format!("Tell {{ to: {to}, bytes: {bytes:?} }}"),
+        Action::SendToPeer { to, bytes } => format!("Tell {{ to: {to}, bytes: {bytes:?} }}"),
         // Of no weight here: the last digits of what a logarithm or a power gives on another machine.
-        Action::Count { name, amount, ttl_us } => format!("Count {name} {amount:.6} {ttl_us}"),
-        Action::Used { tag, units } => format!("Used {{ tag: {tag}, units: {units:?} }}"),
+        Action::AddToCounter { name, amount, ttl_us } => format!("Count {name} {amount:.6} {ttl_us}"),
+        Action::ReportUsage { tag, units } => format!("Used {{ tag: {tag}, units: {units:?} }}"),
         Action::Subscribe => "Subscribe".to_string(),
         Action::Log(line) => format!("Log({line:?})"),
     }
--- a/crates/traffic-control/tests/rules.rs
+++ b/crates/traffic-control/tests/rules.rs
@@ -34,7 +34,7 @@
 fn where_a_late_answer_is_worth_nothing_the_aim_ends_the_attempt_and_the_request() {
     for (late_worth, expected) in [(0.0, 1_000_000), (0.2, 4_000_000)] {
         let mut settings = wide();
-        settings.classes[0].late_worth = late_worth;
+        settings.classes[0].late_weight = late_worth;
         let mut rig = Rig::with_servers(settings, 2);
         let (id, actions) = rig.request("c");
         let server = sent(&actions).expect("sent");
@@ -300,7 +300,7 @@
     let mut settings = with_ceiling();
     (
         settings.peer_messages,
-        settings.mail_per_s,
+        settings.peer_messages_per_s,
         settings.counter,
     ) = (true, 100.0, true);
     let mut rig = Rig::with_servers(settings, 2);
--- a/crates/traffic-control/tests/streams.rs
+++ b/crates/traffic-control/tests/streams.rs
@@ -10,7 +10,12 @@
 
 fn settings() -> Settings {
     let mut s = common::wide();
-    (s.gateways, s.peer_messages, s.mail_per_s, s.counter) = (3, true, 100.0, true);
+    (
+        s.gateways,
+        s.peer_messages,
+        s.peer_messages_per_s,
+        s.counter,
+    ) = (3, true, 100.0, true);
     s.plans[0].ceiling = Some(Ceiling {
         rate: 50.0,
         depth: 30.0,
@@ -25,7 +30,7 @@
 const STATUSES: [CompletionStatus; 6] = [
     CompletionStatus::Served,
     CompletionStatus::ServerError,
-    CompletionStatus::TurnedAway,
+    CompletionStatus::Rejected,
     CompletionStatus::NoAnswer,
     CompletionStatus::NoConnection,
     CompletionStatus::ConnectionLost,
@@ -77,7 +82,7 @@
                 0 | 1 => {
                     now = until;
                     let mut r = Request::new(next, "c", "basic", "read", 2_000_000);
-                    (r.width, r.id) = (3, RequestId(next));
+                    (r.gateway_count, r.id) = (3, RequestId(next));
                     next += 1;
                     deadlines.insert(r.id, now + 2_000_000);
                     events.push(Event::Request(r));
@@ -137,7 +142,7 @@
                         out.push((*request, *n, server.clone(), now));
                         *n += 1;
                     }
-                    Action::Refuse { request, .. } | Action::Fail { request, .. } => {
+                    Action::Reject { request, .. } | Action::Fail { request, .. } => {
                         *answered.entry(*request).or_default() += 1;
                         assert_eq!(answered[request], 1, "one answer each");
                         assert!(now <= deadlines[request], "answered in time");
--- a/crates/traffic-control/tests/subsets.rs
+++ b/crates/traffic-control/tests/subsets.rs
@@ -98,14 +98,14 @@
 #[test]
 fn cold_servers_are_not_pushed_over_by_those_that_use_them() {
     let cold = SlowStart {
-        from: 0.27,
-        warm_us: 18_000_000,
-        tip_multiple: 4.0,
-        tip_after_us: 3_000_000,
+        initial_share: 0.27,
+        duration_us: 18_000_000,
+        overload_multiple: 4.0,
+        overload_after_us: 3_000_000,
     };
     let mut to_each = std::collections::BTreeMap::<ServerId, usize>::new();
     for me in 0..GATEWAYS {
-        let mut rig = one(me, |s| s.cold = cold);
+        let mut rig = one(me, |s| s.slow_start = cold);
         rig.list(ListKind::Complete, (0..SERVERS).map(entry).collect());
         // What attempts take is learned first.
         used(&mut rig, 20);
--- a/crates/traffic-control/tests/terms.rs
+++ b/crates/traffic-control/tests/terms.rs
@@ -23,7 +23,7 @@
 }
 
 fn terms(plan: Plan) -> Event {
-    Event::Terms(PolicyTerms {
+    Event::PolicyChanged(PolicyTerms {
         plans: vec![plan],
         classes: Settings::example().classes,
         retries: RetryBudget::default(),
@@ -118,7 +118,7 @@
 #[test]
 fn while_it_turns_requests_are_held_and_decided_on_by_what_holds_then() {
     let mut rig = Rig::with_servers(settings(plan(10.0, 20.0, None)), 2);
-    rig.tell(Event::Standing(Standing::Soon));
+    rig.tell(Event::LeaseStateChanged(LeaseState::Pending));
     for _ in 0..6 {
         let (_, actions) = rig.request("c");
         assert!(sent(&actions).is_none() && !refused(&actions));
@@ -127,7 +127,7 @@
     assert!(sent(&rig.list(ListKind::Complete, vec![ServerEntry::ready("s9", "a")])).is_none());
     rig.now += 60_000;
     rig.tell(terms(plan(1.0, 2.0, None)));
-    let actions = rig.tell(Event::Standing(Standing::Open));
+    let actions = rig.tell(Event::LeaseStateChanged(LeaseState::Held));
     let n = |which: fn(&Action) -> bool| actions.iter().filter(|a| which(a)).count();
     assert_eq!(
         n(|a| matches!(a, Action::Send { .. })),
@@ -135,7 +135,7 @@
         "as many as the new terms allow"
     );
     assert_eq!(
-        n(|a| matches!(a, Action::Refuse { .. })),
+        n(|a| matches!(a, Action::Reject { .. })),
         4,
         "and the rest is answered at once"
     );
@@ -144,7 +144,7 @@
 #[test]
 fn one_that_is_held_too_long_is_answered_while_its_client_can_try_elsewhere() {
     let mut rig = Rig::with_servers(settings(plan(10.0, 20.0, None)), 2);
-    rig.tell(Event::Standing(Standing::Soon));
+    rig.tell(Event::LeaseStateChanged(LeaseState::Pending));
     let (id, actions) = rig.request("c");
     let after = actions.iter().find_map(|a| match a {
         Action::SetTimer {
@@ -162,23 +162,23 @@
     let mut rig = Rig::with_servers(settings(plan(10.0, 20.0, None)), 2);
     let (running, actions) = rig.request("c");
     let server = sent(&actions).expect("sent");
-    rig.tell(Event::Standing(Standing::Soon));
+    rig.tell(Event::LeaseStateChanged(LeaseState::Pending));
     let (_, held) = rig.request("c");
     assert!(!refused(&held));
     assert!(
-        refused(&rig.tell(Event::Standing(Standing::Closed))),
+        refused(&rig.tell(Event::LeaseStateChanged(LeaseState::Missing))),
         "what was held is answered"
     );
     let (_, actions) = rig.request("c");
     let after = actions.iter().find_map(|a| match a {
-        Action::Refuse { retry_after_us, .. } => Some(*retry_after_us),
+        Action::Reject { retry_after_us, .. } => Some(*retry_after_us),
         _ => None,
     });
     assert_eq!(after, Some(1_000_000));
     // Its first attempt was let in: a further one is no other request.
-    let actions = rig.outcome(running, 0, &server, CompletionStatus::TurnedAway, 10_000);
+    let actions = rig.outcome(running, 0, &server, CompletionStatus::Rejected, 10_000);
     assert!(sent(&actions).is_some());
-    rig.tell(Event::Standing(Standing::Open));
+    rig.tell(Event::LeaseStateChanged(LeaseState::Held));
     assert!(sent(&rig.request("c").1).is_some());
 }
 
--- a/crates/traffic-control/tests/wide_sets.rs
+++ b/crates/traffic-control/tests/wide_sets.rs
@@ -21,7 +21,7 @@
 
 fn calls(actions: &[Action]) -> Vec<(String, f64, Micros)> {
     let call = |a: &Action| match a {
-        Action::Count {
+        Action::AddToCounter {
             name,
             amount,
             ttl_us,
@@ -32,7 +32,7 @@
 }
 
 fn named(customer: u64) -> impl FnOnce(&mut Request) {
-    move |r| (r.width, r.customer) = (GATEWAYS, CustomerId(format!("c{customer}").into()))
+    move |r| (r.gateway_count, r.customer) = (GATEWAYS, CustomerId(format!("c{customer}").into()))
 }
 
 /// Guards against a fleet that begins, or begins anew after a release, with all the calls that it saved up.
@@ -67,7 +67,7 @@
     let mut passed = 0;
     for _ in 0..200 {
         let (id, actions) = rig.ask(named(1));
-        let actions = settle_as(&mut rig, actions, &mut 0.0, || CompletionStatus::TurnedAway);
+        let actions = settle_as(&mut rig, actions, &mut 0.0, || CompletionStatus::Rejected);
         if let Some(server) = sent(&actions) {
             passed += 1;
             rig.outcome(id, 0, &server, CompletionStatus::Served, 0);
@@ -89,8 +89,8 @@
     };
     (
         settings.peer_messages,
-        settings.told_us,
-        settings.most_units,
+        settings.usage_report_ttl_us,
+        settings.max_units,
     ) = (false, 0, 4.0);
     (settings.plans[0].rate, settings.plans[0].burst) = (2.0, 8.0);
     (settings.plans[0].overrun_cost, settings.plans[0].price) = (0.6, 1.0);
@@ -113,7 +113,7 @@
             asked += 1;
             let rig = &mut rigs[asked * 37 % GATEWAYS as usize];
             rig.now = begins + (second as u64 * 1_000_000) + (n * 1_000_000 / per_s) as u64;
-            let (id, actions) = rig.ask(|r| (r.width, r.units) = (GATEWAYS, 1.0));
+            let (id, actions) = rig.ask(|r| (r.gateway_count, r.units) = (GATEWAYS, 1.0));
             let Some(server) = sent(&actions) else {
                 continue;
             };
@@ -153,11 +153,11 @@
 #[test]
 fn what_was_asked_for_and_not_used_goes_back_though_its_customer_stays_away() {
     let mut rig = one(1);
-    let (_, actions) = rig.ask(|r| (r.width, r.units) = (GATEWAYS, 3.0));
+    let (_, actions) = rig.ask(|r| (r.gateway_count, r.units) = (GATEWAYS, 3.0));
     let [(name, asked, _)] = &calls(&actions)[..] else {
         panic!("it asks: {actions:?}")
     };
-    let mut told = rig.tell(Event::Counted {
+    let mut told = rig.tell(Event::CounterReply {
         name: name.clone(),
         status: CompletionStatus::Served,
         total: 1e3,
@@ -208,10 +208,10 @@
         let mut k = 0;
         while k < actions.len() {
             match actions[k].clone() {
-                Action::Count { name, amount, .. } => {
+                Action::AddToCounter { name, amount, .. } => {
                     let total: &mut f64 = counts.entry(name.clone()).or_default();
                     *total += amount;
-                    let told = Event::Counted {
+                    let told = Event::CounterReply {
                         name,
                         status: CompletionStatus::Served,
                         total: *total,
@@ -270,7 +270,7 @@
             rig.tell(Event::ClientGone(id));
             // Its client does not wait for the further attempt, which is called off.
             if let Some(server) = again {
-                rig.outcome(id, 1, &server, CompletionStatus::CalledOff, 0);
+                rig.outcome(id, 1, &server, CompletionStatus::Cancelled, 0);
             }
             rig.now += 50_000;
         }
@@ -317,13 +317,13 @@
                 rig.now += 10_000;
             }
             let rig = &mut rigs[(k * 7 % u64::from(SET)) as usize];
-            let (id, actions) = rig.ask(|r| (r.width, r.units) = (SET, 3.0));
+            let (id, actions) = rig.ask(|r| (r.gateway_count, r.units) = (SET, 3.0));
             let mut how = || {
                 n += 1;
                 if answers && n % 5 != 4 {
                     CompletionStatus::Served
                 } else {
-                    CompletionStatus::TurnedAway
+                    CompletionStatus::Rejected
                 }
             };
             let actions = settle_as(rig, actions, &mut total, &mut how);
@@ -356,7 +356,7 @@
 fn requests_that_wait_for_anothers_call_are_asked_for_too() {
     const SET: u32 = 10;
     let mut rig = one_with_a_ceiling(0);
-    let asks = |r: &mut Request| (r.width, r.units) = (SET, 3.0);
+    let asks = |r: &mut Request| (r.gateway_count, r.units) = (SET, 3.0);
     // What the slice above the quota holds at the start is nothing, so all goes by the count.
     let (first, actions) = rig.ask(asks);
     let [(name, asked, _)] = &calls(&actions)[..] else {
@@ -365,7 +365,7 @@
     let waiting: Vec<RequestId> = (0..2).map(|_| rig.ask(asks).0).collect();
     // Of the count's life 40 s are over, in which 400 units came in and were used, and 20 more.
     let mut total = 420.0 + asked;
-    let told = rig.tell(Event::Counted {
+    let told = rig.tell(Event::CounterReply {
         name: name.clone(),
         status: CompletionStatus::Served,
         total,
@@ -377,7 +377,7 @@
     let again = calls(&told);
     assert_eq!(again.len(), 1, "one call for all that wait: {told:?}");
     total += again[0].1;
-    let told = rig.tell(Event::Counted {
+    let told = rig.tell(Event::CounterReply {
         name: name.clone(),
         status: CompletionStatus::Served,
         total,
--- a/crates/traffic-control/tests/words.rs
+++ b/crates/traffic-control/tests/words.rs
@@ -100,9 +100,9 @@
         for (me, rig) in (0..).zip(&mut self.all) {
             for (from, words) in (0..).zip(&words) {
                 if from != me && !self.deaf.contains(&me) && !self.deaf.contains(&from) {
-                    rig.tell(Event::Words {
+                    rig.tell(Event::HealthReports {
                         from,
-                        words: words.clone(),
+                        reports: words.clone(),
                     });
                 }
             }
