--- a/crates/traffic-control/tests/mechanism.rs
+++ b/crates/traffic-control/tests/mechanism.rs
@@ -759,7 +759,8 @@
 /// The name that a call for a customer nobody has heard of yet goes by, if the counter is called.
 fn call_for(rig: &mut Rig, customer: u64) -> Option<String> {
     let named = |r: &mut Request| {
-        (r.gateway_count, r.customer) = (2, CustomerId(format!("c{customer}").into()))
+        r.gateway_count = 2;
+        r.customer = CustomerId(format!("c{customer}").into());
     };
     let (_, actions) = rig.ask(named);
     actions.into_iter().find_map(|a| match a {
