--- /dev/null
+++ b/crates/frosthatch/src/commands/check.rs
@@ -0,0 +1,61 @@
+//! `frosthatch check`: reads both files, prints every mistake and starts nothing.
+
+use crate::operator_config::OperatorConfig;
+use crate::platform_config::PlatformConfig;
+use crate::{diameter, membership};
+use frosthatch_config_reader::ConfigError;
+use std::path::Path;
+use std::process::ExitCode;
+
+/// Prints every mistake in both files with its place and what would be right.
+pub fn check(operator_file: Option<&Path>) -> ExitCode {
+    let platform = PlatformConfig::from_env();
+    let operator = OperatorConfig::read(operator_file);
+    let mut errors = Vec::new();
+    if let (Ok(platform), Ok(operator), Some(path)) = (&platform, &operator, operator_file) {
+        errors = cross_check(platform, operator, path);
+    }
+    errors.extend(match platform {
+        Ok(platform) => platform.warnings,
+        Err(platform_errors) => platform_errors,
+    });
+    errors.extend(operator.err().unwrap_or_default());
+    for error in &errors {
+        println!("{error}");
+    }
+    match errors.len() {
+        0 => println!("no mistakes"),
+        1 => println!("1 mistake"),
+        n => println!("{n} mistakes"),
+    }
+    if errors.is_empty() {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    }
+}
+
+/// What the operator's file names and the platform's does not have.
+fn cross_check(
+    platform: &PlatformConfig,
+    operator: &OperatorConfig,
+    operator_file: &Path,
+) -> Vec<ConfigError> {
+    let error = |place: &str, what: String, hint: &str| ConfigError {
+        file: operator_file.display().to_string(),
+        place: place.into(),
+        what,
+        right: hint.into(),
+    };
+    let diameter = operator.diameter.as_ref();
+    let diameter = diameter.and_then(|config| diameter::check(config, &platform.settings).err());
+    let fleet = operator.fleet.as_ref();
+    let fleet = fleet.and_then(|config| membership::check(config, &platform.settings).err());
+    let diameter_hint = "name classes and plans of the settings";
+    let fleet_hint = "name each gateway once, by its number";
+    diameter
+        .map(|what| error("diameter", what, diameter_hint))
+        .into_iter()
+        .chain(fleet.map(|what| error("peers", what, fleet_hint)))
+        .collect()
+}
--- a/crates/frosthatch/src/diameter.rs
+++ b/crates/frosthatch/src/diameter.rs
@@ -1,58 +1,59 @@
-//! Diameter credit control as the operator's file has it: made at the start, and moved by a new file.
+//! Diameter credit control as the operator's file configures it: created at the start, changed by a reload.
 
-use crate::node::Config;
-use crate::operator::Diameter;
-use crate::tls::Tls;
+use crate::operator_config::DiameterConfig;
+use crate::platform_config::PlatformConfig;
+use crate::tls::{Tls, TlsFiles};
 use frosthatch_diameter::credit::Mapping;
-use frosthatch_diameter::front::{self, Front};
+use frosthatch_diameter::front::{Front, FrontConfig};
 use frosthatch_diameter::peer::Identity;
-use frosthatch_diameter::servers::{self, Servers};
+use frosthatch_diameter::servers::{Servers, ServersConfig};
 use frosthatch_engine::Engine;
 use frosthatch_sockets::Sharing;
-use frosthatch_traffic_control::{Effect, Settings};
+use frosthatch_traffic_control::{Effect, RequestClass, Settings};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::task::{spawn_local, AbortHandle};
 
-/// Sessions that may be held, whatever the operator's file says: some 400 bytes each, a quarter of the memory.
-const SESSIONS_A_MB: usize = 600;
-/// A client's connection holds that much that has been read, and not yet a whole message.
-const READ_BYTES: usize = 72 << 10;
-/// Parts of the memory: answers kept for repeats, requests out, what waits to be written (each side), and what is read.
-const REPEATS_PART: usize = 16;
-const REQUESTS_PART: usize = 32;
-const QUEUES_PART: usize = 16;
-const READ_PART: usize = 16;
-
-/// What is left of the memory for clients over HTTP beside all that: a quarter.
-pub const HTTP_PART: usize = 4;
-
-/// Connections of clients: as the file says, but no more than the descriptors and the memory bear.
-pub fn most_clients(d: &Diameter, config: &Config) -> usize {
-    let memory = (config.memory_mb << 20) / READ_PART / READ_BYTES;
-    d.most_clients.min(config.sockets / 4).min(memory).max(1)
+/// Sessions held per MB of memory, whatever the operator's file says: some 400 bytes each, a quarter of the memory.
+const SESSIONS_PER_MB: usize = 600;
+/// Bytes that a client's connection may hold of an incomplete message.
+const READ_BUFFER_BYTES: usize = 72 << 10;
+/// Divisors of the memory: for answers cached for repeated requests,
+const CACHED_ANSWERS_DIVISOR: usize = 16;
+/// for requests in flight,
+const REQUESTS_DIVISOR: usize = 32;
+/// for bytes waiting to be written, on each side,
+const WRITE_QUEUES_DIVISOR: usize = 16;
+/// and for bytes read.
+const READ_BUFFERS_DIVISOR: usize = 16;
+/// The divisor of the memory for clients over HTTP beside all that.
+pub const HTTP_DIVISOR: usize = 4;
+
+/// Connections of clients: as configured, but no more than descriptors and memory bear.
+pub fn max_clients(config: &DiameterConfig, platform: &PlatformConfig) -> usize {
+    let read_buffers = memory_bytes(platform) / READ_BUFFERS_DIVISOR / READ_BUFFER_BYTES;
+    config
+        .max_clients
+        .min(platform.sockets / 4)
+        .min(read_buffers)
+        .max(1)
 }
 
-/// The operator's classes and plans must be the platform's.
-pub fn check(d: &Diameter, settings: &Settings) -> Result<(), String> {
-    let class = |name: &str, repeatable: bool| {
-        let class = settings.classes.iter().find(|c| c.name == name);
-        match class.map(|c| c.effect) {
-            Some(Effect::Repeatable) => Ok(()),
-            Some(Effect::Keyed { .. }) if !repeatable => Ok(()),
-            Some(_) => Err(format!(
-                "diameter: class {name:?} is not of the effect that it must have"
-            )),
-            None => Err(format!(
-                "diameter: there is no class {name:?} in the settings"
-            )),
-        }
-    };
-    class(&d.check_class, true)?;
-    class(&d.charge_class, false)?;
-    let known = |plan: &&String| settings.plans.iter().any(|p| p.name == **plan);
-    match d.plans.values().chain(&d.default_plan).find(|p| !known(p)) {
+fn memory_bytes(platform: &PlatformConfig) -> usize {
+    platform.memory_mb << 20
+}
+
+/// Checks that the operator's classes and plans are the platform's.
+///
+/// # Errors
+/// The first that is not, for people.
+pub fn check(config: &DiameterConfig, settings: &Settings) -> Result<(), String> {
+    check_class(settings, &config.check_class, true)?;
+    check_class(settings, &config.charge_class, false)?;
+    let is_known = |name: &str| settings.plans.iter().any(|plan| plan.name == name);
+    let mut plans = config.plans.values().chain(&config.default_plan);
+    match plans.find(|plan| !is_known(plan)) {
         Some(plan) => Err(format!(
             "diameter: there is no plan {plan:?} in the settings"
         )),
@@ -60,149 +61,200 @@
     }
 }
 
-fn to_servers(
-    d: &Diameter,
+fn check_class(settings: &Settings, name: &str, must_be_repeatable: bool) -> Result<(), String> {
+    let class = settings.classes.iter().find(|class| class.name == name);
+    let Some(class) = class else {
+        return Err(format!(
+            "diameter: there is no class {name:?} in the settings"
+        ));
+    };
+    let is_allowed = match class.effect {
+        Effect::Repeatable => true,
+        Effect::Keyed { .. } => !must_be_repeatable,
+        Effect::Once => false,
+    };
+    if is_allowed {
+        Ok(())
+    } else {
+        Err(format!(
+            "diameter: class {name:?} is not of the effect that it must have"
+        ))
+    }
+}
+
+fn servers_config(
+    config: &DiameterConfig,
     me: Identity,
-    config: &Config,
+    platform: &PlatformConfig,
     tls: Option<&Tls>,
-) -> servers::ServersConfig {
-    servers::ServersConfig {
+) -> ServersConfig {
+    ServersConfig {
         me,
-        tw_us: d.tw.as_micros() as u64,
-        connect_timeout: config.connect_timeout,
-        most_pending: d.most_pending,
-        tls: tls.map(|t| (t.client.clone(), t.name.clone())),
-        queued_bytes: (config.memory_mb << 20) / QUEUES_PART,
-        seed: config.seed,
+        tw_us: micros(config.watchdog_interval),
+        connect_timeout: platform.connect_timeout,
+        most_pending: config.max_pending,
+        tls: tls.map(|tls| (tls.client.clone(), tls.server_name.clone())),
+        queued_bytes: memory_bytes(platform) / WRITE_QUEUES_DIVISOR,
+        seed: platform.seed,
     }
 }
 
-fn to_clients(
-    d: &Diameter,
+fn front_config(
+    config: &DiameterConfig,
     me: Identity,
-    config: &Config,
+    platform: &PlatformConfig,
     tls: Option<&Tls>,
-) -> front::FrontConfig {
-    let micros = |t: Duration| t.as_micros() as u64;
-    let mapping = Mapping {
-        check: d.check_class.clone(),
-        charge: d.charge_class.clone(),
-        plans: d.plans.clone(),
-        otherwise: d.default_plan.clone(),
-        most_units: config.settings.max_units,
-        session_us: micros(d.session),
-        repeats_us: micros(d.repeats),
-        most_sessions: d.most_sessions.min(config.memory_mb * SESSIONS_A_MB),
-        most_repeats: d.most_repeats,
-        repeat_bytes: (config.memory_mb << 20) / REPEATS_PART,
-    };
-    let tx = |class: &frosthatch_traffic_control::RequestClass| {
-        (
-            class.name.clone(),
-            d.tx.min(Duration::from_micros(class.deadline_us)),
-        )
+) -> FrontConfig {
+    let transaction_timeout = |class: &RequestClass| {
+        let deadline = Duration::from_micros(class.deadline_us);
+        (class.name.clone(), config.transaction_timeout.min(deadline))
     };
-    front::FrontConfig {
+    let classes = platform.settings.classes.iter();
+    FrontConfig {
         me,
-        tw_us: micros(d.tw),
-        mapping,
-        tx: config.settings.classes.iter().map(tx).collect(),
-        gateways: config.settings.gateways,
-        most_clients: most_clients(d, config),
-        tls: tls.map(|t| t.server.clone()),
-        request_bytes: (config.memory_mb << 20) / REQUESTS_PART,
-        queued_bytes: (config.memory_mb << 20) / QUEUES_PART,
-        seed: config.seed,
+        tw_us: micros(config.watchdog_interval),
+        mapping: mapping(config, platform),
+        tx: classes.map(transaction_timeout).collect(),
+        gateways: platform.settings.gateways,
+        most_clients: max_clients(config, platform),
+        tls: tls.map(|tls| tls.server.clone()),
+        request_bytes: memory_bytes(platform) / REQUESTS_DIVISOR,
+        queued_bytes: memory_bytes(platform) / WRITE_QUEUES_DIVISOR,
+        seed: platform.seed,
+    }
+}
+
+fn mapping(config: &DiameterConfig, platform: &PlatformConfig) -> Mapping {
+    Mapping {
+        check: config.check_class.clone(),
+        charge: config.charge_class.clone(),
+        plans: config.plans.clone(),
+        otherwise: config.default_plan.clone(),
+        most_units: platform.settings.max_units,
+        session_us: micros(config.session_timeout),
+        repeats_us: micros(config.duplicate_window),
+        most_sessions: config
+            .max_sessions
+            .min(platform.memory_mb * SESSIONS_PER_MB),
+        most_repeats: config.max_cached_answers,
+        repeat_bytes: memory_bytes(platform) / CACHED_ANSWERS_DIVISOR,
     }
 }
 
-/// The servers' side, which must be there before the decisions are.
-pub struct Half {
+fn micros(duration: Duration) -> u64 {
+    duration.as_micros() as u64
+}
+
+fn load_tls(files: Option<&TlsFiles>) -> Result<Option<Tls>, String> {
+    let tls = files.map(TlsFiles::load).transpose();
+    tls.map_err(|error| error.to_string())
+}
+
+/// The servers' side, which exists before the engine does.
+pub struct DiameterBackend {
     me: Identity,
     tls: Option<Tls>,
+    /// Connections to servers.
     pub servers: Rc<Servers>,
 }
 
-impl Half {
-    pub fn new(d: &Diameter, config: &Config, clock: Rc<dyn Fn() -> u64>) -> Result<Half, String> {
-        check(d, &config.settings)?;
-        let tls = d.tls.as_ref().map(|files| files.read()).transpose()?;
+impl DiameterBackend {
+    /// `clock`: microseconds since 1970.
+    ///
+    /// # Errors
+    /// What is wrong with the configuration, for people.
+    pub fn new(
+        config: &DiameterConfig,
+        platform: &PlatformConfig,
+        clock: Rc<dyn Fn() -> u64>,
+    ) -> Result<DiameterBackend, String> {
+        check(config, &platform.settings)?;
+        let tls = load_tls(config.tls.as_ref())?;
         let me = Identity {
-            host: d.identity.clone(),
-            realm: d.realm.clone(),
-            address: d.listen.ip(),
-            // Seconds since 1970 grow with each start.
+            host: config.identity.clone(),
+            realm: config.realm.clone(),
+            address: config.listen.ip(),
+            // Origin-State-Id has to grow with each start (RFC 6733 section 8.16): seconds since 1970 do.
             state_id: (clock() / 1_000_000) as u32,
         };
-        let servers = Servers::new(to_servers(d, me.clone(), config, tls.as_ref()), clock);
-        Ok(Half { me, tls, servers })
+        let servers = Servers::new(
+            servers_config(config, me.clone(), platform, tls.as_ref()),
+            clock,
+        );
+        Ok(DiameterBackend { me, tls, servers })
     }
 
-    pub async fn join(
+    /// Adds the clients' side and accepts connections.
+    ///
+    /// # Errors
+    /// It cannot listen, for people.
+    pub async fn into_service(
         self,
-        d: Diameter,
-        config: Rc<Config>,
+        config: DiameterConfig,
+        platform: Rc<PlatformConfig>,
         engine: Rc<Engine>,
-    ) -> Result<Spoken, String> {
-        let Half { me, tls, servers } = self;
-        let listener = frosthatch_sockets::listen(d.listen, Sharing::Alone).await;
-        let listener = listener.map_err(|e| cannot_listen(&d, &e))?;
-        let plan = to_clients(&d, me.clone(), &config, tls.as_ref());
-        let front = Front::new(plan, engine, servers.clone());
-        let accepts = spawn_local(front.clone().accept(listener)).abort_handle();
-        Ok(Spoken {
-            d,
-            me,
+    ) -> Result<DiameterService, String> {
+        let listener = frosthatch_sockets::listen(config.listen, Sharing::Alone).await;
+        let listener = listener.map_err(|error| listen_error(&config, &error))?;
+        let front_config = front_config(&config, self.me.clone(), &platform, self.tls.as_ref());
+        let front = Front::new(front_config, engine, self.servers.clone());
+        let accept_task = spawn_local(front.clone().accept(listener)).abort_handle();
+        Ok(DiameterService {
             config,
+            me: self.me,
+            platform,
             front,
-            servers,
-            accepts,
+            servers: self.servers,
+            accept_task,
         })
     }
 }
 
-/// Listens at another address of a new configuration; a reload does not wait for one that is taken.
-async fn listen(d: &Diameter) -> Result<TcpListener, String> {
-    TcpListener::bind(d.listen)
-        .await
-        .map_err(|e| cannot_listen(d, &e))
+/// Binds another address of a new configuration; a reload does not wait for one that is in use.
+async fn bind(config: &DiameterConfig) -> Result<TcpListener, String> {
+    let listener = TcpListener::bind(config.listen).await;
+    listener.map_err(|error| listen_error(config, &error))
 }
 
-fn cannot_listen(d: &Diameter, error: &std::io::Error) -> String {
-    format!("diameter: cannot listen on {}: {error}", d.listen)
+fn listen_error(config: &DiameterConfig, error: &std::io::Error) -> String {
+    format!("diameter: cannot listen on {}: {error}", config.listen)
 }
 
-/// Diameter while it is spoken.
-pub struct Spoken {
-    d: Diameter,
+/// Both sides of Diameter while the gateway runs.
+pub struct DiameterService {
+    config: DiameterConfig,
     me: Identity,
-    /// Of the start: classes and limits are those that the decisions work with.
-    config: Rc<Config>,
+    /// Of the start: classes and limits are those that the engine works with.
+    platform: Rc<PlatformConfig>,
+    /// The clients' side.
     pub front: Rc<Front>,
+    /// Connections to servers.
     pub servers: Rc<Servers>,
-    accepts: AbortHandle,
+    accept_task: AbortHandle,
 }
 
-impl Spoken {
-    /// Goes over to a new table, or says why not and stays as it was.
-    pub async fn reload(&mut self, new: &Diameter) -> Result<(), String> {
-        if (&new.identity, &new.realm) != (&self.d.identity, &self.d.realm) {
+impl DiameterService {
+    /// Applies a new table.
+    ///
+    /// # Errors
+    /// Why it cannot be applied, for people: then everything stays as it was.
+    pub async fn reload(&mut self, new: &DiameterConfig) -> Result<(), String> {
+        if new.identity != self.config.identity || new.realm != self.config.realm {
             return Err("diameter: another identity or realm wants a restart".into());
         }
-        check(new, &self.config.settings)?;
-        let tls = new.tls.as_ref().map(|files| files.read()).transpose()?;
-        if new.listen != self.d.listen {
-            let listener = listen(new).await?;
-            self.accepts.abort();
-            self.accepts = spawn_local(self.front.clone().accept(listener)).abort_handle();
+        check(new, &self.platform.settings)?;
+        let tls = load_tls(new.tls.as_ref())?;
+        if new.listen != self.config.listen {
+            let listener = bind(new).await?;
+            self.accept_task.abort();
+            self.accept_task = spawn_local(self.front.clone().accept(listener)).abort_handle();
             self.me.address = new.listen.ip();
         }
-        let (me, config) = (&self.me, &self.config);
-        self.servers
-            .reload(to_servers(new, me.clone(), config, tls.as_ref()));
-        self.front
-            .reload(to_clients(new, me.clone(), config, tls.as_ref()));
-        self.d = new.clone();
+        let servers = servers_config(new, self.me.clone(), &self.platform, tls.as_ref());
+        self.servers.reload(servers);
+        let front = front_config(new, self.me.clone(), &self.platform, tls.as_ref());
+        self.front.reload(front);
+        self.config = new.clone();
         Ok(())
     }
 }
--- a/crates/frosthatch/src/logging.rs
+++ b/crates/frosthatch/src/logging.rs
@@ -11,21 +11,17 @@
 const LEVEL: &str = "FROSTHATCH_LOG";
 const FORMAT: &str = "FROSTHATCH_LOG_FORMAT";
 
-/// Writes events from now on, if the environment asks for them; a level that makes no sense is told.
+/// Writes events from now on, if the environment asks for them; an unknown level is logged.
 pub fn start() {
     let Ok(level) = std::env::var(LEVEL) else {
         return;
     };
-    let level = match LevelFilter::from_str(&level) {
-        Ok(level) => level,
-        Err(_) => {
-            return log_line!(
-                "{LEVEL}: {level:?} is no level: error, warn, info, debug, trace or off"
-            )
-        }
+    let Ok(max_level) = LevelFilter::from_str(&level) else {
+        log_line!("{LEVEL}: {level:?} is no level: error, warn, info, debug, trace or off");
+        return;
     };
     let events = tracing_subscriber::fmt()
-        .with_max_level(level)
+        .with_max_level(max_level)
         .with_writer(std::io::stderr)
         .with_ansi(false);
     // What cannot be written is lost, and must not end the process.
--- /dev/null
+++ b/crates/frosthatch/src/membership.rs
@@ -0,0 +1,227 @@
+//! This process as a member of the cluster of gateways: made from both configurations, and shown by the admin API.
+
+use crate::operator_config::{read_fleet_keys, FleetAddresses, FleetConfig};
+use crate::platform_config::PlatformConfig;
+use frosthatch_cluster_membership::driver::MembershipHandle;
+use frosthatch_cluster_membership::fleet::MemberStatus;
+use frosthatch_cluster_membership::{MemberRecord, Membership, MembershipConfig};
+use frosthatch_log::log_line;
+use frosthatch_sockets::bind_datagrams;
+use frosthatch_traffic_control::Settings;
+use serde::{Deserialize, Serialize};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+
+/// Usage entries kept per MB of memory, whatever the operator's file says: some 200 bytes each, a sixteenth of the memory.
+const USAGE_ENTRIES_PER_MB: usize = 320;
+/// Members kept per MB of memory, some 1 kB each.
+const MEMBERS_PER_MB: usize = 64;
+
+/// Checks that `[peers]`, where it is used, lists all gateways of the settings.
+///
+/// # Errors
+/// How many it lists, for people.
+pub fn check(fleet: &FleetConfig, settings: &Settings) -> Result<(), String> {
+    let FleetAddresses::AllGateways(gateways) = &fleet.addresses else {
+        return Ok(());
+    };
+    let listed = gateways.len();
+    let expected = settings.gateways as usize;
+    if listed == expected {
+        Ok(())
+    } else {
+        Err(format!(
+            "peers.gateways names {listed}, but there are {expected} gateways"
+        ))
+    }
+}
+
+/// Where a member binds and by whom it joins.
+struct MemberAddresses {
+    listen: SocketAddr,
+    advertise: Option<SocketAddr>,
+    seeds: Vec<SocketAddr>,
+    name: String,
+}
+
+impl MemberAddresses {
+    fn new(fleet: &FleetConfig, platform: &PlatformConfig) -> MemberAddresses {
+        match &fleet.addresses {
+            FleetAddresses::WithSeeds {
+                listen,
+                advertise,
+                seeds,
+            } => MemberAddresses {
+                listen: *listen,
+                advertise: *advertise,
+                seeds: seeds.clone(),
+                name: fleet.name.clone().unwrap_or_else(|| platform.name.clone()),
+            },
+            FleetAddresses::AllGateways(all) => {
+                let me = platform.settings.me;
+                MemberAddresses {
+                    listen: all[me as usize],
+                    advertise: None,
+                    seeds: all.clone(),
+                    name: format!("gateway-{me}"),
+                }
+            }
+        }
+    }
+}
+
+/// Binds the member's socket and creates the member. Sets in the settings for how long a peer's usage report counts.
+///
+/// # Errors
+/// What is wrong with the configuration or the socket, for people.
+pub async fn create_member(
+    fleet: &FleetConfig,
+    platform: &mut PlatformConfig,
+) -> Result<Rc<MembershipHandle>, String> {
+    check(fleet, &platform.settings)?;
+    let addresses = MemberAddresses::new(fleet, platform);
+    let listen = addresses.listen;
+    let socket = bind_datagrams(listen).await;
+    let socket = socket.map_err(|e| format!("fleet: cannot listen on {listen}: {e}"))?;
+    let bound = socket.local_addr().map_err(|e| format!("fleet: {e}"))?;
+    log_line!("fleet: bound to {bound}");
+    let config = membership_config(fleet, platform, addresses, bound)?;
+    platform.settings.usage_report_ttl_us = config.holds_us();
+    if !MemberRecord::is_plain(&config.name) || !MemberRecord::is_plain(&config.zone) {
+        return Err(format!(
+            "fleet: name {:?} or zone {:?} holds more than a-z, A-Z, 0-9, -, . and _",
+            config.name, config.zone
+        ));
+    }
+    let membership = Membership::new(config, read_fleet_keys(&fleet.key_file)?);
+    Ok(MembershipHandle::new(membership, socket))
+}
+
+fn membership_config(
+    fleet: &FleetConfig,
+    platform: &PlatformConfig,
+    addresses: MemberAddresses,
+    bound: SocketAddr,
+) -> Result<MembershipConfig, String> {
+    let settings = &platform.settings;
+    let started = SystemTime::now().duration_since(UNIX_EPOCH);
+    let started = started.unwrap_or_default();
+    let micros = |duration: Duration| duration.as_micros() as u64;
+    let max_entries = platform.memory_mb * USAGE_ENTRIES_PER_MB;
+    let max_members = platform.memory_mb * MEMBERS_PER_MB;
+    Ok(MembershipConfig {
+        name: addresses.name,
+        number: u16::try_from(settings.me).map_err(|_| "fleet: settings.me is above 65535")?,
+        gateways: u16::try_from(settings.gateways)
+            .map_err(|_| "fleet: more than 65535 balancers")?,
+        zone: fleet.zone.clone().unwrap_or_else(|| settings.zone.clone()),
+        region: fleet.region.clone(),
+        program: env!("CARGO_PKG_VERSION").into(),
+        advertise: addresses.advertise.unwrap_or(bound),
+        seeds: addresses.seeds,
+        tick_us: micros(fleet.gossip_interval),
+        probe_us: micros(fleet.probe_interval),
+        bytes_per_s: fleet.bytes_per_s,
+        messages_per_s: fleet.messages_per_s,
+        most_entries: fleet.max_usage_entries.min(max_entries),
+        most_members: fleet.max_members.min(max_members),
+        forget_us: micros(fleet.forget_after),
+        started_ms: started.as_millis() as u64,
+        // Another instance with each start, also where the platform gives the same seed again.
+        seed: platform.seed ^ started.as_nanos() as u64 ^ u64::from(std::process::id()) << 32,
+    })
+}
+
+/// The body of `GET /fleet`.
+#[derive(Debug, Serialize, Deserialize)]
+pub struct FleetStatus {
+    /// This member's name.
+    pub me: String,
+    /// A later process runs under this name: this one sends nothing any more.
+    pub replaced: bool,
+    /// The view of the ready members.
+    pub view: ViewStatus,
+    /// What comes of the shared outlier signals.
+    pub choices: ChoicesStatus,
+    /// All members that are known, this one included.
+    pub members: Vec<MemberReport>,
+}
+
+/// The view of the ready members.
+#[derive(Debug, Serialize, Deserialize)]
+pub struct ViewStatus {
+    /// Digest of the view, 16 hexadecimal digits: equal where views are.
+    pub digest: String,
+    /// How long the view has not changed.
+    pub stable_ms: u64,
+    /// Number of ready members.
+    pub ready: usize,
+}
+
+/// What comes of the shared outlier signals.
+#[derive(Debug, Serialize, Deserialize)]
+pub struct ChoicesStatus {
+    /// Gateways among which servers are subset.
+    pub gateways: usize,
+    /// Ready servers that this gateway uses.
+    pub servers_used: usize,
+    /// Ready servers that all gateways have ejected.
+    pub servers_out: usize,
+}
+
+/// One member as this one knows it.
+#[derive(Debug, Serialize, Deserialize)]
+pub struct MemberReport {
+    /// The member's name.
+    pub name: String,
+    /// Its number among the gateways.
+    pub number: u16,
+    /// Its zone.
+    pub zone: String,
+    /// Its region.
+    pub region: String,
+    /// `joining`, `ready`, `draining`, `suspect`, `dead` or `left`.
+    pub state: String,
+    /// Its incarnation.
+    pub incarnation: u64,
+    /// Where it receives datagrams.
+    pub address: String,
+    /// Its program's version.
+    pub program: String,
+    /// How long ago it was heard; `None`: never.
+    pub heard_ms: Option<u64>,
+}
+
+impl MemberReport {
+    fn new(member: MemberStatus) -> MemberReport {
+        let record = member.record;
+        MemberReport {
+            state: record.state().into(),
+            address: record.address.to_string(),
+            name: record.name,
+            number: record.number,
+            zone: record.zone,
+            region: record.region,
+            incarnation: record.incarnation,
+            program: record.program,
+            heard_ms: member.heard_us.map(|us| us / 1_000),
+        }
+    }
+}
+
+/// The status of the cluster as this member sees it at `now_us`.
+pub fn fleet_status(cluster: &Membership, choices: ChoicesStatus, now_us: u64) -> FleetStatus {
+    let view = cluster.view();
+    FleetStatus {
+        me: cluster.me().name.clone(),
+        replaced: cluster.superseded,
+        view: ViewStatus {
+            digest: format!("{:016x}", view.digest),
+            stable_ms: now_us.saturating_sub(view.since) / 1_000,
+            ready: view.ready,
+        },
+        choices,
+        members: cluster.members().map(MemberReport::new).collect(),
+    }
+}
--- /dev/null
+++ b/crates/frosthatch/src/operator_config/diameter.rs
@@ -0,0 +1,150 @@
+//! The `[diameter]` table.
+
+use super::tls;
+use crate::tls::TlsFiles;
+use frosthatch_config_reader::{ConfigReader, TableReader};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::time::Duration;
+use toml::de::DeValue;
+
+/// Longest host name or realm, in bytes.
+const MAX_IDENTITY_BYTES: usize = 255;
+/// Customers' numbers are below this.
+const CUSTOMER_NUMBER_LIMIT: u64 = 1 << 33;
+
+/// The `[diameter]` table.
+#[derive(Clone, Debug, PartialEq)]
+pub struct DiameterConfig {
+    /// Where clients connect.
+    pub listen: SocketAddr,
+    /// The gateway's own Diameter identity, in lower case.
+    pub identity: String,
+    /// The gateway's realm, in lower case.
+    pub realm: String,
+    /// Watchdog interval Tw (RFC 3539).
+    pub watchdog_interval: Duration,
+    /// Timer Tx of a credit-control client (RFC 8506): an answer within this, or the request fails.
+    pub transaction_timeout: Duration,
+    /// Class of requests that check a balance.
+    pub check_class: String,
+    /// Class of requests that charge an account.
+    pub charge_class: String,
+    /// Plan of customers that `plans` does not name.
+    pub default_plan: Option<String>,
+    /// Plans by the customer's number.
+    pub plans: BTreeMap<u64, String>,
+    /// A credit-control session without a request for this long is forgotten.
+    pub session_timeout: Duration,
+    /// For this long a repeated request gets the answer that the first one got.
+    pub duplicate_window: Duration,
+    /// Sessions held at once.
+    pub max_sessions: usize,
+    /// Answers cached for repeated requests.
+    pub max_cached_answers: usize,
+    /// Connections of clients.
+    pub max_clients: usize,
+    /// Requests in flight at one server.
+    pub max_pending: usize,
+    /// TLS on both sides.
+    pub tls: Option<TlsFiles>,
+}
+
+pub(super) fn read(
+    reader: &mut ConfigReader,
+    mut table: TableReader,
+    folder: &Path,
+) -> DiameterConfig {
+    let text = |value: &DeValue| value.as_str().map(String::from);
+    let listen = table.must(
+        reader,
+        "listen",
+        "write an address and a port, as \"127.0.0.1:3868\"",
+        |value| value.as_str()?.parse::<SocketAddr>().ok(),
+    );
+    let identity = table.must(
+        reader,
+        "identity",
+        "write the gateway's own host name (RFC 6733 section 4.3.1)",
+        host_name,
+    );
+    let realm = table.must(
+        reader,
+        "realm",
+        "write its realm, as \"example.org\"",
+        host_name,
+    );
+    let check_class = table.must(
+        reader,
+        "check_class",
+        "write a class that is safe to repeat",
+        text,
+    );
+    let charge_class = table.must(reader, "charge_class", "write a keyed class", text);
+    let default_plan = table.text(reader, "default_plan").map(String::from);
+    let plans = read_plans(reader, &mut table);
+    let config = DiameterConfig {
+        listen: listen.unwrap_or(([127, 0, 0, 1], 0).into()),
+        identity: identity.unwrap_or_default(),
+        realm: realm.unwrap_or_default(),
+        watchdog_interval: table.millis(reader, "tw_ms", 100..=600_000, Duration::from_secs(30)),
+        transaction_timeout: table.millis(reader, "tx_ms", 50..=60_000, Duration::from_secs(10)),
+        check_class: check_class.unwrap_or_default(),
+        charge_class: charge_class.unwrap_or_default(),
+        default_plan,
+        plans,
+        session_timeout: table.millis(
+            reader,
+            "session_ms",
+            1_000..=86_400_000,
+            Duration::from_secs(3_600),
+        ),
+        duplicate_window: table.millis(
+            reader,
+            "repeats_ms",
+            100..=600_000,
+            Duration::from_secs(30),
+        ),
+        max_sessions: table.number(reader, "most_sessions", 1..=1_000_000, 10_000) as usize,
+        max_cached_answers: table.number(reader, "most_repeats", 16..=1_000_000, 20_000) as usize,
+        max_clients: table.number(reader, "most_clients", 1..=10_000, 64) as usize,
+        max_pending: table.number(reader, "most_pending", 1..=100_000, 1_000) as usize,
+        tls: table
+            .table(reader, "tls")
+            .and_then(|tls_table| tls::read(reader, tls_table, folder)),
+    };
+    table.finish(reader);
+    config
+}
+
+/// A host name or realm, in lower case.
+fn host_name(value: &DeValue) -> Option<String> {
+    let text = value.as_str()?;
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '.' | '_');
+    let is_name =
+        !text.is_empty() && text.len() <= MAX_IDENTITY_BYTES && text.chars().all(is_allowed);
+    is_name.then(|| text.to_ascii_lowercase())
+}
+
+fn read_plans(reader: &mut ConfigReader, table: &mut TableReader) -> BTreeMap<u64, String> {
+    let hint = "write a table of customers' numbers and plans";
+    let mut plans = BTreeMap::new();
+    let Some(entries) = table.read(reader, "plans", hint, |value| value.as_table()) else {
+        return plans;
+    };
+    for (key, value) in entries.iter() {
+        let number = key.get_ref().parse::<u64>().ok();
+        let number = number.filter(|number| *number < CUSTOMER_NUMBER_LIMIT);
+        if let (Some(number), Some(plan)) = (number, value.get_ref().as_str()) {
+            plans.insert(number, plan.to_string());
+        } else {
+            reader.wrong(
+                key.span(),
+                format!("diameter.plans.{} makes no sense", key.get_ref()),
+                "write a number below 2^33 in quotes, and a plan: \"4512345678\" = \"stor\"",
+            );
+        }
+    }
+    plans
+}
--- /dev/null
+++ b/crates/frosthatch/src/operator_config/policy.rs
@@ -0,0 +1,121 @@
+//! The `[policy]` table.
+
+use frosthatch_cluster_membership::MemberRecord;
+use frosthatch_config_reader::{ConfigReader, TableReader};
+use frosthatch_policy_consensus::node::LeaseLossPolicy;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+/// More acceptors make each change and each lease dearer and tolerate no useful number of further faults.
+const MAX_ACCEPTORS: usize = 7;
+const ACCEPTORS_HINT: &str =
+    "write the names of members, an odd number of them, best three or five";
+
+/// How gateways agree on one policy.
+#[derive(Clone, Debug, PartialEq)]
+pub struct PolicyConfig {
+    /// Names of the members that are acceptors.
+    pub acceptors: Vec<String>,
+    /// Where this member keeps its acceptor's state, if it is one.
+    pub state_directory: Option<PathBuf>,
+    /// Length of a lease.
+    pub lease: Duration,
+    /// Thousandths by which a clock may be fast or slow.
+    pub clock_drift_permille: u64,
+    /// What is served under without a lease.
+    pub lease_loss_policy: LeaseLossPolicy,
+    /// A proposal without an end for this long is given up.
+    pub proposal_timeout: Duration,
+    /// Where each admitted request is recorded, with its policy.
+    pub audit: Option<PathBuf>,
+    /// Thousandths by which this gateway's clock runs fast; in debug builds only, for tests.
+    pub clock_skew_permille: i64,
+    /// Where this process ends itself; in debug builds only, for tests.
+    pub crash_point: Option<CrashPoint>,
+}
+
+/// A step before which a process aborts.
+#[derive(Clone, Debug, PartialEq)]
+pub struct CrashPoint {
+    /// The step's name.
+    pub step: String,
+    /// How often the step is passed before.
+    pub passes: u64,
+}
+
+pub(super) fn read(
+    reader: &mut ConfigReader,
+    mut table: TableReader,
+    folder: &Path,
+) -> PolicyConfig {
+    let acceptors = read_acceptors(reader, &mut table);
+    let state_directory = table.text(reader, "folder").map(|path| folder.join(path));
+    let lease = table.millis(reader, "lease_ms", 200..=60_000, Duration::from_secs(1));
+    let clock_drift_permille = table.number(reader, "drift", 0..=100, 10).unsigned_abs();
+    let lease_loss_policy = read_lease_loss_policy(reader, &mut table);
+    let proposal_timeout = table.millis(
+        reader,
+        "patience_ms",
+        500..=600_000,
+        Duration::from_secs(10),
+    );
+    let audit = table.text(reader, "audit").map(|path| folder.join(path));
+    let (clock_skew_permille, crash_point) = if cfg!(debug_assertions) {
+        read_test_keys(reader, &mut table)
+    } else {
+        (0, None)
+    };
+    table.finish(reader);
+    PolicyConfig {
+        acceptors,
+        state_directory,
+        lease,
+        clock_drift_permille,
+        lease_loss_policy,
+        proposal_timeout,
+        audit,
+        clock_skew_permille,
+        crash_point,
+    }
+}
+
+fn read_acceptors(reader: &mut ConfigReader, table: &mut TableReader) -> Vec<String> {
+    let names = table.texts(reader, "keepers", 1..=MAX_ACCEPTORS, ACCEPTORS_HINT);
+    let is_name = |name: &&str| !name.is_empty() && MemberRecord::is_plain(name);
+    let has_duplicate = (1..names.len()).any(|n| names[..n].contains(&names[n]));
+    if has_duplicate || !names.iter().all(is_name) {
+        reader.wrong(
+            table.span_of("keepers"),
+            "policy.keepers has a name twice, or one that is none",
+            ACCEPTORS_HINT,
+        );
+    }
+    names.into_iter().map(String::from).collect()
+}
+
+fn read_lease_loss_policy(reader: &mut ConfigReader, table: &mut TableReader) -> LeaseLossPolicy {
+    let grace = table.millis(reader, "grace_ms", 0..=86_400_000, Duration::from_secs(10));
+    let choices = ["refuse", "stricter", "serve"];
+    match table.choice(reader, "on_lost", &choices, "refuse") {
+        "stricter" => LeaseLossPolicy::Stricter,
+        "serve" => LeaseLossPolicy::Serve {
+            grace_us: grace.as_micros() as u64,
+        },
+        _ => LeaseLossPolicy::Refuse,
+    }
+}
+
+/// The keys of debug builds: clock skew and crash point.
+fn read_test_keys(reader: &mut ConfigReader, table: &mut TableReader) -> (i64, Option<CrashPoint>) {
+    let clock_skew_permille = table.number(reader, "skew", -100..=100, 0);
+    let crash_point = table
+        .text(reader, "dies_at")
+        .map(String::from)
+        .map(|step| CrashPoint {
+            step,
+            passes: table
+                .number(reader, "dies_after", 0..=1_000, 0)
+                .unsigned_abs(),
+        });
+    (clock_skew_permille, crash_point)
+}
--- /dev/null
+++ b/crates/frosthatch/src/operator_config/tls.rs
@@ -0,0 +1,38 @@
+//! A `[….tls]` table: the files of a side that proves itself and wants proof.
+
+use crate::tls::TlsFiles;
+use frosthatch_config_reader::{ConfigReader, TableReader};
+use std::path::Path;
+use toml::de::DeValue;
+
+const FILE_HINT: &str = "name a PEM file";
+
+pub(super) fn read(
+    reader: &mut ConfigReader,
+    mut table: TableReader,
+    folder: &Path,
+) -> Option<TlsFiles> {
+    let span = table.span.clone();
+    let file = |value: &DeValue| Some(folder.join(value.as_str()?));
+    let certificate = table.must(reader, "certificate", FILE_HINT, file);
+    let key = table.must(reader, "key", FILE_HINT, file);
+    let trust_anchor = table.must(reader, "trust_anchor", FILE_HINT, file);
+    let server_name = table.must(
+        reader,
+        "server_name",
+        "write the name in the servers' certificates",
+        |value| value.as_str().map(String::from),
+    );
+    table.finish(reader);
+    let files = TlsFiles {
+        certificate: certificate?,
+        key: key?,
+        trust_anchor: trust_anchor?,
+        server_name: server_name?,
+    };
+    if let Err(error) = files.load() {
+        reader.wrong(span, error.to_string(), "name files that belong together");
+        return None;
+    }
+    Some(files)
+}
--- /dev/null
+++ b/crates/frosthatch/src/outlier_gossip.rs
@@ -0,0 +1,201 @@
+//! Carries the view of the cluster and the health reports on servers between the members and the decisions. The only rule
+//! here is when a view is stable enough to be used.
+
+#[cfg(test)]
+mod tests;
+
+use frosthatch_cluster_membership::driver::MembershipHandle;
+use frosthatch_cluster_membership::Membership;
+use frosthatch_engine::Engine;
+use frosthatch_traffic_control::HealthReports;
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::{interval, MissedTickBehavior};
+
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// A member that joined counts once the view has not changed for this long; one that is gone is left out at once.
+const STABLE_VIEW_US: u64 = 300_000;
+/// Gauge with the number of servers that a member uses.
+const SERVERS_USED_GAUGE: &str = "uses";
+/// Gauges with one server's error rate: this prefix and the server's key in 16 hexadecimal digits.
+const SERVER_GAUGE_PREFIX: &str = "s:";
+/// Error rates are rounded to this, so that random variation is not sent as news.
+const ERROR_RATE_STEP: f64 = 0.1;
+/// An unchanged gauge is sent again after this.
+const REFRESH_US: u64 = 1_000_000;
+
+/// A gauge's value, and when it was measured.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct Measurement {
+    value: f64,
+    at_us: u64,
+}
+
+impl Measurement {
+    /// Whether `newer` need not be sent after this was.
+    fn is_current_for(&self, newer: &Measurement) -> bool {
+        self.value == newer.value && newer.at_us < self.at_us + REFRESH_US
+    }
+}
+
+/// Measurements by the gauge's name.
+type GaugeValues = BTreeMap<String, Measurement>;
+
+/// What has to be done to the gauges that this member sends.
+#[derive(Debug, PartialEq)]
+struct GaugeChanges {
+    cleared: Vec<String>,
+    set: GaugeValues,
+}
+
+/// What was handed on so far, in both directions.
+#[derive(Default)]
+struct GossipState {
+    /// Numbers of the gateways among which servers are subset.
+    gateways: Vec<u32>,
+    /// Digest of the view that they are of.
+    view_digest: Option<u64>,
+    /// Version of each member's gauges that was read last.
+    read_versions: BTreeMap<String, u64>,
+    sent: GaugeValues,
+}
+
+/// Numbers of the ready members.
+fn ready_gateways(cluster: &Membership) -> Vec<u32> {
+    let ready = cluster.ready();
+    let names: Vec<&str> = ready.into_iter().map(|(.., name)| name).collect();
+    let mut numbers: Vec<u32> = cluster
+        .members()
+        .filter(|member| names.contains(&member.record.name.as_str()))
+        .map(|member| u32::from(member.record.number))
+        .collect();
+    numbers.sort_unstable();
+    numbers
+}
+
+/// The health reports that a member's gauges carry: name, value and time of each.
+fn reports_from_gauges(gauges: impl Iterator<Item = (String, f64, u64)>) -> HealthReports {
+    let mut reports = HealthReports::default();
+    for (name, value, at_us) in gauges {
+        if name == SERVERS_USED_GAUGE {
+            reports.uses = value as usize;
+            continue;
+        }
+        let digits = name.strip_prefix(SERVER_GAUGE_PREFIX);
+        if let Some(Ok(key)) = digits.map(|digits| u64::from_str_radix(digits, 16)) {
+            reports.of.push((key, value, at_us));
+        }
+    }
+    reports
+}
+
+/// The gauges that carry health reports.
+fn gauges_from_reports(reports: &HealthReports) -> GaugeValues {
+    let rounded = |error_rate: f64| (error_rate / ERROR_RATE_STEP).round() * ERROR_RATE_STEP;
+    let servers = reports.of.iter().map(|(key, error_rate, at_us)| {
+        let value = rounded(*error_rate);
+        let at_us = *at_us;
+        let name = format!("{SERVER_GAUGE_PREFIX}{key:016x}");
+        (name, Measurement { value, at_us })
+    });
+    // Without a report on any server nobody needs to know how many are used.
+    let servers_used = (!reports.of.is_empty()).then(|| {
+        let value = reports.uses as f64;
+        let name = SERVERS_USED_GAUGE.to_string();
+        (name, Measurement { value, at_us: 0 })
+    });
+    servers.chain(servers_used).collect()
+}
+
+impl GossipState {
+    /// The gateways that the decisions have to use from now on, if they are others than before.
+    fn changed_gateways(&mut self, now_us: u64, cluster: &Membership) -> Option<Vec<u32>> {
+        let view = cluster.view();
+        // With hundreds of members the list is built only where the view has changed.
+        if self.view_digest == Some(view.digest) {
+            return None;
+        }
+        let ready = ready_gateways(cluster);
+        let has_joined = ready.iter().any(|number| !self.gateways.contains(number));
+        let is_stable = now_us.saturating_sub(view.since) >= STABLE_VIEW_US;
+        if has_joined && !is_stable {
+            return None;
+        }
+        self.view_digest = Some(view.digest);
+        if ready == self.gateways {
+            return None;
+        }
+        self.gateways = ready;
+        Some(self.gateways.clone())
+    }
+
+    /// Reports of the members whose gauges have changed, by their numbers.
+    fn new_reports(&mut self, cluster: &Membership) -> Vec<(u32, HealthReports)> {
+        let mut new_reports = Vec::new();
+        let me = &cluster.me().name;
+        for member in cluster.members().filter(|m| m.record.name != *me) {
+            let Some(gauges) = cluster.gauges(&member.record.name) else {
+                continue;
+            };
+            let read = self
+                .read_versions
+                .entry(member.record.name.clone())
+                .or_default();
+            if *read != gauges.version {
+                *read = gauges.version;
+                let owned = gauges
+                    .all()
+                    .map(|(name, value, at_us)| (name.to_string(), value, at_us));
+                let number = u32::from(member.record.number);
+                new_reports.push((number, reports_from_gauges(owned)));
+            }
+        }
+        self.read_versions
+            .retain(|name, _| cluster.gauges(name).is_some());
+        new_reports
+    }
+
+    /// What to change at the gauges so that they carry these reports. An unchanged one is set again after [`REFRESH_US`].
+    fn gauge_changes(&mut self, reports: &HealthReports) -> GaugeChanges {
+        let mut set = gauges_from_reports(reports);
+        let (still_sent, cleared): (GaugeValues, GaugeValues) = std::mem::take(&mut self.sent)
+            .into_iter()
+            .partition(|(name, _)| set.contains_key(name));
+        self.sent = still_sent;
+        set.retain(|name, newer| {
+            let sent = self.sent.get(name);
+            !sent.is_some_and(|sent| sent.is_current_for(newer))
+        });
+        self.sent
+            .extend(set.iter().map(|(name, value)| (name.clone(), *value)));
+        GaugeChanges {
+            cleared: cleared.into_keys().collect(),
+            set,
+        }
+    }
+}
+
+/// Carries views and reports in both directions until the process ends.
+pub async fn run(member: Rc<MembershipHandle>, engine: Rc<Engine>) {
+    let mut ticks = interval(POLL_INTERVAL);
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut state = GossipState::default();
+    loop {
+        ticks.tick().await;
+        let gateways = member.with(|cluster| state.changed_gateways(engine.now(), cluster));
+        if let Some(gateways) = gateways {
+            engine.set_gateways(gateways);
+        }
+        for (from, reports) in member.with(|cluster| state.new_reports(cluster)) {
+            engine.record_health_reports(from, reports);
+        }
+        let changes = state.gauge_changes(&engine.health_reports());
+        for name in &changes.cleared {
+            member.clear_fact(name);
+        }
+        for (name, measurement) in changes.set {
+            member.set_fact_of(measurement.at_us, &name, measurement.value);
+        }
+    }
+}
--- a/crates/frosthatch/src/tls.rs
+++ b/crates/frosthatch/src/tls.rs
@@ -1,64 +1,131 @@
-//! Certificates and keys from files, as TLS wants them.
+//! Certificates and keys from files, in the form in which TLS takes them.
 
 use frosthatch_discovery::dnssd::read_anchor;
 use rustls::crypto::ring::default_provider;
+use rustls::crypto::CryptoProvider;
 use rustls::pki_types::{pem::PemObject, CertificateDer, PrivateKeyDer, ServerName};
 use rustls::server::WebPkiClientVerifier;
-use std::fmt::Display;
+use rustls::{ClientConfig, RootCertStore, ServerConfig};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// The files of one side that proves itself and wants proof.
+/// The files of a side that proves itself and wants proof (mutual TLS).
 #[derive(Clone, Debug, PartialEq)]
-pub struct Files {
+pub struct TlsFiles {
+    /// This side's certificate chain (PEM).
     pub certificate: PathBuf,
+    /// Its private key (PEM).
     pub key: PathBuf,
+    /// The authority that certificates of other sides descend from (PEM).
     pub trust_anchor: PathBuf,
     /// The name that servers' certificates must have.
     pub server_name: String,
 }
 
-/// TLS for both sides: each end shows a certificate that descends from the trust anchor.
+/// Mutual TLS for both sides.
 pub struct Tls {
-    pub server: Arc<rustls::ServerConfig>,
-    pub client: Arc<rustls::ClientConfig>,
-    pub name: ServerName<'static>,
+    /// For connections that are accepted.
+    pub server: Arc<ServerConfig>,
+    /// For connections that are made.
+    pub client: Arc<ClientConfig>,
+    /// The name that servers' certificates must have.
+    pub server_name: ServerName<'static>,
+}
+
+/// Why files cannot be used for TLS.
+#[derive(Debug, thiserror::Error)]
+pub enum TlsError {
+    /// The trust anchor cannot be read; the text names the file.
+    #[error("{0}")]
+    TrustAnchor(String),
+    /// A file is missing, malformed or does not fit the others.
+    #[error("{}: {reason}", path.display())]
+    File {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong with it.
+        reason: String,
+    },
+    /// The name is no host name.
+    #[error("server_name {name:?}: {reason}")]
+    ServerName {
+        /// The name.
+        name: String,
+        /// What is wrong with it.
+        reason: String,
+    },
 }
 
-impl Files {
+impl TlsFiles {
+    /// Reads the files and builds both sides' configurations.
+    ///
     /// # Errors
-    /// Which file cannot be used, and why.
-    pub fn read(&self) -> Result<Tls, String> {
-        let roots = Arc::new(read_anchor(&self.trust_anchor)?);
-        let wrong = |file: &Path, e: &dyn Display| format!("{}: {e}", file.display());
-        let chain: Result<Vec<_>, _> =
-            CertificateDer::pem_file_iter(&self.certificate).and_then(Iterator::collect);
-        let chain = chain.map_err(|e| wrong(&self.certificate, &e))?;
-        let key = || PrivateKeyDer::from_pem_file(&self.key).map_err(|e| wrong(&self.key, &e));
+    /// Which file or name cannot be used, and why.
+    pub fn load(&self) -> Result<Tls, TlsError> {
+        let anchor = read_anchor(&self.trust_anchor).map_err(TlsError::TrustAnchor)?;
+        let roots = Arc::new(anchor);
         let provider = Arc::new(default_provider());
-        let text = |e: rustls::Error| wrong(&self.certificate, &e);
-        let verifier = WebPkiClientVerifier::builder_with_provider(roots.clone(), provider.clone());
-        let verifier = verifier
+        let chain = self.read_chain()?;
+        let server = self.server_config(roots.clone(), provider.clone(), chain.clone())?;
+        let client = self.client_config(roots, provider, chain)?;
+        let server_name = ServerName::try_from(self.server_name.clone());
+        let server_name = server_name.map_err(|error| TlsError::ServerName {
+            name: self.server_name.clone(),
+            reason: error.to_string(),
+        })?;
+        Ok(Tls {
+            server: Arc::new(server),
+            client: Arc::new(client),
+            server_name,
+        })
+    }
+
+    fn read_chain(&self) -> Result<Vec<CertificateDer<'static>>, TlsError> {
+        let chain = CertificateDer::pem_file_iter(&self.certificate).and_then(Iterator::collect);
+        chain.map_err(|error| file_error(&self.certificate, &error))
+    }
+
+    fn read_key(&self) -> Result<PrivateKeyDer<'static>, TlsError> {
+        PrivateKeyDer::from_pem_file(&self.key).map_err(|error| file_error(&self.key, &error))
+    }
+
+    fn server_config(
+        &self,
+        roots: Arc<RootCertStore>,
+        provider: Arc<CryptoProvider>,
+        chain: Vec<CertificateDer<'static>>,
+    ) -> Result<ServerConfig, TlsError> {
+        let certificate_error = |error: rustls::Error| file_error(&self.certificate, &error);
+        let verifier = WebPkiClientVerifier::builder_with_provider(roots, provider.clone())
             .build()
-            .map_err(|e| wrong(&self.trust_anchor, &e))?;
-        let server = rustls::ServerConfig::builder_with_provider(provider.clone())
+            .map_err(|error| file_error(&self.trust_anchor, &error))?;
+        ServerConfig::builder_with_provider(provider)
             .with_safe_default_protocol_versions()
-            .map_err(text)?
+            .map_err(certificate_error)?
             .with_client_cert_verifier(verifier)
-            .with_single_cert(chain.clone(), key()?)
-            .map_err(text)?;
-        let client = rustls::ClientConfig::builder_with_provider(provider)
+            .with_single_cert(chain, self.read_key()?)
+            .map_err(certificate_error)
+    }
+
+    fn client_config(
+        &self,
+        roots: Arc<RootCertStore>,
+        provider: Arc<CryptoProvider>,
+        chain: Vec<CertificateDer<'static>>,
+    ) -> Result<ClientConfig, TlsError> {
+        let certificate_error = |error: rustls::Error| file_error(&self.certificate, &error);
+        ClientConfig::builder_with_provider(provider)
             .with_safe_default_protocol_versions()
-            .map_err(text)?
+            .map_err(certificate_error)?
             .with_root_certificates(roots)
-            .with_client_auth_cert(chain, key()?)
-            .map_err(text)?;
-        let name = ServerName::try_from(self.server_name.clone());
-        let name = name.map_err(|e| format!("server_name {:?}: {e}", self.server_name))?;
-        Ok(Tls {
-            server: Arc::new(server),
-            client: Arc::new(client),
-            name,
-        })
+            .with_client_auth_cert(chain, self.read_key()?)
+            .map_err(certificate_error)
+    }
+}
+
+fn file_error(path: &Path, error: &dyn std::fmt::Display) -> TlsError {
+    TlsError::File {
+        path: path.to_path_buf(),
+        reason: error.to_string(),
     }
 }
