--- a/crates/engine/src/clock.rs
+++ b/crates/engine/src/clock.rs
@@ -1,27 +1,29 @@
-//! The gateway's two clocks: a monotonic one for all spans of time, and the wall clock, as requests, lists and counts go by it.
+//! The gateway's two clocks: a monotonic one for all spans of time, and the wall clock that requests, endpoint lists and
+//! counter periods refer to.
 
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Monotonic time that begins at the wall clock's of the process's start. Deadlines, windows, waits and ages are spans of
-/// it; the wall clock may be stepped meanwhile.
+/// Monotonic time that starts at the wall clock's value at process start.
+///
+/// Deadlines, windows, waits and ages are spans of it, so steps of the wall clock do not affect them.
 pub struct Clock {
-    unix_us: u64,
-    start: Instant,
+    unix_us_at_start: u64,
+    started_at: Instant,
 }
 
 impl Default for Clock {
     fn default() -> Self {
         Clock {
-            unix_us: wall_us(),
-            start: Instant::now(),
+            unix_us_at_start: read_wall_clock_us(),
+            started_at: Instant::now(),
         }
     }
 }
 
 /// The wall clock, in microseconds since 1970.
-fn wall_us() -> u64 {
+fn read_wall_clock_us() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
@@ -29,22 +31,22 @@
 }
 
 impl Clock {
-    /// Microseconds; it only goes forward.
+    /// The monotonic time, in microseconds. It never goes back.
     pub fn now(&self) -> u64 {
-        self.unix_us + self.running().as_micros() as u64
+        self.unix_us_at_start + self.uptime().as_micros() as u64
     }
 
-    /// The wall clock now, in microseconds since 1970: to be shown, and to understand what others tell by it.
-    pub fn wall(&self) -> u64 {
-        wall_us()
+    /// The wall clock now, in microseconds since 1970: to display it, and to translate times that others state by it.
+    pub fn wall_clock_us(&self) -> u64 {
+        read_wall_clock_us()
     }
 
-    /// Since the start.
-    pub fn running(&self) -> Duration {
-        self.start.elapsed()
+    /// The time since the clock was created.
+    pub fn uptime(&self) -> Duration {
+        self.started_at.elapsed()
     }
 
-    /// The monotonic clock as a function, for whoever should not know of clocks.
+    /// The monotonic clock as a function, for code that should not depend on this type.
     pub fn reader(self: Rc<Self>) -> Rc<dyn Fn() -> u64> {
         Rc::new(move || self.now())
     }
--- /dev/null
+++ b/crates/engine/src/engine/actions.rs
@@ -0,0 +1,93 @@
+//! Carries out the actions that the decisions ask for.
+
+use super::attempts::AttemptTimeLimits;
+use super::{Engine, State, EVENT_TARGET};
+use crate::ports::{CounterCall, Response};
+use crate::timers::TimerKey;
+use frosthatch_log::log_line;
+use frosthatch_traffic_control::{Action, CompletionStatus, Event, Timer};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::Instant;
+use tracing::debug;
+
+impl Engine {
+    /// Carries out one action. Events that follow from it at once are queued in `state`.
+    pub(super) fn carry_out(self: &Rc<Self>, state: &mut State, action: Action) {
+        match action {
+            Action::Send {
+                request,
+                server,
+                timeout_us,
+                begin_within_us,
+            } => {
+                let limits = AttemptTimeLimits {
+                    timeout_us,
+                    begin_within_us,
+                };
+                self.start_attempt(state, request, server, &limits);
+            }
+            Action::Cancel { request, attempt } => self.cancel_attempt(state, request, attempt),
+            Action::Reject {
+                request,
+                retry_after_us,
+                reason,
+            } => {
+                let reason = reason.name();
+                debug!(target: EVENT_TARGET, request = request.0, reason, "request.refused");
+                self.respond(state, request, |_| Response::Rejected {
+                    retry_after: Duration::from_micros(retry_after_us),
+                });
+            }
+            Action::Fail { request, reason } => {
+                let reason = reason.name();
+                debug!(target: EVENT_TARGET, request = request.0, reason, "request.failed");
+                self.respond(state, request, |timed_out| Response::Failed { timed_out });
+            }
+            Action::SetTimer { after_us, timer } => {
+                let due_at = Instant::now() + Duration::from_micros(after_us);
+                self.set_timer(state, due_at, timer_key(timer));
+            }
+            Action::AddToCounter {
+                name,
+                amount,
+                ttl_us,
+            } => {
+                let call = CounterCall {
+                    name,
+                    amount,
+                    ttl_ms: (ttl_us / 1_000).max(1),
+                };
+                self.call_counter(state, call);
+            }
+            Action::ReportUsage { tag, units } => {
+                if let Some(reporter) = &self.usage_reporter {
+                    reporter.record_usage(tag, units);
+                }
+            }
+            Action::Log(line) => log_line!("{line}"),
+            // The endpoint list is watched in any case, and gateways exchange use through the usage reporter.
+            Action::Subscribe | Action::SendToPeer { .. } => {}
+        }
+    }
+
+    fn call_counter(&self, state: &mut State, call: CounterCall) {
+        let Err(error) = self.counter_calls.try_send(call) else {
+            return;
+        };
+        // Too many calls wait. None of it was written, so this is the same as a rejection by the counter itself.
+        state.events.push_back(Event::CounterReply {
+            name: error.into_inner().name,
+            status: CompletionStatus::Rejected,
+            total: 0.0,
+        });
+    }
+}
+
+fn timer_key(timer: Timer) -> TimerKey {
+    match timer {
+        Timer::Interval => TimerKey::Interval,
+        Timer::Request(id) => TimerKey::Request(id.0),
+        Timer::Customer(tag) => TimerKey::Customer(tag),
+    }
+}
--- /dev/null
+++ b/crates/engine/src/engine/attempts.rs
@@ -0,0 +1,134 @@
+//! The attempts of a request: started, cancelled, and their outcomes fed to the decisions.
+
+use super::{Engine, State, EVENT_TARGET};
+use crate::attempt_permit::AttemptPermit;
+use crate::ports::{AttemptResult, Response};
+use crate::request_table::{PendingRequest, RunningAttempt};
+use frosthatch_traffic_control::{
+    AttemptOutcome, CompletionStatus, Event, Micros, RequestId, ServerId,
+};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::Instant;
+use tracing::debug;
+
+/// The limits of an attempt, from the moment it is started.
+pub(super) struct AttemptTimeLimits {
+    /// It ends within this.
+    pub timeout_us: Micros,
+    /// It may begin to be written within this.
+    pub begin_within_us: Micros,
+}
+
+impl Engine {
+    /// Starts an attempt on `server`, unless the request is closed.
+    pub(super) fn start_attempt(
+        self: &Rc<Self>,
+        state: &mut State,
+        id: RequestId,
+        server: ServerId,
+        limits: &AttemptTimeLimits,
+    ) {
+        let Some(request) = state.requests.get_mut(id).filter(|r| r.is_open()) else {
+            return;
+        };
+        let attempt = request.attempts.len();
+        let started_at = Instant::now();
+        if attempt == 0 {
+            if let Some(lease) = &*self.policy_lease.borrow() {
+                lease.record_admitted(id);
+            }
+        }
+        debug!(target: EVENT_TARGET, request = id.0, attempt, server = %server.0, timeout_us = limits.timeout_us, begin_within_us = limits.begin_within_us, "attempt.sent");
+        let permit = AttemptPermit::new(
+            id,
+            started_at + Duration::from_micros(limits.begin_within_us),
+            request.client_leaves_at,
+            request.client.clone(),
+            self.violations.clone(),
+        );
+        let deadline = started_at + Duration::from_micros(limits.timeout_us);
+        let running = request.payload.attempt(&server, deadline, permit);
+        let engine = self.clone();
+        let task = tokio::task::spawn_local(async move {
+            let result = running.await;
+            engine.finish_attempt(id, attempt, result);
+        });
+        request.attempts.push(Some(RunningAttempt {
+            server,
+            started_at,
+            task: task.abort_handle(),
+        }));
+    }
+
+    /// Cancels an attempt, if it is still running.
+    pub(super) fn cancel_attempt(&self, state: &mut State, id: RequestId, attempt: u32) {
+        let Some(running) = state
+            .requests
+            .get_mut(id)
+            .and_then(|request| request.take_attempt(attempt as usize))
+        else {
+            return;
+        };
+        debug!(target: EVENT_TARGET, request = id.0, attempt, server = %running.server.0, "attempt.cancelled");
+        // Ending the task drops its connection, which closes it.
+        running.task.abort();
+        let elapsed_us = running.elapsed_us();
+        let outcome = AttemptOutcome::new(
+            id,
+            attempt,
+            running.server,
+            CompletionStatus::Cancelled,
+            elapsed_us,
+        );
+        state.events.push_back(Event::Outcome(outcome.closing()));
+        state.requests.remove_if_finished(id);
+    }
+
+    fn finish_attempt(self: &Rc<Self>, id: RequestId, attempt: usize, result: AttemptResult) {
+        let outcome = {
+            let mut state = self.state.borrow_mut();
+            let Some(request) = state.requests.get_mut(id) else {
+                return;
+            };
+            let Some(running) = request.take_attempt(attempt) else {
+                return;
+            };
+            self.record_result(request, id, attempt, running, result)
+        };
+        self.feed(Event::Outcome(outcome));
+        self.remove_if_finished(id);
+    }
+
+    /// Sends the response if the attempt brought one, and returns what the decisions need to know.
+    fn record_result(
+        &self,
+        request: &mut PendingRequest,
+        id: RequestId,
+        attempt: usize,
+        running: RunningAttempt,
+        result: AttemptResult,
+    ) -> AttemptOutcome {
+        request.last_attempt_timed_out = result.status == CompletionStatus::NoAnswer;
+        if result.status == CompletionStatus::Served {
+            let response = match result.rest {
+                None => Response::Served(result.body),
+                Some(rest) => Response::Streaming(result.body, rest),
+            };
+            request.respond(&self.counters, response);
+        }
+        let elapsed_us = running.elapsed_us();
+        debug!(target: EVENT_TARGET, request = id.0, attempt, server = %running.server.0, status = ?result.status, elapsed = elapsed_us, "attempt.ended");
+        let mut outcome = AttemptOutcome::new(
+            id,
+            attempt as u32,
+            running.server,
+            result.status,
+            elapsed_us,
+        );
+        outcome.closed = !request.is_open();
+        outcome.metered_use = result.metered_use;
+        outcome.load_report = result.load_report;
+        outcome
+    }
+}
--- /dev/null
+++ b/crates/engine/src/engine/timer_loop.rs
@@ -0,0 +1,55 @@
+//! The loop that fires timers.
+
+use super::Engine;
+use crate::timers::TimerKey;
+use frosthatch_traffic_control::{Event, RequestId, Timer};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::{sleep_until, Instant};
+
+/// How long the loop sleeps where no timer is set.
+const IDLE_SLEEP: Duration = Duration::from_secs(3_600);
+/// The wall clock is adjusted slowly all the time; a larger difference since the last look is a step.
+const MAX_WALL_CLOCK_DRIFT_US: u64 = 20_000;
+
+impl Engine {
+    /// Fires timers as they become due. Never returns.
+    pub async fn run_timers(self: Rc<Self>) {
+        loop {
+            let next_due_at = self.state.borrow().timers.next_due_at();
+            let idle_until = Instant::now() + IDLE_SLEEP;
+            tokio::select! {
+                () = sleep_until(next_due_at.unwrap_or(idle_until)) => {}
+                () = self.earlier_timer_set.notified() => {}
+            }
+            while let Some(key) = self.pop_due_timer() {
+                self.fire_timer(key);
+            }
+        }
+    }
+
+    fn pop_due_timer(&self) -> Option<TimerKey> {
+        self.state.borrow_mut().timers.pop_due(Instant::now())
+    }
+
+    fn fire_timer(self: &Rc<Self>, key: TimerKey) {
+        match key {
+            TimerKey::Interval => {
+                self.detect_wall_clock_step();
+                self.feed(Event::Timer(Timer::Interval));
+            }
+            TimerKey::Request(id) => self.feed(Event::Timer(Timer::Request(RequestId(id)))),
+            TimerKey::Customer(tag) => self.feed(Event::Timer(Timer::Customer(tag))),
+            TimerKey::AnswerDeadline(id) => self.enforce_answer_deadline(RequestId(id)),
+        }
+    }
+
+    /// Informs the decisions if the wall clock was stepped.
+    fn detect_wall_clock_step(self: &Rc<Self>) {
+        let ahead_us = self.wall_clock_us() as i64 - self.now() as i64;
+        if ahead_us.abs_diff(self.wall_clock_ahead_us.get()) > MAX_WALL_CLOCK_DRIFT_US {
+            self.wall_clock_ahead_us.set(ahead_us);
+            self.feed(Event::WallClock { ahead_us });
+        }
+    }
+}
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,23 +1,28 @@
-//! The one loop round the decisions. It owns the [`frosthatch_traffic_control::Gateway`], its clock and timers and the table of requests;
-//! it knows no socket and no protocol. Fronts hand it [`Arrival`]s whose payload it never looks into, backends and
-//! membership sources and counters are what the wiring hands it ([`ports`]): adding one touches nothing here.
-#![expect(
-    clippy::match_bool,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines,
-    missing_docs
-)]
+//! The event loop around the decisions on requests.
+//!
+//! [`Engine`] owns the [`frosthatch_traffic_control::Gateway`] with its clock, its timers and the table of pending
+//! requests. It knows no socket and no protocol: front ends submit an [`IncomingRequest`] whose payload the engine never
+//! looks into, and back ends, discovery and the shared counter are connected through the traits and types of [`ports`].
 
+mod attempt_permit;
 mod clock;
 mod counters;
 mod engine;
+mod forwarded_deadline;
 pub mod ports;
-mod rules;
-mod starts;
+mod request_table;
+mod start_times;
 mod timers;
+mod violations;
 
+pub use attempt_permit::{AttemptPermit, ClientPresence, WriteDenied};
 pub use clock::Clock;
 pub use counters::{ClassCounters, RequestCounters};
 pub use engine::Engine;
-pub use ports::*;
-pub use rules::{AttemptPermit, ClientPresence, ForwardedDeadline, Rule, Violations, WriteDenied};
+pub use forwarded_deadline::ForwardedDeadline;
+pub use ports::{
+    Attempt, AttemptResult, BoxedFuture, CounterCall, DuplicateRequest, Endpoint, EndpointObserver,
+    EndpointState, IncomingRequest, Payload, PluginRequest, PluginVerdict, PolicyLease, Protocol,
+    RequestPlugins, Response, UsageReporter,
+};
+pub use violations::{Rule, Violations};
