--- a/crates/engine/src/engine/attempts.rs
+++ b/crates/engine/src/engine/attempts.rs
@@ -39,7 +39,15 @@
                 lease.record_admitted(id);
             }
         }
-        debug!(target: EVENT_TARGET, request = id.0, attempt, server = %server.0, timeout_us = limits.timeout_us, begin_within_us = limits.begin_within_us, "attempt.sent");
+        debug!(
+            target: EVENT_TARGET,
+            request = id.0,
+            attempt,
+            server = %server.0,
+            timeout_us = limits.timeout_us,
+            begin_within_us = limits.begin_within_us,
+            "attempt.sent"
+        );
         let permit = AttemptPermit::new(
             id,
             started_at + Duration::from_micros(limits.begin_within_us),
@@ -70,7 +78,13 @@
         else {
             return;
         };
-        debug!(target: EVENT_TARGET, request = id.0, attempt, server = %running.server.0, "attempt.cancelled");
+        debug!(
+            target: EVENT_TARGET,
+            request = id.0,
+            attempt,
+            server = %running.server.0,
+            "attempt.cancelled"
+        );
         // Ending the task drops its connection, which closes it.
         running.task.abort();
         let elapsed_us = running.elapsed_us();
@@ -118,7 +132,15 @@
             request.respond(&self.counters, response);
         }
         let elapsed_us = running.elapsed_us();
-        debug!(target: EVENT_TARGET, request = id.0, attempt, server = %running.server.0, status = ?result.status, elapsed = elapsed_us, "attempt.ended");
+        debug!(
+            target: EVENT_TARGET,
+            request = id.0,
+            attempt,
+            server = %running.server.0,
+            status = ?result.status,
+            elapsed = elapsed_us,
+            "attempt.ended"
+        );
         let mut outcome = AttemptOutcome::new(
             id,
             attempt as u32,
--- a/crates/engine/src/engine/gateways.rs
+++ b/crates/engine/src/engine/gateways.rs
@@ -7,15 +7,19 @@
 impl Engine {
     /// Takes the admitted use that other gateways report.
     ///
-    /// `heard`: the gateways whose use is completely known. `uses`: new use as gateway, customer and units. `past`: use from
-    /// before the gateways were heard of, as customer and units.
+    /// `complete_gateways`: the gateways whose use is completely known. `new_uses`: gateway, customer and units each.
+    /// `earlier_uses`: customer and units of use from before a gateway was known.
     pub fn record_peer_usage(
         self: &Rc<Self>,
-        heard: Vec<u32>,
-        uses: Vec<(u32, u32, f64)>,
-        past: Vec<(u32, f64)>,
+        complete_gateways: Vec<u32>,
+        new_uses: Vec<(u32, u32, f64)>,
+        earlier_uses: Vec<(u32, f64)>,
     ) {
-        self.feed(Event::UsageReported { heard, uses, past });
+        self.feed(Event::UsageReported {
+            heard: complete_gateways,
+            uses: new_uses,
+            past: earlier_uses,
+        });
     }
 
     /// Sets the gateways that are known to admit nothing.
--- a/crates/engine/src/engine/requests.rs
+++ b/crates/engine/src/engine/requests.rs
@@ -63,7 +63,13 @@
         let remaining =
             client_leaves_at.saturating_duration_since(Instant::now() + DECISION_MARGIN);
         request.remaining_us = remaining.as_micros() as u64;
-        debug!(target: EVENT_TARGET, request = request.id.0, class = %request.class, patience_us = request.remaining_us, "request.taken");
+        debug!(
+            target: EVENT_TARGET,
+            request = request.id.0,
+            class = %request.class,
+            patience_us = request.remaining_us,
+            "request.taken"
+        );
         self.feed(Event::Request(request));
         Ok(receiver)
     }
--- a/crates/engine/src/request_table.rs
+++ b/crates/engine/src/request_table.rs
@@ -11,8 +11,11 @@
 
 /// An attempt that has not ended.
 pub struct RunningAttempt {
+    /// The server that it was sent to.
     pub server: ServerId,
+    /// When it was started.
     pub started_at: Instant,
+    /// Aborting the task cancels the attempt.
     pub task: AbortHandle,
 }
 
@@ -35,6 +38,7 @@
     pub answer_by: Instant,
     /// When the client leaves.
     pub client_leaves_at: Instant,
+    /// What goes to a server with each attempt.
     pub payload: Box<dyn Payload>,
     /// By attempt number; `None` where the attempt has ended.
     pub attempts: Vec<Option<RunningAttempt>>,
@@ -75,19 +79,23 @@
     }
 }
 
-/// All requests held, by id. At most one for each client connection: a client that goes takes its request along.
+/// All requests held, by id. The table is bounded by the number of client connections: each has at most one request, which
+/// is closed when its client goes.
 #[derive(Default)]
 pub struct RequestTable(HashMap<RequestId, PendingRequest>);
 
 impl RequestTable {
+    /// Whether a request with this id is in the table.
     pub fn contains(&self, id: RequestId) -> bool {
         self.0.contains_key(&id)
     }
 
+    /// Adds a request, in place of one with the same id.
     pub fn insert(&mut self, id: RequestId, request: PendingRequest) {
         self.0.insert(id, request);
     }
 
+    /// The request with this id.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
         self.0.get_mut(&id)
     }
