--- a/crates/admin/src/call.rs
+++ b/crates/admin/src/call.rs
@@ -1,54 +1,62 @@
-//! What operators may ask for.
+//! What operators may call: method, path and query, parsed.
 
-/// Servers' names are no longer than this.
-const ID_BYTES: usize = 256;
+#[cfg(test)]
+mod tests;
+
+/// Longest name of a server.
+const MAX_ID_BYTES: usize = 256;
 
+/// A call that may be carried out.
 #[derive(Debug, PartialEq)]
 pub enum AdminCall {
+    /// Whether the gateway is ready.
     Ready,
+    /// All metrics.
     Metrics,
     /// Take this server out.
     Disable(String),
     /// Put this server back.
     Enable(String),
+    /// Drain the gateway.
     Drain,
+    /// End the drain.
     Undrain,
-    /// Who is in the fleet.
+    /// The cluster as this gateway sees it.
     Fleet,
-    /// Leave the fleet, and go on serving.
+    /// Leave the cluster, and go on serving.
     LeaveFleet,
-    /// The policy that gateways agree on, and its document.
+    /// The status of the policy that gateways agree on.
     Policy,
+    /// The policy's document.
     Document,
     /// Propose the document that is the call's body.
     Propose,
-    /// Call a proposal off.
+    /// Abort the proposal of this number.
     Abort(u64),
 }
 
+/// Why a call cannot be carried out.
 #[derive(Debug, PartialEq)]
 pub enum CallError {
-    /// Nothing is there.
+    /// There is no such path.
     Path,
-    /// Something is, for another method.
+    /// The path has other methods: the value of `Allow`.
     Method(&'static str),
-    /// It wants one id, of 1 to 256 bytes.
+    /// The query has to name one server, by an `id` of 1 to 256 bytes.
     Id,
-    /// It wants one number.
+    /// The query has to name one proposal, by its `number`.
     Number,
 }
 
 impl AdminCall {
+    /// Parses a call.
+    ///
+    /// # Errors
+    /// What is wrong with it.
     pub fn read(method: &str, path: &str, query: Option<&str>) -> Result<AdminCall, CallError> {
-        let wanted = match path {
-            "/ready" | "/metrics" | "/fleet" | "/policy/document" => "GET",
-            "/servers/disable" | "/servers/enable" | "/drain" | "/undrain" | "/fleet/leave"
-            | "/policy/abort" => "POST",
-            "/policy" => "GET, POST",
-            _ => return Err(CallError::Path),
-        };
-        if !wanted.split(", ").any(|m| m == method) {
-            return Err(CallError::Method(wanted));
+        let allowed = allowed_methods(path)?;
+        if !allowed.split(", ").any(|allowed| allowed == method) {
+            return Err(CallError::Method(allowed));
         }
         Ok(match path {
             "/ready" => AdminCall::Ready,
@@ -58,95 +66,43 @@
             "/policy" if method == "POST" => AdminCall::Propose,
             "/policy" => AdminCall::Policy,
             "/policy/document" => AdminCall::Document,
-            "/policy/abort" => AdminCall::Abort(number(query)?),
+            "/policy/abort" => AdminCall::Abort(proposal_number(query)?),
             "/drain" => AdminCall::Drain,
             "/undrain" => AdminCall::Undrain,
-            "/servers/disable" => AdminCall::Disable(id(query)?),
-            _ => AdminCall::Enable(id(query)?),
+            "/servers/disable" => AdminCall::Disable(server_id(query)?),
+            _ => AdminCall::Enable(server_id(query)?),
         })
     }
 }
 
-/// What a query says once under a name.
-fn one(query: Option<&str>, name: &str) -> Option<String> {
-    let mut all =
-        form_urlencoded::parse(query.unwrap_or("").as_bytes()).filter(|(key, _)| key == name);
-    let first = all.next()?.1.into_owned();
-    all.next().is_none().then_some(first)
+/// The methods of a path, as `Allow` lists them.
+fn allowed_methods(path: &str) -> Result<&'static str, CallError> {
+    match path {
+        "/ready" | "/metrics" | "/fleet" | "/policy/document" => Ok("GET"),
+        "/servers/disable" | "/servers/enable" | "/drain" | "/undrain" | "/fleet/leave"
+        | "/policy/abort" => Ok("POST"),
+        "/policy" => Ok("GET, POST"),
+        _ => Err(CallError::Path),
+    }
 }
 
-/// The one id that a query names.
-fn id(query: Option<&str>) -> Result<String, CallError> {
-    one(query, "id")
-        .filter(|id| (1..=ID_BYTES).contains(&id.len()))
-        .ok_or(CallError::Id)
+/// The value of a parameter that a query has exactly once.
+fn single_parameter(query: Option<&str>, name: &str) -> Option<String> {
+    let parameters = form_urlencoded::parse(query.unwrap_or("").as_bytes());
+    let mut values = parameters.filter(|(key, _)| key == name);
+    let (_, value) = values.next()?;
+    let value = value.into_owned();
+    values.next().is_none().then_some(value)
 }
 
-fn number(query: Option<&str>) -> Result<u64, CallError> {
-    one(query, "number")
-        .and_then(|n| n.parse().ok())
-        .ok_or(CallError::Number)
+fn server_id(query: Option<&str>) -> Result<String, CallError> {
+    single_parameter(query, "id")
+        .filter(|id| (1..=MAX_ID_BYTES).contains(&id.len()))
+        .ok_or(CallError::Id)
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn calls_are_told_apart_by_method_and_path() {
-        let read = AdminCall::read;
-        assert_eq!(read("GET", "/ready", None), Ok(AdminCall::Ready));
-        assert_eq!(read("GET", "/metrics", Some("x=1")), Ok(AdminCall::Metrics));
-        assert_eq!(read("POST", "/drain", None), Ok(AdminCall::Drain));
-        assert_eq!(read("POST", "/undrain", None), Ok(AdminCall::Undrain));
-        assert_eq!(
-            read("POST", "/servers/disable", Some("id=s-1")),
-            Ok(AdminCall::Disable("s-1".into()))
-        );
-        assert_eq!(
-            read("POST", "/servers/enable", Some("a=b&id=s%2D%3A1")),
-            Ok(AdminCall::Enable("s-:1".into()))
-        );
-        assert_eq!(read("GET", "/fleet", None), Ok(AdminCall::Fleet));
-        assert_eq!(read("GET", "/policy", None), Ok(AdminCall::Policy));
-        assert_eq!(read("POST", "/policy", None), Ok(AdminCall::Propose));
-        assert_eq!(
-            read("PUT", "/policy", None),
-            Err(CallError::Method("GET, POST"))
-        );
-        assert_eq!(
-            read("POST", "/policy/abort", Some("number=7")),
-            Ok(AdminCall::Abort(7))
-        );
-        assert_eq!(
-            read("POST", "/policy/abort", Some("number=-7")),
-            Err(CallError::Number)
-        );
-        assert_eq!(
-            read("GET", "/fleet/leave", None),
-            Err(CallError::Method("POST"))
-        );
-        assert_eq!(read("GET", "/drain", None), Err(CallError::Method("POST")));
-        assert_eq!(read("POST", "/ready", None), Err(CallError::Method("GET")));
-        assert_eq!(read("GET", "/servers", None), Err(CallError::Path));
-    }
-
-    #[test]
-    fn a_server_is_named_once_and_in_reason() {
-        let long = format!("id={}", "x".repeat(ID_BYTES + 1));
-        for query in [
-            None,
-            Some(""),
-            Some("id="),
-            Some("ID=s-1"),
-            Some("id=a&id=b"),
-            Some(&*long),
-        ] {
-            assert_eq!(
-                AdminCall::read("POST", "/servers/disable", query),
-                Err(CallError::Id),
-                "{query:?}"
-            );
-        }
-    }
+fn proposal_number(query: Option<&str>) -> Result<u64, CallError> {
+    single_parameter(query, "number")
+        .and_then(|number| number.parse().ok())
+        .ok_or(CallError::Number)
 }
--- a/crates/admin/src/metrics.rs
+++ b/crates/admin/src/metrics.rs
@@ -1,84 +1,94 @@
-//! The figures, in the form of statsd lines: `NAME:VALUE|c` for what only grows, `|g` for what stands now.
+//! The metrics in statsd's text form: `NAME:VALUE|c` for counters, `NAME:VALUE|g` for gauges.
+
+#[cfg(test)]
+mod tests;
 
 use std::fmt::Write;
 
+/// Counters of one request class.
 #[derive(Debug, Default)]
 pub struct ClassMetrics {
+    /// The class's name.
     pub name: String,
+    /// Requests served.
     pub success: u64,
+    /// Requests rejected.
     pub busy: u64,
+    /// Requests failed.
     pub failure: u64,
+    /// Attempts sent to servers.
     pub backend_calls: u64,
 }
 
+/// All metrics at one moment.
 #[derive(Debug, Default)]
 pub struct Metrics {
+    /// Counters by request class.
     pub classes: Vec<ClassMetrics>,
+    /// Requests in flight.
     pub inflight: usize,
+    /// Servers in the endpoint list.
     pub hosts_listed: usize,
+    /// Listed servers that get no requests, or hardly any.
     pub hosts_down: usize,
+    /// Configurations applied.
     pub reconfig_ok: u64,
+    /// Configurations rejected.
     pub reconfig_failed: u64,
-    /// Rules that were found broken, by name.
+    /// Violations found, by the rule's name.
     pub violations: Vec<(&'static str, u64)>,
 }
 
+/// The kind of a metric, as statsd marks it.
+#[derive(Clone, Copy)]
+enum Kind {
+    Counter,
+    Gauge,
+}
+
 impl Metrics {
-    pub fn text(&self) -> String {
+    /// A line for each metric.
+    pub fn to_statsd(&self) -> String {
         let mut text = String::new();
-        let mut line = |name: &str, value: u64, kind: char| {
-            let _ = writeln!(text, "svc.{name}:{value}|{kind}");
-        };
-        for c in &self.classes {
-            for (figure, value) in [
-                ("success", c.success),
-                ("busy", c.busy),
-                ("failure", c.failure),
-            ] {
-                line(&format!("{figure}.{}", c.name), value, 'c');
+        for class in &self.classes {
+            let outcomes = [
+                ("success", class.success),
+                ("busy", class.busy),
+                ("failure", class.failure),
+                ("backend_calls", class.backend_calls),
+            ];
+            for (outcome, value) in outcomes {
+                let name = format!("{outcome}.{}", class.name);
+                write_line(&mut text, &name, value, Kind::Counter);
             }
-            line(&format!("backend_calls.{}", c.name), c.backend_calls, 'c');
         }
-        line("reconfig_ok", self.reconfig_ok, 'c');
-        line("reconfig_failed", self.reconfig_failed, 'c');
+        write_line(&mut text, "reconfig_ok", self.reconfig_ok, Kind::Counter);
+        write_line(
+            &mut text,
+            "reconfig_failed",
+            self.reconfig_failed,
+            Kind::Counter,
+        );
         for (rule, count) in &self.violations {
-            line(&format!("rule_violations.{rule}"), *count, 'c');
+            let name = format!("rule_violations.{rule}");
+            write_line(&mut text, &name, *count, Kind::Counter);
         }
-        line("inflight", self.inflight as u64, 'g');
-        line("hosts_listed", self.hosts_listed as u64, 'g');
-        line("hosts_down", self.hosts_down as u64, 'g');
+        write_line(&mut text, "inflight", self.inflight as u64, Kind::Gauge);
+        write_line(
+            &mut text,
+            "hosts_listed",
+            self.hosts_listed as u64,
+            Kind::Gauge,
+        );
+        write_line(&mut text, "hosts_down", self.hosts_down as u64, Kind::Gauge);
         text
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn each_figure_has_a_line() {
-        let class = ClassMetrics {
-            name: "top-up".into(),
-            success: 812,
-            busy: 3,
-            failure: 1,
-            backend_calls: 820,
-        };
-        let figures = Metrics {
-            classes: vec![class],
-            inflight: 14,
-            hosts_listed: 10,
-            ..Metrics::default()
-        };
-        let text = figures.text();
-        let lines: Vec<&str> = text.lines().collect();
-        for line in [
-            "svc.success.top-up:812|c",
-            "svc.backend_calls.top-up:820|c",
-            "svc.inflight:14|g",
-        ] {
-            assert!(lines.contains(&line), "{line} in {text}");
-        }
-        assert_eq!(lines.len(), 9);
-    }
+fn write_line(text: &mut String, name: &str, value: u64, kind: Kind) {
+    let mark = match kind {
+        Kind::Counter => 'c',
+        Kind::Gauge => 'g',
+    };
+    let _ = writeln!(text, "svc.{name}:{value}|{mark}");
 }
--- a/crates/frosthatch/src/admin.rs
+++ b/crates/frosthatch/src/admin.rs
@@ -68,7 +68,7 @@
         self.http_server.ready()
     }
 
-    fn figures(&self) -> Metrics {
+    fn metrics(&self) -> Metrics {
         let classes = self.engine.counters().classes.iter();
         let classes = classes.map(|class| ClassMetrics {
             name: class.name.clone(),
--- a/crates/frosthatch/src/commands/admin_client.rs
+++ b/crates/frosthatch/src/commands/admin_client.rs
@@ -3,6 +3,7 @@
 use crate::membership::FleetStatus;
 use crate::platform_config::PlatformConfig;
 use crate::policy::PolicyStatus;
+use frosthatch_admin::AdminResponse;
 use frosthatch_config_reader::joined;
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
@@ -35,13 +36,15 @@
     /// # Errors
     /// The call failed or got another status.
     pub(super) fn call(&self, method: &str, path: &str) -> Result<String, String> {
-        match self.send(method, path, "")? {
-            (200, body) => Ok(body),
-            (_, body) => Err(self.error(body.trim())),
+        let response = self.send(method, path, "")?;
+        if response.status == 200 {
+            Ok(response.body)
+        } else {
+            Err(self.error(response.body.trim()))
         }
     }
 
-    /// Status and body of an answer.
+    /// The answer, whatever its status is.
     ///
     /// # Errors
     /// There was no answer.
@@ -50,8 +53,9 @@
         method: &str,
         path: &str,
         body: &str,
-    ) -> Result<(u16, String), String> {
-        frosthatch_admin::ask(self.address, CALL_TIMEOUT, method, path, body)
+    ) -> Result<AdminResponse, String> {
+        frosthatch_admin::call(self.address, CALL_TIMEOUT, method, path, body)
+            .map_err(|error| error.to_string())
     }
 
     /// An error that names the API's address.
--- a/crates/frosthatch/src/commands/policy.rs
+++ b/crates/frosthatch/src/commands/policy.rs
@@ -202,8 +202,9 @@
     let text = read_text(file).map_err(not_sent)?;
     client.policy_status().map_err(not_sent)?;
     // Without an answer the document may have been read.
-    let (status, body) = client.send("POST", "/policy", &text).map_err(unknown)?;
-    match status {
+    let response = client.send("POST", "/policy", &text).map_err(unknown)?;
+    let body = response.body;
+    match response.status {
         202 => {
             let answer: Option<serde_json::Value> = serde_json::from_str(&body).ok();
             let number = answer.and_then(|answer| answer["number"].as_u64());
--- a/crates/frosthatch/src/gateway/budget.rs
+++ b/crates/frosthatch/src/gateway/budget.rs
@@ -49,7 +49,9 @@
 fn other_sockets(platform: &PlatformConfig, operator: &OperatorConfig) -> usize {
     let dns_sd = operator.dns_sd.as_ref();
     let dns_sd_sockets = dns_sd.map_or(0, |config| config.sockets());
-    let admin_sockets = platform.admin.map_or(0, |_| frosthatch_admin::PLACES + 1);
+    let admin_sockets = platform
+        .admin
+        .map_or(0, |_| frosthatch_admin::MAX_CONNECTIONS + 1);
     let diameter = operator.diameter.as_ref();
     let diameter_sockets = diameter.map_or(0, |config| diameter::max_clients(config, platform) + 1);
     RESERVED_SOCKETS + dns_sd_sockets + admin_sockets + diameter_sockets
--- a/crates/lab/src/rig/stage.rs
+++ b/crates/lab/src/rig/stage.rs
@@ -60,7 +60,8 @@
 
 /// Status and body of a console's answer; none: it says nothing.
 pub fn call(console: SocketAddr, method: &str, path: &str, body: &str) -> Option<(u16, String)> {
-    frosthatch_admin::ask(console, PATIENCE, method, path, body).ok()
+    let response = frosthatch_admin::call(console, PATIENCE, method, path, body).ok()?;
+    Some((response.status, response.body))
 }
 
 /// The operator's file of one process: the others reach it through the relay. `more`: lines of the table.
