--- /dev/null
+++ b/crates/http1/src/backend/attempt.rs
@@ -0,0 +1,226 @@
+//! One attempt at a server: connects, writes the request and reads the response.
+
+use super::connect::{AcquiredConnection, ConnectFailure};
+use super::forwarded_request::ForwardedRequest;
+use super::pooled_connection::PooledConnection;
+use super::response_stream::ResponseStream;
+use super::upstream::{Route, Upstream};
+use crate::conn::{Conn, Sending, ServerResponse, WriteProgress};
+use crate::limits::MAX_BODY_BYTES;
+use crate::staleness::StalenessEstimator;
+use frosthatch_engine::{AttemptPermit, AttemptResult, ForwardedDeadline, WriteDenied};
+use frosthatch_traffic_control::{CompletionStatus, ServerId};
+use std::any::Any;
+use std::cell::Cell;
+use std::io;
+use std::time::Duration;
+use tokio::time::{timeout_at, Instant};
+use tracing::debug;
+
+/// What came of writing a request and waiting for its response.
+struct Exchange {
+    reply: ServerReply,
+    written_bytes: usize,
+    is_request_written: bool,
+    /// Why the rest of the request was not written.
+    write_denied: Option<WriteDenied>,
+    duration: Duration,
+}
+
+enum ServerReply {
+    Received(ServerResponse),
+    ConnectionFailed,
+    TimedOut,
+}
+
+impl Upstream {
+    /// Makes one attempt. It ends by `deadline`, but for the part of a long response that is streamed afterwards.
+    pub async fn attempt(
+        &self,
+        server: &ServerId,
+        request: &ForwardedRequest,
+        deadline: Instant,
+        permit: &AttemptPermit,
+    ) -> AttemptResult {
+        let Some(route) = self.route(server) else {
+            return AttemptResult::without_answer(CompletionStatus::NoConnection);
+        };
+        let acquired = match self.connect(server, &route, deadline, permit).await {
+            Ok(acquired) => acquired,
+            Err(status) => return AttemptResult::without_answer(status),
+        };
+        let AcquiredConnection {
+            connection,
+            idle_time,
+        } = acquired;
+        let exchange = self
+            .exchange(server, &route, &connection.conn, request, deadline, permit)
+            .await;
+        if let Some(reason) = exchange.write_denied {
+            log_withheld(server, reason, exchange.written_bytes);
+            let is_unused = exchange.written_bytes == 0;
+            if reason != WriteDenied::ToldTimeStale && is_unused {
+                self.put_back(server, route.address, connection);
+            }
+            return AttemptResult::without_answer(withheld_status(reason));
+        }
+        if let Some(idle_time) = idle_time {
+            let is_failed = matches!(exchange.reply, ServerReply::ConnectionFailed);
+            if is_failed && exchange.written_bytes == 0 {
+                // The server closed the idle connection at this very moment.
+                return AttemptResult::without_answer(CompletionStatus::NotSent);
+            }
+            let is_lost = is_failed && exchange.duration < StalenessEstimator::STALE_RESET_WINDOW;
+            self.staleness.borrow_mut().record_use(idle_time, is_lost);
+        }
+        match exchange.reply {
+            ServerReply::Received(response) => {
+                self.response_result(server, &route, connection, response)
+            }
+            // An incomplete request is never executed. A complete one may have been, or may be yet.
+            _ if !exchange.is_request_written => {
+                AttemptResult::without_answer(CompletionStatus::NoConnection)
+            }
+            ServerReply::ConnectionFailed => {
+                AttemptResult::without_answer(CompletionStatus::ConnectionLost)
+            }
+            ServerReply::TimedOut => AttemptResult::without_answer(CompletionStatus::NoAnswer),
+        }
+    }
+
+    /// Gets a connection by `deadline`, or the status with which the attempt ends. That this machine could not connect
+    /// does not count against the server.
+    async fn connect(
+        &self,
+        server: &ServerId,
+        route: &Route,
+        deadline: Instant,
+        permit: &AttemptPermit,
+    ) -> Result<AcquiredConnection, CompletionStatus> {
+        let is_short_of_resources = Cell::new(false);
+        let acquiring =
+            self.acquire_connection(server, route.address, permit, &is_short_of_resources);
+        match timeout_at(deadline, acquiring).await {
+            Ok(Ok(acquired)) => Ok(acquired),
+            Ok(Err(ConnectFailure::Withheld(reason))) => {
+                log_withheld(server, reason, 0);
+                Err(CompletionStatus::NotSent)
+            }
+            Err(_) if is_short_of_resources.get() => Err(CompletionStatus::NotSent),
+            Ok(Err(ConnectFailure::Unreachable)) | Err(_) => Err(CompletionStatus::NoConnection),
+        }
+    }
+
+    /// Writes the request and reads its response, or the beginning of a long one.
+    async fn exchange(
+        &self,
+        server: &ServerId,
+        route: &Route,
+        conn: &Conn,
+        request: &ForwardedRequest,
+        deadline: Instant,
+        permit: &AttemptPermit,
+    ) -> Exchange {
+        let has_long_body = request.body.len() > MAX_BODY_BYTES;
+        let forwarded_deadline = ForwardedDeadline::new(deadline, has_long_body);
+        let head = request.head_with_deadline(&forwarded_deadline);
+        let written = Cell::new(0);
+        let write_denied = Cell::new(None);
+        let check_write = |progress| {
+            let allowed = match progress {
+                // While it connected, the server may have begun to drain or moved.
+                WriteProgress::NotBegun if !self.still_routes_to(server, route) => {
+                    Err(WriteDenied::ServerNotReady)
+                }
+                WriteProgress::NotBegun => permit.check(),
+                WriteProgress::Begun => permit.check().and_then(|()| forwarded_deadline.check()),
+            };
+            write_denied.set(allowed.err());
+            allowed
+        };
+        let record_written = || {
+            permit.written(Some(forwarded_deadline.until()));
+            self.counters.attempted(request.class_index);
+        };
+        let sending = Sending {
+            request: [&head[..], &request.body[..]],
+            written: &written,
+            may: &check_write,
+            whole: &record_written,
+        };
+        let started_at = Instant::now();
+        let response = tokio::select! {
+            response = timeout_at(deadline, conn.ask(sending, MAX_BODY_BYTES)) => response,
+            () = route.removed.notified() => Ok(Err(io::ErrorKind::ConnectionAborted.into())),
+        };
+        let reply = match response {
+            Ok(Ok(response)) => ServerReply::Received(response),
+            Ok(Err(_)) => ServerReply::ConnectionFailed,
+            Err(_) => ServerReply::TimedOut,
+        };
+        Exchange {
+            reply,
+            written_bytes: written.get(),
+            is_request_written: written.get() >= head.len() + request.body.len(),
+            write_denied: write_denied.get(),
+            duration: started_at.elapsed(),
+        }
+    }
+
+    fn still_routes_to(&self, server: &ServerId, route: &Route) -> bool {
+        self.route(server)
+            .is_some_and(|current| current.address == route.address)
+    }
+
+    /// The result of an attempt with a response; its connection goes back to the pool, or with what remains to be read.
+    fn response_result(
+        &self,
+        server: &ServerId,
+        route: &Route,
+        connection: PooledConnection,
+        response: ServerResponse,
+    ) -> AttemptResult {
+        let status = completion_status(&response);
+        let is_reusable = response.reusable;
+        let mut stream = None;
+        if let Some(rest) = response.rest {
+            stream = Some(Box::new(ResponseStream {
+                rest,
+                connection,
+                server: server.clone(),
+                address: route.address,
+                is_reusable,
+            }) as Box<dyn Any>);
+        } else if is_reusable {
+            self.put_back(server, route.address, connection);
+        }
+        AttemptResult {
+            status,
+            body: response.body,
+            rest: stream,
+            metered_use: response.metered_use,
+            load_report: response.load_report,
+        }
+    }
+}
+
+fn log_withheld(server: &ServerId, reason: WriteDenied, written_bytes: usize) {
+    debug!(server = %server.0, %reason, written = written_bytes, "attempt.withheld");
+}
+
+/// How an attempt ends whose request was not written to its end.
+fn withheld_status(reason: WriteDenied) -> CompletionStatus {
+    match reason {
+        // The server does not read what is written to it.
+        WriteDenied::ToldTimeStale => CompletionStatus::NoConnection,
+        _ => CompletionStatus::NotSent,
+    }
+}
+
+fn completion_status(response: &ServerResponse) -> CompletionStatus {
+    match response.status {
+        200 => CompletionStatus::Served,
+        503 | 504 if response.never_ran => CompletionStatus::Rejected,
+        _ => CompletionStatus::ServerError,
+    }
+}
--- a/crates/http1/src/chunked.rs
+++ b/crates/http1/src/chunked.rs
@@ -1,166 +1,157 @@
-//! Bodies in chunks (RFC 9112 section 7.1), taken apart as they come. No I/O.
+//! Decoder of chunked bodies (RFC 9112 section 7.1), fed as they arrive. No I/O.
 
+use crate::error::MessageError;
 use httparse::Status;
 
-/// A chunk's size with its extensions, or the trailer section, is no longer than this.
-const LINE_BYTES: usize = 4 << 10;
-const TRAILER_BYTES: usize = 16 << 10;
-/// What stands around the chunks is no more than this, or four times what is in them.
-const AROUND_BYTES: usize = 256 << 10;
+/// Longest size line, with its extensions.
+const MAX_SIZE_LINE_BYTES: usize = 4 << 10;
+/// Longest line of the trailer section.
+const MAX_TRAILER_LINE_BYTES: usize = 16 << 10;
+/// Bytes around the data of the chunks that are always allowed...
+const MAX_OVERHEAD_BYTES: usize = 256 << 10;
+/// ...and how many times the data they may take where that is more.
+const MAX_OVERHEAD_RATIO: usize = 4;
 
 #[derive(Debug, Default, PartialEq)]
-enum At {
+enum State {
     #[default]
     Size,
-    /// So many bytes of a chunk are still to come, then its end.
-    Data(usize),
+    Data {
+        remaining_bytes: usize,
+    },
     DataEnd,
     Trailer,
     Done,
 }
 
+/// Decodes one chunked body.
 #[derive(Debug, Default)]
-pub struct Chunked {
-    at: At,
-    around: usize,
-    inside: usize,
+pub struct ChunkedDecoder {
+    state: State,
+    overhead_bytes: usize,
+    data_bytes: usize,
 }
 
-/// Why a body is no body.
-#[derive(Debug, PartialEq)]
-pub struct Spoilt(pub &'static str);
-
-impl Chunked {
-    /// Moves what stands in chunks at the start of `from` behind `into`, as far as it has come; whether that was all.
-    /// What belongs to no chunk is left in `from`.
-    pub fn take(&mut self, from: &mut Vec<u8>, into: &mut Vec<u8>) -> Result<bool, Spoilt> {
-        let mut used = 0;
-        let whole = self.walk(from, &mut used, into);
-        from.drain(..used);
-        if self.around > AROUND_BYTES.max(4 * self.inside) {
-            return Err(Spoilt("too much around its chunks"));
+impl ChunkedDecoder {
+    /// Takes what belongs to the body off the start of `input` and appends the data in it to `body`. Returns whether the
+    /// body is complete; what follows it stays in `input`.
+    ///
+    /// # Errors
+    /// The input is not a chunked body, or takes too many bytes around its data.
+    pub fn decode(
+        &mut self,
+        input: &mut Vec<u8>,
+        body: &mut Vec<u8>,
+    ) -> Result<bool, MessageError> {
+        let mut used_bytes = 0;
+        let is_complete = self.decode_available(input, &mut used_bytes, body);
+        input.drain(..used_bytes);
+        if self.overhead_bytes > MAX_OVERHEAD_BYTES.max(MAX_OVERHEAD_RATIO * self.data_bytes) {
+            return Err(MessageError::ChunkOverhead);
         }
-        whole
+        is_complete
     }
 
-    fn walk(&mut self, from: &[u8], used: &mut usize, into: &mut Vec<u8>) -> Result<bool, Spoilt> {
+    fn decode_available(
+        &mut self,
+        input: &[u8],
+        used_bytes: &mut usize,
+        body: &mut Vec<u8>,
+    ) -> Result<bool, MessageError> {
         loop {
-            let rest = &from[*used..];
-            match self.at {
-                At::Size => match httparse::parse_chunk_size(rest)
-                    .map_err(|_| Spoilt("a chunk's size"))?
-                {
-                    Status::Complete((line, size)) => {
-                        (*used, self.around) = (*used + line, self.around + line);
-                        let size = usize::try_from(size).map_err(|_| Spoilt("a chunk's size"))?;
-                        self.at = if size == 0 {
-                            At::Trailer
-                        } else {
-                            At::Data(size)
-                        };
-                    }
-                    Status::Partial if rest.len() > LINE_BYTES => {
-                        return Err(Spoilt("a chunk's size"))
-                    }
-                    Status::Partial => return Ok(false),
-                },
-                At::Data(left) => {
-                    let n = left.min(rest.len());
-                    into.extend_from_slice(&rest[..n]);
-                    (*used, self.inside) = (*used + n, self.inside + n);
-                    self.at = if n == left {
-                        At::DataEnd
-                    } else {
-                        At::Data(left - n)
-                    };
-                    if n < left {
-                        return Ok(false);
-                    }
-                }
-                At::DataEnd => {
-                    if rest.len() < 2 {
-                        return Ok(false);
-                    }
-                    if &rest[..2] != b"\r\n" {
-                        return Err(Spoilt("a chunk's end"));
-                    }
-                    (*used, self.around, self.at) = (*used + 2, self.around + 2, At::Size);
-                }
-                // Fields that come behind are nobody's here; they end with an empty line.
-                At::Trailer => match rest.windows(2).position(|w| w == b"\r\n") {
-                    Some(end) => {
-                        let line = &rest[..end];
-                        let field = line.is_empty()
-                            || line
-                                .iter()
-                                .position(|&b| b == b':')
-                                .is_some_and(|at| at > 0);
-                        if !field || line.contains(&b'\n') {
-                            return Err(Spoilt("its trailer"));
-                        }
-                        self.around += end + 2;
-                        *used += end + 2;
-                        if line.is_empty() {
-                            self.at = At::Done;
-                        }
-                    }
-                    None if rest.len() > TRAILER_BYTES => return Err(Spoilt("its trailer")),
-                    None => return Ok(false),
-                },
-                At::Done => return Ok(true),
-            }
+            let rest = &input[*used_bytes..];
+            let consumed_bytes = match self.state {
+                State::Size => self.decode_size(rest)?,
+                State::Data { remaining_bytes } => self.decode_data(rest, remaining_bytes, body),
+                State::DataEnd => self.decode_data_end(rest)?,
+                State::Trailer => self.decode_trailer_line(rest)?,
+                State::Done => return Ok(true),
+            };
+            let Some(consumed_bytes) = consumed_bytes else {
+                return Ok(false);
+            };
+            *used_bytes += consumed_bytes;
         }
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+    /// Like the other steps, returns how many bytes it consumed; none if more are needed.
+    fn decode_size(&mut self, rest: &[u8]) -> Result<Option<usize>, MessageError> {
+        let parsed = httparse::parse_chunk_size(rest).map_err(|_| MessageError::ChunkSize)?;
+        let Status::Complete((line_bytes, size)) = parsed else {
+            if rest.len() > MAX_SIZE_LINE_BYTES {
+                return Err(MessageError::ChunkSize);
+            }
+            return Ok(None);
+        };
+        self.overhead_bytes += line_bytes;
+        let size = usize::try_from(size).map_err(|_| MessageError::ChunkSize)?;
+        self.state = if size == 0 {
+            State::Trailer
+        } else {
+            State::Data {
+                remaining_bytes: size,
+            }
+        };
+        Ok(Some(line_bytes))
+    }
 
-    fn all(text: &[u8], step: usize) -> Result<(Vec<u8>, Vec<u8>, bool), Spoilt> {
-        let (mut chunked, mut from, mut into, mut whole) =
-            (Chunked::default(), Vec::new(), Vec::new(), false);
-        for part in text.chunks(step) {
-            from.extend_from_slice(part);
-            whole = chunked.take(&mut from, &mut into)?;
+    fn decode_data(
+        &mut self,
+        rest: &[u8],
+        remaining_bytes: usize,
+        body: &mut Vec<u8>,
+    ) -> Option<usize> {
+        if rest.is_empty() {
+            return None;
         }
-        Ok((into, from, whole))
+        let taken_bytes = remaining_bytes.min(rest.len());
+        body.extend_from_slice(&rest[..taken_bytes]);
+        self.data_bytes += taken_bytes;
+        self.state = if taken_bytes == remaining_bytes {
+            State::DataEnd
+        } else {
+            State::Data {
+                remaining_bytes: remaining_bytes - taken_bytes,
+            }
+        };
+        Some(taken_bytes)
     }
 
-    #[test]
-    fn chunks_extensions_and_trailers_are_taken_apart_however_they_are_cut() {
-        let text = b"4;a=b\r\nabcd\r\n0A\r\n0123456789\r\n0\r\nX-Sum: 1\r\nY:\r\n\r\nGET";
-        for step in 1..text.len() {
-            let (body, behind, whole) = all(text, step).expect("in order");
-            assert_eq!(
-                (&body[..], &behind[..], whole),
-                (&b"abcd0123456789"[..], &b"GET"[..], true),
-                "{step}"
-            );
+    fn decode_data_end(&mut self, rest: &[u8]) -> Result<Option<usize>, MessageError> {
+        if rest.len() < 2 {
+            return Ok(None);
+        }
+        if &rest[..2] != b"\r\n" {
+            return Err(MessageError::ChunkEnd);
         }
-        assert!(!all(b"4\r\nabcd\r\n", 3).expect("in order").2);
+        self.overhead_bytes += 2;
+        self.state = State::Size;
+        Ok(Some(2))
     }
 
-    #[test]
-    fn what_is_no_chunk_is_told() {
-        let long = [b"1;".to_vec(), vec![b'x'; LINE_BYTES + 10]].concat();
-        for text in [
-            &b"x\r\n"[..],
-            b"4\r\nabcdX\r\n",
-            b"-1\r\n",
-            b"0\r\nno field\r\n\r\n",
-            b"fffffffffffffffff\r\n",
-            &long,
-        ] {
-            assert!(all(text, 7).is_err(), "{:?}", String::from_utf8_lossy(text));
+    /// Checks and discards one field of the trailer section, or the empty line that ends it.
+    fn decode_trailer_line(&mut self, rest: &[u8]) -> Result<Option<usize>, MessageError> {
+        let Some(line_end) = rest.windows(2).position(|pair| pair == b"\r\n") else {
+            if rest.len() > MAX_TRAILER_LINE_BYTES {
+                return Err(MessageError::Trailer);
+            }
+            return Ok(None);
+        };
+        let line = &rest[..line_end];
+        let is_field = line
+            .iter()
+            .position(|&byte| byte == b':')
+            .is_some_and(|colon| colon > 0);
+        if !(line.is_empty() || is_field) || line.contains(&b'\n') {
+            return Err(MessageError::Trailer);
         }
-        let dust: Vec<u8> = std::iter::repeat_n(&b"1;abcdefghijklmnopqrstuvw\r\nx\r\n"[..], 20_000)
-            .flatten()
-            .copied()
-            .collect();
-        assert_eq!(
-            all(&dust, 4_096).map(|_| ()),
-            Err(Spoilt("too much around its chunks"))
-        );
+        self.overhead_bytes += line_end + 2;
+        if line.is_empty() {
+            self.state = State::Done;
+        }
+        Ok(Some(line_end + 2))
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/http1/src/conn.rs
+++ b/crates/http1/src/conn.rs
@@ -1,355 +1,196 @@
-//! One connection of our own making, and the answers that come over it. Nothing that a server sends is believed before
-//! it fits: an answer is whole, or it may have run and brought nothing.
+//! One connection to a server, with one request at a time. A response that does not fit its own framing is an error, and
+//! its request may then have been executed all the same.
 
-use crate::chunked::{Chunked, Spoilt};
-use crate::message::{
-    content_length, fill, header, peek, read_more, says_close, write_while, BODY_BYTES, BULK_BYTES,
-    CHUNK, HEADERS, HEAD_BYTES,
-};
-use bytes::Bytes;
+mod body;
+mod response;
+
+pub use body::RemainingBody;
+pub use response::ServerResponse;
+
+use crate::error::MessageError;
+use crate::limits::{MAX_BODY_BYTES, MAX_HEAD_BYTES, MAX_LONG_BODY_BYTES};
+use crate::socket_io::{peek, read_bulk, read_some, write_all_checked, READ_CHUNK_BYTES};
+use body::ResponseFraming;
 use frosthatch_engine::WriteDenied;
 use frosthatch_sockets::{connect, ConnectError};
-use frosthatch_traffic_control::LoadMetric;
-use httparse::{Status as Parsed, EMPTY_HEADER};
+use response::{parse_response_head, ResponseHead};
 use std::cell::Cell;
 use std::io;
 use std::net::SocketAddr;
-use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
-use std::sync::Arc;
 use tokio::net::TcpStream;
 
-/// Interim answers ahead of the final one at most.
-const INTERIM: usize = 16;
-
-const LOAD: &str = "endpoint-load-metrics";
-const USED: &str = "x-ratelimit-used";
-const NEVER_RAN: &str = "x-never-ran";
-
-/// A whole answer.
-#[derive(Default)]
-pub struct Answer {
-    pub status: u16,
-    pub body: Bytes,
-    pub never_ran: bool,
-    pub metered_use: Option<f64>,
-    pub report: Vec<(LoadMetric, f64)>,
-    /// Nothing stands behind it, and its connection stays open.
-    pub reusable: bool,
-    /// More of it comes.
-    pub rest: Option<Unread>,
-}
-
-enum Head {
-    Interim,
-    Final(Answer, Framing),
-}
-
-enum Framing {
-    Length(usize),
-    Chunked(Chunked),
-    /// It ends with its connection (RFC 9112 section 6.3).
-    UntilClose,
-}
-
-fn spoilt(what: &'static str) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, what)
-}
-
-/// What long requests may be kept in: each takes of what all share, and gives it back when it is dropped.
-pub struct Room {
-    shared: Arc<AtomicUsize>,
-    taken: usize,
-}
-
-impl Room {
-    pub fn new(shared: Arc<AtomicUsize>) -> Self {
-        Room { shared, taken: 0 }
-    }
-
-    /// Whether there is room for so much in all; it is taken from then on.
-    pub fn holds(&mut self, length: usize) -> bool {
-        let more = length.saturating_sub(self.taken);
-        let held = self
-            .shared
-            .fetch_update(Relaxed, Relaxed, |left| left.checked_sub(more))
-            .is_ok();
-        self.taken += if held { more } else { 0 };
-        held
-    }
-}
-
-impl Drop for Room {
-    fn drop(&mut self) {
-        self.shared.fetch_add(self.taken, Relaxed);
-    }
-}
-
-/// What of a long answer has not been read yet.
-pub struct Unread {
-    framing: Framing,
-    /// Read, and not yet taken apart.
-    buffer: Vec<u8>,
-    /// Of its body, so far.
-    seen: usize,
-}
-
-impl Unread {
-    /// How long the whole body is, where its head tells.
-    pub fn length(&self) -> Option<usize> {
-        match self.framing {
-            Framing::Length(length) => Some(length),
-            _ => None,
-        }
-    }
-
-    /// Moves what has come behind `into`; whether that was all of the body.
-    fn take(&mut self, into: &mut Vec<u8>, ended: bool) -> io::Result<bool> {
-        let before = into.len();
-        let whole = match &mut self.framing {
-            Framing::Length(length) => {
-                let left = *length - self.seen;
-                if self.buffer.len() >= left {
-                    let behind = self.buffer.split_off(left);
-                    into.append(&mut self.buffer);
-                    self.buffer = behind;
-                    // Guards against a length that is too short: what belongs to the body would stand behind it. Only
-                    // the beginning of another answer is known to be no part of this one.
-                    if !begins_answer(&self.buffer) {
-                        return Err(spoilt("longer than it says"));
-                    }
-                    true
-                } else {
-                    into.append(&mut self.buffer);
-                    false
-                }
-            }
-            Framing::Chunked(chunked) => chunked
-                .take(&mut self.buffer, into)
-                .map_err(|Spoilt(what)| spoilt(what))?,
-            Framing::UntilClose => {
-                into.append(&mut self.buffer);
-                ended
-            }
-        };
-        self.seen += into.len() - before;
-        if self.seen > BULK_BYTES {
-            return Err(spoilt("too long"));
-        }
-        if ended && !whole {
-            return Err(io::ErrorKind::UnexpectedEof.into());
-        }
-        Ok(whole)
-    }
-}
+/// Most interim responses ahead of the final one.
+const MAX_INTERIM_RESPONSES: usize = 16;
 
 /// How far a request has been written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Progress {
+pub enum WriteProgress {
+    /// None of its bytes have left.
     NotBegun,
+    /// Some of its bytes have left.
     Begun,
 }
 
-/// A request on its way.
+/// A request to be written.
 pub struct Sending<'a> {
     /// Head and body.
     pub request: [&'a [u8]; 2],
-    /// How much has left, whatever happens.
+    /// Number of bytes that have left; while a long body is being written, only those of the head.
     pub written: &'a Cell<usize>,
-    /// Asked at the last moment before each write; told whether anything has left before.
-    pub may: &'a dyn Fn(Progress) -> Result<(), WriteDenied>,
-    /// Called once all of it has left.
+    /// Whether the next bytes may be written; called immediately before each write.
+    pub may: &'a dyn Fn(WriteProgress) -> Result<(), WriteDenied>,
+    /// Called once all bytes have left.
     pub whole: &'a dyn Fn(),
 }
 
-/// One connection of our own making.
+/// A connection to a server. It closes when it is dropped.
 pub struct Conn {
     stream: TcpStream,
 }
 
 impl Conn {
+    /// Connects to `address`, without a time limit.
+    ///
+    /// # Errors
+    /// The server cannot be reached, or this machine cannot connect.
     pub async fn open(address: SocketAddr) -> Result<Conn, ConnectError> {
-        Ok(Conn {
-            stream: connect(address).await?,
-        })
+        let stream = connect(address).await?;
+        Ok(Conn { stream })
     }
 
-    /// Whether another request may go over it: it is open and nothing has come that nobody asked for.
+    /// Whether another request may be sent: the connection is open, and no unsolicited bytes have arrived.
     pub fn quiet(&self) -> bool {
         peek(&self.stream).is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Writes all of a request, unless it may not begin or the server speaks before it is whole: then it never was.
-    async fn send(&self, sending: &Sending<'_>) -> io::Result<()> {
-        let ([head, body], written) = (sending.request, sending.written);
-        let check = || {
-            let progress = if written.get() == 0 {
-                Progress::NotBegun
-            } else {
-                Progress::Begun
-            };
-            (sending.may)(progress).map_err(io::Error::other)?;
-            // Guards against an answer to a request before, which would be taken for this one's: nothing that comes ahead of
-            // a request's last byte answers it.
-            if self.quiet() {
-                Ok(())
-            } else {
-                Err(spoilt("ahead of its request"))
-            }
-        };
-        if body.len() <= BODY_BYTES {
-            return write_while(&self.stream, &[head, body].concat(), written, check).await;
-        }
-        write_while(&self.stream, head, written, check).await?;
-        let beyond = Cell::new(0);
-        let done = write_while(&self.stream, body, &beyond, check).await;
-        written.set(head.len() + beyond.get());
-        done
-    }
-
-    /// Sends a request and reads its answer: whole, or, where its body is longer than `most`, its beginning.
-    pub async fn ask(&self, sending: Sending<'_>, most: usize) -> io::Result<Answer> {
+    /// Sends a request and reads its response: all of it, or only the beginning of a body longer than `max_body_bytes`.
+    ///
+    /// # Errors
+    /// The request may not be written, the connection fails, or the response is malformed.
+    pub async fn ask(
+        &self,
+        sending: Sending<'_>,
+        max_body_bytes: usize,
+    ) -> io::Result<ServerResponse> {
         self.send(&sending).await?;
         (sending.whole)();
         let mut buffer = Vec::new();
-        let (mut answer, framing) = self.head(&mut buffer).await?;
-        if matches!(framing, Framing::Length(length) if length > BULK_BYTES) {
-            return Err(spoilt("too long"));
+        let (response, framing) = self.read_final_head(&mut buffer).await?;
+        if matches!(framing, ResponseFraming::Length(length) if length > MAX_LONG_BODY_BYTES) {
+            return Err(MessageError::BodyTooLong.into());
+        }
+        let body = RemainingBody::new(framing, buffer);
+        self.read_first_bytes(response, body, max_body_bytes).await
+    }
+
+    /// Reads more of a long body into `part`, in place of what it holds. Returns whether the body is complete.
+    ///
+    /// # Errors
+    /// The connection fails, or the body is malformed.
+    pub async fn read_body_part(
+        &self,
+        rest: &mut RemainingBody,
+        part: &mut Vec<u8>,
+    ) -> io::Result<bool> {
+        part.clear();
+        let at_end = read_bulk(&self.stream, &mut rest.buffer).await? == 0;
+        rest.decode_into(part, at_end)
+    }
+
+    /// Writes all of a request, unless a check denies it or the server sends something before it is complete.
+    async fn send(&self, sending: &Sending<'_>) -> io::Result<()> {
+        let [head, body] = sending.request;
+        let written = sending.written;
+        let check = || self.check_write(sending);
+        if body.len() <= MAX_BODY_BYTES {
+            let request = [head, body].concat();
+            return write_all_checked(&self.stream, &request, written, check).await;
         }
-        let mut unread = Unread {
-            framing,
-            buffer,
-            seen: 0,
+        write_all_checked(&self.stream, head, written, check).await?;
+        let written_of_body = Cell::new(0);
+        let result = write_all_checked(&self.stream, body, &written_of_body, check).await;
+        written.set(head.len() + written_of_body.get());
+        result
+    }
+
+    fn check_write(&self, sending: &Sending<'_>) -> io::Result<()> {
+        let progress = if sending.written.get() == 0 {
+            WriteProgress::NotBegun
+        } else {
+            WriteProgress::Begun
         };
-        let mut body = Vec::with_capacity(unread.length().unwrap_or(0).min(most + CHUNK));
-        let long = unread.length().is_some_and(|length| length > most);
+        (sending.may)(progress).map_err(io::Error::other)?;
+        // Guards against a late response to an earlier request, which would be taken for this one's: no response is due
+        // before the last byte of the request has left.
+        if self.quiet() {
+            Ok(())
+        } else {
+            Err(MessageError::Unsolicited.into())
+        }
+    }
+
+    /// Reads the final head and takes it off the buffer; interim responses ahead of it are skipped.
+    async fn read_final_head(
+        &self,
+        buffer: &mut Vec<u8>,
+    ) -> io::Result<(ServerResponse, ResponseFraming)> {
+        let mut interim_responses = 0;
         loop {
-            if unread.take(&mut body, false)? {
-                answer.reusable &= unread.buffer.is_empty();
-                break;
-            }
-            // The first bytes are enough of one that is known to be long.
-            if body.len() > most || long && !body.is_empty() {
-                answer.rest = Some(unread);
-                break;
+            let Some((head, head_bytes)) = parse_response_head(buffer)? else {
+                if buffer.len() > MAX_HEAD_BYTES {
+                    return Err(MessageError::HeadTooLong.into());
+                }
+                self.read_more(buffer).await?;
+                continue;
+            };
+            if interim_responses > MAX_INTERIM_RESPONSES || head_bytes > MAX_HEAD_BYTES {
+                return Err(MessageError::TooManyHeads.into());
             }
-            if fill(&self.stream, &mut unread.buffer).await? == 0 {
-                unread.take(&mut body, true)?;
-                answer.reusable = false;
-                break;
+            buffer.drain(..head_bytes);
+            match head {
+                ResponseHead::Final(response, framing) => return Ok((response, framing)),
+                ResponseHead::Interim => interim_responses += 1,
             }
         }
-        answer.body = body.into();
-        Ok(answer)
-    }
-
-    /// More of a long answer, in place of what stands in `into`; whether that is the end of it.
-    pub async fn go_on(&self, unread: &mut Unread, into: &mut Vec<u8>) -> io::Result<bool> {
-        into.clear();
-        let ended = fill(&self.stream, &mut unread.buffer).await? == 0;
-        unread.take(into, ended)
     }
 
-    async fn more(&self, buffer: &mut Vec<u8>) -> io::Result<()> {
-        match read_more(&self.stream, buffer).await? {
+    async fn read_more(&self, buffer: &mut Vec<u8>) -> io::Result<()> {
+        match read_some(&self.stream, buffer).await? {
             0 => Err(io::ErrorKind::UnexpectedEof.into()),
             _ => Ok(()),
         }
     }
 
-    /// Takes the final answer's head off the buffer; interim answers ahead of it are skipped.
-    async fn head(&self, buffer: &mut Vec<u8>) -> io::Result<(Answer, Framing)> {
-        let mut interim = 0;
+    /// Reads the body into `response`; of one longer than `max_bytes` only the beginning, with the rest beside it.
+    async fn read_first_bytes(
+        &self,
+        mut response: ServerResponse,
+        mut rest: RemainingBody,
+        max_bytes: usize,
+    ) -> io::Result<ServerResponse> {
+        let declared_length = rest.declared_length();
+        let is_declared_long = declared_length.is_some_and(|length| length > max_bytes);
+        let capacity = declared_length
+            .unwrap_or(0)
+            .min(max_bytes + READ_CHUNK_BYTES);
+        let mut body = Vec::with_capacity(capacity);
         loop {
-            match parse_head(buffer)? {
-                Some((_, end)) if interim > INTERIM || end > HEAD_BYTES => {
-                    return Err(spoilt("no end of heads"))
-                }
-                Some((Head::Final(answer, framing), end)) => {
-                    buffer.drain(..end);
-                    return Ok((answer, framing));
-                }
-                Some((Head::Interim, end)) => {
-                    buffer.drain(..end);
-                    interim += 1;
-                }
-                None if buffer.len() > HEAD_BYTES => return Err(spoilt("a head without end")),
-                None => self.more(buffer).await?,
+            if rest.decode_into(&mut body, false)? {
+                response.reusable &= rest.buffer.is_empty();
+                break;
+            }
+            // Of a body that is declared long the first bytes that arrive are enough.
+            if body.len() > max_bytes || is_declared_long && !body.is_empty() {
+                response.rest = Some(rest);
+                break;
+            }
+            if read_bulk(&self.stream, &mut rest.buffer).await? == 0 {
+                rest.decode_into(&mut body, true)?;
+                response.reusable = false;
+                break;
             }
         }
+        response.body = body.into();
+        Ok(response)
     }
 }
-
-/// Nothing, or the beginning of an answer.
-fn begins_answer(bytes: &[u8]) -> bool {
-    let start = b"HTTP/1.";
-    start.starts_with(bytes) || bytes.starts_with(start)
-}
-
-/// A head and where it ends; none while it is not whole.
-fn parse_head(buffer: &[u8]) -> io::Result<Option<(Head, usize)>> {
-    let mut headers = [EMPTY_HEADER; HEADERS];
-    let mut head = httparse::Response::new(&mut headers);
-    let end = match head.parse(buffer).map_err(|_| spoilt("its head"))? {
-        Parsed::Complete(end) => end,
-        Parsed::Partial => return Ok(None),
-    };
-    let status = head.code.unwrap_or(0);
-    if (100..200).contains(&status) && status != 101 {
-        return Ok(Some((Head::Interim, end)));
-    }
-    let h = &*head.headers;
-    let codings: Vec<&str> = h
-        .iter()
-        .filter(|h| h.name.eq_ignore_ascii_case("transfer-encoding"))
-        .map(|h| std::str::from_utf8(h.value).unwrap_or(""))
-        .collect();
-    let length = content_length(h).map_err(|()| spoilt("its length"))?;
-    let framing = match (length, &codings[..]) {
-        (Some(length), []) => Framing::Length(length),
-        (None, []) if status == 204 || status == 304 => Framing::Length(0),
-        (None, [coding]) if coding.trim().eq_ignore_ascii_case("chunked") => {
-            Framing::Chunked(Chunked::default())
-        }
-        (None, []) if status == 200 => Framing::UntilClose,
-        // Both, or another coding: where it ends cannot be known.
-        _ => return Err(spoilt("its framing")),
-    };
-    let answer = Answer {
-        status,
-        body: Bytes::new(),
-        never_ran: header(h, NEVER_RAN) == Some("1"),
-        metered_use: header(h, USED)
-            .and_then(figure)
-            .map(|percent| percent / 100.0),
-        report: header(h, LOAD).map_or_else(Vec::new, report),
-        reusable: head.version == Some(1)
-            && !says_close(h)
-            && !matches!(framing, Framing::UntilClose),
-        rest: None,
-    };
-    Ok(Some((Head::Final(answer, framing), end)))
-}
-
-fn figure(text: &str) -> Option<f64> {
-    let value: f64 = text.trim().parse().ok()?;
-    (value.is_finite() && value >= 0.0).then_some(value)
-}
-
-/// `TEXT inflight=7, latency_ms=12.5`; what is not a figure of ours is skipped.
-fn report(text: &str) -> Vec<(LoadMetric, f64)> {
-    let one = |part: &str| {
-        let (name, value) = part.split_once('=')?;
-        let load = match name.trim() {
-            "inflight" => LoadMetric::Inflight,
-            "queue" => LoadMetric::Queue,
-            "latency_ms" => LoadMetric::ServiceMs,
-            _ => return None,
-        };
-        Some((load, figure(value)?))
-    };
-    text.strip_prefix("TEXT ")
-        .map_or_else(Vec::new, |t| t.split(',').filter_map(one).collect())
-}
-
-#[cfg(test)]
-mod tests;
--- /dev/null
+++ b/crates/http1/src/conn/response.rs
@@ -0,0 +1,123 @@
+//! A server's response, and the parser of its head.
+
+use super::body::{RemainingBody, ResponseFraming};
+use crate::chunked::ChunkedDecoder;
+use crate::error::MessageError;
+use crate::headers::{announces_close, content_length, find_header};
+use crate::limits::MAX_HEADERS;
+use bytes::Bytes;
+use frosthatch_traffic_control::LoadMetric;
+use httparse::{Header, Status, EMPTY_HEADER};
+
+const LOAD_METRICS_HEADER: &str = "endpoint-load-metrics";
+/// Percentage of a limit that the request has used.
+const METERED_USE_HEADER: &str = "x-ratelimit-used";
+/// Set by a server that guarantees not to have executed the request.
+const NEVER_RAN_HEADER: &str = "x-never-ran";
+
+/// A response, complete but for what `rest` holds.
+#[derive(Default)]
+pub struct ServerResponse {
+    /// Status code.
+    pub status: u16,
+    /// The body, or its first bytes if there is a `rest`.
+    pub body: Bytes,
+    /// The server guarantees that the request was not executed.
+    pub never_ran: bool,
+    /// Fraction of a metered limit that the server reports as used.
+    pub metered_use: Option<f64>,
+    /// The load that the server reports.
+    pub load_report: Vec<(LoadMetric, f64)>,
+    /// The connection stays open, and nothing follows the response on it.
+    pub reusable: bool,
+    /// The part of a long body that has not been read yet.
+    pub rest: Option<RemainingBody>,
+}
+
+/// A parsed head.
+pub(super) enum ResponseHead {
+    /// An interim response (1xx): the final one follows.
+    Interim,
+    /// The final response, still without its body.
+    Final(ServerResponse, ResponseFraming),
+}
+
+/// A parsed head and the number of bytes it takes; none while it is incomplete.
+pub(super) fn parse_response_head(
+    buffer: &[u8],
+) -> Result<Option<(ResponseHead, usize)>, MessageError> {
+    let mut headers = [EMPTY_HEADER; MAX_HEADERS];
+    let mut head = httparse::Response::new(&mut headers);
+    let head_bytes = match head.parse(buffer).map_err(|_| MessageError::Head)? {
+        Status::Complete(head_bytes) => head_bytes,
+        Status::Partial => return Ok(None),
+    };
+    let status = head.code.unwrap_or(0);
+    let is_interim = (100..200).contains(&status) && status != 101;
+    if is_interim {
+        return Ok(Some((ResponseHead::Interim, head_bytes)));
+    }
+    let headers = &*head.headers;
+    let framing = response_framing(status, headers)?;
+    let stays_open = head.version == Some(1)
+        && !announces_close(headers)
+        && !matches!(framing, ResponseFraming::UntilClose);
+    let response = ServerResponse {
+        status,
+        body: Bytes::new(),
+        never_ran: find_header(headers, NEVER_RAN_HEADER) == Some("1"),
+        metered_use: find_header(headers, METERED_USE_HEADER)
+            .and_then(parse_quantity)
+            .map(|percent| percent / 100.0),
+        load_report: find_header(headers, LOAD_METRICS_HEADER)
+            .map_or_else(Vec::new, parse_load_report),
+        reusable: stays_open,
+        rest: None,
+    };
+    Ok(Some((ResponseHead::Final(response, framing), head_bytes)))
+}
+
+fn response_framing(status: u16, headers: &[Header<'_>]) -> Result<ResponseFraming, MessageError> {
+    let codings: Vec<&str> = headers
+        .iter()
+        .filter(|h| h.name.eq_ignore_ascii_case("transfer-encoding"))
+        .map(|h| std::str::from_utf8(h.value).unwrap_or(""))
+        .collect();
+    match (content_length(headers)?, &codings[..]) {
+        (Some(length), []) => Ok(ResponseFraming::Length(length)),
+        (None, []) if status == 204 || status == 304 => Ok(ResponseFraming::Length(0)),
+        (None, [coding]) if coding.trim().eq_ignore_ascii_case("chunked") => {
+            Ok(ResponseFraming::Chunked(ChunkedDecoder::default()))
+        }
+        (None, []) if status == 200 => Ok(ResponseFraming::UntilClose),
+        // With both, or with another coding, the end cannot be known.
+        _ => Err(MessageError::Framing),
+    }
+}
+
+/// A finite number that is not negative.
+fn parse_quantity(text: &str) -> Option<f64> {
+    let value: f64 = text.trim().parse().ok()?;
+    (value.is_finite() && value >= 0.0).then_some(value)
+}
+
+/// Parses `TEXT inflight=7, latency_ms=12.5`; metrics that are unknown or malformed are skipped.
+fn parse_load_report(text: &str) -> Vec<(LoadMetric, f64)> {
+    text.strip_prefix("TEXT ").map_or_else(Vec::new, |metrics| {
+        metrics.split(',').filter_map(parse_load_metric).collect()
+    })
+}
+
+fn parse_load_metric(text: &str) -> Option<(LoadMetric, f64)> {
+    let (name, value) = text.split_once('=')?;
+    let metric = match name.trim() {
+        "inflight" => LoadMetric::Inflight,
+        "queue" => LoadMetric::Queue,
+        "latency_ms" => LoadMetric::ServiceMs,
+        _ => return None,
+    };
+    Some((metric, parse_quantity(value)?))
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,19 +1,15 @@
-//! HTTP/1.1 on both sides: [`server`] reads clients' requests and writes the one answer, [`backend`] makes attempts at
-//! servers over a pool of connections, [`conn`] is one connection of our own making.
-#![expect(
-    clippy::match_bool,
-    clippy::missing_errors_doc,
-    clippy::semicolon_if_nothing_returned,
-    clippy::single_match_else,
-    clippy::too_many_lines,
-    missing_docs
-)]
+//! HTTP/1.1 on both sides: [`server`] reads the requests of clients and writes the one response to each, [`backend`] sends
+//! them to servers over a pool of connections, [`conn`] is one of these connections.
 
 pub mod backend;
+mod body_memory;
 mod chunked;
 pub mod conn;
-mod message;
+mod error;
+mod headers;
+mod limits;
 pub mod server;
+mod socket_io;
 mod staleness;
 
-pub use message::{BODY_BYTES, HEAD_BYTES};
+pub use limits::{MAX_BODY_BYTES as BODY_BYTES, MAX_HEAD_BYTES as HEAD_BYTES};
--- /dev/null
+++ b/crates/http1/src/server/answering.rs
@@ -0,0 +1,164 @@
+//! Gets the response to a request, from the operator's plugins or from the engine.
+
+use super::bad_request::BadRequest;
+use super::client::ClientConnection;
+use super::http_server::HttpServer;
+use super::request::ClientRequest;
+use super::response::Reply;
+use crate::backend::OutgoingRequest;
+use frosthatch_engine::{
+    DuplicateRequest, Engine, IncomingRequest, PluginRequest, PluginVerdict, RequestPlugins,
+    Response,
+};
+use frosthatch_traffic_control::RequestId;
+use std::rc::Rc;
+use tokio::time::Instant;
+
+impl HttpServer {
+    /// The reply to a request, by the operator's plugins if there are any; none if its client goes first.
+    pub(super) async fn reply_to(
+        &self,
+        client: &mut ClientConnection,
+        mut request: ClientRequest,
+    ) -> Result<Option<Reply>, BadRequest> {
+        let Some(plugins) = &self.plugins else {
+            let response = self.submit(client, request).await?;
+            return Ok(response.map(|response| Reply::Response {
+                response,
+                extra_headers: String::new(),
+            }));
+        };
+        let started_at = Instant::now();
+        let mut plugin_request = plugin_request(&**plugins, &mut request, started_at);
+        let mut verdict = None;
+        if let Some(evaluation) = plugins.clone().evaluate_request(&plugin_request) {
+            let Some(evaluated) = client.while_connected(evaluation).await else {
+                return Ok(None);
+            };
+            verdict = Some(evaluated);
+        }
+        let mut extra_headers = String::new();
+        let response = self
+            .apply_verdict(client, request, verdict, started_at, &mut extra_headers)
+            .await?;
+        let Some(response) = response else {
+            return Ok(None);
+        };
+        plugin_request.left = plugin_request.left.saturating_sub(started_at.elapsed());
+        let evaluation =
+            plugins
+                .clone()
+                .evaluate_response(&plugin_request, &response, started_at.elapsed());
+        if let Some(evaluation) = evaluation {
+            extra_headers.push_str(&evaluation.await);
+        }
+        Ok(Some(Reply::Response {
+            response,
+            extra_headers,
+        }))
+    }
+
+    /// Counts a response to a request that the engine never saw.
+    pub(super) fn count_response(&self, class_index: usize, response: &Response) {
+        self.engine.counters().answered(class_index, response);
+    }
+
+    /// Submits a request as the plugins' verdict has it, unless the verdict is a response itself: then nothing has been
+    /// executed.
+    async fn apply_verdict(
+        &self,
+        client: &mut ClientConnection,
+        mut request: ClientRequest,
+        verdict: Option<PluginVerdict>,
+        started_at: Instant,
+        extra_headers: &mut String,
+    ) -> Result<Option<Response>, BadRequest> {
+        let response = match verdict {
+            None => return self.submit(client, request).await,
+            Some(PluginVerdict::Continue {
+                units,
+                lower,
+                within,
+                headers,
+            }) => {
+                request.request.units = request.request.units.max(units.unwrap_or(0.0));
+                request.request.low_priority = lower;
+                if let Some(within) = within {
+                    request.gone_at = request.gone_at.min(started_at + within);
+                }
+                extra_headers.push_str(&headers);
+                return self.submit(client, request).await;
+            }
+            Some(PluginVerdict::Reject { retry_after }) => Response::Rejected { retry_after },
+            Some(PluginVerdict::Fail) => Response::Failed { timed_out: false },
+        };
+        self.count_response(request.forwarded.class_index, &response);
+        Ok(Some(response))
+    }
+
+    /// The engine's response to a request; none if its client goes first.
+    async fn submit(
+        &self,
+        client: &mut ClientConnection,
+        client_request: ClientRequest,
+    ) -> Result<Option<Response>, BadRequest> {
+        // Guards against forwarding what waited here, unread, until its client had gone.
+        if client.has_gone() {
+            return Ok(None);
+        }
+        let id = client_request.request.id;
+        let payload = Box::new(OutgoingRequest {
+            request: Rc::new(client_request.forwarded),
+            upstream: self.upstream.clone(),
+        });
+        let submitted = self.engine.submit(IncomingRequest {
+            request: client_request.request,
+            gone_at: client_request.gone_at,
+            payload,
+        });
+        let responding = submitted.map_err(|DuplicateRequest| BadRequest::Duplicate)?;
+        let mut guard = ClientWaitGuard {
+            engine: &self.engine,
+            waiting_for: Some(id),
+        };
+        let Some(response) = client.while_connected(responding).await else {
+            return Ok(None);
+        };
+        guard.waiting_for = None;
+        Ok(Some(
+            response.unwrap_or(Response::Failed { timed_out: false }),
+        ))
+    }
+}
+
+/// What plugins see of a request: its wanted headers are taken, and its body is copied as far as they want it.
+fn plugin_request(
+    plugins: &dyn RequestPlugins,
+    request: &mut ClientRequest,
+    now: Instant,
+) -> PluginRequest {
+    let wanted_input = plugins.wanted_input();
+    let body = &request.forwarded.body;
+    let shown_body_bytes = wanted_input.1.min(body.len());
+    PluginRequest {
+        request: request.request.clone(),
+        left: request.gone_at.saturating_duration_since(now),
+        repeatable: request.is_safe,
+        headers: std::mem::take(&mut request.plugin_headers),
+        body: body[..shown_body_bytes].to_vec(),
+    }
+}
+
+/// Tells the engine that the client has gone, if it is dropped before the response is there.
+struct ClientWaitGuard<'a> {
+    engine: &'a Rc<Engine>,
+    waiting_for: Option<RequestId>,
+}
+
+impl Drop for ClientWaitGuard<'_> {
+    fn drop(&mut self) {
+        if let Some(id) = self.waiting_for {
+            self.engine.client_gone(id);
+        }
+    }
+}
--- a/crates/http1/src/server/listener.rs
+++ b/crates/http1/src/server/listener.rs
@@ -1,82 +1,84 @@
-//! Accepts connections, holds no more of them than there is room for, and ends each in good order.
+//! Accepts connections, bounds their number, and ends each in good order.
 
-use super::client::Client;
-use super::HttpServer;
-use std::future::{poll_fn, Future};
+use super::client::ClientConnection;
+use super::http_server::HttpServer;
+use super::poll_once::poll_once;
 use std::io;
-use std::net::SocketAddr;
-use std::pin::{pin, Pin};
+use std::pin::pin;
 use std::rc::Rc;
-use std::task::Poll;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::yield_now;
 use tokio::time::{sleep, Instant};
 use tracing::debug;
 
-/// After an accept that failed the next one is tried after this.
-const ACCEPT_RETRY_AFTER: Duration = Duration::from_millis(5);
-/// One in so many of the connections that are held at most may linger like that, beside those that are in use.
-const LINGERING: usize = 16;
+/// A failed accept is retried after this.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
+/// How often it is checked whether a connection may be accepted again, where none can be closed for it.
+const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// One in so many of all connections may linger, beside those in use.
+const LINGERING_FRACTION: usize = 16;
+
+struct Accepted {
+    result: io::Result<TcpStream>,
+    /// No connection was there at once.
+    has_waited: bool,
+}
 
 impl HttpServer {
-    /// Accepts connections for good.
+    /// Accepts connections without end, each served by a task of its own.
     pub async fn accept(self: Rc<Self>, listener: Rc<TcpListener>) {
-        // Since when connections may have waited to be accepted, if they may.
+        // Since when connections may have waited in the backlog, if they may.
         let mut unattended_since = None;
         for number in 0.. {
             while !self.accepting() {
-                self.turned.notified().await;
-            }
-            // Guards against running out of descriptors: those that are idle make room.
-            while self.open() - self.lingering.get()
-                >= self.most.get() - self.most.get() / LINGERING
-            {
-                unattended_since.get_or_insert_with(Instant::now);
-                match self.evict_idle() {
-                    true => yield_now().await,
-                    false => sleep(Duration::from_millis(2)).await,
-                }
+                self.accepting_changed.notified().await;
             }
-            let (accepted, waited) = tokio::select! {
+            self.wait_for_capacity(&mut unattended_since).await;
+            let accepted = tokio::select! {
                 accepted = accept_one(&listener) => accepted,
-                () = self.turned.notified() => continue,
+                () = self.accepting_changed.notified() => continue,
             };
-            if waited {
+            if accepted.has_waited {
                 unattended_since = None;
             }
-            match accepted {
-                Ok((stream, _)) => {
-                    let looked_at = unattended_since.unwrap_or_else(Instant::now);
-                    let server = self.clone();
-                    self.open.set(self.open.get() + 1);
-                    tokio::task::spawn_local(async move {
-                        server
-                            .serve(Client {
-                                stream,
-                                number,
-                                buffer: Vec::new(),
-                                kept: false,
-                                flooded: false,
-                                looked_at,
-                                arrived_at: looked_at,
-                                close_reason: "idle",
-                            })
-                            .await;
-                        server.idle.borrow_mut().remove(&number);
-                        server.open.set(server.open.get() - 1);
-                    });
-                }
-                // Out of descriptors, or the client has left again: the next may do better.
-                Err(_) => {
-                    unattended_since.get_or_insert_with(Instant::now);
-                    sleep(ACCEPT_RETRY_AFTER).await;
-                }
+            if let Ok(stream) = accepted.result {
+                let arrived_since = unattended_since.unwrap_or_else(Instant::now);
+                self.spawn_connection(ClientConnection::new(stream, number, arrived_since));
+            } else {
+                // Out of descriptors, or the client has gone: the next one may succeed.
+                unattended_since.get_or_insert_with(Instant::now);
+                sleep(ACCEPT_RETRY_DELAY).await;
+            }
+        }
+    }
+
+    /// Closes idle connections until another may be accepted. Guards against running out of descriptors.
+    async fn wait_for_capacity(&self, unattended_since: &mut Option<Instant>) {
+        while self.open() - self.lingering_connections.get()
+            >= self.max_connections.get() - self.max_connections.get() / LINGERING_FRACTION
+        {
+            unattended_since.get_or_insert_with(Instant::now);
+            if self.evict_idle() {
+                yield_now().await;
+            } else {
+                sleep(CAPACITY_POLL_INTERVAL).await;
             }
         }
     }
 
-    async fn serve(self: &Rc<Self>, mut client: Client) {
+    fn spawn_connection(self: &Rc<Self>, client: ClientConnection) {
+        let server = self.clone();
+        let number = client.number;
+        self.open_connections.set(self.open() + 1);
+        tokio::task::spawn_local(async move {
+            server.serve(client).await;
+            server.idle.borrow_mut().remove(&number);
+            server.open_connections.set(server.open() - 1);
+        });
+    }
+
+    async fn serve(self: &Rc<Self>, mut client: ClientConnection) {
         let _ = client.stream.set_nodelay(true);
         let number = client.number;
         debug!(connection = number, "connection.accepted");
@@ -88,33 +90,32 @@
             "connection.closed"
         );
         if orderly {
-            let most = self.most.get() / LINGERING;
-            // Where many end at once, or to make room, the last of them do without.
-            if self.lingering.get() < most.max(1) {
-                self.lingering.set(self.lingering.get() + 1);
-                client.end().await;
-                self.lingering.set(self.lingering.get() - 1);
-            } else {
-                client.end_at_once();
-            }
+            self.end_orderly(client).await;
+        }
+    }
+
+    /// Lets the client read the last response. Where many connections end at once the last of them do not wait for that.
+    async fn end_orderly(&self, client: ClientConnection) {
+        let max_lingering = self.max_connections.get() / LINGERING_FRACTION;
+        let lingering = &self.lingering_connections;
+        if lingering.get() < max_lingering.max(1) {
+            lingering.set(lingering.get() + 1);
+            client.linger_and_close().await;
+            lingering.set(lingering.get() - 1);
+        } else {
+            client.close_at_once();
         }
     }
 }
 
-/// Accepts one connection; whether it had to be waited for.
-async fn accept_one(listener: &TcpListener) -> (io::Result<(TcpStream, SocketAddr)>, bool) {
+async fn accept_one(listener: &TcpListener) -> Accepted {
     let mut accepting = pin!(listener.accept());
-    match poll_once(accepting.as_mut()).await {
-        Some(accepted) => (accepted, false),
+    let (result, has_waited) = match poll_once(accepting.as_mut()).await {
+        Some(result) => (result, false),
         None => (accepting.await, true),
+    };
+    Accepted {
+        result: result.map(|(stream, _)| stream),
+        has_waited,
     }
 }
-
-/// What a future has at once, if anything.
-pub(super) async fn poll_once<F: Future + Unpin>(mut future: F) -> Option<F::Output> {
-    poll_fn(|cx| match Pin::new(&mut future).poll(cx) {
-        Poll::Ready(output) => Poll::Ready(Some(output)),
-        Poll::Pending => Poll::Ready(None),
-    })
-    .await
-}
--- a/crates/http1/src/server/relay.rs
+++ b/crates/http1/src/server/relay.rs
@@ -1,11 +1,10 @@
-//! Long answers, passed on to the client as they come.
+//! Relays long responses to the client as they arrive.
 
-use super::client::Client;
-use super::response::answer_head;
-use super::HttpServer;
-use crate::backend::Passing;
-use crate::message::write_all;
-use bytes::Bytes;
+use super::client::ClientConnection;
+use super::http_server::HttpServer;
+use super::response::encode_response_head;
+use crate::backend::ResponseStream;
+use crate::socket_io::write_all;
 use socket2::SockRef;
 use std::any::Any;
 use std::cell::Cell;
@@ -13,72 +12,115 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Either side of a long answer may make the other wait for so long.
+/// Either side of a long response may make the other wait for so long.
 const BODY_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
+/// How the client finds the end of a relayed body.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum RelayFraming {
+    Length(usize),
+    Chunked,
+    UntilClose,
+}
+
+impl RelayFraming {
+    fn header(self) -> String {
+        match self {
+            RelayFraming::Length(length) => format!("Content-Length: {length}\r\n"),
+            RelayFraming::Chunked => "Transfer-Encoding: chunked\r\n".into(),
+            RelayFraming::UntilClose => String::new(),
+        }
+    }
+
+    /// Encodes a part of the body behind `output`.
+    fn encode(self, part: &[u8], output: &mut Vec<u8>) {
+        if part.is_empty() {
+            return;
+        }
+        if self == RelayFraming::Chunked {
+            output.extend(format!("{:x}\r\n", part.len()).into_bytes());
+        }
+        output.extend_from_slice(part);
+        if self == RelayFraming::Chunked {
+            output.extend_from_slice(b"\r\n");
+        }
+    }
+
+    fn encode_end(self, output: &mut Vec<u8>) {
+        if self == RelayFraming::Chunked {
+            output.extend_from_slice(b"0\r\n\r\n");
+        }
+    }
+}
+
+/// The head of a relayed response, but for its framing.
+pub(super) struct RelayedHead<'a> {
+    /// Header lines, each with its end.
+    pub(super) extra_headers: &'a str,
+    pub(super) closes_connection: bool,
+    /// The client cannot read chunks.
+    pub(super) is_http_1_0: bool,
+}
+
 impl HttpServer {
-    /// Passes a long answer on as it comes; whether all of it was. Cut short, it has no end that a client could take for
-    /// one: its length is not reached, the last chunk is missing, or, where only the end of its connection tells, that is
-    /// reset. A client that goes meanwhile ends it.
+    /// Relays a long response, of which `first_part` has arrived. Returns whether the client got all of it.
+    ///
+    /// A response that is cut short has no end that the client could take for its real one: its length is not reached, the
+    /// last chunk is missing, or, where only the end of the connection marks it, the connection is reset. A client that
+    /// goes meanwhile ends it.
     pub(super) async fn relay_body(
         &self,
-        client: &mut Client,
-        first: Bytes,
+        client: &mut ClientConnection,
+        first_part: Vec<u8>,
         rest: Box<dyn Any>,
-        close: bool,
-        old: bool,
-        added: &str,
+        head: RelayedHead<'_>,
     ) -> bool {
-        let Ok(mut passing) = rest.downcast::<Passing>() else {
+        let Ok(mut stream) = rest.downcast::<ResponseStream>() else {
             return false;
         };
-        let length = passing.length();
-        let chunked = length.is_none() && !old;
-        if length.is_none() && old {
+        let framing = match stream.declared_length() {
+            Some(length) => RelayFraming::Length(length),
+            None if head.is_http_1_0 => RelayFraming::UntilClose,
+            None => RelayFraming::Chunked,
+        };
+        if framing == RelayFraming::UntilClose {
             let _ = SockRef::from(&client.stream).set_linger(Some(Duration::ZERO));
         }
-        let framing = match length {
-            Some(length) => format!("Content-Length: {length}\r\n"),
-            None if chunked => "Transfer-Encoding: chunked\r\n".into(),
-            None => String::new(),
-        };
-        let mut out = answer_head("200 OK", added, close, &framing).into_bytes();
-        let (mut part, mut ended) = (Vec::from(first), false);
+        let mut output = encode_response_head(
+            "200 OK",
+            head.extra_headers,
+            head.closes_connection,
+            &framing.header(),
+        )
+        .into_bytes();
+        let mut part = first_part;
+        let mut is_complete = false;
         loop {
-            if !part.is_empty() {
-                if chunked {
-                    out.extend(format!("{:x}\r\n", part.len()).into_bytes());
-                }
-                out.append(&mut part);
-                if chunked {
-                    out.extend_from_slice(b"\r\n");
-                }
+            framing.encode(&part, &mut output);
+            if is_complete {
+                framing.encode_end(&mut output);
             }
-            if ended && chunked {
-                out.extend_from_slice(b"0\r\n\r\n");
-            }
-            let written = timeout(
-                BODY_STALL_TIMEOUT,
-                write_all(&client.stream, &out, &Cell::new(0)),
-            )
-            .await;
-            if !matches!(written, Ok(Ok(()))) {
+            if !write_part(client, &output).await {
                 return false;
             }
-            if ended {
-                self.upstream.passed(*passing);
+            if is_complete {
+                self.upstream.finish_stream(*stream);
                 let _ = SockRef::from(&client.stream).set_linger(None);
                 return true;
             }
-            out.clear();
-            match client
-                .while_there(pin!(timeout(BODY_STALL_TIMEOUT, passing.go_on(&mut part))))
-                .await
-            {
-                Some(Ok(Ok(whole))) => ended = whole,
-                // Spoilt, cut short, silent, or for nobody.
-                _ => return false,
-            }
+            output.clear();
+            let reading = pin!(timeout(BODY_STALL_TIMEOUT, stream.read_part(&mut part)));
+            let Some(Ok(Ok(is_last_part))) = client.while_connected(reading).await else {
+                // Malformed, cut short or stalled, or the client has gone.
+                return false;
+            };
+            is_complete = is_last_part;
         }
     }
 }
+
+async fn write_part(client: &ClientConnection, output: &[u8]) -> bool {
+    let written = Cell::new(0);
+    let writing = write_all(&client.stream, output, &written);
+    matches!(timeout(BODY_STALL_TIMEOUT, writing).await, Ok(Ok(())))
+}
--- /dev/null
+++ b/crates/http1/src/server/request_head.rs
@@ -0,0 +1,282 @@
+//! Parses and checks the heads of requests, before anything is stored for them. No I/O.
+
+use super::bad_request::BadRequest;
+use super::call_terms::CallTerms;
+use super::http_server::HttpServer;
+use super::request::{ClientRequest, PartialRequest, RequestFraming, RequestTarget};
+use crate::backend::ForwardedRequest;
+use crate::chunked::ChunkedDecoder;
+use crate::headers::{announces_close, content_length, find_header};
+use crate::limits::{MAX_HEADERS, MAX_HEAD_BYTES, MAX_LONG_BODY_BYTES};
+use frosthatch_engine::Protocol;
+use frosthatch_traffic_control::{
+    CustomerId, Effect, Plan, Request, RequestClass, RequestId, Settings,
+};
+use httparse::{Header, Status, EMPTY_HEADER};
+use std::fmt::Write;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// No client waits this long.
+const MAX_PATIENCE_S: f64 = 3_600.0;
+/// Customer identifiers are below this.
+const CUSTOMER_ID_END: u64 = 1 << 33;
+
+/// The request line and headers of a head that is framed beyond doubt.
+struct RequestParts<'a> {
+    method: &'a str,
+    path: &'a str,
+    headers: &'a [Header<'a>],
+    has_body: bool,
+}
+
+/// The headers that say who requests what.
+struct CallHeaders<'a> {
+    trace_id: &'a str,
+    request_id: RequestId,
+    customer: &'a str,
+    plan: &'a Plan,
+    patience: Duration,
+    terms: CallTerms,
+}
+
+impl HttpServer {
+    /// Parses and checks a head that is complete at the start of `buffer`.
+    pub(super) fn parse_head(&self, buffer: &[u8]) -> Result<PartialRequest, BadRequest> {
+        let mut headers = [EMPTY_HEADER; MAX_HEADERS];
+        let mut head = httparse::Request::new(&mut headers);
+        let head_bytes = match head.parse(buffer) {
+            Ok(Status::Complete(head_bytes)) => head_bytes,
+            // Partial: what looked like the end of the head were empty lines ahead of it.
+            Ok(Status::Partial) | Err(_) => return Err(BadRequest::Malformed),
+        };
+        if head_bytes > MAX_HEAD_BYTES {
+            return Err(BadRequest::HeadTooLong);
+        }
+        let headers = &*head.headers;
+        let is_http_1_0 = head.version != Some(1);
+        let framing = request_framing(headers, is_http_1_0)?;
+        let parts = RequestParts {
+            method: head.method.unwrap_or(""),
+            path: head.path.unwrap_or(""),
+            headers,
+            has_body: !framing.is_empty(),
+        };
+        let expects_continue = !is_http_1_0 && parts.has_body && expects_continue(headers);
+        let target = if parts.path == "/ready" && !parts.has_body {
+            RequestTarget::Readiness
+        } else {
+            RequestTarget::Server(Box::new(self.parse_client_request(&parts)?))
+        };
+        Ok(PartialRequest {
+            head_bytes,
+            framing,
+            body: Vec::new(),
+            body_memory: None,
+            expects_continue,
+            closes_connection: is_http_1_0 || announces_close(headers),
+            is_http_1_0,
+            target,
+        })
+    }
+
+    fn parse_client_request(&self, parts: &RequestParts<'_>) -> Result<ClientRequest, BadRequest> {
+        let class = find_class(&self.settings, parts.path)?;
+        let is_safe = class.effect == Effect::Repeatable;
+        check_against_class(parts, class, is_safe)?;
+        let call = CallHeaders::parse(parts.headers, &self.settings)?;
+        let head = forwarded_head(parts, call.trace_id, class, is_safe)?;
+        let request = Request {
+            id: call.request_id,
+            customer: CustomerId(call.customer.into()),
+            plan: call.plan.name.clone(),
+            class: class.name.clone(),
+            units: call.terms.units,
+            gateway_count: call.terms.gateway_count,
+            first_gateway: call.terms.first_gateway,
+            remaining_us: 0,
+            pool: Protocol::Http1 as u8,
+            sticky_server: None,
+            low_priority: false,
+        };
+        let forwarded = ForwardedRequest {
+            head: head.into(),
+            body: Vec::new(),
+            body_memory: None,
+            class_index: self.engine.counters().class(&class.name),
+        };
+        // Nobody waits past the class's deadline, so that nothing is stored for a request for long.
+        let deadline = Duration::from_micros(class.deadline_us);
+        Ok(ClientRequest {
+            request,
+            patience: call.patience.min(deadline),
+            // Set when the last byte has arrived.
+            gone_at: Instant::now(),
+            is_safe,
+            forwarded,
+            plugin_headers: self.headers_for_plugins(parts.headers),
+        })
+    }
+
+    fn headers_for_plugins(&self, headers: &[Header<'_>]) -> Vec<(String, String)> {
+        let Some(plugins) = &self.plugins else {
+            return Vec::new();
+        };
+        let wanted_input = plugins.wanted_input();
+        let wanted_names = &wanted_input.0;
+        wanted_names
+            .iter()
+            .filter_map(|name| Some((name.clone(), find_header(headers, name)?.to_string())))
+            .collect()
+    }
+}
+
+impl<'a> CallHeaders<'a> {
+    fn parse(headers: &[Header<'a>], settings: &'a Settings) -> Result<Self, BadRequest> {
+        let trace_id = required_header(headers, "X-Trace-Id")?;
+        let request_id = parse_hex16(trace_id).ok_or(BadRequest::header("X-Trace-Id"))?;
+        let customer = required_header(headers, "X-Api-Key")?;
+        parse_hex16(customer)
+            .filter(|&id| id < CUSTOMER_ID_END)
+            .ok_or(BadRequest::header("X-Api-Key"))?;
+        let plan_name = required_header(headers, "X-Tier")?;
+        let plan = settings
+            .plans
+            .iter()
+            .find(|plan| plan.name == plan_name)
+            .ok_or(BadRequest::header("X-Tier"))?;
+        let patience_s = required_header(headers, "X-Expires-In")?
+            .parse::<f64>()
+            .ok()
+            .filter(|&s| s > 0.0 && s <= MAX_PATIENCE_S)
+            .ok_or(BadRequest::header("X-Expires-In"))?;
+        let terms = CallTerms::parse(required_header(headers, "X-Call-Terms")?, settings)
+            .ok_or(BadRequest::header("X-Call-Terms"))?;
+        Ok(CallHeaders {
+            trace_id,
+            request_id: RequestId(request_id),
+            customer,
+            plan,
+            patience: Duration::from_secs_f64(patience_s),
+            terms,
+        })
+    }
+}
+
+/// Whether a head ends in `buffer`, of which the first `scanned_bytes` have been searched before.
+pub(super) fn contains_head_end(buffer: &[u8], scanned_bytes: usize) -> bool {
+    let new_bytes = &buffer[scanned_bytes.saturating_sub(3)..];
+    new_bytes.windows(2).any(|w| w == b"\n\n") || new_bytes.windows(3).any(|w| w == b"\n\r\n")
+}
+
+/// Guards against request smuggling: the end of the body must be beyond doubt.
+fn request_framing(
+    headers: &[Header<'_>],
+    is_http_1_0: bool,
+) -> Result<RequestFraming, BadRequest> {
+    let length = content_length(headers).map_err(|_| BadRequest::header("Content-Length"))?;
+    let mut codings = headers
+        .iter()
+        .filter(|h| h.name.eq_ignore_ascii_case("transfer-encoding"))
+        .map(|h| h.value.trim_ascii());
+    let framing = match (length, codings.next(), codings.next()) {
+        (length, None, _) => RequestFraming::Length(length.unwrap_or(0)),
+        (None, Some(coding), None) if !is_http_1_0 && coding.eq_ignore_ascii_case(b"chunked") => {
+            RequestFraming::Chunked(ChunkedDecoder::default())
+        }
+        _ => return Err(BadRequest::header("Transfer-Encoding")),
+    };
+    if length.is_some_and(|length| length > MAX_LONG_BODY_BYTES) {
+        return Err(BadRequest::BodyTooLong);
+    }
+    Ok(framing)
+}
+
+fn expects_continue(headers: &[Header<'_>]) -> bool {
+    find_header(headers, "expect")
+        .is_some_and(|value| value.trim().eq_ignore_ascii_case("100-continue"))
+}
+
+/// The class that the first segment of the path names.
+fn find_class<'a>(settings: &'a Settings, path: &str) -> Result<&'a RequestClass, BadRequest> {
+    let first_segment = path
+        .strip_prefix('/')
+        .and_then(|rest| rest.split(['/', '?']).next());
+    let class = settings
+        .classes
+        .iter()
+        .find(|class| Some(&*class.name) == first_segment)
+        .ok_or(BadRequest::UnknownClass)?;
+    if !path.bytes().all(|b| b.is_ascii_graphic()) {
+        return Err(BadRequest::UnknownClass);
+    }
+    Ok(class)
+}
+
+fn check_against_class(
+    parts: &RequestParts<'_>,
+    class: &RequestClass,
+    is_safe: bool,
+) -> Result<(), BadRequest> {
+    if required_header(parts.headers, "X-Qos")? != class.name {
+        return Err(BadRequest::header("X-Qos"));
+    }
+    let expected_method = if is_safe { "GET" } else { "POST" };
+    if parts.method != expected_method {
+        return Err(BadRequest::WrongMethod);
+    }
+    if is_safe && parts.has_body {
+        return Err(BadRequest::header("Content-Length"));
+    }
+    Ok(())
+}
+
+/// The head that servers get, without the length of the body and the deadline.
+fn forwarded_head(
+    parts: &RequestParts<'_>,
+    trace_id: &str,
+    class: &RequestClass,
+    is_safe: bool,
+) -> Result<String, BadRequest> {
+    let headers = parts.headers;
+    let method = parts.method;
+    let path = parts.path;
+    let host = required_header(headers, "Host").unwrap_or("backend.local");
+    let mut head =
+        format!("{method} {path} HTTP/1.1\r\nHost: {host}\r\nX-Trace-Id: {trace_id}\r\n");
+    // Classes whose servers drop repeats by key require one. Elsewhere it is optional and forwarded as it is; none is
+    // made up, as a request that may not be repeated stays one.
+    let requires_key = matches!(class.effect, Effect::Keyed { .. });
+    if requires_key || !is_safe && find_header(headers, "Idempotency-Key").is_some() {
+        let key = required_header(headers, "Idempotency-Key")?;
+        let _ = write!(head, "Idempotency-Key: {key}\r\n");
+    }
+    if let Ok(content_type) = required_header(headers, "Content-Type") {
+        let _ = write!(head, "Content-Type: {content_type}\r\n");
+    }
+    Ok(head)
+}
+
+/// The value of a header that must occur once, as printable ASCII that can be forwarded unchanged.
+fn required_header<'a>(headers: &[Header<'a>], name: &'static str) -> Result<&'a str, BadRequest> {
+    let mut values = headers
+        .iter()
+        .filter(|h| h.name.eq_ignore_ascii_case(name))
+        .map(|h| h.value);
+    let value = values.next().ok_or(BadRequest::header(name))?;
+    let is_repeated = values.next().is_some();
+    let is_printable = value.iter().all(|byte| (b' '..=b'~').contains(byte));
+    if value.is_empty() || is_repeated || !is_printable {
+        return Err(BadRequest::header(name));
+    }
+    std::str::from_utf8(value).map_err(|_| BadRequest::header(name))
+}
+
+/// Exactly 16 hexadecimal digits.
+fn parse_hex16(text: &str) -> Option<u64> {
+    let is_hex16 = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
+    if !is_hex16 {
+        return None;
+    }
+    u64::from_str_radix(text, 16).ok()
+}
--- a/crates/http1/src/server/response.rs
+++ b/crates/http1/src/server/response.rs
@@ -1,47 +1,89 @@
-//! Answers as they are written.
+//! Encoding of responses to clients.
 
 use frosthatch_engine::Response;
 
-/// What a request that is in order gets.
+/// The reply to a request that is in order.
 pub(super) enum Reply {
-    Ready(bool),
-    Answer(Response),
+    /// To a query whether the gateway is ready.
+    Readiness { is_ready: bool },
+    /// To any other request.
+    Response {
+        response: Response,
+        /// Further header lines, each with its end.
+        extra_headers: String,
+    },
 }
 
-impl Reply {
-    /// `added`: more header lines.
-    pub(super) fn text(&self, close: bool, added: &str) -> Vec<u8> {
-        match self {
-            Reply::Ready(true) => response("200 OK", "", close, b"ready"),
-            Reply::Ready(false) => response("503 Service Unavailable", "", close, b"not ready"),
-            Reply::Answer(Response::Served(body)) => response("200 OK", added, close, body),
-            Reply::Answer(Response::Rejected { retry_after }) => {
-                let when = format!("Retry-After: {:.3}\r\n{added}", retry_after.as_secs_f64());
-                response("429 Too Many Requests", &when, close, b"refused")
-            }
-            Reply::Answer(Response::Failed { timed_out: true }) => {
-                response("504 Gateway Timeout", added, close, b"failed")
-            }
-            Reply::Answer(Response::Failed { .. } | Response::Streaming(..)) => {
-                response("502 Bad Gateway", added, close, b"failed")
-            }
+/// Encodes a response; of one that is streamed, what is sent when nothing could be streamed.
+pub(super) fn encode_engine_response(
+    response: &Response,
+    closes_connection: bool,
+    extra_headers: &str,
+) -> Vec<u8> {
+    match response {
+        Response::Served(body) => encode_response("200 OK", extra_headers, closes_connection, body),
+        Response::Rejected { retry_after } => {
+            let retry_after_s = retry_after.as_secs_f64();
+            let headers = format!("Retry-After: {retry_after_s:.3}\r\n{extra_headers}");
+            encode_response(
+                "429 Too Many Requests",
+                &headers,
+                closes_connection,
+                b"refused",
+            )
         }
+        Response::Failed { timed_out: true } => encode_response(
+            "504 Gateway Timeout",
+            extra_headers,
+            closes_connection,
+            b"failed",
+        ),
+        Response::Failed { .. } | Response::Streaming(..) => encode_response(
+            "502 Bad Gateway",
+            extra_headers,
+            closes_connection,
+            b"failed",
+        ),
     }
 }
 
-/// The head of an answer; each of the `headers`, and what tells the `framing`, has its end.
-pub(super) fn answer_head(status: &str, headers: &str, close: bool, framing: &str) -> String {
-    let close = if close { "Connection: close\r\n" } else { "" };
+/// Encodes the reply to a query whether the gateway is ready.
+pub(super) fn encode_readiness(is_ready: bool, closes_connection: bool) -> Vec<u8> {
+    if is_ready {
+        encode_response("200 OK", "", closes_connection, b"ready")
+    } else {
+        encode_response(
+            "503 Service Unavailable",
+            "",
+            closes_connection,
+            b"not ready",
+        )
+    }
+}
+
+/// Encodes the head of a response. Each line of `headers` and of `framing` has its end.
+pub(super) fn encode_response_head(
+    status: &str,
+    headers: &str,
+    closes_connection: bool,
+    framing: &str,
+) -> String {
+    let close = if closes_connection {
+        "Connection: close\r\n"
+    } else {
+        ""
+    };
     format!("HTTP/1.1 {status}\r\n{headers}{close}{framing}\r\n")
 }
 
-/// An answer as it is written; each of the `headers` has its end.
-pub(super) fn response(status: &str, headers: &str, close: bool, body: &[u8]) -> Vec<u8> {
-    let head = answer_head(
-        status,
-        headers,
-        close,
-        &format!("Content-Length: {}\r\n", body.len()),
-    );
+/// Encodes a response with its body. Each line of `headers` has its end.
+pub(super) fn encode_response(
+    status: &str,
+    headers: &str,
+    closes_connection: bool,
+    body: &[u8],
+) -> Vec<u8> {
+    let framing = format!("Content-Length: {}\r\n", body.len());
+    let head = encode_response_head(status, headers, closes_connection, &framing);
     [head.as_bytes(), body].concat()
 }
