--- a/crates/http1/src/backend.rs
+++ b/crates/http1/src/backend.rs
@@ -10,7 +10,7 @@
 mod server_table;
 mod upstream;
 
-pub use forwarded_request::ForwardedRequest;
-pub use outgoing::OutgoingRequest;
-pub use response_stream::ResponseStream;
+pub(crate) use forwarded_request::ForwardedRequest;
+pub(crate) use outgoing::OutgoingRequest;
+pub(crate) use response_stream::ResponseStream;
 pub use upstream::{sweep, Limits, Upstream};
--- a/crates/http1/src/backend/attempt.rs
+++ b/crates/http1/src/backend/attempt.rs
@@ -17,7 +17,7 @@
 use tokio::time::{timeout_at, Instant};
 use tracing::debug;
 
-/// What came of writing a request and waiting for its response.
+/// The outcome of writing a request and waiting for its response.
 struct Exchange {
     reply: ServerReply,
     written_bytes: usize,
@@ -35,7 +35,7 @@
 
 impl Upstream {
     /// Makes one attempt. It ends by `deadline`, but for the part of a long response that is streamed afterwards.
-    pub async fn attempt(
+    pub(super) async fn attempt(
         &self,
         server: &ServerId,
         request: &ForwardedRequest,
--- a/crates/http1/src/backend/forwarded_request.rs
+++ b/crates/http1/src/backend/forwarded_request.rs
@@ -1,4 +1,4 @@
-//! What of a client's request is forwarded to a server.
+//! The parts of a client's request that are forwarded to a server.
 
 use crate::body_memory::BodyReservation;
 use frosthatch_engine::ForwardedDeadline;
--- a/crates/http1/src/backend/response_stream.rs
+++ b/crates/http1/src/backend/response_stream.rs
@@ -6,7 +6,7 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// What of a long response has not been read yet, and the connection that it arrives on.
+/// The unread part of a long response, and the connection that it arrives on.
 pub struct ResponseStream {
     pub(super) rest: RemainingBody,
     pub(super) connection: PooledConnection,
--- a/crates/http1/src/backend/upstream.rs
+++ b/crates/http1/src/backend/upstream.rs
@@ -75,12 +75,12 @@
     }
 
     /// An empty reservation for the body of a long request.
-    pub fn reserve_body_memory(&self) -> BodyReservation {
+    pub(crate) fn reserve_body_memory(&self) -> BodyReservation {
         BodyReservation::new(self.long_request_bytes_available.clone())
     }
 
     /// Takes back the connection of a response that has been read to its end.
-    pub fn finish_stream(&self, stream: ResponseStream) {
+    pub(crate) fn finish_stream(&self, stream: ResponseStream) {
         if stream.is_reusable {
             self.put_back(&stream.server, stream.address, stream.connection);
         }
@@ -137,21 +137,28 @@
     /// no idle one.
     pub(super) fn reserve_slot(&self) -> Option<ConnectionSlot> {
         if self.open_connections.get() >= self.max_connections.get() {
-            self.close_longest_idle()?;
+            let is_closed = self.close_longest_idle();
+            if !is_closed {
+                return None;
+            }
         }
         Some(ConnectionSlot::new(self.open_connections.clone()))
     }
 
-    fn close_longest_idle(&self) -> Option<()> {
+    /// Returns whether there was an idle connection to close.
+    fn close_longest_idle(&self) -> bool {
         let mut table = self.table.borrow_mut();
         let idle_since = |server: &&mut Server| server.idle.first().map(|i| i.since);
         let server = table
             .servers
             .values_mut()
             .filter(|server| !server.idle.is_empty())
-            .min_by_key(idle_since)?;
+            .min_by_key(idle_since);
+        let Some(server) = server else {
+            return false;
+        };
         server.idle.remove(0);
-        Some(())
+        true
     }
 
     fn max_idle_age(&self) -> Duration {
--- a/crates/http1/src/body_memory.rs
+++ b/crates/http1/src/body_memory.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 use std::sync::Arc;
 
-/// What one request body has taken of a shared budget of bytes. Dropping it returns the bytes.
+/// The bytes that one request body has reserved from a shared budget. Dropping it returns them.
 pub struct BodyReservation {
     available_bytes: Arc<AtomicUsize>,
     reserved_bytes: usize,
--- a/crates/http1/src/conn/body.rs
+++ b/crates/http1/src/conn/body.rs
@@ -15,7 +15,7 @@
     UntilClose,
 }
 
-/// What of a response's body has not been handed on yet.
+/// The part of a response's body that the caller has not received yet.
 pub struct RemainingBody {
     framing: ResponseFraming,
     /// Read from the connection, not yet decoded.
--- a/crates/http1/src/server/answering.rs
+++ b/crates/http1/src/server/answering.rs
@@ -149,7 +149,7 @@
     }
 }
 
-/// Tells the engine that the client has gone, if it is dropped before the response is there.
+/// Notifies the engine that the client has gone, if it is dropped before the response arrives.
 struct ClientWaitGuard<'a> {
     engine: &'a Rc<Engine>,
     waiting_for: Option<RequestId>,
