--- a/crates/cluster-membership/src/driver.rs
+++ b/crates/cluster-membership/src/driver.rs
@@ -1,101 +1,151 @@
-//! The driver: one UDP socket, and a tick. No rules here.
+//! Connects the state machine to a UDP socket, a periodic tick, and the engine. It decides nothing itself.
 
-use crate::fleet::{Membership, Output};
+use crate::membership::{Membership, Output};
 use crate::record::LifecyclePhase;
-use crate::seal::{Keys, MOST_BYTES};
+use crate::seal::{Keys, MAX_DATAGRAM_BYTES};
 use frosthatch_engine::{Engine, UsageReporter};
 use frosthatch_log::log_line;
 use frosthatch_sockets::uninterrupted;
 use std::cell::RefCell;
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::UdpSocket;
 use tokio::time::{interval, MissedTickBehavior};
 
-/// Datagrams that are read at once at most: others have their turn in between.
-const AT_ONCE: usize = 64;
+/// Datagrams read in one go, so that other tasks get to run in between.
+const MAX_READS: usize = 64;
 
-/// Takes letters from other members.
+/// Takes the messages of another subsystem that other members sent.
 pub trait MessageHandler {
+    /// A message arrived. `from`: name of the member that sent it.
     fn letter(&self, from: &str, bytes: &[u8]);
 }
 
-/// This process as a member.
+/// This process as a member of the cluster.
 pub struct MembershipHandle {
-    fleet: RefCell<Membership>,
-    /// Who takes letters that come.
-    reader: RefCell<Option<Rc<dyn MessageHandler>>>,
+    membership: RefCell<Membership>,
+    message_handler: RefCell<Option<Rc<dyn MessageHandler>>>,
     socket: UdpSocket,
     engine: RefCell<Option<Rc<Engine>>>,
 }
 
 impl MembershipHandle {
-    pub fn new(fleet: Membership, socket: UdpSocket) -> Rc<MembershipHandle> {
+    /// A member that is idle until [`MembershipHandle::run`].
+    pub fn new(membership: Membership, socket: UdpSocket) -> Rc<MembershipHandle> {
         Rc::new(MembershipHandle {
-            fleet: RefCell::new(fleet),
-            reader: RefCell::default(),
+            membership: RefCell::new(membership),
+            message_handler: RefCell::default(),
             socket,
             engine: RefCell::default(),
         })
     }
 
-    pub fn with<T>(&self, f: impl FnOnce(&Membership) -> T) -> T {
-        f(&self.fleet.borrow())
+    /// Reads the state of the membership.
+    pub fn with<T>(&self, read: impl FnOnce(&Membership) -> T) -> T {
+        read(&self.membership.borrow())
     }
 
-    fn now(&self) -> u64 {
-        self.engine.borrow().as_ref().map_or(0, |e| e.now())
+    /// Sets who takes messages from other members.
+    pub fn set_reader(&self, message_handler: Rc<dyn MessageHandler>) {
+        self.message_handler.replace(Some(message_handler));
     }
 
-    pub fn set_reader(&self, reader: Rc<dyn MessageHandler>) {
-        self.reader.replace(Some(reader));
-    }
-
-    /// Sends a letter: once, as a datagram.
+    /// Sends a message to a member: once, as a datagram that may be lost.
     pub fn post(&self, to: &str, bytes: Vec<u8>) {
-        let mut out = Vec::new();
-        self.fleet
+        let mut outputs = Vec::new();
+        self.membership
             .borrow_mut()
-            .send_message(self.now(), to, bytes, &mut out);
-        self.carry_out(&mut out);
+            .send_message(self.now_us(), to, bytes, &mut outputs);
+        self.carry_out(&mut outputs);
     }
 
-    /// One of this member's figures for the others.
+    /// Sets one of this member's gauges, measured now.
     pub fn set_fact(&self, name: &str, value: f64) {
-        self.fleet.borrow_mut().set_gauge(self.now(), name, value);
+        self.set_fact_of(self.now_us(), name, value);
     }
 
-    /// The same, found out at that time.
-    pub fn set_fact_of(&self, at: u64, name: &str, value: f64) {
-        self.fleet.borrow_mut().set_gauge(at, name, value);
+    /// Sets one of this member's gauges, measured at a time of the engine's clock in microseconds.
+    pub fn set_fact_of(&self, measured_at_us: u64, name: &str, value: f64) {
+        self.membership
+            .borrow_mut()
+            .set_gauge(measured_at_us, name, value);
     }
 
-    /// It is told no more.
+    /// Stops publishing one of this member's gauges.
     pub fn clear_fact(&self, name: &str) {
-        self.fleet.borrow_mut().clear_gauge(name);
+        self.membership.borrow_mut().clear_gauge(name);
     }
 
+    /// Publishes this member's phase.
     pub fn set_phase(&self, phase: LifecyclePhase) {
-        self.fleet.borrow_mut().set_phase(self.now(), phase);
+        self.membership.borrow_mut().set_phase(self.now_us(), phase);
     }
 
+    /// Replaces the cluster's keys.
     pub fn set_keys(&self, keys: Keys) {
-        self.fleet.borrow_mut().set_keys(keys);
+        self.membership.borrow_mut().set_keys(keys);
     }
 
-    /// Says that it goes; from then on it tells no use.
+    /// Notifies the other members that this one leaves. From then on it sends no usage.
     pub fn leave(&self) {
-        let mut out = Vec::new();
-        self.fleet.borrow_mut().leave(self.now(), &mut out);
-        self.carry_out(&mut out);
+        let mut outputs = Vec::new();
+        self.membership
+            .borrow_mut()
+            .leave(self.now_us(), &mut outputs);
+        self.carry_out(&mut outputs);
+    }
+
+    /// Runs until it is dropped, with a tick at each interval of `tick`.
+    pub async fn run(self: Rc<Self>, tick: Duration, engine: Rc<Engine>) {
+        self.engine.replace(Some(engine.clone()));
+        let mut ticks = interval(tick);
+        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
+        let mut outputs = Vec::new();
+        loop {
+            tokio::select! {
+                ready = self.socket.readable() => {
+                    self.receive(&engine, ready.is_ok(), &mut buffer, &mut outputs);
+                }
+                _ = ticks.tick() => self.membership.borrow_mut().tick(engine.now(), &mut outputs),
+            }
+            self.carry_out(&mut outputs);
+        }
+    }
+
+    /// Reads the datagrams that wait at the socket, and handles them if the socket is sound.
+    fn receive(
+        &self,
+        engine: &Engine,
+        is_socket_sound: bool,
+        buffer: &mut [u8],
+        outputs: &mut Vec<Output>,
+    ) {
+        for _ in 0..MAX_READS {
+            // An error may also say that some member's port is closed.
+            let received: std::io::Result<(usize, SocketAddr)> =
+                uninterrupted(|| self.socket.try_recv_from(buffer));
+            let Ok((length, from)) = received else {
+                return;
+            };
+            if is_socket_sound {
+                self.membership.borrow_mut().handle_datagram(
+                    engine.now(),
+                    from,
+                    &buffer[..length],
+                    outputs,
+                );
+            }
+        }
     }
 
-    fn carry_out(&self, out: &mut Vec<Output>) {
-        for output in out.drain(..) {
+    fn carry_out(&self, outputs: &mut Vec<Output>) {
+        for output in outputs.drain(..) {
             match output {
-                // What does not go out now is told again.
                 Output::Send { to, bytes } => {
-                    drop(uninterrupted(|| self.socket.try_send_to(&bytes, to)))
+                    // What cannot be sent now is lost and made up for by the next datagram.
+                    drop(uninterrupted(|| self.socket.try_send_to(&bytes, to)));
                 }
                 Output::UsageReported { heard, uses, past } => {
                     let engine = self.engine.borrow().clone();
@@ -106,41 +156,24 @@
                     engine.inspect(|e| e.set_absent_gateways(gateways));
                 }
                 Output::MessageReceived { from, bytes } => {
-                    let reader = self.reader.borrow().clone();
-                    reader.inspect(|r| r.letter(&from, &bytes));
+                    let message_handler = self.message_handler.borrow().clone();
+                    message_handler.inspect(|handler| handler.letter(&from, &bytes));
                 }
                 Output::Log(line) => log_line!("{line}"),
             }
         }
     }
 
-    /// Talks for good.
-    pub async fn run(self: Rc<Self>, tick: Duration, engine: Rc<Engine>) {
-        self.engine.replace(Some(engine.clone()));
-        let mut ticks = interval(tick);
-        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut buffer = [0; MOST_BYTES + 1];
-        let mut out = Vec::new();
-        loop {
-            tokio::select! {
-                ready = self.socket.readable() => {
-                    for _ in 0..AT_ONCE {
-                        // An error is some member's that is not there.
-                        let Ok((n, from)) = uninterrupted(|| self.socket.try_recv_from(&mut buffer)) else { break };
-                        if ready.is_ok() {
-                            self.fleet.borrow_mut().datagram(engine.now(), from, &buffer[..n], &mut out);
-                        }
-                    }
-                }
-                _ = ticks.tick() => self.fleet.borrow_mut().tick(engine.now(), &mut out),
-            }
-            self.carry_out(&mut out);
-        }
+    fn now_us(&self) -> u64 {
+        self.engine
+            .borrow()
+            .as_ref()
+            .map_or(0, |engine| engine.now())
     }
 }
 
 impl UsageReporter for MembershipHandle {
     fn record_usage(&self, tag: u32, units: f64) {
-        self.fleet.borrow_mut().record_usage(tag, units);
+        self.membership.borrow_mut().record_usage(tag, units);
     }
 }
--- a/crates/cluster-membership/src/gauges.rs
+++ b/crates/cluster-membership/src/gauges.rs
@@ -1,119 +1,128 @@
-//! Each member's small table of figures for the others, with their ages. It is told as a whole, by its version; of another's only
-//! the latest counts.
+//! A small set of named gauges that each member publishes to the others, with the age of each value. A set is sent whole under
+//! a version number; receivers keep the latest version only.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Figures of one member, and bytes of one's name.
-pub const MOST: usize = 32;
+#[cfg(test)]
+mod tests;
+
+/// Upper bound of gauges that one member publishes.
+pub const MAX_GAUGES: usize = 32;
+/// Upper bound of a gauge's name, in bytes.
 pub const MOST_NAME: usize = 24;
 
+/// A gauge as it is sent to other members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Gauge {
+    /// Name, at most [`MOST_NAME`] bytes.
     pub name: String,
+    /// Finite value.
     pub value: f64,
-    /// Milliseconds since it was found out.
+    /// Milliseconds since the value was measured.
     pub age_ms: u32,
 }
 
-/// One member's figures, and when each was found out.
+/// All gauges of a member as they are sent.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct GaugeSnapshot {
+    /// Version of the set; 0 if the datagram carries none.
+    pub version: u64,
+    /// The whole set.
+    pub gauges: Vec<Gauge>,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct Measurement {
+    value: f64,
+    measured_at_us: u64,
+}
+
+/// The gauges of one member, with the time at which each was measured, by the local clock in microseconds.
 #[derive(Clone, Debug, Default)]
 pub struct Gauges {
+    /// Grows with each change; 0 as long as nothing was set.
     pub version: u64,
-    all: BTreeMap<String, (f64, u64)>,
+    measurements: BTreeMap<String, Measurement>,
 }
 
 impl Gauges {
-    /// False: it is no figure, its name is too long, or there are too many.
-    pub fn set(&mut self, now: u64, name: &str, value: f64) -> bool {
-        let room = self.all.len() < MOST || self.all.contains_key(name);
-        if !room || !value.is_finite() || name.is_empty() || name.len() > MOST_NAME {
+    /// Sets a gauge. Returns false, and changes nothing, if the value is not finite, the name is empty or too long, or the set
+    /// already holds [`MAX_GAUGES`] others.
+    pub fn set(&mut self, now_us: u64, name: &str, value: f64) -> bool {
+        let has_capacity =
+            self.measurements.len() < MAX_GAUGES || self.measurements.contains_key(name);
+        if !has_capacity || !value.is_finite() || name.is_empty() || name.len() > MOST_NAME {
             return false;
         }
-        self.all.insert(name.into(), (value, now));
+        let measurement = Measurement {
+            value,
+            measured_at_us: now_us,
+        };
+        self.measurements.insert(name.into(), measurement);
         self.version += 1;
         true
     }
 
-    /// It is told no more.
+    /// Removes a gauge, so that it is no longer published.
     pub fn clear(&mut self, name: &str) {
-        if self.all.remove(name).is_some() {
+        if self.measurements.remove(name).is_some() {
             self.version += 1;
         }
     }
 
-    /// All figures: name, value, and when it was found out.
+    /// The value of a gauge and when it was measured, in microseconds.
+    pub fn get(&self, name: &str) -> Option<(f64, u64)> {
+        let measurement = self.measurements.get(name)?;
+        Some((measurement.value, measurement.measured_at_us))
+    }
+
+    /// All gauges in the order of their names: name, value, and when it was measured, in microseconds.
     pub fn all(&self) -> impl Iterator<Item = (&str, f64, u64)> + '_ {
-        self.all
+        self.measurements
             .iter()
-            .map(|(name, (value, at))| (name.as_str(), *value, *at))
+            .map(|(name, m)| (name.as_str(), m.value, m.measured_at_us))
     }
 
-    pub fn told(&self, now: u64) -> Vec<Gauge> {
-        let age = |at: u64| u32::try_from(now.saturating_sub(at) / 1_000).unwrap_or(u32::MAX);
-        let fact = |(name, (value, at)): (&String, &(f64, u64))| Gauge {
-            name: name.clone(),
-            value: *value,
-            age_ms: age(*at),
-        };
-        self.all.iter().map(fact).collect()
+    /// The whole set, with ages instead of times, as it is sent to other members.
+    pub fn snapshot(&self, now_us: u64) -> GaugeSnapshot {
+        let gauges = self
+            .all()
+            .map(|(name, value, measured_at_us)| {
+                let age_ms = now_us.saturating_sub(measured_at_us) / 1_000;
+                Gauge {
+                    name: name.into(),
+                    value,
+                    age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
+                }
+            })
+            .collect();
+        GaugeSnapshot {
+            version: self.version,
+            gauges,
+        }
     }
 
-    /// Takes in all of another's, if they are later than what is known.
-    pub fn take(&mut self, now: u64, version: u64, facts: Vec<Gauge>) {
-        if version <= self.version {
+    /// Replaces the set by that of another member if its version is later. Gauges out of bounds are left out.
+    pub fn replace_if_later(&mut self, now_us: u64, snapshot: GaugeSnapshot) {
+        if snapshot.version <= self.version {
             return;
         }
-        let fine = |f: &Gauge| f.value.is_finite() && f.name.len() <= MOST_NAME;
-        let kept = facts.into_iter().take(MOST).filter(fine);
-        let at = |f: &Gauge| now.saturating_sub(u64::from(f.age_ms) * 1_000);
-        self.all = kept.map(|f| (f.name.clone(), (f.value, at(&f)))).collect();
-        self.version = version;
-    }
-
-    pub fn get(&self, name: &str) -> Option<(f64, u64)> {
-        self.all.get(name).copied()
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn the_latest_counts_and_ages_go_along() {
-        let (mut mine, mut theirs) = (Gauges::default(), Gauges::default());
-        assert!(mine.set(1_000_000, "strain", 0.5));
-        let first = (mine.version, mine.told(3_000_000));
-        assert!(mine.set(4_000_000, "strain", 0.7));
-        theirs.take(9_000_000, mine.version, mine.told(4_500_000));
-        theirs.take(9_000_000, first.0, first.1);
-        assert_eq!(theirs.get("strain"), Some((0.7, 8_500_000)));
-    }
-
-    #[test]
-    fn they_are_bounded_and_figures() {
-        let mut facts = Gauges::default();
-        let set = (0..100)
-            .filter(|n| facts.set(1, &format!("f{n}"), 1.0))
-            .count();
-        assert_eq!(set, MOST);
-        assert!(!facts.set(1, "f1", f64::NAN) && facts.set(1, "f1", 2.0));
-        let version = facts.version;
-        facts.clear("f1");
-        facts.clear("f1");
-        assert!(
-            facts.get("f1").is_none() && facts.version == version + 1 && facts.set(1, "g", 1.0)
-        );
-        let mut other = Gauges::default();
-        let many = (0..100)
-            .map(|n| Gauge {
-                name: format!("f{n}"),
-                value: 1.0,
-                age_ms: 0,
+        let is_valid = |g: &Gauge| g.value.is_finite() && g.name.len() <= MOST_NAME;
+        self.measurements = snapshot
+            .gauges
+            .into_iter()
+            .take(MAX_GAUGES)
+            .filter(is_valid)
+            .map(|gauge| {
+                let age_us = u64::from(gauge.age_ms) * 1_000;
+                let measurement = Measurement {
+                    value: gauge.value,
+                    measured_at_us: now_us.saturating_sub(age_us),
+                };
+                (gauge.name, measurement)
             })
             .collect();
-        other.take(1, 5, many);
-        assert_eq!(other.told(1).len(), MOST);
+        self.version = snapshot.version;
     }
 }
--- /dev/null
+++ b/crates/cluster-membership/src/membership/invalid_seal_limiter.rs
@@ -0,0 +1,60 @@
+//! Protection of the processor against floods of datagrams with an invalid seal: their sender has no key or is misconfigured.
+
+use crate::token_bucket::TokenBucket;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+/// Invalid datagrams that are examined per second from one source, and from all sources that are not counted separately.
+const MAX_INVALID_PER_S: f64 = 50.0;
+/// Sources that are counted separately.
+const MAX_SOURCES: usize = 256;
+
+/// Counts invalid datagrams by source.
+pub(super) struct InvalidSealLimiter {
+    by_source: BTreeMap<SocketAddr, TokenBucket>,
+    other_sources: TokenBucket,
+    has_new_flood: bool,
+    is_flood_reported: bool,
+}
+
+impl InvalidSealLimiter {
+    pub fn new() -> InvalidSealLimiter {
+        InvalidSealLimiter {
+            by_source: BTreeMap::new(),
+            other_sources: TokenBucket::new(MAX_INVALID_PER_S),
+            has_new_flood: false,
+            is_flood_reported: false,
+        }
+    }
+
+    /// Whether a datagram from this source is to be examined; if not, it is part of a flood.
+    pub fn admit(&mut self, now_us: u64, source: SocketAddr) -> bool {
+        let is_admitted = match self.by_source.get_mut(&source) {
+            Some(invalid) => invalid.has_tokens(now_us),
+            None => self.by_source.len() < MAX_SOURCES || self.other_sources.has_tokens(now_us),
+        };
+        if !is_admitted {
+            self.has_new_flood = true;
+        }
+        is_admitted
+    }
+
+    /// Counts an invalid datagram from this source.
+    pub fn record_invalid(&mut self, now_us: u64, source: SocketAddr) {
+        if self.by_source.len() < MAX_SOURCES {
+            self.by_source
+                .entry(source)
+                .or_insert_with(|| TokenBucket::new(MAX_INVALID_PER_S));
+        }
+        self.by_source
+            .get_mut(&source)
+            .unwrap_or(&mut self.other_sources)
+            .spend(now_us, 1.0);
+    }
+
+    /// Whether a flood began that was not reported; true once at most.
+    pub fn take_unreported_flood(&mut self) -> bool {
+        let is_flooded = std::mem::take(&mut self.has_new_flood);
+        is_flooded && !std::mem::replace(&mut self.is_flood_reported, true)
+    }
+}
--- /dev/null
+++ b/crates/cluster-membership/src/membership/probing.rs
@@ -0,0 +1,137 @@
+//! Drives the failure detector, and probes on behalf of other members.
+
+use super::output::Output;
+use super::peer::heard_at_us;
+use super::send::DatagramContent;
+use super::state::{Membership, RelayedPing};
+use crate::failure_detector::DetectorAction;
+use crate::record::{Liveness, MemberRecord};
+use crate::wire::IndirectPing;
+
+/// How long a probe made on behalf of another member is remembered.
+pub(super) const RELAYED_PING_TIMEOUT_US: u64 = 5_000_000;
+/// Upper bound of the probes in flight on behalf of others.
+const MAX_RELAYED_PINGS: usize = 1_024;
+
+impl Membership {
+    /// Lets the failure detector do what is due. It rests while datagrams may be older than a pause of this process.
+    pub(super) fn run_failure_detector(&mut self, now_us: u64, outputs: &mut Vec<Output>) {
+        if self.clock.is_catching_up() {
+            return;
+        }
+        let others: Vec<&str> = self
+            .table
+            .present_others()
+            .map(|record| record.name.as_str())
+            .collect();
+        let mut actions = Vec::new();
+        self.detector.tick(
+            self.clock.running_us(),
+            self.config.update_interval_us(others.len()),
+            &others,
+            |name| heard_at_us(&self.peers, name),
+            &mut actions,
+        );
+        for action in actions {
+            self.carry_out_detector_action(now_us, action, outputs);
+        }
+    }
+
+    fn carry_out_detector_action(
+        &mut self,
+        now_us: u64,
+        action: DetectorAction,
+        outputs: &mut Vec<Output>,
+    ) {
+        match action {
+            DetectorAction::Ping { target, ping } => {
+                self.send(&target, now_us, DatagramContent::ping(ping), outputs);
+            }
+            DetectorAction::IndirectPing { via, target, ping } => {
+                for name in via {
+                    let request = IndirectPing {
+                        target: target.clone(),
+                        ping,
+                    };
+                    let content = DatagramContent {
+                        indirect_pings: vec![request],
+                        ..DatagramContent::default()
+                    };
+                    self.send(&name, now_us, content, outputs);
+                }
+            }
+            DetectorAction::Suspect(name) => self.suspect(now_us, &name, outputs),
+            DetectorAction::ConfirmDead(name) => self.confirm_dead(now_us, &name, outputs),
+            DetectorAction::NotifySuspect(name) => {
+                self.send(&name, now_us, DatagramContent::receiver_record(), outputs);
+            }
+        }
+    }
+
+    fn suspect(&mut self, now_us: u64, name: &str, outputs: &mut Vec<Output>) {
+        let present = self.table.record(name).filter(|r| r.is_present());
+        let Some(incarnation) = present.map(|record| record.incarnation) else {
+            return;
+        };
+        if let Some(change) = self.table.set_liveness(now_us, name, Liveness::Suspect) {
+            self.handle_change(now_us, &change, outputs);
+        }
+        self.add_own_suspicion(name);
+        self.record_suspicion(name, incarnation);
+    }
+
+    fn confirm_dead(&mut self, now_us: u64, name: &str, outputs: &mut Vec<Output>) {
+        let is_suspect = self
+            .table
+            .record(name)
+            .is_some_and(|record| record.liveness == Liveness::Suspect);
+        if !is_suspect {
+            return;
+        }
+        if let Some(change) = self.table.set_liveness(now_us, name, Liveness::Dead) {
+            self.handle_change(now_us, &change, outputs);
+            // If it runs after all, it refutes.
+            self.send(name, now_us, DatagramContent::receiver_record(), outputs);
+        }
+    }
+
+    /// Probes a member that another one asked to probe.
+    pub(super) fn relay_ping(
+        &mut self,
+        now_us: u64,
+        requester: &str,
+        request: &IndirectPing,
+        outputs: &mut Vec<Output>,
+    ) {
+        let target = self.table.record(&request.target);
+        let is_target_present = target.is_some_and(MemberRecord::is_present);
+        if self.relayed_pings.len() >= MAX_RELAYED_PINGS || !is_target_present {
+            return;
+        }
+        let ping = self.detector.next_ping();
+        let relayed = RelayedPing {
+            requester: requester.into(),
+            requester_ping: request.ping,
+            expires_at_us: self.clock.running_us() + RELAYED_PING_TIMEOUT_US,
+        };
+        self.relayed_pings.insert(ping, relayed);
+        self.send(
+            &request.target,
+            now_us,
+            DatagramContent::ping(ping),
+            outputs,
+        );
+    }
+
+    /// Handles an acknowledgement, and forwards it if the probe was made on behalf of another member.
+    pub(super) fn handle_ack(&mut self, now_us: u64, ping: u32, outputs: &mut Vec<Output>) {
+        self.detector.acknowledge(ping);
+        if let Some(relayed) = self.relayed_pings.remove(&ping) {
+            let content = DatagramContent {
+                acks: vec![relayed.requester_ping],
+                ..DatagramContent::default()
+            };
+            self.send(&relayed.requester, now_us, content, outputs);
+        }
+    }
+}
--- /dev/null
+++ b/crates/cluster-membership/src/membership/send.rs
@@ -0,0 +1,339 @@
+//! Composition of datagrams.
+
+use super::output::Output;
+use super::peer::Peer;
+use super::state::Membership;
+use crate::member_table::MemberEntry;
+use crate::record::LifecyclePhase;
+use crate::seal::{MAX_DATAGRAM_BYTES, SEAL_OVERHEAD_BYTES};
+use crate::usage_counters::InstanceKey;
+use crate::wire::{DatagramHeader, DatagramWriter, IndirectPing, MemberUpdate, MAX_PROBES};
+use std::iter::Peekable;
+use std::net::SocketAddr;
+
+/// Longest message of another subsystem.
+pub const MAX_MESSAGE_BYTES: usize = 880;
+
+/// Bytes of a datagram that disseminated members leave free for usage.
+const USAGE_RESERVE_BYTES: usize = 400;
+/// Datagrams to a proven instance that carry this member's record.
+const MIN_OWN_RECORD_SENDS: u8 = 3;
+/// Upper bound of the members that are notified at once that this one leaves.
+const MAX_LEAVE_NOTICES: usize = 64;
+
+/// What a datagram carries beside what every datagram does.
+#[derive(Default)]
+pub(super) struct DatagramContent<'a> {
+    pub ping: u32,
+    pub acks: Vec<u32>,
+    pub indirect_pings: Vec<IndirectPing>,
+    pub bucket_digests: Vec<u32>,
+    pub wants_digests: bool,
+    pub has_own_record: bool,
+    pub has_receiver_record: bool,
+    /// Addresses this earlier instance of the receiver.
+    pub replaced_instance_id: Option<u64>,
+    pub message: Vec<u8>,
+    /// Sent in place of the members to disseminate.
+    pub members: Option<&'a mut Peekable<std::vec::IntoIter<MemberUpdate>>>,
+}
+
+impl DatagramContent<'_> {
+    /// A probe.
+    pub fn ping(ping: u32) -> Self {
+        DatagramContent {
+            ping,
+            ..DatagramContent::default()
+        }
+    }
+
+    /// The record of this member.
+    pub fn own_record() -> Self {
+        DatagramContent {
+            has_own_record: true,
+            ..DatagramContent::default()
+        }
+    }
+
+    /// The receiver's own record, so that it refutes what is wrong with it.
+    pub fn receiver_record() -> Self {
+        DatagramContent {
+            has_receiver_record: true,
+            ..DatagramContent::default()
+        }
+    }
+}
+
+/// The receiver of a datagram.
+struct Receiver {
+    instance: InstanceKey,
+    /// Whether this instance has proven itself. Otherwise it gets neither messages nor gossip.
+    is_proven: bool,
+    /// Whether it is held to be gone, or another instance has its name.
+    is_outdated: bool,
+    needs_own_record: bool,
+}
+
+impl Membership {
+    /// Notifies the others that this member leaves, and with each further call or tick repeats that.
+    pub fn leave(&mut self, now_us: u64, outputs: &mut Vec<Output>) {
+        if self.superseded {
+            return;
+        }
+        self.set_phase(now_us, LifecyclePhase::Left);
+        self.has_left = true;
+        let names: Vec<String> = self
+            .others()
+            .take(MAX_LEAVE_NOTICES)
+            .map(String::from)
+            .collect();
+        for name in names {
+            self.send(&name, now_us, DatagramContent::own_record(), outputs);
+        }
+    }
+
+    /// Sends a message of at most [`MAX_MESSAGE_BYTES`] bytes to a member: once, and not at all to one that has not proven that it
+    /// is not replayed.
+    pub fn send_message(
+        &mut self,
+        now_us: u64,
+        to: &str,
+        message: Vec<u8>,
+        outputs: &mut Vec<Output>,
+    ) {
+        if !self.superseded && !self.has_left {
+            let content = DatagramContent {
+                message,
+                ..DatagramContent::default()
+            };
+            self.send(to, now_us, content, outputs);
+        }
+    }
+
+    /// Sends a datagram to a member of the table.
+    pub(super) fn send(
+        &mut self,
+        name: &str,
+        now_us: u64,
+        content: DatagramContent,
+        outputs: &mut Vec<Output>,
+    ) {
+        let Some(address) = self.table.record(name).map(|record| record.address) else {
+            return;
+        };
+        self.send_to(name, address, now_us, content, outputs);
+    }
+
+    /// Sends a datagram to a member that need not be in the table.
+    pub(super) fn send_to(
+        &mut self,
+        name: &str,
+        address: SocketAddr,
+        now_us: u64,
+        mut content: DatagramContent,
+        outputs: &mut Vec<Output>,
+    ) {
+        let receiver = self.address_receiver(name, now_us, content.replaced_instance_id);
+        // A member that compares tables may have forgotten this one.
+        content.has_own_record |= content.wants_digests || receiver.needs_own_record;
+        content.has_receiver_record |= receiver.is_outdated;
+        let mut header = self.header_to(name, now_us, &receiver, &mut content);
+        let mut writer = DatagramWriter::new(&header);
+        self.write_addressed_records(name, now_us, &content, &mut writer);
+        // Messages are not held up by the budget, but once it is spent they go without gossip.
+        let has_message = !content.message.is_empty();
+        let is_only_message = has_message && !self.byte_budget.has_tokens(now_us);
+        if receiver.is_proven {
+            if has_message {
+                writer.add_message(content.message);
+            }
+            if !is_only_message {
+                self.write_members(now_us, content.members, &mut writer);
+                self.write_usage_and_gauges(name, now_us, &receiver, &mut header, &mut writer);
+            }
+        }
+        self.transmit(now_us, address, writer, header, outputs);
+    }
+
+    /// Counts a datagram to a member and determines which instance of it is meant.
+    fn address_receiver(
+        &mut self,
+        name: &str,
+        now_us: u64,
+        replaced_instance_id: Option<u64>,
+    ) -> Receiver {
+        let others = self.table.len().saturating_sub(1);
+        let update_interval_us = self.config.update_interval_us(others);
+        let known = self.table.record(name);
+        let known_instance_id = known.map(|record| record.instance_id);
+        let is_known_present = known.is_some_and(|record| record.is_present());
+        let gateway = known.map_or(u16::MAX, |record| record.number);
+        let peer = self.peer_mut(now_us, name);
+        peer.next_update_at_us = now_us + update_interval_us;
+        peer.session.last_sent_sequence += 1;
+        let claimed_instance_id = peer.session.claimed_instance_id;
+        let current_instance_id = if claimed_instance_id != 0 {
+            claimed_instance_id
+        } else {
+            known_instance_id.unwrap_or(0)
+        };
+        let instance_id = replaced_instance_id.unwrap_or(current_instance_id);
+        let proven_instance_id = peer.session.proven_instance_id;
+        let is_proven = proven_instance_id != 0 && proven_instance_id == instance_id;
+        let needs_own_record = peer.proven_sends < MIN_OWN_RECORD_SENDS;
+        if is_proven {
+            peer.proven_sends = peer.proven_sends.saturating_add(1);
+        }
+        Receiver {
+            instance: InstanceKey {
+                gateway,
+                instance_id,
+            },
+            is_proven,
+            is_outdated: known_instance_id
+                .is_some_and(|known| !is_known_present || known != instance_id),
+            needs_own_record,
+        }
+    }
+
+    /// The header of a datagram, with the small parts of its content.
+    fn header_to(
+        &mut self,
+        name: &str,
+        now_us: u64,
+        receiver: &Receiver,
+        content: &mut DatagramContent,
+    ) -> DatagramHeader {
+        let peer = self.peer_mut(now_us, name);
+        let sequence = peer.session.last_sent_sequence;
+        let usage_received = peer.usage.received;
+        let gauges_received = peer.gauges.version;
+        let mut acks = std::mem::take(&mut peer.pending_acks);
+        acks.append(&mut content.acks);
+        acks.truncate(MAX_PROBES);
+        DatagramHeader {
+            ping: content.ping,
+            acks,
+            indirect_pings: std::mem::take(&mut content.indirect_pings),
+            bucket_digests: std::mem::take(&mut content.bucket_digests),
+            wants_digests: content.wants_digests,
+            usage_received,
+            gauges_received,
+            ..self.header(receiver.instance.instance_id, sequence)
+        }
+    }
+
+    /// A header with sender and receiver.
+    pub(super) fn header(&self, to_instance_id: u64, sequence: u64) -> DatagramHeader {
+        let own = self.table.own_record();
+        DatagramHeader {
+            from: own.name.clone(),
+            instance_id: self.instance_id,
+            incarnation: own.incarnation,
+            to_instance_id,
+            sequence,
+            wanted_gateways: self.unheard_gateways.clone(),
+            ..DatagramHeader::default()
+        }
+    }
+
+    /// Adds the records that the receiver needs about sender and receiver themselves.
+    fn write_addressed_records(
+        &self,
+        name: &str,
+        now_us: u64,
+        content: &DatagramContent,
+        writer: &mut DatagramWriter,
+    ) {
+        let own_name = self.config.name.as_str();
+        let own = content.has_own_record.then_some(own_name);
+        let receiver = content.has_receiver_record.then_some(name);
+        for name in own.into_iter().chain(receiver) {
+            if let Some(entry) = self.table.entry(name) {
+                writer.add_member(member_update(entry, now_us), 0);
+            }
+        }
+    }
+
+    /// Adds the given members, or those to disseminate.
+    fn write_members(
+        &mut self,
+        now_us: u64,
+        members: Option<&mut Peekable<std::vec::IntoIter<MemberUpdate>>>,
+        writer: &mut DatagramWriter,
+    ) {
+        let Some(members) = members else {
+            self.table.drain_disseminations(|entry| {
+                writer.add_member(member_update(entry, now_us), USAGE_RESERVE_BYTES)
+            });
+            return;
+        };
+        while let Some(update) = members.peek() {
+            if !writer.add_member(update.clone(), 0) {
+                return;
+            }
+            members.next();
+        }
+    }
+
+    fn write_usage_and_gauges(
+        &mut self,
+        name: &str,
+        now_us: u64,
+        receiver: &Receiver,
+        header: &mut DatagramHeader,
+        writer: &mut DatagramWriter,
+    ) {
+        let Some(peer) = self.peers.get_mut(name) else {
+            return;
+        };
+        header.usage_after = peer.usage.acked;
+        let coverage = self.usage.write(&mut peer.usage, receiver.instance, writer);
+        header.usage_up_to = coverage.up_to;
+        header.is_usage_complete = coverage.is_complete;
+        if peer.gauges_acked < self.gauges.version {
+            writer.add_gauges(self.gauges.snapshot(now_us));
+        }
+    }
+
+    /// Seals a datagram and charges it to the budgets.
+    pub(super) fn transmit(
+        &mut self,
+        now_us: u64,
+        to: SocketAddr,
+        writer: DatagramWriter,
+        header: DatagramHeader,
+        outputs: &mut Vec<Output>,
+    ) {
+        let bytes = self.keys.seal(&writer.finish(header));
+        debug_assert!((SEAL_OVERHEAD_BYTES..=MAX_DATAGRAM_BYTES).contains(&bytes.len()));
+        self.byte_budget.spend(now_us, bytes.len() as f64);
+        self.message_budget.spend(now_us, 1.0);
+        outputs.push(Output::Send { to, bytes });
+    }
+
+    /// The state of the exchange with a member; a new one if there is none.
+    pub(super) fn peer_mut(&mut self, now_us: u64, name: &str) -> &mut Peer {
+        let update_interval_us = self.config.update_interval_us(self.table.len());
+        let updates_per_s = 1e6 / update_interval_us as f64;
+        // Above all sequence numbers sent before the member was forgotten: no more than one datagram a millisecond goes to it.
+        let last_sent_sequence = self.clock.uptime_us(now_us) / 1_000;
+        self.peers
+            .entry(name.into())
+            .or_insert_with(|| Peer::new(updates_per_s, last_sent_sequence))
+    }
+}
+
+/// A member as it is sent to others.
+pub(super) fn member_update(entry: &MemberEntry, now_us: u64) -> MemberUpdate {
+    let age_s = if entry.record.is_present() {
+        0
+    } else {
+        now_us.saturating_sub(entry.since_us) / 1_000_000
+    };
+    MemberUpdate {
+        record: entry.record.clone(),
+        age_s: u32::try_from(age_s).unwrap_or(u32::MAX),
+        suspectors: entry.suspectors.clone(),
+    }
+}
--- /dev/null
+++ b/crates/cluster-membership/src/membership/tick.rs
@@ -0,0 +1,151 @@
+//! What is done at every tick.
+
+use super::output::Output;
+use super::peer::heard_at_us;
+use super::probing::RELAYED_PING_TIMEOUT_US;
+use super::send::DatagramContent;
+use super::state::Membership;
+use crate::record::LifecyclePhase;
+use crate::wire::MAX_WANTED_GATEWAYS;
+
+/// A member that was not heard for this long is asked for at the others.
+const UNHEARD_TIMEOUT_US: u64 = 1_000_000;
+/// Updates that may be sent at a tick in any case.
+const MIN_UPDATES_PER_TICK: u64 = 8;
+
+impl Membership {
+    /// Does what is due. To be called at every tick.
+    pub fn tick(&mut self, now_us: u64, outputs: &mut Vec<Output>) {
+        if self.clock.tick(now_us) {
+            self.detector.resume_after_pause(self.clock.running_us());
+        }
+        self.forget_gone(now_us, outputs);
+        self.report_absent_gateways(outputs);
+        self.report_usage(now_us, outputs);
+        if self.superseded {
+            return;
+        }
+        if self.has_left {
+            self.leave(now_us, outputs);
+            return;
+        }
+        self.update_unheard_gateways();
+        self.contact_seeds(now_us, outputs);
+        self.run_failure_detector(now_us, outputs);
+        self.start_sync(now_us, outputs);
+        self.send_updates(now_us, outputs);
+        self.log_suppressed(now_us, outputs);
+    }
+
+    fn forget_gone(&mut self, now_us: u64, outputs: &mut Vec<Output>) {
+        for record in self.table.forget_gone(now_us) {
+            self.log(
+                now_us,
+                format!("member {}: forgotten", record.name),
+                outputs,
+            );
+        }
+        let running_us = self.clock.running_us();
+        self.relayed_pings
+            .retain(|_, relayed| relayed.expires_at_us > running_us);
+        let table = &self.table;
+        self.peers.retain(|name, peer| {
+            let is_member = table.record(name).is_some();
+            is_member || running_us < peer.last_datagram_at_us + RELAYED_PING_TIMEOUT_US
+        });
+    }
+
+    /// Reports the numbers that no member has, if they have changed.
+    fn report_absent_gateways(&mut self, outputs: &mut Vec<Output>) {
+        if !self.has_joined {
+            return;
+        }
+        let mut is_used = vec![false; usize::from(self.config.gateways)];
+        for record in self.table.records() {
+            if record.phase == LifecyclePhase::Left {
+                continue;
+            }
+            if let Some(used) = is_used.get_mut(usize::from(record.number)) {
+                *used = true;
+            }
+        }
+        let absent: Vec<u32> = (0..)
+            .zip(is_used)
+            .filter(|(_, used)| !used)
+            .map(|(number, _)| number)
+            .collect();
+        if absent != self.absent_gateways {
+            self.absent_gateways.clone_from(&absent);
+            outputs.push(Output::GatewaysAbsent(absent));
+        }
+    }
+
+    fn report_usage(&mut self, now_us: u64, outputs: &mut Vec<Output>) {
+        let changes = self.usage.tick(now_us);
+        if changes.is_empty() && self.fully_reported.is_empty() {
+            return;
+        }
+        let heard = std::mem::take(&mut self.fully_reported);
+        outputs.push(Output::UsageReported {
+            heard: heard.into_iter().collect(),
+            uses: changes.uses,
+            past: changes.past,
+        });
+    }
+
+    /// Determines whose usage the other members are to relay.
+    fn update_unheard_gateways(&mut self) {
+        let running_us = self.clock.running_us();
+        let is_unheard = |name: &str| {
+            let heard_at_us = heard_at_us(&self.peers, name);
+            heard_at_us == 0 || running_us.saturating_sub(heard_at_us) >= UNHEARD_TIMEOUT_US
+        };
+        self.unheard_gateways = self
+            .table
+            .present_others()
+            .filter(|record| is_unheard(&record.name))
+            .map(|record| record.number)
+            .take(MAX_WANTED_GATEWAYS)
+            .collect();
+    }
+
+    /// Sends updates to the members that are due, the one that has waited longest first, so that a budget that is too small is
+    /// shared by all.
+    fn send_updates(&mut self, now_us: u64, outputs: &mut Vec<Output>) {
+        let due_at_us = |name: &str| self.peers.get(name).map_or(0, |p| p.next_update_at_us);
+        let mut due: Vec<(u64, String)> = self
+            .table
+            .present_others()
+            .map(|record| (due_at_us(&record.name), record.name.clone()))
+            .filter(|(at_us, _)| *at_us <= now_us)
+            .collect();
+        due.sort_unstable();
+        due.truncate(self.max_updates_per_tick());
+        for (_, name) in due {
+            if !self.byte_budget.has_tokens(now_us) || !self.message_budget.has_tokens(now_us) {
+                return;
+            }
+            self.send(&name, now_us, DatagramContent::default(), outputs);
+        }
+    }
+
+    /// Updates are spread over the ticks of an interval, with a quarter to spare: each takes some 20 us, during which requests
+    /// wait.
+    fn max_updates_per_tick(&self) -> usize {
+        let others = self.table.len().saturating_sub(1);
+        let interval_us = self.config.update_interval_us(others);
+        let per_tick = others as u64 * self.config.tick_us / interval_us;
+        (per_tick + per_tick / 4).max(MIN_UPDATES_PER_TICK) as usize
+    }
+
+    /// Logs a flood of invalid datagrams, and how many lines were suppressed.
+    fn log_suppressed(&mut self, now_us: u64, outputs: &mut Vec<Output>) {
+        if self.invalid_seals.take_unreported_flood() {
+            let text = "fleet: a flood of datagrams with a wrong seal; more are dropped unread";
+            outputs.push(Output::Log(text.into()));
+        }
+        if let Some(suppressed) = self.log_limiter.take_suppressed(now_us) {
+            self.log(now_us, format!("fleet: {suppressed} lines more"), outputs);
+        }
+    }
+}
--- a/crates/cluster-membership/src/record.rs
+++ b/crates/cluster-membership/src/record.rs
@@ -1,81 +1,102 @@
-//! What is told of one member, and which of two tellings counts.
+//! What is disseminated about one member, and which of two records about it takes precedence.
 
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
 
-/// Names, zones and regions are no longer than this.
-pub const MOST_NAME: usize = 64;
+#[cfg(test)]
+pub(crate) mod tests;
+
+/// Upper bound of a name, zone, region or program version, in bytes.
+pub const MAX_TEXT_BYTES: usize = 64;
 
-/// What a member says of itself. Each change has a higher incarnation.
+/// What a member says of itself. Each change comes with a higher incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum LifecyclePhase {
     /// Not ready yet.
     Joining,
+    /// Takes requests.
     Ready,
-    /// Finishes what it has.
+    /// Finishes the requests it has and takes no new ones.
     Draining,
-    /// It has gone in good order.
+    /// Shut down gracefully.
     Left,
 }
 
-/// What the others hold of it; of the same incarnation the worse one counts, and the member itself refutes it by a higher one.
+/// What the other members hold of a member. Within one incarnation the worse state takes precedence; the member itself refutes
+/// it by a higher incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Liveness {
+    /// Believed to run.
     Alive,
+    /// Did not answer a probe; confirmed dead unless it refutes in time.
     Suspect,
+    /// Confirmed dead.
     Dead,
 }
 
+/// A member's state as it is disseminated.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberRecord {
+    /// Name, unique in the cluster and stable across restarts.
     pub name: String,
-    /// Its place in the sets of gateways that requests name.
+    /// Its position in the sets of gateways that requests name.
     pub number: u16,
+    /// Availability zone.
     pub zone: String,
+    /// Region.
     pub region: String,
-    /// Where the others reach it.
+    /// Address at which the other members reach it.
     pub address: SocketAddr,
-    /// Drawn by the process at its start: a restarted one is another.
+    /// Random id chosen by the process at its start: a restarted process has another.
     pub instance_id: u64,
-    /// Begins with the time of its start in milliseconds, and grows with each change and each refutation.
+    /// Begins with the time of its start in milliseconds since 1970, and grows with each change and each refutation.
     pub incarnation: u64,
+    /// What the member says of itself.
     pub phase: LifecyclePhase,
-    pub verdict: Liveness,
+    /// What the others hold of it.
+    pub liveness: Liveness,
+    /// Version of the program that it runs.
     pub program: String,
 }
 
 impl MemberRecord {
-    /// Whether this telling replaces the other.
-    pub fn beats(&self, other: &MemberRecord) -> bool {
-        let order = |r: &MemberRecord| (r.incarnation, r.instance_id, r.verdict);
-        order(self) > order(other)
+    /// Whether this record takes precedence over the other one.
+    pub fn supersedes(&self, other: &MemberRecord) -> bool {
+        self.precedence() > other.precedence()
     }
 
-    /// Whether it names what can be a member: lengths in bounds, nothing that would spoil a log.
-    pub fn fits(&self) -> bool {
+    fn precedence(&self) -> (u64, u64, Liveness) {
+        (self.incarnation, self.instance_id, self.liveness)
+    }
+
+    /// Whether all texts are in bounds and plain (see [`MemberRecord::is_plain`]), and the name is not empty.
+    pub fn is_valid(&self) -> bool {
         let texts = [&self.name, &self.zone, &self.region, &self.program];
-        !self.name.is_empty() && texts.iter().all(|t| MemberRecord::is_plain(t))
+        let all_plain = texts.iter().all(|text| MemberRecord::is_plain(text));
+        !self.name.is_empty() && all_plain
     }
 
+    /// Whether a text has at most [`MAX_TEXT_BYTES`] and only characters that are safe in a line of the log.
     pub fn is_plain(text: &str) -> bool {
-        let fine = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '.' | '_');
-        text.len() <= MOST_NAME && text.chars().all(fine)
+        let is_safe = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '.' | '_');
+        text.len() <= MAX_TEXT_BYTES && text.chars().all(is_safe)
     }
 
-    /// Neither dead nor gone.
-    pub fn there(&self) -> bool {
-        self.phase != LifecyclePhase::Left && self.verdict != Liveness::Dead
+    /// Whether it takes part in the cluster: it is neither dead nor has it left.
+    pub fn is_present(&self) -> bool {
+        self.phase != LifecyclePhase::Left && self.liveness != Liveness::Dead
     }
 
-    pub fn ready(&self) -> bool {
-        self.there() && self.phase == LifecyclePhase::Ready
+    /// Whether it is present and takes requests.
+    pub fn is_ready(&self) -> bool {
+        self.is_present() && self.phase == LifecyclePhase::Ready
     }
 
-    /// As operators read it.
+    /// Phase and liveness as one term for operators.
     pub fn state(&self) -> &'static str {
-        match (self.phase, self.verdict) {
+        match (self.phase, self.liveness) {
             (LifecyclePhase::Left, _) => "left",
             (_, Liveness::Dead) => "dead",
             (_, Liveness::Suspect) => "suspect",
@@ -85,72 +106,21 @@
         }
     }
 
-    /// Of what all are to agree on. A suspicion is not: it is over soon, one way or the other.
+    /// Digest of what all members converge on. A suspicion is left out, since it is settled soon either way.
     pub fn digest(&self) -> u64 {
-        let mut h = hasher();
-        (
+        stable_hash((
             &self.name,
             self.instance_id,
             self.incarnation,
             self.phase,
-            self.verdict == Liveness::Dead,
-        )
-            .hash(&mut h);
-        h.finish()
+            self.liveness == Liveness::Dead,
+        ))
     }
 }
 
-/// The same in every process, so that digests can be compared.
-pub fn hasher() -> SipHasher13 {
-    SipHasher13::new_with_keys(0x6672_6f73_7468, 0x6174_6368)
-}
-
-pub fn hash(of: impl Hash) -> u64 {
-    let mut h = hasher();
-    of.hash(&mut h);
-    h.finish()
-}
-
-#[cfg(test)]
-pub(crate) mod tests {
-    use super::*;
-
-    pub fn record(name: &str, incarnation: u64) -> MemberRecord {
-        MemberRecord {
-            name: name.into(),
-            number: name.trim_start_matches('n').parse().unwrap_or(0),
-            zone: "a".into(),
-            region: String::new(),
-            address: ([127, 0, 0, 1], 7_400).into(),
-            instance_id: 1,
-            incarnation,
-            phase: LifecyclePhase::Ready,
-            verdict: Liveness::Alive,
-            program: "0.2.0".into(),
-        }
-    }
-
-    #[test]
-    fn the_later_incarnation_counts_and_of_one_the_worse_verdict() {
-        let alive = record("n1", 5);
-        let dead = MemberRecord {
-            verdict: Liveness::Dead,
-            ..alive.clone()
-        };
-        let back = MemberRecord {
-            incarnation: 6,
-            ..alive.clone()
-        };
-        assert!(dead.beats(&alive) && !alive.beats(&dead));
-        assert!(back.beats(&dead) && !dead.beats(&back));
-        assert!(!alive.beats(&alive));
-    }
-
-    #[test]
-    fn names_that_would_spoil_a_log_are_refused() {
-        assert!(record("n1.example-2_b", 1).fits());
-        for name in ["", "a b", "a\nb", "\u{e6}", &"x".repeat(MOST_NAME + 1)] {
-            assert!(!record(name, 1).fits(), "{name:?}");
-        }
-    }
+/// A hash that is the same in every process, so that digests can be compared between members.
+pub fn stable_hash(value: impl Hash) -> u64 {
+    let mut hasher = SipHasher13::new_with_keys(0x6672_6f73_7468, 0x6174_6368);
+    value.hash(&mut hasher);
+    hasher.finish()
 }
--- a/crates/cluster-membership/src/seal.rs
+++ b/crates/cluster-membership/src/seal.rs
@@ -1,157 +1,153 @@
-//! The fleet's keys. Each datagram is sealed by one of them (HMAC-SHA-256, RFC 2104; its first 16 bytes, section 5 there: at least
-//! half of the hash) and says which. Two keys are accepted while one takes the place of the other.
+//! Authentication of datagrams by the cluster's shared keys: HMAC-SHA-256 (RFC 2104), truncated to its first 16 bytes (section 5
+//! there: at least half of the hash). Two keys are accepted while one replaces the other.
 //!
 //! ```text
-//! "FH" | version 3 | key id u8 | body | seal of all before it
+//! "FH" | version 3 | key id u8 | body | HMAC of all before it
 //! ```
 
 use ring::hmac;
 
-/// Longest datagram: below what any usual path carries whole.
-pub const MOST_BYTES: usize = 1_200;
-const MARK: [u8; 3] = [b'F', b'H', 3];
-const SEAL: usize = 16;
-/// What is round a body.
-pub const AROUND: usize = MARK.len() + 1 + SEAL;
+#[cfg(test)]
+mod tests;
+
+/// Largest datagram: below the MTU of any usual path, so that it is not fragmented.
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
+/// Bytes that sealing adds to a body.
+pub const SEAL_OVERHEAD_BYTES: usize = PREFIX.len() + 1 + TAG_BYTES;
 /// Keys that are accepted at once.
-pub const MOST_KEYS: usize = 2;
+pub const MAX_KEYS: usize = 2;
+
+const PREFIX: [u8; 3] = [b'F', b'H', 3];
+const TAG_BYTES: usize = 16;
+
+/// What is wrong with the text of a key file.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum KeyFileError {
+    /// The file as a whole is one secret, and that is too short.
+    #[error("it holds fewer than 32 bytes")]
+    FileTooShort,
+    /// A secret is too short.
+    #[error("key {id} holds fewer than 32 bytes")]
+    SecretTooShort {
+        /// Id of the key.
+        id: u8,
+    },
+    /// Two lines have the same id.
+    #[error("key {id} is there twice")]
+    DuplicateId {
+        /// The id.
+        id: u8,
+    },
+    /// The file holds more keys than are accepted at once.
+    #[error("it holds {count} keys, and {MAX_KEYS} at most are accepted at once")]
+    TooManyKeys {
+        /// Keys that the file holds.
+        count: usize,
+    },
+}
 
-/// The first one seals, all of them open.
-pub struct Keys(Vec<(u8, hmac::Key)>);
+struct Key {
+    id: u8,
+    hmac: hmac::Key,
+}
+
+impl Key {
+    fn new(id: u8, secret: &[u8]) -> Key {
+        Key {
+            id,
+            hmac: hmac::Key::new(hmac::HMAC_SHA256, secret),
+        }
+    }
+}
+
+/// The cluster's keys: the first one seals, all of them open.
+pub struct Keys(Vec<Key>);
 
 impl Keys {
-    /// Fewest bytes of a key: as many as the hash has (RFC 2104 section 3).
-    pub const LEAST: usize = 32;
+    /// Fewest bytes of a secret: as many as the hash has (RFC 2104 section 3).
+    pub const MIN_SECRET_BYTES: usize = 32;
 
-    /// Reads the text of a key file: lines of an id (0 to 255) and a secret of at least 32 bytes without spaces, the one that seals
-    /// first; or, as a whole, one secret, which has the id 0.
+    /// Parses the text of a key file: lines of an id (0 to 255) and a secret of at least 32 bytes without spaces, the one that
+    /// seals first; or, as a whole, one secret, which has the id 0.
     ///
     /// # Errors
-    /// What is wrong with it.
-    pub fn read(text: &[u8]) -> Result<Keys, String> {
-        let line = |l: &str| {
-            let (id, secret) = l.split_once(' ')?;
-            Some((id.parse::<u8>().ok()?, secret.trim().to_string()))
+    /// Too many keys, a secret that is too short, or an id that stands twice.
+    pub fn parse(text: &[u8]) -> Result<Keys, KeyFileError> {
+        let Some(lines) = split_key_lines(text) else {
+            return Keys::from_secret(0, text.trim_ascii()).ok_or(KeyFileError::FileTooShort);
         };
-        let lines: Option<Vec<_>> = std::str::from_utf8(text).ok().and_then(|t| {
-            let all: Option<Vec<_>> = t
-                .lines()
-                .filter(|l| !l.trim().is_empty())
-                .map(line)
-                .collect();
-            all.filter(|all| !all.is_empty())
-        });
-        let Some(lines) = lines else {
-            let key = Keys::one(0, text.trim_ascii()).ok_or("it holds fewer than 32 bytes")?;
-            return Ok(key);
-        };
-        if lines.len() > MOST_KEYS {
-            return Err(format!(
-                "it holds {} keys, and {MOST_KEYS} at most are accepted at once",
-                lines.len()
-            ));
+        if lines.len() > MAX_KEYS {
+            return Err(KeyFileError::TooManyKeys { count: lines.len() });
         }
-        let mut keys = Keys(Vec::new());
+        let mut keys: Vec<Key> = Vec::new();
         for (id, secret) in lines {
-            if secret.len() < Keys::LEAST {
-                return Err(format!("key {id} holds fewer than 32 bytes"));
+            if secret.len() < Keys::MIN_SECRET_BYTES {
+                return Err(KeyFileError::SecretTooShort { id });
             }
-            if keys.0.iter().any(|(known, _)| *known == id) {
-                return Err(format!("key {id} is there twice"));
+            if keys.iter().any(|known| known.id == id) {
+                return Err(KeyFileError::DuplicateId { id });
             }
-            keys.0
-                .push((id, hmac::Key::new(hmac::HMAC_SHA256, secret.as_bytes())));
+            keys.push(Key::new(id, secret.as_bytes()));
         }
-        Ok(keys)
+        Ok(Keys(keys))
     }
 
-    /// None if it is too short.
-    pub fn one(id: u8, secret: &[u8]) -> Option<Keys> {
-        let long = secret.len() >= Keys::LEAST;
-        long.then(|| Keys(vec![(id, hmac::Key::new(hmac::HMAC_SHA256, secret))]))
+    /// As [`Keys::parse`], with the error as text.
+    ///
+    /// # Errors
+    /// The displayed [`KeyFileError`].
+    pub fn read(text: &[u8]) -> Result<Keys, String> {
+        Keys::parse(text).map_err(|error| error.to_string())
+    }
+
+    /// A single key, or `None` if the secret is shorter than [`Keys::MIN_SECRET_BYTES`].
+    pub fn from_secret(id: u8, secret: &[u8]) -> Option<Keys> {
+        let is_long_enough = secret.len() >= Keys::MIN_SECRET_BYTES;
+        is_long_enough.then(|| Keys(vec![Key::new(id, secret)]))
     }
 
+    /// Ids of all keys, the sealing one first.
     pub fn ids(&self) -> impl Iterator<Item = u8> + '_ {
-        self.0.iter().map(|(id, _)| *id)
+        self.0.iter().map(|key| key.id)
     }
 
+    /// The sealed datagram of a body.
     pub fn seal(&self, body: &[u8]) -> Vec<u8> {
-        let (id, key) = &self.0[0];
-        let mut bytes = Vec::with_capacity(body.len() + AROUND);
-        bytes.extend(MARK);
-        bytes.push(*id);
+        let key = &self.0[0];
+        let mut bytes = Vec::with_capacity(body.len() + SEAL_OVERHEAD_BYTES);
+        bytes.extend(PREFIX);
+        bytes.push(key.id);
         bytes.extend(body);
-        let seal = hmac::sign(key, &bytes);
-        bytes.extend(&seal.as_ref()[..SEAL]);
+        let tag = hmac::sign(&key.hmac, &bytes);
+        bytes.extend(&tag.as_ref()[..TAG_BYTES]);
         bytes
     }
 
-    /// The body, if the seal is that of a key that is accepted.
+    /// The body of a datagram, if it was sealed by one of the keys.
     pub fn open<'a>(&self, bytes: &'a [u8]) -> Option<&'a [u8]> {
-        if !(AROUND..=MOST_BYTES).contains(&bytes.len()) || !bytes.starts_with(&MARK) {
+        let has_valid_length = (SEAL_OVERHEAD_BYTES..=MAX_DATAGRAM_BYTES).contains(&bytes.len());
+        if !has_valid_length || !bytes.starts_with(&PREFIX) {
             return None;
         }
-        let (_, key) = self.0.iter().find(|(id, _)| *id == bytes[MARK.len()])?;
-        let (text, seal) = bytes.split_at(bytes.len() - SEAL);
-        // Compared in a time that does not depend on where it is wrong.
-        let right = hmac::sign(key, text);
-        let differs = seal
+        let key = self.0.iter().find(|key| key.id == bytes[PREFIX.len()])?;
+        let (sealed, tag) = bytes.split_at(bytes.len() - TAG_BYTES);
+        let expected = hmac::sign(&key.hmac, sealed);
+        // In constant time: the time must not show at which byte the tags differ.
+        let difference = tag
             .iter()
-            .zip(right.as_ref())
-            .fold(0, |d, (a, b)| d | (a ^ b));
-        (differs == 0).then_some(&text[MARK.len() + 1..])
+            .zip(expected.as_ref())
+            .fold(0, |difference, (a, b)| difference | (a ^ b));
+        (difference == 0).then_some(&sealed[PREFIX.len() + 1..])
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const A: &str = "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa";
-    const B: &str = "bbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbb";
-
-    fn keys(text: &str) -> Keys {
-        Keys::read(text.as_bytes()).expect("keys")
-    }
-
-    #[test]
-    fn a_key_is_replaced_in_three_steps_and_all_hear_each_other_throughout() {
-        let steps = [
-            format!("1 {A}"),
-            format!("1 {A}\n2 {B}\n"),
-            format!("2 {B}\n1 {A}"),
-            format!("2 {B}"),
-        ];
-        for step in steps.windows(2) {
-            let (old, new) = (keys(&step[0]), keys(&step[1]));
-            let sealed = old.seal(b"text");
-            assert_eq!(new.open(&sealed), Some(&b"text"[..]), "{step:?}");
-            assert_eq!(old.open(&new.seal(b"text")), Some(&b"text"[..]), "{step:?}");
-        }
-        assert_eq!(keys(&steps[3]).open(&keys(&steps[0]).seal(b"text")), None);
-    }
-
-    #[test]
-    fn a_file_of_one_secret_is_as_before_and_what_is_wrong_is_told() {
-        let plain = keys("a key of the lab's own, long enough for all\n");
-        assert_eq!(plain.ids().collect::<Vec<_>>(), [0]);
-        let wrong = |text: &str| Keys::read(text.as_bytes()).err().expect("it is wrong");
-        assert!(wrong("short").contains("32"));
-        assert!(wrong(&format!("1 {A}\n2 short")).contains("key 2"));
-        assert!(wrong(&format!("1 {A}\n1 {B}")).contains("twice"));
-        assert!(wrong(&format!("1 {A}\n2 {B}\n3 {A}")).contains("3 keys"));
-    }
-
-    #[test]
-    fn nothing_opens_that_was_changed_anywhere() {
-        let key = keys(&format!("7 {A}"));
-        let good = key.seal(b"some text");
-        for n in 0..good.len() {
-            let mut bad = good.clone();
-            bad[n] ^= 1 << (n % 8);
-            assert_eq!(key.open(&bad), None, "byte {n}");
-            assert_eq!(key.open(&good[..n]), None);
-        }
-        assert_eq!(key.open(&[good, vec![0; MOST_BYTES]].concat()), None);
+/// Ids and secrets of a file whose lines all have both; `None` if it has any other form.
+fn split_key_lines(text: &[u8]) -> Option<Vec<(u8, &str)>> {
+    let text = std::str::from_utf8(text).ok()?;
+    let mut keys = Vec::new();
+    for line in text.lines().filter(|line| !line.trim().is_empty()) {
+        let (id, secret) = line.split_once(' ')?;
+        keys.push((id.parse().ok()?, secret.trim()));
     }
+    (!keys.is_empty()).then_some(keys)
 }
--- a/crates/cluster-membership/src/session.rs
+++ b/crates/cluster-membership/src/session.rs
@@ -1,119 +1,118 @@
-//! Which datagrams of one sender count. Each names the life that it is meant for: one that names ours was made since we started,
-//! so what was recorded earlier proves nothing. Within a life each counts once, by its number; a life that was replaced by a later
-//! one does not come back.
+//! Replay protection for the datagrams of one sender.
+//!
+//! Each datagram names the process instance that it is meant for. One that names the local instance was made after the local
+//! start, so datagrams recorded earlier prove nothing. Within one instance of the sender each sequence number counts once, and
+//! an instance that a later one has replaced is not accepted again.
 
-/// Numbers below the highest that are still told apart.
-const REPLAYS: u64 = 64;
+#[cfg(test)]
+mod tests;
+
+/// Width of the replay window: sequence numbers this far below the highest are rejected.
+const REPLAY_WINDOW: u64 = 64;
 
-/// What has come from one name.
+/// What is known of the datagrams exchanged with one member name.
 #[derive(Clone, Debug, Default)]
 pub struct Session {
-    /// Its life and incarnation, once proven; 0: none is.
-    pub life: u64,
+    /// Instance that has proven itself by naming ours; 0: none has.
+    pub proven_instance_id: u64,
+    /// Instance named in the last datagram, proven or not, so that replies can name it.
+    pub claimed_instance_id: u64,
+    /// Sequence number of the last datagram sent.
+    pub last_sent_sequence: u64,
+    /// When the member was last heard itself, in microseconds of running time; 0: never.
+    pub heard_at_us: u64,
+    incarnation: u64,
+    highest_sequence: u64,
+    /// Bit `n` is set if the sequence number `highest_sequence - n` has been received.
+    received_window: u64,
+}
+
+/// What a datagram says of its sender and receiver.
+#[derive(Clone, Copy, Debug)]
+pub struct DatagramIdentity {
+    /// Instance of the receiver that the datagram is meant for; 0: the sender knows none.
+    pub to_instance_id: u64,
+    /// Instance of the sender.
+    pub instance_id: u64,
+    /// Incarnation of the sender.
     pub incarnation: u64,
-    /// Its highest number, and which of those below it have come.
-    top: u64,
-    seen: u64,
-    /// Of the last that we sent.
-    pub number: u64,
-    pub heard_at: u64,
-    /// Its life as it says, proven or not, so that what we send names it.
-    pub says: u64,
+    /// Sequence number, growing with each datagram from the sender to this receiver.
+    pub sequence: u64,
 }
 
-/// What to make of a datagram.
+/// How a datagram is to be treated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Counts {
-    Yes,
-    /// It is the first of a new life.
-    Anew,
-    /// It came before.
-    Twice,
-    /// It names another life of ours, or none: it may be old. The sender is to hear ours.
+pub enum DatagramVerdict {
+    /// It counts.
+    Accepted,
+    /// It counts, as the first of a new instance.
+    AcceptedNewInstance,
+    /// It was received before, or is too old to tell.
+    Duplicate,
+    /// It names another instance of the receiver, or none, and may be a replay. The sender has to learn the current instance.
     Unproven,
-    /// It is of a life that another one has replaced. The sender is to hear of that.
+    /// It comes from an instance that another one has replaced. The sender has to learn of that.
     Replaced,
 }
 
 impl Session {
-    /// Nothing has come yet; what is sent begins above this number.
-    pub fn from(number: u64) -> Session {
+    /// A session without any datagram received. The first one sent has the number after `last_sent_sequence`.
+    pub fn starting_after(last_sent_sequence: u64) -> Session {
         Session {
-            number,
+            last_sent_sequence,
             ..Session::default()
         }
     }
 
-    /// `to`: the life that the datagram names; `me`: ours.
-    pub fn take(&mut self, me: u64, to: u64, life: u64, incarnation: u64, number: u64) -> Counts {
-        if life != self.life && self.life != 0 && incarnation <= self.incarnation {
-            return Counts::Replaced;
+    /// Judges a datagram and records it as received. `local_instance_id`: the instance of this process.
+    pub fn receive(
+        &mut self,
+        local_instance_id: u64,
+        datagram: DatagramIdentity,
+    ) -> DatagramVerdict {
+        let instance_id = datagram.instance_id;
+        let is_new_instance = instance_id != self.proven_instance_id;
+        let has_proven_instance = self.proven_instance_id != 0;
+        if is_new_instance && has_proven_instance && datagram.incarnation <= self.incarnation {
+            return DatagramVerdict::Replaced;
         }
-        self.says = life;
-        if to != me {
-            return Counts::Unproven;
+        self.claimed_instance_id = instance_id;
+        if datagram.to_instance_id != local_instance_id {
+            return DatagramVerdict::Unproven;
         }
-        let anew = life != self.life;
-        if anew {
-            (self.life, self.top, self.seen) = (life, 0, 0);
+        if is_new_instance {
+            self.proven_instance_id = instance_id;
+            self.highest_sequence = 0;
+            self.received_window = 0;
         }
-        self.incarnation = self.incarnation.max(incarnation);
-        match self.fresh(number) {
-            true if anew => Counts::Anew,
-            true => Counts::Yes,
-            false => Counts::Twice,
+        self.incarnation = self.incarnation.max(datagram.incarnation);
+        if !self.record_sequence(datagram.sequence) {
+            DatagramVerdict::Duplicate
+        } else if is_new_instance {
+            DatagramVerdict::AcceptedNewInstance
+        } else {
+            DatagramVerdict::Accepted
         }
     }
 
-    /// Whether a number has not come before (the sliding window of RFC 4303 section 3.4.3).
-    fn fresh(&mut self, number: u64) -> bool {
-        if number > self.top {
-            let by = number - self.top;
-            self.seen = if by >= REPLAYS { 0 } else { self.seen << by };
-            (self.top, self.seen) = (number, self.seen | 1);
+    /// Returns whether the number was not received before (the sliding window of RFC 4303 section 3.4.3).
+    fn record_sequence(&mut self, sequence: u64) -> bool {
+        if sequence > self.highest_sequence {
+            let advance = sequence - self.highest_sequence;
+            let shifted = if advance >= REPLAY_WINDOW {
+                0
+            } else {
+                self.received_window << advance
+            };
+            self.highest_sequence = sequence;
+            self.received_window = shifted | 1;
             return true;
         }
-        let below = self.top - number;
-        if below >= REPLAYS || self.seen >> below & 1 == 1 {
+        let below = self.highest_sequence - sequence;
+        if below >= REPLAY_WINDOW || self.received_window >> below & 1 == 1 {
             return false;
         }
-        self.seen |= 1 << below;
+        self.received_window |= 1 << below;
         true
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn only_what_names_our_life_counts_and_only_once() {
-        let mut s = Session::default();
-        assert_eq!(s.take(7, 0, 1, 10, 1), Counts::Unproven);
-        assert_eq!(
-            s.take(7, 6, 1, 10, 2),
-            Counts::Unproven,
-            "of before our start"
-        );
-        assert_eq!(s.take(7, 7, 1, 10, 3), Counts::Anew);
-        assert_eq!(s.take(7, 7, 1, 10, 3), Counts::Twice);
-        assert_eq!(s.take(7, 7, 1, 10, 100), Counts::Yes);
-        assert_eq!(
-            s.take(7, 7, 1, 10, 60),
-            Counts::Yes,
-            "late, for the first time"
-        );
-        assert_eq!(s.take(7, 7, 1, 10, 60), Counts::Twice);
-        assert_eq!(s.take(7, 7, 1, 10, 36), Counts::Twice, "too old to be told");
-    }
-
-    #[test]
-    fn a_life_that_was_replaced_does_not_come_back() {
-        let mut s = Session::default();
-        assert_eq!(s.take(7, 7, 1, 10, 500), Counts::Anew);
-        assert_eq!(s.take(7, 7, 2, 20, 1), Counts::Anew);
-        assert_eq!(s.take(7, 7, 1, 10, 501), Counts::Replaced);
-        assert_eq!(s.take(7, 7, 1, 20, 502), Counts::Replaced);
-        assert_eq!(s.take(7, 7, 2, 20, 2), Counts::Yes);
-    }
-}
--- a/crates/cluster-membership/src/usage_counters.rs
+++ b/crates/cluster-membership/src/usage_counters.rs
@@ -1,220 +1,283 @@
-//! What each gateway has let through: a counter that only grows, by gateway, life, window and customer. Two states are
-//! merged by the larger of each entry, so order, loss and repetition make no difference (a state-based CRDT, a G-counter;
-//! Shapiro et al., INRIA RR-7506, section 3.1.1).
+//! What each gateway admitted: counters that only grow, by gateway, process instance, window and customer. Two states are merged
+//! by the larger value of each counter, so order, loss and repetition make no difference (a state-based CRDT, a G-counter;
+//! Shapiro et al., INRIA RR-7506, section 3.1.1). Times are in microseconds, totals in thousandths of a unit.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A window lasts so long on its gateway's own clock, which only runs forward.
+/// Length of a window on its gateway's own monotonic clock.
 pub const WINDOW_US: u64 = 10_000_000;
-/// Windows of one life that are kept: 20 to 30 s of use, about what a quota's store can hold.
+/// Windows of one instance that are retained: 20 to 30 s of usage, about what a quota's burst can hold.
 pub const WINDOWS: u32 = 3;
-/// Lives of one gateway that are remembered, if only by how far they were dropped.
-pub const LIVES: usize = 8;
-/// A life that says nothing new for so long is dropped.
-const SILENT_US: u64 = 40_000_000;
+/// Instances of one gateway that are remembered, if only by how far their windows were dropped.
+pub const MAX_INSTANCES: usize = 8;
+/// The windows of an instance that reports nothing new for this long are dropped.
+const SILENT_INSTANCE_TIMEOUT_US: u64 = 40_000_000;
 
-/// Where use belongs: a restarted gateway is another life.
+/// Where usage belongs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct UsageKey {
+    /// Number of the gateway that admitted it.
     pub gateway: u16,
-    pub life: u64,
+    /// Process instance of the gateway.
+    pub instance_id: u64,
+    /// Window, counted from the start of the instance.
     pub window: u32,
 }
 
-#[derive(Clone, Copy)]
-struct Entry {
+impl UsageKey {
+    fn instance(self) -> InstanceKey {
+        InstanceKey {
+            gateway: self.gateway,
+            instance_id: self.instance_id,
+        }
+    }
+}
+
+/// A process instance of a gateway.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct InstanceKey {
+    /// Number of the gateway.
+    pub gateway: u16,
+    /// Random id of the process.
+    pub instance_id: u64,
+}
+
+impl InstanceKey {
+    fn window(self, window: u32) -> UsageKey {
+        UsageKey {
+            gateway: self.gateway,
+            instance_id: self.instance_id,
+            window,
+        }
+    }
+}
+
+/// A counter and the change that brought it to its total.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct UsageChange {
+    /// Number of the change, in the order of all changes here.
+    pub change: u64,
+    /// Gateway, instance and window.
+    pub key: UsageKey,
+    /// The customer.
+    pub tag: u32,
     /// Thousandths of a unit.
+    pub total: u64,
+}
+
+#[derive(Clone, Copy)]
+struct Counter {
     total: u64,
-    /// When it last changed, in the order of all changes here.
-    change: u64,
+    last_change: u64,
 }
 
-/// One life of a gateway.
-struct Life {
-    /// Windows below are dropped for good: what is told of them again is old.
-    floor: u32,
-    grew_at: u64,
+struct InstanceState {
+    /// Windows below are dropped for good, and updates of them ignored.
+    first_window: u32,
+    grew_at_us: u64,
 }
 
-/// The state, with the order in which it changed here.
+/// All counters, with the order in which they changed here.
 pub struct UsageCounters {
-    most: usize,
-    slots: BTreeMap<UsageKey, BTreeMap<u32, Entry>>,
-    lives: BTreeMap<(u16, u64), Life>,
+    max_entries: usize,
+    windows: BTreeMap<UsageKey, BTreeMap<u32, Counter>>,
+    instances: BTreeMap<InstanceKey, InstanceState>,
     changes: BTreeMap<u64, (UsageKey, u32)>,
-    change: u64,
+    last_change: u64,
 }
 
 impl UsageCounters {
-    /// `most`: entries that are kept.
-    pub fn new(most: usize) -> UsageCounters {
+    /// No counters. At most `max_entries` are retained.
+    pub fn new(max_entries: usize) -> UsageCounters {
         UsageCounters {
-            most,
-            slots: BTreeMap::new(),
-            lives: BTreeMap::new(),
+            max_entries,
+            windows: BTreeMap::new(),
+            instances: BTreeMap::new(),
             changes: BTreeMap::new(),
-            change: 0,
+            last_change: 0,
         }
     }
 
+    /// Number of counters.
     pub fn len(&self) -> usize {
         self.changes.len()
     }
 
+    /// Whether there are no counters.
     pub fn is_empty(&self) -> bool {
         self.changes.is_empty()
     }
 
     /// Number of the last change; 0: none yet.
     pub fn last_change(&self) -> u64 {
-        self.change
+        self.last_change
     }
 
-    /// All that is held, for comparison.
+    /// All counters by key and customer, for comparison.
     pub fn totals(&self) -> BTreeMap<(UsageKey, u32), u64> {
-        let all = self
-            .slots
+        self.windows
             .iter()
-            .flat_map(|(s, of)| of.iter().map(|(tag, e)| ((*s, *tag), e.total)));
-        all.collect()
+            .flat_map(|(key, counters)| {
+                counters
+                    .iter()
+                    .map(|(tag, counter)| ((*key, *tag), counter.total))
+            })
+            .collect()
+    }
+
+    /// Total of one counter; 0 if there is none.
+    pub fn total(&self, key: UsageKey, tag: u32) -> u64 {
+        self.windows
+            .get(&key)
+            .and_then(|counters| counters.get(&tag))
+            .map_or(0, |counter| counter.total)
     }
 
-    pub fn total(&self, slot: UsageKey, tag: u32) -> u64 {
-        self.slots
-            .get(&slot)
-            .and_then(|of| of.get(&tag))
-            .map_or(0, |e| e.total)
+    /// The counters that changed after a change, in the order of their changes.
+    pub fn changes_after(&self, change: u64) -> impl Iterator<Item = UsageChange> + '_ {
+        self.changes
+            .range(change + 1..)
+            .map(|(change, (key, tag))| UsageChange {
+                change: *change,
+                key: *key,
+                tag: *tag,
+                total: self.total(*key, *tag),
+            })
     }
 
-    /// Takes in one entry; by how much it grew. What is below what is held, or of a window that was dropped, changes
-    /// nothing.
-    pub fn merge(&mut self, now: u64, slot: UsageKey, tag: u32, total: u64) -> u64 {
-        let key = (slot.gateway, slot.life);
-        if self.lives.get(&key).is_some_and(|l| slot.window < l.floor) {
+    /// Merges one counter and returns by how much it grew: 0 if the total is not above the known one, the window was dropped, or
+    /// there is no room.
+    pub fn merge(&mut self, now_us: u64, key: UsageKey, tag: u32, total: u64) -> u64 {
+        let instance_key = key.instance();
+        let is_dropped = self
+            .instances
+            .get(&instance_key)
+            .is_some_and(|instance| key.window < instance.first_window);
+        if is_dropped {
             return 0;
         }
-        let held = self.total(slot, tag);
-        if total <= held {
+        let known_total = self.total(key, tag);
+        if total <= known_total {
             return 0;
         }
-        if held == 0 && self.len() >= self.most && !self.make_room(slot) {
+        if known_total == 0 && self.len() >= self.max_entries && !self.make_room(instance_key) {
             return 0;
         }
-        if !self.lives.contains_key(&key) {
-            self.forget_a_life(slot.gateway);
+        self.record_growth(now_us, key);
+        self.set_total(key, tag, total);
+        total - known_total
+    }
+
+    /// Drops the windows of instances that have been silent for long. How far they had come is remembered.
+    pub fn drop_silent_instances(&mut self, now_us: u64) {
+        let is_silent = |instance: &InstanceState| {
+            now_us.saturating_sub(instance.grew_at_us) >= SILENT_INSTANCE_TIMEOUT_US
+        };
+        let silent: Vec<InstanceKey> = self
+            .instances
+            .iter()
+            .filter(|(_, instance)| is_silent(instance))
+            .map(|(key, _)| *key)
+            .collect();
+        for instance_key in silent {
+            let all_windows = instance_key.window(0)..=instance_key.window(u32::MAX);
+            let Some((last, _)) = self.windows.range(all_windows).next_back() else {
+                continue;
+            };
+            let first_window = last.window + 1;
+            if let Some(instance) = self.instances.get_mut(&instance_key) {
+                instance.first_window = first_window;
+            }
+            self.drop_windows_below(instance_key, first_window);
         }
-        let life = self.lives.entry(key).or_insert(Life {
-            floor: 0,
-            grew_at: now,
+    }
+
+    /// Notes that an instance reported growth, and drops those of its windows that are too old by now.
+    fn record_growth(&mut self, now_us: u64, key: UsageKey) {
+        let instance_key = key.instance();
+        if !self.instances.contains_key(&instance_key) {
+            self.make_room_for_instance(key.gateway);
+        }
+        let instance = self.instances.entry(instance_key).or_insert(InstanceState {
+            first_window: 0,
+            grew_at_us: now_us,
         });
-        life.grew_at = now;
-        let floor = slot.window.saturating_sub(WINDOWS - 1).max(life.floor);
-        if floor > life.floor {
-            life.floor = floor;
-            self.drop_below(key, floor);
+        instance.grew_at_us = now_us;
+        let first_window = key.window.saturating_sub(WINDOWS - 1);
+        if first_window > instance.first_window {
+            instance.first_window = first_window;
+            self.drop_windows_below(instance_key, first_window);
         }
-        self.change += 1;
-        let entry = Entry {
+    }
+
+    fn set_total(&mut self, key: UsageKey, tag: u32, total: u64) {
+        self.last_change += 1;
+        let counter = Counter {
             total,
-            change: self.change,
+            last_change: self.last_change,
         };
-        let before = self.slots.entry(slot).or_default().insert(tag, entry);
-        if let Some(before) = before {
-            self.changes.remove(&before.change);
+        let counters = self.windows.entry(key).or_default();
+        if let Some(before) = counters.insert(tag, counter) {
+            self.changes.remove(&before.last_change);
         }
-        self.changes.insert(self.change, (slot, tag));
-        total - held
+        self.changes.insert(self.last_change, (key, tag));
     }
 
-    fn drop_below(&mut self, (gateway, life): (u16, u64), floor: u32) {
-        let from = UsageKey {
-            gateway,
-            life,
-            window: 0,
-        };
-        let old: Vec<UsageKey> = self
-            .slots
-            .range(
-                from..UsageKey {
-                    window: floor,
-                    ..from
-                },
-            )
-            .map(|(s, _)| *s)
+    fn drop_windows_below(&mut self, instance_key: InstanceKey, first_window: u32) {
+        let dropped: Vec<UsageKey> = self
+            .windows
+            .range(instance_key.window(0)..instance_key.window(first_window))
+            .map(|(key, _)| *key)
             .collect();
-        old.into_iter().for_each(|slot| self.drop_slot(slot));
+        for key in dropped {
+            self.drop_window(key);
+        }
     }
 
-    fn drop_slot(&mut self, slot: UsageKey) {
-        for entry in self.slots.remove(&slot).into_iter().flatten() {
-            self.changes.remove(&entry.1.change);
+    fn drop_window(&mut self, key: UsageKey) {
+        for (_, counter) in self.windows.remove(&key).into_iter().flatten() {
+            self.changes.remove(&counter.last_change);
         }
     }
 
-    /// The entry that changed longest ago goes with its window, unless it is of the window that wants room.
-    fn make_room(&mut self, wants: UsageKey) -> bool {
+    /// Drops the window of the counter that changed longest ago, but none of `protected`. Returns whether there was one.
+    fn make_room(&mut self, protected: InstanceKey) -> bool {
         let oldest = self
             .changes
             .values()
-            .map(|(slot, _)| *slot)
-            .find(|s| (s.gateway, s.life) != (wants.gateway, wants.life));
-        let Some(slot) = oldest else { return false };
-        if let Some(life) = self.lives.get_mut(&(slot.gateway, slot.life)) {
-            life.floor = life.floor.max(slot.window + 1);
+            .map(|(key, _)| *key)
+            .find(|key| key.instance() != protected);
+        let Some(key) = oldest else {
+            return false;
+        };
+        if let Some(instance) = self.instances.get_mut(&key.instance()) {
+            instance.first_window = instance.first_window.max(key.window + 1);
         }
-        self.drop_slot(slot);
+        self.drop_window(key);
         true
     }
 
-    /// Of too many lives of one gateway the one that has said nothing for longest goes.
-    fn forget_a_life(&mut self, gateway: u16) {
-        let of = || self.lives.range((gateway, 0)..=(gateway, u64::MAX));
-        if of().count() >= LIVES {
-            if let Some(key) = of().min_by_key(|(_, l)| l.grew_at).map(|(key, _)| *key) {
-                self.drop_below(key, u32::MAX);
-                self.lives.remove(&key);
-            }
+    /// Forgets the instance of a gateway that has been silent for longest, if there are too many of them.
+    fn make_room_for_instance(&mut self, gateway: u16) {
+        let first = InstanceKey {
+            gateway,
+            instance_id: 0,
+        };
+        let last = InstanceKey {
+            gateway,
+            instance_id: u64::MAX,
+        };
+        let of_gateway = || self.instances.range(first..=last);
+        if of_gateway().count() < MAX_INSTANCES {
+            return;
         }
-    }
-
-    /// Drops what lives that are over have left behind; how far they had come is remembered.
-    pub fn age(&mut self, now: u64) {
-        let silent = |l: &Life| now.saturating_sub(l.grew_at) >= SILENT_US;
-        let over: Vec<_> = self
-            .lives
-            .iter()
-            .filter(|(_, l)| silent(l))
-            .map(|(key, _)| *key)
-            .collect();
-        for (gateway, life) in over {
-            let from = UsageKey {
-                gateway,
-                life,
-                window: 0,
-            };
-            let last = self
-                .slots
-                .range(
-                    from..=UsageKey {
-                        window: u32::MAX,
-                        ..from
-                    },
-                )
-                .next_back();
-            let Some(last) = last.map(|(s, _)| s.window) else {
-                continue;
-            };
-            if let Some(l) = self.lives.get_mut(&(gateway, life)) {
-                l.floor = last + 1;
-            }
-            self.drop_below((gateway, life), last + 1);
+        let longest_silent = of_gateway()
+            .min_by_key(|(_, instance)| instance.grew_at_us)
+            .map(|(key, _)| *key);
+        if let Some(key) = longest_silent {
+            self.drop_windows_below(key, u32::MAX);
+            self.instances.remove(&key);
         }
     }
-
-    /// Entries that changed after a change, oldest first.
-    pub fn since(&self, change: u64) -> impl Iterator<Item = (u64, UsageKey, u32, u64)> + '_ {
-        let after = self.changes.range(change + 1..);
-        after.map(|(change, (slot, tag))| (*change, *slot, *tag, self.total(*slot, *tag)))
-    }
 }
--- a/crates/cluster-membership/src/usage_gossip.rs
+++ b/crates/cluster-membership/src/usage_gossip.rs
@@ -1,175 +1,221 @@
-//! What this gateway let through is told to all others again and again until they have it, and what they tell is added up. Each
-//! side tells how far the other's changes have come and is sent those after that: a lost datagram is made up for by the next, and
-//! one that comes twice or late changes nothing, since entries only grow.
+//! Dissemination of the usage that gateways admitted. Each member sends its own counters to all others until they have them.
+//! Either side says which of the other's changes it has and is sent those after that: a lost datagram is made up for by the next
+//! one, and one that comes twice or late changes nothing, since counters only grow. Times are in microseconds.
 
-use crate::usage_counters::{UsageCounters, UsageKey, WINDOW_US};
-use crate::wire::DatagramWriter;
+use crate::usage_counters::{InstanceKey, UsageCounters, UsageKey, WINDOW_US};
+use crate::wire::{DatagramWriter, UsageGroup};
 use std::collections::{BTreeMap, HashMap};
 
-/// Thousandths of a unit travel.
-const PARTS: f64 = 1_000.0;
-/// What is told of a life within so long of when it was first heard of is of before that.
+/// Counters are in thousandths of a unit.
+const PARTS_PER_UNIT: f64 = 1_000.0;
+/// Usage received this soon after its instance was first heard of is counted as usage before that.
 const CATCH_UP_US: u64 = 300_000;
-/// Lives that are remembered as known.
-const MOST_KNOWN: usize = 8_192;
+/// Upper bound of the instances that are remembered as known.
+const MAX_KNOWN_INSTANCES: usize = 8_192;
 
-/// How far one other member and this one have told each other.
+/// How far one other member and this one have sent each other their usage.
 #[derive(Clone, Debug, Default)]
-pub struct Told {
-    /// Of our changes, those that it has; of its, those that we have.
+pub struct PeerProgress {
+    /// The other one has our changes up to and including this one.
     pub acked: u64,
-    pub have: u64,
-    /// Gateways that it does not hear itself, and how far their entries have gone there, round and round.
-    pub wanted: Vec<u16>,
+    /// We have its changes up to and including this one.
+    pub received: u64,
+    /// Numbers of gateways that it does not hear directly.
+    pub wanted_gateways: Vec<u16>,
+    /// Our changes up to and including this one were relayed to it in the current round.
     relayed: u64,
 }
 
-/// Use of others that was not known: by gateway and customer, and of before they were heard, by customer.
+/// Usage of other gateways that was not known before, in units.
 #[derive(Debug, Default, PartialEq)]
 pub struct UsageChanges {
+    /// Gateway, customer, and units.
     pub uses: Vec<(u32, u32, f64)>,
+    /// Customer, and units admitted before their gateway was first heard of.
     pub past: Vec<(u32, f64)>,
 }
 
 impl UsageChanges {
+    /// Whether nothing is new.
     pub fn is_empty(&self) -> bool {
         self.uses.is_empty() && self.past.is_empty()
     }
 }
 
+/// Which of a member's usage a datagram carries.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct UsageCoverage {
+    /// Number of the last change carried.
+    pub up_to: u64,
+    /// Whether these are all.
+    pub is_complete: bool,
+}
+
+/// The usage of all gateways as this member knows it.
 pub struct UsageGossip {
-    me: u16,
+    local: InstanceKey,
     gateways: u16,
-    life: u64,
-    uses: UsageCounters,
-    /// Own use that no entry holds yet.
-    own: HashMap<u32, f64>,
-    started: Option<u64>,
+    counters: UsageCounters,
+    /// Own usage since the last tick, in units.
+    pending_own: HashMap<u32, f64>,
+    started_at_us: Option<u64>,
+    /// Usage of others since the last tick, in thousandths of a unit, by gateway and customer.
     grown: BTreeMap<(u16, u32), u64>,
+    /// The same, from before their gateway was first heard of, by customer.
     past: BTreeMap<u32, u64>,
-    /// Since when each life is known.
-    known: BTreeMap<(u16, u64), u64>,
+    /// When each instance was first heard of.
+    known_since_us: BTreeMap<InstanceKey, u64>,
 }
 
 impl UsageGossip {
-    pub fn new(me: u16, gateways: u16, life: u64, most_entries: usize) -> UsageGossip {
+    /// Nothing is known yet. `gateways`: how many there are; `max_entries`: upper bound of the counters retained.
+    pub fn new(local: InstanceKey, gateways: u16, max_entries: usize) -> UsageGossip {
         UsageGossip {
-            me,
+            local,
             gateways,
-            life,
-            uses: UsageCounters::new(most_entries),
-            own: HashMap::new(),
-            started: None,
+            counters: UsageCounters::new(max_entries),
+            pending_own: HashMap::new(),
+            started_at_us: None,
             grown: BTreeMap::new(),
             past: BTreeMap::new(),
-            known: BTreeMap::new(),
+            known_since_us: BTreeMap::new(),
         }
     }
 
-    pub fn uses(&self) -> &UsageCounters {
-        &self.uses
+    /// All counters.
+    pub fn counters(&self) -> &UsageCounters {
+        &self.counters
     }
 
-    /// This gateway let units of a customer through.
-    pub fn used(&mut self, tag: u32, units: f64) {
+    /// Records that this gateway admitted units of a customer.
+    pub fn record_own(&mut self, tag: u32, units: f64) {
         if units.is_finite() && units > 0.0 {
-            *self.own.entry(tag).or_default() += units;
+            *self.pending_own.entry(tag).or_default() += units;
         }
     }
 
-    /// A life is heard for the first time.
-    pub fn meets(&mut self, now: u64, gateway: u16, life: u64) {
-        self.known.entry((gateway, life)).or_insert(now);
+    /// Records that an instance is heard for the first time.
+    pub fn record_instance(&mut self, now_us: u64, instance: InstanceKey) {
+        self.known_since_us.entry(instance).or_insert(now_us);
     }
 
-    /// Takes in what another told.
-    pub fn take(&mut self, now: u64, entries: Vec<(UsageKey, Vec<(u32, u64)>)>) {
-        for (slot, all) in entries {
-            // Nobody else knows better what this life did.
-            if (slot.gateway, slot.life) == (self.me, self.life) || slot.gateway >= self.gateways {
+    /// Merges what another member sent.
+    pub fn merge(&mut self, now_us: u64, groups: Vec<UsageGroup>) {
+        for UsageGroup { key, totals } in groups {
+            let instance = InstanceKey {
+                gateway: key.gateway,
+                instance_id: key.instance_id,
+            };
+            // Only this process knows its own usage.
+            if instance == self.local || key.gateway >= self.gateways {
                 continue;
             }
-            for (tag, total) in all {
-                let grew = self.uses.merge(now, slot, tag, total);
-                if grew == 0 {
-                    continue;
-                }
-                // What a life that was not known did until now may be half a minute old.
-                let since = *self.known.entry((slot.gateway, slot.life)).or_insert(now);
-                match now.saturating_sub(since) < CATCH_UP_US {
-                    true => *self.past.entry(tag).or_default() += grew,
-                    false => *self.grown.entry((slot.gateway, tag)).or_default() += grew,
+            for counter in totals {
+                let growth = self.counters.merge(now_us, key, counter.tag, counter.total);
+                if growth > 0 {
+                    self.record_growth(now_us, instance, counter.tag, growth);
                 }
             }
         }
     }
 
-    /// Own use becomes entries; what is old goes; what is new since the last time.
-    pub fn tick(&mut self, now: u64) -> UsageChanges {
-        let started = *self.started.get_or_insert(now);
-        let window = u32::try_from(now.saturating_sub(started) / WINDOW_US).unwrap_or(u32::MAX);
-        let slot = UsageKey {
-            gateway: self.me,
-            life: self.life,
-            window,
+    fn record_growth(&mut self, now_us: u64, instance: InstanceKey, tag: u32, growth: u64) {
+        let known_since_us = *self.known_since_us.entry(instance).or_insert(now_us);
+        // The first report of an unknown instance covers up to three windows, not just the last moments.
+        if now_us.saturating_sub(known_since_us) < CATCH_UP_US {
+            *self.past.entry(tag).or_default() += growth;
+        } else {
+            *self.grown.entry((instance.gateway, tag)).or_default() += growth;
+        }
+    }
+
+    /// Moves own usage into the counters, drops what is outdated, and returns the usage of others since the last tick.
+    pub fn tick(&mut self, now_us: u64) -> UsageChanges {
+        self.count_own(now_us);
+        self.counters.drop_silent_instances(now_us);
+        self.forget_oldest_instances();
+        let to_units = |parts: u64| parts as f64 / PARTS_PER_UNIT;
+        let uses = std::mem::take(&mut self.grown)
+            .into_iter()
+            .map(|((gateway, tag), parts)| (u32::from(gateway), tag, to_units(parts)))
+            .collect();
+        let past = std::mem::take(&mut self.past)
+            .into_iter()
+            .map(|(tag, parts)| (tag, to_units(parts)))
+            .collect();
+        UsageChanges { uses, past }
+    }
+
+    fn count_own(&mut self, now_us: u64) {
+        let started_at_us = *self.started_at_us.get_or_insert(now_us);
+        let window = now_us.saturating_sub(started_at_us) / WINDOW_US;
+        let key = UsageKey {
+            gateway: self.local.gateway,
+            instance_id: self.local.instance_id,
+            window: u32::try_from(window).unwrap_or(u32::MAX),
         };
-        for (tag, units) in self.own.drain() {
-            let total = self
-                .uses
-                .total(slot, tag)
-                .saturating_add((units * PARTS).ceil() as u64);
-            self.uses.merge(now, slot, tag, total);
+        for (tag, units) in self.pending_own.drain() {
+            let parts = (units * PARTS_PER_UNIT).ceil() as u64;
+            let total = self.counters.total(key, tag).saturating_add(parts);
+            self.counters.merge(now_us, key, tag, total);
         }
-        self.uses.age(now);
-        while self.known.len() > MOST_KNOWN {
+    }
+
+    fn forget_oldest_instances(&mut self) {
+        while self.known_since_us.len() > MAX_KNOWN_INSTANCES {
             let oldest = self
-                .known
+                .known_since_us
                 .iter()
-                .min_by_key(|(_, since)| **since)
-                .map(|(key, _)| *key);
-            oldest.map(|key| self.known.remove(&key));
-        }
-        let parts = |n: u64| n as f64 / PARTS;
-        let uses = std::mem::take(&mut self.grown).into_iter();
-        let past = std::mem::take(&mut self.past).into_iter();
-        UsageChanges {
-            uses: uses
-                .map(|((from, tag), n)| (u32::from(from), tag, parts(n)))
-                .collect(),
-            past: past.map(|(tag, n)| (tag, parts(n))).collect(),
+                .min_by_key(|(_, since_us)| **since_us)
+                .map(|(instance, _)| *instance);
+            if let Some(instance) = oldest {
+                self.known_since_us.remove(&instance);
+            }
         }
     }
 
-    /// Puts what another does not have yet into a datagram for it; up to which change, and whether that is all.
-    pub fn fill(
+    /// Adds to a datagram what its receiver does not have yet: own usage, usage of the receiver's earlier instances, and, as far
+    /// as there is room, usage of the gateways that it does not hear directly.
+    pub fn write(
         &self,
-        told: &mut Told,
-        to: (u16, u64),
+        progress: &mut PeerProgress,
+        receiver: InstanceKey,
         writer: &mut DatagramWriter,
-    ) -> (u64, bool) {
-        let (mut upto, mut complete) = (self.uses.last_change(), true);
-        for (change, slot, tag, total) in self.uses.since(told.acked) {
-            // Others tell it themselves, this one also of its earlier lives; what it did in one of its own it has forgotten.
-            let own = slot.gateway == self.me;
-            let earlier = slot.gateway == to.0 && slot.life != to.1;
-            if (own || earlier) && !writer.usage(slot, tag, total) {
-                (upto, complete) = (change - 1, false);
+    ) -> UsageCoverage {
+        let mut coverage = UsageCoverage {
+            up_to: self.counters.last_change(),
+            is_complete: true,
+        };
+        for entry in self.counters.changes_after(progress.acked) {
+            let key = entry.key;
+            let is_own = key.gateway == self.local.gateway;
+            let is_earlier_of_receiver =
+                key.gateway == receiver.gateway && key.instance_id != receiver.instance_id;
+            let is_due = is_own || is_earlier_of_receiver;
+            if is_due && !writer.add_usage(key, entry.tag, entry.total) {
+                coverage.up_to = entry.change - 1;
+                coverage.is_complete = false;
                 break;
             }
         }
-        // What it does not hear from them it hears from here; all of it again and again, as room allows.
-        let from = std::mem::take(&mut told.relayed);
-        if !told.wanted.is_empty() {
-            let mut wants = self
-                .uses
-                .since(from)
-                .filter(|(_, s, ..)| told.wanted.contains(&s.gateway));
-            if let Some((change, ..)) =
-                wants.find(|(_, s, tag, total)| !writer.usage(*s, *tag, *total))
-            {
-                told.relayed = change - 1;
-            }
+        self.relay_wanted(progress, writer);
+        coverage
+    }
+
+    /// Adds usage of the gateways that the receiver does not hear directly: again and again from the first change, since it does
+    /// not acknowledge these.
+    fn relay_wanted(&self, progress: &mut PeerProgress, writer: &mut DatagramWriter) {
+        let relayed = std::mem::take(&mut progress.relayed);
+        if progress.wanted_gateways.is_empty() {
+            return;
+        }
+        let first_not_added = self
+            .counters
+            .changes_after(relayed)
+            .filter(|entry| progress.wanted_gateways.contains(&entry.key.gateway))
+            .find(|entry| !writer.add_usage(entry.key, entry.tag, entry.total));
+        if let Some(entry) = first_not_added {
+            progress.relayed = entry.change - 1;
         }
-        (upto, complete)
     }
 }
--- a/crates/cluster-membership/src/wire.rs
+++ b/crates/cluster-membership/src/wire.rs
@@ -1,236 +1,237 @@
-//! What a datagram says. Its form is postcard's (postcard.jamesmunns.com/wire-format): numbers take as many bytes as they need.
+//! The form of a datagram's body: postcard (postcard.jamesmunns.com/wire-format), in which integers take as many bytes as they
+//! need. Fields are not named on the wire, so their order must not change.
 
-use crate::gauges::Gauge;
+use crate::gauges::GaugeSnapshot;
 use crate::record::MemberRecord;
-use crate::seal::{AROUND, MOST_BYTES};
+use crate::seal::{MAX_DATAGRAM_BYTES, SEAL_OVERHEAD_BYTES};
 use crate::usage_counters::UsageKey;
 use serde::{Deserialize, Serialize};
 
-/// Gateways that may be asked for at once.
-pub const MOST_WANTED: usize = 32;
-/// Answers and requests to probe in one datagram.
-pub const MOST_PROBES: usize = 16;
-/// Room for the lengths of lists.
-const SLACK: usize = 16;
+#[cfg(test)]
+mod tests;
+
+/// Upper bound of [`DatagramHeader::wanted_gateways`].
+pub const MAX_WANTED_GATEWAYS: usize = 32;
+/// Upper bound of the acknowledgements, and of the requested probes, in one datagram.
+pub const MAX_PROBES: usize = 16;
+/// Bytes set aside for the lengths of lists.
+const LIST_LENGTH_BYTES: usize = 16;
+/// Upper bound of the customers in one [`UsageGroup`]: the length of its list fits into one byte.
+const MAX_GROUP_TOTALS: usize = 127;
+
+/// A request to probe another member for the sender (SWIM's indirect ping).
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct IndirectPing {
+    /// Name of the member to probe.
+    pub target: String,
+    /// Number by which the sender expects the acknowledgement.
+    pub ping: u32,
+}
 
-/// Who says it, to whom, and the small things.
+/// Sender, receiver, and everything that every datagram carries.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DatagramHeader {
+    /// Name of the sender.
     pub from: String,
-    pub life: u64,
+    /// Process instance of the sender.
+    pub instance_id: u64,
+    /// Incarnation of the sender.
     pub incarnation: u64,
-    /// The life that it is meant for; 0: not known yet.
-    pub to: u64,
-    /// Grows with each datagram to the same member.
-    pub number: u64,
-    /// To be answered; 0: nothing.
+    /// Process instance that the datagram is meant for; 0: not known yet.
+    pub to_instance_id: u64,
+    /// Grows with each datagram from the sender to this receiver.
+    pub sequence: u64,
+    /// Number of a probe to acknowledge; 0: none.
     pub ping: u32,
+    /// Numbers of the probes that this acknowledges.
     pub acks: Vec<u32>,
-    /// Members that the receiver is to probe, each with the number to answer by.
-    pub asks: Vec<(String, u32)>,
-    /// Digests of the parts of the sender's table; the receiver tells what differs. `back`: its own go back the same way.
-    pub buckets: Vec<u32>,
-    pub back: bool,
-    /// Of the sender's changes of use, those after `base` up to `upto` are in it; all that it let through, if `complete`.
-    pub base: u64,
-    pub upto: u64,
-    pub complete: bool,
-    /// Of the receiver's changes, all up to `have` have come.
-    pub have: u64,
-    /// Gateways that the sender does not hear itself.
-    pub wanted: Vec<u16>,
-    /// Of the receiver's figures, the version that has come.
-    pub facts_have: u64,
+    /// Members that the receiver is to probe for the sender.
+    pub indirect_pings: Vec<IndirectPing>,
+    /// Digests of the buckets of the sender's table, for anti-entropy; empty: no comparison. The receiver replies with the
+    /// members of the buckets that differ.
+    pub bucket_digests: Vec<u32>,
+    /// Whether the receiver is to reply with its own bucket digests as well.
+    pub wants_digests: bool,
+    /// This datagram carries the sender's changes of usage after this one ...
+    pub usage_after: u64,
+    /// ... up to and including this one.
+    pub usage_up_to: u64,
+    /// Whether it carries all of the sender's own usage that the receiver does not have.
+    pub is_usage_complete: bool,
+    /// The sender has all of the receiver's changes of usage up to and including this one.
+    pub usage_received: u64,
+    /// Numbers of the gateways that the sender does not hear directly.
+    pub wanted_gateways: Vec<u16>,
+    /// Version of the receiver's gauges that the sender has.
+    pub gauges_received: u64,
 }
 
-/// One member as the sender knows it.
+/// A member as the sender knows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberUpdate {
+    /// Its record.
     pub record: MemberRecord,
-    /// Seconds since it was gone, if it is.
+    /// Seconds since it died or left; 0 while it is present.
     pub age_s: u32,
-    /// Short names of who suspects it.
-    pub by: Vec<u32>,
+    /// Short hashes of the names of the members that suspect it.
+    pub suspectors: Vec<u32>,
+}
+
+/// What a gateway admitted of one customer in one window.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+pub struct CustomerTotal {
+    /// The customer.
+    pub tag: u32,
+    /// Thousandths of a unit.
+    pub total: u64,
+}
+
+/// Usage counters of one gateway instance and window.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct UsageGroup {
+    /// Gateway, instance and window.
+    pub key: UsageKey,
+    /// Counters by customer.
+    pub totals: Vec<CustomerTotal>,
 }
 
+/// Everything that a datagram carries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DatagramBody {
-    pub head: DatagramHeader,
+    /// Sender, receiver, probes and acknowledgements.
+    pub header: DatagramHeader,
+    /// Disseminated members.
     pub members: Vec<MemberUpdate>,
-    pub uses: Vec<(UsageKey, Vec<(u32, u64)>)>,
-    /// Version and figures of the sender; 0: none.
-    pub facts: (u64, Vec<Gauge>),
-    /// A letter that is not for this package; empty: none.
-    pub post: Vec<u8>,
+    /// Usage counters.
+    pub usage: Vec<UsageGroup>,
+    /// Gauges of the sender.
+    pub gauges: GaugeSnapshot,
+    /// A message of another subsystem; empty: none.
+    pub message: Vec<u8>,
 }
 
 impl DatagramBody {
-    /// None: it is none of ours.
-    pub fn read(bytes: &[u8]) -> Option<DatagramBody> {
+    /// Decodes a body, or returns `None` if it is malformed or has trailing bytes or a list that is too long.
+    pub fn decode(bytes: &[u8]) -> Option<DatagramBody> {
         let (body, rest) = postcard::take_from_bytes::<DatagramBody>(bytes).ok()?;
-        let h = &body.head;
-        let fits = h.wanted.len() <= MOST_WANTED
-            && h.acks.len() <= MOST_PROBES
-            && h.asks.len() <= MOST_PROBES;
-        (rest.is_empty() && fits).then_some(body)
+        let header = &body.header;
+        let is_in_bounds = header.wanted_gateways.len() <= MAX_WANTED_GATEWAYS
+            && header.acks.len() <= MAX_PROBES
+            && header.indirect_pings.len() <= MAX_PROBES;
+        (rest.is_empty() && is_in_bounds).then_some(body)
     }
 }
 
-fn size(of: &impl Serialize) -> usize {
-    postcard::to_allocvec(of).map_or(MOST_BYTES, |v| v.len())
-}
-
-/// Bytes of a number (LEB128).
-fn varint(n: u64) -> usize {
-    (64 - (n | 1).leading_zeros() as usize).div_ceil(7)
-}
-
-/// Fills a datagram, most important first, until it is full.
+/// Fills a datagram, the most important parts first, until it is full.
 pub struct DatagramWriter {
-    room: usize,
+    free_bytes: usize,
     members: Vec<MemberUpdate>,
-    uses: Vec<(UsageKey, Vec<(u32, u64)>)>,
-    facts: (u64, Vec<Gauge>),
-    post: Vec<u8>,
+    usage: Vec<UsageGroup>,
+    gauges: GaugeSnapshot,
+    message: Vec<u8>,
 }
 
 impl DatagramWriter {
-    /// `head`: as it will be, but for what of use is in it.
-    pub fn new(head: &DatagramHeader) -> DatagramWriter {
+    /// An empty datagram. `header` is as it will be at the end, but for `usage_after`, `usage_up_to` and `is_usage_complete`.
+    pub fn new(header: &DatagramHeader) -> DatagramWriter {
         let widest = DatagramHeader {
-            base: u64::MAX,
-            upto: u64::MAX,
-            ..head.clone()
+            usage_after: u64::MAX,
+            usage_up_to: u64::MAX,
+            ..header.clone()
         };
-        let room = MOST_BYTES.saturating_sub(AROUND + size(&widest) + SLACK);
+        let reserved = SEAL_OVERHEAD_BYTES + encoded_bytes(&widest) + LIST_LENGTH_BYTES;
         DatagramWriter {
-            room,
+            free_bytes: MAX_DATAGRAM_BYTES.saturating_sub(reserved),
             members: Vec::new(),
-            uses: Vec::new(),
-            facts: (0, Vec::new()),
-            post: Vec::new(),
+            usage: Vec::new(),
+            gauges: GaugeSnapshot::default(),
+            message: Vec::new(),
         }
     }
 
-    fn takes(&mut self, bytes: usize) -> bool {
-        let fits = bytes <= self.room;
-        self.room -= if fits { bytes } else { 0 };
-        fits
-    }
-
-    /// Whether it fitted, and left so much room.
-    pub fn member(&mut self, told: MemberUpdate, leave: usize) -> bool {
-        let bytes = size(&told);
-        let fits = bytes + leave <= self.room && self.takes(bytes);
-        if fits {
-            self.members.push(told);
+    /// Adds a member if it fits and leaves at least `reserve_bytes` free. Returns whether it was added.
+    pub fn add_member(&mut self, update: MemberUpdate, reserve_bytes: usize) -> bool {
+        let bytes = encoded_bytes(&update);
+        let is_added = bytes + reserve_bytes <= self.free_bytes && self.allocate(bytes);
+        if is_added {
+            self.members.push(update);
         }
-        fits
+        is_added
     }
 
-    pub fn usage(&mut self, slot: UsageKey, tag: u32, total: u64) -> bool {
-        let bytes = varint(u64::from(tag)) + varint(total);
-        let of = self
-            .uses
+    /// Adds a usage counter if it fits. Returns whether it was added.
+    pub fn add_usage(&mut self, key: UsageKey, tag: u32, total: u64) -> bool {
+        let total_bytes = varint_bytes(u64::from(tag)) + varint_bytes(total);
+        let continues_group = self
+            .usage
             .last()
-            .is_some_and(|(s, all)| *s == slot && all.len() < 127);
-        let group = varint(u64::from(slot.gateway))
-            + varint(slot.life)
-            + varint(u64::from(slot.window))
-            + 1;
-        if !self.takes(bytes + if of { 0 } else { group }) {
+            .is_some_and(|group| group.key == key && group.totals.len() < MAX_GROUP_TOTALS);
+        let group_bytes = if continues_group {
+            0
+        } else {
+            varint_bytes(u64::from(key.gateway))
+                + varint_bytes(key.instance_id)
+                + varint_bytes(u64::from(key.window))
+                + 1
+        };
+        if !self.allocate(total_bytes + group_bytes) {
             return false;
         }
-        if !of {
-            self.uses.push((slot, Vec::new()));
+        if !continues_group {
+            let totals = Vec::new();
+            self.usage.push(UsageGroup { key, totals });
         }
-        if let Some((_, all)) = self.uses.last_mut() {
-            all.push((tag, total));
+        if let Some(group) = self.usage.last_mut() {
+            group.totals.push(CustomerTotal { tag, total });
         }
         true
     }
 
-    /// All of them, or none.
-    pub fn facts(&mut self, version: u64, facts: Vec<Gauge>) -> bool {
-        let fits = self.takes(size(&facts) + 10);
-        if fits {
-            self.facts = (version, facts);
+    /// Adds all gauges if they fit. Returns whether they were added.
+    pub fn add_gauges(&mut self, snapshot: GaugeSnapshot) -> bool {
+        let is_added = self.allocate(encoded_bytes(&snapshot.gauges) + 10);
+        if is_added {
+            self.gauges = snapshot;
         }
-        fits
+        is_added
     }
 
-    /// Whether the letter fitted; it goes in first.
-    pub fn post(&mut self, bytes: Vec<u8>) -> bool {
-        let fits = self.takes(bytes.len() + 2);
-        if fits {
-            self.post = bytes;
+    /// Adds the message if it fits. Returns whether it was added.
+    pub fn add_message(&mut self, bytes: Vec<u8>) -> bool {
+        let is_added = self.allocate(bytes.len() + 2);
+        if is_added {
+            self.message = bytes;
         }
-        fits
+        is_added
     }
 
-    /// The body's bytes.
-    pub fn finish(self, head: DatagramHeader) -> Vec<u8> {
-        let (members, uses, facts, post) = (self.members, self.uses, self.facts, self.post);
+    /// The encoded body.
+    pub fn finish(self, header: DatagramHeader) -> Vec<u8> {
         let body = DatagramBody {
-            head,
-            members,
-            uses,
-            facts,
-            post,
+            header,
+            members: self.members,
+            usage: self.usage,
+            gauges: self.gauges,
+            message: self.message,
         };
-        // It is made of plain values: nothing in it fails.
+        // Plain values always encode.
         postcard::to_allocvec(&body).unwrap_or_default()
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::record::tests::record;
-    use proptest::prelude::*;
-
-    proptest! {
-        #[test]
-        fn what_is_written_is_read_and_fits(
-            numbers in prop::collection::vec(any::<u64>(), 6),
-            wanted in prop::collection::vec(any::<u16>(), 0..MOST_WANTED),
-            entries in prop::collection::vec((0u16..3, any::<u64>(), 0u32..3, any::<u32>(), any::<u64>()), 0..200),
-            members in 0usize..30,
-            complete: bool,
-            post in prop::collection::vec(any::<u8>(), 0..900),
-        ) {
-            let head = DatagramHeader {
-                from: "n3".into(), life: numbers[0], incarnation: numbers[1], to: numbers[2], number: numbers[3],
-                base: numbers[4], upto: numbers[5], complete, wanted, acks: vec![7; MOST_PROBES], buckets: vec![u32::MAX; 16],
-                ..DatagramHeader::default()
-            };
-            let mut writer = DatagramWriter::new(&head);
-            let posted = writer.post(post.clone());
-            let mut there = Vec::new();
-            for n in 0..members {
-                let told = MemberUpdate { record: record(&format!("n{n}"), u64::MAX), age_s: 5, by: vec![1, u32::MAX] };
-                if writer.member(told.clone(), 300) {
-                    there.push(told);
-                }
-            }
-            for (gateway, life, window, tag, total) in entries {
-                writer.usage(UsageKey { gateway, life, window }, tag, total);
-            }
-            let facts = vec![Gauge { name: "strain".into(), value: 0.5, age_ms: 9 }];
-            let told = writer.facts(3, facts.clone());
-            let bytes = writer.finish(head.clone());
-            prop_assert!(bytes.len() + AROUND <= MOST_BYTES, "{}", bytes.len());
-            let read = DatagramBody::read(&bytes).expect("it is read");
-            prop_assert_eq!((read.head, read.members), (head, there));
-            prop_assert_eq!(read.post, if posted { post } else { Vec::new() });
-            prop_assert_eq!(read.facts, if told { (3, facts) } else { (0, Vec::new()) });
-        }
-
-        #[test]
-        fn arbitrary_bytes_are_no_body_or_one_in_bounds(bytes in prop::collection::vec(any::<u8>(), 0..MOST_BYTES)) {
-            if let Some(body) = DatagramBody::read(&bytes) {
-                prop_assert!(body.members.len() <= bytes.len());
-            }
+    fn allocate(&mut self, bytes: usize) -> bool {
+        let fits = bytes <= self.free_bytes;
+        if fits {
+            self.free_bytes -= bytes;
         }
+        fits
     }
 }
+
+fn encoded_bytes(value: &impl Serialize) -> usize {
+    postcard::to_allocvec(value).map_or(MAX_DATAGRAM_BYTES, |bytes| bytes.len())
+}
+
+/// Bytes of an integer in LEB128.
+fn varint_bytes(n: u64) -> usize {
+    (64 - (n | 1).leading_zeros() as usize).div_ceil(7)
+}
--- a/crates/cluster-membership/tests/golden_forms.rs
+++ b/crates/cluster-membership/tests/golden_forms.rs
@@ -1,17 +1,17 @@
-//! Recorded bytes of everything that members send each other: another version of the program has to read them.
+//! Recorded bytes of everything that members send each other: other versions of the program have to read them.
 //! `RECORD=1 cargo test --test golden_forms` records them anew.
 
 mod world;
 
-use frosthatch_cluster_membership::gauges::Gauge;
-use frosthatch_cluster_membership::record::hash;
+use frosthatch_cluster_membership::gauges::{Gauge, GaugeSnapshot};
+use frosthatch_cluster_membership::record::stable_hash;
 use frosthatch_cluster_membership::usage_counters::UsageKey;
 use frosthatch_cluster_membership::wire::{
-    DatagramBody, DatagramHeader, DatagramWriter, MemberUpdate,
+    DatagramBody, DatagramHeader, DatagramWriter, IndirectPing, MemberUpdate,
 };
 use frosthatch_cluster_membership::{LifecyclePhase, Liveness, MemberRecord, Output};
 use std::fmt::Write;
-use world::{keys, plan, World, S, TICK};
+use world::{address_of, config, keys, World, S, TICK};
 
 fn compare_with_recorded(file: &str, now: &str) {
     let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -31,28 +31,31 @@
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-fn full_head() -> DatagramHeader {
+fn full_header() -> DatagramHeader {
     DatagramHeader {
         from: "n3".into(),
-        life: 0x1122_3344_5566_7788,
+        instance_id: 0x1122_3344_5566_7788,
         incarnation: 1_700_000_000_123,
-        to: 42,
-        number: 7,
+        to_instance_id: 42,
+        sequence: 7,
         ping: 9,
         acks: vec![1, 300],
-        asks: vec![("n5".into(), 77)],
-        buckets: vec![1, u32::MAX],
-        back: true,
-        base: 5,
-        upto: 900,
-        complete: true,
-        have: 1_234_567,
-        wanted: vec![0, u16::MAX],
-        facts_have: 3,
+        indirect_pings: vec![IndirectPing {
+            target: "n5".into(),
+            ping: 77,
+        }],
+        bucket_digests: vec![1, u32::MAX],
+        wants_digests: true,
+        usage_after: 5,
+        usage_up_to: 900,
+        is_usage_complete: true,
+        usage_received: 1_234_567,
+        wanted_gateways: vec![0, u16::MAX],
+        gauges_received: 3,
     }
 }
 
-fn record(phase: LifecyclePhase, verdict: Liveness) -> MemberRecord {
+fn record(phase: LifecyclePhase, liveness: Liveness) -> MemberRecord {
     MemberRecord {
         name: "n12".into(),
         number: 12,
@@ -62,55 +65,56 @@
         instance_id: 99,
         incarnation: 1_700_000_000_124,
         phase,
-        verdict,
+        liveness,
         program: "0.2.0".into(),
     }
 }
 
-/// One datagram's body with something in each field.
+/// The body of a datagram with something in each field.
 fn full_body() -> Vec<u8> {
-    let head = full_head();
-    let mut writer = DatagramWriter::new(&head);
-    assert!(writer.post(b"a message".to_vec()));
+    let header = full_header();
+    let mut writer = DatagramWriter::new(&header);
+    assert!(writer.add_message(b"a message".to_vec()));
     for phase in [
         LifecyclePhase::Joining,
         LifecyclePhase::Ready,
         LifecyclePhase::Draining,
         LifecyclePhase::Left,
     ] {
-        for verdict in [Liveness::Alive, Liveness::Suspect, Liveness::Dead] {
-            assert!(writer.member(
+        for liveness in [Liveness::Alive, Liveness::Suspect, Liveness::Dead] {
+            assert!(writer.add_member(
                 MemberUpdate {
-                    record: record(phase, verdict),
+                    record: record(phase, liveness),
                     age_s: 5,
-                    by: vec![1, 70_000]
+                    suspectors: vec![1, 70_000]
                 },
                 0
             ));
         }
     }
     for (window, tag) in [(0, 7), (0, 8), (3, 7)] {
-        assert!(writer.usage(
+        assert!(writer.add_usage(
             UsageKey {
                 gateway: 300,
-                life: 1 << 40,
+                instance_id: 1 << 40,
                 window
             },
             tag,
             2_500
         ));
     }
-    let fact = |name: &str, value| Gauge {
+    let gauge = |name: &str, value| Gauge {
         name: name.into(),
         value,
         age_ms: 9,
     };
-    assert!(writer.facts(3, vec![fact("strain", 0.5), fact("policy", 7.0)]));
-    writer.finish(head)
+    let gauges = vec![gauge("strain", 0.5), gauge("policy", 7.0)];
+    assert!(writer.add_gauges(GaugeSnapshot { version: 3, gauges }));
+    writer.finish(header)
 }
 
 #[test]
-fn the_bytes_of_a_datagram_are_those_that_were_recorded() {
+fn encoded_datagrams_equal_the_recorded_ones() {
     let mut text = String::new();
     writeln!(text, "full body {}", hex(&full_body())).expect("to memory");
     let least = DatagramHeader {
@@ -130,30 +134,31 @@
         LifecyclePhase::Draining,
         LifecyclePhase::Left,
     ] {
-        for verdict in [Liveness::Alive, Liveness::Suspect, Liveness::Dead] {
-            let record = record(phase, verdict);
+        for liveness in [Liveness::Alive, Liveness::Suspect, Liveness::Dead] {
+            let record = record(phase, liveness);
             writeln!(text, "record {} {:016x}", record.state(), record.digest())
                 .expect("to memory");
         }
     }
-    writeln!(text, "hash {:016x}", hash("n12")).expect("to memory");
+    writeln!(text, "hash {:016x}", stable_hash("n12")).expect("to memory");
     compare_with_recorded("datagrams.txt", &text);
 }
 
 #[test]
-fn a_recorded_datagram_is_read_into_the_same_fields() {
-    let body = DatagramBody::read(&full_body()).expect("a body");
-    assert_eq!(body.head, full_head());
+fn a_full_body_decodes_to_the_same_fields() {
+    let body = DatagramBody::decode(&full_body()).expect("a body");
+    assert_eq!(body.header, full_header());
     assert_eq!(body.members.len(), 12);
-    assert_eq!(body.post, b"a message");
+    assert_eq!(body.message, b"a message");
 }
 
-/// FNV-1a, 64 bits, of all that was sent, and how many datagrams that were.
+/// How many datagrams were sent since the last call, and the FNV-1a hash (64 bits) of all of them.
 fn digest_of_sent(world: &mut World) -> String {
     let sent = world.record.take().unwrap_or_default();
     let step = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3);
-    let line =
-        |(from, to, bytes): &(usize, usize, Vec<u8>)| format!("{from} {to} {}\n", hex(bytes));
+    let line = |(from, to_instance_id, bytes): &(usize, usize, Vec<u8>)| {
+        format!("{from} {to_instance_id} {}\n", hex(bytes))
+    };
     let digest = sent
         .iter()
         .flat_map(|s| line(s).into_bytes())
@@ -162,66 +167,80 @@
     format!("{} {digest:016x}", sent.len())
 }
 
-/// Members join, tell use and figures, are lost, suspected, return, are cut off, leave; every datagram of theirs counts.
+/// Delivers the datagrams among these outputs at once.
+fn deliver_all(world: &mut World, from: usize, to: usize, outputs: Vec<Output>) {
+    for output in outputs {
+        if let Output::Send { bytes, .. } = output {
+            world.deliver(to, address_of(from), &bytes);
+        }
+    }
+}
+
+/// Members join, report usage and gauges, die, restart, are partitioned, lose datagrams, and leave. Returns a digest of all
+/// datagrams after each step.
+fn play_all_events(seed: u64) -> String {
+    let mut text = String::new();
+    let mut world = World::new(6, seed);
+    world.record = Some(Vec::new());
+    let mut note = |step: &str, world: &mut World| {
+        let sent = digest_of_sent(world);
+        writeln!(text, "{seed} {step}: {sent}").expect("to memory");
+    };
+    (0..6).for_each(|n| world.start(n));
+    world.run(3 * S);
+    note("join", &mut world);
+    for n in 0..30 {
+        world.node(n % 6).membership.record_usage(n as u32 % 4, 1.5);
+        world.run(TICK);
+    }
+    note("use", &mut world);
+    send_gauge_and_message(&mut world);
+    note("figures", &mut world);
+    world.kill(4);
+    world.run(8 * S);
+    note("death", &mut world);
+    let restarted = config(4, 6, world.now / 1_000);
+    world.start_with(4, restarted);
+    world.run(2 * S);
+    note("return", &mut world);
+    world.cut = Box::new(|a, b| a / 3 != b / 3);
+    world.run(8 * S);
+    world.cut = Box::new(|_, _| false);
+    world.run(8 * S);
+    note("cut and heal", &mut world);
+    world.loss = 0.3;
+    world.delay = (1_000, 150_000);
+    world.run(5 * S);
+    world.loss = 0.0;
+    world.delay = (1_000, 1_000);
+    note("loss", &mut world);
+    let now = world.now;
+    let mut outputs = Vec::new();
+    world.node(5).membership.leave(now, &mut outputs);
+    deliver_all(&mut world, 5, 0, outputs);
+    world.kill(5);
+    world.run(3 * S);
+    note("leave", &mut world);
+    text
+}
+
+fn send_gauge_and_message(world: &mut World) {
+    let now = world.now;
+    assert!(world.node(2).membership.set_gauge(now, "strain", 0.25));
+    let mut outputs = Vec::new();
+    world
+        .node(1)
+        .membership
+        .send_message(now, "n3", b"a message".to_vec(), &mut outputs);
+    deliver_all(world, 1, 3, outputs);
+    world.run(S);
+}
+
 #[test]
-fn what_a_fleet_sends_is_what_was_recorded() {
+fn datagrams_of_a_cluster_equal_the_recorded_ones() {
     let mut text = String::from("# what happens: datagrams, digest\n");
     for seed in 1..4 {
-        let mut world = World::new(6, seed);
-        world.record = Some(Vec::new());
-        (0..6).for_each(|n| world.start(n));
-        world.run(3 * S);
-        let mut note = |what: &str, world: &mut World| {
-            let sent = digest_of_sent(world);
-            writeln!(text, "{seed} {what}: {sent}").expect("to memory");
-        };
-        note("join", &mut world);
-        for n in 0..30 {
-            world.node(n % 6).fleet.record_usage(n as u32 % 4, 1.5);
-            world.run(TICK);
-        }
-        note("use", &mut world);
-        let now = world.now;
-        assert!(world.node(2).fleet.set_gauge(now, "strain", 0.25));
-        let mut out = Vec::new();
-        world
-            .node(1)
-            .fleet
-            .send_message(now, "n3", b"a message".to_vec(), &mut out);
-        for output in out {
-            if let Output::Send { bytes, .. } = output {
-                world.deliver(3, world::at(1), &bytes);
-            }
-        }
-        world.run(S);
-        note("figures", &mut world);
-        world.kill(4);
-        world.run(8 * S);
-        note("death", &mut world);
-        let restarted = plan(4, 6, world.now / 1_000);
-        world.start_with(4, restarted);
-        world.run(2 * S);
-        note("return", &mut world);
-        world.cut = Box::new(|a, b| a / 3 != b / 3);
-        world.run(8 * S);
-        world.cut = Box::new(|_, _| false);
-        world.run(8 * S);
-        note("cut and heal", &mut world);
-        (world.loss, world.delay) = (0.3, (1_000, 150_000));
-        world.run(5 * S);
-        (world.loss, world.delay) = (0.0, (1_000, 1_000));
-        note("loss", &mut world);
-        let now = world.now;
-        let mut out = Vec::new();
-        world.node(5).fleet.leave(now, &mut out);
-        for output in out {
-            if let Output::Send { bytes, .. } = output {
-                world.deliver(0, world::at(5), &bytes);
-            }
-        }
-        world.kill(5);
-        world.run(3 * S);
-        note("leave", &mut world);
+        text.push_str(&play_all_events(seed));
     }
     compare_with_recorded("fleet.txt", &text);
 }
--- a/crates/cluster-membership/tests/members.rs
+++ b/crates/cluster-membership/tests/membership.rs
@@ -5,7 +5,7 @@
 use frosthatch_cluster_membership::seal::Keys;
 use frosthatch_cluster_membership::LifecyclePhase;
 use proptest::prelude::*;
-use world::{at, plan, World, S, TICK};
+use world::{address_of, config, World, S, TICK};
 
 #[test]
 fn all_find_each_other_by_seeds_and_see_the_same() {
@@ -46,7 +46,7 @@
     let mut w = World::settled(9, 3);
     let now = w.now;
     let mut out = Vec::new();
-    w.node(4).fleet.leave(now, &mut out);
+    w.node(4).membership.leave(now, &mut out);
     w.run(3 * TICK);
     w.kill(4);
     let took = w.until(5 * S, |w| w.all_hold(4, "left"));
@@ -63,11 +63,13 @@
 fn one_that_drains_is_there_and_not_in_the_view_and_back_again() {
     let mut w = World::settled(4, 4);
     let now = w.now;
-    w.node(1).fleet.set_phase(now, LifecyclePhase::Draining);
+    w.node(1)
+        .membership
+        .set_phase(now, LifecyclePhase::Draining);
     w.run(S);
     assert!(w.all_hold(1, "draining") && w.views_equal() && w.fleet(0).view().ready == 3);
     let now = w.now;
-    w.node(1).fleet.set_phase(now, LifecyclePhase::Ready);
+    w.node(1).membership.set_phase(now, LifecyclePhase::Ready);
     w.run(S);
     assert!(w.all_hold(1, "ready") && w.fleet(0).view().ready == 4);
 }
@@ -81,13 +83,13 @@
         w.kill(2);
         w.run(200_000);
         let started = w.now / 1_000 - back;
-        w.start_with(2, plan(2, 5, started));
-        let life = w.fleet(2).me().instance_id;
+        w.start_with(2, config(2, 5, started));
+        let instance_id = w.fleet(2).me().instance_id;
         let known = |w: &World| {
             w.running().iter().all(|n| {
                 w.fleet(*n)
                     .members()
-                    .any(|m| m.record.instance_id == life && m.record.ready())
+                    .any(|m| m.record.instance_id == instance_id && m.record.is_ready())
             })
         };
         let took = w.until(5 * S, known);
@@ -114,11 +116,11 @@
     (0..of - 1).for_each(|n| w.start(n));
     w.run(10 * S);
     let other = of - 1;
-    let twin = plan(twice, of, w.now / 1_000);
+    let twin = config(twice, of, w.now / 1_000);
     w.start_with(
         other,
         frosthatch_cluster_membership::MembershipConfig {
-            advertise: at(other),
+            advertise: address_of(other),
             ..twin
         },
     );
@@ -132,12 +134,12 @@
         .logs
         .iter()
         .any(|(_, l)| l.contains(&format!("a later process runs as n{twice}"))));
-    let life = w.fleet(other).me().instance_id;
+    let instance_id = w.fleet(other).me().instance_id;
     for n in (0..of).filter(|n| *n != twice) {
         assert!(
-            w.fleet(n)
-                .members()
-                .any(|m| m.record.name == format!("n{twice}") && m.record.instance_id == life),
+            w.fleet(n).members().any(
+                |m| m.record.name == format!("n{twice}") && m.record.instance_id == instance_id
+            ),
             "{n}"
         );
     }
@@ -252,11 +254,11 @@
     let took = w.until(20 * S, |w| (3..7).all(|n| w.fleet(n).view().ready == 4));
     assert!(took.is_some_and(|us| us <= 8 * S), "{took:?}");
     // A newcomer that is told of one that lives gets in.
-    let newcomer = plan(7, 8, w.now / 1_000);
+    let newcomer = config(7, 8, w.now / 1_000);
     w.start_with(
         7,
         frosthatch_cluster_membership::MembershipConfig {
-            seeds: vec![at(0), at(5)],
+            seeds: vec![address_of(0), address_of(5)],
             ..newcomer
         },
     );
@@ -268,11 +270,13 @@
 fn what_was_recorded_a_minute_ago_changes_nothing() {
     let mut w = World::settled(4, 14);
     w.record = Some(Vec::new());
-    w.node(0).fleet.record_usage(1, 3.0);
+    w.node(0).membership.record_usage(1, 3.0);
     w.run(S);
     let recorded = w.record.take().expect("recorded");
     let now = w.now;
-    w.node(1).fleet.set_phase(now, LifecyclePhase::Draining);
+    w.node(1)
+        .membership
+        .set_phase(now, LifecyclePhase::Draining);
     w.run(60 * S);
     // One of them has restarted since: no datagram names its life.
     w.kill(2);
@@ -283,22 +287,22 @@
         .map(|n| {
             (
                 w.fleet(n).view().digest,
-                w.node(n).told.clone(),
-                w.node(n).past.clone(),
+                w.node(n).peer_usage.clone(),
+                w.node(n).past_usage.clone(),
             )
         })
         .collect();
     let logs: usize = (0..4).map(|n| w.node(n).logs.len()).sum();
     for (from, to, bytes) in &recorded {
-        w.deliver(*to, at(*from), bytes);
+        w.deliver(*to, address_of(*from), bytes);
     }
     w.run(3 * S);
     let after: Vec<_> = (0..4)
         .map(|n| {
             (
                 w.fleet(n).view().digest,
-                w.node(n).told.clone(),
-                w.node(n).past.clone(),
+                w.node(n).peer_usage.clone(),
+                w.node(n).past_usage.clone(),
             )
         })
         .collect();
@@ -309,7 +313,9 @@
 #[test]
 fn a_flood_of_garbage_is_told_once_and_keeps_nobody_from_being_heard() {
     let mut w = World::settled(3, 15);
-    let other = Keys::one(0, &[8; 40]).expect("a key").seal(&[1; 100]);
+    let other = Keys::from_secret(0, &[8; 40])
+        .expect("a key")
+        .seal(&[1; 100]);
     for n in 0..40u32 {
         for k in 0..5_000u32 {
             let from = ([10, 0, (k % 3) as u8, 9], 9).into();
@@ -336,7 +342,7 @@
     let (a, b) = ("a".repeat(40), "b".repeat(40));
     let read = |text: &str| Keys::read(text.as_bytes()).expect("keys");
     let set = |w: &mut World, which: std::ops::Range<usize>, text: String| {
-        which.for_each(|n| w.node(n).fleet.set_keys(read(&text)));
+        which.for_each(|n| w.node(n).membership.set_keys(read(&text)));
     };
     set(&mut w, 0..4, format!("1 {a}"));
     w.run(S);
@@ -364,12 +370,12 @@
 fn figures_reach_the_others_with_their_age() {
     let mut w = World::settled(3, 17);
     let now = w.now;
-    w.node(0).fleet.set_gauge(now, "strain", 0.5);
+    w.node(0).membership.set_gauge(now, "strain", 0.5);
     w.run(S);
     let (value, found) = w.fleet(2).gauge("n0", "strain").expect("it is known");
     assert!(value == 0.5 && found.abs_diff(now) < 100_000);
     let now = w.now;
-    w.node(0).fleet.set_gauge(now, "strain", 0.75);
+    w.node(0).membership.set_gauge(now, "strain", 0.75);
     w.run(S);
     assert_eq!(w.fleet(1).gauge("n0", "strain").map(|f| f.0), Some(0.75));
 }
@@ -389,7 +395,7 @@
     for n in 2..9 {
         let now = w.now;
         let mut out = Vec::new();
-        w.node(n).fleet.leave(now, &mut out);
+        w.node(n).membership.leave(now, &mut out);
         w.run(2 * TICK);
         w.kill(n);
         w.run(300_000);
--- a/crates/cluster-membership/tests/quotas.rs
+++ b/crates/cluster-membership/tests/quotas.rs
@@ -46,7 +46,7 @@
     uneven: bool,
     bytes: u64,
     next: u64,
-    plan: Quota,
+    config: Quota,
     /// The count service, if there is one, and answers on their way.
     counts: Option<BTreeMap<String, f64>>,
     answers: VecDeque<(u64, usize, Event)>,
@@ -60,16 +60,16 @@
 impl Fleet {
     fn new(gateways: u16, loss: f64, seed: u64, quota: Quota, counter: bool) -> Fleet {
         let nodes = (0..gateways).map(|me| {
-            let plan = MembershipConfig {
+            let config = MembershipConfig {
                 seed: seed + u64::from(me),
-                ..world::plan(me.into(), gateways.into(), 1_000)
+                ..world::config(me.into(), gateways.into(), 1_000)
             };
             let mut set = Settings::example();
             (set.gateways, set.me) = (u32::from(gateways), u32::from(me));
             (set.plans[0].rate, set.plans[0].burst, set.max_units) = quota;
-            (set.usage_report_ttl_us, set.counter) = (plan.holds_us(), counter);
+            (set.usage_report_ttl_us, set.counter) = (config.holds_us(), counter);
             let gateway = Gateway::new(set, seed ^ u64::from(me)).expect("settings");
-            let mut members = Members::new(plan, world::keys());
+            let mut members = Members::new(config, world::keys());
             members.set_phase(0, LifecyclePhase::Ready);
             Node {
                 gateway,
@@ -90,7 +90,7 @@
             uneven: false,
             bytes: 0,
             next: 1,
-            plan: quota,
+            config: quota,
             counts: counter.then(BTreeMap::new),
             answers: VecDeque::new(),
         };
@@ -109,7 +109,7 @@
         fleet
     }
 
-    fn chance(&mut self) -> f64 {
+    fn random_unit(&mut self) -> f64 {
         self.state = self
             .state
             .wrapping_mul(0x5851_F42D_4C95_7F2D)
@@ -165,13 +165,13 @@
         for customer in 0..CUSTOMERS {
             let asked = asked(customer);
             let mut due = asked * STEP as f64 / 1e6;
-            while due >= 1.0 || self.chance() < due {
+            while due >= 1.0 || self.random_unit() < due {
                 due -= 1.0;
                 let all = self.nodes.len() as u32;
                 let first = customer * 7 % all;
                 let place = match self.uneven {
-                    true => [0, 0, 0, 0, 1, 1, 2, 3][(self.chance() * 8.0) as usize % 8],
-                    false => (self.chance() * f64::from(WIDTH)) as u32 % WIDTH,
+                    true => [0, 0, 0, 0, 1, 1, 2, 3][(self.random_unit() * 8.0) as usize % 8],
+                    false => (self.random_unit() * f64::from(WIDTH)) as u32 % WIDTH,
                 };
                 let mut request = Request::new(
                     self.next,
@@ -193,9 +193,12 @@
         while self.network.front().is_some_and(|(at, ..)| *at <= self.now) {
             let (at, to, from, bytes) = self.network.pop_front().expect("one");
             let mut out = Vec::new();
-            self.nodes[usize::from(to)]
-                .members
-                .datagram(at, world::at(from), &bytes, &mut out);
+            self.nodes[usize::from(to)].members.handle_datagram(
+                at,
+                world::address_of(from),
+                &bytes,
+                &mut out,
+            );
             self.carry(usize::from(to), out);
         }
         for n in 0..self.nodes.len() {
@@ -237,10 +240,10 @@
                 Output::Send { to, bytes } => {
                     self.bytes += bytes.len() as u64;
                     let to = (0..self.nodes.len())
-                        .find(|k| world::at(*k) == to)
+                        .find(|k| world::address_of(*k) == to)
                         .expect("a member") as u16;
                     let cut = self.cut.is_some_and(|c| c == to || usize::from(c) == n);
-                    if self.chance() >= self.loss && !cut {
+                    if self.random_unit() >= self.loss && !cut {
                         self.network
                             .push_back((self.now + ON_THE_WAY, to, n, bytes));
                     }
@@ -256,7 +259,7 @@
 
     /// Units beyond a store of the quota, of the customer with most of them, as a share of what the quota gave.
     fn worst_overrun(&self, from: u64) -> f64 {
-        let (rate, burst, _) = self.plan;
+        let (rate, burst, _) = self.config;
         let mut worst = 0.0f64;
         for sent in self.sent.values() {
             let (mut level, mut at, mut over) = (burst, from, 0.0);
--- a/crates/cluster-membership/tests/telling.rs
+++ b/crates/cluster-membership/tests/usage_dissemination.rs
@@ -5,12 +5,12 @@
 
 use frosthatch_cluster_membership::usage_counters::WINDOW_US;
 use frosthatch_cluster_membership::{MembershipConfig, Output};
-use world::{at, plan, World, S, TICK};
+use world::{address_of, config, World, S, TICK};
 
 fn told(w: &World, who: usize, tag: u32) -> f64 {
     w.nodes[who]
         .as_ref()
-        .and_then(|n| n.told.get(&tag))
+        .and_then(|n| n.peer_usage.get(&tag))
         .copied()
         .unwrap_or(0.0)
 }
@@ -18,8 +18,8 @@
 #[test]
 fn use_is_told_to_all_others_once() {
     let mut w = World::settled(4, 1);
-    w.node(0).fleet.record_usage(9, 2.5);
-    w.node(1).fleet.record_usage(9, 1.0);
+    w.node(0).membership.record_usage(9, 2.5);
+    w.node(1).membership.record_usage(9, 1.0);
     w.run(S / 2);
     let all: Vec<f64> = (0..4).map(|n| told(&w, n, 9)).collect();
     assert_eq!(all, [1.0, 2.5, 3.5, 3.5]);
@@ -27,7 +27,7 @@
         let now = w.now;
         let heard = w
             .node(n)
-            .heard
+            .reported_at
             .values()
             .filter(|at| **at + 3 * TICK > now)
             .count();
@@ -43,7 +43,7 @@
     let mut sum = 0.0;
     for n in 0..200 {
         let units = 1.0 + f64::from(n % 3);
-        w.node(0).fleet.record_usage(5, units);
+        w.node(0).membership.record_usage(5, units);
         sum += units;
         w.run(TICK);
         let old = w
@@ -52,7 +52,7 @@
             .and_then(|r| r.get(r.len().checked_sub(1 + n as usize % 40)?))
             .cloned();
         old.into_iter()
-            .for_each(|(from, to, bytes)| w.deliver(to, at(from), &bytes));
+            .for_each(|(from, to, bytes)| w.deliver(to, address_of(from), &bytes));
     }
     w.loss = 0.0;
     w.run(S);
@@ -67,7 +67,7 @@
     let mut w = World::settled(4, 3);
     w.cut = Box::new(|a, b| a / 2 != b / 2);
     for _ in 0..100 {
-        (0..4).for_each(|n| w.node(n).fleet.record_usage(1, 1.0));
+        (0..4).for_each(|n| w.node(n).membership.record_usage(1, 1.0));
         w.run(TICK);
     }
     w.run(S / 2);
@@ -90,7 +90,7 @@
     let mut w = World::settled(3, 4);
     w.cut = Box::new(|a, b| (a.min(b), a.max(b)) == (0, 1));
     w.run(3 * S);
-    w.node(0).fleet.record_usage(3, 7.0);
+    w.node(0).membership.record_usage(3, 7.0);
     w.run(3 * S);
     assert_eq!((told(&w, 1, 3), told(&w, 2, 3)), (7.0, 7.0));
     assert!(w.accusations().is_empty());
@@ -99,18 +99,18 @@
 #[test]
 fn a_restarted_one_is_another_life_and_learns_what_it_did_before() {
     let mut w = World::settled(3, 5);
-    w.node(0).fleet.record_usage(4, 5.0);
+    w.node(0).membership.record_usage(4, 5.0);
     w.run(S);
     w.kill(0);
     w.run(TICK);
     w.start(0);
     w.run(2 * S);
     assert_eq!(
-        (told(&w, 0, 4), w.node(0).past.get(&4)),
+        (told(&w, 0, 4), w.node(0).past_usage.get(&4)),
         (0.0, Some(&5.0)),
         "its own, of before"
     );
-    w.node(0).fleet.record_usage(4, 2.0);
+    w.node(0).membership.record_usage(4, 2.0);
     w.run(S);
     assert_eq!((told(&w, 1, 4), told(&w, 2, 4)), (7.0, 7.0));
 }
@@ -121,27 +121,27 @@
     let mut w = World::settled(2, 6);
     w.node(0).stopped = true;
     w.run(S / 10);
-    w.node(1).fleet.record_usage(1, 3.0);
+    w.node(1).membership.record_usage(1, 3.0);
     w.run(10 * S);
-    let was = w.node(0).heard[&1];
+    let was = w.node(0).reported_at[&1];
     w.cut = Box::new(|_, _| true);
     w.node(0).stopped = false;
     w.run(4 * TICK);
-    assert_eq!((told(&w, 0, 1), w.node(0).heard[&1]), (3.0, was));
+    assert_eq!((told(&w, 0, 1), w.node(0).reported_at[&1]), (3.0, was));
     w.cut = Box::new(|_, _| false);
     w.run(2 * S);
-    assert!(w.node(0).heard[&1] > was);
+    assert!(w.node(0).reported_at[&1] > was);
 }
 
 #[test]
 fn a_clock_that_steps_by_an_hour_harms_nobody() {
     let mut w = World::settled(2, 7);
-    w.node(0).fleet.record_usage(1, 3.0);
+    w.node(0).membership.record_usage(1, 3.0);
     w.run(S);
     w.node(0).skew += 3_600 * S;
-    w.node(0).fleet.record_usage(1, 2.0);
+    w.node(0).membership.record_usage(1, 2.0);
     w.run(S);
-    w.node(1).fleet.record_usage(1, 1.0);
+    w.node(1).membership.record_usage(1, 1.0);
     w.run(S);
     assert_eq!((told(&w, 1, 1), told(&w, 0, 1)), (5.0, 1.0));
     assert!(w.accusations().is_empty());
@@ -155,14 +155,14 @@
         MembershipConfig {
             bytes_per_s: 8_000,
             messages_per_s: 20,
-            ..plan(0, 4, 1_000)
+            ..config(0, 4, 1_000)
         },
     );
     (1..4).for_each(|n| w.start(n));
     w.run(3 * S);
     let before = w.node(0).bytes;
     for round in 0..200u32 {
-        (0..20).for_each(|n| w.node(0).fleet.record_usage(round % 50 * 20 + n, 1.0));
+        (0..20).for_each(|n| w.node(0).membership.record_usage(round % 50 * 20 + n, 1.0));
         w.run(TICK);
     }
     let bytes = (w.node(0).bytes - before) as f64 / 10.0;
@@ -170,7 +170,7 @@
         (4_000.0..12_000.0).contains(&bytes),
         "{bytes} bytes a second"
     );
-    let heard: Vec<usize> = (1..4).map(|n| w.node(n).told.len()).collect();
+    let heard: Vec<usize> = (1..4).map(|n| w.node(n).peer_usage.len()).collect();
     assert!(heard.iter().all(|n| *n > 100), "{heard:?}");
     assert!(
         w.accusations().is_empty(),
@@ -187,17 +187,17 @@
             n,
             MembershipConfig {
                 most_entries: 500,
-                ..plan(n, 2, 1_000)
+                ..config(n, 2, 1_000)
             },
         )
     });
     for n in 0..20_000 {
-        w.node(n as usize % 2).fleet.record_usage(n, 1.0);
+        w.node(n as usize % 2).membership.record_usage(n, 1.0);
         if n % 20 == 0 {
             w.run(TICK);
         }
     }
-    assert!((0..2).all(|n| w.fleet(n).telling().uses().len() <= 500));
+    assert!((0..2).all(|n| w.fleet(n).usage().counters().len() <= 500));
     assert!(w.now > 2 * WINDOW_US);
 }
 
@@ -210,13 +210,13 @@
             n,
             MembershipConfig {
                 bytes_per_s: 2_000,
-                ..plan(n, 2, 1_000)
+                ..config(n, 2, 1_000)
             },
         );
     }
     w.run(3 * S);
     // More than a datagram holds.
-    (0..400).for_each(|tag| w.node(0).fleet.record_usage(tag, 1_000.0));
+    (0..400).for_each(|tag| w.node(0).membership.record_usage(tag, 1_000.0));
     w.run(2 * TICK);
     let (mut bytes, mut came) = (0, 0);
     for n in 0..50u8 {
@@ -224,7 +224,7 @@
         let now = w.now + u64::from(n) * S / 100;
         let mut out = Vec::new();
         w.node(0)
-            .fleet
+            .membership
             .send_message(now, "n1", vec![n; 60], &mut out);
         for o in out {
             let Output::Send { bytes: sent, .. } = o else {
@@ -232,7 +232,9 @@
             };
             bytes += sent.len();
             let mut there = Vec::new();
-            w.node(1).fleet.datagram(now, at(0), &sent, &mut there);
+            w.node(1)
+                .membership
+                .handle_datagram(now, address_of(0), &sent, &mut there);
             let read = Output::MessageReceived {
                 from: "n0".into(),
                 bytes: vec![n; 60],
--- a/crates/cluster-membership/tests/world/mod.rs
+++ b/crates/cluster-membership/tests/world/mod.rs
@@ -1,42 +1,52 @@
-//! Members and the network between them, in virtual time.
-#![allow(dead_code)]
+//! Members and a network between them, in virtual time (microseconds).
+#![allow(
+    dead_code,
+    reason = "each test program that includes this module uses a part of it"
+)]
 
 use cpu_time::ThreadTime;
 use frosthatch_cluster_membership::seal::Keys;
-use frosthatch_cluster_membership::{
-    LifecyclePhase, MemberRecord, Membership, MembershipConfig, Output,
-};
+use frosthatch_cluster_membership::{LifecyclePhase, Membership, MembershipConfig, Output};
+use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
 use std::time::Duration;
 
+/// Interval between the ticks of a member.
 pub const TICK: u64 = 50_000;
+/// A second.
 pub const S: u64 = 1_000_000;
-pub const KEY: &[u8] = &[7; 32];
+const SECRET: &[u8] = &[7; 32];
+/// Datagrams that the socket of a stopped member holds.
+const MAX_WAITING: usize = 200;
 
 pub fn keys() -> Keys {
-    Keys::one(0, KEY).expect("a key")
+    Keys::from_secret(0, SECRET).expect("a key")
 }
 
-pub fn at(n: usize) -> SocketAddr {
+pub fn address_of(n: usize) -> SocketAddr {
     ([127, 0, (n / 250) as u8, 1], 7_000 + (n % 250) as u16).into()
 }
 
-fn place(of: SocketAddr) -> Option<usize> {
-    let SocketAddr::V4(v4) = of else { return None };
-    Some(usize::from(v4.ip().octets()[2]) * 250 + usize::from(v4.port().checked_sub(7_000)?))
+fn index_of(address: SocketAddr) -> Option<usize> {
+    let SocketAddr::V4(v4) = address else {
+        return None;
+    };
+    let offset = usize::from(v4.port().checked_sub(7_000)?);
+    Some(usize::from(v4.ip().octets()[2]) * 250 + offset)
 }
 
-pub fn plan(n: usize, of: usize, started_ms: u64) -> MembershipConfig {
+/// Configuration of the `n`th of `count` members.
+pub fn config(n: usize, count: usize, started_ms: u64) -> MembershipConfig {
     MembershipConfig {
         name: format!("n{n}"),
         number: n as u16,
-        gateways: of as u16,
+        gateways: count as u16,
         zone: format!("z{}", n % 3),
         region: "north".into(),
         program: "0.2.0".into(),
-        advertise: at(n),
-        seeds: (0..of.min(3)).map(at).collect(),
+        advertise: address_of(n),
+        seeds: (0..count.min(3)).map(address_of).collect(),
         tick_us: TICK,
         probe_us: 200_000,
         bytes_per_s: 250_000,
@@ -49,106 +59,126 @@
     }
 }
 
+/// A member, what it reported, and what it cost.
 pub struct Node {
-    pub fleet: Membership,
-    /// It does not run: what comes waits, as much as a socket holds.
+    pub membership: Membership,
+    /// It does not run; datagrams wait at its socket.
     pub stopped: bool,
     waiting: Vec<(SocketAddr, Vec<u8>)>,
-    /// Added to what it takes for the time.
+    /// Added to the time that it is given.
     pub skew: u64,
-    pub told: BTreeMap<u32, f64>,
-    pub past: BTreeMap<u32, f64>,
-    pub heard: BTreeMap<u32, u64>,
+    /// Units of others that it learned of, by customer.
+    pub peer_usage: BTreeMap<u32, f64>,
+    /// The same, of before their gateway was first heard of.
+    pub past_usage: BTreeMap<u32, f64>,
+    /// When each gateway last reported all of its usage.
+    pub reported_at: BTreeMap<u32, u64>,
     pub absent: Vec<u32>,
     pub logs: Vec<(u64, String)>,
     pub bytes: u64,
     pub messages: u64,
-    /// Time of a processor that it took, and the longest at once.
+    /// Processor time in total, and of the longest call.
     pub busy: Duration,
     pub longest: Duration,
-    /// How often it was asked to do something, and how often that took more than a millisecond.
+    /// Calls, and those of them that took more than a millisecond.
     pub calls: u64,
     pub over_1ms: u64,
 }
 
 impl Node {
-    fn took(&mut self, time: Duration) {
-        self.busy += time;
-        self.longest = self.longest.max(time);
+    fn new(membership: Membership) -> Node {
+        Node {
+            membership,
+            stopped: false,
+            waiting: Vec::new(),
+            skew: 0,
+            peer_usage: BTreeMap::new(),
+            past_usage: BTreeMap::new(),
+            reported_at: BTreeMap::new(),
+            absent: Vec::new(),
+            logs: Vec::new(),
+            bytes: 0,
+            messages: 0,
+            busy: Duration::ZERO,
+            longest: Duration::ZERO,
+            calls: 0,
+            over_1ms: 0,
+        }
+    }
+
+    /// Calls the member and measures the processor time of the call.
+    fn call(&mut self, call: impl FnOnce(&mut Membership, &mut Vec<Output>)) -> Vec<Output> {
+        let mut outputs = Vec::new();
+        let started = ThreadTime::now();
+        call(&mut self.membership, &mut outputs);
+        let took = started.elapsed();
+        self.busy += took;
+        self.longest = self.longest.max(took);
         self.calls += 1;
-        self.over_1ms += u64::from(time > Duration::from_millis(1));
+        self.over_1ms += u64::from(took > Duration::from_millis(1));
+        outputs
     }
 }
 
-/// When it arrives, to whom, from whom, and what.
-type Flight = std::cmp::Reverse<(u64, u64, usize, usize, Vec<u8>)>;
+/// A datagram on its way; the first to arrive comes first.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Flight {
+    arrives_at: u64,
+    sequence: u64,
+    to: usize,
+    from: usize,
+    bytes: Vec<u8>,
+}
 
 pub struct World {
     pub now: u64,
-    pub of: usize,
+    pub count: usize,
     pub nodes: Vec<Option<Node>>,
-    flying: BinaryHeap<Flight>,
+    flying: BinaryHeap<Reverse<Flight>>,
     sent: u64,
+    /// Share of datagrams that are lost.
     pub loss: f64,
+    /// Shortest and longest time that a datagram takes.
     pub delay: (u64, u64),
-    /// What does not pass, from one to another.
+    /// Whether datagrams from one to another are lost.
     pub cut: Box<dyn Fn(usize, usize) -> bool>,
-    state: u64,
+    random_state: u64,
+    /// Sender, receiver and bytes of all datagrams, if they are recorded.
     pub record: Option<Vec<(usize, usize, Vec<u8>)>>,
 }
 
 impl World {
-    pub fn new(of: usize, seed: u64) -> World {
-        let nodes = (0..of).map(|_| None).collect();
-        let flying = BinaryHeap::new();
-        let cut = Box::new(|_, _| false);
+    pub fn new(count: usize, seed: u64) -> World {
         World {
             now: S,
-            of,
-            nodes,
-            flying,
+            count,
+            nodes: (0..count).map(|_| None).collect(),
+            flying: BinaryHeap::new(),
             sent: 0,
             loss: 0.0,
             delay: (1_000, 1_000),
-            cut,
-            state: seed,
+            cut: Box::new(|_, _| false),
+            random_state: seed,
             record: None,
         }
     }
 
-    /// All of them, started within a second, ready and found.
-    pub fn settled(of: usize, seed: u64) -> World {
-        let mut world = World::new(of, seed);
-        (0..of).for_each(|n| world.start(n));
+    /// A world in which all members have started and found each other.
+    pub fn settled(count: usize, seed: u64) -> World {
+        let mut world = World::new(count, seed);
+        (0..count).for_each(|n| world.start(n));
         world.run(3 * S);
         world
     }
 
     pub fn start(&mut self, n: usize) {
-        self.start_with(n, plan(n, self.of, self.now / 1_000));
+        self.start_with(n, config(n, self.count, self.now / 1_000));
     }
 
-    pub fn start_with(&mut self, n: usize, plan: MembershipConfig) {
-        let mut fleet = Membership::new(plan, keys());
-        fleet.set_phase(self.now, LifecyclePhase::Ready);
-        let node = Node {
-            fleet,
-            stopped: false,
-            waiting: Vec::new(),
-            skew: 0,
-            told: BTreeMap::new(),
-            past: BTreeMap::new(),
-            heard: BTreeMap::new(),
-            absent: Vec::new(),
-            logs: Vec::new(),
-            bytes: 0,
-            messages: 0,
-            busy: Duration::ZERO,
-            longest: Duration::ZERO,
-            calls: 0,
-            over_1ms: 0,
-        };
-        self.nodes[n] = Some(node);
+    pub fn start_with(&mut self, n: usize, config: MembershipConfig) {
+        let mut membership = Membership::new(config, keys());
+        membership.set_phase(self.now, LifecyclePhase::Ready);
+        self.nodes[n] = Some(Node::new(membership));
     }
 
     pub fn kill(&mut self, n: usize) {
@@ -160,27 +190,25 @@
     }
 
     pub fn fleet(&self, n: usize) -> &Membership {
-        &self.nodes[n].as_ref().expect("it runs").fleet
+        &self.nodes[n].as_ref().expect("it runs").membership
     }
 
-    pub fn chance(&mut self) -> f64 {
-        self.state = self
-            .state
+    /// A random number from 0 to below 1.
+    pub fn random_unit(&mut self) -> f64 {
+        self.random_state = self
+            .random_state
             .wrapping_mul(0x5851_F42D_4C95_7F2D)
             .wrapping_add(0x1405_7B7E_F767_814F);
-        (self.state >> 33) as f64 / f64::from(1u32 << 31)
+        (self.random_state >> 33) as f64 / f64::from(1u32 << 31)
     }
 
-    /// Time goes on by millisecond; each ticks at a time of its own.
+    /// Runs by the millisecond; the members tick at different ones.
     pub fn run(&mut self, us: u64) {
-        let till = self.now + us;
-        while self.now < till {
+        let end = self.now + us;
+        while self.now < end {
             self.now += 1_000;
-            while self.flying.peek().is_some_and(|f| f.0 .0 <= self.now) {
-                let Some(std::cmp::Reverse((_, _, to, from, bytes))) = self.flying.pop() else {
-                    break;
-                };
-                self.deliver(to, at(from), &bytes);
+            while let Some(flight) = self.next_arrival() {
+                self.deliver(flight.to, address_of(flight.from), &flight.bytes);
             }
             let phase = (self.now / 1_000 % (TICK / 1_000)) as usize;
             for n in (phase..self.nodes.len()).step_by(TICK as usize / 1_000) {
@@ -189,6 +217,14 @@
         }
     }
 
+    fn next_arrival(&mut self) -> Option<Flight> {
+        let next = self.flying.peek()?;
+        if next.0.arrives_at > self.now {
+            return None;
+        }
+        self.flying.pop().map(|flight| flight.0)
+    }
+
     fn tick(&mut self, n: usize) {
         let now = self.now;
         let Some(node) = self.nodes[n].as_mut().filter(|node| !node.stopped) else {
@@ -200,33 +236,32 @@
         let Some(node) = self.nodes[n].as_mut() else {
             return;
         };
-        let mut out = Vec::new();
-        let since = ThreadTime::now();
-        node.fleet.tick(now + node.skew, &mut out);
-        node.took(since.elapsed());
-        self.carry(n, out);
+        let now = now + node.skew;
+        let outputs = node.call(|membership, outputs| membership.tick(now, outputs));
+        self.carry_out(n, outputs);
     }
 
+    /// Delivers a datagram at once, or lets it wait if the member is stopped.
     pub fn deliver(&mut self, to: usize, from: SocketAddr, bytes: &[u8]) {
         let now = self.now;
         let Some(node) = self.nodes[to].as_mut() else {
             return;
         };
         if node.stopped {
-            if node.waiting.len() < 200 {
+            if node.waiting.len() < MAX_WAITING {
                 node.waiting.push((from, bytes.to_vec()));
             }
             return;
         }
-        let mut out = Vec::new();
-        let since = ThreadTime::now();
-        node.fleet.datagram(now + node.skew, from, bytes, &mut out);
-        node.took(since.elapsed());
-        self.carry(to, out);
+        let now = now + node.skew;
+        let outputs = node.call(|membership, outputs| {
+            membership.handle_datagram(now, from, bytes, outputs);
+        });
+        self.carry_out(to, outputs);
     }
 
-    fn carry(&mut self, n: usize, out: Vec<Output>) {
-        for output in out {
+    fn carry_out(&mut self, n: usize, outputs: Vec<Output>) {
+        for output in outputs {
             if let Output::Send { to, bytes } = output {
                 self.send(n, to, bytes);
                 continue;
@@ -238,11 +273,14 @@
             match output {
                 Output::Send { .. } | Output::MessageReceived { .. } => {}
                 Output::UsageReported { heard, uses, past } => {
-                    node.heard.extend(heard.into_iter().map(|h| (h, now)));
-                    uses.into_iter()
-                        .for_each(|(_, tag, n)| *node.told.entry(tag).or_default() += n);
-                    past.into_iter()
-                        .for_each(|(tag, n)| *node.past.entry(tag).or_default() += n);
+                    node.reported_at
+                        .extend(heard.into_iter().map(|gateway| (gateway, now)));
+                    for (_, tag, units) in uses {
+                        *node.peer_usage.entry(tag).or_default() += units;
+                    }
+                    for (tag, units) in past {
+                        *node.past_usage.entry(tag).or_default() += units;
+                    }
                 }
                 Output::GatewaysAbsent(absent) => node.absent = absent,
                 Output::Log(line) => node.logs.push((now, line)),
@@ -253,44 +291,45 @@
     fn send(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
         assert!(bytes.len() <= 1_200);
         let node = self.nodes[from].as_mut().expect("it sends");
-        (node.bytes, node.messages) = (node.bytes + bytes.len() as u64, node.messages + 1);
-        let Some(to) = place(to).filter(|n| *n < self.of) else {
+        node.bytes += bytes.len() as u64;
+        node.messages += 1;
+        let Some(to) = index_of(to).filter(|n| *n < self.count) else {
             return;
         };
-        let lost = self.chance() < self.loss || (self.cut)(from, to);
-        let more = (self.chance() * (self.delay.1 - self.delay.0) as f64) as u64;
-        if !lost {
-            if let Some(r) = &mut self.record {
-                r.push((from, to, bytes.clone()));
-            }
-            self.sent += 1;
-            self.flying.push(std::cmp::Reverse((
-                self.now + self.delay.0 + more,
-                self.sent,
-                to,
-                from,
-                bytes,
-            )));
+        let is_lost = self.random_unit() < self.loss || (self.cut)(from, to);
+        let (shortest, longest) = self.delay;
+        let extra = (self.random_unit() * (longest - shortest) as f64) as u64;
+        if is_lost {
+            return;
+        }
+        if let Some(record) = &mut self.record {
+            record.push((from, to, bytes.clone()));
         }
+        self.sent += 1;
+        self.flying.push(Reverse(Flight {
+            arrives_at: self.now + shortest + extra,
+            sequence: self.sent,
+            to,
+            from,
+            bytes,
+        }));
     }
 
     pub fn running(&self) -> Vec<usize> {
-        (0..self.of)
-            .filter(|n| self.nodes[*n].as_ref().is_some_and(|node| !node.stopped))
-            .collect()
+        let is_running = |n: &usize| self.nodes[*n].as_ref().is_some_and(|node| !node.stopped);
+        (0..self.count).filter(is_running).collect()
     }
 
-    /// What one holds of another.
+    /// The state of one member as another one knows it.
     pub fn state(&self, of: usize, by: usize) -> &'static str {
         let name = format!("n{of}");
-        let members: Vec<MemberRecord> = self.fleet(by).members().map(|m| m.record).collect();
-        members
-            .iter()
-            .find(|r| r.name == name)
-            .map_or("unknown", MemberRecord::state)
+        self.fleet(by)
+            .members()
+            .find(|member| member.record.name == name)
+            .map_or("unknown", |member| member.record.state())
     }
 
-    /// Whether all that run hold this of it.
+    /// Whether one member is in this state for all others that run.
     pub fn all_hold(&self, of: usize, state: &str) -> bool {
         self.running()
             .into_iter()
@@ -307,10 +346,10 @@
         digests.windows(2).all(|w| w[0] == w[1])
     }
 
-    /// Runs until it holds; how long that took.
-    pub fn until(&mut self, most: u64, holds: impl Fn(&World) -> bool) -> Option<u64> {
+    /// Runs until a condition holds, and returns how long that took; `None` if it does not hold after `timeout`.
+    pub fn until(&mut self, timeout: u64, holds: impl Fn(&World) -> bool) -> Option<u64> {
         let from = self.now;
-        while self.now < from + most {
+        while self.now < from + timeout {
             if holds(self) {
                 return Some(self.now - from);
             }
@@ -319,20 +358,15 @@
         holds(self).then_some(self.now - from)
     }
 
-    /// Lines that say somebody is dead.
+    /// Log lines that say that a member is dead: whose they are, when they were written, and the text.
     pub fn accusations(&self) -> Vec<(usize, u64, String)> {
-        let all = self
-            .nodes
-            .iter()
-            .enumerate()
-            .filter_map(|(n, node)| Some((n, node.as_ref()?)));
-        let dead = |l: &&(u64, String)| l.1.contains(": dead");
-        all.flat_map(|(n, node)| {
-            node.logs
-                .iter()
-                .filter(dead)
-                .map(move |(at, l)| (n, *at, l.clone()))
-        })
-        .collect()
+        let mut accusations = Vec::new();
+        for (n, node) in self.nodes.iter().enumerate() {
+            let lines = node.iter().flat_map(|node| &node.logs);
+            for (at, line) in lines.filter(|(_, line)| line.contains(": dead")) {
+                accusations.push((n, *at, line.clone()));
+            }
+        }
+        accusations
     }
 }
