--- a/crates/cluster-membership/src/membership/member_updates.rs
+++ b/crates/cluster-membership/src/membership/member_updates.rs
@@ -157,10 +157,10 @@
             return;
         }
         let was_dead = before.is_some_and(|before| before.liveness == Liveness::Dead);
-        let returned = if was_dead && record.is_present() {
-            ", is back"
+        let state = if was_dead && record.is_present() {
+            format!("{}, is back", record.state())
         } else {
-            ""
+            record.state().to_string()
         };
         let unheard = self
             .peers
@@ -172,8 +172,7 @@
                 format!(", unheard for {:.1} s", unheard_us as f64 / 1e6)
             });
         let name = &record.name;
-        let state = record.state();
-        let line = format!("member {name}: {state}{returned}{unheard}");
+        let line = format!("member {name}: {state}{unheard}");
         self.log(now_us, line, outputs);
     }
 
--- a/crates/cluster-membership/tests/usage_dissemination.rs
+++ b/crates/cluster-membership/tests/usage_dissemination.rs
@@ -1,5 +1,5 @@
-//! Use that members tell each other, in virtual time: once each, whatever is lost, late or twice; past a cut, a restart, a stop.
-#![expect(clippy::semicolon_if_nothing_returned)]
+//! Usage that members report to each other, in virtual time: each unit counts once, whatever is lost, late or repeated, and
+//! across partitions, restarts and pauses.
 
 mod world;
 
@@ -7,150 +7,169 @@
 use frosthatch_cluster_membership::{MembershipConfig, Output};
 use world::{address_of, config, World, S, TICK};
 
-fn told(w: &World, who: usize, tag: u32) -> f64 {
-    w.nodes[who]
+/// Units of a customer that the `n`th member learned of from others.
+fn peer_usage(world: &World, n: usize, tag: u32) -> f64 {
+    world.nodes[n]
         .as_ref()
-        .and_then(|n| n.peer_usage.get(&tag))
+        .and_then(|node| node.peer_usage.get(&tag))
         .copied()
         .unwrap_or(0.0)
 }
 
 #[test]
-fn use_is_told_to_all_others_once() {
-    let mut w = World::settled(4, 1);
-    w.node(0).membership.record_usage(9, 2.5);
-    w.node(1).membership.record_usage(9, 1.0);
-    w.run(S / 2);
-    let all: Vec<f64> = (0..4).map(|n| told(&w, n, 9)).collect();
-    assert_eq!(all, [1.0, 2.5, 3.5, 3.5]);
+fn usage_reaches_all_other_members_once() {
+    let mut world = World::settled(4, 1);
+    world.node(0).membership.record_usage(9, 2.5);
+    world.node(1).membership.record_usage(9, 1.0);
+    world.run(S / 2);
+    let totals: Vec<f64> = (0..4).map(|n| peer_usage(&world, n, 9)).collect();
+    assert_eq!(totals, [1.0, 2.5, 3.5, 3.5]);
     for n in 0..4 {
-        let now = w.now;
-        let heard = w
+        let now = world.now;
+        let reported = world
             .node(n)
             .reported_at
             .values()
             .filter(|at| **at + 3 * TICK > now)
             .count();
-        assert_eq!(heard, 3, "{n} hears all others in full");
+        assert_eq!(reported, 3, "{n} hears all others in full");
     }
 }
 
 #[test]
 fn loss_disorder_and_repetition_change_no_total() {
-    let mut w = World::settled(3, 2);
-    (w.loss, w.delay) = (0.3, (1_000, 150_000));
-    w.record = Some(Vec::new());
+    let mut world = World::settled(3, 2);
+    world.loss = 0.3;
+    world.delay = (1_000, 150_000);
+    world.record = Some(Vec::new());
     let mut sum = 0.0;
     for n in 0..200 {
         let units = 1.0 + f64::from(n % 3);
-        w.node(0).membership.record_usage(5, units);
+        world.node(0).membership.record_usage(5, units);
         sum += units;
-        w.run(TICK);
-        let old = w
+        world.run(TICK);
+        let repeated = world
             .record
             .as_ref()
             .and_then(|r| r.get(r.len().checked_sub(1 + n as usize % 40)?))
             .cloned();
-        old.into_iter()
-            .for_each(|(from, to, bytes)| w.deliver(to, address_of(from), &bytes));
+        if let Some((from, to, bytes)) = repeated {
+            world.deliver(to, address_of(from), &bytes);
+        }
     }
-    w.loss = 0.0;
-    w.run(S);
+    world.loss = 0.0;
+    world.run(S);
     assert!(
-        (told(&w, 1, 5) - sum).abs() < 0.5 && (told(&w, 2, 5) - sum).abs() < 0.5,
+        (peer_usage(&world, 1, 5) - sum).abs() < 0.5
+            && (peer_usage(&world, 2, 5) - sum).abs() < 0.5,
         "{sum}"
     );
 }
 
 #[test]
-fn a_cut_heals_without_counting_twice() {
-    let mut w = World::settled(4, 3);
-    w.cut = Box::new(|a, b| a / 2 != b / 2);
+fn a_healed_partition_counts_no_usage_twice() {
+    let mut world = World::settled(4, 3);
+    world.cut = Box::new(|a, b| a / 2 != b / 2);
     for _ in 0..100 {
-        (0..4).for_each(|n| w.node(n).membership.record_usage(1, 1.0));
-        w.run(TICK);
+        (0..4).for_each(|n| world.node(n).membership.record_usage(1, 1.0));
+        world.run(TICK);
     }
-    w.run(S / 2);
+    world.run(S / 2);
     assert!(
-        (0..4).all(|n| (told(&w, n, 1) - 100.0).abs() < 0.1),
+        (0..4).all(|n| (peer_usage(&world, n, 1) - 100.0).abs() < 0.1),
         "only the neighbour's"
     );
-    w.cut = Box::new(|_, _| false);
-    w.run(3 * S);
+    world.cut = Box::new(|_, _| false);
+    world.run(3 * S);
     assert!(
-        (0..4).all(|n| (told(&w, n, 1) - 300.0).abs() < 0.1),
+        (0..4).all(|n| (peer_usage(&world, n, 1) - 300.0).abs() < 0.1),
         "all of all others'"
     );
-    w.run(S);
-    assert!((0..4).all(|n| (told(&w, n, 1) - 300.0).abs() < 0.1), "once");
+    world.run(S);
+    assert!(
+        (0..4).all(|n| (peer_usage(&world, n, 1) - 300.0).abs() < 0.1),
+        "once"
+    );
 }
 
 #[test]
-fn what_one_does_not_hear_itself_it_hears_by_another() {
-    let mut w = World::settled(3, 4);
-    w.cut = Box::new(|a, b| (a.min(b), a.max(b)) == (0, 1));
-    w.run(3 * S);
-    w.node(0).membership.record_usage(3, 7.0);
-    w.run(3 * S);
-    assert_eq!((told(&w, 1, 3), told(&w, 2, 3)), (7.0, 7.0));
-    assert!(w.accusations().is_empty());
+fn usage_is_relayed_by_a_third_member_where_a_link_is_cut() {
+    let mut world = World::settled(3, 4);
+    world.cut = Box::new(|a, b| (a.min(b), a.max(b)) == (0, 1));
+    world.run(3 * S);
+    world.node(0).membership.record_usage(3, 7.0);
+    world.run(3 * S);
+    assert_eq!(
+        (peer_usage(&world, 1, 3), peer_usage(&world, 2, 3)),
+        (7.0, 7.0)
+    );
+    assert!(world.accusations().is_empty());
 }
 
 #[test]
-fn a_restarted_one_is_another_life_and_learns_what_it_did_before() {
-    let mut w = World::settled(3, 5);
-    w.node(0).membership.record_usage(4, 5.0);
-    w.run(S);
-    w.kill(0);
-    w.run(TICK);
-    w.start(0);
-    w.run(2 * S);
+fn a_restarted_member_learns_the_usage_of_its_earlier_instance() {
+    let mut world = World::settled(3, 5);
+    world.node(0).membership.record_usage(4, 5.0);
+    world.run(S);
+    world.kill(0);
+    world.run(TICK);
+    world.start(0);
+    world.run(2 * S);
     assert_eq!(
-        (told(&w, 0, 4), w.node(0).past_usage.get(&4)),
+        (peer_usage(&world, 0, 4), world.node(0).past_usage.get(&4)),
         (0.0, Some(&5.0)),
         "its own, of before"
     );
-    w.node(0).membership.record_usage(4, 2.0);
-    w.run(S);
-    assert_eq!((told(&w, 1, 4), told(&w, 2, 4)), (7.0, 7.0));
+    world.node(0).membership.record_usage(4, 2.0);
+    world.run(S);
+    assert_eq!(
+        (peer_usage(&world, 1, 4), peer_usage(&world, 2, 4)),
+        (7.0, 7.0)
+    );
 }
 
-/// What waited while a process was stopped is told as use, but its words of then do not count as heard now.
+/// Datagrams that waited at the socket count as usage, but do not show that their senders run now.
 #[test]
-fn words_that_waited_while_a_process_was_stopped_are_not_heard_as_new() {
-    let mut w = World::settled(2, 6);
-    w.node(0).stopped = true;
-    w.run(S / 10);
-    w.node(1).membership.record_usage(1, 3.0);
-    w.run(10 * S);
-    let was = w.node(0).reported_at[&1];
-    w.cut = Box::new(|_, _| true);
-    w.node(0).stopped = false;
-    w.run(4 * TICK);
-    assert_eq!((told(&w, 0, 1), w.node(0).reported_at[&1]), (3.0, was));
-    w.cut = Box::new(|_, _| false);
-    w.run(2 * S);
-    assert!(w.node(0).reported_at[&1] > was);
+fn datagrams_that_waited_during_a_pause_are_not_current_reports() {
+    let mut world = World::settled(2, 6);
+    world.node(0).stopped = true;
+    world.run(S / 10);
+    world.node(1).membership.record_usage(1, 3.0);
+    world.run(10 * S);
+    let reported_before = world.node(0).reported_at[&1];
+    world.cut = Box::new(|_, _| true);
+    world.node(0).stopped = false;
+    world.run(4 * TICK);
+    assert_eq!(
+        (peer_usage(&world, 0, 1), world.node(0).reported_at[&1]),
+        (3.0, reported_before)
+    );
+    world.cut = Box::new(|_, _| false);
+    world.run(2 * S);
+    assert!(world.node(0).reported_at[&1] > reported_before);
 }
 
 #[test]
-fn a_clock_that_steps_by_an_hour_harms_nobody() {
-    let mut w = World::settled(2, 7);
-    w.node(0).membership.record_usage(1, 3.0);
-    w.run(S);
-    w.node(0).skew += 3_600 * S;
-    w.node(0).membership.record_usage(1, 2.0);
-    w.run(S);
-    w.node(1).membership.record_usage(1, 1.0);
-    w.run(S);
-    assert_eq!((told(&w, 1, 1), told(&w, 0, 1)), (5.0, 1.0));
-    assert!(w.accusations().is_empty());
+fn a_clock_step_of_an_hour_loses_no_usage_and_suspects_nobody() {
+    let mut world = World::settled(2, 7);
+    world.node(0).membership.record_usage(1, 3.0);
+    world.run(S);
+    world.node(0).skew += 3_600 * S;
+    world.node(0).membership.record_usage(1, 2.0);
+    world.run(S);
+    world.node(1).membership.record_usage(1, 1.0);
+    world.run(S);
+    assert_eq!(
+        (peer_usage(&world, 1, 1), peer_usage(&world, 0, 1)),
+        (5.0, 1.0)
+    );
+    assert!(world.accusations().is_empty());
 }
 
 #[test]
-fn a_budget_that_is_too_small_is_shared_and_kept() {
-    let mut w = World::new(4, 8);
-    w.start_with(
+fn a_budget_that_is_too_small_is_kept_and_shared_by_all_members() {
+    let mut world = World::new(4, 8);
+    world.start_with(
         0,
         MembershipConfig {
             bytes_per_s: 8_000,
@@ -158,55 +177,61 @@
             ..config(0, 4, 1_000)
         },
     );
-    (1..4).for_each(|n| w.start(n));
-    w.run(3 * S);
-    let before = w.node(0).bytes;
+    (1..4).for_each(|n| world.start(n));
+    world.run(3 * S);
+    let before = world.node(0).bytes;
     for round in 0..200u32 {
-        (0..20).for_each(|n| w.node(0).membership.record_usage(round % 50 * 20 + n, 1.0));
-        w.run(TICK);
+        for n in 0..20 {
+            let tag = round % 50 * 20 + n;
+            world.node(0).membership.record_usage(tag, 1.0);
+        }
+        world.run(TICK);
     }
-    let bytes = (w.node(0).bytes - before) as f64 / 10.0;
+    let bytes = (world.node(0).bytes - before) as f64 / 10.0;
     assert!(
         (4_000.0..12_000.0).contains(&bytes),
         "{bytes} bytes a second"
     );
-    let heard: Vec<usize> = (1..4).map(|n| w.node(n).peer_usage.len()).collect();
-    assert!(heard.iter().all(|n| *n > 100), "{heard:?}");
+    let known_customers: Vec<usize> = (1..4).map(|n| world.node(n).peer_usage.len()).collect();
     assert!(
-        w.accusations().is_empty(),
+        known_customers.iter().all(|n| *n > 100),
+        "{known_customers:?}"
+    );
+    assert!(
+        world.accusations().is_empty(),
         "members come before use: {:?}",
-        w.accusations()
+        world.accusations()
     );
 }
 
 #[test]
-fn use_that_never_ends_stays_within_the_entries() {
-    let mut w = World::new(2, 9);
-    (0..2).for_each(|n| {
-        w.start_with(
+fn usage_of_ever_new_customers_stays_within_the_bound_of_entries() {
+    let mut world = World::new(2, 9);
+    for n in 0..2 {
+        world.start_with(
             n,
             MembershipConfig {
                 most_entries: 500,
                 ..config(n, 2, 1_000)
             },
-        )
-    });
+        );
+    }
     for n in 0..20_000 {
-        w.node(n as usize % 2).membership.record_usage(n, 1.0);
+        world.node(n as usize % 2).membership.record_usage(n, 1.0);
         if n % 20 == 0 {
-            w.run(TICK);
+            world.run(TICK);
         }
     }
-    assert!((0..2).all(|n| w.fleet(n).usage().counters().len() <= 500));
-    assert!(w.now > 2 * WINDOW_US);
+    assert!((0..2).all(|n| world.fleet(n).usage().counters().len() <= 500));
+    assert!(world.now > 2 * WINDOW_US);
 }
 
-/// Letters go whatever else there is to tell: once the budget of bytes is spent they go alone, and what is told waits.
+/// Once the byte budget is spent, messages are sent without gossip, which waits.
 #[test]
-fn letters_are_not_held_up_and_do_not_carry_what_the_budget_does_not_bear() {
-    let mut w = World::new(2, 6);
+fn messages_are_not_delayed_by_a_spent_budget_and_carry_no_gossip_then() {
+    let mut world = World::new(2, 6);
     for n in 0..2 {
-        w.start_with(
+        world.start_with(
             n,
             MembershipConfig {
                 bytes_per_s: 2_000,
@@ -214,39 +239,46 @@
             },
         );
     }
-    w.run(3 * S);
-    // More than a datagram holds.
-    (0..400).for_each(|tag| w.node(0).membership.record_usage(tag, 1_000.0));
-    w.run(2 * TICK);
-    let (mut bytes, mut came) = (0, 0);
+    world.run(3 * S);
+    // More usage than a datagram holds.
+    (0..400).for_each(|tag| world.node(0).membership.record_usage(tag, 1_000.0));
+    world.run(2 * TICK);
+    let mut sent_bytes = 0;
+    let mut received = 0;
     for n in 0..50u8 {
-        // As a keeper of many is asked.
-        let now = w.now + u64::from(n) * S / 100;
-        let mut out = Vec::new();
-        w.node(0)
+        let now = world.now + u64::from(n) * S / 100;
+        let mut outputs = Vec::new();
+        world
+            .node(0)
             .membership
-            .send_message(now, "n1", vec![n; 60], &mut out);
-        for o in out {
-            let Output::Send { bytes: sent, .. } = o else {
+            .send_message(now, "n1", vec![n; 60], &mut outputs);
+        for output in outputs {
+            let Output::Send { bytes, .. } = output else {
                 continue;
             };
-            bytes += sent.len();
-            let mut there = Vec::new();
-            w.node(1)
-                .membership
-                .handle_datagram(now, address_of(0), &sent, &mut there);
-            let read = Output::MessageReceived {
+            sent_bytes += bytes.len();
+            let mut received_outputs = Vec::new();
+            world.node(1).membership.handle_datagram(
+                now,
+                address_of(0),
+                &bytes,
+                &mut received_outputs,
+            );
+            let message = Output::MessageReceived {
                 from: "n0".into(),
                 bytes: vec![n; 60],
             };
-            came += usize::from(there.contains(&read));
+            received += usize::from(received_outputs.contains(&message));
         }
     }
-    assert_eq!(came, 50);
-    assert!(bytes < 50 * 200, "{bytes} bytes for fifty letters of 60");
-    w.run(60 * S);
+    assert_eq!(received, 50);
+    assert!(
+        sent_bytes < 50 * 200,
+        "{sent_bytes} bytes for fifty letters of 60"
+    );
+    world.run(60 * S);
     assert!(
-        (told(&w, 1, 399) - 1_000.0).abs() < 0.1,
+        (peer_usage(&world, 1, 399) - 1_000.0).abs() < 0.1,
         "and all is told in the end"
     );
 }
