--- a/crates/cluster-membership/src/failure_detector.rs
+++ b/crates/cluster-membership/src/failure_detector.rs
@@ -228,7 +228,7 @@
                 continue;
             };
             if heard_at(&name) > suspicion.since_us {
-                // It runs, whoever suspects it.
+                // It was heard since it was suspected, so it runs.
                 suspicion.since_us = now_us;
                 actions.push(DetectorAction::NotifySuspect(name));
             } else {
--- a/crates/cluster-membership/src/membership/anti_entropy.rs
+++ b/crates/cluster-membership/src/membership/anti_entropy.rs
@@ -34,14 +34,14 @@
             wants_digests: true,
             ..DatagramContent::default()
         };
-        self.send(&name, now_us, content, outputs);
+        self.send(now_us, &name, content, outputs);
     }
 
     /// Sends the members that differ, beginning with a random one: of a large table, each comparison gets another part.
     pub(super) fn send_differing(
         &mut self,
-        to: &str,
         now_us: u64,
+        to: &str,
         mut differing: Vec<MemberUpdate>,
         includes_digests: bool,
         outputs: &mut Vec<Output>,
@@ -66,7 +66,7 @@
                 members: Some(&mut remaining),
                 ..DatagramContent::default()
             };
-            self.send(to, now_us, content, outputs);
+            self.send(now_us, to, content, outputs);
         }
     }
 }
--- a/crates/cluster-membership/src/membership/peer.rs
+++ b/crates/cluster-membership/src/membership/peer.rs
@@ -3,7 +3,7 @@
 use crate::gauges::Gauges;
 use crate::session::Session;
 use crate::token_bucket::TokenBucket;
-use crate::usage_gossip::PeerProgress;
+use crate::usage_gossip::UsageProgress;
 use std::collections::BTreeMap;
 
 /// A member may send this many times the datagrams of regular updates ...
@@ -16,7 +16,7 @@
     pub session: Session,
     /// When a datagram last came from it, proven or not, in microseconds of running time.
     pub last_datagram_at_us: u64,
-    pub usage: PeerProgress,
+    pub usage: UsageProgress,
     pub gauges: Gauges,
     /// Version of our gauges that it has.
     pub gauges_acked: u64,
@@ -25,7 +25,7 @@
     pub received: TokenBucket,
     /// Numbers of its probes that the next datagram acknowledges.
     pub pending_acks: Vec<u32>,
-    /// Datagrams with our record that were sent since its instance has proven itself.
+    /// Datagrams sent to its instance since that has proven itself; the first ones carry our record.
     pub proven_sends: u8,
 }
 
@@ -36,7 +36,7 @@
         Peer {
             session: Session::starting_after(last_sent_sequence),
             last_datagram_at_us: 0,
-            usage: PeerProgress::default(),
+            usage: UsageProgress::default(),
             gauges: Gauges::default(),
             gauges_acked: 0,
             next_update_at_us: 0,
@@ -48,7 +48,7 @@
 
     /// Forgets what an earlier instance had and sent.
     pub fn reset_for_new_instance(&mut self) {
-        self.usage = PeerProgress::default();
+        self.usage = UsageProgress::default();
         self.gauges = Gauges::default();
         self.gauges_acked = 0;
         self.proven_sends = 0;
--- a/crates/cluster-membership/src/membership/probing.rs
+++ b/crates/cluster-membership/src/membership/probing.rs
@@ -45,7 +45,7 @@
     ) {
         match action {
             DetectorAction::Ping { target, ping } => {
-                self.send(&target, now_us, DatagramContent::ping(ping), outputs);
+                self.send(now_us, &target, DatagramContent::ping(ping), outputs);
             }
             DetectorAction::IndirectPing { via, target, ping } => {
                 for name in via {
@@ -57,13 +57,13 @@
                         indirect_pings: vec![request],
                         ..DatagramContent::default()
                     };
-                    self.send(&name, now_us, content, outputs);
+                    self.send(now_us, &name, content, outputs);
                 }
             }
             DetectorAction::Suspect(name) => self.suspect(now_us, &name, outputs),
             DetectorAction::ConfirmDead(name) => self.confirm_dead(now_us, &name, outputs),
             DetectorAction::NotifySuspect(name) => {
-                self.send(&name, now_us, DatagramContent::receiver_record(), outputs);
+                self.send(now_us, &name, DatagramContent::receiver_record(), outputs);
             }
         }
     }
@@ -91,7 +91,7 @@
         if let Some(change) = self.table.set_liveness(now_us, name, Liveness::Dead) {
             self.handle_change(now_us, &change, outputs);
             // If it runs after all, it refutes.
-            self.send(name, now_us, DatagramContent::receiver_record(), outputs);
+            self.send(now_us, name, DatagramContent::receiver_record(), outputs);
         }
     }
 
@@ -116,8 +116,8 @@
         };
         self.relayed_pings.insert(ping, relayed);
         self.send(
-            &request.target,
             now_us,
+            &request.target,
             DatagramContent::ping(ping),
             outputs,
         );
@@ -131,7 +131,7 @@
                 acks: vec![relayed.requester_ping],
                 ..DatagramContent::default()
             };
-            self.send(&relayed.requester, now_us, content, outputs);
+            self.send(now_us, &relayed.requester, content, outputs);
         }
     }
 }
--- a/crates/cluster-membership/src/membership/receive.rs
+++ b/crates/cluster-membership/src/membership/receive.rs
@@ -127,7 +127,7 @@
                 replaced_instance_id,
                 ..DatagramContent::own_record()
             };
-            self.send_to(&header.from, address, now_us, content, outputs);
+            self.send_to(now_us, &header.from, address, content, outputs);
         }
     }
 
@@ -189,12 +189,12 @@
             self.relay_ping(now_us, &header.from, request, outputs);
         }
         if header.ping != 0 {
-            self.send(&header.from, now_us, DatagramContent::default(), outputs);
+            self.send(now_us, &header.from, DatagramContent::default(), outputs);
         }
         if !header.bucket_digests.is_empty() {
             self.send_differing(
-                &header.from,
                 now_us,
+                &header.from,
                 differing,
                 header.wants_digests,
                 outputs,
--- a/crates/cluster-membership/src/membership/seeds.rs
+++ b/crates/cluster-membership/src/membership/seeds.rs
@@ -1,4 +1,4 @@
-//! Finding other members: by the configured seeds, and by trying those that are held dead.
+//! Finding other members: by the configured seeds, and by trying those that are considered dead.
 
 use super::output::Output;
 use super::send::{member_update, DatagramContent};
@@ -18,7 +18,7 @@
 const MAX_SEEDS_AT_ONCE: usize = 64;
 
 impl Membership {
-    /// Contacts all seeds while no other member is present, otherwise one at which none is; and one member that is held dead,
+    /// Contacts all seeds while no other member is present, otherwise one at which none is; and one member that is considered dead,
     /// since a partition may have healed.
     pub(super) fn contact_seeds(&mut self, now_us: u64, outputs: &mut Vec<Output>) {
         if now_us < self.next_seed_contact_at_us {
@@ -43,7 +43,7 @@
         }
         if !dead.is_empty() {
             let index = self.rng.next_u32() as usize % dead.len();
-            self.send(&dead[index], now_us, DatagramContent::own_record(), outputs);
+            self.send(now_us, &dead[index], DatagramContent::own_record(), outputs);
         }
     }
 
@@ -56,7 +56,7 @@
         seeds.filter(is_vacant).copied().collect()
     }
 
-    /// Names of the members that are held dead and have not left.
+    /// Names of the members that are considered dead and have not left.
     fn dead_members(&self) -> Vec<String> {
         self.table
             .records()
@@ -65,7 +65,7 @@
             .collect()
     }
 
-    /// Sends this member's record to whoever is at an address.
+    /// Sends this member's record to an address whose member is not known.
     fn contact_seed(&mut self, now_us: u64, address: SocketAddr, outputs: &mut Vec<Output>) {
         let header = self.header(0, 0);
         let mut writer = DatagramWriter::new(&header);
--- a/crates/cluster-membership/src/membership/send.rs
+++ b/crates/cluster-membership/src/membership/send.rs
@@ -67,11 +67,19 @@
 /// The receiver of a datagram.
 struct Receiver {
     instance: InstanceKey,
+    /// Sequence number of the datagram.
+    sequence: u64,
     /// Whether this instance has proven itself. Otherwise it gets neither messages nor gossip.
     is_proven: bool,
-    /// Whether it is held to be gone, or another instance has its name.
+    /// Whether the table says that it is gone, or that another instance has its name.
     is_outdated: bool,
     needs_own_record: bool,
+    /// Last of its changes of usage that this member has.
+    usage_received: u64,
+    /// Version of its gauges that this member has.
+    gauges_received: u64,
+    /// Numbers of its probes to acknowledge.
+    pending_acks: Vec<u32>,
 }
 
 impl Membership {
@@ -88,7 +96,7 @@
             .map(String::from)
             .collect();
         for name in names {
-            self.send(&name, now_us, DatagramContent::own_record(), outputs);
+            self.send(now_us, &name, DatagramContent::own_record(), outputs);
         }
     }
 
@@ -106,41 +114,41 @@
                 message,
                 ..DatagramContent::default()
             };
-            self.send(to, now_us, content, outputs);
+            self.send(now_us, to, content, outputs);
         }
     }
 
     /// Sends a datagram to a member of the table.
     pub(super) fn send(
         &mut self,
-        name: &str,
         now_us: u64,
+        name: &str,
         content: DatagramContent,
         outputs: &mut Vec<Output>,
     ) {
         let Some(address) = self.table.record(name).map(|record| record.address) else {
             return;
         };
-        self.send_to(name, address, now_us, content, outputs);
+        self.send_to(now_us, name, address, content, outputs);
     }
 
     /// Sends a datagram to a member that need not be in the table.
     pub(super) fn send_to(
         &mut self,
+        now_us: u64,
         name: &str,
         address: SocketAddr,
-        now_us: u64,
         mut content: DatagramContent,
         outputs: &mut Vec<Output>,
     ) {
-        let receiver = self.address_receiver(name, now_us, content.replaced_instance_id);
+        let mut receiver = self.address_receiver(now_us, name, content.replaced_instance_id);
         // A member that compares tables may have forgotten this one.
         content.has_own_record |= content.wants_digests || receiver.needs_own_record;
         content.has_receiver_record |= receiver.is_outdated;
-        let mut header = self.header_to(name, now_us, &receiver, &mut content);
+        let mut header = self.header_to(&mut receiver, &mut content);
         let mut writer = DatagramWriter::new(&header);
-        self.write_addressed_records(name, now_us, &content, &mut writer);
-        // Messages are not held up by the budget, but once it is spent they go without gossip.
+        self.write_addressed_records(now_us, name, &content, &mut writer);
+        // Messages are not delayed by the budget, but once it is spent they are sent without gossip.
         let has_message = !content.message.is_empty();
         let is_only_message = has_message && !self.byte_budget.has_tokens(now_us);
         if receiver.is_proven {
@@ -149,17 +157,17 @@
             }
             if !is_only_message {
                 self.write_members(now_us, content.members, &mut writer);
-                self.write_usage_and_gauges(name, now_us, &receiver, &mut header, &mut writer);
+                self.write_usage_and_gauges(now_us, name, &receiver, &mut header, &mut writer);
             }
         }
         self.transmit(now_us, address, writer, header, outputs);
     }
 
-    /// Counts a datagram to a member and determines which instance of it is meant.
+    /// Counts a datagram to a member, takes its pending acknowledgements, and determines which instance of it is meant.
     fn address_receiver(
         &mut self,
-        name: &str,
         now_us: u64,
+        name: &str,
         replaced_instance_id: Option<u64>,
     ) -> Receiver {
         let others = self.table.len().saturating_sub(1);
@@ -184,31 +192,27 @@
         if is_proven {
             peer.proven_sends = peer.proven_sends.saturating_add(1);
         }
+        let is_outdated =
+            known_instance_id.is_some_and(|known| !is_known_present || known != instance_id);
+        let instance = InstanceKey {
+            gateway,
+            instance_id,
+        };
         Receiver {
-            instance: InstanceKey {
-                gateway,
-                instance_id,
-            },
+            instance,
+            sequence: peer.session.last_sent_sequence,
             is_proven,
-            is_outdated: known_instance_id
-                .is_some_and(|known| !is_known_present || known != instance_id),
+            is_outdated,
             needs_own_record,
+            usage_received: peer.usage.received,
+            gauges_received: peer.gauges.version,
+            pending_acks: std::mem::take(&mut peer.pending_acks),
         }
     }
 
     /// The header of a datagram, with the small parts of its content.
-    fn header_to(
-        &mut self,
-        name: &str,
-        now_us: u64,
-        receiver: &Receiver,
-        content: &mut DatagramContent,
-    ) -> DatagramHeader {
-        let peer = self.peer_mut(now_us, name);
-        let sequence = peer.session.last_sent_sequence;
-        let usage_received = peer.usage.received;
-        let gauges_received = peer.gauges.version;
-        let mut acks = std::mem::take(&mut peer.pending_acks);
+    fn header_to(&self, receiver: &mut Receiver, content: &mut DatagramContent) -> DatagramHeader {
+        let mut acks = std::mem::take(&mut receiver.pending_acks);
         acks.append(&mut content.acks);
         acks.truncate(MAX_PROBES);
         DatagramHeader {
@@ -217,9 +221,9 @@
             indirect_pings: std::mem::take(&mut content.indirect_pings),
             bucket_digests: std::mem::take(&mut content.bucket_digests),
             wants_digests: content.wants_digests,
-            usage_received,
-            gauges_received,
-            ..self.header(receiver.instance.instance_id, sequence)
+            usage_received: receiver.usage_received,
+            gauges_received: receiver.gauges_received,
+            ..self.header(receiver.instance.instance_id, receiver.sequence)
         }
     }
 
@@ -240,8 +244,8 @@
     /// Adds the records that the receiver needs about sender and receiver themselves.
     fn write_addressed_records(
         &self,
-        name: &str,
         now_us: u64,
+        name: &str,
         content: &DatagramContent,
         writer: &mut DatagramWriter,
     ) {
@@ -278,8 +282,8 @@
 
     fn write_usage_and_gauges(
         &mut self,
-        name: &str,
         now_us: u64,
+        name: &str,
         receiver: &Receiver,
         header: &mut DatagramHeader,
         writer: &mut DatagramWriter,
--- a/crates/cluster-membership/src/membership/state.rs
+++ b/crates/cluster-membership/src/membership/state.rs
@@ -4,7 +4,7 @@
 use super::invalid_seal_limiter::InvalidSealLimiter;
 use super::log_limiter::LogLimiter;
 use super::output::Output;
-use super::peer::Peer;
+use super::peer::{heard_at_us, Peer};
 use super::run_clock::RunClock;
 use crate::failure_detector::FailureDetector;
 use crate::gauges::Gauges;
@@ -190,7 +190,7 @@
 
     /// Microseconds of running time since a member was last heard itself; `None`: never.
     fn unheard_for_us(&self, name: &str) -> Option<u64> {
-        let heard_at_us = super::peer::heard_at_us(&self.peers, name);
+        let heard_at_us = heard_at_us(&self.peers, name);
         (heard_at_us > 0).then(|| self.clock.running_us().saturating_sub(heard_at_us))
     }
 
--- a/crates/cluster-membership/src/membership/tick.rs
+++ b/crates/cluster-membership/src/membership/tick.rs
@@ -125,7 +125,7 @@
             if !self.byte_budget.has_tokens(now_us) || !self.message_budget.has_tokens(now_us) {
                 return;
             }
-            self.send(&name, now_us, DatagramContent::default(), outputs);
+            self.send(now_us, &name, DatagramContent::default(), outputs);
         }
     }
 
--- a/crates/cluster-membership/src/usage_gossip.rs
+++ b/crates/cluster-membership/src/usage_gossip.rs
@@ -15,7 +15,7 @@
 
 /// How far one other member and this one have sent each other their usage.
 #[derive(Clone, Debug, Default)]
-pub struct PeerProgress {
+pub struct UsageProgress {
     /// The other one has our changes up to and including this one.
     pub acked: u64,
     /// We have its changes up to and including this one.
@@ -178,7 +178,7 @@
     /// as there is room, usage of the gateways that it does not hear directly.
     pub fn write(
         &self,
-        progress: &mut PeerProgress,
+        progress: &mut UsageProgress,
         receiver: InstanceKey,
         writer: &mut DatagramWriter,
     ) -> UsageCoverage {
@@ -204,7 +204,7 @@
 
     /// Adds usage of the gateways that the receiver does not hear directly: again and again from the first change, since it does
     /// not acknowledge these.
-    fn relay_wanted(&self, progress: &mut PeerProgress, writer: &mut DatagramWriter) {
+    fn relay_wanted(&self, progress: &mut UsageProgress, writer: &mut DatagramWriter) {
         let relayed = std::mem::take(&mut progress.relayed);
         if progress.wanted_gateways.is_empty() {
             return;
