--- a/crates/cluster-membership/src/membership/receive.rs
+++ b/crates/cluster-membership/src/membership/receive.rs
@@ -4,9 +4,10 @@
 use super::output::Output;
 use super::send::{member_update, DatagramContent};
 use super::state::Membership;
+use crate::gauges::GaugeSnapshot;
 use crate::session::{DatagramIdentity, DatagramVerdict};
 use crate::usage_counters::InstanceKey;
-use crate::wire::{DatagramBody, DatagramHeader, MemberUpdate, MAX_PROBES};
+use crate::wire::{DatagramBody, DatagramHeader, MemberUpdate, UsageGroup, MAX_PROBES};
 use std::net::SocketAddr;
 
 /// Peers that are remembered, as a multiple of the members: some are not in the table.
@@ -138,39 +139,57 @@
         for update in body.members {
             self.apply_member_update(now_us, update, outputs);
         }
-        let mut header = body.header;
-        let gateway = self
-            .table
-            .record(&header.from)
-            .filter(|record| record.instance_id == header.instance_id)
-            .map(|record| u32::from(record.number));
+        let header = body.header;
+        if !self.peers.contains_key(&header.from) {
+            return;
+        }
+        self.record_exchange(now_us, &header, body.gauges, body.usage);
+        self.answer(now_us, &header, differing, outputs);
+        if !body.message.is_empty() {
+            outputs.push(Output::MessageReceived {
+                from: header.from,
+                bytes: body.message,
+            });
+        }
+    }
+
+    /// Records that a member was heard, what it has of ours, and its gauges and usage.
+    fn record_exchange(
+        &mut self,
+        now_us: u64,
+        header: &DatagramHeader,
+        gauges: GaugeSnapshot,
+        usage: Vec<UsageGroup>,
+    ) {
         let Some(peer) = self.peers.get_mut(&header.from) else {
             return;
         };
         peer.session.heard_at_us = self.clock.running_us().max(1);
-        peer.usage.wanted_gateways = std::mem::take(&mut header.wanted_gateways);
+        peer.usage
+            .wanted_gateways
+            .clone_from(&header.wanted_gateways);
         let last_usage_change = self.usage.counters().last_change();
         let usage_acked = peer.usage.acked.max(header.usage_received);
         peer.usage.acked = usage_acked.min(last_usage_change);
         let gauges_acked = peer.gauges_acked.max(header.gauges_received);
         peer.gauges_acked = gauges_acked.min(self.gauges.version);
-        peer.gauges.replace_if_later(now_us, body.gauges);
+        peer.gauges.replace_if_later(now_us, gauges);
         if header.ping != 0 && peer.pending_acks.len() < MAX_PROBES {
             peer.pending_acks.push(header.ping);
         }
-        self.usage.merge(now_us, body.usage);
-        if header.usage_after <= peer.usage.received {
-            peer.usage.received = peer.usage.received.max(header.usage_up_to);
-            if header.is_usage_complete && !self.clock.is_catching_up() {
-                self.fully_reported.extend(gateway);
-            }
+        self.usage.merge(now_us, usage);
+        if header.usage_after > peer.usage.received {
+            // A datagram with earlier changes is missing.
+            return;
         }
-        self.answer(now_us, &header, differing, outputs);
-        if !body.message.is_empty() {
-            outputs.push(Output::MessageReceived {
-                from: header.from,
-                bytes: body.message,
-            });
+        peer.usage.received = peer.usage.received.max(header.usage_up_to);
+        if header.is_usage_complete && !self.clock.is_catching_up() {
+            let gateway = self
+                .table
+                .record(&header.from)
+                .filter(|record| record.instance_id == header.instance_id)
+                .map(|record| u32::from(record.number));
+            self.fully_reported.extend(gateway);
         }
     }
 
