--- a/crates/cluster-membership/src/driver.rs
+++ b/crates/cluster-membership/src/driver.rs
@@ -19,7 +19,7 @@
 /// Takes the messages of another subsystem that other members sent.
 pub trait MessageHandler {
     /// A message arrived. `from`: name of the member that sent it.
-    fn letter(&self, from: &str, bytes: &[u8]);
+    fn handle_message(&self, from: &str, bytes: &[u8]);
 }
 
 /// This process as a member of the cluster.
@@ -42,17 +42,17 @@
     }
 
     /// Reads the state of the membership.
-    pub fn with<T>(&self, read: impl FnOnce(&Membership) -> T) -> T {
+    pub fn read<T>(&self, read: impl FnOnce(&Membership) -> T) -> T {
         read(&self.membership.borrow())
     }
 
     /// Sets who takes messages from other members.
-    pub fn set_reader(&self, message_handler: Rc<dyn MessageHandler>) {
+    pub fn set_message_handler(&self, message_handler: Rc<dyn MessageHandler>) {
         self.message_handler.replace(Some(message_handler));
     }
 
     /// Sends a message to a member: once, as a datagram that may be lost.
-    pub fn post(&self, to: &str, bytes: Vec<u8>) {
+    pub fn send_message(&self, to: &str, bytes: Vec<u8>) {
         let mut outputs = Vec::new();
         self.membership
             .borrow_mut()
@@ -61,19 +61,19 @@
     }
 
     /// Sets one of this member's gauges, measured now.
-    pub fn set_fact(&self, name: &str, value: f64) {
-        self.set_fact_of(self.now_us(), name, value);
+    pub fn set_gauge(&self, name: &str, value: f64) {
+        self.set_gauge_measured_at(self.now_us(), name, value);
     }
 
     /// Sets one of this member's gauges, measured at a time of the engine's clock in microseconds.
-    pub fn set_fact_of(&self, measured_at_us: u64, name: &str, value: f64) {
+    pub fn set_gauge_measured_at(&self, measured_at_us: u64, name: &str, value: f64) {
         self.membership
             .borrow_mut()
             .set_gauge(measured_at_us, name, value);
     }
 
     /// Stops publishing one of this member's gauges.
-    pub fn clear_fact(&self, name: &str) {
+    pub fn clear_gauge(&self, name: &str) {
         self.membership.borrow_mut().clear_gauge(name);
     }
 
@@ -157,7 +157,7 @@
                 }
                 Output::MessageReceived { from, bytes } => {
                     let message_handler = self.message_handler.borrow().clone();
-                    message_handler.inspect(|handler| handler.letter(&from, &bytes));
+                    message_handler.inspect(|handler| handler.handle_message(&from, &bytes));
                 }
                 Output::Log(line) => log_line!("{line}"),
             }
--- a/crates/cluster-membership/src/gauges.rs
+++ b/crates/cluster-membership/src/gauges.rs
@@ -10,7 +10,7 @@
 /// Upper bound of gauges that one member publishes.
 pub const MAX_GAUGES: usize = 32;
 /// Upper bound of a gauge's name, in bytes.
-pub const MOST_NAME: usize = 24;
+pub const MAX_NAME_BYTES: usize = 24;
 
 /// A gauge as it is sent to other members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -52,7 +52,7 @@
     pub fn set(&mut self, now_us: u64, name: &str, value: f64) -> bool {
         let has_capacity =
             self.measurements.len() < MAX_GAUGES || self.measurements.contains_key(name);
-        if !has_capacity || !value.is_finite() || name.is_empty() || name.len() > MOST_NAME {
+        if !has_capacity || !value.is_finite() || name.is_empty() || name.len() > MAX_NAME_BYTES {
             return false;
         }
         let measurement = Measurement {
@@ -108,7 +108,7 @@
         if snapshot.version <= self.version {
             return;
         }
-        let is_valid = |g: &Gauge| g.value.is_finite() && g.name.len() <= MOST_NAME;
+        let is_valid = |g: &Gauge| g.value.is_finite() && g.name.len() <= MAX_NAME_BYTES;
         self.measurements = snapshot
             .gauges
             .into_iter()
--- a/crates/cluster-membership/src/lib.rs
+++ b/crates/cluster-membership/src/lib.rs
@@ -21,7 +21,5 @@
 pub mod usage_gossip;
 pub mod wire;
 
-/// Earlier path of [`membership`].
-pub use membership as fleet;
 pub use membership::{Membership, MembershipConfig, Output};
 pub use record::{LifecyclePhase, Liveness, MemberRecord};
--- a/crates/cluster-membership/src/member_table.rs
+++ b/crates/cluster-membership/src/member_table.rs
@@ -30,9 +30,9 @@
     /// Digest of the ready members.
     pub digest: u64,
     /// How many are ready.
-    pub ready: usize,
+    pub ready_count: usize,
     /// When the digest last changed, in microseconds.
-    pub since: u64,
+    pub changed_at_us: u64,
 }
 
 /// What an update changed.
@@ -284,7 +284,7 @@
         self.remove(&name);
         self.toggle_in_digests(&record);
         if record.is_ready() {
-            self.view.ready += 1;
+            self.view.ready_count += 1;
         }
         let entry = MemberEntry {
             record,
@@ -294,7 +294,7 @@
         self.entries.insert(name.clone(), entry);
         self.disseminate(&name);
         if self.view.digest != digest_before {
-            self.view.since = now_us;
+            self.view.changed_at_us = now_us;
         }
     }
 
@@ -302,7 +302,7 @@
         let record = self.entries.remove(name)?.record;
         self.toggle_in_digests(&record);
         if record.is_ready() {
-            self.view.ready -= 1;
+            self.view.ready_count -= 1;
         }
         Some(record)
     }
--- a/crates/cluster-membership/src/member_table/tests.rs
+++ b/crates/cluster-membership/src/member_table/tests.rs
@@ -31,16 +31,20 @@
         (b.view().digest, b.ready_members())
     );
     assert_eq!(
-        (a.view().ready, a.ready_members().len()),
+        (a.view().ready_count, a.ready_members().len()),
         (2, 2),
         "the draining one is not in it"
     );
     assert!(a
         .entries_in_differing_buckets(&b.bucket_digests())
         .is_empty());
-    let since = a.view().since;
+    let since = a.view().changed_at_us;
     a.merge(9 * S, &record("n2", 2), 0);
-    assert_eq!(a.view().since, since, "who is ready has not changed");
+    assert_eq!(
+        a.view().changed_at_us,
+        since,
+        "who is ready has not changed"
+    );
     let differing = a.entries_in_differing_buckets(&b.bucket_digests());
     assert_eq!(
         differing.len(),
--- a/crates/cluster-membership/src/membership/config.rs
+++ b/crates/cluster-membership/src/membership/config.rs
@@ -29,17 +29,17 @@
     /// Addresses of members to join by.
     pub seeds: Vec<SocketAddr>,
     /// How often each other member is sent an update; less often where the budgets do not suffice.
-    pub tick_us: u64,
+    pub update_interval_us: u64,
     /// Interval between probes.
-    pub probe_us: u64,
+    pub probe_interval_us: u64,
     /// Budget of bytes sent.
     pub bytes_per_s: u64,
     /// Budget of datagrams sent.
     pub messages_per_s: u64,
     /// Upper bound of the usage counters that are retained.
-    pub most_entries: usize,
+    pub max_entries: usize,
     /// Upper bound of the members in the table.
-    pub most_members: usize,
+    pub max_members: usize,
     /// How long a member that is dead or has left is remembered.
     pub forget_us: u64,
     /// Milliseconds since 1970 at the start: a later process under the same name has more.
@@ -50,14 +50,15 @@
 
 impl MembershipConfig {
     /// How often each of this many other members is sent an update, as far as the message budget allows.
-    pub(super) fn update_interval_us(&self, others: usize) -> u64 {
+    pub(super) fn interval_for_members_us(&self, others: usize) -> u64 {
         let updates_per_s = (self.messages_per_s * UPDATE_BUDGET_PERCENT / 100).max(1);
-        self.tick_us.max(others as u64 * 1_000_000 / updates_per_s)
+        self.update_interval_us
+            .max(others as u64 * 1_000_000 / updates_per_s)
     }
 
     /// How long the usage reported by a gateway remains valid without a new report.
-    pub fn holds_us(&self) -> u64 {
+    pub fn usage_report_ttl_us(&self) -> u64 {
         let others = usize::from(self.gateways.saturating_sub(1));
-        (self.update_interval_us(others) * REPORT_TTL_INTERVALS).max(MIN_REPORT_TTL_US)
+        (self.interval_for_members_us(others) * REPORT_TTL_INTERVALS).max(MIN_REPORT_TTL_US)
     }
 }
--- a/crates/cluster-membership/src/membership/member_updates.rs
+++ b/crates/cluster-membership/src/membership/member_updates.rs
@@ -83,9 +83,9 @@
             self.table
                 .add_suspector(name, *suspector, MAX_CONFIRMATIONS + 1);
         }
-        let update_interval_us = self.config.update_interval_us(self.table.len());
+        let update_interval_us = self.config.interval_for_members_us(self.table.len());
         let missed_us = update_interval_us * MAX_MISSED_UPDATES;
-        let max_silence_us = missed_us.max(2 * self.config.probe_us);
+        let max_silence_us = missed_us.max(2 * self.config.probe_interval_us);
         let heard_at_us = heard_at_us(&self.peers, name);
         let running_us = self.clock.running_us();
         if heard_at_us > 0 && running_us.saturating_sub(heard_at_us) > max_silence_us {
--- a/crates/cluster-membership/src/membership/probing.rs
+++ b/crates/cluster-membership/src/membership/probing.rs
@@ -27,7 +27,7 @@
         let mut actions = Vec::new();
         self.detector.tick(
             self.clock.running_us(),
-            self.config.update_interval_us(others.len()),
+            self.config.interval_for_members_us(others.len()),
             &others,
             |name| heard_at_us(&self.peers, name),
             &mut actions,
--- a/crates/cluster-membership/src/membership/receive.rs
+++ b/crates/cluster-membership/src/membership/receive.rs
@@ -76,7 +76,7 @@
 
     /// Records a datagram in the session of its sender; `None` if there are too many peers, or too many datagrams of this one.
     fn judge_datagram(&mut self, now_us: u64, header: &DatagramHeader) -> Option<DatagramVerdict> {
-        let max_peers = self.config.most_members * MAX_PEERS_PER_MEMBER;
+        let max_peers = self.config.max_members * MAX_PEERS_PER_MEMBER;
         if !self.peers.contains_key(&header.from) && self.peers.len() >= max_peers {
             return None;
         }
--- a/crates/cluster-membership/src/membership/run_clock.rs
+++ b/crates/cluster-membership/src/membership/run_clock.rs
@@ -18,8 +18,8 @@
 impl RunClock {
     pub fn new(config: &MembershipConfig) -> RunClock {
         RunClock {
-            max_gap_us: config.tick_us * PAUSE_TICKS,
-            report_ttl_us: config.holds_us(),
+            max_gap_us: config.update_interval_us * PAUSE_TICKS,
+            report_ttl_us: config.usage_report_ttl_us(),
             started_at_us: None,
             ticked_at_us: 0,
             running_us: 0,
--- a/crates/cluster-membership/src/membership/send.rs
+++ b/crates/cluster-membership/src/membership/send.rs
@@ -91,7 +91,7 @@
         self.set_phase(now_us, LifecyclePhase::Left);
         self.has_left = true;
         let names: Vec<String> = self
-            .others()
+            .present_members()
             .take(MAX_LEAVE_NOTICES)
             .map(String::from)
             .collect();
@@ -171,7 +171,7 @@
         replaced_instance_id: Option<u64>,
     ) -> Receiver {
         let others = self.table.len().saturating_sub(1);
-        let update_interval_us = self.config.update_interval_us(others);
+        let update_interval_us = self.config.interval_for_members_us(others);
         let known = self.table.record(name);
         let known_instance_id = known.map(|record| record.instance_id);
         let is_known_present = known.is_some_and(|record| record.is_present());
@@ -318,7 +318,7 @@
 
     /// The state of the exchange with a member; a new one if there is none.
     pub(super) fn peer_mut(&mut self, now_us: u64, name: &str) -> &mut Peer {
-        let update_interval_us = self.config.update_interval_us(self.table.len());
+        let update_interval_us = self.config.interval_for_members_us(self.table.len());
         let updates_per_s = 1e6 / update_interval_us as f64;
         // Above all sequence numbers sent before the member was forgotten: no more than one datagram a millisecond goes to it.
         let last_sent_sequence = self.clock.uptime_us(now_us) / 1_000;
--- a/crates/cluster-membership/src/membership/state.rs
+++ b/crates/cluster-membership/src/membership/state.rs
@@ -88,9 +88,9 @@
             keys,
             instance_id,
             clock: RunClock::new(&config),
-            table: MemberTable::new(own_record, config.most_members.max(2), config.forget_us),
-            detector: FailureDetector::new(config.probe_us, rng.next_u64()),
-            usage: UsageGossip::new(instance, config.gateways, config.most_entries),
+            table: MemberTable::new(own_record, config.max_members.max(2), config.forget_us),
+            detector: FailureDetector::new(config.probe_interval_us, rng.next_u64()),
+            usage: UsageGossip::new(instance, config.gateways, config.max_entries),
             gauges: Gauges::default(),
             rng,
             peers: BTreeMap::new(),
@@ -113,7 +113,7 @@
     }
 
     /// The record of this member.
-    pub fn me(&self) -> &MemberRecord {
+    pub fn own_record(&self) -> &MemberRecord {
         self.table.own_record()
     }
 
@@ -123,7 +123,7 @@
     }
 
     /// Region, zone and name of the ready members, sorted in this order.
-    pub fn ready(&self) -> Vec<(&str, &str, &str)> {
+    pub fn ready_members(&self) -> Vec<(&str, &str, &str)> {
         self.table.ready_members()
     }
 
@@ -136,7 +136,7 @@
     }
 
     /// Names of all other members that are present.
-    pub fn others(&self) -> impl Iterator<Item = &str> {
+    pub fn present_members(&self) -> impl Iterator<Item = &str> {
         self.table
             .present_others()
             .map(|record| record.name.as_str())
@@ -183,7 +183,7 @@
 
     /// Publishes the phase of this member, unless it has left.
     pub fn set_phase(&mut self, now_us: u64, phase: LifecyclePhase) {
-        if self.me().phase != phase && !self.has_left {
+        if self.own_record().phase != phase && !self.has_left {
             self.table.publish_own(now_us, phase, 0);
         }
     }
--- a/crates/cluster-membership/src/membership/tick.rs
+++ b/crates/cluster-membership/src/membership/tick.rs
@@ -133,8 +133,8 @@
     /// wait.
     fn max_updates_per_tick(&self) -> usize {
         let others = self.table.len().saturating_sub(1);
-        let interval_us = self.config.update_interval_us(others);
-        let per_tick = others as u64 * self.config.tick_us / interval_us;
+        let interval_us = self.config.interval_for_members_us(others);
+        let per_tick = others as u64 * self.config.update_interval_us / interval_us;
         (per_tick + per_tick / 4).max(MIN_UPDATES_PER_TICK) as usize
     }
 
--- a/crates/cluster-membership/src/seal.rs
+++ b/crates/cluster-membership/src/seal.rs
@@ -92,14 +92,6 @@
         Ok(Keys(keys))
     }
 
-    /// As [`Keys::parse`], with the error as text.
-    ///
-    /// # Errors
-    /// The displayed [`KeyFileError`].
-    pub fn read(text: &[u8]) -> Result<Keys, String> {
-        Keys::parse(text).map_err(|error| error.to_string())
-    }
-
     /// A single key, or `None` if the secret is shorter than [`Keys::MIN_SECRET_BYTES`].
     pub fn from_secret(id: u8, secret: &[u8]) -> Option<Keys> {
         let is_long_enough = secret.len() >= Keys::MIN_SECRET_BYTES;
--- a/crates/cluster-membership/src/seal/tests.rs
+++ b/crates/cluster-membership/src/seal/tests.rs
@@ -29,7 +29,10 @@
 fn a_file_of_one_secret_has_the_id_0_and_errors_name_the_key() {
     let plain = keys("a key of the lab's own, long enough for all\n");
     assert_eq!(plain.ids().collect::<Vec<_>>(), [0]);
-    let error = |text: &str| Keys::read(text.as_bytes()).err().expect("it is wrong");
+    let error = |text: &str| {
+        let error = Keys::parse(text.as_bytes()).err().expect("it is wrong");
+        error.to_string()
+    };
     assert!(error("short").contains("32"));
     assert!(error(&format!("1 {A}\n2 short")).contains("key 2"));
     assert!(error(&format!("1 {A}\n1 {B}")).contains("twice"));
--- a/crates/cluster-membership/tests/authentication.rs
+++ b/crates/cluster-membership/tests/authentication.rs
@@ -98,11 +98,11 @@
     set_keys(&mut world, 0..2, format!("2 {b}\n1 {a}"));
     world.cut = Box::new(|_, _| false);
     world.run(4 * S);
-    assert!(world.views_equal() && world.fleet(0).view().ready == 4);
+    assert!(world.views_equal() && world.fleet(0).view().ready_count == 4);
     set_keys(&mut world, 2..4, format!("2 {b}\n1 {a}"));
     set_keys(&mut world, 0..4, format!("2 {b}"));
     world.run(4 * S);
-    assert!(world.views_equal() && world.fleet(0).view().ready == 4);
+    assert!(world.views_equal() && world.fleet(0).view().ready_count == 4);
     // A member that still has the old key is heard by nobody.
     set_keys(&mut world, 3..4, format!("1 {a}"));
     world.run(10 * S);
--- a/crates/cluster-membership/tests/failure_detection.rs
+++ b/crates/cluster-membership/tests/failure_detection.rs
@@ -25,18 +25,18 @@
     let mut world = World::settled(9, 8);
     world.cut = Box::new(|a, b| a / 3 != b / 3);
     let took = world.until(20 * S, |world| {
-        (0..9).all(|n| world.fleet(n).view().ready == 3)
+        (0..9).all(|n| world.fleet(n).view().ready_count == 3)
     });
     assert!(took.is_some_and(|us| us <= 6 * S), "{took:?}");
     // The last two partitions heal first, then all.
     world.cut = Box::new(|a, b| (a / 3 == 0) != (b / 3 == 0));
     let took = world.until(20 * S, |world| {
-        (3..9).all(|n| world.fleet(n).view().ready == 6)
+        (3..9).all(|n| world.fleet(n).view().ready_count == 6)
     });
     assert!(took.is_some_and(|us| us <= 3 * S), "{took:?}");
     world.cut = Box::new(|_, _| false);
     let took = world.until(20 * S, |world| {
-        world.views_equal() && world.fleet(0).view().ready == 9
+        world.views_equal() && world.fleet(0).view().ready_count == 9
     });
     assert!(took.is_some_and(|us| us <= 3 * S), "{took:?}");
 }
@@ -55,12 +55,12 @@
     let accusations_before = world.accusations().len();
     world.cut = Box::new(|_, _| false);
     let took = world.until(10 * S, |world| {
-        world.views_equal() && world.fleet(0).view().ready == 4
+        world.views_equal() && world.fleet(0).view().ready_count == 4
     });
     assert!(took.is_some_and(|us| us <= 3 * S), "{took:?}");
     // A member that hears nobody suspects slowly.
     world.run(25 * S);
-    assert!(world.views_equal() && world.fleet(3).view().ready == 4);
+    assert!(world.views_equal() && world.fleet(3).view().ready_count == 4);
     assert_eq!(
         world.accusations().len(),
         accusations_before,
@@ -124,7 +124,7 @@
         world.loss = 0.0;
         world.run(3 * S);
         assert!(
-            world.views_equal() && world.fleet(0).view().ready == 16,
+            world.views_equal() && world.fleet(0).view().ready_count == 16,
             "{loss}"
         );
     }
@@ -188,9 +188,9 @@
             }
             world.node(n).stopped = false;
         }
-        let took = world.until(5 * S, |world| world.views_equal() && world.fleet(0).view().ready == 3);
+        let took = world.until(5 * S, |world| world.views_equal() && world.fleet(0).view().ready_count == 3);
         let states: Vec<(bool, usize)> = (0..3)
-            .map(|n| (world.fleet(n).superseded, world.fleet(n).view().ready))
+            .map(|n| (world.fleet(n).superseded, world.fleet(n).view().ready_count))
             .collect();
         prop_assert!(took.is_some(), "{:?}", states);
         prop_assert!((0..3).all(|n| !world.fleet(n).superseded));
--- a/crates/cluster-membership/tests/gateways/mod.rs
+++ b/crates/cluster-membership/tests/gateways/mod.rs
@@ -82,7 +82,7 @@
         settings.plans[0].rate = quota.rate;
         settings.plans[0].burst = quota.burst;
         settings.max_units = quota.max_units;
-        settings.usage_report_ttl_us = config.holds_us();
+        settings.usage_report_ttl_us = config.usage_report_ttl_us();
         settings.counter = has_counter;
         let gateway = Gateway::new(settings, seed ^ u64::from(number)).expect("settings");
         let mut membership = Membership::new(config, keys());
--- a/crates/cluster-membership/tests/membership.rs
+++ b/crates/cluster-membership/tests/membership.rs
@@ -10,13 +10,16 @@
     let mut world = World::new(9, 1);
     (0..9).for_each(|n| world.start(n));
     let took = world.until(5 * S, |world| {
-        world.views_equal() && world.fleet(0).view().ready == 9
+        world.views_equal() && world.fleet(0).view().ready_count == 9
     });
     assert!(took.is_some_and(|us| us <= S), "{took:?}");
-    assert!(world.fleet(0).ready().contains(&("north", "z2", "n5")));
+    assert!(world
+        .fleet(0)
+        .ready_members()
+        .contains(&("north", "z2", "n5")));
     world.run(2 * S);
     assert!(
-        world.now - world.fleet(3).view().since >= 2 * S,
+        world.now - world.fleet(3).view().changed_at_us >= 2 * S,
         "nothing has changed since"
     );
 }
@@ -69,7 +72,9 @@
         .set_phase(now, LifecyclePhase::Draining);
     world.run(S);
     assert!(
-        world.all_hold(1, "draining") && world.views_equal() && world.fleet(0).view().ready == 3
+        world.all_hold(1, "draining")
+            && world.views_equal()
+            && world.fleet(0).view().ready_count == 3
     );
     let now = world.now;
     world
@@ -77,7 +82,7 @@
         .membership
         .set_phase(now, LifecyclePhase::Ready);
     world.run(S);
-    assert!(world.all_hold(1, "ready") && world.fleet(0).view().ready == 4);
+    assert!(world.all_hold(1, "ready") && world.fleet(0).view().ready_count == 4);
 }
 
 #[test]
@@ -90,7 +95,7 @@
         world.run(200_000);
         let started = world.now / 1_000 - clock_step_ms;
         world.start_with(2, config(2, 5, started));
-        let instance_id = world.fleet(2).me().instance_id;
+        let instance_id = world.fleet(2).own_record().instance_id;
         let known = |world: &World| {
             world.running().iter().all(|n| {
                 world
@@ -141,7 +146,7 @@
         .logs
         .iter()
         .any(|(_, line)| line.contains(&format!("a later process runs as n{twice}"))));
-    let instance_id = world.fleet(other).me().instance_id;
+    let instance_id = world.fleet(other).own_record().instance_id;
     for n in (0..count).filter(|n| *n != twice) {
         assert!(
             world.fleet(n).members().any(
@@ -166,7 +171,7 @@
     world.run(3 * S);
     (0..3).for_each(|n| world.kill(n));
     let took = world.until(20 * S, |world| {
-        (3..7).all(|n| world.fleet(n).view().ready == 4)
+        (3..7).all(|n| world.fleet(n).view().ready_count == 4)
     });
     assert!(took.is_some_and(|us| us <= 8 * S), "{took:?}");
     // A new member that has a running one among its seeds joins.
@@ -179,7 +184,7 @@
         },
     );
     world.run(3 * S);
-    assert!(world.views_equal() && world.fleet(7).view().ready == 5);
+    assert!(world.views_equal() && world.fleet(7).view().ready_count == 5);
 }
 
 #[test]
@@ -210,7 +215,7 @@
         world.run(500_000);
     }
     world.run(S);
-    assert!(world.node(0).absent.is_empty() && world.fleet(0).view().ready == 9);
+    assert!(world.node(0).absent.is_empty() && world.fleet(0).view().ready_count == 9);
     for n in 2..9 {
         let now = world.now;
         let mut outputs = Vec::new();
--- a/crates/cluster-membership/tests/usage_dissemination.rs
+++ b/crates/cluster-membership/tests/usage_dissemination.rs
@@ -211,7 +211,7 @@
         world.start_with(
             n,
             MembershipConfig {
-                most_entries: 500,
+                max_entries: 500,
                 ..config(n, 2, 1_000)
             },
         );
--- a/crates/counter/src/lib.rs
+++ b/crates/counter/src/lib.rs
@@ -8,5 +8,5 @@
 mod response_time;
 mod wire;
 
-pub use connection::MAX_PENDING_CALLS as MOST_OUT;
+pub use connection::MAX_PENDING_CALLS;
 pub use pool::run;
--- a/crates/frosthatch/src/admin.rs
+++ b/crates/frosthatch/src/admin.rs
@@ -65,7 +65,7 @@
 
 impl AdminBackend for GatewayAdmin {
     fn ready(&self) -> bool {
-        self.http_server.ready()
+        self.http_server.is_ready()
     }
 
     fn metrics(&self) -> Metrics {
@@ -109,7 +109,7 @@
             servers_used,
             servers_out,
         };
-        let status = member.with(|cluster| fleet_status(cluster, choices, now_us));
+        let status = member.read(|cluster| fleet_status(cluster, choices, now_us));
         serde_json::to_string(&status).ok()
     }
 
--- a/crates/frosthatch/src/gateway.rs
+++ b/crates/frosthatch/src/gateway.rs
@@ -115,9 +115,9 @@
 
     /// Tells the other members whether this gateway is ready.
     fn announce_phase(&self) {
-        let phase = if self.http_server.draining() {
+        let phase = if self.http_server.is_draining() {
             LifecyclePhase::Draining
-        } else if self.http_server.ready() {
+        } else if self.http_server.is_ready() {
             LifecyclePhase::Ready
         } else {
             LifecyclePhase::Joining
--- a/crates/frosthatch/src/gateway/budget.rs
+++ b/crates/frosthatch/src/gateway/budget.rs
@@ -3,13 +3,13 @@
 use crate::diameter;
 use crate::operator_config::OperatorConfig;
 use crate::platform_config::PlatformConfig;
-use frosthatch_http1::{BODY_BYTES, HEAD_BYTES};
+use frosthatch_http1::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
 
 /// Descriptors for the listener, discovery, the counter and the runtime.
 const RESERVED_SOCKETS: usize = 16;
 /// What a client's connection may make the gateway hold at most: head and body of its request, both once more as they
 /// are forwarded, and a response.
-const MAX_CLIENT_BYTES: usize = 2 * (HEAD_BYTES + BODY_BYTES) + BODY_BYTES;
+const MAX_CLIENT_BYTES: usize = 2 * (MAX_HEAD_BYTES + MAX_BODY_BYTES) + MAX_BODY_BYTES;
 
 /// Connections and bytes that the parts may hold.
 pub(super) struct ResourceBudget {
--- a/crates/frosthatch/src/gateway/shutdown.rs
+++ b/crates/frosthatch/src/gateway/shutdown.rs
@@ -35,7 +35,7 @@
     }
 
     fn announce_shutdown(&self, respond_by: Instant) {
-        self.http_server.leave(respond_by);
+        self.http_server.begin_shutdown(respond_by);
         if let Some(member) = &self.member {
             member.set_phase(LifecyclePhase::Draining);
         }
@@ -48,14 +48,16 @@
     }
 
     async fn await_late_connections(&self, end_by: Instant) {
-        if self.http_server.accepting() {
+        if self.http_server.is_accepting() {
             sleep(LATE_CONNECTIONS).await;
             return;
         }
         // Another process accepts: requests come only over connections that are open, and idle ones are closed late, so
         // that few closes cross a request.
-        while self.http_server.open() > 0 && Instant::now() + LATE_CONNECTIONS * 2 < end_by {
-            self.http_server.close_stale();
+        while self.http_server.open_connections() > 0
+            && Instant::now() + LATE_CONNECTIONS * 2 < end_by
+        {
+            self.http_server.close_idle_connections();
             sleep(POLL_INTERVAL).await;
         }
     }
@@ -65,7 +67,7 @@
     async fn finish_requests(&self) {
         let mut idle_polls = 0;
         while idle_polls < IDLE_POLLS {
-            self.http_server.close();
+            self.http_server.close_for_shutdown();
             sleep(POLL_INTERVAL).await;
             idle_polls = if self.is_busy() { 0 } else { idle_polls + 1 };
         }
@@ -73,7 +75,8 @@
 
     fn is_busy(&self) -> bool {
         let diameter = self.diameter.as_ref();
-        self.http_server.open() > 0 || diameter.is_some_and(|service| service.front.held() > 0)
+        self.http_server.open_connections() > 0
+            || diameter.is_some_and(|service| service.front.held() > 0)
     }
 
     async fn say_goodbye(self) {
--- a/crates/frosthatch/src/gateway/start.rs
+++ b/crates/frosthatch/src/gateway/start.rs
@@ -16,7 +16,7 @@
     Clock, CounterCall, EndpointObserver, Engine, RequestCounters, RequestPlugins, UsageReporter,
 };
 use frosthatch_handover::driver::{self as handover, Host, Inherited, LocalEventSender};
-use frosthatch_http1::backend::{self, Limits, Upstream};
+use frosthatch_http1::backend::{self, Upstream, UpstreamLimits};
 use frosthatch_http1::server::HttpServer;
 use frosthatch_log::log_line;
 use frosthatch_plugins::host::Plugins;
@@ -59,7 +59,7 @@
         budget.client_connections,
     );
     // A process that replaces another accepts only once it is ready: until then the old one serves.
-    http_server.turn(inherited.is_none());
+    http_server.set_accepting(inherited.is_none());
     spawn_local(http_server.clone().accept(listener.clone()));
     let end = Rc::new(Notify::new());
     let host = RestartHost {
@@ -161,7 +161,7 @@
         log_line!("{} listens on {address}", platform.name);
         spawn_local(engine.clone().run_timers());
         spawn_membership(member, operator, &engine);
-        spawn_local(backend::sweep(core.upstream));
+        spawn_local(backend::close_stale_connections(core.upstream));
         let (endpoints, discovery_source) = spawn_discovery(platform, operator, &engine);
         let counter_address = spawn_counter(platform, core.counter_calls, &engine);
         let plugins = start_plugins(operator, platform, &core.clock).await?;
@@ -203,14 +203,14 @@
         let counters = Rc::new(RequestCounters::new(
             classes.map(|class| class.name.clone()),
         ));
-        let limits = Limits {
+        let limits = UpstreamLimits {
             connect_timeout: platform.connect_timeout,
-            idle: platform.server_idle_timeout / 3,
-            connections: budget.server_connections,
-            long_requests: budget.long_request_bytes,
+            idle_timeout: platform.server_idle_timeout / 3,
+            max_connections: budget.server_connections,
+            max_long_request_bytes: budget.long_request_bytes,
         };
         let upstream = Rc::new(Upstream::new(limits, counters.clone()));
-        let (call_sender, counter_calls) = mpsc::channel(frosthatch_counter::MOST_OUT);
+        let (call_sender, counter_calls) = mpsc::channel(frosthatch_counter::MAX_PENDING_CALLS);
         let clock = Rc::new(Clock::default());
         let mut observers: Vec<Rc<dyn EndpointObserver>> = vec![upstream.clone()];
         let mut diameter = None;
--- a/crates/frosthatch/src/hot_restart.rs
+++ b/crates/frosthatch/src/hot_restart.rs
@@ -77,12 +77,13 @@
     fn halve(&self, is_halved: bool) {
         let divisor = if is_halved { 2 } else { 1 };
         self.http_server
-            .hold_to(self.max_client_connections / divisor);
-        self.upstream.hold_to(self.max_server_connections / divisor);
+            .set_max_connections(self.max_client_connections / divisor);
+        self.upstream
+            .set_max_connections(self.max_server_connections / divisor);
     }
 
     fn accept(&self, is_accepting: bool) {
-        self.http_server.turn(is_accepting);
+        self.http_server.set_accepting(is_accepting);
     }
 
     fn end(&self) {
--- a/crates/frosthatch/src/membership.rs
+++ b/crates/frosthatch/src/membership.rs
@@ -3,7 +3,7 @@
 use crate::operator_config::{read_fleet_keys, FleetAddresses, FleetConfig};
 use crate::platform_config::PlatformConfig;
 use frosthatch_cluster_membership::driver::MembershipHandle;
-use frosthatch_cluster_membership::fleet::MemberStatus;
+use frosthatch_cluster_membership::membership::MemberStatus;
 use frosthatch_cluster_membership::{MemberRecord, Membership, MembershipConfig};
 use frosthatch_log::log_line;
 use frosthatch_sockets::bind_datagrams;
@@ -87,7 +87,7 @@
     let bound = socket.local_addr().map_err(|e| format!("fleet: {e}"))?;
     log_line!("fleet: bound to {bound}");
     let config = membership_config(fleet, platform, addresses, bound)?;
-    platform.settings.usage_report_ttl_us = config.holds_us();
+    platform.settings.usage_report_ttl_us = config.usage_report_ttl_us();
     if !MemberRecord::is_plain(&config.name) || !MemberRecord::is_plain(&config.zone) {
         return Err(format!(
             "fleet: name {:?} or zone {:?} holds more than a-z, A-Z, 0-9, -, . and _",
@@ -120,12 +120,12 @@
         program: env!("CARGO_PKG_VERSION").into(),
         advertise: addresses.advertise.unwrap_or(bound),
         seeds: addresses.seeds,
-        tick_us: micros(fleet.gossip_interval),
-        probe_us: micros(fleet.probe_interval),
+        update_interval_us: micros(fleet.gossip_interval),
+        probe_interval_us: micros(fleet.probe_interval),
         bytes_per_s: fleet.bytes_per_s,
         messages_per_s: fleet.messages_per_s,
-        most_entries: fleet.max_usage_entries.min(max_entries),
-        most_members: fleet.max_members.min(max_members),
+        max_entries: fleet.max_usage_entries.min(max_entries),
+        max_members: fleet.max_members.min(max_members),
         forget_us: micros(fleet.forget_after),
         started_ms: started.as_millis() as u64,
         // Another instance with each start, also where the platform gives the same seed again.
@@ -214,12 +214,12 @@
 pub fn fleet_status(cluster: &Membership, choices: ChoicesStatus, now_us: u64) -> FleetStatus {
     let view = cluster.view();
     FleetStatus {
-        me: cluster.me().name.clone(),
+        me: cluster.own_record().name.clone(),
         replaced: cluster.superseded,
         view: ViewStatus {
             digest: format!("{:016x}", view.digest),
-            stable_ms: now_us.saturating_sub(view.since) / 1_000,
-            ready: view.ready,
+            stable_ms: now_us.saturating_sub(view.changed_at_us) / 1_000,
+            ready: view.ready_count,
         },
         choices,
         members: cluster.members().map(MemberReport::new).collect(),
--- a/crates/frosthatch/src/operator_config/fleet.rs
+++ b/crates/frosthatch/src/operator_config/fleet.rs
@@ -179,5 +179,5 @@
         return Err(error("it is longer than any key"));
     }
     let bytes = std::fs::read(file).map_err(|e| error(&e.to_string()))?;
-    Keys::read(&bytes).map_err(|e| error(&e))
+    Keys::parse(&bytes).map_err(|e| error(&e.to_string()))
 }
--- a/crates/frosthatch/src/outlier_gossip.rs
+++ b/crates/frosthatch/src/outlier_gossip.rs
@@ -63,7 +63,7 @@
 
 /// Numbers of the ready members.
 fn ready_gateways(cluster: &Membership) -> Vec<u32> {
-    let ready = cluster.ready();
+    let ready = cluster.ready_members();
     let names: Vec<&str> = ready.into_iter().map(|(.., name)| name).collect();
     let mut numbers: Vec<u32> = cluster
         .members()
@@ -118,7 +118,7 @@
         }
         let ready = ready_gateways(cluster);
         let has_joined = ready.iter().any(|number| !self.gateways.contains(number));
-        let is_stable = now_us.saturating_sub(view.since) >= STABLE_VIEW_US;
+        let is_stable = now_us.saturating_sub(view.changed_at_us) >= STABLE_VIEW_US;
         if has_joined && !is_stable {
             return None;
         }
@@ -133,7 +133,7 @@
     /// Reports of the members whose gauges have changed, by their numbers.
     fn new_reports(&mut self, cluster: &Membership) -> Vec<(u32, HealthReports)> {
         let mut new_reports = Vec::new();
-        let me = &cluster.me().name;
+        let me = &cluster.own_record().name;
         for member in cluster.members().filter(|m| m.record.name != *me) {
             let Some(gauges) = cluster.gauges(&member.record.name) else {
                 continue;
@@ -183,19 +183,19 @@
     let mut state = GossipState::default();
     loop {
         ticks.tick().await;
-        let gateways = member.with(|cluster| state.changed_gateways(engine.now(), cluster));
+        let gateways = member.read(|cluster| state.changed_gateways(engine.now(), cluster));
         if let Some(gateways) = gateways {
             engine.set_gateways(gateways);
         }
-        for (from, reports) in member.with(|cluster| state.new_reports(cluster)) {
+        for (from, reports) in member.read(|cluster| state.new_reports(cluster)) {
             engine.record_health_reports(from, reports);
         }
         let changes = state.gauge_changes(&engine.health_reports());
         for name in &changes.cleared {
-            member.clear_fact(name);
+            member.clear_gauge(name);
         }
         for (name, measurement) in changes.set {
-            member.set_fact_of(measurement.at_us, &name, measurement.value);
+            member.set_gauge_measured_at(measurement.at_us, &name, measurement.value);
         }
     }
 }
--- a/crates/frosthatch/src/outlier_gossip/tests.rs
+++ b/crates/frosthatch/src/outlier_gossip/tests.rs
@@ -38,7 +38,7 @@
     let gauges = gauges_from_reports(&reports);
     assert!(gauges
         .keys()
-        .all(|name| name.len() <= frosthatch_cluster_membership::gauges::MOST_NAME));
+        .all(|name| name.len() <= frosthatch_cluster_membership::gauges::MAX_NAME_BYTES));
     let received = reports_from_gauges(
         gauges
             .into_iter()
--- a/crates/frosthatch/src/policy/service.rs
+++ b/crates/frosthatch/src/policy/service.rs
@@ -81,7 +81,7 @@
         seed: u64,
         plugins: &[PluginConfig],
     ) -> Result<Rc<PolicyService>, String> {
-        let me = member.with(|cluster| cluster.me().name.clone());
+        let me = member.read(|cluster| cluster.own_record().name.clone());
         let is_acceptor = config.acceptors.contains(&me);
         if is_acceptor && config.state_directory.is_none() {
             return Err(format!(
@@ -120,7 +120,7 @@
         });
         let directory = config.state_directory.clone().filter(|_| is_acceptor);
         let written = service.start_writer(directory.as_deref(), to_write);
-        member.set_reader(service.clone());
+        member.set_message_handler(service.clone());
         engine.set_policy_lease(service.clone());
         engine.refresh_policy_lease();
         tokio::task::spawn_local(service.clone().run(written, directory));
@@ -218,7 +218,7 @@
 
     fn other_members(&self) -> Vec<String> {
         self.member
-            .with(|cluster| cluster.others().map(String::from).collect())
+            .read(|cluster| cluster.present_members().map(String::from).collect())
     }
 
     fn carry_out(&self, outputs: Vec<NodeOutput>) {
@@ -229,7 +229,7 @@
                         let name = Message::read(&bytes).map_or("", |message| message.name());
                         self.crash_points.reach(name);
                     }
-                    self.member.post(&to, bytes);
+                    self.member.send_message(&to, bytes);
                 }
                 NodeOutput::Store(record) => {
                     self.crash_points.reach("store");
@@ -331,14 +331,14 @@
         log_line!("policy: holds version={}", policies.current.short());
         self.served.set(policies);
         self.member
-            .set_fact(POLICY_VERSION_GAUGE, policies.current.version as f64);
+            .set_gauge(POLICY_VERSION_GAUGE, policies.current.version as f64);
         events.push_back(Event::PolicyChanged(terms));
         true
     }
 }
 
 impl MessageHandler for PolicyService {
-    fn letter(&self, from: &str, bytes: &[u8]) {
+    fn handle_message(&self, from: &str, bytes: &[u8]) {
         let mut outputs = Vec::new();
         let now_us = self.now();
         self.node
--- a/crates/frosthatch/src/policy/status.rs
+++ b/crates/frosthatch/src/policy/status.rs
@@ -122,11 +122,11 @@
 
 fn member_policies(me: &str, member: &MembershipHandle) -> Vec<MemberPolicy> {
     let mut names: Vec<String> =
-        member.with(|cluster| cluster.others().map(String::from).collect());
+        member.read(|cluster| cluster.present_members().map(String::from).collect());
     names.push(me.to_string());
     names.sort();
     let policy = |name: String| {
-        let gauge = member.with(|cluster| cluster.gauge(&name, POLICY_VERSION_GAUGE));
+        let gauge = member.read(|cluster| cluster.gauge(&name, POLICY_VERSION_GAUGE));
         let version = gauge.map(|(version, _)| version as u64);
         MemberPolicy { name, version }
     };
--- a/crates/http1/src/backend.rs
+++ b/crates/http1/src/backend.rs
@@ -13,4 +13,4 @@
 pub(crate) use forwarded_request::ForwardedRequest;
 pub(crate) use outgoing::OutgoingRequest;
 pub(crate) use response_stream::ResponseStream;
-pub use upstream::{sweep, Limits, Upstream};
+pub use upstream::{close_stale_connections, Upstream, UpstreamLimits};
--- a/crates/http1/src/backend/upstream.rs
+++ b/crates/http1/src/backend/upstream.rs
@@ -23,15 +23,15 @@
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Bounds on the connections to servers.
-pub struct Limits {
+pub struct UpstreamLimits {
     /// A server that takes longer to accept a connection is unreachable.
     pub connect_timeout: Duration,
     /// Idle connections are closed after this, well before a server closes them.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Most connections to all servers together.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Bytes that the bodies of long requests may take together.
-    pub long_requests: usize,
+    pub max_long_request_bytes: usize,
 }
 
 /// Where new requests for a server go.
@@ -43,7 +43,7 @@
 
 /// The servers, and the connections to them.
 pub struct Upstream {
-    pub(super) limits: Limits,
+    pub(super) limits: UpstreamLimits,
     max_connections: Cell<usize>,
     table: RefCell<ServerTable>,
     open_connections: Rc<Cell<usize>>,
@@ -56,21 +56,21 @@
 
 impl Upstream {
     /// No servers yet; they come from the endpoint list.
-    pub fn new(limits: Limits, counters: Rc<RequestCounters>) -> Self {
+    pub fn new(limits: UpstreamLimits, counters: Rc<RequestCounters>) -> Self {
         Upstream {
-            max_connections: Cell::new(limits.connections),
+            max_connections: Cell::new(limits.max_connections),
             table: RefCell::default(),
             open_connections: Rc::default(),
             counters,
             staleness: RefCell::default(),
             next_reconnect_at: Cell::new(Instant::now()),
-            long_request_bytes_available: Arc::new(AtomicUsize::new(limits.long_requests)),
+            long_request_bytes_available: Arc::new(AtomicUsize::new(limits.max_long_request_bytes)),
             limits,
         }
     }
 
     /// Changes the most connections to all servers; those that are open stay.
-    pub fn hold_to(&self, connections: usize) {
+    pub fn set_max_connections(&self, connections: usize) {
         self.max_connections.set(connections);
     }
 
@@ -163,7 +163,7 @@
 
     fn max_idle_age(&self) -> Duration {
         let learned_limit = self.staleness.borrow().max_idle_age();
-        self.limits.idle.min(learned_limit)
+        self.limits.idle_timeout.min(learned_limit)
     }
 
     fn close_stale_connections(&self) {
@@ -183,7 +183,7 @@
 }
 
 /// Closes, once a second and without end, connections that have been idle for too long or were closed by their server.
-pub async fn sweep(upstream: Rc<Upstream>) {
+pub async fn close_stale_connections(upstream: Rc<Upstream>) {
     loop {
         sleep(SWEEP_INTERVAL).await;
         upstream.close_stale_connections();
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -12,4 +12,4 @@
 mod socket_io;
 mod staleness;
 
-pub use limits::{MAX_BODY_BYTES as BODY_BYTES, MAX_HEAD_BYTES as HEAD_BYTES};
+pub use limits::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
--- a/crates/http1/src/server/conversation.rs
+++ b/crates/http1/src/server/conversation.rs
@@ -27,7 +27,7 @@
             let is_over_capacity = self.is_over_capacity();
             let reply = match received.target {
                 RequestTarget::Readiness => Ok(Some(Reply::Readiness {
-                    is_ready: self.ready(),
+                    is_ready: self.is_ready(),
                 })),
                 RequestTarget::Server(request) => {
                     let id = request.request.id.0;
--- a/crates/http1/src/server/draining.rs
+++ b/crates/http1/src/server/draining.rs
@@ -25,7 +25,7 @@
 
 impl HttpServer {
     /// Begins the shutdown: each response closes its connection, and all are given by `answers_until`.
-    pub fn leave(&self, answers_until: Instant) {
+    pub fn begin_shutdown(&self, answers_until: Instant) {
         let requests_until = answers_until
             .checked_sub(MIN_ANSWER_TIME)
             .unwrap_or(answers_until);
@@ -36,7 +36,7 @@
     /// Begins to drain: the gateway is not ready, and closes connections once they are idle, gently at first.
     pub fn drain(self: &Rc<Self>) {
         let since = Instant::now();
-        if self.draining() {
+        if self.is_draining() {
             return;
         }
         self.draining_since.set(Some(since));
@@ -51,7 +51,7 @@
 
     /// At shutdown, closes idle connections but those so new that a request may be about to arrive. Once no time is left
     /// to answer a request that is not complete, ends them all: such a request is rejected.
-    pub fn close(&self) {
+    pub fn close_for_shutdown(&self) {
         if self.is_too_late_for_requests() {
             self.idle.borrow().values().for_each(|i| i.end.notify_one());
         } else {
@@ -60,7 +60,7 @@
     }
 
     /// Closes connections that have been idle for a while.
-    pub fn close_stale(&self) {
+    pub fn close_idle_connections(&self) {
         self.close_idle(MIN_IDLE_TO_CLOSE, MIN_IDLE_TO_CLOSE);
     }
 
--- a/crates/http1/src/server/http_server.rs
+++ b/crates/http1/src/server/http_server.rs
@@ -62,27 +62,27 @@
     }
 
     /// Whether new clients may come.
-    pub fn ready(&self) -> bool {
-        self.engine.ready() && self.accepting() && !self.closes_after_response()
+    pub fn is_ready(&self) -> bool {
+        self.engine.ready() && self.is_accepting() && !self.closes_after_response()
     }
 
     /// Number of open connections.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open_connections.get()
     }
 
     /// Changes the most connections that are open at a time; those that are open stay.
-    pub fn hold_to(&self, max_connections: usize) {
+    pub fn set_max_connections(&self, max_connections: usize) {
         self.max_connections.set(max_connections);
     }
 
     /// Whether connections are accepted here, not by another process at the same listener.
-    pub fn accepting(&self) -> bool {
+    pub fn is_accepting(&self) -> bool {
         self.is_accepting.get()
     }
 
     /// Starts or stops accepting connections.
-    pub fn turn(&self, is_accepting: bool) {
+    pub fn set_accepting(&self, is_accepting: bool) {
         self.is_accepting.set(is_accepting);
         self.accepting_changed.notify_one();
     }
@@ -91,17 +91,18 @@
     pub(super) fn is_over_capacity(&self) -> bool {
         let max_connections = self.max_connections.get();
         let idle_connections = self.idle.borrow().len();
-        let busy_connections = self.open() - self.lingering_connections.get() - idle_connections;
+        let busy_connections =
+            self.open_connections() - self.lingering_connections.get() - idle_connections;
         busy_connections > max_connections - max_connections / RESERVED_FRACTION
     }
 
     /// Whether each response closes its connection: the process shuts down or is draining.
     pub(super) fn closes_after_response(&self) -> bool {
-        self.shutdown_requests_until.get().is_some() || self.draining()
+        self.shutdown_requests_until.get().is_some() || self.is_draining()
     }
 
     /// Whether the gateway is draining by the operator's order.
-    pub fn draining(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.draining_since.get().is_some()
     }
 }
--- a/crates/http1/src/server/listener.rs
+++ b/crates/http1/src/server/listener.rs
@@ -31,7 +31,7 @@
         // Since when connections may have waited in the backlog, if they may.
         let mut unattended_since = None;
         for number in 0.. {
-            while !self.accepting() {
+            while !self.is_accepting() {
                 self.accepting_changed.notified().await;
             }
             self.wait_for_capacity(&mut unattended_since).await;
@@ -55,7 +55,7 @@
 
     /// Closes idle connections until another may be accepted. Guards against running out of descriptors.
     async fn wait_for_capacity(&self, unattended_since: &mut Option<Instant>) {
-        while self.open() - self.lingering_connections.get()
+        while self.open_connections() - self.lingering_connections.get()
             >= self.max_connections.get() - self.max_connections.get() / LINGERING_FRACTION
         {
             unattended_since.get_or_insert_with(Instant::now);
@@ -70,11 +70,11 @@
     fn spawn_connection(self: &Rc<Self>, client: ClientConnection) {
         let server = self.clone();
         let number = client.number;
-        self.open_connections.set(self.open() + 1);
+        self.open_connections.set(self.open_connections() + 1);
         tokio::task::spawn_local(async move {
             server.serve(client).await;
             server.idle.borrow_mut().remove(&number);
-            server.open_connections.set(server.open() - 1);
+            server.open_connections.set(server.open_connections() - 1);
         });
     }
 
--- a/crates/lab/src/members_size.rs
+++ b/crates/lab/src/members_size.rs
@@ -69,7 +69,7 @@
     let mut w = World::settled(size, size as u64);
     // Tables of a thousand take a while to fill.
     w.until(20 * S, |w| {
-        w.fleet(size - 1).view().ready == size && w.views_equal()
+        w.fleet(size - 1).view().ready_count == size && w.views_equal()
     });
     w.loss = loss;
     w.delay = (500, 3_000);
