--- a/crates/fault-controls/src/lib.rs
+++ b/crates/fault-controls/src/lib.rs
@@ -1,9 +1,10 @@
-//! The faults that the preload library makes, each a word of its control file: an array of native-endian 64-bit words.
+//! The faults that the preload library (`fault-injection`) injects. Each is a word of its control file, an array of
+//! native-endian 64-bit words.
 
-/// Words that a control file holds.
+/// Number of words in a control file.
 pub const WORDS: usize = 16;
 
-/// What can be set. Rates are in calls of a thousand.
+/// A fault and the index of its word. Rates are in calls per thousand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
 pub enum Fault {
@@ -25,7 +26,7 @@
     FileWrite = 7,
     /// A sync of a file fails: EIO, ENOSPC.
     FileSync = 8,
-    /// The thread is held up before a write to a socket...
+    /// The thread is delayed before a write to a socket...
     Stall = 9,
     /// ...for so many milliseconds.
     StallMs = 10,
--- a/crates/fault-injection/src/control.rs
+++ b/crates/fault-injection/src/control.rs
@@ -9,8 +9,8 @@
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering::Relaxed};
 use std::sync::OnceLock;
 
-/// What the file holds at least.
-const BYTES: usize = WORDS * 8;
+/// Least size of the file.
+const MIN_BYTES: usize = WORDS * 8;
 
 static WORDS_AT: OnceLock<Option<&'static [AtomicI64; WORDS]>> = OnceLock::new();
 
@@ -29,17 +29,18 @@
             return None;
         }
         let mut stat: libc::stat = std::mem::zeroed();
-        let long_enough = libc::fstat(fd, &mut stat) == 0 && stat.st_size >= BYTES as i64;
-        let at = match long_enough {
-            true => libc::mmap(
+        let is_long_enough = libc::fstat(fd, &mut stat) == 0 && stat.st_size >= MIN_BYTES as i64;
+        let at = if is_long_enough {
+            libc::mmap(
                 std::ptr::null_mut(),
-                BYTES,
+                MIN_BYTES,
                 libc::PROT_READ,
                 libc::MAP_SHARED,
                 fd,
                 0,
-            ),
-            false => libc::MAP_FAILED,
+            )
+        } else {
+            libc::MAP_FAILED
         };
         libc::syscall(libc::SYS_close, fd);
         (at != libc::MAP_FAILED).then(|| &*at.cast::<[AtomicI64; WORDS]>())
--- a/crates/fault-injection/src/descriptors.rs
+++ b/crates/fault-injection/src/descriptors.rs
@@ -14,8 +14,8 @@
     File = 3,
 }
 
-const MOST: usize = 1 << 16;
-static KINDS: [AtomicU8; MOST] = [const { AtomicU8::new(0) }; MOST];
+const MAX_DESCRIPTORS: usize = 1 << 16;
+static KINDS: [AtomicU8; MAX_DESCRIPTORS] = [const { AtomicU8::new(0) }; MAX_DESCRIPTORS];
 
 pub fn set(fd: i32, kind: Kind) {
     if let Some(place) = usize::try_from(fd).ok().and_then(|fd| KINDS.get(fd)) {
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -3,7 +3,6 @@
 //! What fails, and how often, stands in a control file that the process maps and a test writes at any time; the
 //! layout is described in [`control`]. Only sockets and files that the process opened itself are touched; the
 //! library needs no privileges and reaches no other process.
-#![expect(clippy::match_bool, clippy::single_match_else)]
 
 mod control;
 mod descriptors;
--- a/crates/fault-injection/src/sockets.rs
+++ b/crates/fault-injection/src/sockets.rs
@@ -195,12 +195,11 @@
 /// As for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn write(fd: c_int, bytes: *const c_void, length: size_t) -> ssize_t {
-    let allowed = match kind(fd) {
-        Kind::File => write_file(fd, bytes, length),
-        _ => {
-            stall(fd);
-            allowed(fd, length)
-        }
+    let allowed = if kind(fd) == Kind::File {
+        write_file(fd, bytes, length)
+    } else {
+        stall(fd);
+        allowed(fd, length)
     };
     match allowed {
         Ok(length) => call_next!(
--- a/crates/sockets/src/interrupted.rs
+++ b/crates/sockets/src/interrupted.rs
@@ -1,24 +1,27 @@
-//! Calls that a signal interrupts (EINTR): they have done nothing, and say nothing of the connection.
+//! Calls that a signal interrupts (EINTR): they have had no effect and are repeated.
+
+#[cfg(test)]
+mod tests;
 
 use std::io;
 use std::pin::Pin;
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Does a call again for as long as it is interrupted.
+/// Repeats a call for as long as it is interrupted.
 ///
 /// # Errors
 /// Any other than [`io::ErrorKind::Interrupted`].
 pub fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
-            Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            done => return done,
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+            result => return result,
         }
     }
 }
 
-/// A stream whose reads and writes are done again for as long as they are interrupted.
+/// A stream whose reads and writes are repeated for as long as they are interrupted.
 #[derive(Debug)]
 pub struct Uninterrupted<S>(pub S);
 
@@ -27,7 +30,7 @@
     loop {
         match call() {
             Poll::Ready(Err(e)) if e.kind() == io::ErrorKind::Interrupted => {}
-            done => return done,
+            result => return result,
         }
     }
 }
@@ -36,9 +39,9 @@
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-        into: &mut ReadBuf<'_>,
+        buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        poll_uninterrupted(|| Pin::new(&mut self.0).poll_read(cx, into))
+        poll_uninterrupted(|| Pin::new(&mut self.0).poll_read(cx, buffer))
     }
 }
 
@@ -59,28 +62,3 @@
         poll_uninterrupted(|| Pin::new(&mut self.0).poll_shutdown(cx))
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn an_interrupted_call_is_done_again_and_another_error_is_told() {
-        let mut ends = vec![
-            Ok(7),
-            Err(io::ErrorKind::Interrupted),
-            Err(io::ErrorKind::Interrupted),
-        ];
-        assert!(
-            uninterrupted(|| ends.pop().expect("a call").map_err(io::Error::from))
-                .is_ok_and(|n| n == 7)
-        );
-        let mut ends = vec![
-            Ok(7),
-            Err(io::ErrorKind::WouldBlock),
-            Err(io::ErrorKind::Interrupted),
-        ];
-        let ended = uninterrupted(|| ends.pop().expect("a call").map_err(io::Error::from));
-        assert!(ended.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock));
-    }
-}
--- a/crates/sockets/src/listen.rs
+++ b/crates/sockets/src/listen.rs
@@ -1,4 +1,4 @@
-//! Listeners: a shortage of the moment is waited out at the start of a process.
+//! Listeners: a temporary shortage is waited out at the start of a process.
 
 use rustix::io::Errno;
 use std::io;
@@ -9,22 +9,23 @@
 
 /// A process that cannot listen within this gives up: the platform waits 30 s for one to be ready, and its restart may
 /// do better.
-const LISTENS_WITHIN: Duration = Duration::from_secs(10);
-/// Between two tries.
-const RETRY_AFTER: Duration = Duration::from_millis(50);
+const LISTEN_TIMEOUT: Duration = Duration::from_secs(10);
+/// Pause between two attempts.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// Connections that may wait to be accepted.
-const BACKLOG: u32 = 1_024;
+const MAX_BACKLOG: u32 = 1_024;
 
 /// Whether another process may listen at the same address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sharing {
+    /// No other process may.
     Alone,
-    /// As one that takes over from another does for a while (`SO_REUSEPORT`).
+    /// Another may (`SO_REUSEPORT`), as during a hot restart.
     Shared,
 }
 
-/// Errors that may be over in a moment: one of the process before that still ends, a shortage.
-const PASSING: [Errno; 8] = [
+/// Errors that may be over in a moment: the process before is still ending, or something is short.
+const TRANSIENT_ERRORS: [Errno; 8] = [
     Errno::ADDRINUSE,
     Errno::ADDRNOTAVAIL,
     Errno::AGAIN,
@@ -35,39 +36,41 @@
     Errno::NOMEM,
 ];
 
-/// Listens at an address, trying again for some seconds where the reason may pass.
+/// Listens at an address; errors that may be over in a moment are retried for some seconds.
 ///
 /// # Errors
 /// It cannot listen there.
 pub async fn listen(address: SocketAddr, sharing: Sharing) -> io::Result<TcpListener> {
-    wait_out(|| listen_once(address, sharing)).await
+    retry_transient(|| listen_once(address, sharing)).await
 }
 
-/// Takes an address for datagrams, trying again for some seconds where the reason may pass.
+/// Binds an address for datagrams; errors that may be over in a moment are retried for some seconds.
 ///
 /// # Errors
-/// The address cannot be had.
+/// The address cannot be bound.
 pub async fn bind_datagrams(address: SocketAddr) -> io::Result<UdpSocket> {
     let bind = || {
         let socket = std::net::UdpSocket::bind(address)?;
         socket.set_nonblocking(true)?;
         UdpSocket::from_std(socket)
     };
-    wait_out(bind).await
+    retry_transient(bind).await
 }
 
-async fn wait_out<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let give_up_at = Instant::now() + LISTENS_WITHIN;
+async fn retry_transient<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+    let give_up_at = Instant::now() + LISTEN_TIMEOUT;
     loop {
         match call() {
-            Err(e) if may_pass(&e) && Instant::now() < give_up_at => sleep(RETRY_AFTER).await,
-            done => return done,
+            Err(error) if is_transient(&error) && Instant::now() < give_up_at => {
+                sleep(RETRY_INTERVAL).await;
+            }
+            result => return result,
         }
     }
 }
 
-fn may_pass(error: &io::Error) -> bool {
-    Errno::from_io_error(error).is_some_and(|errno| PASSING.contains(&errno))
+fn is_transient(error: &io::Error) -> bool {
+    Errno::from_io_error(error).is_some_and(|errno| TRANSIENT_ERRORS.contains(&errno))
 }
 
 fn listen_once(address: SocketAddr, sharing: Sharing) -> io::Result<TcpListener> {
@@ -79,5 +82,5 @@
     socket.set_reuseaddr(true)?;
     socket.set_reuseport(sharing == Sharing::Shared)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(MAX_BACKLOG)
 }
