--- /dev/null
+++ b/crates/policy-consensus/src/acceptor/tests.rs
@@ -0,0 +1,181 @@
+use super::{
+    Acceptor, AcceptorIncarnation, AcceptorReply, AcceptorRequest, AcceptorState,
+    CurrentPolicyLease, LeaseGrant, PreviousPolicyLease,
+};
+use crate::test_values::{ballot, policy};
+use crate::{Ballot, LeaseConfig, Policy};
+
+const CONFIG: LeaseConfig = LeaseConfig {
+    lease_us: 1_000,
+    drift: 10,
+};
+
+fn new_acceptor() -> Acceptor {
+    Acceptor::new(CONFIG, 0, AcceptorState::default(), 0)
+}
+
+fn accept_request(ballot_number: u64, version: u64) -> AcceptorRequest {
+    AcceptorRequest::Accept(ballot(ballot_number), policy(version), Vec::new())
+}
+
+fn request_lease(acceptor: &mut Acceptor, now: u64) -> LeaseGrant {
+    match acceptor.handle(now, AcceptorRequest::Lease) {
+        (AcceptorReply::Lease(grant), false) => grant,
+        other => panic!("{other:?}"),
+    }
+}
+
+fn previous_lease(version: u64, ballot_number: u64, remaining_us: u64) -> PreviousPolicyLease {
+    PreviousPolicyLease {
+        id: policy(version).id(),
+        ballot: ballot(ballot_number),
+        remaining_us,
+    }
+}
+
+fn current_lease(
+    version: u64,
+    ballot_number: u64,
+    starts_in_us: u64,
+    duration_us: u64,
+) -> CurrentPolicyLease {
+    CurrentPolicyLease {
+        policy: policy(version),
+        ballot: ballot(ballot_number),
+        starts_in_us,
+        duration_us,
+    }
+}
+
+#[test]
+fn a_lower_ballot_is_preempted_and_a_promise_reports_what_was_accepted() {
+    let mut acceptor = new_acceptor();
+    assert_eq!(
+        acceptor.handle(0, AcceptorRequest::Prepare(ballot(2))),
+        (AcceptorReply::Promised(ballot(2), None), true)
+    );
+    assert_eq!(
+        acceptor.handle(0, accept_request(1, 1)),
+        (AcceptorReply::Preempted(ballot(2)), false)
+    );
+    assert_eq!(
+        acceptor.handle(0, accept_request(2, 1)),
+        (AcceptorReply::Accepted(ballot(2)), true)
+    );
+    let (reply, _) = acceptor.handle(0, AcceptorRequest::Prepare(ballot(3)));
+    assert_eq!(
+        reply,
+        AcceptorReply::Promised(ballot(3), Some((ballot(2), policy(1))))
+    );
+}
+
+#[test]
+fn the_previous_policy_is_granted_until_the_accepted_one_takes_effect() {
+    let mut acceptor = new_acceptor();
+    acceptor.handle(0, accept_request(1, 1));
+    assert_eq!(
+        request_lease(&mut acceptor, 400),
+        LeaseGrant {
+            previous: None,
+            current: Some(current_lease(1, 1, 600, 1_000))
+        }
+    );
+    assert_eq!(
+        request_lease(&mut acceptor, 2_000),
+        LeaseGrant {
+            previous: None,
+            current: Some(current_lease(1, 1, 0, 1_000))
+        }
+    );
+    acceptor.handle(5_000, accept_request(2, 2));
+    assert_eq!(
+        request_lease(&mut acceptor, 5_300),
+        LeaseGrant {
+            previous: Some(previous_lease(1, 1, 700)),
+            current: Some(current_lease(2, 2, 700, 1_000))
+        }
+    );
+    assert_eq!(request_lease(&mut acceptor, 6_000).previous, None);
+    // Accepted again by another ballot, as when a proposer finishes another's change: the time at which it takes effect stays.
+    acceptor.handle(6_000, accept_request(3, 2));
+    assert_eq!(
+        request_lease(&mut acceptor, 6_100).current,
+        Some(current_lease(2, 3, 0, 1_000))
+    );
+}
+
+#[test]
+fn no_third_policy_is_accepted_before_the_second_one_takes_effect() {
+    let mut acceptor = new_acceptor();
+    acceptor.handle(0, accept_request(1, 1));
+    acceptor.handle(5_000, accept_request(2, 2));
+    assert_eq!(
+        acceptor.handle(5_500, accept_request(3, 3)),
+        (AcceptorReply::Busy(500), false)
+    );
+    assert_eq!(
+        acceptor.handle(6_000, accept_request(3, 3)),
+        (AcceptorReply::Accepted(ballot(3)), true)
+    );
+    assert_eq!(
+        request_lease(&mut acceptor, 6_100).previous,
+        Some(previous_lease(2, 2, 900))
+    );
+}
+
+#[test]
+fn what_rests_on_a_promise_of_a_superseded_acceptor_is_not_accepted() {
+    let mut acceptor = Acceptor::new(CONFIG, 0, AcceptorState::initial(), 0);
+    assert!(matches!(
+        acceptor.handle(0, AcceptorRequest::Join(ballot(5), 2)).0,
+        AcceptorReply::Promised(..)
+    ));
+    assert_eq!(
+        acceptor.handle(0, AcceptorRequest::Prepare(ballot(6))).0,
+        AcceptorReply::Promised(ballot(6), Some((Ballot::default(), Policy::default())))
+    );
+    let accept = |incarnations: [(u64, u64); 2]| {
+        let promised_by = incarnations.map(|(acceptor, incarnation)| AcceptorIncarnation {
+            acceptor,
+            incarnation,
+        });
+        AcceptorRequest::Accept(ballot(6), policy(1), promised_by.to_vec())
+    };
+    assert_eq!(
+        acceptor.handle(5_000, accept([(0, 0), (2, 0)])).0,
+        AcceptorReply::Preempted(ballot(6))
+    );
+    assert_eq!(
+        acceptor.handle(5_000, accept([(0, 3), (1, 0)])).0,
+        AcceptorReply::Preempted(ballot(6)),
+        "of another life of its own"
+    );
+    assert_eq!(
+        acceptor.handle(5_000, accept([(0, 0), (2, 5)])).0,
+        AcceptorReply::Accepted(ballot(6))
+    );
+    assert!(
+        matches!(
+            acceptor.handle(0, AcceptorRequest::Join(ballot(6), 2)).0,
+            AcceptorReply::Preempted(_)
+        ),
+        "it has to be above all"
+    );
+}
+
+#[test]
+fn a_restarted_acceptor_waits_a_lease_before_it_grants_what_it_accepted() {
+    let mut acceptor = new_acceptor();
+    acceptor.handle(0, accept_request(1, 1));
+    acceptor.handle(5_000, accept_request(2, 2));
+    let mut restarted = Acceptor::new(CONFIG, 0, acceptor.state().clone(), 5_100);
+    assert_eq!(
+        request_lease(&mut restarted, 5_100).current,
+        Some(current_lease(2, 2, 1_000, 1_000))
+    );
+    assert_eq!(
+        request_lease(&mut restarted, 5_100).previous,
+        None,
+        "its turn may be over long since"
+    );
+}
--- a/crates/policy-consensus/src/document_store.rs
+++ b/crates/policy-consensus/src/document_store.rs
@@ -1,184 +1,159 @@
-//! Documents by their digest. They go from member to member in parts that fit a datagram, asked for until all have come.
+//! Policy documents by their digest. They are transferred between members in parts that fit a datagram; a receiver requests parts
+//! until it has all of them.
 
-use crate::document::{sha256, MOST_BYTES};
+use crate::digest::sha256;
+use crate::document::MAX_DOCUMENT_BYTES;
+use crate::Digest;
 use std::collections::BTreeMap;
 
-/// Bytes of one part.
-pub const PART: usize = 800;
-/// Parts that are asked for at once.
-const AT_ONCE: usize = 8;
-/// Documents that are kept, and those of which some parts have come.
-const MOST: usize = 64;
-const MOST_PARTIAL: usize = 8;
-
-type Digest = [u8; 32];
+/// Length of each part but the last.
+pub const PART_BYTES: usize = 800;
+/// Parts that are requested, and sent, at once.
+pub const MAX_PARTS_PER_REQUEST: usize = 8;
+/// Complete documents that are stored.
+const MAX_DOCUMENTS: usize = 64;
+/// Documents of which only some parts are here.
+const MAX_PARTIAL_DOCUMENTS: usize = 8;
 
+/// A document of which some parts are missing.
 #[derive(Default)]
-struct Partial {
+struct PartialDocument {
+    /// By their offset in bytes.
     parts: BTreeMap<u32, Vec<u8>>,
-    bytes: usize,
-    since: u64,
+    /// Length of the whole document; 0 until the first part is here.
+    total_bytes: usize,
+    started_at_use: u64,
+}
+
+struct StoredDocument {
+    last_use: u64,
+    text: String,
 }
 
+/// The documents that a member has, complete or in part.
 #[derive(Default)]
 pub struct DocumentStore {
-    whole: BTreeMap<Digest, (u64, String)>,
-    partial: BTreeMap<Digest, Partial>,
-    /// Grows with each that is used: the one that was not for longest makes room.
+    complete: BTreeMap<Digest, StoredDocument>,
+    partial: BTreeMap<Digest, PartialDocument>,
+    /// Counts uses; the document that was not used for the longest time is evicted first.
     uses: u64,
 }
 
 impl DocumentStore {
+    /// The complete document with this digest.
     pub fn get(&mut self, digest: &Digest) -> Option<&str> {
         self.uses += 1;
-        let (used, text) = self.whole.get_mut(digest)?;
-        *used = self.uses;
-        Some(text)
+        let document = self.complete.get_mut(digest)?;
+        document.last_use = self.uses;
+        Some(&document.text)
     }
 
-    /// Version 0 has none.
-    pub fn has(&self, digest: &Digest) -> bool {
-        *digest == [0; 32] || self.whole.contains_key(digest)
+    /// Whether the complete document is here. The zero digest is that of version 0, which has no document to wait for.
+    pub fn contains(&self, digest: &Digest) -> bool {
+        *digest == [0; 32] || self.complete.contains_key(digest)
     }
 
-    pub fn put(&mut self, text: &str) -> Digest {
+    /// Stores a complete document and returns its digest; evicts others beyond the limit.
+    pub fn insert(&mut self, text: &str) -> Digest {
         let digest = sha256(text);
         self.uses += 1;
-        self.whole.insert(digest, (self.uses, text.to_string()));
+        let document = StoredDocument {
+            last_use: self.uses,
+            text: text.to_string(),
+        };
+        self.complete.insert(digest, document);
         self.partial.remove(&digest);
-        while self.whole.len() > MOST {
-            let oldest = self
-                .whole
-                .iter()
-                .min_by_key(|(_, (used, _))| *used)
-                .map(|(d, _)| *d);
-            oldest.map(|d| self.whole.remove(&d));
+        while self.complete.len() > MAX_DOCUMENTS {
+            remove_min_by(&mut self.complete, |document| document.last_use);
         }
         digest
     }
 
-    /// Where the next parts begin that are to be asked for.
-    pub fn missing(&mut self, digest: &Digest) -> Vec<u32> {
-        if self.has(digest) {
+    /// The offsets of the missing parts that are to be requested next; none if the document is complete.
+    pub fn missing_offsets(&mut self, digest: &Digest) -> Vec<u32> {
+        if self.contains(digest) {
             return Vec::new();
         }
         self.uses += 1;
-        let (uses, known) = (self.uses, self.partial.contains_key(digest));
-        if !known && self.partial.len() >= MOST_PARTIAL {
-            let oldest = self
-                .partial
-                .iter()
-                .min_by_key(|(_, p)| p.since)
-                .map(|(d, _)| *d);
-            oldest.map(|d| self.partial.remove(&d));
+        let is_known = self.partial.contains_key(digest);
+        if !is_known && self.partial.len() >= MAX_PARTIAL_DOCUMENTS {
+            remove_min_by(&mut self.partial, |partial| partial.started_at_use);
         }
-        let partial = self.partial.entry(*digest).or_insert(Partial {
-            since: uses,
-            ..Partial::default()
+        let partial = self.partial.entry(*digest).or_insert(PartialDocument {
+            started_at_use: self.uses,
+            ..PartialDocument::default()
         });
-        // How long it is the first part tells.
-        let bytes = if partial.parts.is_empty() {
+        // How long the document is shows in any part of it, so the first one is requested alone.
+        let total_bytes = if partial.parts.is_empty() {
             1
         } else {
-            partial.bytes
+            partial.total_bytes
         };
-        let all = (0..bytes.div_ceil(PART)).map(|n| (n * PART) as u32);
-        all.filter(|at| !partial.parts.contains_key(at))
-            .take(AT_ONCE)
+        let offsets = (0..total_bytes.div_ceil(PART_BYTES)).map(|n| (n * PART_BYTES) as u32);
+        offsets
+            .filter(|offset| !partial.parts.contains_key(offset))
+            .take(MAX_PARTS_PER_REQUEST)
             .collect()
     }
 
-    /// A part of one that is whole here: its length, and the bytes.
-    pub fn part(&mut self, digest: &Digest, at: u32) -> Option<(u32, Vec<u8>)> {
-        let text = self.get(digest)?.as_bytes();
-        let from = at as usize;
-        let part = text.get(from..text.len().min(from + PART))?;
-        Some((text.len() as u32, part.to_vec()))
+    /// The part of a complete document that begins at `offset`: the length of the whole document, and the part's bytes.
+    pub fn read_part(&mut self, digest: &Digest, offset: u32) -> Option<(u32, Vec<u8>)> {
+        let document = self.get(digest)?.as_bytes();
+        let start = offset as usize;
+        let part = document.get(start..document.len().min(start + PART_BYTES))?;
+        Some((document.len() as u32, part.to_vec()))
     }
 
-    /// A part came. True: with it the document is whole, and is what its digest says.
-    pub fn came(&mut self, digest: &Digest, at: u32, of: u32, bytes: Vec<u8>) -> bool {
+    /// Takes a part of a document that was requested. Returns whether the document is complete with it and matches its digest; where
+    /// it does not match, all of its parts are dropped.
+    pub fn add_part(
+        &mut self,
+        digest: &Digest,
+        offset: u32,
+        total_bytes: u32,
+        bytes: Vec<u8>,
+    ) -> bool {
         let Some(partial) = self.partial.get_mut(digest) else {
             return false;
         };
-        let (from, of) = (at as usize, of as usize);
-        let right =
-            from % PART == 0 && of <= MOST_BYTES && from < of && bytes.len() == PART.min(of - from);
-        if !right || partial.bytes != 0 && partial.bytes != of {
+        let total_bytes = total_bytes as usize;
+        let fits_before = partial.total_bytes == 0 || partial.total_bytes == total_bytes;
+        if !is_part(offset as usize, total_bytes, bytes.len()) || !fits_before {
             return false;
         }
-        partial.bytes = of;
-        partial.parts.insert(at, bytes);
-        if partial.parts.len() < of.div_ceil(PART) {
+        partial.total_bytes = total_bytes;
+        partial.parts.insert(offset, bytes);
+        if partial.parts.len() < total_bytes.div_ceil(PART_BYTES) {
             return false;
         }
-        let whole: Vec<u8> = self
-            .partial
-            .remove(digest)
-            .into_iter()
-            .flat_map(|p| p.parts.into_values().flatten())
-            .collect();
-        match String::from_utf8(whole) {
-            // Else somebody sent something else: it is asked for anew.
-            Ok(text) if sha256(&text) == *digest => self.put(&text) == *digest,
+        let parts = std::mem::take(&mut partial.parts);
+        self.partial.remove(digest);
+        let bytes: Vec<u8> = parts.into_values().flatten().collect();
+        match String::from_utf8(bytes) {
+            Ok(text) if sha256(&text) == *digest => {
+                self.insert(&text);
+                true
+            }
             _ => false,
         }
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn parts_come_in_any_order_and_make_the_whole() {
-        let text: String = (0..3_000)
-            .map(|n| char::from(b'a' + (n % 26) as u8))
-            .collect();
-        let (mut here, mut there) = (DocumentStore::default(), DocumentStore::default());
-        let digest = here.put(&text);
-        assert_eq!(there.missing(&digest), [0]);
-        let mut whole = false;
-        for _ in 0..3 {
-            let mut wanted = there.missing(&digest);
-            wanted.reverse();
-            for at in wanted {
-                let (of, bytes) = here.part(&digest, at).expect("it is there");
-                whole |= there.came(&digest, at, of, bytes);
-            }
-        }
-        assert!(
-            whole && there.get(&digest) == Some(text.as_str()) && there.missing(&digest).is_empty()
-        );
-    }
-
-    #[test]
-    fn what_is_not_what_its_digest_says_is_asked_for_anew() {
-        let (mut here, mut there) = (DocumentStore::default(), DocumentStore::default());
-        let digest = here.put("version = 1");
-        there.missing(&digest);
-        assert!(!there.came(&digest, 0, 11, b"version = 2".to_vec()));
-        assert!(!there.has(&digest));
-        assert_eq!(there.missing(&digest), [0]);
-        for (at, of, bytes) in [(1, 11, 10), (0, 11, 5), (0, 1 << 30, PART), (800, 11, 3)] {
-            assert!(
-                !there.came(&digest, at, of, vec![b'x'; bytes]),
-                "{at} {of} {bytes}"
-            );
-        }
-        assert!(there.came(&digest, 0, 11, b"version = 1".to_vec()));
-    }
+/// Whether a document of `total_bytes` has a part of this length at this offset.
+fn is_part(offset: usize, total_bytes: usize, part_bytes: usize) -> bool {
+    offset.is_multiple_of(PART_BYTES)
+        && total_bytes <= MAX_DOCUMENT_BYTES
+        && offset < total_bytes
+        && part_bytes == PART_BYTES.min(total_bytes - offset)
+}
 
-    #[test]
-    fn tables_are_bounded() {
-        let mut t = DocumentStore::default();
-        let first = t.put("first");
-        for n in 0..MOST {
-            t.get(&first);
-            t.put(&n.to_string());
-            t.missing(&[n as u8 + 1; 32]);
-        }
-        assert!(t.has(&first), "it is used");
-        assert!(t.whole.len() <= MOST && t.partial.len() <= MOST_PARTIAL);
+/// Removes the entry with the smallest key.
+fn remove_min_by<T>(entries: &mut BTreeMap<Digest, T>, key: impl Fn(&T) -> u64) {
+    let oldest = entries.iter().min_by_key(|(_, entry)| key(entry));
+    if let Some(digest) = oldest.map(|(digest, _)| *digest) {
+        entries.remove(&digest);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/policy-consensus/src/lease_holder.rs
+++ b/crates/policy-consensus/src/lease_holder.rs
@@ -1,278 +1,218 @@
-//! A gateway: it lets requests in only under a policy that is chosen, and on which a majority of the keepers has given it a lease.
-//! Their times run from when they sent them: an end is counted from when the gateway asked, a beginning from when the answer came, so
-//! that neither way of a message matters; and a lease is taken for a little shorter, and a wait for a little longer, than was said,
-//! for clocks that drift.
+//! A lease holder: a gateway admits requests only under a policy that is chosen, and on which a majority of the acceptors has granted
+//! it a lease.
+//!
+//! The durations in a grant run from when the acceptor sent it. So an end is counted from when the gateway sent its request, and a
+//! beginning from when the grant was received: then the time that messages take cannot make a lease longer. To allow for clocks that
+//! drift, leases are taken for a little shorter and waits for a little longer than granted.
 
 use crate::acceptor::LeaseGrant;
 use crate::{majority, Ballot, LeaseConfig, Policy, PolicyId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A lease by one keeper, on what it accepted by a ballot.
+/// A lease by one acceptor, on a policy that it accepted by a ballot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Lease {
     id: PolicyId,
     ballot: Ballot,
-    from: u64,
-    till: u64,
+    starts_at: u64,
+    ends_at: u64,
 }
 
+impl Lease {
+    fn is_valid(&self, now: u64) -> bool {
+        self.starts_at <= now && now < self.ends_at
+    }
+}
+
+/// The state machine of a lease holder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseHolder {
-    times: LeaseConfig,
-    keepers: usize,
-    /// By keeper: on the policy before, and on the one accepted there.
+    config: LeaseConfig,
+    acceptors: usize,
+    /// By acceptor index: the lease on the previous policy, if any, then that on the accepted one.
     leases: BTreeMap<u64, Vec<Lease>>,
     policies: BTreeMap<PolicyId, Policy>,
-    /// Those that a majority accepted by one ballot: they are chosen for good, by whatever ballot keepers hold them later.
+    /// The policies that a majority accepted by the same ballot, and that ballot. They stay chosen, whatever ballots acceptors report
+    /// for them later.
     chosen: BTreeMap<PolicyId, Ballot>,
-    /// The highest version it was ever in: it goes back to none below.
-    high: u64,
+    highest_held_version: u64,
 }
 
 impl LeaseHolder {
-    pub fn new(times: LeaseConfig, keepers: usize) -> LeaseHolder {
-        let (leases, policies, chosen) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
+    /// A lease holder that has no leases yet from any of the `acceptors`.
+    pub fn new(config: LeaseConfig, acceptors: usize) -> LeaseHolder {
         LeaseHolder {
-            times,
-            keepers,
-            leases,
-            policies,
-            chosen,
-            high: 0,
+            config,
+            acceptors,
+            leases: BTreeMap::new(),
+            policies: BTreeMap::new(),
+            chosen: BTreeMap::new(),
+            highest_held_version: 0,
         }
     }
 
-    /// How often keepers are to be asked, so that two answers may be lost.
-    pub fn asks_every_us(&self) -> u64 {
-        self.times.lease_us / 4
+    /// How often leases are to be requested, so that two answers in a row may be lost.
+    pub fn renewal_interval_us(&self) -> u64 {
+        self.config.lease_us / 4
     }
 
-    /// A keeper's answer to what was asked at a time. The last that came counts: each end lies before the keeper's next turn.
-    pub fn granted(&mut self, asked: u64, now: u64, keeper: u64, grant: LeaseGrant) {
+    /// Takes an acceptor's grant, received at `now` in answer to a request sent at `requested_at`. It replaces that acceptor's
+    /// earlier grants.
+    pub fn record_grant(&mut self, requested_at: u64, now: u64, acceptor: u64, grant: LeaseGrant) {
         let mut leases = Vec::new();
-        if let Some((id, ballot, left)) = grant.before {
+        if let Some(previous) = grant.previous {
             leases.push(Lease {
-                id,
-                ballot,
-                from: 0,
-                till: asked + self.times.shrink_for_drift(left),
+                id: previous.id,
+                ballot: previous.ballot,
+                starts_at: 0,
+                ends_at: requested_at + self.config.shrink_for_drift(previous.remaining_us),
             });
         }
-        if let Some((policy, ballot, left, length)) = grant.now {
-            let id = policy.id();
-            let from = if left == 0 {
+        if let Some(current) = grant.current {
+            let id = current.policy.id();
+            let starts_at = if current.starts_in_us == 0 {
                 0
             } else {
-                now + self.times.stretch_for_drift(left)
+                now + self.config.stretch_for_drift(current.starts_in_us)
             };
+            let ends_in_us = current.starts_in_us + current.duration_us;
             leases.push(Lease {
                 id,
-                ballot,
-                from,
-                till: asked + self.times.shrink_for_drift(left + length),
+                ballot: current.ballot,
+                starts_at,
+                ends_at: requested_at + self.config.shrink_for_drift(ends_in_us),
             });
-            self.policies.insert(id, policy);
+            self.policies.insert(id, current.policy);
         }
-        self.leases.insert(keeper, leases);
-        self.learn();
-        let leased: BTreeSet<PolicyId> = self.leases.values().flatten().map(|l| l.id).collect();
-        let high = self.high;
-        self.policies
-            .retain(|id, _| leased.contains(id) || id.version == high);
-        self.chosen.retain(|id, _| id.version >= high);
+        self.leases.insert(acceptor, leases);
+        self.update_chosen();
+        self.forget_unused_policies();
     }
 
-    /// What keepers said that they accepted they did accept, if long ago.
-    fn learn(&mut self) {
+    /// Finds policies that a majority has accepted by the same ballot. Leases that have ended count as well: what an acceptor said
+    /// that it accepted it did accept.
+    fn update_chosen(&mut self) {
         let mut votes: BTreeMap<(PolicyId, Ballot), usize> = BTreeMap::new();
-        self.leases
-            .values()
-            .flatten()
-            .for_each(|l| *votes.entry((l.id, l.ballot)).or_default() += 1);
-        let most = majority(self.keepers);
-        self.chosen.extend(
-            votes
-                .into_iter()
-                .filter(|(_, n)| *n >= most)
-                .map(|(vote, _)| vote),
-        );
+        for lease in self.leases.values().flatten() {
+            *votes.entry((lease.id, lease.ballot)).or_default() += 1;
+        }
+        let quorum = majority(self.acceptors);
+        let chosen = votes
+            .into_iter()
+            .filter(|(_, count)| *count >= quorum)
+            .map(|(vote, _)| vote);
+        self.chosen.extend(chosen);
+    }
+
+    fn forget_unused_policies(&mut self) {
+        let leases = self.leases.values().flatten();
+        let leased: BTreeSet<PolicyId> = leases.map(|lease| lease.id).collect();
+        let highest_held_version = self.highest_held_version;
+        self.policies
+            .retain(|id, _| leased.contains(id) || id.version == highest_held_version);
+        self.chosen
+            .retain(|id, _| id.version >= highest_held_version);
     }
 
-    /// The policy under which a request may be let in now; none: under none.
-    pub fn holds(&mut self, now: u64) -> Option<PolicyId> {
-        let id = self.at(now)?;
-        self.high = id.version;
+    /// The policy under which requests may be admitted at `now`. From then on no earlier version is held any more.
+    pub fn advance_to_held_policy(&mut self, now: u64) -> Option<PolicyId> {
+        let id = self.held_policy_at(now)?;
+        self.highest_held_version = id.version;
         Some(id)
     }
 
-    /// The same of any time, as far as is known now.
-    pub fn at(&self, now: u64) -> Option<PolicyId> {
+    /// The policy that will be held at `time`, as far as is known now.
+    pub fn held_policy_at(&self, time: u64) -> Option<PolicyId> {
         let mut votes: BTreeMap<PolicyId, usize> = BTreeMap::new();
-        for leases in self.leases.values() {
-            let valid = leases.iter().filter(|l| l.from <= now && now < l.till);
-            valid.for_each(|l| *votes.entry(l.id).or_default() += 1);
+        for lease in self.leases.values().flatten() {
+            if lease.is_valid(time) {
+                *votes.entry(lease.id).or_default() += 1;
+            }
         }
-        let most = majority(self.keepers);
-        let may = |id: &PolicyId| id.version >= self.high && self.chosen.contains_key(id);
-        votes
+        let quorum = majority(self.acceptors);
+        let leased_by_majority = votes
             .into_iter()
-            .filter(|(id, n)| *n >= most && may(id))
-            .map(|(id, _)| id)
+            .filter(|(_, count)| *count >= quorum)
+            .map(|(id, _)| id);
+        leased_by_majority
+            .filter(|id| id.version >= self.highest_held_version && self.chosen.contains_key(id))
             .max()
     }
 
-    /// When what is held may next be another, if nothing is heard until then.
+    /// The next time at which another policy or none may be held, if nothing is received until then.
     pub fn next_change(&self, now: u64) -> Option<u64> {
-        self.bounds().filter(|at| *at > now).min()
+        self.lease_bounds().filter(|time| *time > now).min()
     }
 
-    /// None is held now: from when on one is, by the leases that are there.
+    /// The time from which on a policy will be held by the leases that are already granted.
     pub fn pending_until(&self, now: u64) -> Option<u64> {
-        let mut after: Vec<u64> = self.bounds().filter(|at| *at > now).collect();
-        after.sort_unstable();
-        after.into_iter().find(|at| self.at(*at).is_some())
+        let mut bounds: Vec<u64> = self.lease_bounds().filter(|time| *time > now).collect();
+        bounds.sort_unstable();
+        bounds
+            .into_iter()
+            .find(|time| self.held_policy_at(*time).is_some())
     }
 
-    fn bounds(&self) -> impl Iterator<Item = u64> + '_ {
+    fn lease_bounds(&self) -> impl Iterator<Item = u64> + '_ {
         self.leases
             .values()
             .flatten()
-            .flat_map(|l| [l.from, l.till])
+            .flat_map(|lease| [lease.starts_at, lease.ends_at])
     }
 
-    /// Another keeper has taken the place of this one: its leases count no more. What it accepted it did accept.
-    pub fn outlived(&mut self, keeper: u64) {
-        self.leases.remove(&keeper);
+    /// Drops the leases of an acceptor after a new one has taken its place. What the old one accepted still counts as accepted.
+    pub fn forget_acceptor(&mut self, acceptor: u64) {
+        self.leases.remove(&acceptor);
     }
 
-    /// The last that is known to be chosen, and by which ballot: any keeper may accept it by that.
-    pub fn chosen(&self) -> Option<(Ballot, Policy)> {
+    /// The latest policy that is known to be chosen, and the ballot by which any acceptor may accept it.
+    pub fn latest_chosen(&self) -> Option<(Ballot, Policy)> {
         let (id, ballot) = self.chosen.last_key_value()?;
         Some((*ballot, *self.policies.get(id)?))
     }
 
-    /// The highest ballot that keepers told of.
-    pub fn highest_ballot(&self) -> u64 {
+    /// The highest ballot number in any lease; 0 without one.
+    pub fn highest_ballot_number(&self) -> u64 {
         self.leases
             .values()
             .flatten()
-            .map(|l| l.ballot.number)
+            .map(|lease| lease.ballot.number)
             .max()
             .unwrap_or(0)
     }
 
-    /// Keepers that were heard of late hold different policies, or one that is not chosen: somebody stopped half way.
-    pub fn apart(&self, now: u64) -> bool {
-        let fresh = |l: &&Lease| now < l.till;
-        let last: Vec<&Lease> = self
+    /// Whether the acceptors that were heard of late have accepted different policies, or one that is not chosen: then a proposer
+    /// left a change incomplete.
+    pub fn acceptors_diverge(&self, now: u64) -> bool {
+        let accepted: Vec<&Lease> = self
             .leases
             .values()
-            .filter_map(|all| all.last())
-            .filter(fresh)
+            .filter_map(|leases| leases.last())
+            .filter(|lease| now < lease.ends_at)
             .collect();
-        let Some(first) = last.first() else {
+        let Some(first) = accepted.first() else {
             return false;
         };
-        last.iter()
-            .any(|l| l.id != first.id || !self.chosen.contains_key(&l.id))
+        accepted
+            .iter()
+            .any(|lease| lease.id != first.id || !self.chosen.contains_key(&lease.id))
     }
 
     /// The highest version that was ever held.
-    pub fn high(&self) -> u64 {
-        self.high
+    pub fn highest_held_version(&self) -> u64 {
+        self.highest_held_version
     }
 
-    /// All that keepers told of.
-    pub fn known(&self) -> impl Iterator<Item = &Policy> {
+    /// All policies that acceptors reported.
+    pub fn known_policies(&self) -> impl Iterator<Item = &Policy> {
         self.policies.values()
     }
 
+    /// A policy that acceptors reported.
     pub fn policy(&self, id: &PolicyId) -> Option<&Policy> {
         self.policies.get(id)
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::tests::{ballot, policy};
-
-    const TIMES: LeaseConfig = LeaseConfig {
-        lease_us: 1_000_000,
-        drift: 10,
-    };
-
-    fn by(number: u64, version: u64) -> LeaseGrant {
-        LeaseGrant {
-            before: None,
-            now: Some((policy(version), ballot(number), 0, 1_000_000)),
-        }
-    }
-
-    #[test]
-    fn a_majority_has_to_say_so_and_its_word_ends() {
-        let mut t = LeaseHolder::new(TIMES, 3);
-        t.granted(0, 1_000, 1, by(1, 4));
-        assert_eq!(t.holds(2_000), None);
-        t.granted(0, 1_000, 2, by(1, 4));
-        assert_eq!(t.holds(2_000), Some(policy(4).id()));
-        assert_eq!(t.holds(980_000), Some(policy(4).id()));
-        assert_eq!(
-            t.holds(981_000),
-            None,
-            "a little less than was said, from when it was asked"
-        );
-        assert!(t.policy(&policy(4).id()).is_some());
-    }
-
-    #[test]
-    fn two_who_say_two_things_are_no_majority() {
-        let mut t = LeaseHolder::new(TIMES, 3);
-        t.granted(0, 0, 1, by(1, 4));
-        t.granted(0, 0, 2, by(2, 5));
-        assert_eq!(t.holds(1), None);
-        t.granted(0, 0, 3, by(2, 5));
-        assert_eq!(t.holds(1), Some(policy(5).id()));
-        // And never back.
-        t.granted(2, 2, 2, by(1, 4));
-        assert_eq!(t.holds(3), None);
-    }
-
-    #[test]
-    fn two_who_accepted_it_by_two_ballots_have_not_chosen_it() {
-        let mut t = LeaseHolder::new(TIMES, 3);
-        t.granted(0, 0, 1, by(1, 4));
-        t.granted(0, 0, 2, by(3, 4));
-        assert_eq!(t.holds(1), None);
-        t.granted(0, 0, 3, by(3, 4));
-        assert_eq!(t.holds(1), Some(policy(4).id()));
-        // Chosen it stays, while a later proposer goes round.
-        t.granted(0, 0, 3, by(5, 4));
-        assert_eq!(t.holds(1), Some(policy(4).id()));
-    }
-
-    #[test]
-    fn over_a_turn_it_goes_from_one_to_the_next_with_hardly_a_gap() {
-        let mut t = LeaseHolder::new(TIMES, 3);
-        let turning = |left| LeaseGrant {
-            before: Some((policy(1).id(), ballot(1), left)),
-            now: Some((policy(2), ballot(2), left, 1_000_000)),
-        };
-        let mut gap = 0;
-        for at in (0..1_500_000u64).step_by(1_000) {
-            if at % 250_000 == 0 {
-                for keeper in 1..=3 {
-                    let left = 1_000_000u64.saturating_sub(at);
-                    t.granted(
-                        at,
-                        at + 2_000,
-                        keeper,
-                        if left > 0 { turning(left) } else { by(2, 2) },
-                    );
-                }
-            }
-            gap += u64::from(t.holds(at + 2_000).is_none());
-        }
-        assert!(gap <= 40, "{gap} ms in a turn of a second");
-    }
-}
+mod tests;
--- a/crates/policy-consensus/src/message.rs
+++ b/crates/policy-consensus/src/message.rs
@@ -1,179 +1,134 @@
-//! What members say to each other about policies; postcard's form. Each fits a datagram: documents go in parts.
+//! The messages that members exchange, encoded by postcard. Each fits a datagram; documents are transferred in parts.
 
-use crate::acceptor::{AcceptorReply, AcceptorRequest};
-use crate::Policy;
+use crate::acceptor::{AcceptorIncarnation, AcceptorReply, AcceptorRequest};
+use crate::{Digest, Policy};
 use serde::{Deserialize, Serialize};
 
-/// A reason is cut to this.
-const MOST_REASON: usize = 600;
+/// A reason in a [`Message::CheckReply`] is cut to this.
+const MAX_REASON_BYTES: usize = 600;
 
+/// A message between two members. The order of variants and fields is the wire format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// To a keeper. `number`: of the question, goes back with the answer; `seen`: its life and the latest state of its folder that
-    /// it told the asker of.
-    Ask {
+    /// A request to an acceptor.
+    Request {
+        /// Chosen by the sender; the answer repeats it.
         number: u64,
-        seen: (u64, u64),
-        ask: AcceptorRequest,
+        /// What this acceptor last reported of itself to the sender.
+        last_reported: ReportedState,
+        /// The request itself.
+        request: AcceptorRequest,
     },
-    /// `lives`: its own first, and those of others that it was told of, by their places.
-    Answer {
+    /// An acceptor's answer.
+    Answer(AcceptorAnswer),
+    /// Asks a member whether it can serve under a policy.
+    CheckRequest {
+        /// The number of the proposal.
         number: u64,
-        state: u64,
-        lives: (u64, Vec<(u64, u64)>),
-        answer: AcceptorReply,
+        /// The proposed policy.
+        policy: Policy,
     },
-    /// Can this be served under?
-    Check { number: u64, policy: Policy },
-    /// Why not; empty: it can.
-    Checked { number: u64, why: String },
-    /// Parts of a document that are missing, by where they begin.
-    Want { digest: [u8; 32], at: Vec<u32> },
+    /// Answers a [`Message::CheckRequest`].
+    CheckReply {
+        /// The number of the proposal.
+        number: u64,
+        /// Why the member cannot serve under the policy; empty if it can.
+        reason: String,
+    },
+    /// Asks for parts of a document.
+    PartsRequest {
+        /// The document's digest.
+        digest: Digest,
+        /// Where the parts begin, in bytes.
+        offsets: Vec<u32>,
+    },
+    /// A part of a document.
     Part {
-        digest: [u8; 32],
-        at: u32,
-        of: u32,
+        /// The document's digest.
+        digest: Digest,
+        /// Where the part begins, in bytes.
+        offset: u32,
+        /// Length of the whole document.
+        total_bytes: u32,
+        /// The part itself.
         bytes: Vec<u8>,
     },
 }
 
+/// An acceptor's answer to a [`Message::Request`].
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct AcceptorAnswer {
+    /// The number of the request.
+    pub number: u64,
+    /// The number of the acceptor's state on disk.
+    pub state: u64,
+    /// The acceptor's own incarnation.
+    pub incarnation: u64,
+    /// The incarnations of other acceptors that it knows of.
+    pub other_incarnations: Vec<AcceptorIncarnation>,
+    /// The reply itself.
+    pub reply: AcceptorReply,
+}
+
+/// What an acceptor reported of itself. An acceptor that is behind its own report was restored from an old copy.
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
+pub struct ReportedState {
+    /// The acceptor's incarnation.
+    pub incarnation: u64,
+    /// The number of its state on disk.
+    pub state: u64,
+}
+
 impl Message {
+    /// Encodes the message.
     pub fn write(&self) -> Vec<u8> {
-        // It is made of plain values: nothing in it fails.
+        // Plain values into memory: postcard has no way to fail.
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// What it is, in a word.
+    /// Decodes a message; `None` if the bytes are not exactly one message.
+    pub fn read(bytes: &[u8]) -> Option<Message> {
+        let (message, rest) = postcard::take_from_bytes(bytes).ok()?;
+        rest.is_empty().then_some(message)
+    }
+
+    /// The name of the message's kind, by which tests name the points at which a process crashes.
     pub fn name(&self) -> &'static str {
         match self {
-            Message::Ask {
-                ask: AcceptorRequest::Prepare(_),
-                ..
-            } => "prepare",
-            Message::Ask {
-                ask: AcceptorRequest::Join(..),
-                ..
-            } => "join",
-            Message::Ask {
-                ask: AcceptorRequest::Accept(..),
-                ..
-            } => "accept",
-            Message::Ask {
-                ask: AcceptorRequest::Lease,
-                ..
-            } => "lease",
-            Message::Answer {
-                answer: AcceptorReply::Promised(..),
-                ..
-            } => "promised",
-            Message::Answer {
-                answer: AcceptorReply::Accepted(_),
-                ..
-            } => "accepted",
-            Message::Answer {
-                answer: AcceptorReply::Preempted(_),
-                ..
-            } => "outrun",
-            Message::Answer {
-                answer: AcceptorReply::Busy(_),
-                ..
-            } => "busy",
-            Message::Answer {
-                answer: AcceptorReply::Lease(_),
-                ..
-            } => "grant",
-            Message::Check { .. } => "check",
-            Message::Checked { .. } => "checked",
-            Message::Want { .. } => "want",
+            Message::Request { request, .. } => match request {
+                AcceptorRequest::Prepare(_) => "prepare",
+                AcceptorRequest::Join(..) => "join",
+                AcceptorRequest::Accept(..) => "accept",
+                AcceptorRequest::Lease => "lease",
+            },
+            Message::Answer(answer) => match answer.reply {
+                AcceptorReply::Promised(..) => "promised",
+                AcceptorReply::Accepted(_) => "accepted",
+                AcceptorReply::Preempted(_) => "outrun",
+                AcceptorReply::Busy(_) => "busy",
+                AcceptorReply::Lease(_) => "grant",
+            },
+            Message::CheckRequest { .. } => "check",
+            Message::CheckReply { .. } => "checked",
+            Message::PartsRequest { .. } => "want",
             Message::Part { .. } => "part",
         }
     }
 
-    /// None: it is none of ours.
-    pub fn read(bytes: &[u8]) -> Option<Message> {
-        let (letter, rest) = postcard::take_from_bytes(bytes).ok()?;
-        rest.is_empty().then_some(letter)
-    }
-
-    pub fn checked(number: u64, says: Result<(), String>) -> Message {
-        let mut why = says.err().unwrap_or_default();
-        let fits = (0..=MOST_REASON.min(why.len()))
+    /// The answer to a [`Message::CheckRequest`]; a long reason is cut at a character boundary.
+    pub fn check_reply(number: u64, result: Result<(), String>) -> Message {
+        let mut reason = result.err().unwrap_or_default();
+        let max_bytes = MAX_REASON_BYTES.min(reason.len());
+        let cut_at = (0..=max_bytes)
             .rev()
-            .find(|n| why.is_char_boundary(*n))
+            .find(|position| reason.is_char_boundary(*position))
             .unwrap_or(0);
-        why.truncate(fits);
-        Message::Checked { number, why }
+        reason.truncate(cut_at);
+        Message::CheckReply { number, reason }
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::acceptor::LeaseGrant;
-    use crate::Ballot;
-    use proptest::prelude::*;
-
-    #[test]
-    fn the_longest_fit_a_datagram_and_are_read_again() {
-        let policy = Policy {
-            version: u64::MAX,
-            digest: [7; 32],
-            parent: [9; 32],
-        };
-        let ballot = Ballot {
-            number: u64::MAX,
-            proposer: u64::MAX,
-        };
-        let grant = LeaseGrant {
-            before: Some((policy.id(), ballot, u64::MAX)),
-            now: Some((policy, ballot, u64::MAX, u64::MAX)),
-        };
-        // Of seven keepers.
-        let all = vec![(u64::MAX, u64::MAX); 7];
-        let lives = (u64::MAX, all.clone());
-        let (number, digest, at) = (u64::MAX, [1; 32], u32::MAX);
-        for letter in [
-            Message::Ask {
-                number,
-                seen: (number, number),
-                ask: AcceptorRequest::Accept(ballot, policy, all.clone()),
-            },
-            Message::Answer {
-                number,
-                state: number,
-                lives: lives.clone(),
-                answer: AcceptorReply::Lease(grant),
-            },
-            Message::Answer {
-                number,
-                state: number,
-                lives: lives.clone(),
-                answer: AcceptorReply::Promised(ballot, Some((ballot, policy))),
-            },
-            Message::checked(number, Err("é".repeat(10_000))),
-            Message::Want {
-                digest,
-                at: vec![at; 8],
-            },
-            Message::Part {
-                digest,
-                at,
-                of: at,
-                bytes: vec![0; crate::document_store::PART],
-            },
-        ] {
-            let bytes = letter.write();
-            assert!(bytes.len() <= 860, "{} bytes", bytes.len());
-            assert_eq!(Message::read(&bytes), Some(letter));
-        }
-    }
-
-    proptest! {
-        #[test]
-        fn arbitrary_bytes_are_a_letter_or_none(bytes in prop::collection::vec(any::<u8>(), 0..1_200)) {
-            if let Some(letter) = Message::read(&bytes) {
-                prop_assert!(letter.write().len() <= 2 * bytes.len() + 16);
-            }
-        }
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/policy-consensus/src/message/tests.rs
@@ -0,0 +1,99 @@
+use super::{AcceptorAnswer, Message, ReportedState};
+use crate::acceptor::{
+    AcceptorIncarnation, AcceptorReply, AcceptorRequest, CurrentPolicyLease, LeaseGrant,
+    PreviousPolicyLease,
+};
+use crate::document_store::PART_BYTES;
+use crate::{Ballot, Policy};
+use proptest::prelude::{any, prop, prop_assert, proptest};
+
+const LONGEST_BALLOT: Ballot = Ballot {
+    number: u64::MAX,
+    proposer: u64::MAX,
+};
+
+const LONGEST_POLICY: Policy = Policy {
+    version: u64::MAX,
+    digest: [7; 32],
+    parent: [9; 32],
+};
+
+/// The longest list of incarnations, of seven acceptors.
+fn longest_incarnations() -> Vec<AcceptorIncarnation> {
+    let longest = AcceptorIncarnation {
+        acceptor: u64::MAX,
+        incarnation: u64::MAX,
+    };
+    vec![longest; 7]
+}
+
+fn longest_grant() -> LeaseGrant {
+    LeaseGrant {
+        previous: Some(PreviousPolicyLease {
+            id: LONGEST_POLICY.id(),
+            ballot: LONGEST_BALLOT,
+            remaining_us: u64::MAX,
+        }),
+        current: Some(CurrentPolicyLease {
+            policy: LONGEST_POLICY,
+            ballot: LONGEST_BALLOT,
+            starts_in_us: u64::MAX,
+            duration_us: u64::MAX,
+        }),
+    }
+}
+
+fn longest_answer(reply: AcceptorReply) -> Message {
+    Message::Answer(AcceptorAnswer {
+        number: u64::MAX,
+        state: u64::MAX,
+        incarnation: u64::MAX,
+        other_incarnations: longest_incarnations(),
+        reply,
+    })
+}
+
+#[test]
+fn the_longest_messages_fit_a_datagram_and_are_decoded_again() {
+    let accepted = Some((LONGEST_BALLOT, LONGEST_POLICY));
+    for message in [
+        Message::Request {
+            number: u64::MAX,
+            last_reported: ReportedState {
+                incarnation: u64::MAX,
+                state: u64::MAX,
+            },
+            request: AcceptorRequest::Accept(
+                LONGEST_BALLOT,
+                LONGEST_POLICY,
+                longest_incarnations(),
+            ),
+        },
+        longest_answer(AcceptorReply::Lease(longest_grant())),
+        longest_answer(AcceptorReply::Promised(LONGEST_BALLOT, accepted)),
+        Message::check_reply(u64::MAX, Err("é".repeat(10_000))),
+        Message::PartsRequest {
+            digest: [1; 32],
+            offsets: vec![u32::MAX; 8],
+        },
+        Message::Part {
+            digest: [1; 32],
+            offset: u32::MAX,
+            total_bytes: u32::MAX,
+            bytes: vec![0; PART_BYTES],
+        },
+    ] {
+        let bytes = message.write();
+        assert!(bytes.len() <= 860, "{} bytes", bytes.len());
+        assert_eq!(Message::read(&bytes), Some(message));
+    }
+}
+
+proptest! {
+    #[test]
+    fn arbitrary_bytes_are_a_message_or_none(bytes in prop::collection::vec(any::<u8>(), 0..1_200)) {
+        if let Some(message) = Message::read(&bytes) {
+            prop_assert!(message.write().len() <= 2 * bytes.len() + 16);
+        }
+    }
+}
--- /dev/null
+++ b/crates/policy-consensus/src/node/config.rs
@@ -0,0 +1,58 @@
+//! Configuration of a [`ConsensusNode`](super::ConsensusNode), and what it wants done.
+
+use crate::document::Document;
+use crate::record::AcceptorRecord;
+use crate::LeaseConfig;
+
+/// What a gateway does when its lease ended because no majority of the acceptors was heard.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum LeaseLossPolicy {
+    /// It rejects requests.
+    Refuse,
+    /// If it knows of a policy that may have replaced its own, it serves under the stricter of both; otherwise it rejects requests.
+    Stricter,
+    /// It goes on serving for a limited time.
+    Serve {
+        /// How long, counted from the end of the lease.
+        grace_us: u64,
+    },
+}
+
+/// What is configured about a member.
+#[derive(Clone, Debug)]
+pub struct NodeConfig {
+    /// The member's own name.
+    pub me: String,
+    /// The names of the acceptors, in the same order at every member.
+    pub keepers: Vec<String>,
+    /// Duration of leases and bound on clock drift.
+    pub times: LeaseConfig,
+    /// How long a proposal may take.
+    pub patience_us: u64,
+    /// After how long without a majority a phase of a proposal is retried.
+    pub again_us: u64,
+    /// What to do when a lease cannot be renewed.
+    pub on_lost: LeaseLossPolicy,
+    /// Seed of the random numbers; has to differ between members and between starts of one member.
+    pub seed: u64,
+}
+
+/// What the caller has to do for the node.
+#[derive(Debug, PartialEq)]
+pub enum NodeOutput {
+    /// Send a message to another member.
+    Send {
+        /// The receiver's name.
+        to: String,
+        /// The encoded message.
+        bytes: Vec<u8>,
+    },
+    /// Write the acceptor's record to disk, then call
+    /// [`ConsensusNode::record_stored`](super::ConsensusNode::record_stored).
+    Store(AcceptorRecord),
+    /// Write a line to the log.
+    Log(String),
+}
+
+/// Whether this member can serve under a document; the error says why not.
+pub type PolicyValidator = Box<dyn Fn(&Document) -> Result<(), String>>;
--- /dev/null
+++ b/crates/policy-consensus/src/node/leases.rs
@@ -0,0 +1,128 @@
+//! Lease upkeep: requests to the acceptors, their grants and incarnations, and recovery where the grants show that a change was left
+//! incomplete.
+
+use super::{ConsensusNode, NodeOutput, ServingState};
+use crate::acceptor::{AcceptorRequest, LeaseGrant};
+use crate::message::{Message, ReportedState};
+use rand_pcg::rand_core::RngCore;
+
+/// Lease requests whose answers are still awaited.
+const MAX_LEASE_REQUESTS: usize = 16;
+/// An acceptor finishes an incomplete change once it has lasted for this and a random time of up to as much again, so that seldom
+/// two do so at once.
+const MIN_RECOVERY_DELAY_US: u64 = 500_000;
+
+/// A request for leases that went to all acceptors.
+pub(super) struct LeaseRequest {
+    number: u64,
+    sent_at: u64,
+}
+
+impl ConsensusNode {
+    /// Requests leases from all acceptors when it is due; twice as often while there is none.
+    pub(super) fn renew_leases(&mut self, now: u64, out: &mut Vec<NodeOutput>) {
+        if now < self.next_lease_request_at {
+            return;
+        }
+        let interval_us = self.lease_holder.renewal_interval_us();
+        let is_serving = matches!(self.serving_state(now), ServingState::Under(..));
+        self.next_lease_request_at = now
+            + if is_serving {
+                interval_us
+            } else {
+                interval_us / 2
+            };
+        let number = self.rng.next_u64();
+        self.lease_requests.push_back(LeaseRequest {
+            number,
+            sent_at: now,
+        });
+        let excess = self.lease_requests.len().saturating_sub(MAX_LEASE_REQUESTS);
+        self.lease_requests.drain(..excess);
+        self.send_to_acceptors(number, &AcceptorRequest::Lease, out);
+    }
+
+    /// Takes an acceptor's grant in answer to the lease request `number`.
+    pub(super) fn record_grant(
+        &mut self,
+        now: u64,
+        from: &str,
+        acceptor: u64,
+        number: u64,
+        grant: LeaseGrant,
+    ) {
+        let request = self.lease_requests.iter().find(|r| r.number == number);
+        let Some(sent_at) = request.map(|request| request.sent_at) else {
+            return;
+        };
+        if let Some(current) = &grant.current {
+            let digest = current.policy.digest;
+            if !self.documents.contains(&digest) {
+                self.fetches.start(now, digest, from);
+            }
+        }
+        self.lease_holder
+            .record_grant(sent_at, now, acceptor, grant);
+        self.invalidate_serving_state();
+        self.accept_chosen_policy();
+    }
+
+    /// Has the local acceptor accept the latest chosen policy if it missed the proposal.
+    fn accept_chosen_policy(&mut self) {
+        let local = self.local_acceptor.as_ref();
+        let Some(local) = local.filter(|local| local.is_active()) else {
+            return;
+        };
+        let accepted = local.acceptor.state().accepted;
+        let accepted_version = accepted.map_or(0, |(_, policy)| policy.version);
+        let Some((ballot, policy)) = self.lease_holder.latest_chosen() else {
+            return;
+        };
+        if policy.version > accepted_version {
+            self.inbox.push_back(Message::Request {
+                number: 0,
+                last_reported: ReportedState::default(),
+                request: AcceptorRequest::Accept(ballot, policy, Vec::new()),
+            });
+        }
+    }
+
+    /// Takes note of an acceptor's incarnation. Once it is a later one, nothing that an earlier one said counts any more.
+    pub(super) fn record_incarnation(&mut self, acceptor: u64, incarnation: u64) {
+        if acceptor >= self.config.keepers.len() as u64 {
+            return;
+        }
+        let known = self.incarnations.entry(acceptor).or_default();
+        if incarnation <= *known {
+            return;
+        }
+        *known = incarnation;
+        self.lease_holder.forget_acceptor(acceptor);
+        for proposal in self.proposals.values_mut() {
+            proposal.proposer.forget_acceptor(acceptor);
+        }
+        self.invalidate_serving_state();
+    }
+
+    /// As an active acceptor: starts a proposal without a policy of its own once the acceptors have diverged for long enough.
+    pub(super) fn recover_interrupted_change(&mut self, now: u64, out: &mut Vec<NodeOutput>) {
+        let local = self.local_acceptor.as_ref();
+        let is_active = local.is_some_and(|local| local.is_active());
+        if !is_active || self.proposes() || !self.lease_holder.acceptors_diverge(now) {
+            self.recovery_at = None;
+            return;
+        }
+        // Drawn in each step, although only the first draw counts.
+        let delay_us = MIN_RECOVERY_DELAY_US + self.rng.next_u64() % MIN_RECOVERY_DELAY_US;
+        let recovery_at = *self.recovery_at.get_or_insert(now + delay_us);
+        if now < recovery_at {
+            return;
+        }
+        self.recovery_at = None;
+        if self.start_proposal(now, None, &[]).is_ok() {
+            out.push(NodeOutput::Log(
+                "policy: finishing what was left half done".into(),
+            ));
+        }
+    }
+}
--- a/crates/policy-consensus/src/proposer.rs
+++ b/crates/policy-consensus/src/proposer.rs
@@ -1,276 +1,227 @@
-//! Who changes the register: first all members that are there look at the policy, then a majority of the keepers promises, then it
-//! accepts. A change is whole or none: what a proposer that stopped left half done the next one finishes, whatever it wanted itself.
+//! A proposer: it changes the register. First all reachable members check the policy, then a majority of the acceptors promises a
+//! ballot, then a majority accepts the policy. Where an earlier proposer left a change incomplete, that one is finished first.
+//!
+//! ```text
+//! Checking -> Preparing -> Accepting -> Done
+//!                 ^            |
+//!                 +------------+  preempted, or another policy had to be finished first
+//! ```
 
-use crate::acceptor::{AcceptorReply, AcceptorRequest};
+use crate::acceptor::{AcceptorIncarnation, AcceptorReply, AcceptorRequest};
 use crate::{majority, Ballot, Policy};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How a change ended, as far as this proposer knows.
+/// How a proposal ended, as far as its proposer knows.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ProposalOutcome {
-    /// It is in force, for good.
+    /// The policy is in force.
     InForce,
-    /// Nothing has changed: who refused it, and why.
+    /// Nothing has changed. With each reason the number of the member that gave it; 0 is the proposer's own member.
     Refused(Vec<(u64, String)>),
-    /// Another change is in force in its place: this one will never be.
+    /// This other policy is in force in its place; the proposed one will never be.
     Lost(Policy),
-    /// Nobody can say yet: keepers that may have it were not heard. Ask again.
+    /// Not known: acceptors that may have accepted it were not heard.
     Open,
 }
 
-/// What is to be sent to all.
+/// What a proposer wants done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ProposerOutput {
-    /// To the members that are there: can they take it?
-    Check(Policy),
-    Keepers(AcceptorRequest),
-    End(ProposalOutcome),
+    /// Ask the members that have not confirmed yet whether they can serve under the policy.
+    CheckMembers(Policy),
+    /// Send a request to all acceptors.
+    SendToAcceptors(AcceptorRequest),
+    /// The proposal has ended.
+    Finished(ProposalOutcome),
+}
+
+/// The fixed parameters of a proposer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct ProposerConfig {
+    /// Differs between all proposers; part of their ballots.
+    pub id: u64,
+    /// The number of acceptors.
+    pub acceptors: usize,
+    /// How long the proposal may take; members have half of it to check the policy.
+    pub timeout_us: u64,
+    /// After how long without a majority a request is repeated.
+    pub retry_interval_us: u64,
+}
+
+/// An acceptor's promise.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct Promise {
+    /// The incarnation of the acceptor that gave it.
+    incarnation: u64,
+    accepted: Option<(Ballot, Policy)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Step {
+enum Phase {
+    /// Members check the policy.
     Checking {
-        yes: BTreeSet<u64>,
-        of: BTreeSet<u64>,
+        confirmed: BTreeSet<u64>,
+        required: BTreeSet<u64>,
     },
-    /// With each promise the life of the keeper that gave it.
+    /// Acceptors promise the ballot; by acceptor index.
     Preparing {
-        promises: BTreeMap<u64, (u64, Option<(Ballot, Policy)>)>,
+        promises: BTreeMap<u64, Promise>,
     },
+    /// Acceptors accept a policy, which is not the proposed one where another has to be finished first.
     Accepting {
-        accepted: BTreeSet<u64>,
-        value: Policy,
-        rests: Vec<(u64, u64)>,
+        accepted_by: BTreeSet<u64>,
+        policy: Policy,
+        promised_by: Vec<AcceptorIncarnation>,
     },
     Done,
 }
 
+/// The state machine of one proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Proposer {
-    keepers: usize,
-    /// None: it only finishes what was begun.
-    wants: Option<Policy>,
+    config: ProposerConfig,
+    /// `None` where it only finishes an interrupted change.
+    proposed: Option<Policy>,
     ballot: Ballot,
-    step: Step,
-    /// When it gives up waiting for members, and when for keepers.
-    checks_till: u64,
-    till: u64,
-    next: u64,
-    again_us: u64,
-    /// A higher ballot was promised: this one gets no further.
-    outrun: bool,
-    tries: u32,
-    /// Some keeper may have accepted what it wants.
-    sent: bool,
-    end: Option<ProposalOutcome>,
+    phase: Phase,
+    /// When it stops waiting for members.
+    check_deadline: u64,
+    /// When it stops waiting for acceptors.
+    deadline: u64,
+    next_retry_at: u64,
+    /// A higher ballot was promised, so this one cannot get a majority any more.
+    is_preempted: bool,
+    /// Ballots that were tried.
+    attempts: u32,
+    /// Some acceptor may have accepted the proposed policy.
+    may_be_accepted: bool,
+    outcome: Option<ProposalOutcome>,
 }
 
 impl Proposer {
-    /// `members`: who has to say that they can take it; `again_us`: after so long without a majority it asks again; `above`: the
-    /// highest ballot that was heard of.
-    #[allow(clippy::too_many_arguments)]
+    /// Starts a proposal at time `now`. `highest_ballot` is the highest ballot number that was heard of; `members` are the numbers of
+    /// those that have to confirm that they can serve under the policy.
     pub fn new(
         now: u64,
-        id: u64,
-        above: u64,
-        wants: Option<Policy>,
+        config: ProposerConfig,
+        highest_ballot: u64,
+        proposed: Option<Policy>,
         members: BTreeSet<u64>,
-        keepers: usize,
-        patience_us: u64,
-        again_us: u64,
     ) -> Proposer {
         Proposer {
-            keepers,
-            step: Step::Checking {
-                yes: BTreeSet::new(),
-                of: members,
-            },
-            wants,
+            proposed,
             ballot: Ballot {
-                number: above,
-                proposer: id,
+                number: highest_ballot,
+                proposer: config.id,
+            },
+            phase: Phase::Checking {
+                confirmed: BTreeSet::new(),
+                required: members,
             },
-            checks_till: now + patience_us / 2,
-            till: now + patience_us,
-            next: now,
-            again_us,
-            outrun: true,
-            tries: 0,
-            sent: false,
-            end: None,
+            check_deadline: now + config.timeout_us / 2,
+            deadline: now + config.timeout_us,
+            next_retry_at: now,
+            is_preempted: true,
+            attempts: 0,
+            may_be_accepted: false,
+            outcome: None,
+            config,
         }
     }
 
-    pub fn end(&self) -> Option<&ProposalOutcome> {
-        self.end.as_ref()
+    /// How it ended; `None` while it is in progress.
+    pub fn outcome(&self) -> Option<&ProposalOutcome> {
+        self.outcome.as_ref()
     }
 
-    pub fn wants(&self) -> Option<&Policy> {
-        self.wants.as_ref()
+    /// The proposed policy; `None` where it only finishes an interrupted change.
+    pub fn proposed_policy(&self) -> Option<&Policy> {
+        self.proposed.as_ref()
     }
 
-    fn ends(&mut self, end: ProposalOutcome, out: &mut Vec<ProposerOutput>) {
-        self.step = Step::Done;
-        self.end = Some(end.clone());
-        out.push(ProposerOutput::End(end));
+    /// The members that confirmed that they can serve under the policy; `None` once the acceptors have been asked.
+    pub fn confirmed_members(&self) -> Option<&BTreeSet<u64>> {
+        match &self.phase {
+            Phase::Checking { confirmed, .. } => Some(confirmed),
+            _ => None,
+        }
     }
 
-    /// A member says whether it can take the policy.
-    pub fn checked(
+    /// Takes a member's answer whether it can serve under the policy.
+    pub fn record_check(
         &mut self,
         member: u64,
-        says: Result<(), String>,
+        result: Result<(), String>,
         out: &mut Vec<ProposerOutput>,
     ) {
-        let Step::Checking { yes, .. } = &mut self.step else {
+        let Phase::Checking { confirmed, .. } = &mut self.phase else {
             return;
         };
-        match says {
-            Ok(()) => drop(yes.insert(member)),
-            Err(why) => self.ends(ProposalOutcome::Refused(vec![(member, why)]), out),
-        }
-    }
-
-    /// Ends it if it is certain that it is nowhere yet. False: keepers may have it.
-    pub fn abort(&mut self, out: &mut Vec<ProposerOutput>) -> bool {
-        let may = !self.sent && self.end.is_none();
-        if may {
-            self.ends(
-                ProposalOutcome::Refused(vec![(0, "it was called off".into())]),
-                out,
-            );
+        match result {
+            Ok(()) => {
+                confirmed.insert(member);
+            }
+            Err(why) => self.finish(ProposalOutcome::Refused(vec![(member, why)]), out),
         }
-        may
     }
 
-    /// Who has said that it can take it; none once that is over.
-    pub fn asked(&self) -> Option<&BTreeSet<u64>> {
-        match &self.step {
-            Step::Checking { yes, .. } => Some(yes),
-            _ => None,
+    /// Drops a member that is not reachable any more: its lease ends before the change takes effect.
+    pub fn remove_member(&mut self, member: u64) {
+        if let Phase::Checking { required, .. } = &mut self.phase {
+            required.remove(&member);
         }
     }
 
-    /// Another keeper has taken the place of this one: what it said so far counts no more.
-    pub fn outlived(&mut self, keeper: u64) {
-        match &mut self.step {
-            Step::Preparing { promises } => drop(promises.remove(&keeper)),
-            Step::Accepting { accepted, .. } => drop(accepted.remove(&keeper)),
-            Step::Checking { .. } | Step::Done => {}
+    /// Forgets what an acceptor said, after a new one has taken its place.
+    pub fn forget_acceptor(&mut self, acceptor: u64) {
+        match &mut self.phase {
+            Phase::Preparing { promises } => {
+                promises.remove(&acceptor);
+            }
+            Phase::Accepting { accepted_by, .. } => {
+                accepted_by.remove(&acceptor);
+            }
+            Phase::Checking { .. } | Phase::Done => {}
         }
     }
 
-    /// A member is not there any more: its lease ends before the change holds.
-    pub fn gone(&mut self, member: u64) {
-        if let Step::Checking { of, .. } = &mut self.step {
-            of.remove(&member);
+    /// Ends the proposal if it is certain that no acceptor has accepted the policy; returns whether it did.
+    pub fn abort(&mut self, out: &mut Vec<ProposerOutput>) -> bool {
+        let can_abort = !self.may_be_accepted && self.outcome.is_none();
+        if can_abort {
+            self.refuse("it was called off", out);
         }
+        can_abort
     }
 
-    fn prepare(&mut self, now: u64, out: &mut Vec<ProposerOutput>) {
-        self.ballot.number += 1;
-        (self.outrun, self.tries) = (false, self.tries + 1);
-        self.step = Step::Preparing {
-            promises: BTreeMap::new(),
-        };
-        self.next = now + self.again_us;
-        out.push(ProposerOutput::Keepers(AcceptorRequest::Prepare(
-            self.ballot,
-        )));
-    }
-
-    /// `life`: of the keeper that answers.
-    pub fn answered(
+    /// Takes an acceptor's reply; `incarnation` is the incarnation of that acceptor.
+    pub fn handle_reply(
         &mut self,
         now: u64,
-        keeper: u64,
-        life: u64,
-        answer: AcceptorReply,
+        acceptor: u64,
+        incarnation: u64,
+        reply: AcceptorReply,
         out: &mut Vec<ProposerOutput>,
     ) {
-        let most = majority(self.keepers);
-        match answer {
+        match reply {
             AcceptorReply::Preempted(higher)
-                if higher > self.ballot && !matches!(self.step, Step::Done) =>
+                if higher > self.ballot && !matches!(self.phase, Phase::Done) =>
             {
-                self.ballot.number = higher.number;
-                // Of two that outrun each other one waits longer than the other, and longer each time.
-                let share = self.again_us / 16 * (1 + self.ballot.proposer % 7);
-                let wait = share << self.tries.min(4);
-                if !std::mem::replace(&mut self.outrun, true) {
-                    self.next = now + wait;
-                }
+                self.back_off(now, higher);
             }
-            AcceptorReply::Promised(ballot, was) if ballot == self.ballot => {
-                let Step::Preparing { promises } = &mut self.step else {
-                    return;
-                };
-                promises.insert(keeper, (life, was));
-                if promises.len() < most {
-                    return;
-                }
-                let rests: Vec<(u64, u64)> = promises
-                    .iter()
-                    .map(|(place, (life, _))| (*place, *life))
-                    .collect();
-                let was = promises
-                    .values()
-                    .filter_map(|(_, was)| *was)
-                    .max_by_key(|(b, _)| *b)
-                    .map(|(_, p)| p);
-                let value = match (was, &self.wants) {
-                    // What follows on what is there; else what is there is finished first.
-                    (was, Some(wants)) if wants.follows(was.as_ref()) => *wants,
-                    (Some(was), _) => was,
-                    (None, _) => {
-                        let why = "no policy is there yet: the first has the version 1";
-                        return self.ends(ProposalOutcome::Refused(vec![(0, why.into())]), out);
-                    }
-                };
-                self.sent |= Some(&value) == self.wants.as_ref();
-                self.step = Step::Accepting {
-                    accepted: BTreeSet::new(),
-                    value,
-                    rests: rests.clone(),
+            AcceptorReply::Promised(ballot, accepted) if ballot == self.ballot => {
+                let promise = Promise {
+                    incarnation,
+                    accepted,
                 };
-                out.push(ProposerOutput::Keepers(AcceptorRequest::Accept(
-                    self.ballot,
-                    value,
-                    rests,
-                )));
+                self.handle_promise(acceptor, promise, out);
             }
             AcceptorReply::Accepted(ballot) if ballot == self.ballot => {
-                let Step::Accepting {
-                    accepted, value, ..
-                } = &mut self.step
-                else {
-                    return;
-                };
-                accepted.insert(keeper);
-                if accepted.len() < most {
-                    return;
-                }
-                let value = *value;
-                match &self.wants {
-                    Some(wants) if *wants == value => self.ends(ProposalOutcome::InForce, out),
-                    // Whatever was there is in force now; ours may follow on it, or never.
-                    Some(wants) if wants.follows(Some(&value)) => self.prepare(now, out),
-                    Some(wants) => {
-                        // Ours may have been accepted unheard, and others may have followed on it.
-                        let end = match value.version.checked_sub(wants.version) {
-                            _ if !self.sent => ProposalOutcome::Lost(value),
-                            Some(0) => ProposalOutcome::Lost(value),
-                            Some(1) if value.parent == wants.digest => ProposalOutcome::InForce,
-                            Some(1) => ProposalOutcome::Lost(value),
-                            _ => ProposalOutcome::Open,
-                        };
-                        self.ends(end, out);
-                    }
-                    None => self.ends(ProposalOutcome::InForce, out),
-                }
+                self.handle_accepted(now, acceptor, out);
+            }
+            AcceptorReply::Busy(remaining_us) => {
+                self.next_retry_at = self.next_retry_at.min(now + remaining_us);
             }
-            // Asked again in time.
-            AcceptorReply::Busy(left) => self.next = self.next.min(now + left),
             AcceptorReply::Preempted(_)
             | AcceptorReply::Promised(..)
             | AcceptorReply::Accepted(_)
@@ -278,56 +229,182 @@
         }
     }
 
+    /// Has the next attempt made with a ballot above `higher`, after a backoff that differs between proposers and grows with each
+    /// attempt, so that two of them do not preempt each other for ever.
+    fn back_off(&mut self, now: u64, higher: Ballot) {
+        self.ballot.number = higher.number;
+        let base_us = self.config.retry_interval_us / 16 * (1 + self.ballot.proposer % 7);
+        let backoff_us = base_us << self.attempts.min(4);
+        if !self.is_preempted {
+            self.is_preempted = true;
+            self.next_retry_at = now + backoff_us;
+        }
+    }
+
+    /// Once a majority has promised the ballot, asks the acceptors to accept a policy.
+    fn handle_promise(&mut self, acceptor: u64, promise: Promise, out: &mut Vec<ProposerOutput>) {
+        let Phase::Preparing { promises } = &mut self.phase else {
+            return;
+        };
+        promises.insert(acceptor, promise);
+        if promises.len() < majority(self.config.acceptors) {
+            return;
+        }
+        let promised_by: Vec<AcceptorIncarnation> = promises
+            .iter()
+            .map(|(acceptor, promise)| AcceptorIncarnation {
+                acceptor: *acceptor,
+                incarnation: promise.incarnation,
+            })
+            .collect();
+        let current = promises
+            .values()
+            .filter_map(|promise| promise.accepted)
+            .max_by_key(|(ballot, _)| *ballot)
+            .map(|(_, policy)| policy);
+        let successor = self
+            .proposed
+            .filter(|proposed| proposed.follows(current.as_ref()));
+        // Where the proposed policy is no successor of the current one, the current one is finished first.
+        let Some(policy) = successor.or(current) else {
+            return self.refuse("no policy is there yet: the first has the version 1", out);
+        };
+        self.may_be_accepted |= Some(policy) == self.proposed;
+        self.phase = Phase::Accepting {
+            accepted_by: BTreeSet::new(),
+            policy,
+            promised_by: promised_by.clone(),
+        };
+        out.push(ProposerOutput::SendToAcceptors(AcceptorRequest::Accept(
+            self.ballot,
+            policy,
+            promised_by,
+        )));
+    }
+
+    /// Once a majority has accepted a policy by the ballot, that policy is chosen.
+    fn handle_accepted(&mut self, now: u64, acceptor: u64, out: &mut Vec<ProposerOutput>) {
+        let Phase::Accepting {
+            accepted_by,
+            policy,
+            ..
+        } = &mut self.phase
+        else {
+            return;
+        };
+        accepted_by.insert(acceptor);
+        if accepted_by.len() < majority(self.config.acceptors) {
+            return;
+        }
+        let chosen = *policy;
+        let Some(proposed) = self.proposed else {
+            return self.finish(ProposalOutcome::InForce, out);
+        };
+        if proposed != chosen && proposed.follows(Some(&chosen)) {
+            // Another policy had to be finished first; now comes the proposed one.
+            return self.prepare(now, out);
+        }
+        let outcome = self.outcome_after(&proposed, &chosen);
+        self.finish(outcome, out);
+    }
+
+    /// What has become of the proposed policy, as far as it shows in the one that was chosen last. The proposed one may have been
+    /// accepted although no reply said so, and others may have followed on it.
+    fn outcome_after(&self, proposed: &Policy, chosen: &Policy) -> ProposalOutcome {
+        if proposed == chosen {
+            return ProposalOutcome::InForce;
+        }
+        if !self.may_be_accepted {
+            return ProposalOutcome::Lost(*chosen);
+        }
+        match chosen.version.checked_sub(proposed.version) {
+            Some(1) if chosen.parent == proposed.digest => ProposalOutcome::InForce,
+            Some(0 | 1) => ProposalOutcome::Lost(*chosen),
+            _ => ProposalOutcome::Open,
+        }
+    }
+
+    /// Does what is due at `now`: the first request of each phase, retries and timeouts.
     pub fn tick(&mut self, now: u64, out: &mut Vec<ProposerOutput>) {
-        match &self.step {
-            Step::Done => return,
-            Step::Checking { yes, of } => {
-                let missing: Vec<u64> = of.difference(yes).copied().collect();
-                if self.wants.is_none() || missing.is_empty() {
-                    return self.prepare(now, out);
-                }
-                if now >= self.checks_till {
-                    let late = |m: u64| {
-                        (
-                            m,
-                            "it did not say in time whether it can take it".to_string(),
-                        )
-                    };
-                    return self.ends(
-                        ProposalOutcome::Refused(missing.into_iter().map(late).collect()),
-                        out,
-                    );
-                }
-                if now >= self.next {
-                    self.next = now + self.again_us;
-                    out.extend(self.wants.map(ProposerOutput::Check));
-                }
-                return;
+        match &self.phase {
+            Phase::Done => {}
+            Phase::Checking {
+                confirmed,
+                required,
+            } => {
+                let missing: Vec<u64> = required.difference(confirmed).copied().collect();
+                self.tick_checking(now, missing, out);
             }
-            Step::Preparing { .. } | Step::Accepting { .. } => {}
+            Phase::Preparing { .. } | Phase::Accepting { .. } => self.tick_acceptors(now, out),
+        }
+    }
+
+    /// While members check: `missing` are those that have not confirmed yet.
+    fn tick_checking(&mut self, now: u64, missing: Vec<u64>, out: &mut Vec<ProposerOutput>) {
+        if self.proposed.is_none() || missing.is_empty() {
+            return self.prepare(now, out);
+        }
+        if now >= self.check_deadline {
+            let why = "it did not say in time whether it can take it";
+            let reasons = missing.into_iter().map(|member| (member, why.to_string()));
+            return self.finish(ProposalOutcome::Refused(reasons.collect()), out);
         }
-        if now >= self.till {
-            // Nobody was asked to accept it: then it is nowhere, and never will be.
-            let end = match self.sent {
-                true => ProposalOutcome::Open,
-                false => ProposalOutcome::Refused(vec![(
-                    0,
-                    "no majority of the keepers was heard".into(),
-                )]),
-            };
-            return self.ends(end, out);
+        if now >= self.next_retry_at {
+            self.next_retry_at = now + self.config.retry_interval_us;
+            out.extend(self.proposed.map(ProposerOutput::CheckMembers));
         }
-        if now >= self.next {
-            // What it asked or what was answered may have been lost.
-            let again = match &self.step {
-                Step::Preparing { .. } if !self.outrun => AcceptorRequest::Prepare(self.ballot),
-                Step::Accepting { value, rests, .. } if !self.outrun => {
-                    AcceptorRequest::Accept(self.ballot, *value, rests.clone())
-                }
-                _ => return self.prepare(now, out),
-            };
-            self.next = now + self.again_us;
-            out.push(ProposerOutput::Keepers(again));
+    }
+
+    /// While acceptors are asked.
+    fn tick_acceptors(&mut self, now: u64, out: &mut Vec<ProposerOutput>) {
+        if now >= self.deadline {
+            if self.may_be_accepted {
+                self.finish(ProposalOutcome::Open, out);
+            } else {
+                self.refuse("no majority of the keepers was heard", out);
+            }
+            return;
+        }
+        if now < self.next_retry_at {
+            return;
         }
+        let request = match &self.phase {
+            Phase::Preparing { .. } if !self.is_preempted => AcceptorRequest::Prepare(self.ballot),
+            Phase::Accepting {
+                policy,
+                promised_by,
+                ..
+            } if !self.is_preempted => {
+                AcceptorRequest::Accept(self.ballot, *policy, promised_by.clone())
+            }
+            _ => return self.prepare(now, out),
+        };
+        self.next_retry_at = now + self.config.retry_interval_us;
+        out.push(ProposerOutput::SendToAcceptors(request));
+    }
+
+    /// Makes an attempt with the next ballot.
+    fn prepare(&mut self, now: u64, out: &mut Vec<ProposerOutput>) {
+        self.ballot.number += 1;
+        self.is_preempted = false;
+        self.attempts += 1;
+        self.phase = Phase::Preparing {
+            promises: BTreeMap::new(),
+        };
+        self.next_retry_at = now + self.config.retry_interval_us;
+        out.push(ProposerOutput::SendToAcceptors(AcceptorRequest::Prepare(
+            self.ballot,
+        )));
+    }
+
+    /// Ends the proposal with nothing changed, for a reason of this member's own.
+    fn refuse(&mut self, why: &str, out: &mut Vec<ProposerOutput>) {
+        self.finish(ProposalOutcome::Refused(vec![(0, why.to_string())]), out);
+    }
+
+    fn finish(&mut self, outcome: ProposalOutcome, out: &mut Vec<ProposerOutput>) {
+        self.phase = Phase::Done;
+        self.outcome = Some(outcome.clone());
+        out.push(ProposerOutput::Finished(outcome));
     }
 }
--- /dev/null
+++ b/crates/policy-consensus/src/state_directory/tests.rs
@@ -0,0 +1,60 @@
+use super::StateDirectory;
+use crate::record::{file_name, AcceptorRecord};
+use std::fs;
+use std::path::PathBuf;
+
+struct TempDirectory(PathBuf);
+
+impl TempDirectory {
+    fn new(name: &str) -> TempDirectory {
+        let path =
+            std::env::temp_dir().join(format!("frosthatch-folder-{}-{name}", std::process::id()));
+        fs::create_dir_all(&path).expect("a folder");
+        TempDirectory(path)
+    }
+}
+
+impl Drop for TempDirectory {
+    fn drop(&mut self) {
+        let _ = fs::remove_dir_all(&self.0);
+    }
+}
+
+#[test]
+fn the_last_states_are_kept_and_only_one_process_may_open_them() {
+    let directory = TempDirectory::new("kept");
+    let states = StateDirectory::open(&directory.0).expect("it opens");
+    assert!(states.read("n1").is_err_and(|e| e.contains("policy init")));
+    states.init("n1", false).expect("it is made");
+    assert!(states
+        .init("n1", false)
+        .is_err_and(|e| e.contains("already")));
+    for state in 2..6 {
+        states
+            .write(&AcceptorRecord {
+                state,
+                ..AcceptorRecord::first("n1")
+            })
+            .expect("it is written");
+    }
+    assert_eq!(states.read("n1").map(|r| r.state), Ok(5));
+    assert_eq!(states.states().expect("it is read"), [4, 5]);
+    assert!(StateDirectory::open(&directory.0).is_err_and(|e| e.contains("another process")));
+    drop(states);
+    // An unfinished write is ignored; a damaged record is an error.
+    fs::write(directory.0.join("new"), b"half").expect("it is written");
+    let states = StateDirectory::open(&directory.0).expect("it opens");
+    assert_eq!(states.read("n1").map(|r| r.state), Ok(5));
+    fs::write(directory.0.join(file_name(5)), b"half").expect("it is written");
+    assert!(states.read("n1").is_err_and(|e| e.contains("not whole")));
+}
+
+#[test]
+fn a_failed_write_is_an_error() {
+    let directory = TempDirectory::new("full");
+    let states = StateDirectory::open(&directory.0).expect("it opens");
+    // A directory in place of the file makes writing fail, as a full disk does.
+    fs::create_dir(directory.0.join("new")).expect("a folder");
+    assert!(states.write(&AcceptorRecord::first("n1")).is_err());
+    assert!(StateDirectory::open(&directory.0.join("nowhere")).is_err());
+}
--- a/crates/policy-consensus/tests/explore.rs
+++ b/crates/policy-consensus/tests/explore.rs
@@ -4,10 +4,12 @@
 #![expect(clippy::semicolon_if_nothing_returned)]
 
 use frosthatch_policy_consensus::acceptor::{
-    Acceptor, AcceptorReply, AcceptorRequest, AcceptorState, LeaseGrant,
+    Acceptor, AcceptorIncarnation, AcceptorReply, AcceptorRequest, AcceptorState, LeaseGrant,
 };
 use frosthatch_policy_consensus::lease_holder::LeaseHolder;
-use frosthatch_policy_consensus::proposer::{ProposalOutcome, Proposer, ProposerOutput};
+use frosthatch_policy_consensus::proposer::{
+    ProposalOutcome, Proposer, ProposerConfig, ProposerOutput,
+};
 use frosthatch_policy_consensus::{LeaseConfig, Policy, PolicyId};
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
@@ -79,13 +81,13 @@
     fn outs(&mut self, p: usize, out: Vec<ProposerOutput>) {
         for o in out {
             match o {
-                ProposerOutput::Check(_) => {}
-                ProposerOutput::Keepers(ask) => {
+                ProposerOutput::CheckMembers(_) => {}
+                ProposerOutput::SendToAcceptors(ask) => {
                     self.letters
                         .extend((0..KEEPERS).map(|k| Letter::ToKeeper(p, k, ask.clone())));
                 }
-                ProposerOutput::End(end) => {
-                    let Some(id) = self.proposers[p].wants().map(Policy::id) else {
+                ProposerOutput::Finished(end) => {
+                    let Some(id) = self.proposers[p].proposed_policy().map(Policy::id) else {
                         continue;
                     };
                     match end {
@@ -130,7 +132,10 @@
 
     fn look(&mut self) {
         let (now, tenants) = (self.now, &mut self.tenants);
-        let all: Vec<PolicyId> = tenants.iter_mut().filter_map(|t| t.holds(now)).collect();
+        let all: Vec<PolicyId> = tenants
+            .iter_mut()
+            .filter_map(|t| t.advance_to_held_policy(now))
+            .collect();
         let high = all
             .iter()
             .map(|id| id.version)
@@ -161,20 +166,17 @@
     /// All gateways hold version 0 by leases of all keepers, and all proposers have begun.
     fn begins(&self) -> State {
         let now = 10 * TICK;
-        let first = AcceptorState::first();
+        let first = AcceptorState::initial();
         let keeper = |k: usize| Some(Acceptor::new(TIMES, k as u64, first.clone(), 0));
         let proposer = |p: u64| {
             let wants = Some(policy(p as u8 + 1));
-            Proposer::new(
-                now,
-                p + 1,
-                0,
-                wants,
-                BTreeSet::new(),
-                KEEPERS,
-                20 * TICK,
-                TICK,
-            )
+            let config = ProposerConfig {
+                id: p + 1,
+                acceptors: KEEPERS,
+                timeout_us: 20 * TICK,
+                retry_interval_us: TICK,
+            };
+            Proposer::new(now, config, 0, wants, BTreeSet::new())
         };
         let mut state = State {
             now,
@@ -193,7 +195,7 @@
         };
         for (t, k) in (0..self.gateways).flat_map(|t| (0..KEEPERS).map(move |k| (t, k))) {
             if let Some(Letter::Leased(_, _, asked, grant)) = state.lease(t, k) {
-                state.tenants[t].granted(asked, now, k as u64, grant);
+                state.tenants[t].record_grant(asked, now, k as u64, grant);
             }
         }
         for p in 0..self.proposers {
@@ -212,9 +214,12 @@
             number: 1,
             proposer: 1,
         };
-        let was = AcceptorState::first().accepted;
-        let rests = vec![(0, 0), (1, 0)];
-        let accept = AcceptorRequest::Accept(ballot, policy(1), rests);
+        let was = AcceptorState::initial().accepted;
+        let promised_by = [(0, 0), (1, 0)].map(|(acceptor, incarnation)| AcceptorIncarnation {
+            acceptor,
+            incarnation,
+        });
+        let accept = AcceptorRequest::Accept(ballot, policy(1), promised_by.to_vec());
         let way = [
             Letter::ToKeeper(0, 0, AcceptorRequest::Prepare(ballot)),
             Letter::ToKeeper(0, 1, AcceptorRequest::Prepare(ballot)),
@@ -288,11 +293,11 @@
                     }
                     Letter::ToProposer(p, k, answer) => {
                         let mut out = Vec::new();
-                        s.proposers[p].answered(s.now, k as u64, 0, answer, &mut out);
+                        s.proposers[p].handle_reply(s.now, k as u64, 0, answer, &mut out);
                         s.outs(p, out);
                     }
                     Letter::Leased(t, k, asked, grant) => {
-                        s.tenants[t].granted(asked, s.now, k as u64, grant)
+                        s.tenants[t].record_grant(asked, s.now, k as u64, grant)
                     }
                 }
             }
--- a/crates/policy-consensus/tests/golden_forms.rs
+++ b/crates/policy-consensus/tests/golden_forms.rs
@@ -1,11 +1,12 @@
-//! Recorded bytes of what members say to each other about policies, and of what is on disk: another version of the program
-//! has to read them. `RECORD=1 cargo test --test golden_forms` records them anew.
+//! Recorded bytes of the messages between members and of the records on disk, which other versions of the program have to be able
+//! to read. `RECORD=1 cargo test --test golden_forms` records them anew.
 
 use frosthatch_policy_consensus::acceptor::{
-    AcceptorReply, AcceptorRequest, AcceptorState, LeaseGrant,
+    AcceptorIncarnation, AcceptorReply, AcceptorRequest, AcceptorState, CurrentPolicyLease,
+    LeaseGrant, PreviousPolicyLease,
 };
 use frosthatch_policy_consensus::document::{hex, sha256};
-use frosthatch_policy_consensus::message::Message;
+use frosthatch_policy_consensus::message::{AcceptorAnswer, Message, ReportedState};
 use frosthatch_policy_consensus::record::{file_name, AcceptorRecord};
 use frosthatch_policy_consensus::{Ballot, Policy};
 use std::fmt::Write;
@@ -37,18 +38,38 @@
     }
 }
 
-fn letters() -> Vec<Message> {
-    let asks = [
+fn incarnation(acceptor: u64, incarnation: u64) -> AcceptorIncarnation {
+    AcceptorIncarnation {
+        acceptor,
+        incarnation,
+    }
+}
+
+fn requests() -> [AcceptorRequest; 4] {
+    let promised_by = vec![incarnation(0, 0), incarnation(1, 900)];
+    [
         AcceptorRequest::Prepare(BALLOT),
         AcceptorRequest::Join(BALLOT, 2),
-        AcceptorRequest::Accept(BALLOT, policy(), vec![(0, 0), (1, 900)]),
+        AcceptorRequest::Accept(BALLOT, policy(), promised_by),
         AcceptorRequest::Lease,
-    ];
+    ]
+}
+
+fn replies() -> [AcceptorReply; 7] {
     let grant = LeaseGrant {
-        before: Some((policy().id(), BALLOT, 250_000)),
-        now: Some((policy(), BALLOT, 250_000, 500_000)),
+        previous: Some(PreviousPolicyLease {
+            id: policy().id(),
+            ballot: BALLOT,
+            remaining_us: 250_000,
+        }),
+        current: Some(CurrentPolicyLease {
+            policy: policy(),
+            ballot: BALLOT,
+            starts_in_us: 250_000,
+            duration_us: 500_000,
+        }),
     };
-    let answers = [
+    [
         AcceptorReply::Promised(BALLOT, None),
         AcceptorReply::Promised(BALLOT, Some((BALLOT, policy()))),
         AcceptorReply::Accepted(BALLOT),
@@ -56,48 +77,57 @@
         AcceptorReply::Busy(123_456),
         AcceptorReply::Lease(LeaseGrant::default()),
         AcceptorReply::Lease(grant),
-    ];
-    let mut all: Vec<Message> = asks
+    ]
+}
+
+fn messages() -> Vec<Message> {
+    let mut messages: Vec<Message> = requests()
         .into_iter()
-        .map(|ask| Message::Ask {
+        .map(|request| Message::Request {
             number: 1_000,
-            seen: (5, 6),
-            ask,
+            last_reported: ReportedState {
+                incarnation: 5,
+                state: 6,
+            },
+            request,
         })
         .collect();
-    all.extend(answers.into_iter().map(|answer| Message::Answer {
-        number: 1_000,
-        state: 53,
-        lives: (8, vec![(1, 9), (2, 300)]),
-        answer,
+    messages.extend(replies().into_iter().map(|reply| {
+        Message::Answer(AcceptorAnswer {
+            number: 1_000,
+            state: 53,
+            incarnation: 8,
+            other_incarnations: vec![incarnation(1, 9), incarnation(2, 300)],
+            reply,
+        })
     }));
-    all.extend([
-        Message::Check {
+    messages.extend([
+        Message::CheckRequest {
             number: 4,
             policy: policy(),
         },
-        Message::checked(4, Ok(())),
-        Message::checked(4, Err("there is no plan \"x\" here".into())),
-        Message::Want {
+        Message::check_reply(4, Ok(())),
+        Message::check_reply(4, Err("there is no plan \"x\" here".into())),
+        Message::PartsRequest {
             digest: sha256("text"),
-            at: vec![0, 800],
+            offsets: vec![0, 800],
         },
         Message::Part {
             digest: sha256("text"),
-            at: 0,
-            of: 4,
+            offset: 0,
+            total_bytes: 4,
             bytes: b"text".to_vec(),
         },
     ]);
-    all
+    messages
 }
 
 #[test]
 fn the_bytes_of_messages_are_those_that_were_recorded() {
     let mut text = String::new();
-    for letter in letters() {
-        writeln!(text, "{} {}", letter.name(), hex(&letter.write())).expect("to memory");
-        assert_eq!(Message::read(&letter.write()), Some(letter));
+    for message in messages() {
+        writeln!(text, "{} {}", message.name(), hex(&message.write())).expect("to memory");
+        assert_eq!(Message::read(&message.write()), Some(message));
     }
     compare_with_recorded("messages.txt", &text);
 }
@@ -113,16 +143,16 @@
         incarnations: [(0, 1), (2, 900)].into(),
         joining: false,
     };
-    let whole = AcceptorRecord {
-        keeper: "n1".into(),
+    let with_document = AcceptorRecord {
+        acceptor: "n1".into(),
         state: 8,
         durable,
-        text: "text".into(),
+        document: "text".into(),
     };
     [
         AcceptorRecord::first("n1"),
         AcceptorRecord::joining("n1"),
-        whole,
+        with_document,
     ]
 }
 
--- a/crates/policy-consensus/tests/promise.rs
+++ b/crates/policy-consensus/tests/promise.rs
@@ -9,7 +9,9 @@
     Acceptor, AcceptorReply, AcceptorRequest, AcceptorState, LeaseGrant,
 };
 use frosthatch_policy_consensus::lease_holder::LeaseHolder;
-use frosthatch_policy_consensus::proposer::{ProposalOutcome, Proposer, ProposerOutput};
+use frosthatch_policy_consensus::proposer::{
+    ProposalOutcome, Proposer, ProposerConfig, ProposerOutput,
+};
 use frosthatch_policy_consensus::{LeaseConfig, Policy, PolicyId};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -130,39 +132,36 @@
 
     fn propose(&mut self, policy: Option<Policy>) -> usize {
         let id = self.proposers.len();
-        let (now, nobody) = (self.now, BTreeSet::new());
-        self.proposers.push(Proposer::new(
-            now,
-            id as u64 + 1,
-            0,
-            policy,
-            nobody,
-            KEEPERS,
-            4_000_000,
-            150_000,
-        ));
+        let config = ProposerConfig {
+            id: id as u64 + 1,
+            acceptors: KEEPERS,
+            timeout_us: 4_000_000,
+            retry_interval_us: 150_000,
+        };
+        let proposer = Proposer::new(self.now, config, 0, policy, BTreeSet::new());
+        self.proposers.push(proposer);
         id
     }
 
     fn outs(&mut self, proposer: usize, out: Vec<ProposerOutput>) {
         for o in out {
             match o {
-                ProposerOutput::Check(_) => {}
-                ProposerOutput::Keepers(ask) => (0..KEEPERS).for_each(|keeper| {
+                ProposerOutput::CheckMembers(_) => {}
+                ProposerOutput::SendToAcceptors(ask) => (0..KEEPERS).for_each(|keeper| {
                     self.post(|| Letter::ToKeeper {
                         proposer,
                         keeper,
                         ask: ask.clone(),
                     });
                 }),
-                ProposerOutput::End(end) => self.ended(proposer, end),
+                ProposerOutput::Finished(end) => self.ended(proposer, end),
             }
         }
     }
 
     /// I3, I4, I5: what one proposer was told.
     fn ended(&mut self, proposer: usize, end: ProposalOutcome) {
-        let Some(wanted) = self.proposers[proposer].wants().cloned() else {
+        let Some(wanted) = self.proposers[proposer].proposed_policy().cloned() else {
             return;
         };
         match end {
@@ -225,7 +224,7 @@
             } => {
                 let mut out = Vec::new();
                 let now = self.now;
-                self.proposers[proposer].answered(now, keeper as u64, 0, answer, &mut out);
+                self.proposers[proposer].handle_reply(now, keeper as u64, 0, answer, &mut out);
                 self.outs(proposer, out);
             }
             Letter::AskLease {
@@ -257,7 +256,7 @@
             } => {
                 if self.lives[tenant] == life && !self.stopped[tenant] {
                     let at = self.clocks[KEEPERS + tenant].at(self.now);
-                    self.tenants[tenant].granted(asked, at, keeper as u64, grant);
+                    self.tenants[tenant].record_grant(asked, at, keeper as u64, grant);
                 }
             }
         }
@@ -271,7 +270,7 @@
                 continue;
             }
             let at = self.clocks[KEEPERS + t].at(self.now);
-            let Some(id) = self.tenants[t].holds(at) else {
+            let Some(id) = self.tenants[t].advance_to_held_policy(at) else {
                 self.without += usize::from(two);
                 continue;
             };
@@ -304,7 +303,7 @@
         }
         for t in 0..TENANTS {
             let at = self.clocks[KEEPERS + t].at(self.now);
-            if !self.stopped[t] && at >= self.asked[t] + self.tenants[t].asks_every_us() {
+            if !self.stopped[t] && at >= self.asked[t] + self.tenants[t].renewal_interval_us() {
                 self.asked[t] = at;
                 let life = self.lives[t];
                 (0..KEEPERS).for_each(|keeper| {
@@ -416,7 +415,7 @@
         w.propose(None);
         w.run(6_000_000);
         let held: Vec<_> = (0..TENANTS)
-            .map(|t| w.tenants[t].holds(w.clocks[KEEPERS + t].at(w.now)))
+            .map(|t| w.tenants[t].advance_to_held_policy(w.clocks[KEEPERS + t].at(w.now)))
             .collect();
         let last = w.in_force.last_key_value().map_or(0, |(v, _)| *v);
         let one = held[0];
