--- a/crates/policy-consensus/tests/promise.rs
+++ b/crates/policy-consensus/tests/promise.rs
@@ -4,7 +4,7 @@
 #![expect(clippy::too_many_lines)]
 
 mod common;
-use common::{Clock, Draw};
+use common::{Clock, SeededRandom};
 use frosthatch_policy_consensus::acceptor::{
     Acceptor, AcceptorReply, AcceptorRequest, AcceptorState, LeaseGrant,
 };
@@ -51,7 +51,7 @@
 
 struct World {
     now: u64,
-    draw: Draw,
+    draw: SeededRandom,
     keepers: Vec<Option<Acceptor>>,
     disks: Vec<AcceptorState>,
     tenants: Vec<LeaseHolder>,
@@ -76,7 +76,7 @@
     fn new(seed: u64, trouble: bool) -> World {
         let mut w = World {
             now: 1_000_000,
-            draw: Draw::new(seed),
+            draw: SeededRandom::new(seed),
             keepers: Vec::new(),
             disks: vec![AcceptorState::default(); KEEPERS],
             tenants: (0..TENANTS)
