--- a/crates/policy-consensus/src/acceptor.rs
+++ b/crates/policy-consensus/src/acceptor.rs
@@ -107,6 +107,24 @@
     pub duration_us: u64,
 }
 
+/// How an acceptor handled a request.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct AcceptorResponse {
+    /// The reply to be sent.
+    pub reply: AcceptorReply,
+    /// Whether the acceptor's state has to be on disk before the reply is sent.
+    pub requires_sync: bool,
+}
+
+impl AcceptorResponse {
+    fn without_sync(reply: AcceptorReply) -> AcceptorResponse {
+        AcceptorResponse {
+            reply,
+            requires_sync: false,
+        }
+    }
+}
+
 /// The state machine of an acceptor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Acceptor {
@@ -138,8 +156,8 @@
         &self.state
     }
 
-    /// Handles a request. Returns the reply, and whether the state has to be on disk before the reply is sent.
-    pub fn handle(&mut self, now: u64, request: AcceptorRequest) -> (AcceptorReply, bool) {
+    /// Handles a request.
+    pub fn handle(&mut self, now: u64, request: AcceptorRequest) -> AcceptorResponse {
         match request {
             AcceptorRequest::Prepare(ballot) if ballot >= self.state.promised => {
                 self.prepare(ballot)
@@ -157,30 +175,41 @@
             }
             AcceptorRequest::Prepare(_)
             | AcceptorRequest::Join(..)
-            | AcceptorRequest::Accept(..) => (AcceptorReply::Preempted(self.state.promised), false),
-            AcceptorRequest::Lease => (AcceptorReply::Lease(self.grant(now)), false),
+            | AcceptorRequest::Accept(..) => {
+                AcceptorResponse::without_sync(AcceptorReply::Preempted(self.state.promised))
+            }
+            AcceptorRequest::Lease => {
+                AcceptorResponse::without_sync(AcceptorReply::Lease(self.grant(now)))
+            }
         }
     }
 
     /// Promises a ballot; again if it is promised already, as the first reply may have been lost.
-    fn prepare(&mut self, ballot: Ballot) -> (AcceptorReply, bool) {
+    fn prepare(&mut self, ballot: Ballot) -> AcceptorResponse {
         let is_new = ballot > self.state.promised;
         self.state.promised = ballot;
-        (AcceptorReply::Promised(ballot, self.state.accepted), is_new)
+        AcceptorResponse {
+            reply: AcceptorReply::Promised(ballot, self.state.accepted),
+            requires_sync: is_new,
+        }
     }
 
-    fn admit_joining(&mut self, ballot: Ballot, joining: u64) -> (AcceptorReply, bool) {
+    fn admit_joining(&mut self, ballot: Ballot, joining: u64) -> AcceptorResponse {
         self.state.promised = ballot;
         self.state.incarnations.insert(joining, ballot.number);
-        (AcceptorReply::Promised(ballot, self.state.accepted), true)
+        AcceptorResponse {
+            reply: AcceptorReply::Promised(ballot, self.state.accepted),
+            requires_sync: true,
+        }
     }
 
-    fn accept(&mut self, now: u64, ballot: Ballot, policy: Policy) -> (AcceptorReply, bool) {
+    fn accept(&mut self, now: u64, ballot: Ballot, policy: Policy) -> AcceptorResponse {
         let accepted = self.state.accepted;
         let is_other_policy = accepted.map(|(_, policy)| policy.id()) != Some(policy.id());
         // Leases on both the previous and the accepted policy may exist: with a third policy no single time would end them all.
         if is_other_policy && accepted.is_some() && now < self.takes_effect_at {
-            return (AcceptorReply::Busy(self.takes_effect_at - now), false);
+            let remaining_us = self.takes_effect_at - now;
+            return AcceptorResponse::without_sync(AcceptorReply::Busy(remaining_us));
         }
         let changes_state = self.state.promised != ballot || accepted != Some((ballot, policy));
         self.state.promised = ballot;
@@ -189,7 +218,10 @@
             self.previous = accepted.map(|(ballot, policy)| (policy.id(), ballot));
             self.takes_effect_at = now + self.config.lease_us;
         }
-        (AcceptorReply::Accepted(ballot), changes_state)
+        AcceptorResponse {
+            reply: AcceptorReply::Accepted(ballot),
+            requires_sync: changes_state,
+        }
     }
 
     /// Whether one of these incarnations is known to have been superseded by a later one.
--- a/crates/policy-consensus/src/acceptor/tests.rs
+++ b/crates/policy-consensus/src/acceptor/tests.rs
@@ -1,5 +1,5 @@
 use super::{
-    Acceptor, AcceptorIncarnation, AcceptorReply, AcceptorRequest, AcceptorState,
+    Acceptor, AcceptorIncarnation, AcceptorReply, AcceptorRequest, AcceptorResponse, AcceptorState,
     CurrentPolicyLease, LeaseGrant, PreviousPolicyLease,
 };
 use crate::test_values::{ballot, policy};
@@ -18,9 +18,19 @@
     AcceptorRequest::Accept(ballot(ballot_number), policy(version), Vec::new())
 }
 
+fn response(reply: AcceptorReply, requires_sync: bool) -> AcceptorResponse {
+    AcceptorResponse {
+        reply,
+        requires_sync,
+    }
+}
+
 fn request_lease(acceptor: &mut Acceptor, now: u64) -> LeaseGrant {
     match acceptor.handle(now, AcceptorRequest::Lease) {
-        (AcceptorReply::Lease(grant), false) => grant,
+        AcceptorResponse {
+            reply: AcceptorReply::Lease(grant),
+            requires_sync: false,
+        } => grant,
         other => panic!("{other:?}"),
     }
 }
@@ -52,17 +62,19 @@
     let mut acceptor = new_acceptor();
     assert_eq!(
         acceptor.handle(0, AcceptorRequest::Prepare(ballot(2))),
-        (AcceptorReply::Promised(ballot(2), None), true)
+        response(AcceptorReply::Promised(ballot(2), None), true)
     );
     assert_eq!(
         acceptor.handle(0, accept_request(1, 1)),
-        (AcceptorReply::Preempted(ballot(2)), false)
+        response(AcceptorReply::Preempted(ballot(2)), false)
     );
     assert_eq!(
         acceptor.handle(0, accept_request(2, 1)),
-        (AcceptorReply::Accepted(ballot(2)), true)
+        response(AcceptorReply::Accepted(ballot(2)), true)
     );
-    let (reply, _) = acceptor.handle(0, AcceptorRequest::Prepare(ballot(3)));
+    let reply = acceptor
+        .handle(0, AcceptorRequest::Prepare(ballot(3)))
+        .reply;
     assert_eq!(
         reply,
         AcceptorReply::Promised(ballot(3), Some((ballot(2), policy(1))))
@@ -111,11 +123,11 @@
     acceptor.handle(5_000, accept_request(2, 2));
     assert_eq!(
         acceptor.handle(5_500, accept_request(3, 3)),
-        (AcceptorReply::Busy(500), false)
+        response(AcceptorReply::Busy(500), false)
     );
     assert_eq!(
         acceptor.handle(6_000, accept_request(3, 3)),
-        (AcceptorReply::Accepted(ballot(3)), true)
+        response(AcceptorReply::Accepted(ballot(3)), true)
     );
     assert_eq!(
         request_lease(&mut acceptor, 6_100).previous,
@@ -127,11 +139,15 @@
 fn what_rests_on_a_promise_of_a_superseded_acceptor_is_not_accepted() {
     let mut acceptor = Acceptor::new(CONFIG, 0, AcceptorState::initial(), 0);
     assert!(matches!(
-        acceptor.handle(0, AcceptorRequest::Join(ballot(5), 2)).0,
+        acceptor
+            .handle(0, AcceptorRequest::Join(ballot(5), 2))
+            .reply,
         AcceptorReply::Promised(..)
     ));
     assert_eq!(
-        acceptor.handle(0, AcceptorRequest::Prepare(ballot(6))).0,
+        acceptor
+            .handle(0, AcceptorRequest::Prepare(ballot(6)))
+            .reply,
         AcceptorReply::Promised(ballot(6), Some((Ballot::default(), Policy::default())))
     );
     let accept = |incarnations: [(u64, u64); 2]| {
@@ -142,21 +158,23 @@
         AcceptorRequest::Accept(ballot(6), policy(1), promised_by.to_vec())
     };
     assert_eq!(
-        acceptor.handle(5_000, accept([(0, 0), (2, 0)])).0,
+        acceptor.handle(5_000, accept([(0, 0), (2, 0)])).reply,
         AcceptorReply::Preempted(ballot(6))
     );
     assert_eq!(
-        acceptor.handle(5_000, accept([(0, 3), (1, 0)])).0,
+        acceptor.handle(5_000, accept([(0, 3), (1, 0)])).reply,
         AcceptorReply::Preempted(ballot(6)),
         "of another life of its own"
     );
     assert_eq!(
-        acceptor.handle(5_000, accept([(0, 0), (2, 5)])).0,
+        acceptor.handle(5_000, accept([(0, 0), (2, 5)])).reply,
         AcceptorReply::Accepted(ballot(6))
     );
     assert!(
         matches!(
-            acceptor.handle(0, AcceptorRequest::Join(ballot(6), 2)).0,
+            acceptor
+                .handle(0, AcceptorRequest::Join(ballot(6), 2))
+                .reply,
             AcceptorReply::Preempted(_)
         ),
         "it has to be above all"
--- a/crates/policy-consensus/src/document_store.rs
+++ b/crates/policy-consensus/src/document_store.rs
@@ -4,6 +4,7 @@
 use crate::digest::sha256;
 use crate::document::MAX_DOCUMENT_BYTES;
 use crate::Digest;
+use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// Length of each part but the last.
@@ -15,6 +16,31 @@
 /// Documents of which only some parts are here.
 const MAX_PARTIAL_DOCUMENTS: usize = 8;
 
+/// A part of a document. The order of fields is the wire format.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct DocumentPart {
+    /// The document's digest.
+    pub digest: Digest,
+    /// Where the part begins, in bytes.
+    pub offset: u32,
+    /// Length of the document.
+    pub total_bytes: u32,
+    /// The part itself.
+    pub bytes: Vec<u8>,
+}
+
+impl DocumentPart {
+    /// Whether a document of this length has a part of this length at this offset.
+    fn is_well_formed(&self) -> bool {
+        let offset = self.offset as usize;
+        let total_bytes = self.total_bytes as usize;
+        offset.is_multiple_of(PART_BYTES)
+            && total_bytes <= MAX_DOCUMENT_BYTES
+            && offset < total_bytes
+            && self.bytes.len() == PART_BYTES.min(total_bytes - offset)
+    }
+}
+
 /// A document of which some parts are missing.
 #[derive(Default)]
 struct PartialDocument {
@@ -96,41 +122,40 @@
             .collect()
     }
 
-    /// The part of a complete document that begins at `offset`: the length of the whole document, and the part's bytes.
-    pub fn read_part(&mut self, digest: &Digest, offset: u32) -> Option<(u32, Vec<u8>)> {
+    /// The part of a complete document that begins at `offset`.
+    pub fn read_part(&mut self, digest: &Digest, offset: u32) -> Option<DocumentPart> {
         let document = self.get(digest)?.as_bytes();
         let start = offset as usize;
-        let part = document.get(start..document.len().min(start + PART_BYTES))?;
-        Some((document.len() as u32, part.to_vec()))
+        let end = document.len().min(start + PART_BYTES);
+        Some(DocumentPart {
+            digest: *digest,
+            offset,
+            total_bytes: document.len() as u32,
+            bytes: document.get(start..end)?.to_vec(),
+        })
     }
 
     /// Takes a part of a document that was requested. Returns whether the document is complete with it and matches its digest; where
     /// it does not match, all of its parts are dropped.
-    pub fn add_part(
-        &mut self,
-        digest: &Digest,
-        offset: u32,
-        total_bytes: u32,
-        bytes: Vec<u8>,
-    ) -> bool {
-        let Some(partial) = self.partial.get_mut(digest) else {
+    pub fn add_part(&mut self, part: DocumentPart) -> bool {
+        let Some(partial) = self.partial.get_mut(&part.digest) else {
             return false;
         };
-        let total_bytes = total_bytes as usize;
-        let fits_before = partial.total_bytes == 0 || partial.total_bytes == total_bytes;
-        if !is_part(offset as usize, total_bytes, bytes.len()) || !fits_before {
+        let total_bytes = part.total_bytes as usize;
+        let fits_other_parts = partial.total_bytes == 0 || partial.total_bytes == total_bytes;
+        if !part.is_well_formed() || !fits_other_parts {
             return false;
         }
         partial.total_bytes = total_bytes;
-        partial.parts.insert(offset, bytes);
+        partial.parts.insert(part.offset, part.bytes);
         if partial.parts.len() < total_bytes.div_ceil(PART_BYTES) {
             return false;
         }
         let parts = std::mem::take(&mut partial.parts);
-        self.partial.remove(digest);
+        self.partial.remove(&part.digest);
         let bytes: Vec<u8> = parts.into_values().flatten().collect();
         match String::from_utf8(bytes) {
-            Ok(text) if sha256(&text) == *digest => {
+            Ok(text) if sha256(&text) == part.digest => {
                 self.insert(&text);
                 true
             }
@@ -139,14 +164,6 @@
     }
 }
 
-/// Whether a document of `total_bytes` has a part of this length at this offset.
-fn is_part(offset: usize, total_bytes: usize, part_bytes: usize) -> bool {
-    offset.is_multiple_of(PART_BYTES)
-        && total_bytes <= MAX_DOCUMENT_BYTES
-        && offset < total_bytes
-        && part_bytes == PART_BYTES.min(total_bytes - offset)
-}
-
 /// Removes the entry with the smallest key.
 fn remove_min_by<T>(entries: &mut BTreeMap<Digest, T>, key: impl Fn(&T) -> u64) {
     let oldest = entries.iter().min_by_key(|(_, entry)| key(entry));
--- a/crates/policy-consensus/src/document_store/tests.rs
+++ b/crates/policy-consensus/src/document_store/tests.rs
@@ -1,4 +1,4 @@
-use super::{DocumentStore, MAX_DOCUMENTS, MAX_PARTIAL_DOCUMENTS, PART_BYTES};
+use super::{DocumentPart, DocumentStore, MAX_DOCUMENTS, MAX_PARTIAL_DOCUMENTS, PART_BYTES};
 
 #[test]
 fn parts_in_any_order_make_a_complete_document() {
@@ -14,8 +14,8 @@
         let mut offsets = receiver.missing_offsets(&digest);
         offsets.reverse();
         for offset in offsets {
-            let (total_bytes, bytes) = sender.read_part(&digest, offset).expect("it is there");
-            is_complete |= receiver.add_part(&digest, offset, total_bytes, bytes);
+            let part = sender.read_part(&digest, offset).expect("it is there");
+            is_complete |= receiver.add_part(part);
         }
     }
     assert!(
@@ -31,7 +31,13 @@
     let mut receiver = DocumentStore::default();
     let digest = sender.insert("version = 1");
     receiver.missing_offsets(&digest);
-    assert!(!receiver.add_part(&digest, 0, 11, b"version = 2".to_vec()));
+    let part = |offset: u32, total_bytes: u32, bytes: &[u8]| DocumentPart {
+        digest,
+        offset,
+        total_bytes,
+        bytes: bytes.to_vec(),
+    };
+    assert!(!receiver.add_part(part(0, 11, b"version = 2")));
     assert!(!receiver.contains(&digest));
     assert_eq!(receiver.missing_offsets(&digest), [0]);
     for (offset, total_bytes, part_bytes) in [
@@ -41,11 +47,11 @@
         (800, 11, 3),
     ] {
         assert!(
-            !receiver.add_part(&digest, offset, total_bytes, vec![b'x'; part_bytes]),
+            !receiver.add_part(part(offset, total_bytes, &vec![b'x'; part_bytes])),
             "{offset} {total_bytes} {part_bytes}"
         );
     }
-    assert!(receiver.add_part(&digest, 0, 11, b"version = 1".to_vec()));
+    assert!(receiver.add_part(part(0, 11, b"version = 1")));
 }
 
 #[test]
--- a/crates/policy-consensus/src/message.rs
+++ b/crates/policy-consensus/src/message.rs
@@ -1,6 +1,7 @@
 //! The messages that members exchange, encoded by postcard. Each fits a datagram; documents are transferred in parts.
 
 use crate::acceptor::{AcceptorIncarnation, AcceptorReply, AcceptorRequest};
+use crate::document_store::DocumentPart;
 use crate::{Digest, Policy};
 use serde::{Deserialize, Serialize};
 
@@ -43,16 +44,7 @@
         offsets: Vec<u32>,
     },
     /// A part of a document.
-    Part {
-        /// The document's digest.
-        digest: Digest,
-        /// Where the part begins, in bytes.
-        offset: u32,
-        /// Length of the whole document.
-        total_bytes: u32,
-        /// The part itself.
-        bytes: Vec<u8>,
-    },
+    Part(DocumentPart),
 }
 
 /// An acceptor's answer to a [`Message::Request`].
@@ -113,7 +105,7 @@
             Message::CheckRequest { .. } => "check",
             Message::CheckReply { .. } => "checked",
             Message::PartsRequest { .. } => "want",
-            Message::Part { .. } => "part",
+            Message::Part(_) => "part",
         }
     }
 
--- a/crates/policy-consensus/src/message/tests.rs
+++ b/crates/policy-consensus/src/message/tests.rs
@@ -3,7 +3,7 @@
     AcceptorIncarnation, AcceptorReply, AcceptorRequest, CurrentPolicyLease, LeaseGrant,
     PreviousPolicyLease,
 };
-use crate::document_store::PART_BYTES;
+use crate::document_store::{DocumentPart, PART_BYTES};
 use crate::{Ballot, Policy};
 use proptest::prelude::{any, prop, prop_assert, proptest};
 
@@ -76,12 +76,12 @@
             digest: [1; 32],
             offsets: vec![u32::MAX; 8],
         },
-        Message::Part {
+        Message::Part(DocumentPart {
             digest: [1; 32],
             offset: u32::MAX,
             total_bytes: u32::MAX,
             bytes: vec![0; PART_BYTES],
-        },
+        }),
     ] {
         let bytes = message.write();
         assert!(bytes.len() <= 860, "{} bytes", bytes.len());
--- /dev/null
+++ b/crates/policy-consensus/src/node/acceptor_requests.rs
@@ -0,0 +1,196 @@
+//! Requests to the member's own acceptor. Replies wait until the state they rest on is on disk.
+
+use super::interface::NodeOutput;
+use super::local_acceptor::{JoinAttempt, LocalAcceptor, PendingReply, PendingWrite};
+use super::member::ConsensusNode;
+use crate::acceptor::{Acceptor, AcceptorRequest, AcceptorState};
+use crate::message::ReportedState;
+use crate::record::AcceptorRecord;
+use crate::Ballot;
+use rand_pcg::rand_core::RngCore;
+use std::collections::BTreeMap;
+
+/// A write that failed is retried after this.
+const WRITE_RETRY_INTERVAL_US: u64 = 1_000_000;
+
+impl ConsensusNode {
+    /// Starts this member's acceptor with the record that was read from its disk. Where it could not be read, the acceptor stays
+    /// disabled.
+    pub fn load_acceptor(&mut self, now: u64, read: Result<AcceptorRecord, String>) {
+        let (durable, state, disabled_reason) = match read {
+            Ok(record) => {
+                self.documents.insert(&record.document);
+                (record.durable, record.state, None)
+            }
+            Err(reason) => (AcceptorState::default(), 0, Some(reason)),
+        };
+        let position = self
+            .config
+            .keepers
+            .iter()
+            .position(|name| *name == self.config.me);
+        let index = position.unwrap_or(usize::MAX) as u64;
+        let join = durable.joining.then(|| JoinAttempt {
+            ballot: Ballot {
+                number: 1,
+                proposer: self.rng.next_u64(),
+            },
+            promises: BTreeMap::new(),
+            retry_at: now,
+        });
+        let acceptor = Acceptor::new(self.config.times, index, durable, now);
+        self.local_acceptor = Some(LocalAcceptor {
+            index,
+            acceptor,
+            state,
+            pending_write: None,
+            join,
+            write_retry_at: None,
+            disabled_reason,
+        });
+    }
+
+    /// The state that this member's acceptor has on disk, or why it does not answer requests; `None` if the member is no acceptor.
+    pub fn keeps(&self) -> Option<Result<u64, String>> {
+        let local = self.local_acceptor.as_ref()?;
+        if let Some(reason) = &local.disabled_reason {
+            return Some(Err(reason.clone()));
+        }
+        if local.write_retry_at.is_some() {
+            return Some(Err(
+                "what it promised cannot be put on disk; it is tried again".into(),
+            ));
+        }
+        if local.join.is_some() {
+            return Some(Err(
+                "it joins in the place of an earlier one, and waits for a majority of the others"
+                    .into(),
+            ));
+        }
+        Some(Ok(local.state))
+    }
+
+    /// Handles a request to this member's acceptor. The answer waits until the state it rests on is on disk.
+    pub(super) fn handle_acceptor_request(
+        &mut self,
+        now: u64,
+        from: &str,
+        number: u64,
+        last_reported: ReportedState,
+        request: AcceptorRequest,
+        out: &mut Vec<NodeOutput>,
+    ) {
+        if let AcceptorRequest::Accept(_, policy, _) = &request {
+            if !self.documents.contains(&policy.digest) {
+                return self.fetches.start(now, policy.digest, from);
+            }
+        }
+        let local = self.local_acceptor.as_mut();
+        let Some(local) = local.filter(|local| local.is_active()) else {
+            return;
+        };
+        let current = ReportedState {
+            incarnation: local.acceptor.state().incarnation,
+            state: local.state,
+        };
+        if last_reported > current {
+            let why = format!(
+                "its folder is at the state {}, and it told of {}: it was put back from a copy",
+                local.state, last_reported.state
+            );
+            out.push(NodeOutput::Log(format!(
+                "policy: keeper-silent why={why:?}"
+            )));
+            local.disabled_reason = Some(why);
+            return;
+        }
+        // What is promised must not be reported before it is on disk; the sender will retry.
+        if local.pending_write.is_some() {
+            return;
+        }
+        let response = local.acceptor.handle(now, request);
+        if !response.requires_sync {
+            let message = local.answer(number, local.state, response.reply);
+            return self.send(from, message, out);
+        }
+        let reply = PendingReply {
+            to: from.into(),
+            message: local.answer(number, local.state + 1, response.reply),
+        };
+        let durable = local.acceptor.state().clone();
+        let accepted = durable.accepted;
+        let digest = accepted
+            .map(|(_, policy)| policy.digest)
+            .unwrap_or_default();
+        let document = self.documents.get(&digest).unwrap_or_default().to_string();
+        let record = local.start_write(&self.config.me, durable, document, Some(reply));
+        out.push(NodeOutput::Store(record));
+    }
+
+    /// Has to be called with the result of each [`NodeOutput::Store`].
+    pub fn record_stored(
+        &mut self,
+        now: u64,
+        result: Result<(), String>,
+        out: &mut Vec<NodeOutput>,
+    ) {
+        match result {
+            Ok(()) => self.finish_write(now, out),
+            Err(reason) => self.schedule_write_retry(now, &reason, out),
+        }
+    }
+
+    fn finish_write(&mut self, now: u64, out: &mut Vec<NodeOutput>) {
+        let Some(local) = &mut self.local_acceptor else {
+            return;
+        };
+        let Some(PendingWrite { record, reply }) = local.pending_write.take() else {
+            return;
+        };
+        local.state = record.state;
+        if local.join.take().is_some() {
+            out.push(NodeOutput::Log(format!(
+                "policy: joined state={}",
+                record.state
+            )));
+            return self.load_acceptor(now, Ok(record));
+        }
+        if local.write_retry_at.take().is_some() {
+            out.push(NodeOutput::Log(format!(
+                "policy: keeper-writes state={}",
+                record.state
+            )));
+        }
+        if let Some(PendingReply { to, message }) = reply {
+            self.send(&to, message, out);
+        }
+        self.process_inbox(now, out);
+    }
+
+    /// Keeps the write pending: whether the record is on disk is not known, so nothing may be answered yet.
+    fn schedule_write_retry(&mut self, now: u64, why: &str, out: &mut Vec<NodeOutput>) {
+        let Some(local) = &mut self.local_acceptor else {
+            return;
+        };
+        let retry_at = now + WRITE_RETRY_INTERVAL_US;
+        if local.write_retry_at.replace(retry_at).is_none() {
+            out.push(NodeOutput::Log(format!(
+                "policy: keeper-cannot-write why={why:?}"
+            )));
+        }
+    }
+
+    /// Repeats a failed write when it is due.
+    pub(super) fn retry_write(&mut self, now: u64, out: &mut Vec<NodeOutput>) {
+        let Some(local) = &mut self.local_acceptor else {
+            return;
+        };
+        if local.write_retry_at.is_none_or(|retry_at| now < retry_at) {
+            return;
+        }
+        local.write_retry_at = Some(u64::MAX);
+        if let Some(write) = &local.pending_write {
+            out.push(NodeOutput::Store(write.record.clone()));
+        }
+    }
+}
--- a/crates/policy-consensus/src/node/dispatch.rs
+++ b/crates/policy-consensus/src/node/dispatch.rs
@@ -1,12 +1,10 @@
 //! Decoding, routing and sending of messages.
 
-use super::fetch::MAX_FETCHES;
-use super::local_acceptor::JOIN_REQUEST_NUMBER;
-use super::{ConsensusNode, NodeOutput};
+use super::interface::NodeOutput;
+use super::join::JOIN_REQUEST_NUMBER;
+use super::member::{CheckSource, ConsensusNode};
 use crate::acceptor::{AcceptorReply, AcceptorRequest};
-use crate::document_store::MAX_PARTS_PER_REQUEST;
 use crate::message::{AcceptorAnswer, Message, ReportedState};
-use crate::{Digest, Policy};
 
 impl ConsensusNode {
     /// Handles a message from the member `from`. What cannot be decoded is ignored.
@@ -61,14 +59,6 @@
         }
     }
 
-    /// Requests parts of the documents that are being fetched.
-    pub(super) fn request_missing_parts(&mut self, now: u64, out: &mut Vec<NodeOutput>) {
-        for (source, digest) in self.fetches.take_due(now) {
-            let offsets = self.documents.missing_offsets(&digest);
-            self.send(&source, Message::PartsRequest { digest, offsets }, out);
-        }
-    }
-
     fn dispatch(&mut self, now: u64, from: &str, message: Message, out: &mut Vec<NodeOutput>) {
         match message {
             Message::Request {
@@ -78,7 +68,11 @@
             } => self.handle_acceptor_request(now, from, number, last_reported, request, out),
             Message::Answer(answer) => self.handle_acceptor_answer(now, from, answer, out),
             Message::CheckRequest { number, policy } => {
-                self.handle_check_request(now, from, number, policy, out);
+                let source = CheckSource {
+                    member: from.into(),
+                    number,
+                };
+                self.handle_check_request(now, source, policy, out);
             }
             Message::CheckReply { number, reason } => {
                 self.handle_check_reply(now, from, number, reason, out);
@@ -86,17 +80,7 @@
             Message::PartsRequest { digest, offsets } => {
                 self.send_parts(from, digest, offsets, out);
             }
-            Message::Part {
-                digest,
-                offset,
-                total_bytes,
-                bytes,
-            } => {
-                let is_complete = self.documents.add_part(&digest, offset, total_bytes, bytes);
-                if is_complete {
-                    self.handle_complete_document(now, &digest, out);
-                }
-            }
+            Message::Part(part) => self.handle_part(now, part, out),
         }
     }
 
@@ -139,25 +123,6 @@
         }
     }
 
-    /// Says whether this member can serve under a policy, at once or when its document is here.
-    fn handle_check_request(
-        &mut self,
-        now: u64,
-        from: &str,
-        number: u64,
-        policy: Policy,
-        out: &mut Vec<NodeOutput>,
-    ) {
-        if let Some(result) = self.validation_of(&policy.id()) {
-            self.send(from, Message::check_reply(number, result), out);
-            return;
-        }
-        self.fetches.start(now, policy.digest, from);
-        if self.pending_checks.len() < MAX_FETCHES {
-            self.pending_checks.insert((from.into(), number), policy);
-        }
-    }
-
     fn handle_check_reply(
         &mut self,
         now: u64,
@@ -180,34 +145,4 @@
             proposer.record_check(index as u64 + 1, result, outputs);
         });
     }
-
-    fn send_parts(
-        &mut self,
-        to: &str,
-        digest: Digest,
-        offsets: Vec<u32>,
-        out: &mut Vec<NodeOutput>,
-    ) {
-        for offset in offsets.into_iter().take(MAX_PARTS_PER_REQUEST) {
-            let Some((total_bytes, bytes)) = self.documents.read_part(&digest, offset) else {
-                continue;
-            };
-            let part = Message::Part {
-                digest,
-                offset,
-                total_bytes,
-                bytes,
-            };
-            self.send(to, part, out);
-        }
-    }
-
-    /// Handles again the checks that waited for a document.
-    fn handle_complete_document(&mut self, now: u64, digest: &Digest, out: &mut Vec<NodeOutput>) {
-        self.fetches.remove(digest);
-        self.invalidate_serving_state();
-        for ((from, number), policy) in std::mem::take(&mut self.pending_checks) {
-            self.handle_check_request(now, &from, number, policy, out);
-        }
-    }
 }
--- a/crates/policy-consensus/src/node/config.rs
+++ b/crates/policy-consensus/src/node/interface.rs
@@ -1,8 +1,8 @@
-//! Configuration of a [`ConsensusNode`](super::ConsensusNode), and what it wants done.
+//! Configuration of a [`ConsensusNode`](super::ConsensusNode), what it wants done, and its serving state.
 
 use crate::document::Document;
 use crate::record::AcceptorRecord;
-use crate::LeaseConfig;
+use crate::{LeaseConfig, PolicyId};
 
 /// What a gateway does when its lease ended because no majority of the acceptors was heard.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -56,3 +56,14 @@
 
 /// Whether this member can serve under a document; the error says why not.
 pub type PolicyValidator = Box<dyn Fn(&Document) -> Result<(), String>>;
+
+/// Whether requests may be admitted now.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ServingState {
+    /// Under this policy; where there is a second one that may be in force as well, under the stricter of both.
+    Under(PolicyId, Option<PolicyId>),
+    /// From this time on, by the leases that are already granted.
+    Pending(u64),
+    /// Not: there is no lease, or this member cannot serve under the policy.
+    Lost,
+}
--- /dev/null
+++ b/crates/policy-consensus/src/node/join.rs
@@ -0,0 +1,72 @@
+//! How the member's own acceptor joins in place of one whose state was lost.
+
+use super::interface::NodeOutput;
+use super::member::ConsensusNode;
+use crate::acceptor::{AcceptorReply, AcceptorRequest, AcceptorState};
+use crate::majority;
+
+/// The number of join requests; numbers of proposals are odd, so it is none of theirs.
+pub(super) const JOIN_REQUEST_NUMBER: u64 = 2;
+
+impl ConsensusNode {
+    /// While this acceptor joins: asks the others again when it is due.
+    pub(super) fn retry_join(&mut self, now: u64, out: &mut Vec<NodeOutput>) {
+        let highest_ballot = self.lease_holder.highest_ballot_number();
+        let Some(local) = &mut self.local_acceptor else {
+            return;
+        };
+        let Some(join) = local.join.as_mut().filter(|join| now >= join.retry_at) else {
+            return;
+        };
+        join.retry_at = now + self.config.again_us;
+        if join.ballot.number <= highest_ballot {
+            join.restart(highest_ballot + 1);
+        }
+        let request = AcceptorRequest::Join(join.ballot, local.index);
+        self.send_to_acceptors(JOIN_REQUEST_NUMBER, &request, out);
+    }
+
+    /// While this acceptor joins: takes another's reply. Once a majority of all acceptors, this one not counted, has promised the
+    /// ballot, this one knows at least what its predecessor accepted, and nothing that rests on a promise of the predecessor can be
+    /// accepted any more.
+    pub(super) fn handle_join_reply(
+        &mut self,
+        now: u64,
+        from: &str,
+        acceptor: u64,
+        reply: AcceptorReply,
+        out: &mut Vec<NodeOutput>,
+    ) {
+        let quorum = majority(self.config.keepers.len());
+        let local = self.local_acceptor.as_mut();
+        let Some(local) = local.filter(|local| local.pending_write.is_none()) else {
+            return;
+        };
+        let Some(join) = &mut local.join else {
+            return;
+        };
+        join.handle_reply(acceptor, reply);
+        if join.promises.len() < quorum {
+            return;
+        }
+        let accepted = join.latest_accepted();
+        let digest = accepted
+            .map(|(_, policy)| policy.digest)
+            .unwrap_or_default();
+        if !self.documents.contains(&digest) {
+            return self.fetches.start(now, digest, from);
+        }
+        let mut other_incarnations = self.incarnations.clone();
+        other_incarnations.remove(&local.index);
+        let durable = AcceptorState {
+            promised: join.ballot,
+            accepted,
+            incarnation: join.ballot.number,
+            incarnations: other_incarnations,
+            joining: false,
+        };
+        let document = self.documents.get(&digest).unwrap_or_default().to_string();
+        let record = local.start_write(&self.config.me, durable, document, None);
+        out.push(NodeOutput::Store(record));
+    }
+}
--- a/crates/policy-consensus/src/node/leases.rs
+++ b/crates/policy-consensus/src/node/leases.rs
@@ -1,7 +1,8 @@
 //! Lease upkeep: requests to the acceptors, their grants and incarnations, and recovery where the grants show that a change was left
 //! incomplete.
 
-use super::{ConsensusNode, NodeOutput, ServingState};
+use super::interface::{NodeOutput, ServingState};
+use super::member::{ConsensusNode, LeaseRequest};
 use crate::acceptor::{AcceptorRequest, LeaseGrant};
 use crate::message::{Message, ReportedState};
 use rand_pcg::rand_core::RngCore;
@@ -12,12 +13,6 @@
 /// two do so at once.
 const MIN_RECOVERY_DELAY_US: u64 = 500_000;
 
-/// A request for leases that went to all acceptors.
-pub(super) struct LeaseRequest {
-    number: u64,
-    sent_at: u64,
-}
-
 impl ConsensusNode {
     /// Requests leases from all acceptors when it is due; twice as often while there is none.
     pub(super) fn renew_leases(&mut self, now: u64, out: &mut Vec<NodeOutput>) {
--- /dev/null
+++ b/crates/policy-consensus/src/node/member.rs
@@ -0,0 +1,129 @@
+//! The state of one member of the consensus.
+
+use super::fetches::DocumentFetches;
+use super::interface::{NodeConfig, NodeOutput, PolicyValidator, ServingState};
+use super::local_acceptor::LocalAcceptor;
+use super::proposal::Proposal;
+use crate::document_store::DocumentStore;
+use crate::lease_holder::LeaseHolder;
+use crate::message::{Message, ReportedState};
+use crate::record::AcceptorRecord;
+use crate::{Digest, Policy, PolicyId};
+use rand_pcg::rand_core::SeedableRng;
+use rand_pcg::Pcg64Mcg;
+use std::collections::{BTreeMap, VecDeque};
+
+/// Policies in the history, and validation results, that are remembered.
+pub(super) const MAX_REMEMBERED_POLICIES: usize = 64;
+
+/// A request for leases that went to all acceptors.
+pub(super) struct LeaseRequest {
+    pub(super) number: u64,
+    pub(super) sent_at: u64,
+}
+
+/// Where a request to check a policy came from.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct CheckSource {
+    pub(super) member: String,
+    /// The number of the proposal.
+    pub(super) number: u64,
+}
+
+/// One member of the consensus; see the [module documentation](super).
+pub struct ConsensusNode {
+    pub(super) config: NodeConfig,
+    pub(super) validator: PolicyValidator,
+    pub(super) rng: Pcg64Mcg,
+    pub(super) lease_holder: LeaseHolder,
+    pub(super) local_acceptor: Option<LocalAcceptor>,
+    pub(super) documents: DocumentStore,
+    pub(super) validations: BTreeMap<Digest, Result<(), String>>,
+    /// The latest lease requests, the oldest first.
+    pub(super) lease_requests: VecDeque<LeaseRequest>,
+    pub(super) next_lease_request_at: u64,
+    /// The latest incarnation and state that each acceptor reported of itself, by acceptor index.
+    pub(super) reported_states: BTreeMap<u64, ReportedState>,
+    /// The highest incarnation that anybody reported, by acceptor index.
+    pub(super) incarnations: BTreeMap<u64, u64>,
+    pub(super) proposals: BTreeMap<u64, Proposal>,
+    pub(super) fetches: DocumentFetches,
+    /// Checks that wait for their document.
+    pub(super) pending_checks: BTreeMap<CheckSource, Policy>,
+    /// Messages of this member to itself.
+    pub(super) inbox: VecDeque<Message>,
+    /// When this acceptor finishes a change that somebody left incomplete.
+    pub(super) recovery_at: Option<u64>,
+    pub(super) serving_state: ServingState,
+    /// Until when `serving_state` holds if nothing is received before.
+    pub(super) serving_state_valid_until: u64,
+    /// The last policy that was held, and the end of the last lease on it.
+    pub(super) last_lease: Option<(PolicyId, u64)>,
+    /// Policies that were held here and since when, the latest last.
+    pub(super) history: VecDeque<(PolicyId, u64)>,
+}
+
+impl ConsensusNode {
+    /// Creates a member at time `now`. `local_record` is what the member's acceptor has on disk, or why it cannot be read; `None` if
+    /// the member is not an acceptor.
+    pub fn new(
+        now: u64,
+        config: NodeConfig,
+        local_record: Option<Result<AcceptorRecord, String>>,
+        validator: PolicyValidator,
+    ) -> ConsensusNode {
+        let mut node = ConsensusNode {
+            rng: Pcg64Mcg::seed_from_u64(config.seed),
+            lease_holder: LeaseHolder::new(config.times, config.keepers.len()),
+            local_acceptor: None,
+            documents: DocumentStore::default(),
+            validator,
+            validations: BTreeMap::new(),
+            lease_requests: VecDeque::new(),
+            next_lease_request_at: 0,
+            reported_states: BTreeMap::new(),
+            incarnations: BTreeMap::new(),
+            proposals: BTreeMap::new(),
+            fetches: DocumentFetches::default(),
+            pending_checks: BTreeMap::new(),
+            inbox: VecDeque::new(),
+            recovery_at: None,
+            serving_state: ServingState::Lost,
+            serving_state_valid_until: 0,
+            last_lease: None,
+            history: VecDeque::new(),
+            config,
+        };
+        if let Some(read) = local_record {
+            node.load_acceptor(now, read);
+        }
+        node
+    }
+
+    /// Does what is due at `now`. `other_members` are all members that are reachable, without this one; they are looked at only while
+    /// a proposal is in progress.
+    pub fn tick(&mut self, now: u64, other_members: &[String], out: &mut Vec<NodeOutput>) {
+        self.retry_write(now, out);
+        self.retry_join(now, out);
+        self.renew_leases(now, out);
+        self.tick_proposals(now, other_members, out);
+        self.recover_interrupted_change(now, out);
+        self.request_missing_parts(now, out);
+        self.process_inbox(now, out);
+    }
+
+    /// The document of a policy, if it is here.
+    pub fn text(&mut self, id: &PolicyId) -> Option<&str> {
+        self.documents.get(&id.digest)
+    }
+
+    /// The last policy that was held, and the end of the last lease on it.
+    pub fn leased_till(&self) -> Option<(PolicyId, u64)> {
+        self.last_lease
+    }
+
+    /// The policies that were held here and since when, the latest last.
+    pub fn history(&self) -> impl Iterator<Item = &(PolicyId, u64)> {
+        self.history.iter()
+    }
+}
--- a/crates/policy-consensus/src/node/serving.rs
+++ b/crates/policy-consensus/src/node/serving.rs
@@ -1,21 +1,11 @@
 //! Whether, and under which policy, this member may admit requests.
 
-use super::{ConsensusNode, LeaseLossPolicy, MAX_REMEMBERED_POLICIES};
+use super::interface::{LeaseLossPolicy, ServingState};
+use super::member::{ConsensusNode, MAX_REMEMBERED_POLICIES};
 use crate::document::Document;
 use crate::{Policy, PolicyId};
 use frosthatch_config_reader::joined;
 
-/// Whether requests may be admitted now.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ServingState {
-    /// Under this policy; where there is a second one that may be in force as well, under the stricter of both.
-    Under(PolicyId, Option<PolicyId>),
-    /// From this time on, by the leases that are already granted.
-    Pending(u64),
-    /// Not: there is no lease, or this member cannot serve under the policy.
-    Lost,
-}
-
 impl ConsensusNode {
     /// Under which policy requests may be admitted at `now`.
     pub fn serving_state(&mut self, now: u64) -> ServingState {
--- a/crates/policy-consensus/src/policy.rs
+++ b/crates/policy-consensus/src/policy.rs
@@ -3,7 +3,7 @@
 use crate::digest::{hex, Digest};
 use serde::{Deserialize, Serialize};
 
-/// A policy as the register holds it; its document is transferred apart, by its digest. Versions grow by one. Version 0 is what each
+/// A policy as the register holds it; its document is transferred separately, by its digest. Versions grow by one. Version 0 is what each
 /// gateway's own files say, and the parent of version 1.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
--- a/crates/policy-consensus/src/proposer.rs
+++ b/crates/policy-consensus/src/proposer.rs
@@ -7,34 +7,14 @@
 //!                 +------------+  preempted, or another policy had to be finished first
 //! ```
 
+mod outcome;
+
+pub use outcome::{ProposalOutcome, ProposerOutput};
+
 use crate::acceptor::{AcceptorIncarnation, AcceptorReply, AcceptorRequest};
 use crate::{majority, Ballot, Policy};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How a proposal ended, as far as its proposer knows.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum ProposalOutcome {
-    /// The policy is in force.
-    InForce,
-    /// Nothing has changed. With each reason the number of the member that gave it; 0 is the proposer's own member.
-    Refused(Vec<(u64, String)>),
-    /// This other policy is in force in its place; the proposed one will never be.
-    Lost(Policy),
-    /// Not known: acceptors that may have accepted it were not heard.
-    Open,
-}
-
-/// What a proposer wants done.
-#[derive(Clone, Debug, PartialEq)]
-pub enum ProposerOutput {
-    /// Ask the members that have not confirmed yet whether they can serve under the policy.
-    CheckMembers(Policy),
-    /// Send a request to all acceptors.
-    SendToAcceptors(AcceptorRequest),
-    /// The proposal has ended.
-    Finished(ProposalOutcome),
-}
-
 /// The fixed parameters of a proposer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ProposerConfig {
@@ -89,7 +69,7 @@
     /// When it stops waiting for acceptors.
     deadline: u64,
     next_retry_at: u64,
-    /// A higher ballot was promised, so this one cannot get a majority any more.
+    /// A higher ballot was promised, so this one cannot get a majority any more; or none was tried yet.
     is_preempted: bool,
     /// Ballots that were tried.
     attempts: u32,
@@ -304,26 +284,10 @@
             // Another policy had to be finished first; now comes the proposed one.
             return self.prepare(now, out);
         }
-        let outcome = self.outcome_after(&proposed, &chosen);
+        let outcome = ProposalOutcome::of(&proposed, &chosen, self.may_be_accepted);
         self.finish(outcome, out);
     }
 
-    /// What has become of the proposed policy, as far as it shows in the one that was chosen last. The proposed one may have been
-    /// accepted although no reply said so, and others may have followed on it.
-    fn outcome_after(&self, proposed: &Policy, chosen: &Policy) -> ProposalOutcome {
-        if proposed == chosen {
-            return ProposalOutcome::InForce;
-        }
-        if !self.may_be_accepted {
-            return ProposalOutcome::Lost(*chosen);
-        }
-        match chosen.version.checked_sub(proposed.version) {
-            Some(1) if chosen.parent == proposed.digest => ProposalOutcome::InForce,
-            Some(0 | 1) => ProposalOutcome::Lost(*chosen),
-            _ => ProposalOutcome::Open,
-        }
-    }
-
     /// Does what is due at `now`: the first request of each phase, retries and timeouts.
     pub fn tick(&mut self, now: u64, out: &mut Vec<ProposerOutput>) {
         match &self.phase {
--- a/crates/policy-consensus/tests/explore/model.rs
+++ b/crates/policy-consensus/tests/explore/model.rs
@@ -148,14 +148,14 @@
             request,
         } => {
             let acceptor = state.acceptors[index].as_mut()?;
-            let (reply, has_to_be_stored) = acceptor.handle(state.now, request);
-            if has_to_be_stored {
+            let response = acceptor.handle(state.now, request);
+            if response.requires_sync {
                 state.disks[index] = acceptor.state().clone();
             }
             state.in_flight.insert(Message::Reply {
                 proposer,
                 acceptor: index,
-                reply,
+                reply: response.reply,
             });
         }
         Message::Reply {
--- a/crates/policy-consensus/tests/explore/state.rs
+++ b/crates/policy-consensus/tests/explore/state.rs
@@ -45,7 +45,7 @@
     pub highest_version: u64,
     pub held: BTreeSet<PolicyId>,
     pub in_force: BTreeMap<u64, PolicyId>,
-    /// Policies whose proposers were told that they will never be in force.
+    /// Policies that were reported to their proposers as never to be in force.
     pub rejected: BTreeSet<PolicyId>,
     /// The first guarantee that was broken.
     pub violation: Option<&'static str>,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// I3, I4, I5: what a proposer was told.
+    /// I3, I4, I5: the outcome that was reported to a proposer.
     fn check_outcome(&mut self, id: PolicyId, outcome: &ProposalOutcome) {
         match outcome {
             ProposalOutcome::InForce => {
@@ -112,7 +112,7 @@
     /// An acceptor's answer to a lease request that a gateway sends now.
     pub fn request_lease(&mut self, gateway: usize, acceptor: usize) -> Option<Message> {
         let running = self.acceptors[acceptor].as_mut()?;
-        let (reply, _) = running.handle(self.now, AcceptorRequest::Lease);
+        let reply = running.handle(self.now, AcceptorRequest::Lease).reply;
         match reply {
             AcceptorReply::Lease(grant) => Some(Message::Grant {
                 gateway,
@@ -149,8 +149,8 @@
             .iter()
             .any(|held| held.version == id.version && *held != id);
         self.check(!is_fork, "I5: two of one version hold");
-        let told_in_force = self.in_force.get(&id.version);
-        let is_other = told_in_force.is_some_and(|in_force| *in_force != id);
+        let reported_in_force = self.in_force.get(&id.version);
+        let is_other = reported_in_force.is_some_and(|in_force| *in_force != id);
         self.check(!is_other, "I4: another holds than was told as in force");
         self.held.insert(id);
     }
--- a/crates/policy-consensus/tests/golden_forms.rs
+++ b/crates/policy-consensus/tests/golden_forms.rs
@@ -6,6 +6,7 @@
     LeaseGrant, PreviousPolicyLease,
 };
 use frosthatch_policy_consensus::document::{hex, sha256};
+use frosthatch_policy_consensus::document_store::DocumentPart;
 use frosthatch_policy_consensus::message::{AcceptorAnswer, Message, ReportedState};
 use frosthatch_policy_consensus::record::{file_name, AcceptorRecord};
 use frosthatch_policy_consensus::{Ballot, Policy};
@@ -112,12 +113,12 @@
             digest: sha256("text"),
             offsets: vec![0, 800],
         },
-        Message::Part {
+        Message::Part(DocumentPart {
             digest: sha256("text"),
             offset: 0,
             total_bytes: 4,
             bytes: b"text".to_vec(),
-        },
+        }),
     ]);
     messages
 }
--- a/crates/policy-consensus/tests/nodes.rs
+++ b/crates/policy-consensus/tests/nodes.rs
@@ -87,7 +87,7 @@
     cluster
 }
 
-/// All members serve under the same policy, and no proposer was told otherwise.
+/// All members serve under the same policy, which agrees with what was reported to the proposers.
 fn check_agreement(seed: u64, cluster: &mut Cluster) {
     let states = cluster.serving_states();
     let in_force = &cluster.observed.in_force;
@@ -110,9 +110,9 @@
         "seed {seed}: I4: {latest} was told as in force, {} is held",
         id.version
     );
-    let told_in_force = in_force.get(&id.version);
+    let reported_in_force = in_force.get(&id.version);
     assert!(
-        told_in_force.is_none_or(|in_force| *in_force == id),
+        reported_in_force.is_none_or(|in_force| *in_force == id),
         "seed {seed}: I4"
     );
 }
@@ -120,7 +120,8 @@
 #[test]
 fn no_schedule_breaks_the_guarantees() {
     let totals = run_schedules(0..120, LeaseLossPolicy::Refuse, 3);
-    let (changes, nowhere) = (totals.in_force, totals.rejected);
+    let changes = totals.in_force;
+    let nowhere = totals.rejected;
     println!("{changes} changes in force, {nowhere} nowhere");
     assert!(
         changes > 300 && nowhere > 300,
--- a/crates/policy-consensus/tests/nodes/invariants.rs
+++ b/crates/policy-consensus/tests/nodes/invariants.rs
@@ -24,9 +24,9 @@
 pub struct Observed {
     pub proposed: BTreeMap<ProposalKey, Proposed>,
     finished: BTreeSet<ProposalKey>,
-    /// Policies whose proposers were told that they are in force, by version.
+    /// Policies that were reported to their proposers as in force, by version.
     pub in_force: BTreeMap<u64, PolicyId>,
-    /// Policies whose proposers were told that they will never be in force.
+    /// Policies that were reported to their proposers as never to be in force.
     pub rejected: BTreeSet<PolicyId>,
     held: BTreeSet<PolicyId>,
     pub highest_version: u64,
--- a/crates/policy-consensus/tests/promise.rs
+++ b/crates/policy-consensus/tests/promise.rs
@@ -39,8 +39,8 @@
         first.map_or(0, |id| id.version) >= latest,
         "seed {seed}: I4: {latest} was in force, {first:?} is held"
     );
-    let told_in_force = first.and_then(|id| in_force.get(&id.version));
-    if let (Some(id), Some(policy)) = (first, told_in_force) {
+    let reported_in_force = first.and_then(|id| in_force.get(&id.version));
+    if let (Some(id), Some(policy)) = (first, reported_in_force) {
         assert_eq!(id, policy.id(), "seed {seed}: I4");
     }
     simulation
--- a/crates/policy-consensus/tests/promise/invariants.rs
+++ b/crates/policy-consensus/tests/promise/invariants.rs
@@ -6,9 +6,9 @@
 
 #[derive(Default)]
 pub struct Observed {
-    /// Policies whose proposers were told that they are in force, by version.
+    /// Policies that were reported to their proposers as in force, by version.
     pub in_force: BTreeMap<u64, Policy>,
-    /// Policies whose proposers were told that they will never be in force.
+    /// Policies that were reported to their proposers as never to be in force.
     pub rejected: BTreeSet<PolicyId>,
     /// The highest version that any gateway held.
     pub highest_version: u64,
@@ -18,7 +18,7 @@
 }
 
 impl Observed {
-    /// I3, I4, I5: what a proposer was told.
+    /// I3, I4, I5: the outcome that was reported to a proposer.
     pub fn check_outcome(&mut self, policy: Policy, outcome: &ProposalOutcome) {
         match outcome {
             ProposalOutcome::InForce => {
--- a/crates/policy-consensus/tests/promise/network.rs
+++ b/crates/policy-consensus/tests/promise/network.rs
@@ -116,8 +116,8 @@
         let Some(acceptor) = &mut self.acceptors[index] else {
             return;
         };
-        let (reply, has_to_be_stored) = acceptor.handle(now, request);
-        if has_to_be_stored {
+        let response = acceptor.handle(now, request);
+        if response.requires_sync {
             self.disks[index] = acceptor.state().clone();
             // It may stop before the reply is sent.
             if self.has_faults && self.random.below(60) == 0 {
@@ -128,7 +128,7 @@
         self.send(&Message::ToProposer {
             proposer,
             acceptor: index,
-            reply,
+            reply: response.reply,
         });
     }
 
@@ -143,7 +143,7 @@
         let Some(acceptor) = &mut self.acceptors[index] else {
             return;
         };
-        let (reply, _) = acceptor.handle(now, AcceptorRequest::Lease);
+        let reply = acceptor.handle(now, AcceptorRequest::Lease).reply;
         if let AcceptorReply::Lease(grant) = reply {
             self.send(&Message::LeaseReply {
                 gateway,
