--- a/crates/policy-consensus/src/acceptor.rs
+++ b/crates/policy-consensus/src/acceptor.rs
@@ -50,10 +50,22 @@
 pub enum AcceptorRequest {
     /// Asks for the promise to accept no ballot below this one.
     Prepare(Ballot),
-    /// The same; and the acceptor of this index is a new one from now on, with the ballot's number as its incarnation.
-    Join(Ballot, u64),
-    /// Asks to accept a policy. The incarnations are those of the acceptors that gave the promises it rests on.
-    Accept(Ballot, Policy, Vec<AcceptorIncarnation>),
+    /// The same; and one acceptor is a new one from now on, with the ballot's number as its incarnation.
+    Join {
+        /// The ballot to promise.
+        ballot: Ballot,
+        /// The index of the acceptor that joins.
+        acceptor: u64,
+    },
+    /// Asks to accept a policy.
+    Accept {
+        /// The ballot by which it is accepted.
+        ballot: Ballot,
+        /// The policy itself.
+        policy: Policy,
+        /// The acceptors that gave the promises on which it rests.
+        promised_by: Vec<AcceptorIncarnation>,
+    },
     /// Asks for a lease.
     Lease,
 }
@@ -163,19 +175,21 @@
                 self.prepare(ballot)
             }
             // The number becomes an incarnation, so it has to be above all others whoever the proposer is.
-            AcceptorRequest::Join(ballot, joining)
-                if ballot.number > self.state.promised.number && joining != self.index =>
+            AcceptorRequest::Join { ballot, acceptor }
+                if ballot.number > self.state.promised.number && acceptor != self.index =>
             {
-                self.admit_joining(ballot, joining)
+                self.admit_joining(ballot, acceptor)
             }
-            AcceptorRequest::Accept(ballot, policy, promised_by)
-                if ballot >= self.state.promised && !self.any_superseded(&promised_by) =>
-            {
+            AcceptorRequest::Accept {
+                ballot,
+                policy,
+                promised_by,
+            } if ballot >= self.state.promised && !self.any_superseded(&promised_by) => {
                 self.accept(now, ballot, policy)
             }
             AcceptorRequest::Prepare(_)
-            | AcceptorRequest::Join(..)
-            | AcceptorRequest::Accept(..) => {
+            | AcceptorRequest::Join { .. }
+            | AcceptorRequest::Accept { .. } => {
                 AcceptorResponse::without_sync(AcceptorReply::Preempted(self.state.promised))
             }
             AcceptorRequest::Lease => {
--- a/crates/policy-consensus/src/acceptor/tests.rs
+++ b/crates/policy-consensus/src/acceptor/tests.rs
@@ -15,7 +15,11 @@
 }
 
 fn accept_request(ballot_number: u64, version: u64) -> AcceptorRequest {
-    AcceptorRequest::Accept(ballot(ballot_number), policy(version), Vec::new())
+    AcceptorRequest::Accept {
+        ballot: ballot(ballot_number),
+        policy: policy(version),
+        promised_by: Vec::new(),
+    }
 }
 
 fn response(reply: AcceptorReply, requires_sync: bool) -> AcceptorResponse {
@@ -140,7 +144,13 @@
     let mut acceptor = Acceptor::new(CONFIG, 0, AcceptorState::initial(), 0);
     assert!(matches!(
         acceptor
-            .handle(0, AcceptorRequest::Join(ballot(5), 2))
+            .handle(
+                0,
+                AcceptorRequest::Join {
+                    ballot: ballot(5),
+                    acceptor: 2
+                }
+            )
             .reply,
         AcceptorReply::Promised(..)
     ));
@@ -155,7 +165,11 @@
             acceptor,
             incarnation,
         });
-        AcceptorRequest::Accept(ballot(6), policy(1), promised_by.to_vec())
+        AcceptorRequest::Accept {
+            ballot: ballot(6),
+            policy: policy(1),
+            promised_by: promised_by.to_vec(),
+        }
     };
     assert_eq!(
         acceptor.handle(5_000, accept([(0, 0), (2, 0)])).reply,
@@ -173,7 +187,13 @@
     assert!(
         matches!(
             acceptor
-                .handle(0, AcceptorRequest::Join(ballot(6), 2))
+                .handle(
+                    0,
+                    AcceptorRequest::Join {
+                        ballot: ballot(6),
+                        acceptor: 2
+                    }
+                )
                 .reply,
             AcceptorReply::Preempted(_)
         ),
--- a/crates/policy-consensus/src/message.rs
+++ b/crates/policy-consensus/src/message.rs
@@ -91,8 +91,8 @@
         match self {
             Message::Request { request, .. } => match request {
                 AcceptorRequest::Prepare(_) => "prepare",
-                AcceptorRequest::Join(..) => "join",
-                AcceptorRequest::Accept(..) => "accept",
+                AcceptorRequest::Join { .. } => "join",
+                AcceptorRequest::Accept { .. } => "accept",
                 AcceptorRequest::Lease => "lease",
             },
             Message::Answer(answer) => match answer.reply {
--- a/crates/policy-consensus/src/message/tests.rs
+++ b/crates/policy-consensus/src/message/tests.rs
@@ -63,11 +63,11 @@
                 incarnation: u64::MAX,
                 state: u64::MAX,
             },
-            request: AcceptorRequest::Accept(
-                LONGEST_BALLOT,
-                LONGEST_POLICY,
-                longest_incarnations(),
-            ),
+            request: AcceptorRequest::Accept {
+                ballot: LONGEST_BALLOT,
+                policy: LONGEST_POLICY,
+                promised_by: longest_incarnations(),
+            },
         },
         longest_answer(AcceptorReply::Lease(longest_grant())),
         longest_answer(AcceptorReply::Promised(LONGEST_BALLOT, accepted)),
--- a/crates/policy-consensus/src/node/acceptor_requests.rs
+++ b/crates/policy-consensus/src/node/acceptor_requests.rs
@@ -80,7 +80,7 @@
         request: AcceptorRequest,
         out: &mut Vec<NodeOutput>,
     ) {
-        if let AcceptorRequest::Accept(_, policy, _) = &request {
+        if let AcceptorRequest::Accept { policy, .. } = &request {
             if !self.documents.contains(&policy.digest) {
                 return self.fetches.start(now, policy.digest, from);
             }
--- a/crates/policy-consensus/src/node/join.rs
+++ b/crates/policy-consensus/src/node/join.rs
@@ -22,7 +22,10 @@
         if join.ballot.number <= highest_ballot {
             join.restart(highest_ballot + 1);
         }
-        let request = AcceptorRequest::Join(join.ballot, local.index);
+        let request = AcceptorRequest::Join {
+            ballot: join.ballot,
+            acceptor: local.index,
+        };
         self.send_to_acceptors(JOIN_REQUEST_NUMBER, &request, out);
     }
 
--- a/crates/policy-consensus/src/node/leases.rs
+++ b/crates/policy-consensus/src/node/leases.rs
@@ -77,7 +77,11 @@
             self.inbox.push_back(Message::Request {
                 number: 0,
                 last_reported: ReportedState::default(),
-                request: AcceptorRequest::Accept(ballot, policy, Vec::new()),
+                request: AcceptorRequest::Accept {
+                    ballot,
+                    policy,
+                    promised_by: Vec::new(),
+                },
             });
         }
     }
--- a/crates/policy-consensus/src/proposer.rs
+++ b/crates/policy-consensus/src/proposer.rs
@@ -255,11 +255,11 @@
             policy,
             promised_by: promised_by.clone(),
         };
-        out.push(ProposerOutput::SendToAcceptors(AcceptorRequest::Accept(
-            self.ballot,
+        out.push(ProposerOutput::SendToAcceptors(AcceptorRequest::Accept {
+            ballot: self.ballot,
             policy,
             promised_by,
-        )));
+        }));
     }
 
     /// Once a majority has accepted a policy by the ballot, that policy is chosen.
@@ -338,9 +338,11 @@
                 policy,
                 promised_by,
                 ..
-            } if !self.is_preempted => {
-                AcceptorRequest::Accept(self.ballot, *policy, promised_by.clone())
-            }
+            } if !self.is_preempted => AcceptorRequest::Accept {
+                ballot: self.ballot,
+                policy: *policy,
+                promised_by: promised_by.clone(),
+            },
             _ => return self.prepare(now, out),
         };
         self.next_retry_at = now + self.config.retry_interval_us;
--- a/crates/policy-consensus/tests/explore/model.rs
+++ b/crates/policy-consensus/tests/explore/model.rs
@@ -118,7 +118,11 @@
     });
     let prepare = AcceptorRequest::Prepare(ballot);
     let promised = AcceptorReply::Promised(ballot, AcceptorState::initial().accepted);
-    let accept = AcceptorRequest::Accept(ballot, policy(1), promised_by.to_vec());
+    let accept = AcceptorRequest::Accept {
+        ballot,
+        policy: policy(1),
+        promised_by: promised_by.to_vec(),
+    };
     let to_acceptor = |acceptor: usize, request: &AcceptorRequest| Message::Request {
         proposer: 0,
         acceptor,
--- a/crates/policy-consensus/tests/golden_forms.rs
+++ b/crates/policy-consensus/tests/golden_forms.rs
@@ -50,8 +50,15 @@
     let promised_by = vec![incarnation(0, 0), incarnation(1, 900)];
     [
         AcceptorRequest::Prepare(BALLOT),
-        AcceptorRequest::Join(BALLOT, 2),
-        AcceptorRequest::Accept(BALLOT, policy(), promised_by),
+        AcceptorRequest::Join {
+            ballot: BALLOT,
+            acceptor: 2,
+        },
+        AcceptorRequest::Accept {
+            ballot: BALLOT,
+            policy: policy(),
+            promised_by,
+        },
         AcceptorRequest::Lease,
     ]
 }
--- a/crates/policy-consensus/tests/nodes/cluster.rs
+++ b/crates/policy-consensus/tests/nodes/cluster.rs
@@ -184,7 +184,11 @@
                     let done_at = self.now + self.random.below(30_000);
                     self.members[n].pending_write = Some(PendingWrite { done_at, record });
                 }
-                NodeOutput::Log(line) => self.print(n, &line),
+                NodeOutput::Log(line) => {
+                    if is_verbose() {
+                        eprintln!("{:.2} n{n} {line}", self.now as f64 / 1e6);
+                    }
+                }
             }
         }
         let member = &self.members[n];
@@ -215,7 +219,8 @@
         }
     }
 
-    pub fn print(&self, n: usize, what: &str) {
+    /// Prints a fault, if the test is verbose.
+    pub fn print_fault(&self, n: usize, what: &str) {
         if is_verbose() {
             eprintln!("{:.2} n{n} {what}", self.now as f64 / 1e6);
         }
--- a/crates/policy-consensus/tests/nodes/faults.rs
+++ b/crates/policy-consensus/tests/nodes/faults.rs
@@ -1,6 +1,8 @@
 //! Random faults and proposals.
 
-use crate::cluster::{document, member_name, Cluster, MEMBERS, REFUSED_BY_ALL, REFUSED_BY_LAST};
+use crate::cluster::{
+    document, is_verbose, member_name, Cluster, MEMBERS, REFUSED_BY_ALL, REFUSED_BY_LAST,
+};
 use crate::invariants::{ProposalKey, Proposed};
 use frosthatch_policy_consensus::document::sha256;
 use frosthatch_policy_consensus::record::AcceptorRecord;
@@ -41,7 +43,7 @@
     /// The directory of the fragile acceptor is lost for good, and a new acceptor joins in its place.
     pub fn lose_directory(&mut self) {
         let n = self.fragile;
-        self.print(n, "its folder is lost");
+        self.print_fault(n, "its folder is lost");
         self.kill(n);
         let member = &mut self.members[n];
         let is_joining = member
@@ -69,7 +71,7 @@
         // An old copy of the same incarnation would be noticed only by members that remember what it reported.
         let is_superseded = disk.durable.incarnation > backup.durable.incarnation;
         if disk.durable.joining || is_superseded {
-            self.print(n, "its folder is put back");
+            self.print_fault(n, "its folder is put back");
             self.kill(n);
             let member = &mut self.members[n];
             member.disk = Some(backup);
@@ -133,7 +135,9 @@
                 self.observed.proposed.insert(key, Proposed { id, worth });
             }
             Err(why) => {
-                self.print(n, &format!("not begun: {why}"));
+                if is_verbose() {
+                    eprintln!("{:.2} n{n} not begun: {why}", self.now as f64 / 1e6);
+                }
                 self.observed.rejected.insert(id);
             }
         }
