--- a/crates/frosthatch/src/operator_config/policy.rs
+++ b/crates/frosthatch/src/operator_config/policy.rs
@@ -97,11 +97,11 @@
     let grace = table.millis(reader, "grace_ms", 0..=86_400_000, Duration::from_secs(10));
     let choices = ["refuse", "stricter", "serve"];
     match table.choice(reader, "on_lost", &choices, "refuse") {
-        "stricter" => LeaseLossPolicy::Stricter,
-        "serve" => LeaseLossPolicy::Serve {
+        "stricter" => LeaseLossPolicy::ServeStricter,
+        "serve" => LeaseLossPolicy::ServeDuringGrace {
             grace_us: grace.as_micros() as u64,
         },
-        _ => LeaseLossPolicy::Refuse,
+        _ => LeaseLossPolicy::Reject,
     }
 }
 
--- a/crates/frosthatch/src/policy/service.rs
+++ b/crates/frosthatch/src/policy/service.rs
@@ -161,7 +161,7 @@
     /// Loads the acceptor's state from its directory; what is wrong with it is logged and kept by the node.
     fn load_acceptor(&self, path: &Path) {
         let loaded = StateDirectory::open(path).and_then(|directory| {
-            let loaded = directory.read(&self.node_config.me);
+            let loaded = directory.read(&self.node_config.name);
             self.state_directory.replace(Some(directory));
             loaded
         });
@@ -206,7 +206,7 @@
 
     fn tick(&self, outputs: &mut Vec<NodeOutput>) {
         log_audit_transition(self.audit.borrow_mut().as_mut().and_then(Audit::flush));
-        let is_proposing = self.node.borrow().proposes();
+        let is_proposing = self.node.borrow().has_active_proposal();
         let others = if is_proposing {
             self.other_members()
         } else {
@@ -235,7 +235,7 @@
                     self.crash_points.reach("store");
                     if let Some(directory) = &*self.state_directory.borrow() {
                         // The writing thread lives as long as this service.
-                        let _ = self.disk_writes.send((directory.attached(), record));
+                        let _ = self.disk_writes.send((directory.another_handle(), record));
                     }
                 }
                 NodeOutput::Log(line) => {
@@ -258,7 +258,7 @@
             });
         }
         let mut node = self.node.borrow_mut();
-        let document = Document::read("policy", node.text(id)?).ok()?;
+        let document = Document::read("policy", node.document(id)?).ok()?;
         policy_terms(&self.settings, &self.plugin_digests.borrow(), &document).ok()
     }
 
@@ -307,7 +307,7 @@
     /// The document of the policy that is served under; `None` for version 0.
     pub fn document(&self) -> Option<String> {
         let current = self.served.get().current;
-        self.node.borrow_mut().text(&current).map(String::from)
+        self.node.borrow_mut().document(&current).map(String::from)
     }
 
     /// The status for the admin API.
@@ -317,8 +317,8 @@
             &mut self.node.borrow_mut(),
             now_us,
             self.served.get().current,
-            &self.node_config.me,
-            &self.node_config.keepers,
+            &self.node_config.name,
+            &self.node_config.acceptors,
             &self.member,
         )
     }
@@ -355,13 +355,13 @@
         if Some(state) == self.notified_state.get() {
             return;
         }
-        let is_admitting = if let ServingState::Under(current, also) = state {
+        let is_admitting = if let ServingState::Serving(current, also) = state {
             let policies = ServedPolicies { current, also };
             self.served.get() == policies || self.switch_to(policies, events)
         } else {
             false
         };
-        if state == ServingState::Lost && self.notified_state.get().is_some() {
+        if state == ServingState::NotServing && self.notified_state.get().is_some() {
             log_line!("policy: lost version={}", self.served.get().current.short());
         }
         self.notified_state.set(Some(state));
@@ -396,15 +396,15 @@
 
 fn node_config(config: &PolicyConfig, me: String, seed: u64) -> NodeConfig {
     NodeConfig {
-        me,
-        keepers: config.acceptors.clone(),
-        times: LeaseConfig {
+        name: me,
+        acceptors: config.acceptors.clone(),
+        lease_config: LeaseConfig {
             lease_us: config.lease.as_micros() as u64,
             drift: config.clock_drift_permille,
         },
-        patience_us: config.proposal_timeout.as_micros() as u64,
-        again_us: RETRY_AFTER_US,
-        on_lost: config.lease_loss_policy,
+        proposal_timeout_us: config.proposal_timeout.as_micros() as u64,
+        retry_interval_us: RETRY_AFTER_US,
+        lease_loss_policy: config.lease_loss_policy,
         seed,
     }
 }
--- a/crates/frosthatch/src/policy/status.rs
+++ b/crates/frosthatch/src/policy/status.rs
@@ -84,7 +84,7 @@
 ) -> PolicyStatus {
     let serving_state = node.serving_state(now_us);
     let lease_us = node
-        .leased_till()
+        .last_lease()
         .map_or(0, |(_, until_us)| until_us.saturating_sub(now_us));
     PolicyStatus {
         me: me.to_string(),
@@ -93,7 +93,7 @@
         state: state_name(serving_state, lease_us).into(),
         lease_ms: lease_us / 1_000,
         acceptors: acceptors.to_vec(),
-        acceptor_state: node.keeps().map(|state| match state {
+        acceptor_state: node.acceptor_status().map(|state| match state {
             Ok(number) => format!("state {number}"),
             Err(why) => why,
         }),
@@ -112,11 +112,11 @@
 
 fn state_name(state: ServingState, lease_us: u64) -> &'static str {
     match state {
-        ServingState::Under(_, None) if lease_us > 0 => "in force",
-        ServingState::Under(_, None) => "grace",
-        ServingState::Under(..) => "stricter",
+        ServingState::Serving(_, None) if lease_us > 0 => "in force",
+        ServingState::Serving(_, None) => "grace",
+        ServingState::Serving(..) => "stricter",
         ServingState::Pending(_) => "turning",
-        ServingState::Lost => "refusing",
+        ServingState::NotServing => "refusing",
     }
 }
 
@@ -135,24 +135,24 @@
 
 impl ProposalReport {
     fn new(proposal: ProposalStatus) -> ProposalReport {
-        let mut reasons = proposal.why;
-        let state = match &proposal.end {
+        let mut reasons = proposal.refusals;
+        let state = match &proposal.outcome {
             None => "open",
             Some(ProposalOutcome::InForce) => "in force",
-            Some(ProposalOutcome::Refused(_)) => "refused",
-            Some(ProposalOutcome::Lost(other)) => {
+            Some(ProposalOutcome::Rejected(_)) => "refused",
+            Some(ProposalOutcome::Superseded(other)) => {
                 let why = format!("version {} is in force in its place", other.id().short());
                 reasons.push((String::new(), why));
                 "lost"
             }
-            Some(ProposalOutcome::Open) => "not known",
+            Some(ProposalOutcome::Unknown) => "not known",
         };
         ProposalReport {
             number: proposal.number,
             version: proposal.policy.version,
             digest: hex(&proposal.policy.digest),
             state: state.into(),
-            took_ms: proposal.took_us / 1_000,
+            took_ms: proposal.elapsed_us / 1_000,
             reasons,
         }
     }
--- a/crates/frosthatch/tests/policy.rs
+++ b/crates/frosthatch/tests/policy.rs
@@ -4,7 +4,7 @@
 use frosthatch_lab::rig::agreed::{self, document, Agreed};
 use frosthatch_lab::rig::{fleet_file, Act, Process, Relay, Stage};
 use frosthatch_lab::site::Node;
-use frosthatch_policy_consensus::record::{state_of, AcceptorRecord};
+use frosthatch_policy_consensus::record::{parse_file_name, AcceptorRecord};
 use frosthatch_policy_consensus::state_directory::StateDirectory;
 use frosthatch_test_doubles::{config_file, ok, target, Client, ClientRequest, Discovery, Server};
 use std::net::SocketAddr;
@@ -27,8 +27,8 @@
 /// The version that the latest record in an acceptor's folder has accepted.
 fn accepted_on_disk(folder: &Path) -> Option<u64> {
     let names = std::fs::read_dir(folder).ok()?.flatten();
-    let records =
-        names.filter_map(|entry| Some((state_of(entry.file_name().to_str()?)?, entry.path())));
+    let records = names
+        .filter_map(|entry| Some((parse_file_name(entry.file_name().to_str()?)?, entry.path())));
     let (_, latest) = records.max()?;
     let record = AcceptorRecord::read(&std::fs::read(latest).ok()?).ok()?;
     Some(record.durable.accepted?.1.version)
--- a/crates/lab/src/policy_size.rs
+++ b/crates/lab/src/policy_size.rs
@@ -45,18 +45,18 @@
     fn new(seed: u64) -> World {
         let node = |n: usize| {
             let plan = NodeConfig {
-                me: name(n),
-                keepers: (0..KEEPERS).map(name).collect(),
-                times: LeaseConfig {
+                name: name(n),
+                acceptors: (0..KEEPERS).map(name).collect(),
+                lease_config: LeaseConfig {
                     lease_us: LEASE_US,
                     drift: 10,
                 },
-                patience_us: 10 * S,
-                again_us: 150_000,
-                on_lost: LeaseLossPolicy::Refuse,
+                proposal_timeout_us: 10 * S,
+                retry_interval_us: 150_000,
+                lease_loss_policy: LeaseLossPolicy::Reject,
                 seed: seed ^ n as u64,
             };
-            let own = (n < KEEPERS).then(|| Ok(AcceptorRecord::first(&name(n))));
+            let own = (n < KEEPERS).then(|| Ok(AcceptorRecord::initial(&name(n))));
             ConsensusNode::new(0, plan, own, Box::new(|_| Ok(())))
         };
         World {
@@ -129,7 +129,7 @@
     /// Those that hold this version now.
     fn hold(&mut self, version: u64) -> usize {
         let now = self.now;
-        let of = |n: &mut ConsensusNode| matches!(n.serving_state(now), ServingState::Under(id, None) if id.version == version);
+        let of = |n: &mut ConsensusNode| matches!(n.serving_state(now), ServingState::Serving(id, None) if id.version == version);
         self.nodes
             .iter_mut()
             .filter_map(|n| of(n).then_some(()))
@@ -188,7 +188,7 @@
             let end = w.nodes[by]
                 .proposals()
                 .find(|p| p.number == number)
-                .and_then(|p| p.end);
+                .and_then(|p| p.outcome);
             if end.is_some() {
                 told.get_or_insert(w.now - from);
             }
--- a/crates/policy-consensus/src/node/acceptor_requests.rs
+++ b/crates/policy-consensus/src/node/acceptor_requests.rs
@@ -26,9 +26,9 @@
         };
         let position = self
             .config
-            .keepers
+            .acceptors
             .iter()
-            .position(|name| *name == self.config.me);
+            .position(|name| *name == self.config.name);
         let index = position.unwrap_or(usize::MAX) as u64;
         let join = durable.joining.then(|| JoinAttempt {
             ballot: Ballot {
@@ -38,7 +38,7 @@
             promises: BTreeMap::new(),
             retry_at: now,
         });
-        let acceptor = Acceptor::new(self.config.times, index, durable, now);
+        let acceptor = Acceptor::new(self.config.lease_config, index, durable, now);
         self.local_acceptor = Some(LocalAcceptor {
             index,
             acceptor,
@@ -51,7 +51,7 @@
     }
 
     /// The state that this member's acceptor has on disk, or why it does not answer requests; `None` if the member is no acceptor.
-    pub fn keeps(&self) -> Option<Result<u64, String>> {
+    pub fn acceptor_status(&self) -> Option<Result<u64, String>> {
         let local = self.local_acceptor.as_ref()?;
         if let Some(reason) = &local.disabled_reason {
             return Some(Err(reason.clone()));
@@ -123,7 +123,7 @@
             .map(|(_, policy)| policy.digest)
             .unwrap_or_default();
         let document = self.documents.get(&digest).unwrap_or_default().to_string();
-        let record = local.start_write(&self.config.me, durable, document, Some(reply));
+        let record = local.start_write(&self.config.name, durable, document, Some(reply));
         out.push(NodeOutput::Store(record));
     }
 
--- a/crates/policy-consensus/src/node/dispatch.rs
+++ b/crates/policy-consensus/src/node/dispatch.rs
@@ -24,14 +24,14 @@
     /// Handles the messages of this member to itself, and those that they cause.
     pub(super) fn process_inbox(&mut self, now: u64, out: &mut Vec<NodeOutput>) {
         while let Some(message) = self.inbox.pop_front() {
-            let me = self.config.me.clone();
+            let me = self.config.name.clone();
             self.dispatch(now, &me, message, out);
         }
     }
 
     /// Sends a message to a member, which may be this one.
     pub(super) fn send(&mut self, to: &str, message: Message, out: &mut Vec<NodeOutput>) {
-        if to == self.config.me {
+        if to == self.config.name {
             self.inbox.push_back(message);
         } else {
             out.push(NodeOutput::Send {
@@ -48,7 +48,7 @@
         request: &AcceptorRequest,
         out: &mut Vec<NodeOutput>,
     ) {
-        for (index, name) in (0..).zip(self.config.keepers.clone()) {
+        for (index, name) in (0..).zip(self.config.acceptors.clone()) {
             let last_reported = self.reported_states.get(&index).copied();
             let message = Message::Request {
                 number,
@@ -91,7 +91,7 @@
         answer: AcceptorAnswer,
         out: &mut Vec<NodeOutput>,
     ) {
-        let position = self.config.keepers.iter().position(|name| name == from);
+        let position = self.config.acceptors.iter().position(|name| name == from);
         let Some(acceptor) = position.map(|index| index as u64) else {
             return;
         };
--- a/crates/policy-consensus/src/node/interface.rs
+++ b/crates/policy-consensus/src/node/interface.rs
@@ -8,11 +8,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LeaseLossPolicy {
     /// It rejects requests.
-    Refuse,
+    Reject,
     /// If it knows of a policy that may have replaced its own, it serves under the stricter of both; otherwise it rejects requests.
-    Stricter,
+    ServeStricter,
     /// It goes on serving for a limited time.
-    Serve {
+    ServeDuringGrace {
         /// How long, counted from the end of the lease.
         grace_us: u64,
     },
@@ -22,17 +22,17 @@
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
     /// The member's own name.
-    pub me: String,
+    pub name: String,
     /// The names of the acceptors, in the same order at every member.
-    pub keepers: Vec<String>,
+    pub acceptors: Vec<String>,
     /// Duration of leases and bound on clock drift.
-    pub times: LeaseConfig,
+    pub lease_config: LeaseConfig,
     /// How long a proposal may take.
-    pub patience_us: u64,
+    pub proposal_timeout_us: u64,
     /// After how long without a majority a phase of a proposal is retried.
-    pub again_us: u64,
+    pub retry_interval_us: u64,
     /// What to do when a lease cannot be renewed.
-    pub on_lost: LeaseLossPolicy,
+    pub lease_loss_policy: LeaseLossPolicy,
     /// Seed of the random numbers; has to differ between members and between starts of one member.
     pub seed: u64,
 }
@@ -61,9 +61,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServingState {
     /// Under this policy; where there is a second one that may be in force as well, under the stricter of both.
-    Under(PolicyId, Option<PolicyId>),
+    Serving(PolicyId, Option<PolicyId>),
     /// From this time on, by the leases that are already granted.
     Pending(u64),
     /// Not: there is no lease, or this member cannot serve under the policy.
-    Lost,
+    NotServing,
 }
--- a/crates/policy-consensus/src/node/join.rs
+++ b/crates/policy-consensus/src/node/join.rs
@@ -18,7 +18,7 @@
         let Some(join) = local.join.as_mut().filter(|join| now >= join.retry_at) else {
             return;
         };
-        join.retry_at = now + self.config.again_us;
+        join.retry_at = now + self.config.retry_interval_us;
         if join.ballot.number <= highest_ballot {
             join.restart(highest_ballot + 1);
         }
@@ -40,7 +40,7 @@
         reply: AcceptorReply,
         out: &mut Vec<NodeOutput>,
     ) {
-        let quorum = majority(self.config.keepers.len());
+        let quorum = majority(self.config.acceptors.len());
         let local = self.local_acceptor.as_mut();
         let Some(local) = local.filter(|local| local.pending_write.is_none()) else {
             return;
@@ -69,7 +69,7 @@
             joining: false,
         };
         let document = self.documents.get(&digest).unwrap_or_default().to_string();
-        let record = local.start_write(&self.config.me, durable, document, None);
+        let record = local.start_write(&self.config.name, durable, document, None);
         out.push(NodeOutput::Store(record));
     }
 }
--- a/crates/policy-consensus/src/node/leases.rs
+++ b/crates/policy-consensus/src/node/leases.rs
@@ -20,7 +20,7 @@
             return;
         }
         let interval_us = self.lease_holder.renewal_interval_us();
-        let is_serving = matches!(self.serving_state(now), ServingState::Under(..));
+        let is_serving = matches!(self.serving_state(now), ServingState::Serving(..));
         self.next_lease_request_at = now
             + if is_serving {
                 interval_us
@@ -88,7 +88,7 @@
 
     /// Takes note of an acceptor's incarnation. Once it is a later one, nothing that an earlier one said counts any more.
     pub(super) fn record_incarnation(&mut self, acceptor: u64, incarnation: u64) {
-        if acceptor >= self.config.keepers.len() as u64 {
+        if acceptor >= self.config.acceptors.len() as u64 {
             return;
         }
         let known = self.incarnations.entry(acceptor).or_default();
@@ -107,7 +107,7 @@
     pub(super) fn recover_interrupted_change(&mut self, now: u64, out: &mut Vec<NodeOutput>) {
         let local = self.local_acceptor.as_ref();
         let is_active = local.is_some_and(|local| local.is_active());
-        if !is_active || self.proposes() || !self.lease_holder.acceptors_diverge(now) {
+        if !is_active || self.has_active_proposal() || !self.lease_holder.acceptors_diverge(now) {
             self.recovery_at = None;
             return;
         }
--- a/crates/policy-consensus/src/node/member.rs
+++ b/crates/policy-consensus/src/node/member.rs
@@ -74,7 +74,7 @@
     ) -> ConsensusNode {
         let mut node = ConsensusNode {
             rng: Pcg64Mcg::seed_from_u64(config.seed),
-            lease_holder: LeaseHolder::new(config.times, config.keepers.len()),
+            lease_holder: LeaseHolder::new(config.lease_config, config.acceptors.len()),
             local_acceptor: None,
             documents: DocumentStore::default(),
             validator,
@@ -88,7 +88,7 @@
             pending_checks: BTreeMap::new(),
             inbox: VecDeque::new(),
             recovery_at: None,
-            serving_state: ServingState::Lost,
+            serving_state: ServingState::NotServing,
             serving_state_valid_until: 0,
             last_lease: None,
             history: VecDeque::new(),
@@ -113,12 +113,12 @@
     }
 
     /// The document of a policy, if it is here.
-    pub fn text(&mut self, id: &PolicyId) -> Option<&str> {
+    pub fn document(&mut self, id: &PolicyId) -> Option<&str> {
         self.documents.get(&id.digest)
     }
 
     /// The last policy that was held, and the end of the last lease on it.
-    pub fn leased_till(&self) -> Option<(PolicyId, u64)> {
+    pub fn last_lease(&self) -> Option<(PolicyId, u64)> {
         self.last_lease
     }
 
--- a/crates/policy-consensus/src/node/proposal.rs
+++ b/crates/policy-consensus/src/node/proposal.rs
@@ -34,7 +34,7 @@
     pub(super) fn status(&self, number: u64, own_name: &str) -> Option<ProposalStatus> {
         let end = self.proposer.outcome().cloned();
         let why = match &end {
-            Some(ProposalOutcome::Refused(reasons)) => reasons
+            Some(ProposalOutcome::Rejected(reasons)) => reasons
                 .iter()
                 .map(|(member, why)| (self.member_name(*member, own_name).into(), why.clone()))
                 .collect(),
@@ -48,9 +48,9 @@
         Some(ProposalStatus {
             number,
             policy: self.policy?,
-            took_us: until.saturating_sub(self.started_at),
-            end,
-            why,
+            elapsed_us: until.saturating_sub(self.started_at),
+            outcome: end,
+            refusals: why,
         })
     }
 }
@@ -63,11 +63,11 @@
     /// The proposed policy.
     pub policy: Policy,
     /// How long it took; of no meaning while it is in progress.
-    pub took_us: u64,
+    pub elapsed_us: u64,
     /// How it ended; `None` while it is in progress.
-    pub end: Option<ProposalOutcome>,
+    pub outcome: Option<ProposalOutcome>,
     /// Where it was refused: the members that refused it, and why.
-    pub why: Vec<(String, String)>,
+    pub refusals: Vec<(String, String)>,
 }
 
 /// How a proposal of `policy` ended, as it is logged.
@@ -75,10 +75,10 @@
     let proposed = policy.id().short();
     match outcome {
         ProposalOutcome::InForce => format!("in-force version={proposed}"),
-        ProposalOutcome::Refused(why) => format!("refused version={proposed} why={why:?}"),
-        ProposalOutcome::Lost(winner) => {
+        ProposalOutcome::Rejected(why) => format!("refused version={proposed} why={why:?}"),
+        ProposalOutcome::Superseded(winner) => {
             format!("lost version={proposed} to={}", winner.id().short())
         }
-        ProposalOutcome::Open => format!("open version={proposed}"),
+        ProposalOutcome::Unknown => format!("open version={proposed}"),
     }
 }
--- a/crates/policy-consensus/src/node/proposals.rs
+++ b/crates/policy-consensus/src/node/proposals.rs
@@ -19,14 +19,14 @@
 impl ConsensusNode {
     /// The proposals that were started here and are still remembered.
     pub fn proposals(&self) -> impl Iterator<Item = ProposalStatus> + '_ {
-        let own_name = &self.config.me;
+        let own_name = &self.config.name;
         self.proposals
             .iter()
             .filter_map(move |(number, proposal)| proposal.status(*number, own_name))
     }
 
     /// Whether a proposal is in progress here.
-    pub fn proposes(&self) -> bool {
+    pub fn has_active_proposal(&self) -> bool {
         self.proposals.values().any(Proposal::is_active)
     }
 
@@ -86,9 +86,9 @@
         let member_numbers: BTreeSet<u64> = (1..=members.len() as u64).collect();
         let config = ProposerConfig {
             id: number,
-            acceptors: self.config.keepers.len(),
-            timeout_us: self.config.patience_us,
-            retry_interval_us: self.config.again_us,
+            acceptors: self.config.acceptors.len(),
+            timeout_us: self.config.proposal_timeout_us,
+            retry_interval_us: self.config.retry_interval_us,
         };
         let highest_ballot = self.lease_holder.highest_ballot_number();
         let proposer = Proposer::new(now, config, highest_ballot, policy, member_numbers);
--- a/crates/policy-consensus/src/node/serving.rs
+++ b/crates/policy-consensus/src/node/serving.rs
@@ -53,9 +53,9 @@
             self.history.drain(..excess);
         }
         if can_serve {
-            ServingState::Under(id, None)
+            ServingState::Serving(id, None)
         } else {
-            ServingState::Lost
+            ServingState::NotServing
         }
     }
 
@@ -67,7 +67,7 @@
             .last_lease
             .filter(|(last, _)| last.version >= highest_held_version);
         let Some((last, lease_end)) = last_lease else {
-            return (ServingState::Lost, next_change);
+            return (ServingState::NotServing, next_change);
         };
         let newest = self
             .lease_holder
@@ -76,15 +76,15 @@
             .filter(|id| id.version > last.version)
             .max();
         let successor = newest.filter(|id| self.can_serve_under(id));
-        match (self.config.on_lost, successor) {
-            (LeaseLossPolicy::Stricter, Some(_)) => {
-                (ServingState::Under(last, successor), next_change)
+        match (self.config.lease_loss_policy, successor) {
+            (LeaseLossPolicy::ServeStricter, Some(_)) => {
+                (ServingState::Serving(last, successor), next_change)
             }
-            (LeaseLossPolicy::Serve { grace_us }, _) if now < lease_end + grace_us => {
+            (LeaseLossPolicy::ServeDuringGrace { grace_us }, _) if now < lease_end + grace_us => {
                 let valid_until = next_change.min(lease_end + grace_us);
-                (ServingState::Under(last, successor), valid_until)
+                (ServingState::Serving(last, successor), valid_until)
             }
-            _ => (ServingState::Lost, next_change),
+            _ => (ServingState::NotServing, next_change),
         }
     }
 
--- a/crates/policy-consensus/src/proposer.rs
+++ b/crates/policy-consensus/src/proposer.rs
@@ -141,7 +141,7 @@
             Ok(()) => {
                 confirmed.insert(member);
             }
-            Err(why) => self.finish(ProposalOutcome::Refused(vec![(member, why)]), out),
+            Err(why) => self.finish(ProposalOutcome::Rejected(vec![(member, why)]), out),
         }
     }
 
@@ -311,7 +311,7 @@
         if now >= self.check_deadline {
             let why = "it did not say in time whether it can take it";
             let reasons = missing.into_iter().map(|member| (member, why.to_string()));
-            return self.finish(ProposalOutcome::Refused(reasons.collect()), out);
+            return self.finish(ProposalOutcome::Rejected(reasons.collect()), out);
         }
         if now >= self.next_retry_at {
             self.next_retry_at = now + self.config.retry_interval_us;
@@ -323,7 +323,7 @@
     fn tick_acceptors(&mut self, now: u64, out: &mut Vec<ProposerOutput>) {
         if now >= self.deadline {
             if self.may_be_accepted {
-                self.finish(ProposalOutcome::Open, out);
+                self.finish(ProposalOutcome::Unknown, out);
             } else {
                 self.refuse("no majority of the keepers was heard", out);
             }
@@ -365,7 +365,7 @@
 
     /// Ends the proposal with nothing changed, for a reason of this member's own.
     fn refuse(&mut self, why: &str, out: &mut Vec<ProposerOutput>) {
-        self.finish(ProposalOutcome::Refused(vec![(0, why.to_string())]), out);
+        self.finish(ProposalOutcome::Rejected(vec![(0, why.to_string())]), out);
     }
 
     fn finish(&mut self, outcome: ProposalOutcome, out: &mut Vec<ProposerOutput>) {
--- a/crates/policy-consensus/src/proposer/outcome.rs
+++ b/crates/policy-consensus/src/proposer/outcome.rs
@@ -9,11 +9,11 @@
     /// The policy is in force.
     InForce,
     /// Nothing has changed. With each reason the number of the member that gave it; 0 is the proposer's own member.
-    Refused(Vec<(u64, String)>),
+    Rejected(Vec<(u64, String)>),
     /// This other policy is in force in its place; the proposed one will never be.
-    Lost(Policy),
+    Superseded(Policy),
     /// Not known: acceptors that may have accepted it were not heard.
-    Open,
+    Unknown,
 }
 
 impl ProposalOutcome {
@@ -24,12 +24,12 @@
             return ProposalOutcome::InForce;
         }
         if !may_be_accepted {
-            return ProposalOutcome::Lost(*chosen);
+            return ProposalOutcome::Superseded(*chosen);
         }
         match chosen.version.checked_sub(proposed.version) {
             Some(1) if chosen.parent == proposed.digest => ProposalOutcome::InForce,
-            Some(0 | 1) => ProposalOutcome::Lost(*chosen),
-            _ => ProposalOutcome::Open,
+            Some(0 | 1) => ProposalOutcome::Superseded(*chosen),
+            _ => ProposalOutcome::Unknown,
         }
     }
 }
--- a/crates/policy-consensus/src/record.rs
+++ b/crates/policy-consensus/src/record.rs
@@ -91,7 +91,7 @@
 
 impl AcceptorRecord {
     /// The first record of a new acceptor.
-    pub fn first(acceptor: &str) -> AcceptorRecord {
+    pub fn initial(acceptor: &str) -> AcceptorRecord {
         AcceptorRecord {
             acceptor: acceptor.into(),
             state: 1,
@@ -167,7 +167,7 @@
 }
 
 /// The state in a file's name; `None` for files that hold no state.
-pub fn state_of(name: &str) -> Option<u64> {
+pub fn parse_file_name(name: &str) -> Option<u64> {
     let digits = name.strip_prefix("keeper-").filter(|d| d.len() == 20)?;
     digits.parse().ok()
 }
--- a/crates/policy-consensus/src/record/tests.rs
+++ b/crates/policy-consensus/src/record/tests.rs
@@ -1,6 +1,6 @@
 use super::{
-    file_name, read_latest, state_of, AcceptorRecord, RecordError, RecordFile, CHECKSUM_BYTES,
-    HEADER_BYTES, MAGIC,
+    file_name, parse_file_name, read_latest, AcceptorRecord, RecordError, RecordFile,
+    CHECKSUM_BYTES, HEADER_BYTES, MAGIC,
 };
 use crate::acceptor::AcceptorState;
 use crate::digest::sha256;
@@ -42,11 +42,11 @@
 fn the_latest_record_is_read() {
     let files = [7, 8].map(|state| file(state, record(state).write()));
     assert_eq!(read_latest("n1", &files), Ok(record(8)));
-    assert_eq!(state_of(&file_name(8)), Some(8));
-    assert_eq!(state_of("keeper-8.new"), None);
+    assert_eq!(parse_file_name(&file_name(8)), Some(8));
+    assert_eq!(parse_file_name("keeper-8.new"), None);
     assert_eq!(
-        AcceptorRecord::read(&AcceptorRecord::first("n1").write()),
-        Ok(AcceptorRecord::first("n1"))
+        AcceptorRecord::read(&AcceptorRecord::initial("n1").write()),
+        Ok(AcceptorRecord::initial("n1"))
     );
 }
 
--- a/crates/policy-consensus/src/state_directory.rs
+++ b/crates/policy-consensus/src/state_directory.rs
@@ -2,7 +2,8 @@
 //! [`record`](crate::record).
 
 use crate::record::{
-    file_name, read_latest, state_of, AcceptorRecord, RecordFile, MAX_FILE_BYTES, MAX_KEPT_STATES,
+    file_name, parse_file_name, read_latest, AcceptorRecord, RecordFile, MAX_FILE_BYTES,
+    MAX_KEPT_STATES,
 };
 use std::fmt::Display;
 use std::fs::{self, File, TryLockError};
@@ -37,7 +38,7 @@
     }
 
     /// Another handle of the same directory, for a thread of the process that holds the lock.
-    pub fn attached(&self) -> StateDirectory {
+    pub fn another_handle(&self) -> StateDirectory {
         StateDirectory {
             path: self.path.clone(),
             _lock: None,
@@ -66,7 +67,7 @@
         let first = if replaces {
             AcceptorRecord::joining(acceptor)
         } else {
-            AcceptorRecord::first(acceptor)
+            AcceptorRecord::initial(acceptor)
         };
         self.write(&first).map_err(|e| error_at(&self.path, e))
     }
@@ -100,7 +101,7 @@
     fn states(&self) -> IoResult<Vec<u64>> {
         let mut states = Vec::new();
         for entry in fs::read_dir(&self.path)? {
-            states.extend(entry?.file_name().to_str().and_then(state_of));
+            states.extend(entry?.file_name().to_str().and_then(parse_file_name));
         }
         states.sort_unstable();
         Ok(states)
--- a/crates/policy-consensus/src/state_directory/tests.rs
+++ b/crates/policy-consensus/src/state_directory/tests.rs
@@ -33,7 +33,7 @@
         states
             .write(&AcceptorRecord {
                 state,
-                ..AcceptorRecord::first("n1")
+                ..AcceptorRecord::initial("n1")
             })
             .expect("it is written");
     }
@@ -55,6 +55,6 @@
     let states = StateDirectory::open(&directory.0).expect("it opens");
     // A directory in place of the file makes writing fail, as a full disk does.
     fs::create_dir(directory.0.join("new")).expect("a folder");
-    assert!(states.write(&AcceptorRecord::first("n1")).is_err());
+    assert!(states.write(&AcceptorRecord::initial("n1")).is_err());
     assert!(StateDirectory::open(&directory.0.join("nowhere")).is_err());
 }
--- a/crates/policy-consensus/tests/explore/state.rs
+++ b/crates/policy-consensus/tests/explore/state.rs
@@ -96,7 +96,7 @@
                     "I3: one that was told to be nowhere is in force",
                 );
             }
-            ProposalOutcome::Refused(_) | ProposalOutcome::Lost(_) => {
+            ProposalOutcome::Rejected(_) | ProposalOutcome::Superseded(_) => {
                 let is_in_force = self.in_force.values().any(|in_force| *in_force == id);
                 let is_held = self.held.contains(&id);
                 self.check(
@@ -105,7 +105,7 @@
                 );
                 self.rejected.insert(id);
             }
-            ProposalOutcome::Open => {}
+            ProposalOutcome::Unknown => {}
         }
     }
 
--- a/crates/policy-consensus/tests/golden_forms.rs
+++ b/crates/policy-consensus/tests/golden_forms.rs
@@ -158,7 +158,7 @@
         document: "text".into(),
     };
     [
-        AcceptorRecord::first("n1"),
+        AcceptorRecord::initial("n1"),
         AcceptorRecord::joining("n1"),
         with_document,
     ]
--- a/crates/policy-consensus/tests/nodes.rs
+++ b/crates/policy-consensus/tests/nodes.rs
@@ -92,14 +92,14 @@
     let states = cluster.serving_states();
     let in_force = &cluster.observed.in_force;
     let latest = in_force.last_key_value().map_or(0, |(version, _)| *version);
-    let ServingState::Under(id, None) = states[0] else {
+    let ServingState::Serving(id, None) = states[0] else {
         panic!("seed {seed}: {states:?}")
     };
     // The last member may have been unreachable when a policy was checked that it cannot serve under: then it rejects requests.
     let is_refused_by_last = cluster.observed.is_refused_by_last(&id);
     let is_as_expected = |(n, state): (usize, &ServingState)| {
         *state == states[0]
-            || is_refused_by_last && n == MEMBERS - 1 && *state == ServingState::Lost
+            || is_refused_by_last && n == MEMBERS - 1 && *state == ServingState::NotServing
     };
     assert!(
         states.iter().enumerate().all(is_as_expected),
@@ -119,7 +119,7 @@
 
 #[test]
 fn no_schedule_breaks_the_guarantees() {
-    let totals = run_schedules(0..120, LeaseLossPolicy::Refuse, 3);
+    let totals = run_schedules(0..120, LeaseLossPolicy::Reject, 3);
     let changes = totals.in_force;
     let nowhere = totals.rejected;
     println!("{changes} changes in force, {nowhere} nowhere");
@@ -131,14 +131,14 @@
 
 #[test]
 fn serving_under_the_stricter_policy_without_a_lease_keeps_the_guarantees() {
-    let totals = run_schedules(1_000..1_030, LeaseLossPolicy::Stricter, 3);
+    let totals = run_schedules(1_000..1_030, LeaseLossPolicy::ServeStricter, 3);
     let changes = totals.in_force;
     assert!(changes > 60, "{changes}");
 }
 
 #[test]
 fn losing_and_restoring_a_directory_again_and_again_keeps_the_guarantees() {
-    let totals = run_schedules(2_000..2_120, LeaseLossPolicy::Refuse, 1);
+    let totals = run_schedules(2_000..2_120, LeaseLossPolicy::Reject, 1);
     let changes = totals.in_force;
     assert!(changes > 200, "{changes}");
 }
@@ -146,7 +146,7 @@
 /// One of three acceptors is down, and there are ten changes: no member is without a lease except while a change takes effect.
 #[test]
 fn an_acceptor_that_is_down_costs_nothing_and_catches_up_when_it_is_back() {
-    let mut cluster = Cluster::new(3, LeaseLossPolicy::Refuse);
+    let mut cluster = Cluster::new(3, LeaseLossPolicy::Reject);
     cluster.has_faults = false;
     cluster.run(2_000_000);
     cluster.kill(1);
@@ -183,7 +183,7 @@
 /// A change that one member cannot serve under is refused with that member's name, and has no effect.
 #[test]
 fn a_member_that_refuses_a_change_is_named() {
-    let mut cluster = Cluster::new(4, LeaseLossPolicy::Refuse);
+    let mut cluster = Cluster::new(4, LeaseLossPolicy::Reject);
     cluster.has_faults = false;
     cluster.run(2_000_000);
     let now = cluster.local_time(1);
@@ -202,7 +202,7 @@
         .find(|proposal| proposal.number == number)
         .expect("it is known");
     assert_eq!(
-        proposal.why,
+        proposal.refusals,
         [("n4".to_string(), "I do not take it".to_string())]
     );
     assert_eq!(cluster.observed.highest_version, 0);
--- a/crates/policy-consensus/tests/nodes/cluster.rs
+++ b/crates/policy-consensus/tests/nodes/cluster.rs
@@ -127,7 +127,7 @@
             let clock = cluster.random.clock();
             cluster.members.push(Member {
                 node: None,
-                disk: (n < ACCEPTORS).then(|| AcceptorRecord::first(&member_name(n))),
+                disk: (n < ACCEPTORS).then(|| AcceptorRecord::initial(&member_name(n))),
                 pending_write: None,
                 clock,
                 is_paused: false,
@@ -148,12 +148,12 @@
     pub fn start(&mut self, n: usize) {
         let now = self.local_time(n);
         let config = NodeConfig {
-            me: member_name(n),
-            keepers: (0..ACCEPTORS).map(member_name).collect(),
-            times: LEASE_CONFIG,
-            patience_us: PROPOSAL_TIMEOUT_US,
-            again_us: 150_000,
-            on_lost: self.lease_loss_policy,
+            name: member_name(n),
+            acceptors: (0..ACCEPTORS).map(member_name).collect(),
+            lease_config: LEASE_CONFIG,
+            proposal_timeout_us: PROPOSAL_TIMEOUT_US,
+            retry_interval_us: 150_000,
+            lease_loss_policy: self.lease_loss_policy,
             seed: self.random.seed(),
         };
         let validator = Box::new(move |document: &Document| validate(n, document));
@@ -333,6 +333,6 @@
 
     /// The state on disk of the fragile acceptor, or why it does not answer; `None` if its process does not run.
     pub fn fragile_acceptor_state(&self) -> Option<Result<u64, String>> {
-        self.members[self.fragile].node.as_ref()?.keeps()
+        self.members[self.fragile].node.as_ref()?.acceptor_status()
     }
 }
--- a/crates/policy-consensus/tests/nodes/invariants.rs
+++ b/crates/policy-consensus/tests/nodes/invariants.rs
@@ -41,7 +41,7 @@
             return;
         };
         for proposal in node.proposals() {
-            let Some(outcome) = proposal.end else {
+            let Some(outcome) = proposal.outcome else {
                 continue;
             };
             let key = ProposalKey {
@@ -71,7 +71,7 @@
                     "I3: one that was told to be nowhere is in force"
                 );
             }
-            ProposalOutcome::Refused(_) | ProposalOutcome::Lost(_) => {
+            ProposalOutcome::Rejected(_) | ProposalOutcome::Superseded(_) => {
                 assert!(
                     !self.held.contains(&id),
                     "I3: one that holds was told to be nowhere"
@@ -82,13 +82,13 @@
                 );
                 self.rejected.insert(id);
             }
-            ProposalOutcome::Open => {}
+            ProposalOutcome::Unknown => {}
         }
     }
 
     /// I1, I2, I3, I5: under what a request would be admitted now.
     pub fn check_serving_state(&mut self, n: usize, state: ServingState) {
-        let ServingState::Under(id, stricter_with) = state else {
+        let ServingState::Serving(id, stricter_with) = state else {
             self.looks_without_lease += 1;
             return;
         };
--- a/crates/policy-consensus/tests/promise/invariants.rs
+++ b/crates/policy-consensus/tests/promise/invariants.rs
@@ -32,7 +32,7 @@
                     "I3: one that was refused is in force"
                 );
             }
-            ProposalOutcome::Refused(_) | ProposalOutcome::Lost(_) => {
+            ProposalOutcome::Rejected(_) | ProposalOutcome::Superseded(_) => {
                 assert!(
                     !self.held.contains(&policy.id()),
                     "I3: one that holds was told to be nowhere"
@@ -43,7 +43,7 @@
                 );
                 self.rejected.insert(policy.id());
             }
-            ProposalOutcome::Open => {}
+            ProposalOutcome::Unknown => {}
         }
     }
 
