--- a/crates/config-reader/src/error.rs
+++ b/crates/config-reader/src/error.rs
@@ -1,32 +1,21 @@
 //! What is wrong in a file, where, and what would be right.
 
-use std::fmt;
-
-#[derive(Debug, PartialEq, Eq)]
+/// A mistake in a file that people write.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{file}: {location}: {problem}; {hint}")]
 pub struct ConfigError {
+    /// The file.
     pub file: String,
-    /// A line, or a path of keys.
-    pub place: String,
-    pub what: String,
+    /// Line and column, or a path of keys.
+    pub location: String,
+    /// What is wrong.
+    pub problem: String,
     /// What would be right.
-    pub right: String,
-}
-
-impl fmt::Display for ConfigError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(
-            f,
-            "{}: {}: {}; {}",
-            self.file, self.place, self.what, self.right
-        )
-    }
+    pub hint: String,
 }
 
-/// All of them, as one text.
-pub fn joined(mistakes: &[ConfigError]) -> String {
-    mistakes
-        .iter()
-        .map(ConfigError::to_string)
-        .collect::<Vec<_>>()
-        .join("; ")
+/// All errors as one text for people.
+pub fn join_errors(errors: &[ConfigError]) -> String {
+    let texts: Vec<String> = errors.iter().map(ConfigError::to_string).collect();
+    texts.join("; ")
 }
--- a/crates/config-reader/src/lib.rs
+++ b/crates/config-reader/src/lib.rs
@@ -1,8 +1,11 @@
-//! Reading files that people write: every mistake is told at once, with its place and what would be right.
-#![expect(missing_docs)]
+//! Reads TOML files that people write: every mistake is reported at once, with its place and what would be right.
 
 mod error;
-mod section;
+mod reader;
+mod table;
+mod values;
 
-pub use error::{joined, ConfigError};
-pub use section::{real, whole, ConfigReader, TableReader};
+pub use error::{join_errors, ConfigError};
+pub use reader::ConfigReader;
+pub use table::TableReader;
+pub use values::{integer, number_value};
--- a/crates/frosthatch/src/commands/admin_client.rs
+++ b/crates/frosthatch/src/commands/admin_client.rs
@@ -4,7 +4,7 @@
 use crate::platform_config::PlatformConfig;
 use crate::policy::PolicyStatus;
 use frosthatch_admin::AdminResponse;
-use frosthatch_config_reader::joined;
+use frosthatch_config_reader::join_errors;
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -26,7 +26,7 @@
         if let Some(address) = address {
             return Ok(AdminClient { address });
         }
-        let platform = PlatformConfig::from_env().map_err(|errors| joined(&errors))?;
+        let platform = PlatformConfig::from_env().map_err(|errors| join_errors(&errors))?;
         let address = platform.admin.ok_or("it names no console")?;
         Ok(AdminClient { address })
     }
--- a/crates/frosthatch/src/commands/check.rs
+++ b/crates/frosthatch/src/commands/check.rs
@@ -43,9 +43,9 @@
 ) -> Vec<ConfigError> {
     let error = |place: &str, what: String, hint: &str| ConfigError {
         file: operator_file.display().to_string(),
-        place: place.into(),
-        what,
-        right: hint.into(),
+        location: place.into(),
+        problem: what,
+        hint: hint.into(),
     };
     let diameter = operator.diameter.as_ref();
     let diameter = diameter.and_then(|config| diameter::check(config, &platform.settings).err());
--- a/crates/frosthatch/src/commands/policy.rs
+++ b/crates/frosthatch/src/commands/policy.rs
@@ -5,7 +5,7 @@
 use crate::operator_config::OperatorConfig;
 use crate::platform_config::PlatformConfig;
 use crate::policy::{plugin_digests, policy_terms, ProposalReport};
-use frosthatch_config_reader::joined;
+use frosthatch_config_reader::join_errors;
 use frosthatch_policy_consensus::document::{self, Document};
 use frosthatch_policy_consensus::state_directory::StateDirectory;
 use std::path::Path;
@@ -112,10 +112,11 @@
 pub fn check(file: &Path, operator_file: Option<&Path>) -> Result<(), String> {
     let text = read_text(file)?;
     let document = Document::read(&file.display().to_string(), &text);
-    let document = document.map_err(|errors| joined(&errors))?;
+    let document = document.map_err(|errors| join_errors(&errors))?;
     if std::env::var_os("NODE_CONFIG").is_some() {
-        let platform = PlatformConfig::from_env().map_err(|errors| joined(&errors))?;
-        let operator = OperatorConfig::read(operator_file).map_err(|errors| joined(&errors))?;
+        let platform = PlatformConfig::from_env().map_err(|errors| join_errors(&errors))?;
+        let operator =
+            OperatorConfig::read(operator_file).map_err(|errors| join_errors(&errors))?;
         let digests = plugin_digests(&operator.plugins);
         policy_terms(&platform.settings, &digests, &document)?;
     }
@@ -129,7 +130,7 @@
 /// # Errors
 /// For people.
 pub fn init(name: &str, replaces: bool, operator_file: Option<&Path>) -> Result<(), String> {
-    let operator = OperatorConfig::read(operator_file).map_err(|errors| joined(&errors))?;
+    let operator = OperatorConfig::read(operator_file).map_err(|errors| join_errors(&errors))?;
     let policy = operator
         .policy
         .ok_or("the operator's file has no [policy]")?;
--- a/crates/frosthatch/src/gateway.rs
+++ b/crates/frosthatch/src/gateway.rs
@@ -12,7 +12,7 @@
 use crate::policy::PolicyService;
 use frosthatch_cluster_membership::driver::MembershipHandle;
 use frosthatch_cluster_membership::LifecyclePhase;
-use frosthatch_config_reader::joined;
+use frosthatch_config_reader::join_errors;
 use frosthatch_discovery::Source;
 use frosthatch_engine::Engine;
 use frosthatch_handover::driver::LocalEventSender;
@@ -35,8 +35,8 @@
 /// # Errors
 /// Why it cannot start, or could not replace a running process; for people.
 pub fn run(operator_file: Option<&Path>) -> Result<(), String> {
-    let platform = PlatformConfig::from_env().map_err(|errors| joined(&errors))?;
-    let operator = OperatorConfig::read(operator_file).map_err(|errors| joined(&errors))?;
+    let platform = PlatformConfig::from_env().map_err(|errors| join_errors(&errors))?;
+    let operator = OperatorConfig::read(operator_file).map_err(|errors| join_errors(&errors))?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
--- a/crates/frosthatch/src/gateway/reload.rs
+++ b/crates/frosthatch/src/gateway/reload.rs
@@ -3,7 +3,7 @@
 use super::{discovery_source, RunningGateway};
 use crate::operator_config::{read_fleet_keys, OperatorConfig};
 use crate::platform_config::PlatformConfig;
-use frosthatch_config_reader::joined;
+use frosthatch_config_reader::join_errors;
 use frosthatch_log::log_line;
 use std::path::Path;
 
@@ -18,7 +18,7 @@
                 self.reloads.record(false);
                 let mut errors = platform.err().unwrap_or_default();
                 errors.extend(operator.err().unwrap_or_default());
-                log_line!("{}; the old one stays", joined(&errors));
+                log_line!("{}; the old one stays", join_errors(&errors));
             }
         }
     }
--- a/crates/frosthatch/src/operator_config/diameter.rs
+++ b/crates/frosthatch/src/operator_config/diameter.rs
@@ -56,51 +56,36 @@
     mut table: TableReader,
     folder: &Path,
 ) -> DiameterConfig {
-    let text = |value: &DeValue| value.as_str().map(String::from);
-    let listen = table.must(
-        reader,
-        "listen",
-        "write an address and a port, as \"127.0.0.1:3868\"",
-        |value| value.as_str()?.parse::<SocketAddr>().ok(),
-    );
-    let identity = table.must(
-        reader,
-        "identity",
-        "write the gateway's own host name (RFC 6733 section 4.3.1)",
-        host_name,
-    );
-    let realm = table.must(
-        reader,
-        "realm",
-        "write its realm, as \"example.org\"",
-        host_name,
-    );
-    let check_class = table.must(
-        reader,
-        "check_class",
-        "write a class that is safe to repeat",
-        text,
-    );
-    let charge_class = table.must(reader, "charge_class", "write a keyed class", text);
-    let default_plan = table.text(reader, "default_plan").map(String::from);
+    let required = read_required(reader, &mut table);
+    let default_plan = table.string(reader, "default_plan").map(String::from);
     let plans = read_plans(reader, &mut table);
     let config = DiameterConfig {
-        listen: listen.unwrap_or(([127, 0, 0, 1], 0).into()),
-        identity: identity.unwrap_or_default(),
-        realm: realm.unwrap_or_default(),
-        watchdog_interval: table.millis(reader, "tw_ms", 100..=600_000, Duration::from_secs(30)),
-        transaction_timeout: table.millis(reader, "tx_ms", 50..=60_000, Duration::from_secs(10)),
-        check_class: check_class.unwrap_or_default(),
-        charge_class: charge_class.unwrap_or_default(),
+        listen: required.listen.unwrap_or(([127, 0, 0, 1], 0).into()),
+        identity: required.identity.unwrap_or_default(),
+        realm: required.realm.unwrap_or_default(),
+        watchdog_interval: table.milliseconds(
+            reader,
+            "tw_ms",
+            100..=600_000,
+            Duration::from_secs(30),
+        ),
+        transaction_timeout: table.milliseconds(
+            reader,
+            "tx_ms",
+            50..=60_000,
+            Duration::from_secs(10),
+        ),
+        check_class: required.check_class.unwrap_or_default(),
+        charge_class: required.charge_class.unwrap_or_default(),
         default_plan,
         plans,
-        session_timeout: table.millis(
+        session_timeout: table.milliseconds(
             reader,
             "session_ms",
             1_000..=86_400_000,
             Duration::from_secs(3_600),
         ),
-        duplicate_window: table.millis(
+        duplicate_window: table.milliseconds(
             reader,
             "repeats_ms",
             100..=600_000,
@@ -118,6 +103,51 @@
     config
 }
 
+/// The keys that must be there; `None` where one is missing or makes no sense.
+struct RequiredKeys {
+    listen: Option<SocketAddr>,
+    identity: Option<String>,
+    realm: Option<String>,
+    check_class: Option<String>,
+    charge_class: Option<String>,
+}
+
+fn read_required(reader: &mut ConfigReader, table: &mut TableReader) -> RequiredKeys {
+    let text = |value: &DeValue| value.as_str().map(String::from);
+    let listen = table.required(
+        reader,
+        "listen",
+        "write an address and a port, as \"127.0.0.1:3868\"",
+        |value| value.as_str()?.parse::<SocketAddr>().ok(),
+    );
+    let identity = table.required(
+        reader,
+        "identity",
+        "write the gateway's own host name (RFC 6733 section 4.3.1)",
+        host_name,
+    );
+    let realm = table.required(
+        reader,
+        "realm",
+        "write its realm, as \"example.org\"",
+        host_name,
+    );
+    let check_class = table.required(
+        reader,
+        "check_class",
+        "write a class that is safe to repeat",
+        text,
+    );
+    let charge_class = table.required(reader, "charge_class", "write a keyed class", text);
+    RequiredKeys {
+        listen,
+        identity,
+        realm,
+        check_class,
+        charge_class,
+    }
+}
+
 /// A host name or realm, in lower case.
 fn host_name(value: &DeValue) -> Option<String> {
     let text = value.as_str()?;
@@ -139,7 +169,7 @@
         if let (Some(number), Some(plan)) = (number, value.get_ref().as_str()) {
             plans.insert(number, plan.to_string());
         } else {
-            reader.wrong(
+            reader.report(
                 key.span(),
                 format!("diameter.plans.{} makes no sense", key.get_ref()),
                 "write a number below 2^33 in quotes, and a plan: \"4512345678\" = \"stor\"",
--- a/crates/frosthatch/src/operator_config/dns_sd.rs
+++ b/crates/frosthatch/src/operator_config/dns_sd.rs
@@ -16,13 +16,13 @@
     mut table: TableReader,
     folder: &Path,
 ) -> DnsSdConfig {
-    let services = table.texts(reader, "services", 1..=MOST_SERVICES, SERVICE_HINT);
+    let services = table.strings(reader, "services", 1..=MOST_SERVICES, SERVICE_HINT);
     let resolvers =
-        table.parsed::<SocketAddr>(reader, "resolvers", 1..=MOST_RESOLVERS, RESOLVER_HINT);
+        table.parsed_strings::<SocketAddr>(reader, "resolvers", 1..=MOST_RESOLVERS, RESOLVER_HINT);
     let mut config = read_intervals_and_limits(reader, &mut table);
     config.resolvers = resolvers;
     if config.poll_least > config.poll_most {
-        reader.wrong(
+        reader.report(
             table.span_of("poll_least_ms"),
             "poll_least_ms is above poll_most_ms",
             "the least interval comes first",
@@ -32,7 +32,7 @@
         config.push = Some(read_push(reader, push, folder));
     }
     if let Err(error) = config.set_services(&services) {
-        reader.wrong(table.span_of("services"), error, SERVICE_HINT);
+        reader.report(table.span_of("services"), error, SERVICE_HINT);
     }
     table.finish(reader);
     config
@@ -41,20 +41,20 @@
 fn read_intervals_and_limits(reader: &mut ConfigReader, table: &mut TableReader) -> DnsSdConfig {
     let defaults = DnsSdConfig::default();
     DnsSdConfig {
-        poll_least: table.millis(reader, "poll_least_ms", 20..=10_000, defaults.poll_least),
-        poll_most: table.millis(reader, "poll_most_ms", 20..=60_000, defaults.poll_most),
-        timeout: table.millis(reader, "timeout_ms", 10..=5_000, defaults.timeout),
+        poll_least: table.milliseconds(reader, "poll_least_ms", 20..=10_000, defaults.poll_least),
+        poll_most: table.milliseconds(reader, "poll_most_ms", 20..=60_000, defaults.poll_most),
+        timeout: table.milliseconds(reader, "timeout_ms", 10..=5_000, defaults.timeout),
         queries_per_s: table.number(
             reader,
             "queries_per_s",
             10..=10_000,
             defaults.queries_per_s.into(),
         ) as u32,
-        confirm: table.millis(reader, "confirm_ms", 50..=60_000, defaults.confirm),
-        loss_share: table.share(reader, "loss_share", defaults.loss_share),
-        loss_hold: table.millis(reader, "loss_hold_ms", 0..=3_600_000, defaults.loss_hold),
-        linger: table.millis(reader, "linger_ms", 100..=600_000, defaults.linger),
-        cached_answers: table.yes_no(reader, "cached_answers", defaults.cached_answers),
+        confirm: table.milliseconds(reader, "confirm_ms", 50..=60_000, defaults.confirm),
+        loss_share: table.fraction(reader, "loss_share", defaults.loss_share),
+        loss_hold: table.milliseconds(reader, "loss_hold_ms", 0..=3_600_000, defaults.loss_hold),
+        linger: table.milliseconds(reader, "linger_ms", 100..=600_000, defaults.linger),
+        cached_answers: table.boolean(reader, "cached_answers", defaults.cached_answers),
         most_instances: table.number(
             reader,
             "most_instances",
@@ -67,28 +67,29 @@
 
 fn read_push(reader: &mut ConfigReader, mut table: TableReader, folder: &Path) -> PushConfig {
     let defaults = PushConfig::default();
-    let servers = table.parsed::<SocketAddr>(reader, "servers", 1..=MOST_RESOLVERS, RESOLVER_HINT);
+    let servers =
+        table.parsed_strings::<SocketAddr>(reader, "servers", 1..=MOST_RESOLVERS, RESOLVER_HINT);
     let trust_anchor = table
-        .text(reader, "trust_anchor")
+        .string(reader, "trust_anchor")
         .map(|file| folder.join(file));
-    let server_name = table.text(reader, "server_name").map(String::from);
+    let server_name = table.string(reader, "server_name").map(String::from);
     let span = table.span_of("servers");
     if trust_anchor.is_none() && servers.iter().any(|server| !server.ip().is_loopback()) {
-        reader.wrong(
+        reader.report(
             span.clone(),
             "push without TLS leaves the machine",
             "give a trust_anchor (PEM file)",
         );
     }
     if trust_anchor.is_some() != server_name.is_some() {
-        reader.wrong(
+        reader.report(
             span,
             "trust_anchor and server_name go together",
             "give both: the PEM file and the name in the server's certificate",
         );
     }
     if let Some(Err(error)) = trust_anchor.as_deref().map(read_anchor) {
-        reader.wrong(
+        reader.report(
             table.span_of("trust_anchor"),
             error,
             "name a PEM file with the authority's certificate",
@@ -96,8 +97,8 @@
     }
     let config = PushConfig {
         servers,
-        check: table.millis(reader, "check_ms", 100..=60_000, defaults.check),
-        keepalive: table.millis(reader, "keepalive_ms", 100..=3_600_000, defaults.keepalive),
+        check: table.milliseconds(reader, "check_ms", 100..=60_000, defaults.check),
+        keepalive: table.milliseconds(reader, "keepalive_ms", 100..=3_600_000, defaults.keepalive),
         tls: trust_anchor.zip(server_name),
     };
     table.finish(reader);
--- a/crates/frosthatch/src/operator_config/mod.rs
+++ b/crates/frosthatch/src/operator_config/mod.rs
@@ -53,9 +53,9 @@
         let text = std::fs::read_to_string(path).map_err(|error| {
             vec![ConfigError {
                 file: file.clone(),
-                place: "the file".into(),
-                what: format!("cannot be read: {error}"),
-                right: "name a file that can be read".into(),
+                location: "the file".into(),
+                problem: format!("cannot be read: {error}"),
+                hint: "name a file that can be read".into(),
             }]
         })?;
         OperatorConfig::parse(&file, &text, path.parent().unwrap_or(Path::new(".")))
@@ -66,7 +66,7 @@
         let (document, syntax_errors) = DeTable::parse_recoverable(text);
         let mut reader = ConfigReader::new(file, text);
         for error in syntax_errors {
-            reader.wrong(
+            reader.report(
                 error.span().unwrap_or(0..0),
                 error.message(),
                 "correct the TOML",
@@ -74,10 +74,10 @@
         }
         let root = TableReader::new("", document.get_ref(), document.span());
         let config = read_tables(&mut reader, root, folder);
-        if reader.mistakes.is_empty() {
+        if reader.errors.is_empty() {
             Ok(config)
         } else {
-            Err(reader.mistakes)
+            Err(reader.errors)
         }
     }
 }
@@ -105,7 +105,7 @@
         .table(reader, "fleet")
         .and_then(|table| fleet::read(reader, table, folder));
     if peers.is_some() && fleet.is_some() {
-        reader.wrong(
+        reader.report(
             root.span_of("peers"),
             "there is [fleet] as well",
             "keep [fleet] alone: its seeds are what [peers] listed",
@@ -120,14 +120,14 @@
         .map(|table| policy::read(reader, table, folder));
     let fleet = fleet.or(peers);
     if policy.is_some() && fleet.is_none() {
-        reader.wrong(
+        reader.report(
             root.span_of("policy"),
             "there is no [fleet]",
             "gateways agree only where they talk: add it",
         );
     }
     if source == DiscoverySource::DnsSd && dns_sd.is_none() {
-        reader.wrong(
+        reader.report(
             0..0,
             "membership.source is \"dns-sd\", but there is no such table",
             "add [dns-sd]",
--- a/crates/frosthatch/src/operator_config/plugins.rs
+++ b/crates/frosthatch/src/operator_config/plugins.rs
@@ -31,7 +31,7 @@
         if is_plugin_name(&name) && ordered.len() < MAX_PLUGINS {
             ordered.push(read_plugin(reader, table, name, folder));
         } else {
-            reader.wrong(
+            reader.report(
                 key.span(),
                 format!("plugins.{name} is no name"),
                 "32 of a-z, 0-9, - at most; 32 of them",
@@ -56,7 +56,7 @@
     name: String,
     folder: &Path,
 ) -> (i64, PluginConfig) {
-    let file = table.must(reader, "file", "name a WebAssembly module", |value| {
+    let file = table.required(reader, "file", "name a WebAssembly module", |value| {
         Some(folder.join(value.as_str()?))
     });
     let order = table.number(reader, "order", 0..=1_000, DEFAULT_ORDER);
@@ -66,7 +66,7 @@
         _ => FailurePolicy::Refuse,
     };
     let selection = read_selector(reader, &mut table);
-    let headers = table.texts(reader, "headers", 0..=16, "write names of headers");
+    let headers = table.strings(reader, "headers", 0..=16, "write names of headers");
     let config_text = read_config_text(reader, &mut table);
     let plugin = PluginConfig {
         name,
@@ -75,7 +75,7 @@
         policy,
         limits: read_limits(reader, &mut table),
         bounds: read_bounds(reader, &mut table, config_text),
-        wait: table.millis(reader, "wait_ms", 1..=1_000, Duration::from_millis(20)),
+        wait: table.milliseconds(reader, "wait_ms", 1..=1_000, Duration::from_millis(20)),
         headers: headers
             .iter()
             .map(|header| header.to_ascii_lowercase())
@@ -83,7 +83,7 @@
         body_bytes: table.number(reader, "body_bytes", 0..=4_096, 0) as usize,
     };
     if plugin.limits.fuel_per_s < plugin.limits.fuel_per_call {
-        reader.wrong(
+        reader.report(
             table.span_of("fuel_per_s"),
             "fuel_per_s is below fuel_per_call",
             "a second bears one call at least",
@@ -97,10 +97,10 @@
     let owned = |texts: Vec<&str>| texts.into_iter().map(String::from).collect();
     let range_hint = "write ranges of customers' numbers, as \"4500000000-4599999999\"";
     RequestSelector {
-        plans: owned(table.texts(reader, "plans", 0..=64, "write names of plans")),
-        classes: owned(table.texts(reader, "classes", 0..=64, "write names of classes")),
+        plans: owned(table.strings(reader, "plans", 0..=64, "write names of plans")),
+        classes: owned(table.strings(reader, "classes", 0..=64, "write names of classes")),
         customers: table
-            .parsed::<CustomerRange>(reader, "customers", 0..=64, range_hint)
+            .parsed_strings::<CustomerRange>(reader, "customers", 0..=64, range_hint)
             .into_iter()
             .map(|range| range.0)
             .collect(),
@@ -108,9 +108,12 @@
 }
 
 fn read_config_text(reader: &mut ConfigReader, table: &mut TableReader) -> String {
-    let text = table.text(reader, "config").unwrap_or_default().to_string();
+    let text = table
+        .string(reader, "config")
+        .unwrap_or_default()
+        .to_string();
     if text.len() > MAX_CONFIG_BYTES {
-        reader.wrong(
+        reader.report(
             table.span_of("config"),
             "config is longer than 4096 bytes",
             "shorten it",
--- a/crates/frosthatch/src/operator_config/policy.rs
+++ b/crates/frosthatch/src/operator_config/policy.rs
@@ -49,17 +49,17 @@
     folder: &Path,
 ) -> PolicyConfig {
     let acceptors = read_acceptors(reader, &mut table);
-    let state_directory = table.text(reader, "folder").map(|path| folder.join(path));
-    let lease = table.millis(reader, "lease_ms", 200..=60_000, Duration::from_secs(1));
+    let state_directory = table.string(reader, "folder").map(|path| folder.join(path));
+    let lease = table.milliseconds(reader, "lease_ms", 200..=60_000, Duration::from_secs(1));
     let clock_drift_permille = table.number(reader, "drift", 0..=100, 10).unsigned_abs();
     let lease_loss_policy = read_lease_loss_policy(reader, &mut table);
-    let proposal_timeout = table.millis(
+    let proposal_timeout = table.milliseconds(
         reader,
         "patience_ms",
         500..=600_000,
         Duration::from_secs(10),
     );
-    let audit = table.text(reader, "audit").map(|path| folder.join(path));
+    let audit = table.string(reader, "audit").map(|path| folder.join(path));
     let (clock_skew_permille, crash_point) = if cfg!(debug_assertions) {
         read_test_keys(reader, &mut table)
     } else {
@@ -80,11 +80,11 @@
 }
 
 fn read_acceptors(reader: &mut ConfigReader, table: &mut TableReader) -> Vec<String> {
-    let names = table.texts(reader, "keepers", 1..=MAX_ACCEPTORS, ACCEPTORS_HINT);
+    let names = table.strings(reader, "keepers", 1..=MAX_ACCEPTORS, ACCEPTORS_HINT);
     let is_name = |name: &&str| !name.is_empty() && MemberRecord::is_plain(name);
     let has_duplicate = (1..names.len()).any(|n| names[..n].contains(&names[n]));
     if has_duplicate || !names.iter().all(is_name) {
-        reader.wrong(
+        reader.report(
             table.span_of("keepers"),
             "policy.keepers has a name twice, or one that is none",
             ACCEPTORS_HINT,
@@ -94,7 +94,7 @@
 }
 
 fn read_lease_loss_policy(reader: &mut ConfigReader, table: &mut TableReader) -> LeaseLossPolicy {
-    let grace = table.millis(reader, "grace_ms", 0..=86_400_000, Duration::from_secs(10));
+    let grace = table.milliseconds(reader, "grace_ms", 0..=86_400_000, Duration::from_secs(10));
     let choices = ["refuse", "stricter", "serve"];
     match table.choice(reader, "on_lost", &choices, "refuse") {
         "stricter" => LeaseLossPolicy::ServeStricter,
@@ -109,7 +109,7 @@
 fn read_test_keys(reader: &mut ConfigReader, table: &mut TableReader) -> (i64, Option<CrashPoint>) {
     let clock_skew_permille = table.number(reader, "skew", -100..=100, 0);
     let crash_point = table
-        .text(reader, "dies_at")
+        .string(reader, "dies_at")
         .map(String::from)
         .map(|step| CrashPoint {
             step,
--- a/crates/frosthatch/src/operator_config/tls.rs
+++ b/crates/frosthatch/src/operator_config/tls.rs
@@ -14,10 +14,10 @@
 ) -> Option<TlsFiles> {
     let span = table.span.clone();
     let file = |value: &DeValue| Some(folder.join(value.as_str()?));
-    let certificate = table.must(reader, "certificate", FILE_HINT, file);
-    let key = table.must(reader, "key", FILE_HINT, file);
-    let trust_anchor = table.must(reader, "trust_anchor", FILE_HINT, file);
-    let server_name = table.must(
+    let certificate = table.required(reader, "certificate", FILE_HINT, file);
+    let key = table.required(reader, "key", FILE_HINT, file);
+    let trust_anchor = table.required(reader, "trust_anchor", FILE_HINT, file);
+    let server_name = table.required(
         reader,
         "server_name",
         "write the name in the servers' certificates",
@@ -31,7 +31,7 @@
         server_name: server_name?,
     };
     if let Err(error) = files.load() {
-        reader.wrong(span, error.to_string(), "name files that belong together");
+        reader.report(span, error.to_string(), "name files that belong together");
         return None;
     }
     Some(files)
--- a/crates/frosthatch/src/platform_config.rs
+++ b/crates/frosthatch/src/platform_config.rs
@@ -117,9 +117,9 @@
         let error = |file: &str, what: String, right: &str| {
             vec![ConfigError {
                 file: file.to_string(),
-                place: "the file".into(),
-                what,
-                right: right.to_string(),
+                location: "the file".into(),
+                problem: what,
+                hint: right.to_string(),
             }]
         };
         let path = std::env::var("NODE_CONFIG").map_err(|_| {
@@ -248,9 +248,9 @@
     let unreadable = list::unreadable(known).into_iter();
     let warnings = unreadable.map(|(index, what)| ConfigError {
         file: path.to_string(),
-        place: format!("known.targets[{index}]"),
-        what,
-        right: "it is left out; correct or drop it".into(),
+        location: format!("known.targets[{index}]"),
+        problem: what,
+        hint: "it is left out; correct or drop it".into(),
     });
     let endpoints = list::ServerList::deserialize(known).inspect_err(|error| {
         let what = format!("configuration is malformed: {error}");
--- a/crates/frosthatch/src/platform_config/json_reader.rs
+++ b/crates/frosthatch/src/platform_config/json_reader.rs
@@ -36,9 +36,9 @@
     pub(super) fn report(&mut self, place: &str, what: impl Into<String>, hint: &str) {
         self.errors.push(ConfigError {
             file: self.file.clone(),
-            place: place.to_string(),
-            what: what.into(),
-            right: hint.into(),
+            location: place.to_string(),
+            problem: what.into(),
+            hint: hint.into(),
         });
     }
 
--- a/crates/policy-consensus/src/document/parse.rs
+++ b/crates/policy-consensus/src/document/parse.rs
@@ -2,7 +2,7 @@
 
 use super::types::{Class, Document, Plan, Plugin, Retries};
 use crate::digest::{hex, parse_digest, Digest};
-use frosthatch_config_reader::{real, whole, ConfigError, ConfigReader, TableReader};
+use frosthatch_config_reader::{integer, number_value, ConfigError, ConfigReader, TableReader};
 use std::collections::BTreeMap;
 use toml::de::DeTable;
 
@@ -29,30 +29,30 @@
 ) -> Result<Document, Vec<ConfigError>> {
     let mut reader = ConfigReader::new(file, text);
     if text.len() > max_bytes {
-        reader.wrong(
+        reader.report(
             0..0,
             format!("it has {} bytes", text.len()),
             format!("write {max_bytes} at most"),
         );
-        return Err(reader.mistakes);
+        return Err(reader.errors);
     }
     let (table, errors) = DeTable::parse_recoverable(text);
     for error in errors {
         let span = error.span().unwrap_or(0..0);
-        reader.wrong(span, error.message(), "correct the TOML");
+        reader.report(span, error.message(), "correct the TOML");
     }
     let root = TableReader::new("", table.get_ref(), table.span());
     let document = read_root(&mut reader, root);
     match document {
-        Some(document) if reader.mistakes.is_empty() => Ok(document),
-        _ => Err(reader.mistakes),
+        Some(document) if reader.errors.is_empty() => Ok(document),
+        _ => Err(reader.errors),
     }
 }
 
 /// The document, as far as it can be read; mistakes are in the reader.
 fn read_root(reader: &mut ConfigReader, mut root: TableReader) -> Option<Document> {
-    let version = root.must(reader, "version", VERSION_HINT, |value| {
-        whole(value).filter(|n| *n > 0).map(i64::unsigned_abs)
+    let version = root.required(reader, "version", VERSION_HINT, |value| {
+        integer(value).filter(|n| *n > 0).map(i64::unsigned_abs)
     });
     let parent = root.read(reader, "parent", PARENT_HINT, |value| {
         parse_digest(value.as_str()?)
@@ -85,11 +85,11 @@
     match version {
         Some(1) if parent.is_some_and(|digest| digest != [0; 32]) => {
             let span = root.span_of("parent");
-            reader.wrong(span, "the first policy has no parent", "leave it out");
+            reader.report(span, "the first policy has no parent", "leave it out");
         }
         Some(2..) if parent.is_none() => {
             let span = root.span_of("version");
-            reader.wrong(span, "parent is missing", PARENT_HINT);
+            reader.report(span, "parent is missing", PARENT_HINT);
         }
         _ => {}
     }
@@ -105,13 +105,13 @@
 ) -> BTreeMap<String, T> {
     let hint = format!("write a table for each, as [{key}.name]");
     if is_required {
-        root.needs(reader, key, &hint);
+        root.require_key(reader, key, &hint);
     }
     let mut by_name = BTreeMap::new();
     for (name, mut table) in root.tables(reader, key, &hint) {
         if by_name.len() >= MAX_NAMES {
             let what = format!("{key} names more than {MAX_NAMES}");
-            reader.wrong(name.span(), what, "name fewer");
+            reader.report(name.span(), what, "name fewer");
             break;
         }
         let value = read_one(reader, &mut table);
@@ -129,7 +129,7 @@
     max: f64,
 ) -> Option<f64> {
     table.read(reader, key, amount_hint(max), |value| {
-        real(value).filter(|n| (0.0..=max).contains(n))
+        number_value(value).filter(|n| (0.0..=max).contains(n))
     })
 }
 
@@ -140,7 +140,7 @@
     key: &'static str,
     max: f64,
 ) -> Option<f64> {
-    table.needs(reader, key, &amount_hint(max));
+    table.require_key(reader, key, &amount_hint(max));
     read_amount(reader, table, key, max)
 }
 
@@ -152,15 +152,15 @@
     let rate = read_required_amount(reader, table, "rate", MAX_UNITS);
     let burst = read_amount(reader, table, "burst", MAX_UNITS);
     if rate.is_some_and(|rate| rate > 0.0) {
-        table.needs(reader, "burst", "write the units that its store holds");
+        table.require_key(reader, "burst", "write the units that its store holds");
     }
     let max_open = table.number(reader, "max_open", 0..=1_000_000, 0) as u32;
     let ceiling_rate = read_amount(reader, table, "ceiling_rate", MAX_UNITS);
     let ceiling_depth = read_amount(reader, table, "ceiling_depth", MAX_UNITS);
     if table.has("ceiling_rate") != table.has("ceiling_depth") {
-        let what = format!("{} has half of a ceiling", table.name(""));
+        let what = format!("{} has half of a ceiling", table.qualified_name(""));
         let hint = "write ceiling_rate and ceiling_depth, or neither";
-        reader.wrong(table.span.clone(), what, hint);
+        reader.report(table.span.clone(), what, hint);
     }
     check_ceiling(reader, table, "ceiling_rate", ceiling_rate, "rate", rate);
     check_ceiling(
@@ -193,16 +193,16 @@
         .zip(quota)
         .is_some_and(|(ceiling, quota)| ceiling < quota);
     if is_below {
-        let what = format!("{} is below {quota_key}", table.name(ceiling_key));
+        let what = format!("{} is below {quota_key}", table.qualified_name(ceiling_key));
         let span = table.span_of(ceiling_key);
-        reader.wrong(span, what, "a ceiling is no lower than its quota");
+        reader.report(span, what, "a ceiling is no lower than its quota");
     }
 }
 
 fn read_class(reader: &mut ConfigReader, table: &mut TableReader) -> Option<Class> {
     let hint = "write milliseconds, from 1 to 3600000";
-    let aim_ms = table.must(reader, "aim_ms", hint, |value| {
-        whole(value)
+    let aim_ms = table.required(reader, "aim_ms", hint, |value| {
+        integer(value)
             .filter(|n| (1..=3_600_000).contains(n))
             .map(i64::unsigned_abs)
     });
@@ -217,7 +217,7 @@
 
 fn read_plugin(reader: &mut ConfigReader, table: &mut TableReader) -> Option<Plugin> {
     let hint = "write the SHA-256 of its file, 64 digits";
-    let sha256 = table.must(reader, "sha256", hint, |value| {
+    let sha256 = table.required(reader, "sha256", hint, |value| {
         parse_digest(value.as_str()?)
     })?;
     Some(Plugin {
--- a/crates/policy-consensus/src/node/serving.rs
+++ b/crates/policy-consensus/src/node/serving.rs
@@ -4,7 +4,7 @@
 use super::member::{ConsensusNode, MAX_REMEMBERED_POLICIES};
 use crate::document::Document;
 use crate::{Policy, PolicyId};
-use frosthatch_config_reader::joined;
+use frosthatch_config_reader::join_errors;
 
 impl ConsensusNode {
     /// Under which policy requests may be admitted at `now`.
@@ -105,7 +105,7 @@
                 "its document says that it is version {}",
                 document.version
             )),
-            Err(mistakes) => Err(joined(&mistakes)),
+            Err(mistakes) => Err(join_errors(&mistakes)),
         };
         while self.validations.len() >= MAX_REMEMBERED_POLICIES {
             self.validations.pop_first();
