--- a/crates/traffic-control/src/fleet.rs
+++ b/crates/traffic-control/src/fleet.rs
@@ -3,10 +3,10 @@
 
 use crate::customer::RATE_TAU_US;
 use crate::decayed::Decayed;
+use crate::interface::HealthReports;
 use crate::interface::{
     CompletionStatus, Health, ListKind, Micros, ServerEntry, ServerId, SlowStart,
 };
-use crate::seen::HealthReports;
 use crate::server::{Server, Zones};
 use crate::subset::Subset;
 use frosthatch_load_balancing::outlier_signals::{
--- /dev/null
+++ b/crates/traffic-control/src/interface/mod.rs
@@ -0,0 +1,20 @@
+//! The public interface: the settings a gateway starts with, the events that happen to it and the actions it
+//! answers with. Types only, no decisions.
+
+mod actions;
+mod events;
+mod identifiers;
+mod plans;
+mod requests;
+mod server_list;
+mod settings;
+mod time;
+
+pub use actions::{Action, UnservedReason};
+pub use events::{Event, HealthReports, Timer};
+pub use identifiers::{CustomerId, RequestId, ServerId};
+pub use plans::{Ceiling, Effect, LeaseState, Plan, PolicyTerms, RequestClass, RetryBudget, Scope};
+pub use requests::{AttemptOutcome, CompletionStatus, LoadMetric, Request};
+pub use server_list::{Health, ListKind, ServerEntry};
+pub use settings::{Settings, SettingsError, SlowStart};
+pub use time::{Micros, GONE_SLACK_US, HELD_UP_US};
--- a/crates/traffic-control/src/lib.rs
+++ b/crates/traffic-control/src/lib.rs
@@ -61,5 +61,9 @@
 pub use boot::BootInfo;
 
 pub use gateway::Gateway;
-pub use interface::*;
-pub use seen::HealthReports;
+pub use interface::{
+    Action, AttemptOutcome, Ceiling, CompletionStatus, CustomerId, Effect, Event, Health,
+    HealthReports, LeaseState, ListKind, LoadMetric, Micros, Plan, PolicyTerms, Request,
+    RequestClass, RequestId, RetryBudget, Scope, ServerEntry, ServerId, Settings, SettingsError,
+    SlowStart, Timer, UnservedReason, GONE_SLACK_US, HELD_UP_US,
+};
--- a/crates/traffic-control/src/seen.rs
+++ b/crates/traffic-control/src/seen.rs
@@ -2,16 +2,7 @@
 
 use crate::calls::FEW;
 use crate::gateway::Gateway;
-use crate::interface::{AttemptOutcome, Micros, ServerId};
-
-/// What a gateway says of servers to the others.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct HealthReports {
-    /// Servers that it uses.
-    pub uses: usize,
-    /// Key of a server, part of what was sent there that failed of late, and when that was found out.
-    pub of: Vec<(u64, f64, Micros)>,
-}
+use crate::interface::{AttemptOutcome, HealthReports, ServerId};
 
 impl Gateway {
     /// Requests not yet done with, attempts still out included.
