--- a/crates/traffic-control/src/decayed.rs
+++ b/crates/traffic-control/src/decaying_sum.rs
@@ -3,14 +3,14 @@
 use crate::interface::Micros;
 
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Decayed {
+pub(crate) struct DecayingSum {
     sum: f64,
     at: Micros,
 }
 
-impl Decayed {
+impl DecayingSum {
     pub fn new(now: Micros, sum: f64) -> Self {
-        Decayed { sum, at: now }
+        DecayingSum { sum, at: now }
     }
 
     /// The sum at `now`, each part weighed by `exp(-age / tau_us)`.
@@ -19,7 +19,7 @@
     }
 
     pub fn add(&mut self, now: Micros, tau_us: f64, amount: f64) {
-        *self = Decayed::new(now, self.at(now, tau_us) + amount);
+        *self = DecayingSum::new(now, self.at(now, tau_us) + amount);
     }
 
     /// The rate a second that would keep the sum where it is.
--- a/crates/traffic-control/src/gateway.rs
+++ b/crates/traffic-control/src/gateway.rs
@@ -1,16 +1,16 @@
 //! One gateway's state. What it decides stands in `policy`.
 
-use crate::calls::{Calls, FEW};
-use crate::count::Counting;
-use crate::count_clock::CountClock;
+use crate::counter_calls::CallsInFlight;
+use crate::counter_rate_limit::{CounterRateLimiter, MAX_SMALL_FLEET_GATEWAYS};
+use crate::counter_window::CounterClock;
 use crate::customer::{Customer, Quota};
-use crate::decayed::Decayed;
-use crate::fleet::Fleet;
+use crate::decaying_sum::DecayingSum;
+use crate::fleet::ServerFleet;
 use crate::interface::{LeaseState, Micros, RequestId, Settings, SettingsError};
-use crate::ledger::CounterWatch;
-use crate::pace::Pace;
-use crate::peers::Peers;
-use crate::request::Pending;
+use crate::ledger::CounterMonitor;
+use crate::peer_reports::PeerReports;
+use crate::pending_request::PendingRequest;
+use crate::server_latency::ServerLatency;
 use crate::subset::Subset;
 use rand_pcg::rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -18,35 +18,35 @@
 
 /// A class of one plan: what the paper calls a service.
 #[derive(Clone, Default)]
-pub(crate) struct Cell {
+pub(crate) struct AdmissionCell {
     pub fraction: f64,
     pub arrivals: f64,
     pub admitted: f64,
-    pub admitted_rate: f64, // admitted a second in the last interval, as peers are told
+    pub admitted_per_s: f64, // admitted a second in the last interval, as peers are told
 }
 
 /// One gateway's whole state.
 pub struct Gateway {
-    pub(crate) set: Settings,
+    pub(crate) settings: Settings,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) now: Micros,
-    pub(crate) cells: Vec<Cell>,
-    pub(crate) pace: Pace,
+    pub(crate) cells: Vec<AdmissionCell>,
+    pub(crate) server_latency: ServerLatency,
     pub(crate) customers: BTreeMap<u32, Customer>,
-    pub(crate) calls: Calls,
-    pub(crate) odds: Vec<[Decayed; 2]>, // by plan: asks answered of late without room, and with
+    pub(crate) counter_limiter: CounterRateLimiter,
+    pub(crate) query_results: Vec<[DecayingSum; 2]>, // by plan: asks answered of late without room, and with
     pub(crate) quotas: Vec<Quota>,
-    pub(crate) counting: Counting,
-    pub(crate) count_clock: CountClock,
-    pub(crate) watch: CounterWatch,
-    pub(crate) peers: Peers,
-    pub(crate) fleet: Fleet,
-    pub(crate) requests: BTreeMap<RequestId, Pending>,
-    pub(crate) waiting: BTreeSet<RequestId>,
+    pub(crate) counter_calls: CallsInFlight,
+    pub(crate) counter_clock: CounterClock,
+    pub(crate) counter_monitor: CounterMonitor,
+    pub(crate) peer_reports: PeerReports,
+    pub(crate) fleet: ServerFleet,
+    pub(crate) requests: BTreeMap<RequestId, PendingRequest>,
+    pub(crate) waiting_requests: BTreeSet<RequestId>,
     pub(crate) retry_tokens: f64,
-    pub(crate) standing: LeaseState,
-    pub(crate) settles: Option<Micros>, // till then the smaller of two terms holds
-    pub(crate) started: Option<Micros>,
+    pub(crate) lease_state: LeaseState,
+    pub(crate) transition_until: Option<Micros>, // till then the smaller of two terms holds
+    pub(crate) started_at: Option<Micros>,
 }
 
 impl Gateway {
@@ -56,34 +56,34 @@
     pub fn new(set: Settings, seed: u64) -> Result<Self, SettingsError> {
         set.validate()?;
         let cells = vec![
-            Cell {
+            AdmissionCell {
                 fraction: 1.0,
-                ..Cell::default()
+                ..AdmissionCell::default()
             };
             set.classes.len() * set.plans.len()
         ];
-        let pace = Pace::new(&set.classes);
+        let pace = ServerLatency::new(&set.classes);
         Ok(Gateway {
             rng: Pcg64Mcg::seed_from_u64(seed),
             now: 0,
-            quotas: Quota::all(&set, pace.attempt_s, FEW),
-            odds: vec![Default::default(); set.plans.len()],
-            calls: Calls::new(set.gateways, set.usage_report_ttl_us == 0),
-            peers: Peers::new(cells.len()),
-            fleet: Fleet::new(Subset::new(set.me, set.gateways)),
+            quotas: Quota::for_plans(&set, pace.attempt_s, MAX_SMALL_FLEET_GATEWAYS),
+            query_results: vec![Default::default(); set.plans.len()],
+            counter_limiter: CounterRateLimiter::new(set.gateways, set.usage_report_ttl_us == 0),
+            peer_reports: PeerReports::new(cells.len()),
+            fleet: ServerFleet::new(Subset::new(set.me, set.gateways)),
             cells,
-            pace,
+            server_latency: pace,
             customers: BTreeMap::new(),
-            counting: Counting::default(),
-            count_clock: CountClock::default(),
-            watch: CounterWatch::default(),
+            counter_calls: CallsInFlight::default(),
+            counter_clock: CounterClock::default(),
+            counter_monitor: CounterMonitor::default(),
             requests: BTreeMap::new(),
-            waiting: BTreeSet::new(),
+            waiting_requests: BTreeSet::new(),
             retry_tokens: set.retries.max_saved,
-            standing: LeaseState::Held,
-            settles: None,
-            started: None,
-            set,
+            lease_state: LeaseState::Held,
+            transition_until: None,
+            started_at: None,
+            settings: set,
         })
     }
 }
--- a/crates/traffic-control/src/gossip/tests.rs
+++ b/crates/traffic-control/src/gossip/tests.rs
@@ -9,32 +9,35 @@
 fn the_bytes_of_messages_are_those_that_were_recorded() {
     let cells = |n: usize| {
         (0..n)
-            .map(|c| CellNews {
+            .map(|c| CellReport {
                 fraction: 0.5 * c as f64,
-                admitted: 12.25,
+                admitted_per_s: 12.25,
             })
             .collect()
     };
-    let ask = Message::Ask {
-        tag: tag("customer"),
+    let ask = Message::QuotaRequest {
+        tag: customer_tag("customer"),
         plan: 2,
         width: 300,
         wanted: 3.125,
         extra: -1.5,
     };
-    let answer = Message::Answer {
-        tag: tag("customer"),
+    let answer = Message::QuotaGrant {
+        tag: customer_tag("customer"),
         granted: 2.0,
         level: -0.25,
         demand: 40.0,
     };
     let encoded = |message: &Message, most: usize| hex(&encode(message, most));
     assert_eq!(
-        encoded(&Message::News(cells(3)), 256),
+        encoded(&Message::CellReports(cells(3)), 256),
         "020062000562000a6200"
     );
-    assert_eq!(encoded(&Message::News(cells(3)), 8), "02006200056200");
+    assert_eq!(
+        encoded(&Message::CellReports(cells(3)), 8),
+        "02006200056200"
+    );
     assert_eq!(encoded(&ask, 256), "0319aabda4022c011900f4ff");
     assert_eq!(encoded(&answer, 256), "0419aabda41000feff4001");
-    assert_eq!(tag(""), 0x811c_9dc5);
+    assert_eq!(customer_tag(""), 0x811c_9dc5);
 }
--- a/crates/traffic-control/src/lib.rs
+++ b/crates/traffic-control/src/lib.rs
@@ -37,25 +37,25 @@
 )]
 
 mod boot;
-mod calls;
-mod count;
-mod count_clock;
+mod class_latency;
+mod concurrency_permits;
+mod counter_calls;
+mod counter_rate_limit;
+mod counter_window;
 mod customer;
-mod decayed;
+mod decaying_sum;
 mod fleet;
 mod gateway;
 mod gossip;
 mod interface;
-mod latency;
 mod ledger;
-mod pace;
-mod peers;
-mod places;
+mod peer_reports;
+mod pending_request;
 mod policy;
-mod request;
-mod seen;
 mod server;
+mod server_latency;
 mod shares;
+mod status;
 mod subset;
 
 pub use boot::BootInfo;
--- a/crates/traffic-control/src/policy/quota.rs
+++ b/crates/traffic-control/src/policy/quota.rs
@@ -3,73 +3,75 @@
 //! chance. Each answers in one form, a [`Word`].
 //! Guards: no gateway, or fleet of them, passes on more than the quota pays for, and none draws past its slice of a ceiling.
 
-use super::{chance, CUSTOMERS_MAX, IDLE_US};
-use crate::customer::{Customer, Quota, RATE_TAU_US};
+use super::{random_unit, CUSTOMER_IDLE_TIMEOUT_US, MAX_CUSTOMERS};
+use crate::customer::{Customer, Quota, DEMAND_TAU_US};
 use crate::gateway::Gateway;
 use crate::interface::{Action, Ceiling, Micros, Plan, RequestId};
 
-const QUOTA_MOST: f64 = 1.1; // times the quota that a count may let pass: it is put right from a tenth above it
-const FRESH_US: Micros = 100_000; // µs; what was heard is as good as now: a few requests of one customer
-pub(super) const LENT_US: Micros = 1_500_000; // µs; what was asked for ahead is kept this long: a few requests of one customer
-const ODDS_TAU_US: f64 = 20_000_000.0; // µs; memory for how many asks found room
-const BLIND: f64 = 2.0; // times its cost that a guess of room must earn: many gateways guess alike
-const EXCESS: f64 = 0.5; // of its worth that a request beyond the quota has to earn: the queues that it fills cost more
-const UNTOLD: f64 = 1.0; // customers with room that are taken as seen, before any was asked for
+const COUNT_TOLERANCE: f64 = 1.1; // times the quota that a count may let pass: it is put right from a tenth above it
+const MAX_SPARSE_STALENESS_US: Micros = 100_000; // µs; what was heard is as good as now: a few requests of one customer
+pub(super) const RESERVATION_US: Micros = 1_500_000; // µs; what was asked for ahead is kept this long: a few requests of one customer
+const QUERY_RESULTS_TAU_US: f64 = 20_000_000.0; // µs; memory for how many asks found room
+const GUESS_COST_FACTOR: f64 = 2.0; // times its cost that a guess of room must earn: many gateways guess alike
+const MIN_EXCESS_VALUE: f64 = 0.5; // of its worth that a request beyond the quota has to earn: the queues that it fills cost more
+const PRIOR_SUCCESSES: f64 = 1.0; // customers with room that are taken as seen, before any was asked for
 
 /// What may pass here, as far as is known now.
-pub(super) struct Word {
+pub(super) struct QuotaEstimate {
     /// Surely so much...
-    pub least: f64,
+    pub certain_units: f64,
     /// ...surely not more...
-    pub most: f64,
+    pub possible_units: f64,
     /// ...and, with nobody left to ask, so much.
-    pub likely: f64,
+    pub likely_units: f64,
     /// It was heard from whoever adds up, and not too long ago.
-    pub heard: bool,
+    pub is_synced: bool,
 }
 
-impl Word {
+impl QuotaEstimate {
     /// None: somebody has to be asked.
     pub fn says(&self, units: f64) -> Option<bool> {
-        (self.least >= units || self.most < units).then_some(self.least >= units)
+        (self.certain_units >= units || self.possible_units < units)
+            .then_some(self.certain_units >= units)
     }
 }
 
 /// Beyond its quota a request earns more than half of what it does within, less what that costs.
-pub(super) fn earns_beyond(plan: &Plan) -> bool {
-    plan.excess_weight - plan.overrun_cost > EXCESS
+pub(super) fn excess_pays(plan: &Plan) -> bool {
+    plan.excess_weight - plan.overrun_cost > MIN_EXCESS_VALUE
 }
 
 /// A part of the rate by the meter alone: what this gateway used, and an even part of what all left unused; where all
 /// used too much, as much less as they did. If all keep to it at the same figure, it is the rate in sum.
-pub(super) fn part_by_meter(own: f64, all: f64, rate: f64, width: f64) -> f64 {
+pub(super) fn rate_share_by_meter(own: f64, all: f64, rate: f64, width: f64) -> f64 {
     ((own + (rate - all).max(0.0) / width) / rate.max(all).max(1e-9)).min(1.0)
 }
 
 impl Customer {
     /// This gateway's part of the quota: of recent demand, or unheard what the meter leaves to it; floored at the even
     /// slice.
-    pub(super) fn part(&self, q: &Quota, now: Micros) -> f64 {
+    pub(super) fn rate_share(&self, q: &Quota, now: Micros) -> f64 {
         let width = f64::from(self.width);
-        if self.kept {
+        if self.is_owner {
             return 1.0;
         }
-        if self.by_peers(now) {
-            return self.shares.part();
+        if self.follows_peer_reports(now) {
+            return self.shares.reachable_share();
         }
-        let by_meter = |all| part_by_meter(self.ledger.own(now), all, q.rate, width);
-        let part = match self.heard(now) {
-            true => self.by_demand(now),
-            false if q.places => 0.0,
+        let by_meter =
+            |all| rate_share_by_meter(self.ledger.own_usage_per_s(now), all, q.rate_per_s, width);
+        let part = match self.is_synced(now) {
+            true => self.demand_share(now),
+            false if q.limits_concurrency => 0.0,
             // Of gateways that tell each other none is heard: what was set aside for them is not used here.
-            false if !self.shares.all_heard() => {
+            false if !self.shares.all_reachable() => {
                 return self
                     .ledger
-                    .figure(now)
+                    .metered_usage(now)
                     .map_or(0.0, by_meter)
-                    .max(self.shares.part())
+                    .max(self.shares.reachable_share())
             }
-            false => self.ledger.figure(now).map_or(0.0, by_meter),
+            false => self.ledger.metered_usage(now).map_or(0.0, by_meter),
         };
         part.max(1.0 / width)
     }
@@ -77,25 +79,27 @@
     /// Fills the bucket and the slice of the ceiling.
     pub(super) fn refill(&mut self, q: &Quota, now: Micros) {
         let (s, width) = (
-            now.saturating_sub(self.at) as f64 / 1e6,
+            now.saturating_sub(self.refilled_at) as f64 / 1e6,
             f64::from(self.width),
         );
-        self.at = now;
+        self.refilled_at = now;
         // Unheard, the slice of many gateways is less than one request: it is saved up to the largest.
-        let part = self.part(q, now);
-        let slice = (q.most * part).max(q.largest).min(q.most);
-        let heard = self.heard(now);
+        let part = self.rate_share(q, now);
+        let slice = (q.capacity * part).max(q.max_request_units).min(q.capacity);
+        let heard = self.is_synced(now);
         // What was told is no longer ours to use: a slice under one request begins afresh.
-        let over = !heard && self.thin(q) && self.heard_at.take().is_some();
-        self.level = self.level.min(if over { 0.0 } else { q.most });
-        let fill = match heard && self.rare(q) {
+        let over = !heard && self.is_undersized(q) && self.synced_at.take().is_some();
+        self.level = self.level.min(if over { 0.0 } else { q.capacity });
+        let fill = match heard && self.is_sparse(q) {
             // All see the same store, and the others use it meanwhile.
-            true if !q.places => q.rate - self.others.per_s(now, RATE_TAU_US),
-            _ if heard && q.places => 0.0,
-            _ => q.rate * part,
+            true if !q.limits_concurrency => {
+                q.rate_per_s - self.others_demand.per_s(now, DEMAND_TAU_US)
+            }
+            _ if heard && q.limits_concurrency => 0.0,
+            _ => q.rate_per_s * part,
         };
-        self.level = (self.level + fill * s).min(if heard && !self.by_peers(now) {
-            q.most
+        self.level = (self.level + fill * s).min(if heard && !self.follows_peer_reports(now) {
+            q.capacity
         } else {
             slice
         });
@@ -104,86 +108,96 @@
             rate: 0.0,
             depth: 0.0,
         });
-        let (rate, depth) = match self.apart(q) {
+        let (rate, depth) = match self.has_separate_ceiling(q) {
             true => (
-                ceiling.rate - QUOTA_MOST * q.rate,
-                ceiling.depth - QUOTA_MOST * q.most,
+                ceiling.rate - COUNT_TOLERANCE * q.rate_per_s,
+                ceiling.depth - COUNT_TOLERANCE * q.capacity,
             ),
             false => (ceiling.rate, ceiling.depth),
         };
-        self.ceiling = (self.ceiling + rate / width * s).min(depth / width);
-        self.leases.retain(|&t| t > now);
-        if q.places && self.kept {
-            self.level = q.most - f64::from(self.open) - self.leases.len() as f64;
+        self.ceiling_level = (self.ceiling_level + rate / width * s).min(depth / width);
+        self.granted_permits.retain(|&t| t > now);
+        if q.limits_concurrency && self.is_owner {
+            self.level =
+                q.capacity - f64::from(self.open_attempts) - self.granted_permits.len() as f64;
         }
     }
 
     /// What the ceiling has above the quota does not hold the units here.
-    pub(super) fn short(&self, q: &Quota, units: f64) -> bool {
-        self.apart(q) && self.ceiling < units
+    pub(super) fn is_short_of_ceiling(&self, q: &Quota, units: f64) -> bool {
+        self.has_separate_ceiling(q) && self.ceiling_level < units
     }
 
     /// Units worth asking for beside a request's, for those that come soon: not more than an even slice of the store, and
     /// none of one that is not well filled or whose customer asks for too much.
-    pub(super) fn ahead(&self, q: &Quota, now: Micros) -> f64 {
-        let well =
-            self.ledger.busy(now) <= 1.0 && self.heard_at.is_some() && self.level >= q.most / 2.0;
-        let soon = self.demand.per_s(now, RATE_TAU_US) * LENT_US as f64 / 1e6;
-        if self.apart(q) && well {
-            soon.min(q.most / f64::from(self.width))
+    pub(super) fn prefetch_units(&self, q: &Quota, now: Micros) -> f64 {
+        let well = self.ledger.overuse_factor(now) <= 1.0
+            && self.synced_at.is_some()
+            && self.level >= q.capacity / 2.0;
+        let soon = self.demand.per_s(now, DEMAND_TAU_US) * RESERVATION_US as f64 / 1e6;
+        if self.has_separate_ceiling(q) && well {
+            soon.min(q.capacity / f64::from(self.width))
         } else {
             0.0
         }
     }
 
     /// What was asked for ahead and not used in time goes back.
-    pub(super) fn lapse(&mut self, now: Micros) {
+    pub(super) fn release_expired_reservation(&mut self, now: Micros) {
         if self
-            .heard_at
-            .is_none_or(|at| now.saturating_sub(at) >= LENT_US)
+            .synced_at
+            .is_none_or(|at| now.saturating_sub(at) >= RESERVATION_US)
         {
-            self.credit = 0.0;
+            self.reserved_units = 0.0;
         }
     }
 
     /// Keeps so many places for this gateway's next requests, as far as the count holds them for it and there is room
     /// for all. True: a look is due a while from now.
-    pub(super) fn keep(&mut self, wanted: u32) -> bool {
-        let most = self.held_free() as u32;
-        self.places.keep(wanted.min(most))
+    pub(super) fn set_spare_permits(&mut self, wanted: u32) -> bool {
+        let most = self.unused_permits() as u32;
+        self.permits.set_spare(wanted.min(most))
     }
 
     /// A while has passed: what nobody needed is kept no more. True: another look is due.
-    pub(super) fn keep_less(&mut self) -> bool {
-        let Some(unneeded) = self.places.unneeded() else {
+    pub(super) fn release_unneeded_permits(&mut self) -> bool {
+        let Some(unneeded) = self.permits.take_unneeded() else {
             return false;
         };
-        self.places.keep(self.places.spare.saturating_sub(unneeded))
+        self.permits
+            .set_spare(self.permits.spare.saturating_sub(unneeded))
     }
 
     /// What the store surely holds for this gateway, and what it holds at most: since told, the others used the whole
     /// rate, or nothing.
-    fn bounds(&self, q: &Quota, now: Micros) -> (f64, f64) {
-        let rare = self.rare(q);
-        if self.kept || !rare && self.ledger.astray(now) {
+    fn level_bounds(&self, q: &Quota, now: Micros) -> (f64, f64) {
+        let rare = self.is_sparse(q);
+        if self.is_owner || !rare && self.ledger.is_unreliable(now) {
             return (self.level, self.level);
         }
-        let own = f64::from(self.places.spare).max(self.credit);
+        let own = f64::from(self.permits.spare).max(self.reserved_units);
         // Unheard, or the count is out of step: it may be right again by now.
-        let Some(at) = self.heard_at.filter(|_| !q.places && self.level > -q.most) else {
+        let Some(at) = self
+            .synced_at
+            .filter(|_| !q.limits_concurrency && self.level > -q.capacity)
+        else {
             return (own, f64::MAX);
         };
-        let busy = if rare { self.ledger.busy(now) } else { 1.0 };
-        let since = now.saturating_sub(at) as f64 / 1e6 * q.rate * busy;
+        let busy = if rare {
+            self.ledger.overuse_factor(now)
+        } else {
+            1.0
+        };
+        let since = now.saturating_sub(at) as f64 / 1e6 * q.rate_per_s * busy;
         // Of many gateways some have asked in vain just now, and what they asked for is back soon.
-        let old = rare && now.saturating_sub(at) > FRESH_US;
+        let old = rare && now.saturating_sub(at) > MAX_SPARSE_STALENESS_US;
         let most = if old {
             f64::MAX
         } else {
-            self.level + since * (1.0 - self.part(q, now))
+            self.level + since * (1.0 - self.rate_share(q, now))
         };
-        let above = if self.apart(q) && at != now {
-            self.ceiling.max(self.credit)
+        let above = if self.has_separate_ceiling(q) && at != now {
+            self.ceiling_level.max(self.reserved_units)
         } else {
             f64::MAX
         };
@@ -191,50 +205,60 @@
     }
 
     /// What may pass here of its quota. `over`: what passing on beyond it costs, beside what it earns within.
-    pub(super) fn word(&self, q: &Quota, over: f64, now: Micros, attempt_s: f64) -> Word {
-        if self.by_peers(now) && !q.places {
+    pub(super) fn estimate(
+        &self,
+        q: &Quota,
+        over: f64,
+        now: Micros,
+        attempt_s: f64,
+    ) -> QuotaEstimate {
+        if self.follows_peer_reports(now) && !q.limits_concurrency {
             // Until the others have told again, each keeps to its part of what is there: all see the same store.
-            let share = self.by_demand(now).max(1.0 / f64::from(self.width))
-                * (self.level + self.spent)
-                - self.spent;
-            let may = if self.spent == 0.0 {
+            let share = self.demand_share(now).max(1.0 / f64::from(self.width))
+                * (self.level + self.used_since_reports)
+                - self.used_since_reports;
+            let may = if self.used_since_reports == 0.0 {
                 self.level
             } else {
                 self.level.min(share)
             };
-            return Word {
-                least: may,
-                most: may,
-                likely: may,
-                heard: true,
+            return QuotaEstimate {
+                certain_units: may,
+                possible_units: may,
+                likely_units: may,
+                is_synced: true,
             };
         }
         // Not told just now, places are a guess: passed on blindly if that earns more than it costs.
-        let guessed = (self.digits.is_some() || self.by_epochs(q)) && !self.just_heard(now);
-        let free = q.most - f64::from(self.open);
+        let guessed =
+            (self.permit_digits.is_some() || self.counts_in_epochs(q)) && !self.is_synced_now(now);
+        let free = q.capacity - f64::from(self.open_attempts);
         let room = guessed
-            .then(|| self.places.room(now, attempt_s * 1e6, free))
+            .then(|| {
+                self.permits
+                    .availability_probability(now, attempt_s * 1e6, free)
+            })
             .flatten();
         let pays = |p: f64| {
-            if p > (1.0 - p) * over * BLIND {
+            if p > (1.0 - p) * over * GUESS_COST_FACTOR {
                 1.0
             } else {
                 0.0
             }
         };
-        let (least, most) = self.bounds(q, now);
-        Word {
-            least,
-            most,
-            likely: room.map_or(self.level, pays),
-            heard: self.heard(now),
+        let (least, most) = self.level_bounds(q, now);
+        QuotaEstimate {
+            certain_units: least,
+            possible_units: most,
+            likely_units: room.map_or(self.level, pays),
+            is_synced: self.is_synced(now),
         }
     }
 }
 
 impl Gateway {
     /// `place`: where this gateway stands in the customer's set.
-    pub(super) fn customer(
+    pub(super) fn customer_state(
         &mut self,
         tag: u32,
         plan: usize,
@@ -243,23 +267,30 @@
         place: u32,
     ) -> Option<&mut Customer> {
         if !self.customers.contains_key(&tag) {
-            (self.customers.len() < CUSTOMERS_MAX).then_some(())?;
-            let (q, set, now) = (&self.quotas[plan], &self.set, self.now);
-            let at = self.started.unwrap_or(now).max(now.saturating_sub(IDLE_US));
+            (self.customers.len() < MAX_CUSTOMERS).then_some(())?;
+            let (q, set, now) = (&self.quotas[plan], &self.settings, self.now);
+            let at = self
+                .started_at
+                .unwrap_or(now)
+                .max(now.saturating_sub(CUSTOMER_IDLE_TIMEOUT_US));
             // What others told of a customer that was not known here is used all the same.
-            let unseen = self.peers.unseen.remove(&tag).filter(|_| !q.places);
-            let known = unseen.map_or(q.most, |u| u.left(q, now));
+            let unseen = self
+                .peer_reports
+                .unknown_customers
+                .remove(&tag)
+                .filter(|_| !q.limits_concurrency);
+            let known = unseen.map_or(q.capacity, |u| u.remaining_units(q, now));
             let mut c = Customer::new(tag, q, width, place, set, at);
             // Where gateways tell, the parts of those that do not are set aside; else the even slice is all there is.
-            let most = if set.usage_report_ttl_us > 0 && !q.places {
-                q.most
+            let most = if set.usage_report_ttl_us > 0 && !q.limits_concurrency {
+                q.capacity
             } else {
-                q.most / f64::from(width)
+                q.capacity / f64::from(width)
             };
-            c.level = known.clamp(-q.most, most);
-            self.peers.tell(now, set, q, &mut c);
-            c.kept = width <= 1 || (keeper == set.me && set.peer_messages && !set.counter);
-            c.keeper = keeper;
+            c.level = known.clamp(-q.capacity, most);
+            self.peer_reports.update_customer(now, set, q, &mut c);
+            c.is_owner = width <= 1 || (keeper == set.me && set.peer_messages && !set.counter);
+            c.owner = keeper;
             self.customers.insert(tag, c);
         }
         // Moved to another plan: what it has left goes with it.
@@ -270,22 +301,26 @@
 
     /// Exception to the even slice, for want of a call: what asks found says if passing on blindly pays, and of who asks
     /// for too much as many pass as leave the quota used in sum.
-    pub(super) fn blind(&mut self, plan: usize, rare: bool, over: f64, busy: f64) -> bool {
+    pub(super) fn admits_blindly(&mut self, plan: usize, rare: bool, over: f64, busy: f64) -> bool {
         // A place beyond the cap is held for as long as one within, and in the way of the next.
-        let times = if self.quotas[plan].places { BLIND } else { 1.0 };
-        let [none, room] = self.odds[plan].map(|n| n.at(self.now, ODDS_TAU_US));
-        let untold = if rare { UNTOLD } else { 0.0 };
+        let times = if self.quotas[plan].limits_concurrency {
+            GUESS_COST_FACTOR
+        } else {
+            1.0
+        };
+        let [none, room] = self.query_results[plan].map(|n| n.at(self.now, QUERY_RESULTS_TAU_US));
+        let untold = if rare { PRIOR_SUCCESSES } else { 0.0 };
         let pays = none + room + untold >= 1.0 && room + untold > none * (over + 1.0) * times;
-        pays && chance(&mut self.rng) * busy * busy < 1.0
+        pays && random_unit(&mut self.rng) * busy * busy < 1.0
     }
 
     /// An ask was answered, and found room or none.
-    pub(super) fn found(&mut self, plan: usize, room: bool) {
-        self.odds[plan][usize::from(room)].add(self.now, ODDS_TAU_US, 1.0);
+    pub(super) fn record_query_result(&mut self, plan: usize, room: bool) {
+        self.query_results[plan][usize::from(room)].add(self.now, QUERY_RESULTS_TAU_US, 1.0);
     }
 
     /// The request is about to be sent on: its units are drawn. False: the ceiling forbids it.
-    pub(super) fn draw(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
+    pub(super) fn charge_quota(&mut self, id: RequestId, out: &mut Vec<Action>) -> bool {
         let Some(p) = self.requests.get(&id) else {
             return false;
         };
@@ -295,19 +330,19 @@
         let q = self.quotas[c.plan];
         c.refill(&q, self.now);
         // One of many takes what the count holds for it already from the quota, all else from what the ceiling has above.
-        let granted = c.credit > 0.0 && c.credit >= units && c.level >= units;
-        if c.ceiling < units && !granted && q.ceiling.is_some() {
+        let granted = c.reserved_units > 0.0 && c.reserved_units >= units && c.level >= units;
+        if c.ceiling_level < units && !granted && q.ceiling.is_some() {
             return false;
         }
-        c.ceiling = if granted {
-            c.ceiling
+        c.ceiling_level = if granted {
+            c.ceiling_level
         } else {
-            (c.ceiling - units).max(0.0)
+            (c.ceiling_level - units).max(0.0)
         };
-        let within = !q.places && c.level >= units;
-        c.used(self.now, units, within);
-        if within && self.set.usage_report_ttl_us > 0 {
-            c.shares.used(self.now, self.set.me, units);
+        let within = !q.limits_concurrency && c.level >= units;
+        c.record_usage(self.now, units, within);
+        if within && self.settings.usage_report_ttl_us > 0 {
+            c.shares.record_usage(self.now, self.settings.me, units);
             out.push(Action::ReportUsage {
                 tag: p.customer,
                 units,
@@ -318,33 +353,45 @@
 
     /// The other gateways told what they let through. A restarted gateway's use counts on: it is of another life.
     /// What was used while a gateway was not heard comes out of what was set aside for it.
-    pub(super) fn on_used(&mut self, heard: &[u32], uses: &[(u32, u32, f64)], past: &[(u32, f64)]) {
+    pub(super) fn on_usage_reported(
+        &mut self,
+        heard: &[u32],
+        uses: &[(u32, u32, f64)],
+        past: &[(u32, f64)],
+    ) {
         let now = self.now;
         for &(from, tag, units) in uses {
             let Some(c) = self.customers.get_mut(&tag) else {
-                self.peers.unseen(now, CUSTOMERS_MAX, tag, units, false);
+                self.peer_reports
+                    .record_unknown_customer(now, MAX_CUSTOMERS, tag, units, false);
                 continue;
             };
             let q = self.quotas[c.plan];
-            self.peers.tell(now, &self.set, &q, c);
-            let common = c.shares.told(now, &q, from, units, heard.contains(&from));
+            self.peer_reports
+                .update_customer(now, &self.settings, &q, c);
+            let common = c
+                .shares
+                .charge_reported(now, &q, from, units, heard.contains(&from));
             // What the counter told already is not to be taken twice.
-            if common > 0.0 && (c.by_peers(now) || !c.heard(now)) {
+            if common > 0.0 && (c.follows_peer_reports(now) || !c.is_synced(now)) {
                 c.refill(&q, now);
-                c.level = (c.level - common).max(-q.most);
-                c.others.add(now, RATE_TAU_US, common);
+                c.level = (c.level - common).max(-q.capacity);
+                c.others_demand.add(now, DEMAND_TAU_US, common);
             }
         }
         for &(tag, units) in past {
             // It may be older than what the store has been filled with since: it empties the store and no more.
             match self.customers.get_mut(&tag) {
                 Some(c) => c.level = (c.level - units).max(c.level.min(0.0)),
-                None => self.peers.unseen(now, CUSTOMERS_MAX, tag, units, true),
+                None => {
+                    self.peer_reports
+                        .record_unknown_customer(now, MAX_CUSTOMERS, tag, units, true)
+                }
             }
         }
         heard
             .iter()
-            .filter(|g| **g < self.set.gateways)
-            .for_each(|g| self.peers.told(now, *g));
+            .filter(|g| **g < self.settings.gateways)
+            .for_each(|g| self.peer_reports.record_usage_report(now, *g));
     }
 }
--- a/crates/traffic-control/src/server.rs
+++ b/crates/traffic-control/src/server.rs
@@ -10,24 +10,24 @@
     pub group: (String, u64),
     pub share: f64,
     /// Of its name, as all gateways have it.
-    pub key: u64,
-    pub started: Micros,
+    pub hash_key: u64,
+    pub started_us: Micros,
     pub health: Health,
     pub pool: u8,
-    pub out: u32,
+    pub in_flight: u32,
     /// Latency beside the fleet's usual for the class; 1 is usual.
-    pub slowness: f64,
-    pub errors: f64,
-    pub judged_at: Micros,
+    pub slowness_ratio: f64,
+    pub error_rate: f64,
+    pub assessed_at: Micros,
     /// Sends it may get while cold, as of when.
-    pub credit: (f64, Micros),
+    pub slow_start_credit: (f64, Micros),
 }
 
 impl Server {
     /// Share of its capacity at least: evenly from the stated start.
     pub fn warmth(&self, cold: &SlowStart, now: Micros) -> f64 {
-        let age = now.saturating_sub(self.started) as f64 / cold.duration_us.max(1) as f64;
-        let share = if self.started == 0 || cold.duration_us == 0 {
+        let age = now.saturating_sub(self.started_us) as f64 / cold.duration_us.max(1) as f64;
+        let share = if self.started_us == 0 || cold.duration_us == 0 {
             1.0
         } else {
             age.min(1.0)
@@ -37,29 +37,30 @@
 
     /// Slowness and errors now: what is thought of a silent server fades, so that it is tried again. It fades to what is
     /// thought of its zone.
-    pub fn thought(&self, now: Micros, forget_us: f64, zone: f64) -> (f64, f64) {
-        let silent = now.saturating_sub(self.judged_at) as f64;
+    pub fn decayed_assessment(&self, now: Micros, forget_us: f64, zone: f64) -> (f64, f64) {
+        let silent = now.saturating_sub(self.assessed_at) as f64;
         let keep = 0.5f64.powf(silent / forget_us);
         // That a server was well some time ago says little once others of its zone fail.
-        let well = if zone > self.errors {
-            0.5f64.powf(silent / WELL_US)
+        let well = if zone > self.error_rate {
+            0.5f64.powf(silent / HEALTHY_HALF_LIFE_US)
         } else {
             keep
         };
         (
-            1.0 + (self.slowness - 1.0) * keep,
-            zone + (self.errors - zone) * well,
+            1.0 + (self.slowness_ratio - 1.0) * keep,
+            zone + (self.error_rate - zone) * well,
         )
     }
 
     /// What the others are told: the part that failed of what was sent there from here when it was judged last, or as much for its
     /// slowness.
-    pub fn trouble(&self) -> f64 {
-        self.errors.max(1.0 - USUAL / self.slowness.max(USUAL))
+    pub fn reported_error_rate(&self) -> f64 {
+        self.error_rate
+            .max(1.0 - MAX_UNREPORTED_SLOWNESS / self.slowness_ratio.max(MAX_UNREPORTED_SLOWNESS))
     }
 
     /// Another outcome, with its weight beside all before it.
-    pub fn judge(
+    pub fn record_outcome(
         &mut self,
         now: Micros,
         forget_us: f64,
@@ -68,34 +69,34 @@
         failed: f64,
         zone: f64,
     ) {
-        let (was_slow, errors) = self.thought(now, forget_us, zone);
-        self.slowness = was_slow + weight * (slow - was_slow);
-        self.errors = errors + weight * (failed - errors);
-        self.judged_at = now;
+        let (was_slow, errors) = self.decayed_assessment(now, forget_us, zone);
+        self.slowness_ratio = was_slow + weight * (slow - was_slow);
+        self.error_rate = errors + weight * (failed - errors);
+        self.assessed_at = now;
     }
 }
 
 /// Times the usual that no server is told of for.
-const USUAL: f64 = 4.0;
+const MAX_UNREPORTED_SLOWNESS: f64 = 4.0;
 /// That a server is well is half forgotten in this while its zone is not.
-const WELL_US: f64 = 300_000.0;
+const HEALTHY_HALF_LIFE_US: f64 = 300_000.0;
 /// Weight of one outcome in what is thought of a zone: about the last five.
 const ZONE_WEIGHT: f64 = 0.2;
 /// What is thought of a silent zone halves in this.
-const ZONE_FORGET_US: f64 = 4_000_000.0;
+const ZONE_HALF_LIFE_US: f64 = 4_000_000.0;
 
 /// How many attempts failed of late, by zone. Where a gateway meets each server rarely, that a zone is gone shows in all of
 /// its servers together long before it shows in one.
 #[derive(Default)]
-pub(crate) struct Zones(BTreeMap<String, (f64, Micros)>);
+pub(crate) struct ZoneFailures(BTreeMap<String, (f64, Micros)>);
 
-impl Zones {
+impl ZoneFailures {
     /// As they are now: few zones fade once, not for each of their servers.
-    pub fn at(&self, now: Micros) -> ZonesNow<'_> {
+    pub fn at(&self, now: Micros) -> ZoneErrors<'_> {
         let faded = |(errors, at): (f64, Micros)| {
-            errors * 0.5f64.powf(now.saturating_sub(at) as f64 / ZONE_FORGET_US)
+            errors * 0.5f64.powf(now.saturating_sub(at) as f64 / ZONE_HALF_LIFE_US)
         };
-        ZonesNow(
+        ZoneErrors(
             self.0
                 .iter()
                 .map(|(zone, &judged)| (zone.as_str(), faded(judged)))
@@ -105,22 +106,22 @@
 
     /// Another outcome.
     pub fn judge(&mut self, zone: &str, now: Micros, failed: f64) {
-        let errors = self.at(now).errors(zone);
+        let errors = self.at(now).error_rate(zone);
         let z = self.0.entry(zone.to_string()).or_default();
         *z = (errors + ZONE_WEIGHT * (failed - errors), now);
     }
 
     /// Forgets zones that are not listed any more.
-    pub fn keep(&mut self, listed: impl Fn(&str) -> bool) {
+    pub fn retain_listed(&mut self, listed: impl Fn(&str) -> bool) {
         self.0.retain(|zone, _| listed(zone));
     }
 }
 
 /// What is thought of the zones at one time.
-pub(crate) struct ZonesNow<'a>(Vec<(&'a str, f64)>);
+pub(crate) struct ZoneErrors<'a>(Vec<(&'a str, f64)>);
 
-impl ZonesNow<'_> {
-    pub fn errors(&self, zone: &str) -> f64 {
+impl ZoneErrors<'_> {
+    pub fn error_rate(&self, zone: &str) -> f64 {
         self.0
             .iter()
             .find(|(name, _)| *name == zone)
