--- a/crates/traffic-control/src/boot.rs
+++ b/crates/traffic-control/src/boot.rs
@@ -1,15 +1,17 @@
-//! The settings in the form in which the operators hand them out, for whatever hosts a gateway.
+//! The settings in the form in which operators hand them out, for whatever hosts a gateway. The names of that form are
+//! mapped to the terms of the decisions here.
 
 use crate::interface::{
     Ceiling, Effect, Plan, RequestClass, RetryBudget, Scope, Settings, SlowStart,
 };
 use serde::Deserialize;
 
-/// The settings as the operators write them; what is left out is zero or empty, what is unknown is skipped.
+/// The settings as operators write them; what is left out is zero or empty, what is unknown is skipped.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 pub struct BootInfo {
-    balancers: u32,
+    #[serde(rename = "balancers")]
+    gateways: u32,
     discovery: String,
     family_info: FamilyInfo,
     limits: Limits,
@@ -24,19 +26,27 @@
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 struct FamilyInfo {
-    mail_per_s: f64,
+    #[serde(rename = "mailPerS")]
+    peer_messages_per_s: f64,
     shared_counter: bool,
-    units_top: f64,
-    use_period_us: u64,
+    #[serde(rename = "unitsTop")]
+    max_units: f64,
+    #[serde(rename = "usePeriodUs")]
+    meter_period_us: u64,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "mirrors the operators' document"
+)]
 struct Limits {
     cancel: bool,
     max_attempts: u32,
     max_retry_after_us: u64,
-    parallel_tries: bool,
+    #[serde(rename = "parallelTries")]
+    parallel_attempts: bool,
     peer_messages: bool,
     retry_after: bool,
 }
@@ -50,91 +60,64 @@
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 struct Rules {
-    cold_from: f64,
-    cold_us: u64,
-    tip_after_us: u64,
-    tip_multiple: f64,
+    #[serde(rename = "coldFrom")]
+    slow_start_initial_share: f64,
+    #[serde(rename = "coldUs")]
+    slow_start_duration_us: u64,
+    #[serde(rename = "tipAfterUs")]
+    overload_after_us: u64,
+    #[serde(rename = "tipMultiple")]
+    overload_multiple: f64,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 struct Service {
-    aim_us: u64,
+    #[serde(rename = "aimUs")]
+    latency_objective_us: u64,
     deadline_us: u64,
     dedup_scope: String,
     effect: String,
-    late_worth: f64,
+    #[serde(rename = "lateWorth")]
+    late_weight: f64,
     name: String,
     window_us: u64,
-    worth: f64,
+    #[serde(rename = "worth")]
+    priority_weight: f64,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 struct Tariff {
     burst: f64,
-    cap_depth: f64,
+    #[serde(rename = "capDepth")]
+    ceiling_depth: f64,
     ceiling_rate: f64,
-    excess_worth: f64,
-    max_out: u32,
+    #[serde(rename = "excessWorth")]
+    excess_weight: f64,
+    #[serde(rename = "maxOut")]
+    max_open: u32,
     name: String,
     overrun_cost: f64,
-    pays: f64,
+    #[serde(rename = "pays")]
+    price: f64,
     units_per_s: f64,
 }
 
 impl BootInfo {
     /// The settings in the units and terms of the decisions.
     pub fn settings(self) -> Settings {
-        let scope = |s: &str| match s {
-            "all" => Scope::All,
-            "zone" => Scope::Zone,
-            _ => Scope::Cell,
-        };
-        let effect = |s: &Service| match s.effect.as_str() {
-            "repeatable" => Effect::Repeatable,
-            "by_key" => Effect::Keyed {
-                scope: scope(&s.dedup_scope),
-                window_us: s.window_us,
-            },
-            _ => Effect::Once,
-        };
-        let classes = self.services.iter().map(|s| RequestClass {
-            name: s.name.clone(),
-            latency_objective_us: s.aim_us,
-            deadline_us: s.deadline_us,
-            effect: effect(s),
-            priority_weight: s.worth,
-            late_weight: s.late_worth,
-        });
-        let plans = self.tariffs.iter().map(|t| Plan {
-            name: t.name.clone(),
-            rate: t.units_per_s,
-            burst: t.burst,
-            max_open: t.max_out,
-            price: t.pays,
-            excess_weight: t.excess_worth,
-            overrun_cost: t.overrun_cost,
-            ceiling: (t.ceiling_rate > 0.0).then_some(Ceiling {
-                rate: t.ceiling_rate,
-                depth: t.cap_depth,
-            }),
-        });
-        let (limits, family) = (self.limits, self.family_info);
+        let limits = self.limits;
+        let family = self.family_info;
         Settings {
-            gateways: self.balancers,
+            gateways: self.gateways,
             me: self.me,
             zone: self.zone,
-            classes: classes.collect(),
-            plans: plans.collect(),
-            slow_start: SlowStart {
-                initial_share: self.rules.cold_from,
-                duration_us: self.rules.cold_us,
-                overload_multiple: self.rules.tip_multiple,
-                overload_after_us: self.rules.tip_after_us,
-            },
+            classes: self.services.into_iter().map(Service::class).collect(),
+            plans: self.tariffs.into_iter().map(Tariff::plan).collect(),
+            slow_start: self.rules.slow_start(),
             max_attempts: limits.max_attempts,
-            parallel_attempts: limits.parallel_tries,
+            parallel_attempts: limits.parallel_attempts,
             cancel: limits.cancel,
             max_retry_after_us: if limits.retry_after {
                 limits.max_retry_after_us
@@ -142,14 +125,76 @@
                 0
             },
             peer_messages: limits.peer_messages,
-            peer_messages_per_s: family.mail_per_s,
+            peer_messages_per_s: family.peer_messages_per_s,
             counter: family.shared_counter,
             usage_report_ttl_us: 0,
-            meter_period_us: family.use_period_us,
+            meter_period_us: family.meter_period_us,
             list_on_request: self.discovery == "on_request",
             cross_zone_cost: self.penalties.cross_zone,
-            max_units: family.units_top,
+            max_units: family.max_units,
             retries: RetryBudget::default(),
         }
     }
 }
+
+impl Rules {
+    fn slow_start(&self) -> SlowStart {
+        SlowStart {
+            initial_share: self.slow_start_initial_share,
+            duration_us: self.slow_start_duration_us,
+            overload_multiple: self.overload_multiple,
+            overload_after_us: self.overload_after_us,
+        }
+    }
+}
+
+impl Service {
+    fn class(self) -> RequestClass {
+        RequestClass {
+            effect: self.effect(),
+            name: self.name,
+            latency_objective_us: self.latency_objective_us,
+            deadline_us: self.deadline_us,
+            priority_weight: self.priority_weight,
+            late_weight: self.late_weight,
+        }
+    }
+
+    fn effect(&self) -> Effect {
+        match self.effect.as_str() {
+            "repeatable" => Effect::Repeatable,
+            "by_key" => Effect::Keyed {
+                scope: self.scope(),
+                window_us: self.window_us,
+            },
+            _ => Effect::Once,
+        }
+    }
+
+    fn scope(&self) -> Scope {
+        match self.dedup_scope.as_str() {
+            "all" => Scope::All,
+            "zone" => Scope::Zone,
+            _ => Scope::Cell,
+        }
+    }
+}
+
+impl Tariff {
+    fn plan(self) -> Plan {
+        let ceiling = Ceiling {
+            rate: self.ceiling_rate,
+            depth: self.ceiling_depth,
+        };
+        Plan {
+            name: self.name,
+            rate: self.units_per_s,
+            burst: self.burst,
+            max_open: self.max_open,
+            price: self.price,
+            excess_weight: self.excess_weight,
+            overrun_cost: self.overrun_cost,
+            ceiling: (ceiling.rate > 0.0).then_some(ceiling),
+        }
+    }
+}
--- a/crates/traffic-control/src/class_latency.rs
+++ b/crates/traffic-control/src/class_latency.rs
@@ -2,78 +2,96 @@
 
 use crate::interface::{Micros, RequestClass};
 
-const LOWEST_GROWTH: f64 = 1.01; // growth of the lowest latency an interval, to forget an old floor
-const MIN_SAMPLES: u32 = 3; // answers that make a mean worth acting on
-const MEAN_UNITS_WEIGHT: f64 = 0.02; // of one attempt in the mean units: about the last fifty
-const OBJECTIVE_PER_UNMEASURED_ATTEMPT: f64 = 8.0; // part of the aim that an attempt is taken to need before any was measured
+/// Growth of the lowest latency in an interval, to forget an old one.
+const LOWEST_GROWTH: f64 = 1.01;
+/// Answers that make a mean worth acting on.
+const MIN_SAMPLES: u32 = 3;
+/// Weight of one attempt in the mean units: about the last fifty.
+const MEAN_UNITS_WEIGHT: f64 = 0.02;
+/// Before any attempt was measured, it is taken to need this part of the latency objective.
+const OBJECTIVE_PER_UNMEASURED_ATTEMPT: f64 = 8.0;
 
+/// How long an attempt takes.
+#[derive(Clone, Copy)]
+pub(crate) struct AttemptTimes {
+    /// Now.
+    pub current_s: f64,
+    /// At an idle server.
+    pub idle_s: f64,
+}
+
+/// The latency of one class.
 #[derive(Clone, Default)]
 pub(crate) struct ClassLatency {
     /// Mean units of a request, so that a large one is not taken for a slow server.
     pub mean_units: f64,
+    /// Sum and number of the latencies of this interval.
     sum_us: f64,
     count: u32,
-    /// Last interval's mean, µs; 0: nothing measured yet.
+    /// Mean of the last interval; 0: nothing was measured yet.
     pub mean_us: f64,
-    /// Lowest recent mean, µs.
+    /// Lowest recent mean.
     pub lowest_us: f64,
 }
 
 impl ClassLatency {
-    /// A request came; the first one stands for all until there is a mean.
+    /// Records a request; the first one's units stand for all until there is a mean.
     pub fn record_request(&mut self, units: f64) {
-        self.mean_units = if self.mean_units > 0.0 {
-            self.mean_units
-        } else {
-            units
-        };
+        if self.mean_units <= 0.0 {
+            self.mean_units = units;
+        }
     }
 
-    /// An attempt ended, after a usual time for its units or so many times that.
+    /// Records the units of an attempt that ended. Returns how many times the usual time for its units it took.
     pub fn record_units_and_compare(&mut self, units: f64, elapsed_us: Micros) -> f64 {
         self.mean_units += MEAN_UNITS_WEIGHT * (units - self.mean_units);
-        let usual = if self.mean_us > 0.0 {
+        let usual_us = if self.mean_us > 0.0 {
             self.mean_us * units / self.mean_units
         } else {
             elapsed_us as f64
         };
-        elapsed_us as f64 / usual.max(1.0)
+        elapsed_us as f64 / usual_us.max(1.0)
     }
 
-    /// How many times its time at an idle server it took; none before any was measured.
+    /// How many times its time at an idle server an attempt took; `None` before any was measured.
     pub fn idle_multiple(&self, units: f64, elapsed_us: Micros) -> Option<f64> {
-        let idle = self.lowest_us * units / self.mean_units.max(1e-9);
-        (self.lowest_us > 0.0).then(|| elapsed_us as f64 / idle.max(1.0))
+        let idle_us = self.lowest_us * units / self.mean_units.max(1e-9);
+        (self.lowest_us > 0.0).then(|| elapsed_us as f64 / idle_us.max(1.0))
     }
 
-    /// It tells of latency.
+    /// Records the latency of an attempt.
     pub fn record_latency(&mut self, elapsed_us: Micros) {
-        (self.sum_us, self.count) = (self.sum_us + elapsed_us as f64, self.count + 1);
+        self.sum_us += elapsed_us as f64;
+        self.count += 1;
     }
 
-    /// An interval is over. Whether its mean is worth acting on.
+    /// Ends an interval. Returns whether its mean is worth acting on.
     pub fn end_interval(&mut self) -> bool {
-        let enough = self.count >= MIN_SAMPLES;
-        if enough {
-            self.mean_us = self.sum_us / f64::from(self.count);
-            self.lowest_us = if self.lowest_us > 0.0 {
-                (self.lowest_us * LOWEST_GROWTH).min(self.mean_us)
-            } else {
-                self.mean_us
-            };
-            (self.sum_us, self.count) = (0.0, 0);
+        if self.count < MIN_SAMPLES {
+            return false;
         }
-        enough
+        self.mean_us = self.sum_us / f64::from(self.count);
+        self.lowest_us = if self.lowest_us > 0.0 {
+            (self.lowest_us * LOWEST_GROWTH).min(self.mean_us)
+        } else {
+            self.mean_us
+        };
+        self.sum_us = 0.0;
+        self.count = 0;
+        true
     }
 
-    /// How long an attempt takes now, in seconds, and how long at idle servers.
-    pub fn attempt_times(&self, class: &RequestClass) -> (f64, f64) {
-        let least = class.latency_objective_us as f64 / OBJECTIVE_PER_UNMEASURED_ATTEMPT;
-        let idle = if self.lowest_us > 0.0 {
+    /// How long an attempt takes, now and at idle servers.
+    pub fn attempt_times(&self, class: &RequestClass) -> AttemptTimes {
+        let unmeasured_us = class.latency_objective_us as f64 / OBJECTIVE_PER_UNMEASURED_ATTEMPT;
+        let idle_us = if self.lowest_us > 0.0 {
             self.lowest_us
         } else {
-            least
+            unmeasured_us
         };
-        (self.mean_us.max(least) / 1e6, idle / 1e6)
+        AttemptTimes {
+            current_s: self.mean_us.max(unmeasured_us) / 1e6,
+            idle_s: idle_us / 1e6,
+        }
     }
 }
--- /dev/null
+++ b/crates/traffic-control/src/customer/concurrency.rs
@@ -0,0 +1,124 @@
+//! A customer's concurrency permits: how its open attempts are counted here, in the counter, and by its owner.
+
+use super::Customer;
+use crate::counter::{CounterWindow, COUNTER_WINDOW_US};
+use crate::interface::Micros;
+use crate::quota::Quota;
+
+/// Many attempts, and short beside how long a gateway's death should be felt.
+const PERMIT_EPOCH_US: Micros = 3_000_000;
+
+/// What happens to an attempt.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum AttemptChange {
+    Begins,
+    Ends,
+}
+
+/// The name of a count, and how long it lives in the counter.
+pub(crate) struct CountName {
+    pub name: String,
+    pub ttl_us: Micros,
+}
+
+impl Customer {
+    /// Records that an attempt begins or ends. Returns how many spare permits the count would then hold for this gateway;
+    /// `None` where the customer is not counted by permits.
+    pub fn record_attempt(
+        &mut self,
+        quota: &Quota,
+        change: AttemptChange,
+        now: Micros,
+        wall: Micros,
+    ) -> Option<u32> {
+        self.open_attempts = match change {
+            AttemptChange::Begins => self.open_attempts + 1,
+            AttemptChange::Ends => self.open_attempts.saturating_sub(1),
+        };
+        let epoch_is_unreported =
+            self.counts_in_epochs(quota) && self.reported_epoch != self.epoch(wall);
+        if !quota.limits_concurrency || self.is_owner || epoch_is_unreported {
+            return None;
+        }
+        let spare = self.permits.spare;
+        match change {
+            AttemptChange::Begins => {
+                self.unreported += 1.0;
+                self.level -= 1.0;
+                Some(spare.saturating_sub(1))
+            }
+            AttemptChange::Ends => {
+                self.unreported -= 1.0;
+                self.level += f64::from(u8::from(self.is_synced(now)));
+                Some(spare + 1)
+            }
+        }
+    }
+
+    /// Permits that the count holds for this gateway, not in use, and for which there is capacity.
+    fn unused_permits(&self) -> f64 {
+        self.permit_digits
+            .map_or(0.0, |_| self.level.min(-self.unreported).max(0.0))
+    }
+
+    /// Holds so many permits for this gateway's next requests, as far as the count has them for it and there is capacity
+    /// for all. True: a review is due a while from now.
+    pub fn set_spare_permits(&mut self, wanted: u32) -> bool {
+        let available = self.unused_permits() as u32;
+        self.permits.set_spare(wanted.min(available))
+    }
+
+    /// Reviews the spare permits: those that nobody needed are not held any more. True: another review is due.
+    pub fn release_unneeded_permits(&mut self) -> bool {
+        let Some(unneeded) = self.permits.take_unneeded() else {
+            return false;
+        };
+        self.permits
+            .set_spare(self.permits.spare.saturating_sub(unneeded))
+    }
+
+    /// As owner: records permits that other gateways took until `lapses_at`, or gave back if `taken` is negative.
+    pub fn update_granted_permits(&mut self, quota: &Quota, taken: f64, lapses_at: Micros) {
+        let returned = (-taken).clamp(0.0, self.granted_permits.len() as f64) as usize;
+        self.granted_permits.drain(..returned);
+        let granted = taken.clamp(0.0, quota.capacity) as usize;
+        self.granted_permits
+            .extend(std::iter::repeat_n(lapses_at, granted));
+    }
+
+    /// Whether its gateways are so many that digits do not hold their permits. Then the sum starts again in each epoch: it
+    /// forgets by itself what a gateway that died, or has no call left, does not take back.
+    pub fn counts_in_epochs(&self, quota: &Quota) -> bool {
+        quota.limits_concurrency && self.permit_digits.is_none() && quota.is_counter_only
+    }
+
+    /// The name of its count now.
+    pub fn count_name(&self, quota: &Quota, wall: Micros, window: CounterWindow) -> CountName {
+        let (number, ttl_us) = if self.counts_in_epochs(quota) {
+            (self.epoch(wall), 2 * PERMIT_EPOCH_US)
+        } else {
+            (window.number, COUNTER_WINDOW_US)
+        };
+        CountName {
+            name: format!("{:08x}:{number}", self.tag),
+            ttl_us,
+        }
+    }
+
+    /// The number of the epoch, which begins at another time for each customer.
+    fn epoch(&self, wall: Micros) -> u64 {
+        (wall + Micros::from(self.tag) % PERMIT_EPOCH_US) / PERMIT_EPOCH_US
+    }
+
+    /// In a new epoch no open attempt is reported yet.
+    pub fn begin_epoch_if_due(&mut self, quota: &Quota, wall: Micros) {
+        let epoch = self.epoch(wall);
+        if !self.counts_in_epochs(quota) {
+            return;
+        }
+        let previous = std::mem::replace(&mut self.reported_epoch, epoch);
+        if previous != epoch {
+            self.unreported = f64::from(self.open_attempts);
+        }
+    }
+}
--- /dev/null
+++ b/crates/traffic-control/src/customer/reports.rs
@@ -0,0 +1,48 @@
+//! What this gateway reports of a customer's use, and what it reserves ahead in the counter.
+
+use super::Customer;
+use crate::decaying_sum::DEMAND_TAU_US;
+use crate::interface::Micros;
+use crate::quota::Quota;
+
+/// Units that were reserved ahead are held this long.
+pub(crate) const RESERVATION_US: Micros = 1_500_000;
+
+impl Customer {
+    /// All that the counter holds for this gateway beside what is in use.
+    pub fn reserved(&self) -> f64 {
+        f64::from(self.permits.spare) + self.reserved_units
+    }
+
+    /// Begins a call for `wanted_units` beside what is unreported. Returns the amount to add to the counter.
+    pub fn take_report_amount(&mut self, wanted_units: f64) -> f64 {
+        let reserved = self.reserved();
+        let amount = self.unreported + reserved + wanted_units;
+        self.query_attempts = 1;
+        self.unreported = -reserved - wanted_units;
+        amount
+    }
+
+    /// Units worth reserving beside a request's, for those that come soon: at most an even slice of the store, and none
+    /// of one that is not well filled or whose customer uses too much.
+    pub fn prefetch_units(&self, quota: &Quota, now: Micros) -> f64 {
+        let is_well_filled = self.ledger.overuse_factor(now) <= 1.0
+            && self.synced_at.is_some()
+            && self.level >= quota.capacity / 2.0;
+        if !self.has_separate_ceiling(quota) || !is_well_filled {
+            return 0.0;
+        }
+        let expected_units = self.demand.per_s(now, DEMAND_TAU_US) * RESERVATION_US as f64 / 1e6;
+        expected_units.min(quota.capacity / f64::from(self.gateway_count))
+    }
+
+    /// Gives back units that were reserved ahead and not used in time.
+    pub fn release_expired_reservation(&mut self, now: Micros) {
+        let is_fresh = self
+            .synced_at
+            .is_some_and(|at| now.saturating_sub(at) < RESERVATION_US);
+        if !is_fresh {
+            self.reserved_units = 0.0;
+        }
+    }
+}
--- a/crates/traffic-control/src/decaying_sum.rs
+++ b/crates/traffic-control/src/decaying_sum.rs
@@ -2,6 +2,10 @@
 
 use crate::interface::Micros;
 
+/// Time constant of rates of demand and use: customers move within seconds.
+pub(crate) const DEMAND_TAU_US: f64 = 3_000_000.0;
+
+/// A sum as of a time.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct DecayingSum {
     sum: f64,
--- a/crates/traffic-control/src/fleet.rs
+++ b/crates/traffic-control/src/fleet.rs
@@ -1,26 +1,35 @@
-//! The servers as this gateway knows them: what the list told of each, what its answers were like, sums over all. Knowledge
-//! only; which server a request goes to is decided elsewhere.
+//! The servers as this gateway knows them: what the list says of each, its recent outcomes, and sums over all. State only;
+//! which server a request goes to is decided in `policy`.
 
-use crate::customer::DEMAND_TAU_US;
-use crate::decaying_sum::DecayingSum;
-use crate::interface::HealthReports;
+use crate::decaying_sum::{DecayingSum, DEMAND_TAU_US};
 use crate::interface::{
-    CompletionStatus, Health, ListKind, Micros, ServerEntry, ServerId, SlowStart,
+    CompletionStatus, Health, HealthReports, ListKind, Micros, ServerEntry, ServerId, SlowStart,
 };
-use crate::server::{Server, ZoneFailures};
+use crate::server::{Server, SlowStartCredit, WeightedOutcome};
 use crate::subset::Subset;
+use crate::zones::ZoneFailures;
 use frosthatch_load_balancing::outlier_signals::{
     HealthReport, OutlierSignals, BAD, ENDS_US, MOST_WORDS, WELL,
 };
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-const REPLY_WEIGHT: f64 = 0.2; // weight of one answer in a server's averages: about the last five
-const NO_CONNECTION_WEIGHT: f64 = 0.8; // weight of a failed connection: nobody is there
-const MIN_ASSESSMENT_HALF_LIFE_US: f64 = 4_000_000.0; // µs; what is thought of a silent server halves in this, or later:
-const ASSESSMENT_HALF_LIFE_SENDS: f64 = 2.0; // ...only after as long as this many sends to each server take from here
-const HEALTHY_REPORT_US: Micros = 2_000_000; // µs; that a server is well is told for so long after it was seen
-const TOTALS_REFRESH_INTERVAL_US: Micros = 50_000; // µs; sums over so many servers are kept this long: short beside an interval
+/// Weight of one reply in a server's averages: about the last five.
+const REPLY_WEIGHT: f64 = 0.2;
+/// Weight of a failed connection: nobody is there.
+const NO_CONNECTION_WEIGHT: f64 = 0.8;
+/// What is thought of a server without attempts halves in this at the earliest...
+const MIN_ASSESSMENT_HALF_LIFE_US: f64 = 4_000_000.0;
+/// ...and after as long as this many sends to each server take from here.
+const ASSESSMENT_HALF_LIFE_SENDS: f64 = 2.0;
+/// That a server is healthy is reported for so long after it was seen.
+const HEALTHY_REPORT_US: Micros = 2_000_000;
+/// Sums over many servers are kept this long: short beside a control interval.
+const TOTALS_REFRESH_INTERVAL_US: Micros = 50_000;
+/// A server of which a larger share of attempts failed mostly fails.
+const MOSTLY_FAILS_ERROR_RATE: f64 = 0.5;
+/// The least rate of sends that estimates go by.
+const MIN_SENDS_PER_S: f64 = 0.1;
 
 /// Sums over the servers, as of a time.
 #[derive(Clone, Copy, Default)]
@@ -28,20 +37,28 @@
     as_of: Micros,
     pub in_flight: f64,
     pub ready_servers: f64,
-    pub ready_size: f64, // of the ready ones, as far as they are warm
+    /// Size of the ready servers, as far as they are warm.
+    pub ready_size: f64,
 }
 
+/// A server as one of its attempts ended.
+pub(crate) struct ServerAtEnd {
+    pub warmth: f64,
+    pub is_ready: bool,
+}
+
+/// All servers.
 pub(crate) struct ServerFleet {
     pub servers: BTreeMap<ServerId, Server>,
-    /// The ready ones, where there are too many to look at all; or those of them that this gateway uses.
+    /// The ready servers, where they are too many to compare all; or those of them that this gateway uses. Else empty.
     pub candidates: Arc<[ServerId]>,
-    /// This gateway's part of the ready servers; 1: it uses all.
+    /// This gateway's share of the ready servers; 1: it uses all.
     pub subset_share: f64,
     pub subset: Subset,
-    /// What gateways say of servers in trouble.
+    /// What all gateways report of servers.
     pub outlier_signals: OutlierSignals,
-    totals: Totals,
     pub zones: ZoneFailures,
+    totals: Totals,
     recent_sends: DecayingSum,
 }
 
@@ -63,69 +80,50 @@
         self.servers.values().filter(|s| s.health == Health::Ready)
     }
 
-    /// Sums over the servers; over many of them they are not taken anew for each request.
-    pub fn totals(&self, cold: &SlowStart, now: Micros) -> Totals {
+    /// Sums over the servers; where these are many, the ones of the last refresh.
+    pub fn totals(&self, slow_start: &SlowStart, now: Micros) -> Totals {
         if self.candidates.is_empty() {
-            self.compute_totals(cold, now)
+            self.compute_totals(slow_start, now)
         } else {
             self.totals
         }
     }
 
-    pub fn compute_totals(&self, cold: &SlowStart, now: Micros) -> Totals {
+    pub fn compute_totals(&self, slow_start: &SlowStart, now: Micros) -> Totals {
         Totals {
             as_of: now,
             in_flight: self.servers.values().map(|s| f64::from(s.in_flight)).sum(),
             ready_servers: self.ready_servers().count() as f64,
             ready_size: self
                 .ready_servers()
-                .map(|s| s.share * s.warmth(cold, now))
+                .map(|s| s.share * s.warmth(slow_start, now))
                 .sum(),
         }
     }
 
-    /// A request comes: sums over many that have become old are taken anew.
-    pub fn refresh_totals(&mut self, cold: &SlowStart, now: Micros) {
-        if !self.candidates.is_empty() && now >= self.totals.as_of + TOTALS_REFRESH_INTERVAL_US {
-            self.totals = self.compute_totals(cold, now);
+    /// Computes the sums over many servers again where they have become old.
+    pub fn refresh_totals(&mut self, slow_start: &SlowStart, now: Micros) {
+        let is_stale = now >= self.totals.as_of + TOTALS_REFRESH_INTERVAL_US;
+        if is_stale && !self.candidates.is_empty() {
+            self.totals = self.compute_totals(slow_start, now);
         }
     }
 
-    /// News of the list. `chance`: part of a send that a new one is taken to have saved up.
+    /// Takes in the server list. `random_credit`: the part of a send that a new server is taken to have saved up.
     pub fn apply_list(
         &mut self,
         kind: ListKind,
         entries: Vec<ServerEntry>,
         now: Micros,
-        mut chance: impl FnMut() -> f64,
+        mut random_credit: impl FnMut() -> f64,
     ) {
         if matches!(kind, ListKind::Complete | ListKind::Persisted) {
-            self.servers
-                .values_mut()
-                .for_each(|s| s.health = Health::Removed);
-        }
-        for e in entries {
-            let key = frosthatch_load_balancing::key(&e.server.0);
-            let s = self.servers.entry(e.server).or_default();
-            if s.slowness_ratio == 0.0 || s.started_us != e.started_us {
-                // New, or a restarted process: what was known of the old one is void.
-                let credit = (chance(), now);
-                *s = Server {
-                    slowness_ratio: 1.0,
-                    assessed_at: now,
-                    slow_start_credit: credit,
-                    in_flight: s.in_flight,
-                    ..Server::default()
-                };
+            for server in self.servers.values_mut() {
+                server.health = Health::Removed;
             }
-            s.hash_key = key;
-            (s.group, s.started_us, s.health, s.pool) =
-                ((e.zone, e.cell), e.started_us, e.health, e.pool);
-            s.share = if e.weight.is_finite() && e.weight > 0.0 {
-                e.weight
-            } else {
-                1.0
-            };
+        }
+        for entry in entries {
+            self.apply_entry(entry, now, &mut random_credit);
         }
         self.servers
             .retain(|_, s| s.health != Health::Removed || s.in_flight > 0);
@@ -133,180 +131,254 @@
             .retain_listed(|zone| self.servers.values().any(|s| s.group.0 == zone));
     }
 
-    /// Servers or gateways are others than before: which servers are used from here. `size`: how many each of so many gateways uses of
-    /// so many servers, if not all; of `most` at most all are looked at, again and again.
+    fn apply_entry(
+        &mut self,
+        entry: ServerEntry,
+        now: Micros,
+        random_credit: &mut impl FnMut() -> f64,
+    ) {
+        let hash_key = frosthatch_load_balancing::key(&entry.server.0);
+        let server = self.servers.entry(entry.server).or_default();
+        let is_new = server.slowness_ratio == 0.0;
+        let is_restarted = server.started_us != entry.started_us;
+        if is_new || is_restarted {
+            // What was known of the previous process does not hold any more.
+            *server = Server {
+                slowness_ratio: 1.0,
+                assessed_at: now,
+                slow_start_credit: SlowStartCredit {
+                    sends: random_credit(),
+                    as_of: now,
+                },
+                in_flight: server.in_flight,
+                ..Server::default()
+            };
+        }
+        server.hash_key = hash_key;
+        server.group = (entry.zone, entry.cell);
+        server.started_us = entry.started_us;
+        server.health = entry.health;
+        server.pool = entry.pool;
+        server.share = if entry.weight.is_finite() && entry.weight > 0.0 {
+            entry.weight
+        } else {
+            1.0
+        };
+    }
+
+    /// Assigns the servers that this gateway uses, as servers or gateways have changed. `subset_size`: how many each of
+    /// so many gateways uses of so many servers, if not all. At most `max_compared` servers are compared for a request.
     pub fn assign_subset(
         &mut self,
-        cold: &SlowStart,
+        slow_start: &SlowStart,
         now: Micros,
-        size: impl Fn(usize, usize) -> Option<usize>,
-        most: usize,
+        subset_size: impl Fn(usize, usize) -> Option<usize>,
+        max_compared: usize,
     ) {
-        let ready = self
+        let ready: Vec<(&ServerId, &Server)> = self
             .servers
             .iter()
-            .filter(|(_, s)| s.health == Health::Ready);
-        let ready: Vec<(&ServerId, &Server)> = ready.collect();
-        let size = size(self.subset.gateway_count(), ready.len());
+            .filter(|(_, s)| s.health == Health::Ready)
+            .collect();
+        let size = subset_size(self.subset.gateway_count(), ready.len());
         let subset = self.subset.select(&ready, size);
         self.subset_share = subset
             .as_ref()
             .map_or(1.0, |s| s.len() as f64 / ready.len() as f64);
         self.candidates = match subset {
             Some(subset) => subset.into(),
-            None if ready.len() <= most => Arc::default(),
+            None if ready.len() <= max_compared => Arc::default(),
             None => ready.into_iter().map(|(name, _)| name.clone()).collect(),
         };
-        self.totals = self.compute_totals(cold, now);
+        self.totals = self.compute_totals(slow_start, now);
     }
 
-    /// An attempt goes out, by one of the sends that were saved up: to which group of servers.
+    /// Records an attempt that goes out, by one of the sends that were saved up. Returns the server's zone and cell.
     pub fn record_send(
         &mut self,
         server: &ServerId,
-        saved: f64,
+        available_sends: f64,
         now: Micros,
     ) -> Option<(String, u64)> {
         self.recent_sends.add(now, DEMAND_TAU_US, 1.0);
-        let s = self.servers.get_mut(server)?;
-        s.in_flight += 1;
-        s.slow_start_credit = (saved - 1.0, now);
-        Some(s.group.clone())
+        let server = self.servers.get_mut(server)?;
+        server.in_flight += 1;
+        server.slow_start_credit = SlowStartCredit {
+            sends: available_sends - 1.0,
+            as_of: now,
+        };
+        Some(server.group.clone())
     }
 
-    /// An attempt there ended. How warm the server is, and whether it is ready; none: it is gone.
+    /// Records that an attempt ended; `None` where its server is gone.
     pub fn record_end(
         &mut self,
         server: &ServerId,
-        cold: &SlowStart,
+        slow_start: &SlowStart,
         now: Micros,
-    ) -> Option<(f64, bool)> {
-        let s = self.servers.get_mut(server)?;
-        s.in_flight = s.in_flight.saturating_sub(1);
-        Some((s.warmth(cold, now), s.health == Health::Ready))
+    ) -> Option<ServerAtEnd> {
+        let server = self.servers.get_mut(server)?;
+        server.in_flight = server.in_flight.saturating_sub(1);
+        Some(ServerAtEnd {
+            warmth: server.warmth(slow_start, now),
+            is_ready: server.health == Health::Ready,
+        })
     }
 
     pub fn sends_per_s(&self, now: Micros) -> f64 {
-        self.recent_sends.per_s(now, DEMAND_TAU_US).max(0.1)
+        self.recent_sends
+            .per_s(now, DEMAND_TAU_US)
+            .max(MIN_SENDS_PER_S)
     }
 
-    /// One of many gateways meets a server rarely: what it learned must last until it meets it again.
+    /// One of many gateways meets a server rarely: what it learned must last until it meets the server again.
     pub fn assessment_half_life_us(&self, now: Micros) -> f64 {
         let used = self.servers.len() as f64 * self.subset_share;
         MIN_ASSESSMENT_HALF_LIFE_US
             .max(ASSESSMENT_HALF_LIFE_SENDS * used / self.sends_per_s(now) * 1e6)
     }
 
-    /// An attempt ended after `ratio` times the usual time, as a warm server counts it. `zones`: what is thought of one goes
-    /// for its zone, too.
+    /// Records the outcome of an attempt that took `latency_ratio` times the usual time, as a warm server counts it.
+    /// `counts_for_zone`: it counts for the server's zone as well.
     pub fn record_outcome(
         &mut self,
         server: &ServerId,
         status: CompletionStatus,
-        ratio: f64,
+        latency_ratio: f64,
         now: Micros,
-        zones: bool,
+        counts_for_zone: bool,
     ) {
-        let forget_us = self.assessment_half_life_us(now);
-        let Some(s) = self.servers.get_mut(server) else {
+        let half_life_us = self.assessment_half_life_us(now);
+        let Some(server) = self.servers.get_mut(server) else {
             return;
         };
-        // Unanswered is slow and failed in one: guards against servers, or a class on them, gone silent.
-        let (slow, failed, weight) = match status {
-            CompletionStatus::Served => (ratio, 0.0, REPLY_WEIGHT),
-            CompletionStatus::NoAnswer | CompletionStatus::Cancelled if ratio > 1.0 => {
-                (ratio, 1.0, REPLY_WEIGHT)
-            }
-            CompletionStatus::NoConnection => (s.slowness_ratio, 1.0, NO_CONNECTION_WEIGHT),
-            CompletionStatus::NoAnswer
-            | CompletionStatus::Cancelled
-            | CompletionStatus::NotSent => (s.slowness_ratio, s.error_rate, 0.0),
-            _ => (s.slowness_ratio, 1.0, REPLY_WEIGHT),
-        };
-        // Tried in its turn and well: what was thought of it is past.
-        if failed == 0.0 && weight > 0.0 && self.outlier_signals.out(s.hash_key) {
-            s.error_rate = 0.0;
+        let outcome = weigh_outcome(server, status, latency_ratio);
+        let counts = outcome.weight > 0.0;
+        // An ejected server that was tried in its turn and served has recovered.
+        if counts && outcome.failed == 0.0 && self.outlier_signals.out(server.hash_key) {
+            server.error_rate = 0.0;
         }
-        let zone = self.zones.at(now).error_rate(&s.group.0);
-        s.record_outcome(now, forget_us, weight, slow, failed, zone);
-        if weight > 0.0 && zones {
-            self.zones.judge(&s.group.0, now, failed);
+        let zone_error_rate = self.zones.at(now).error_rate(&server.group.0);
+        server.record_outcome(now, half_life_us, outcome, zone_error_rate);
+        if counts && counts_for_zone {
+            self.zones
+                .record_outcome(&server.group.0, now, outcome.failed);
         }
     }
 
-    /// What this gateway says of servers: those in trouble, and those that somebody says are and that are well as seen from here. How many
-    /// it uses; key, part that failed, and when that was found out.
+    /// What this gateway reports of servers: those that fail, and healthy ones that another gateway reports as failing.
     pub fn health_reports(&self, now: Micros) -> HealthReports {
-        let fresh = |s: &&Server| s.assessed_at > s.started_us && s.assessed_at + ENDS_US > now;
-        let word = |s: &Server| (s.hash_key, s.reported_error_rate(), s.assessed_at);
-        let tells = |w: &(u64, f64, Micros)| {
-            w.1 > BAD
-                || w.1 < WELL
-                    && w.2 + HEALTHY_REPORT_US > now
-                    && self.outlier_signals.accused(w.0, now)
+        let is_fresh = |s: &&Server| s.assessed_at > s.started_us && s.assessed_at + ENDS_US > now;
+        let report = |s: &Server| (s.hash_key, s.reported_error_rate(), s.assessed_at);
+        let is_reported = |&(hash_key, error_rate, assessed_at): &(u64, f64, Micros)| {
+            let refutes = error_rate < WELL
+                && assessed_at + HEALTHY_REPORT_US > now
+                && self.outlier_signals.accused(hash_key, now);
+            error_rate > BAD || refutes
         };
         let used = self.ready_servers().count() as f64 * self.subset_share;
-        let mut of: Vec<_> = self
+        let mut reports: Vec<(u64, f64, Micros)> = self
             .ready_servers()
-            .filter(fresh)
-            .map(word)
-            .filter(tells)
+            .filter(is_fresh)
+            .map(report)
+            .filter(is_reported)
             .collect();
-        // Of more the latest.
-        of.sort_by_key(|w| std::cmp::Reverse(w.2));
-        of.truncate(MOST_WORDS);
+        // Of too many the latest.
+        reports.sort_by_key(|(_, _, assessed_at)| std::cmp::Reverse(*assessed_at));
+        reports.truncate(MOST_WORDS);
         HealthReports {
             uses: used.round() as usize,
-            of,
+            of: reports,
         }
     }
 
-    /// Other gateways are there.
+    /// Takes in which gateways there are.
     pub fn set_gateways(&mut self, gateways: &[u32]) {
         self.subset.set_gateways(gateways);
         self.outlier_signals
             .keep(|from| gateways.iter().any(|g| u64::from(*g) == from));
     }
 
-    /// All that another gateway says.
-    pub fn record_health_reports(&mut self, from: u32, words: HealthReports, now: Micros) {
-        let word = |(server, errors, at)| (server, HealthReport { errors, at });
-        self.outlier_signals
-            .hear(u64::from(from), words.uses, words.of.into_iter().map(word));
+    /// Takes in all that another gateway reports of servers.
+    pub fn record_health_reports(&mut self, from: u32, reports: HealthReports, now: Micros) {
+        self.signal_health(u64::from(from), reports);
         self.update_outliers(now);
     }
 
-    /// Words have come, or time has gone by.
+    fn signal_health(&mut self, from: u64, reports: HealthReports) {
+        let report = |(server, errors, at)| (server, HealthReport { errors, at });
+        self.outlier_signals
+            .hear(from, reports.uses, reports.of.into_iter().map(report));
+    }
+
+    /// Updates which servers are ejected, as reports have come or time has passed.
     pub fn update_outliers(&mut self, now: Micros) {
-        let (me, mine) = (self.subset.own_key(), self.health_reports(now));
-        if !(mine.of.is_empty() && self.outlier_signals.quiet()) {
-            let word = |(server, errors, at)| (server, HealthReport { errors, at });
-            self.outlier_signals
-                .hear(me, mine.uses, mine.of.into_iter().map(word));
+        let own_reports = self.health_reports(now);
+        let nothing_to_signal = own_reports.of.is_empty() && self.outlier_signals.quiet();
+        if !nothing_to_signal {
+            self.signal_health(self.subset.own_key(), own_reports);
         }
-        let (subset, servers) = (&self.subset, &self.servers);
-        let of = |key: u64| {
-            let s = servers.values().find(|s| s.hash_key == key)?;
-            Some((s.started_us, subset.gateways_using(key).len()))
+        let subset = &self.subset;
+        let servers = &self.servers;
+        let start_and_users = |hash_key: u64| {
+            let server = servers.values().find(|s| s.hash_key == hash_key)?;
+            Some((server.started_us, subset.gateways_using(hash_key).len()))
         };
-        self.outlier_signals.settle(now, of);
+        self.outlier_signals.settle(now, start_and_users);
     }
 
-    /// More failed there than not.
-    pub fn mostly_fails(&self, s: &Server, now: Micros) -> bool {
-        self.outlier_signals.out(s.hash_key)
-            || s.decayed_assessment(
-                now,
-                self.assessment_half_life_us(now),
-                self.zones.at(now).error_rate(&s.group.0),
-            )
-            .1 > 0.5
+    /// Whether more attempts failed there than not, by this gateway or by all.
+    pub fn mostly_fails(&self, server: &Server, now: Micros) -> bool {
+        if self.outlier_signals.out(server.hash_key) {
+            return true;
+        }
+        let zone_error_rate = self.zones.at(now).error_rate(&server.group.0);
+        let half_life_us = self.assessment_half_life_us(now);
+        let assessment = server.decayed_assessment(now, half_life_us, zone_error_rate);
+        assessment.error_rate > MOSTLY_FAILS_ERROR_RATE
     }
 
-    /// Ready servers of which more failed than not.
+    /// Ready servers that mostly fail.
     pub fn avoided_servers(&self, now: Micros) -> usize {
         self.ready_servers()
             .filter(|s| self.mostly_fails(s, now))
             .count()
     }
 }
+
+/// What an outcome says of its server. An attempt without an answer counts as slow and failed in one, so that servers that
+/// have gone silent, or a class on them, are noticed.
+fn weigh_outcome(server: &Server, status: CompletionStatus, latency_ratio: f64) -> WeightedOutcome {
+    let failed = WeightedOutcome {
+        weight: REPLY_WEIGHT,
+        slowness_ratio: server.slowness_ratio,
+        failed: 1.0,
+    };
+    match status {
+        CompletionStatus::Served => WeightedOutcome {
+            weight: REPLY_WEIGHT,
+            slowness_ratio: latency_ratio,
+            failed: 0.0,
+        },
+        CompletionStatus::NoAnswer | CompletionStatus::Cancelled if latency_ratio > 1.0 => {
+            WeightedOutcome {
+                slowness_ratio: latency_ratio,
+                ..failed
+            }
+        }
+        CompletionStatus::NoConnection => WeightedOutcome {
+            weight: NO_CONNECTION_WEIGHT,
+            ..failed
+        },
+        CompletionStatus::NoAnswer | CompletionStatus::Cancelled | CompletionStatus::NotSent => {
+            WeightedOutcome {
+                weight: 0.0,
+                slowness_ratio: server.slowness_ratio,
+                failed: server.error_rate,
+            }
+        }
+        CompletionStatus::ServerError
+        | CompletionStatus::Rejected
+        | CompletionStatus::ConnectionLost => failed,
+    }
+}
--- a/crates/traffic-control/src/gossip/tests.rs
+++ b/crates/traffic-control/src/gossip/tests.rs
@@ -1,4 +1,4 @@
-use super::*;
+use super::{customer_tag, encode, CellReport, Message, QuotaGrant, QuotaRequest};
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|b| format!("{b:02x}")).collect()
@@ -15,20 +15,20 @@
             })
             .collect()
     };
-    let ask = Message::QuotaRequest {
+    let request = Message::QuotaRequest(QuotaRequest {
         tag: customer_tag("customer"),
         plan: 2,
-        width: 300,
-        wanted: 3.125,
-        extra: -1.5,
-    };
-    let answer = Message::QuotaGrant {
+        gateway_count: 300,
+        wanted_units: 3.125,
+        unreported_units: -1.5,
+    });
+    let grant = Message::QuotaGrant(QuotaGrant {
         tag: customer_tag("customer"),
-        granted: 2.0,
+        granted_units: 2.0,
         level: -0.25,
-        demand: 40.0,
-    };
-    let encoded = |message: &Message, most: usize| hex(&encode(message, most));
+        demand_per_s: 40.0,
+    });
+    let encoded = |message: &Message, max_bytes: usize| hex(&encode(message, max_bytes));
     assert_eq!(
         encoded(&Message::CellReports(cells(3)), 256),
         "020062000562000a6200"
@@ -37,7 +37,7 @@
         encoded(&Message::CellReports(cells(3)), 8),
         "02006200056200"
     );
-    assert_eq!(encoded(&ask, 256), "0319aabda4022c011900f4ff");
-    assert_eq!(encoded(&answer, 256), "0419aabda41000feff4001");
+    assert_eq!(encoded(&request, 256), "0319aabda4022c011900f4ff");
+    assert_eq!(encoded(&grant, 256), "0419aabda41000feff4001");
     assert_eq!(customer_tag(""), 0x811c_9dc5);
 }
--- a/crates/traffic-control/src/interface/plans.rs
+++ b/crates/traffic-control/src/interface/plans.rs
@@ -55,6 +55,19 @@
     pub depth: f64,
 }
 
+impl Ceiling {
+    /// The ceiling that keeps to both; where one has none, the other's.
+    pub(crate) fn stricter(a: Option<Ceiling>, b: Option<Ceiling>) -> Option<Ceiling> {
+        let (Some(first), Some(second)) = (a, b) else {
+            return a.or(b);
+        };
+        Some(Ceiling {
+            rate: first.rate.min(second.rate),
+            depth: first.depth.min(second.depth),
+        })
+    }
+}
+
 /// A plan and its quota for each customer over all gateways.
 #[derive(Clone, Debug)]
 pub struct Plan {
@@ -105,6 +118,38 @@
     pub retries: RetryBudget,
 }
 
+impl PolicyTerms {
+    /// The smaller of both, plan by plan; classes and retries are those of `self`.
+    pub fn smaller(self, other: &PolicyTerms) -> PolicyTerms {
+        let plans = self
+            .plans
+            .into_iter()
+            .zip(&other.plans)
+            .map(|(plan, other)| stricter_plan(plan, other))
+            .collect();
+        PolicyTerms { plans, ..self }
+    }
+}
+
+fn stricter_plan(plan: Plan, other: &Plan) -> Plan {
+    Plan {
+        rate: plan.rate.min(other.rate),
+        burst: plan.burst.min(other.burst),
+        max_open: stricter_max_open(plan.max_open, other.max_open),
+        ceiling: Ceiling::stricter(plan.ceiling, other.ceiling),
+        ..plan
+    }
+}
+
+/// The smaller limit on open attempts, where 0 is none.
+fn stricter_max_open(a: u32, b: u32) -> u32 {
+    if a == 0 || b == 0 {
+        a.max(b)
+    } else {
+        a.min(b)
+    }
+}
+
 /// Whether requests may be let in, where gateways agree on their policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseState {
--- a/crates/traffic-control/src/interface/settings.rs
+++ b/crates/traffic-control/src/interface/settings.rs
@@ -1,8 +1,7 @@
 //! The settings that a gateway starts with, and their validation.
 
-use super::plans::{Effect, Plan, RequestClass, RetryBudget};
+use super::plans::{Ceiling, Effect, Plan, RequestClass, RetryBudget};
 use super::time::Micros;
-use std::fmt;
 
 /// How a server that has just started warms, and what pushes it over.
 #[derive(Clone, Copy, Debug)]
@@ -19,6 +18,10 @@
 
 /// Everything a gateway knows at its start.
 #[derive(Clone, Debug)]
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "independent switches of the configuration"
+)]
 pub struct Settings {
     /// Number of gateways.
     pub gateways: u32,
@@ -61,63 +64,49 @@
 }
 
 impl Settings {
-    /// Settings that make no sense are told with what to correct.
+    /// # Errors
+    /// The first mistake; the text says what to correct.
     pub(crate) fn validate(&self) -> Result<(), SettingsError> {
-        self.mistakes()
-            .into_iter()
-            .next()
-            .map_or(Ok(()), |m| Err(SettingsError(m)))
+        match self.mistakes().into_iter().next() {
+            Some(mistake) => Err(SettingsError(mistake)),
+            None => Ok(()),
+        }
     }
 
-    /// All that makes no sense, each with what would be right.
+    /// All mistakes, each with what would be right.
     pub fn mistakes(&self) -> Vec<String> {
-        let mut bad = Vec::new();
-        let fine = |v: f64| v.is_finite() && v >= 0.0;
+        let mut mistakes = Vec::new();
         if self.classes.is_empty() || self.plans.is_empty() {
-            bad.push("give at least one class and one plan".to_string());
+            mistakes.push("give at least one class and one plan".to_string());
         }
         if self.gateways == 0 || self.me >= self.gateways {
-            bad.push("`gateways` must be at least 1 and `me` below it".into());
+            mistakes.push("`gateways` must be at least 1 and `me` below it".into());
         }
-        for c in self.classes.iter().filter(|c| {
-            !(fine(c.priority_weight) && fine(c.late_weight) && c.latency_objective_us > 0)
-        }) {
-            bad.push(format!(
+        for class in self.classes.iter().filter(|class| !is_valid_class(class)) {
+            mistakes.push(format!(
                 "class {:?} needs a positive aim and finite, non-negative worths",
-                c.name
+                class.name
             ));
         }
-        let plan_fine = |p: &&Plan| {
-            let ceiling = p.ceiling.is_none_or(|c| fine(c.rate) && fine(c.depth));
-            ceiling
-                && [p.rate, p.burst, p.price, p.excess_weight, p.overrun_cost]
-                    .into_iter()
-                    .all(fine)
-        };
-        for p in self.plans.iter().filter(|p| !plan_fine(p)) {
-            bad.push(format!(
+        for plan in self.plans.iter().filter(|plan| !is_valid_plan(plan)) {
+            mistakes.push(format!(
                 "plan {:?}: rate, burst, price, worth, cost and ceiling must be finite and not negative",
-                p.name
+                plan.name
             ));
         }
-        let cold = [
+        let quantities = [
             self.slow_start.initial_share,
             self.slow_start.overload_multiple,
+            self.peer_messages_per_s,
+            self.cross_zone_cost,
+            self.max_units,
         ];
-        if !cold
-            .into_iter()
-            .chain([
-                self.peer_messages_per_s,
-                self.cross_zone_cost,
-                self.max_units,
-            ])
-            .all(fine)
-        {
-            bad.push(
+        if !quantities.into_iter().all(is_valid_quantity) {
+            mistakes.push(
                 "cold start, mail, zone cost and units must be finite and not negative".into(),
             );
         }
-        bad
+        mistakes
     }
 
     /// A small valid configuration, for trials: one gateway, one repeatable class `read`, one plan `basic`.
@@ -167,14 +156,30 @@
     }
 }
 
-/// Why settings were not accepted; the text says what to correct.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SettingsError(pub String);
+fn is_valid_quantity(value: f64) -> bool {
+    value.is_finite() && value >= 0.0
+}
 
-impl fmt::Display for SettingsError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "settings not usable: {}", self.0)
-    }
+fn is_valid_class(class: &RequestClass) -> bool {
+    class.latency_objective_us > 0
+        && is_valid_quantity(class.priority_weight)
+        && is_valid_quantity(class.late_weight)
 }
 
-impl std::error::Error for SettingsError {}
+fn is_valid_plan(plan: &Plan) -> bool {
+    let quantities = [
+        plan.rate,
+        plan.burst,
+        plan.price,
+        plan.excess_weight,
+        plan.overrun_cost,
+    ];
+    let is_valid_ceiling =
+        |ceiling: Ceiling| is_valid_quantity(ceiling.rate) && is_valid_quantity(ceiling.depth);
+    quantities.into_iter().all(is_valid_quantity) && plan.ceiling.is_none_or(is_valid_ceiling)
+}
+
+/// Why settings were not accepted; the text says what to correct.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("settings not usable: {0}")]
+pub struct SettingsError(pub String);
--- a/crates/traffic-control/src/lib.rs
+++ b/crates/traffic-control/src/lib.rs
@@ -29,34 +29,27 @@
 //! assert_eq!(gateway.open_requests(), 0);
 //! # Ok::<(), frosthatch_traffic_control::SettingsError>(())
 //! ```
-#![expect(
-    clippy::match_bool,
-    clippy::semicolon_if_nothing_returned,
-    clippy::struct_excessive_bools,
-    clippy::too_many_lines
-)]
-
 mod boot;
 mod class_latency;
 mod concurrency_permits;
-mod counter_calls;
-mod counter_rate_limit;
-mod counter_window;
+mod counter;
 mod customer;
 mod decaying_sum;
 mod fleet;
 mod gateway;
 mod gossip;
 mod interface;
-mod ledger;
 mod peer_reports;
 mod pending_request;
 mod policy;
+mod quota;
+mod random;
 mod server;
 mod server_latency;
 mod shares;
 mod status;
 mod subset;
+mod zones;
 
 pub use boot::BootInfo;
 
--- a/crates/traffic-control/src/policy/admission_fractions.rs
+++ b/crates/traffic-control/src/policy/admission_fractions.rs
@@ -1,176 +1,245 @@
-//! Which requests are refused while servers are pressed: the admission fractions of the paper, once an interval, from
-//! latencies and arrivals, and between two intervals what is out or how long attempts take.
-//! Guards: queues stay within the aims, and what is worth least for its work goes first.
-
-use super::{random_unit, INTERVAL_S};
-use crate::counter_rate_limit::MAX_SMALL_FLEET_GATEWAYS;
-use crate::customer::Quota;
-use crate::gateway::{AdmissionCell, Gateway};
-
-const FRACTION_STEP: f64 = 0.1; // grid of the fractions (the paper's)
-const LATENCY_BOUND_SHARE: f64 = 0.5; // of the aim: a mean at the aim itself has half the answers late
-const UNQUEUED_ATTEMPTS_PER_SERVER: f64 = 4.0; // attempts a server, all gateways, that mean no queue: some cores busy
-const SHEDDING_RANGE: f64 = 0.5; // of the bound above it within which all but the last are refused
-const MAX_SHED_SHARE: f64 = 0.9; // refused at most: some must tell when it is over
-const MIN_BOUND_SHARE: f64 = 0.5; // of the bound that a class worth nothing for its work may fill
+//! Which requests are shed while servers are over capacity: the admission fractions of the paper, once an interval, from
+//! latencies and arrivals; between two intervals, what is in flight or how long attempts take. Queues stay within the
+//! latency objectives, and what has the least value for its work is shed first.
+
+use super::limits::INTERVAL_S;
+use crate::counter::MAX_SMALL_FLEET_GATEWAYS;
+use crate::gateway::Gateway;
+use crate::random::random_unit;
+
+/// Grid of the fractions, as in the paper.
+const FRACTION_STEP: f64 = 0.1;
+/// The same, as the number of steps to a fraction of one.
+const FRACTION_STEPS: i32 = 10;
+/// Bound on a mean latency, as a share of the objective: with a mean at the objective half of the answers are late.
+const LATENCY_BOUND_SHARE: f64 = 0.5;
+/// Attempts a server, of all gateways, that mean no queue: some cores are busy.
+const UNQUEUED_ATTEMPTS_PER_SERVER: f64 = 4.0;
+/// Requests are shed gradually as latency exceeds its bound by up to this share.
+const SHEDDING_RANGE: f64 = 0.5;
+/// At most this share is shed: some requests must show when overload is over.
+const MAX_SHED_SHARE: f64 = 0.9;
+/// Share of the bound that a class without any value for its work may fill.
+const MIN_BOUND_SHARE: f64 = 0.5;
+/// Tolerance of rounding to the grid.
+const GRID_TOLERANCE: f64 = 1e-9;
+
+/// What the delay model takes of one cell, for one server.
+struct CellLoad {
+    arrivals_per_s: f64,
+    service_s: f64,
+}
 
 impl Gateway {
+    /// The mean latency of a class that its requests may reach.
     pub(super) fn latency_bound_us(&self, class: usize) -> f64 {
         self.settings.classes[class].latency_objective_us as f64 * LATENCY_BOUND_SHARE
     }
 
-    /// Worth of a class for a second of work, before the plan's price.
+    /// Value of a class for its work, before the plan's price.
     fn value_per_us(&self, class: usize) -> f64 {
-        let l = &self.server_latency.classes[class];
-        self.settings.classes[class].priority_weight * l.mean_units / l.lowest_us.max(1.0)
+        let latency = &self.server_latency.classes[class];
+        self.settings.classes[class].priority_weight * latency.mean_units
+            / latency.lowest_us.max(1.0)
     }
 
-    /// This class and those that were measured.
+    /// This class, and those that were measured.
     fn measured_classes(&self, class: usize) -> impl Iterator<Item = usize> + '_ {
         let classes = &self.server_latency.classes;
         (0..classes.len()).filter(move |&c| c == class || classes[c].lowest_us > 0.0)
     }
 
-    /// Its worth for a second of work, beside the class where that is most.
+    /// Value of a class for its work, relative to the class where that is highest.
     fn relative_value(&self, class: usize) -> f64 {
-        let best = self
+        let highest = self
             .measured_classes(class)
             .map(|c| self.value_per_us(c))
             .fold(f64::MIN_POSITIVE, f64::max);
-        self.value_per_us(class) / best
+        self.value_per_us(class) / highest
     }
 
+    /// Ends a control interval: moves the fractions. Returns a log line when shedding begins or ends.
     pub(super) fn update_fractions(&mut self) -> Option<String> {
-        let size = self
-            .fleet
-            .compute_totals(&self.settings.slow_start, self.now)
-            .ready_size;
-        let measured = self
-            .server_latency
-            .end_interval(&self.settings.classes, INTERVAL_S, size);
-        let over = (0..measured.len()).find(|&c| {
-            measured[c] && self.server_latency.classes[c].mean_us > self.latency_bound_us(c)
+        let slow_start = &self.settings.slow_start;
+        let ready_size = self.fleet.compute_totals(slow_start, self.now).ready_size;
+        let is_measured =
+            self.server_latency
+                .end_interval(&self.settings.classes, INTERVAL_S, ready_size);
+        let class_over_bound = (0..is_measured.len()).find(|&class| {
+            let mean_us = self.server_latency.classes[class].mean_us;
+            is_measured[class] && mean_us > self.latency_bound_us(class)
         });
         if self.transition_until.is_none() {
-            self.quotas = Quota::for_plans(
-                &self.settings,
-                self.server_latency.attempt_s,
-                MAX_SMALL_FLEET_GATEWAYS,
-            );
+            self.quotas = self.quotas_of_plans();
         }
-        let before = self.cells.iter().any(|c| c.fraction < 1.0);
-        let targets = if over.is_some() {
-            Vec::new()
+        let was_shedding = self.is_shedding();
+        if class_over_bound.is_some() {
+            self.step_fractions_down();
         } else {
-            self.target_fractions()
-        };
-        for (i, c) in self.cells.iter_mut().enumerate() {
-            let moved = match targets.get(i) {
-                None => c.fraction - FRACTION_STEP,
-                // Halfway, on the grid, rounded towards the target so that it is reached.
-                Some(&t) if t > c.fraction => {
-                    ((c.fraction + t) / 2.0 / FRACTION_STEP - 1e-9).ceil() * FRACTION_STEP
-                }
-                Some(&t) => ((c.fraction + t) / 2.0 / FRACTION_STEP + 1e-9).floor() * FRACTION_STEP,
-            };
-            c.fraction = moved.clamp(0.0, 1.0);
-            c.admitted_per_s = c.admitted / INTERVAL_S;
-            (c.arrivals, c.admitted) = (0.0, 0.0);
+            self.move_fractions_to_targets();
         }
-        match over {
-            Some(c) if !before => Some(format!(
+        self.end_cell_interval();
+        match class_over_bound {
+            Some(class) if !was_shedding => Some(format!(
                 "shedding: class {} over bound",
-                self.settings.classes[c].name
+                self.settings.classes[class].name
             )),
-            None if before && self.cells.iter().all(|c| c.fraction >= 1.0) => {
-                Some("shedding over".into())
-            }
+            None if was_shedding && !self.is_shedding() => Some("shedding over".into()),
             _ => None,
         }
     }
 
-    /// Exception to the paper: by Little's law what is out, over the throughput, is how long a new request
-    /// takes; past the bound it is refused at once, since retries fill queues before a fraction moves. Hurts
-    /// where recent throughput is far below what servers can do, so a few attempts a server are always free.
+    fn is_shedding(&self) -> bool {
+        self.cells.iter().any(|cell| cell.fraction < 1.0)
+    }
+
+    fn step_fractions_down(&mut self) {
+        for cell in &mut self.cells {
+            cell.fraction = (cell.fraction - FRACTION_STEP).clamp(0.0, 1.0);
+        }
+    }
+
+    fn move_fractions_to_targets(&mut self) {
+        let targets = self.target_fractions();
+        for (cell, target) in self.cells.iter_mut().zip(targets) {
+            cell.fraction = halfway_on_grid(cell.fraction, target).clamp(0.0, 1.0);
+        }
+    }
+
+    fn end_cell_interval(&mut self) {
+        for cell in &mut self.cells {
+            cell.admitted_per_s = cell.admitted / INTERVAL_S;
+            cell.arrivals = 0.0;
+            cell.admitted = 0.0;
+        }
+    }
+
+    /// Whether a new request would take too long, which is an exception to the paper: by Little's law that is what is in
+    /// flight over the throughput. Past the bound a request is shed at once, since retries fill queues before a fraction
+    /// moves. Where recent throughput is far below what servers can do this sheds too much, so a few attempts a server are
+    /// always free.
     pub(super) fn is_over_capacity(&mut self, class: usize, plan: usize) -> bool {
-        if self.settings.gateways > MAX_SMALL_FLEET_GATEWAYS {
+        let gateways = self.settings.gateways;
+        if gateways > MAX_SMALL_FLEET_GATEWAYS {
             return self.sheds_by_latency(class, plan);
         }
-        let t = self.fleet.totals(&self.settings.slow_start, self.now);
-        let free =
-            t.ready_servers * UNQUEUED_ATTEMPTS_PER_SERVER / f64::from(self.settings.gateways);
-        let rate = self.server_latency.throughput * t.ready_size;
-        // One queue holds every class: the tightest bound holds for all, and the cheapest work waits first.
-        let tightest = self
+        let totals = self.fleet.totals(&self.settings.slow_start, self.now);
+        let free = totals.ready_servers * UNQUEUED_ATTEMPTS_PER_SERVER / f64::from(gateways);
+        let rate_per_s = self.server_latency.throughput * totals.ready_size;
+        // One queue holds every class: the tightest bound holds for all, and the cheapest work is shed first.
+        let tightest_us = self
             .measured_classes(class)
             .map(|c| self.latency_bound_us(c))
             .fold(f64::MAX, f64::min);
-        let bound =
-            tightest * (MIN_BOUND_SHARE + (1.0 - MIN_BOUND_SHARE) * self.relative_value(class));
-        t.in_flight > free && rate > 0.0 && t.in_flight / rate > bound / 1e6
+        let bound_share = MIN_BOUND_SHARE + (1.0 - MIN_BOUND_SHARE) * self.relative_value(class);
+        let bound_us = tightest_us * bound_share;
+        totals.in_flight > free
+            && rate_per_s > 0.0
+            && totals.in_flight / rate_per_s > bound_us / 1e6
     }
 
-    /// One of many gateways has too few out to go by. How many times their idle time attempts took of late says how long
-    /// a new one takes; past its bound, which is higher the more it is worth, more are refused the longer it is, so that
-    /// the gateways do not all turn at once.
+    /// The same at one of many gateways, which has too few attempts in flight to go by. How many times their idle time
+    /// attempts recently took says how long a new one takes. Past its bound, which is higher the more the request is
+    /// worth, more are shed the longer it is, so that the gateways do not all change at once.
     fn sheds_by_latency(&mut self, class: usize, plan: usize) -> bool {
-        let dearest = self
+        let highest_price = self
             .settings
             .plans
             .iter()
             .map(|p| p.price)
             .fold(f64::MIN_POSITIVE, f64::max);
-        let worth = self.relative_value(class) * self.settings.plans[plan].price / dearest;
-        let bound = self.settings.classes[class].latency_objective_us as f64
-            * (LATENCY_BOUND_SHARE + (1.0 - LATENCY_BOUND_SHARE) * worth);
-        let takes = self.server_latency.classes[class].lowest_us * self.server_latency.stretch;
-        let part = ((takes / bound - 1.0) / SHEDDING_RANGE).min(MAX_SHED_SHARE);
-        part > 0.0 && random_unit(&mut self.rng) < part
+        let relative_value =
+            self.relative_value(class) * self.settings.plans[plan].price / highest_price;
+        let objective_us = self.settings.classes[class].latency_objective_us as f64;
+        let bound_us =
+            objective_us * (LATENCY_BOUND_SHARE + (1.0 - LATENCY_BOUND_SHARE) * relative_value);
+        let expected_us =
+            self.server_latency.classes[class].lowest_us * self.server_latency.stretch;
+        let shed_share = ((expected_us / bound_us - 1.0) / SHEDDING_RANGE).min(MAX_SHED_SHARE);
+        shed_share > 0.0 && random_unit(&mut self.rng) < shed_share
     }
 
-    /// Targets that maximise worth under each class's bound by M/G/1 delay; 1 where the model finds no fit.
+    /// The fractions of all cells that maximise value under each class's bound by M/G/1 delay; 1 where the model finds
+    /// no fit.
     fn target_fractions(&self) -> Vec<f64> {
-        let plans = self.settings.plans.len();
-        let ready = self.fleet.ready_servers().count().max(1) as f64;
-        let told = self
-            .peer_reports
-            .others_admitted_per_s(self.now, self.settings.gateways - 1);
-        let load = |(i, c): (usize, &AdmissionCell)| {
-            (
-                (c.arrivals / INTERVAL_S + told(i)) / ready,
-                self.server_latency.classes[i / plans].lowest_us / 1e6,
-            )
-        };
-        let load: Vec<(f64, f64)> = self.cells.iter().enumerate().map(load).collect();
-        let mut fractions = vec![1.0; load.len()];
-        let fits = |fractions: &[f64]| {
-            let (mut rate, mut busy, mut square) = (0.0, 0.0, 0.0);
-            for (f, (r, x)) in fractions.iter().zip(&load) {
-                (rate, busy, square) = (rate + f * r, busy + f * r * x, square + f * r * x * x);
-            }
-            let wait = square / (2.0 * (1.0 - busy));
-            let over = |i: usize| {
-                fractions[i] > 0.0 && load[i].1 + wait > self.latency_bound_us(i / plans) / 1e6
-            };
-            busy < 1.0 && (rate <= 0.0 || !(0..fractions.len()).any(over))
-        };
-        if load.iter().map(|(r, x)| r * x).sum::<f64>() >= 1.0 || fits(&fractions) {
+        let loads = self.cell_loads();
+        let mut fractions = vec![1.0; loads.len()];
+        let offered_load: f64 = loads.iter().map(|l| l.arrivals_per_s * l.service_s).sum();
+        if offered_load >= 1.0 || self.meets_bounds(&loads, &fractions) {
             return fractions;
         }
-        // Greedy: by worth for a second of work, each cell as far as the bound allows.
-        let value = |i: usize| self.value_per_us(i / plans) * self.settings.plans[i % plans].price;
-        let mut order: Vec<usize> = (0..load.len()).collect();
-        order.sort_by(|&a, &b| value(b).total_cmp(&value(a)));
+        // Greedy: by value for a second of work, each cell as far as the bounds allow.
         fractions.fill(0.0);
-        for i in order {
-            let fraction = |tenth: i32| f64::from(tenth) * FRACTION_STEP;
-            let mut with = |f: f64| (fractions[i] = f, fits(&fractions)).1;
-            (0..=10).rev().find(|&tenth| with(fraction(tenth)));
+        for cell in self.cells_by_value() {
+            for step in (0..=FRACTION_STEPS).rev() {
+                fractions[cell] = f64::from(step) * FRACTION_STEP;
+                if self.meets_bounds(&loads, &fractions) {
+                    break;
+                }
+            }
+        }
+        if fractions.iter().all(|&fraction| fraction == 0.0) {
+            fractions.fill(1.0);
         }
-        let none = fractions.iter().all(|&f| f == 0.0);
         fractions
+    }
+
+    /// The load that all gateways together put on each ready server, by cell.
+    fn cell_loads(&self) -> Vec<CellLoad> {
+        let plans = self.settings.plans.len();
+        let ready_servers = self.fleet.ready_servers().count().max(1) as f64;
+        let others_per_s = self
+            .peer_reports
+            .others_admitted_per_s(self.now, self.settings.gateways - 1);
+        self.cells
             .iter()
-            .map(|&f| if none { 1.0 } else { f })
+            .enumerate()
+            .map(|(index, cell)| CellLoad {
+                arrivals_per_s: (cell.arrivals / INTERVAL_S + others_per_s(index)) / ready_servers,
+                service_s: self.server_latency.classes[index / plans].lowest_us / 1e6,
+            })
             .collect()
     }
+
+    /// Whether all admitted classes stay within their bounds by M/G/1 delay.
+    fn meets_bounds(&self, loads: &[CellLoad], fractions: &[f64]) -> bool {
+        let plans = self.settings.plans.len();
+        let mut rate_per_s = 0.0;
+        let mut utilization = 0.0;
+        let mut second_moment = 0.0;
+        for (fraction, load) in fractions.iter().zip(loads) {
+            rate_per_s += fraction * load.arrivals_per_s;
+            utilization += fraction * load.arrivals_per_s * load.service_s;
+            second_moment += fraction * load.arrivals_per_s * load.service_s * load.service_s;
+        }
+        if utilization >= 1.0 {
+            return false;
+        }
+        let wait_s = second_moment / (2.0 * (1.0 - utilization));
+        let is_over_bound = |cell: usize| {
+            fractions[cell] > 0.0
+                && loads[cell].service_s + wait_s > self.latency_bound_us(cell / plans) / 1e6
+        };
+        rate_per_s <= 0.0 || !(0..fractions.len()).any(is_over_bound)
+    }
+
+    /// The cells, those of the highest value for a second of work first.
+    fn cells_by_value(&self) -> Vec<usize> {
+        let plans = &self.settings.plans;
+        let value =
+            |cell: usize| self.value_per_us(cell / plans.len()) * plans[cell % plans.len()].price;
+        let mut cells: Vec<usize> = (0..self.cells.len()).collect();
+        cells.sort_by(|&a, &b| value(b).total_cmp(&value(a)));
+        cells
+    }
+}
+
+/// Halfway to the target, on the grid, rounded towards the target so that it is reached.
+fn halfway_on_grid(fraction: f64, target: f64) -> f64 {
+    let steps = (fraction + target) / 2.0 / FRACTION_STEP;
+    if target > fraction {
+        (steps - GRID_TOLERANCE).ceil() * FRACTION_STEP
+    } else {
+        (steps + GRID_TOLERANCE).floor() * FRACTION_STEP
+    }
 }
--- /dev/null
+++ b/crates/traffic-control/src/policy/completion.rs
@@ -0,0 +1,61 @@
+//! How a request ends for its client, exactly once.
+
+use crate::gateway::Gateway;
+use crate::interface::{Action, Micros, RequestId, UnservedReason};
+use crate::pending_request::AttemptState;
+
+/// The shortest retry-after: less relieves nobody.
+const MIN_RETRY_AFTER_US: f64 = 100_000.0;
+
+impl Gateway {
+    /// Gives the final answer: rejected with a retry-after where the effect rule allows it, else failed.
+    pub(super) fn finish(
+        &mut self,
+        id: RequestId,
+        retry_after_us: f64,
+        reason: UnservedReason,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(request) = self.requests.get(&id).filter(|r| !r.is_closed) else {
+            return;
+        };
+        let retry_after_us = (retry_after_us.max(MIN_RETRY_AFTER_US) as Micros)
+            .min(self.settings.max_retry_after_us);
+        if request.may_reject(&self.settings) {
+            actions.push(Action::Reject {
+                request: id,
+                retry_after_us,
+                reason,
+            });
+        } else {
+            actions.push(Action::Fail {
+                request: id,
+                reason,
+            });
+        }
+        self.close(id, actions);
+    }
+
+    /// The request is answered: nothing more is sent for it, and attempts in flight are cancelled.
+    pub(super) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        self.waiting_requests.remove(&id);
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        if !request.is_closed && self.settings.cancel && !request.is_streaming {
+            let in_flight = request
+                .attempts
+                .iter()
+                .enumerate()
+                .filter(|(_, a)| a.state == AttemptState::InFlight);
+            actions.extend(in_flight.map(|(number, _)| Action::Cancel {
+                request: id,
+                attempt: number as u32,
+            }));
+        }
+        request.is_closed = true;
+        if !request.has_attempt_in_flight() {
+            self.requests.remove(&id);
+        }
+    }
+}
--- /dev/null
+++ b/crates/traffic-control/src/policy/effect_rule.rs
@@ -0,0 +1,70 @@
+//! The effect rule: which further attempts of a request may go out, so that no effect happens twice.
+
+use crate::interface::{Effect, Micros, Scope, Settings, GONE_SLACK_US, HELD_UP_US};
+use crate::pending_request::{Attempt, AttemptState, PendingRequest};
+use crate::server::Server;
+
+/// Until when a repeat of this attempt may be written: its last byte comes while servers remember the key, also where the
+/// gateway is held up on the way.
+fn remembered_until(attempt: &Attempt, window_us: Micros) -> Micros {
+    attempt.sent_at + window_us.saturating_sub(HELD_UP_US)
+}
+
+/// Whether a server shares the keys that it has seen with the server of an attempt.
+fn shares_keys(scope: Scope, attempt: &Attempt, server: &Server) -> bool {
+    match scope {
+        Scope::All => true,
+        Scope::Zone => attempt.group.0 == server.group.0,
+        Scope::Cell => attempt.group == server.group,
+    }
+}
+
+impl PendingRequest {
+    /// Attempts that may have run, or may yet.
+    fn possibly_run_attempts(&self) -> impl Iterator<Item = &Attempt> {
+        self.attempts
+            .iter()
+            .filter(|a| a.state != AttemptState::NeverRan)
+    }
+
+    /// Whether a further attempt may go to this server now.
+    pub(super) fn may_send(&self, settings: &Settings, server: &Server, now: Micros) -> bool {
+        let is_over = self.is_closed || self.is_streaming;
+        if is_over || !settings.parallel_attempts && self.has_attempt_in_flight() {
+            return false;
+        }
+        match settings.classes[self.class].effect {
+            Effect::Repeatable => true,
+            Effect::Once => self.possibly_run_attempts().next().is_none(),
+            Effect::Keyed { scope, window_us } => self.possibly_run_attempts().all(|attempt| {
+                shares_keys(scope, attempt, server) && now < remembered_until(attempt, window_us)
+            }),
+        }
+    }
+
+    /// How long from now an attempt may begin: while its answer is of use, and while servers remember an earlier attempt
+    /// that may have run.
+    pub(super) fn begin_within_us(&self, settings: &Settings, now: Micros) -> Micros {
+        let remaining_us = self.deadline.saturating_sub(now);
+        let useful_us = remaining_us - (HELD_UP_US - GONE_SLACK_US).min(remaining_us / 4);
+        let Effect::Keyed { window_us, .. } = settings.classes[self.class].effect else {
+            return useful_us;
+        };
+        self.possibly_run_attempts()
+            .map(|attempt| remembered_until(attempt, window_us).saturating_sub(now))
+            .fold(useful_us, Micros::min)
+    }
+
+    /// Whether the client may be told that trying again is harmless.
+    pub(super) fn may_reject(&self, settings: &Settings) -> bool {
+        let repeats_are_harmless = matches!(
+            settings.classes[self.class].effect,
+            Effect::Repeatable
+                | Effect::Keyed {
+                    scope: Scope::All,
+                    ..
+                }
+        );
+        repeats_are_harmless || self.possibly_run_attempts().next().is_none()
+    }
+}
--- /dev/null
+++ b/crates/traffic-control/src/policy/peer_messages.rs
@@ -0,0 +1,137 @@
+//! Messages between gateways: admission fractions and rates, and a customer's quota at its owner. A message that does not
+//! parse is dropped as a whole; nothing that a message says ever touches a ceiling slice.
+
+use crate::customer::CustomerPlacement;
+use crate::decaying_sum::{DecayingSum, DEMAND_TAU_US};
+use crate::gateway::Gateway;
+use crate::gossip::{self, CellReport, Message, QuotaGrant, QuotaRequest};
+use crate::interface::{Action, Micros};
+use rand_pcg::rand_core::RngCore;
+
+/// Peers that get the fractions and rates each interval: a sample, whatever the fleet's size.
+const PEERS_PER_CELL_REPORT: u32 = 2;
+/// A granted permit lapses after so many mean attempts, in case its return is lost.
+const PERMIT_GRANT_ATTEMPTS: f64 = 3.0;
+/// The longest peer message.
+pub(super) const MAX_MESSAGE_BYTES: usize = 256;
+
+impl Gateway {
+    /// Sends this gateway's admission fractions and rates to a few peers.
+    pub(super) fn send_cell_reports(&mut self, actions: &mut Vec<Action>) {
+        let reports = self
+            .cells
+            .iter()
+            .map(|cell| CellReport {
+                fraction: cell.fraction,
+                admitted_per_s: cell.admitted_per_s,
+            })
+            .collect();
+        let bytes = gossip::encode(&Message::CellReports(reports), MAX_MESSAGE_BYTES);
+        let peers = if self.settings.peer_messages {
+            self.settings.gateways - 1
+        } else {
+            0
+        };
+        // Drawn without peers as well: the sequence of random numbers does not depend on the settings.
+        let first = self.rng.next_u32() % peers.max(1);
+        for offset in 0..PEERS_PER_CELL_REPORT.min(peers) {
+            let distance = 1 + (first + offset) % peers;
+            actions.push(Action::SendToPeer {
+                to: (self.settings.me + distance) % self.settings.gateways,
+                bytes: bytes.clone(),
+            });
+        }
+    }
+
+    pub(super) fn on_peer_message(&mut self, from: u32, bytes: &[u8], actions: &mut Vec<Action>) {
+        let is_peer = from != self.settings.me && from < self.settings.gateways;
+        match gossip::decode(bytes).filter(|_| is_peer) {
+            Some(Message::CellReports(reports)) => {
+                self.peer_reports.record_cell_reports(self.now, reports);
+            }
+            Some(Message::QuotaRequest(request)) => {
+                self.on_quota_request(from, &request, actions);
+            }
+            Some(Message::QuotaGrant(grant)) => self.on_quota_grant(from, &grant, actions),
+            None => {}
+        }
+    }
+
+    /// As owner of a customer: takes in its use at a peer, and grants what the peer wants if the store holds it.
+    fn on_quota_request(&mut self, from: u32, request: &QuotaRequest, actions: &mut Vec<Action>) {
+        let now = self.now;
+        let me = self.settings.me;
+        let plan = usize::from(request.plan);
+        if self.settings.counter || plan >= self.quotas.len() {
+            return;
+        }
+        let quota = self.quotas[plan];
+        let gateway_count = u32::from(request.gateway_count).clamp(1, self.settings.gateways);
+        let placement = CustomerPlacement {
+            tag: request.tag,
+            plan,
+            gateway_count,
+            owner: me,
+            position: 0,
+        };
+        let grant_us = PERMIT_GRANT_ATTEMPTS * self.server_latency.attempt_s * 1e6;
+        let lapses_at = now + grant_us as Micros;
+        let Some(customer) = self.customer_state(&placement).filter(|c| c.owner == me) else {
+            return;
+        };
+        let wanted = request.wanted_units.max(0.0);
+        let unreported = request.unreported_units;
+        customer.is_owner = true;
+        customer.active_at = now;
+        customer
+            .demand
+            .add(now, DEMAND_TAU_US, wanted + unreported.max(0.0));
+        if quota.limits_concurrency {
+            customer.update_granted_permits(&quota, unreported, lapses_at);
+        } else {
+            customer.level = (customer.level - unreported).clamp(-quota.capacity, quota.capacity);
+        }
+        customer.refill(&quota, now);
+        let level = customer.level;
+        let granted_units = if level >= request.wanted_units {
+            wanted
+        } else {
+            0.0
+        };
+        customer.level -= granted_units;
+        if quota.limits_concurrency {
+            customer.update_granted_permits(&quota, granted_units, lapses_at);
+        }
+        if request.wanted_units > 0.0 {
+            let grant = Message::QuotaGrant(QuotaGrant {
+                tag: request.tag,
+                granted_units,
+                level,
+                demand_per_s: customer.demand.per_s(now, DEMAND_TAU_US),
+            });
+            actions.push(Action::SendToPeer {
+                to: from,
+                bytes: gossip::encode(&grant, MAX_MESSAGE_BYTES),
+            });
+        }
+    }
+
+    /// Takes in what a customer's owner granted, and decides the requests that wait for it.
+    fn on_quota_grant(&mut self, from: u32, grant: &QuotaGrant, actions: &mut Vec<Action>) {
+        let now = self.now;
+        let Some(customer) = self
+            .customers
+            .get_mut(&grant.tag)
+            .filter(|c| c.owner == from)
+        else {
+            return;
+        };
+        let capacity = self.quotas[customer.plan].capacity;
+        customer.unreported -= grant.granted_units;
+        customer.sync_level(grant.level.clamp(-capacity, capacity), now);
+        let own_demand = customer.demand.at(now, DEMAND_TAU_US);
+        let all_demand = grant.demand_per_s * DEMAND_TAU_US / 1e6;
+        customer.others_demand = DecayingSum::new(now, (all_demand - own_demand).max(0.0));
+        self.decide_waiting(grant.tag, true, actions);
+    }
+}
--- /dev/null
+++ b/crates/traffic-control/src/policy/quota_charges.rs
@@ -0,0 +1,199 @@
+//! How a customer's quota and ceiling are charged, here and by the reports of other gateways. No gateway, nor all of them
+//! together, passes on more than the quota pays for, and none draws past its slice of a ceiling.
+
+use super::limits::{CUSTOMER_IDLE_TIMEOUT_US, MAX_CUSTOMERS};
+use crate::customer::{Customer, CustomerPlacement, GUESS_COST_FACTOR};
+use crate::decaying_sum::DEMAND_TAU_US;
+use crate::gateway::Gateway;
+use crate::interface::{Action, Plan, RequestId};
+use crate::peer_reports::UsageAge;
+use crate::random::random_unit;
+
+/// Memory for how many queries found capacity.
+const QUERY_RESULTS_TAU_US: f64 = 20_000_000.0;
+/// Queries that count as successful before any was made.
+const PRIOR_SUCCESSES: f64 = 1.0;
+/// A request beyond the quota has to earn this share of its value: the queues that it fills cost more than less.
+const MIN_EXCESS_VALUE: f64 = 0.5;
+
+/// Whether a request beyond its quota earns enough, less what that costs.
+pub(super) fn excess_pays(plan: &Plan) -> bool {
+    plan.excess_weight - plan.overrun_cost > MIN_EXCESS_VALUE
+}
+
+impl Gateway {
+    /// The state of a customer, which begins where it was not known; `None` where too many customers are.
+    pub(super) fn customer_state(
+        &mut self,
+        placement: &CustomerPlacement,
+    ) -> Option<&mut Customer> {
+        if !self.customers.contains_key(&placement.tag) {
+            if self.customers.len() >= MAX_CUSTOMERS {
+                return None;
+            }
+            let customer = self.new_customer(placement);
+            self.customers.insert(placement.tag, customer);
+        }
+        let customer = self.customers.get_mut(&placement.tag)?;
+        // A customer that was moved to another plan keeps what it has left.
+        customer.plan = placement.plan;
+        Some(customer)
+    }
+
+    fn new_customer(&mut self, placement: &CustomerPlacement) -> Customer {
+        let now = self.now;
+        let settings = &self.settings;
+        let quota = &self.quotas[placement.plan];
+        let fills_since = self
+            .started_at
+            .unwrap_or(now)
+            .max(now.saturating_sub(CUSTOMER_IDLE_TIMEOUT_US));
+        // What others reported of a customer that was not known here is used all the same.
+        let reported = self
+            .peer_reports
+            .take_unknown_customer(placement.tag)
+            .filter(|_| !quota.limits_concurrency);
+        let known_level =
+            reported.map_or(quota.capacity, |usage| usage.remaining_units(quota, now));
+        let mut customer = Customer::new(placement, quota, settings, fills_since);
+        // Where gateways report their use, the shares of silent ones are set aside; else the even slice is all there is.
+        let max_level = if settings.usage_report_ttl_us > 0 && !quota.limits_concurrency {
+            quota.capacity
+        } else {
+            quota.capacity / f64::from(placement.gateway_count)
+        };
+        customer.level = known_level.clamp(-quota.capacity, max_level);
+        self.peer_reports
+            .update_customer(now, settings, quota, &mut customer);
+        let owns_by_messages =
+            placement.owner == settings.me && settings.peer_messages && !settings.counter;
+        customer.is_owner = placement.gateway_count <= 1 || owns_by_messages;
+        customer.owner = placement.owner;
+        customer
+    }
+
+    /// Whether a request of an unknown quota passes for want of a call, beyond the even slice: where recent queries found
+    /// that this pays, and of customers that use too much as many as leave the quota used in sum.
+    pub(super) fn admits_blindly(
+        &mut self,
+        plan: usize,
+        is_sparse: bool,
+        overrun_cost: f64,
+        overuse_factor: f64,
+    ) -> bool {
+        // A permit beyond the limit is held for as long as one within, and in the way of the next.
+        let cost_factor = if self.quotas[plan].limits_concurrency {
+            GUESS_COST_FACTOR
+        } else {
+            1.0
+        };
+        let results = &self.query_results[plan];
+        let failures = results.without_capacity.at(self.now, QUERY_RESULTS_TAU_US);
+        let successes = results.with_capacity.at(self.now, QUERY_RESULTS_TAU_US);
+        let prior = if is_sparse { PRIOR_SUCCESSES } else { 0.0 };
+        let has_evidence = failures + successes + prior >= 1.0;
+        let pays = successes + prior > failures * (overrun_cost + 1.0) * cost_factor;
+        has_evidence && pays && random_unit(&mut self.rng) * overuse_factor * overuse_factor < 1.0
+    }
+
+    /// Records whether a query found capacity.
+    pub(super) fn record_query_result(&mut self, plan: usize, has_capacity: bool) {
+        let results = &mut self.query_results[plan];
+        let result = if has_capacity {
+            &mut results.with_capacity
+        } else {
+            &mut results.without_capacity
+        };
+        result.add(self.now, QUERY_RESULTS_TAU_US, 1.0);
+    }
+
+    /// Charges a request that is about to be sent. False: the ceiling forbids it.
+    pub(super) fn charge_quota(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
+        let Some(request) = self.requests.get(&id) else {
+            return false;
+        };
+        let units = request.units;
+        let tag = request.customer;
+        let Some(customer) = self.customers.get_mut(&tag) else {
+            return true;
+        };
+        let quota = self.quotas[customer.plan];
+        customer.refill(&quota, self.now);
+        // What the counter holds for this gateway already is taken from the quota, all else from the ceiling.
+        let is_reserved = customer.reserved_units > 0.0
+            && customer.reserved_units >= units
+            && customer.level >= units;
+        if quota.ceiling.is_some() && !is_reserved && customer.ceiling_level < units {
+            return false;
+        }
+        if !is_reserved {
+            customer.ceiling_level = (customer.ceiling_level - units).max(0.0);
+        }
+        let is_within_quota = !quota.limits_concurrency && customer.level >= units;
+        customer.record_usage(self.now, units, is_within_quota);
+        if is_within_quota && self.settings.usage_report_ttl_us > 0 {
+            customer
+                .shares
+                .record_usage(self.now, self.settings.me, units);
+            actions.push(Action::ReportUsage { tag, units });
+        }
+        true
+    }
+
+    /// Takes in what other gateways let through. The use of a restarted gateway counts on. `past`: use of customers from
+    /// before the time since which a gateway is heard.
+    pub(super) fn on_usage_reported(
+        &mut self,
+        heard: &[u32],
+        uses: &[(u32, u32, f64)],
+        past: &[(u32, f64)],
+    ) {
+        for &(from, tag, units) in uses {
+            self.charge_reported_use(from, tag, units, heard.contains(&from));
+        }
+        for &(tag, units) in past {
+            self.charge_past_use(tag, units);
+        }
+        for &gateway in heard {
+            if gateway < self.settings.gateways {
+                self.peer_reports.record_usage_report(self.now, gateway);
+            }
+        }
+    }
+
+    /// What was used while a gateway was silent comes out of what was set aside for it.
+    fn charge_reported_use(&mut self, from: u32, tag: u32, units: f64, is_heard: bool) {
+        let now = self.now;
+        let Some(customer) = self.customers.get_mut(&tag) else {
+            self.record_unknown_customer(tag, units, UsageAge::Current);
+            return;
+        };
+        let quota = self.quotas[customer.plan];
+        self.peer_reports
+            .update_customer(now, &self.settings, &quota, customer);
+        let common_units = customer
+            .shares
+            .charge_reported(now, &quota, from, units, is_heard);
+        // What the counter reported already is not charged twice.
+        let counts_reports = customer.follows_peer_reports(now) || !customer.is_synced(now);
+        if common_units > 0.0 && counts_reports {
+            customer.refill(&quota, now);
+            customer.level = (customer.level - common_units).max(-quota.capacity);
+            customer.others_demand.add(now, DEMAND_TAU_US, common_units);
+        }
+    }
+
+    /// Past use may be older than what the store has been filled with since: it empties the store and no more.
+    fn charge_past_use(&mut self, tag: u32, units: f64) {
+        let Some(customer) = self.customers.get_mut(&tag) else {
+            self.record_unknown_customer(tag, units, UsageAge::PossiblyStale);
+            return;
+        };
+        customer.level = (customer.level - units).max(customer.level.min(0.0));
+    }
+
+    fn record_unknown_customer(&mut self, tag: u32, units: f64, age: UsageAge) {
+        self.peer_reports
+            .record_unknown_customer(self.now, MAX_CUSTOMERS, tag, units, age);
+    }
+}
--- a/crates/traffic-control/src/server.rs
+++ b/crates/traffic-control/src/server.rs
@@ -1,130 +1,115 @@
-//! What is known of one server: where it stands, how warm it must be by now, what is out there, and what its answers
-//! were like. Knowledge only; which server a request goes to is decided elsewhere.
+//! What is known of one server: position, warmth, attempts in flight, and recent outcomes. State only; which server a
+//! request goes to is decided in `policy`.
 
 use crate::interface::{Health, Micros, SlowStart};
-use std::collections::BTreeMap;
 
+/// Servers that are at most so many times slower than usual are not reported for their slowness.
+const MAX_UNREPORTED_SLOWNESS: f64 = 4.0;
+/// That a server was healthy is half forgotten in this while its zone fails.
+const HEALTHY_HALF_LIFE_US: f64 = 300_000.0;
+
+/// Sends that a server in slow start may get.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct SlowStartCredit {
+    pub sends: f64,
+    pub as_of: Micros,
+}
+
+/// What is thought of a server.
+#[derive(Clone, Copy)]
+pub(crate) struct Assessment {
+    /// Latency relative to the fleet's usual one for the class; 1 is usual.
+    pub slowness_ratio: f64,
+    /// Share of the attempts that failed.
+    pub error_rate: f64,
+}
+
+/// The outcome of one attempt, with its weight beside all earlier ones.
+#[derive(Clone, Copy)]
+pub(crate) struct WeightedOutcome {
+    pub weight: f64,
+    pub slowness_ratio: f64,
+    /// 1 if it failed, else 0.
+    pub failed: f64,
+}
+
+/// One server.
 #[derive(Default)]
 pub(crate) struct Server {
     /// Zone and cell.
     pub group: (String, u64),
+    /// Its size beside the others'.
     pub share: f64,
-    /// Of its name, as all gateways have it.
+    /// Hash of its name, the same at all gateways.
     pub hash_key: u64,
+    /// When it started; 0: long ago.
     pub started_us: Micros,
     pub health: Health,
     pub pool: u8,
+    /// Attempts of this gateway that have not ended.
     pub in_flight: u32,
-    /// Latency beside the fleet's usual for the class; 1 is usual.
+    /// As of the last outcome; see [`Assessment`].
     pub slowness_ratio: f64,
     pub error_rate: f64,
     pub assessed_at: Micros,
-    /// Sends it may get while cold, as of when.
-    pub slow_start_credit: (f64, Micros),
+    pub slow_start_credit: SlowStartCredit,
 }
 
 impl Server {
-    /// Share of its capacity at least: evenly from the stated start.
-    pub fn warmth(&self, cold: &SlowStart, now: Micros) -> f64 {
-        let age = now.saturating_sub(self.started_us) as f64 / cold.duration_us.max(1) as f64;
-        let share = if self.started_us == 0 || cold.duration_us == 0 {
+    /// The share of its capacity that it has at least, which grows evenly from its start.
+    pub fn warmth(&self, slow_start: &SlowStart, now: Micros) -> f64 {
+        let age_us = now.saturating_sub(self.started_us) as f64;
+        let progress = if self.started_us == 0 || slow_start.duration_us == 0 {
             1.0
         } else {
-            age.min(1.0)
+            (age_us / slow_start.duration_us.max(1) as f64).min(1.0)
         };
-        cold.initial_share + (1.0 - cold.initial_share) * share
+        slow_start.initial_share + (1.0 - slow_start.initial_share) * progress
     }
 
-    /// Slowness and errors now: what is thought of a silent server fades, so that it is tried again. It fades to what is
-    /// thought of its zone.
-    pub fn decayed_assessment(&self, now: Micros, forget_us: f64, zone: f64) -> (f64, f64) {
-        let silent = now.saturating_sub(self.assessed_at) as f64;
-        let keep = 0.5f64.powf(silent / forget_us);
-        // That a server was well some time ago says little once others of its zone fail.
-        let well = if zone > self.error_rate {
-            0.5f64.powf(silent / HEALTHY_HALF_LIFE_US)
+    /// What is thought of it now. That fades without outcomes, so that it is tried again: its error rate fades to its
+    /// zone's.
+    pub fn decayed_assessment(
+        &self,
+        now: Micros,
+        half_life_us: f64,
+        zone_error_rate: f64,
+    ) -> Assessment {
+        let silent_us = now.saturating_sub(self.assessed_at) as f64;
+        let retained = 0.5f64.powf(silent_us / half_life_us);
+        // That a server was healthy some time ago says little once others of its zone fail.
+        let retained_errors = if zone_error_rate > self.error_rate {
+            0.5f64.powf(silent_us / HEALTHY_HALF_LIFE_US)
         } else {
-            keep
+            retained
         };
-        (
-            1.0 + (self.slowness_ratio - 1.0) * keep,
-            zone + (self.error_rate - zone) * well,
-        )
+        Assessment {
+            slowness_ratio: 1.0 + (self.slowness_ratio - 1.0) * retained,
+            error_rate: zone_error_rate + (self.error_rate - zone_error_rate) * retained_errors,
+        }
     }
 
-    /// What the others are told: the part that failed of what was sent there from here when it was judged last, or as much for its
+    /// What other gateways are told: the share of attempts that had failed at the last outcome, or as much for its
     /// slowness.
     pub fn reported_error_rate(&self) -> f64 {
+        let slowness_ratio = self.slowness_ratio.max(MAX_UNREPORTED_SLOWNESS);
         self.error_rate
-            .max(1.0 - MAX_UNREPORTED_SLOWNESS / self.slowness_ratio.max(MAX_UNREPORTED_SLOWNESS))
+            .max(1.0 - MAX_UNREPORTED_SLOWNESS / slowness_ratio)
     }
 
-    /// Another outcome, with its weight beside all before it.
+    /// Records the outcome of an attempt.
     pub fn record_outcome(
         &mut self,
         now: Micros,
-        forget_us: f64,
-        weight: f64,
-        slow: f64,
-        failed: f64,
-        zone: f64,
+        half_life_us: f64,
+        outcome: WeightedOutcome,
+        zone_error_rate: f64,
     ) {
-        let (was_slow, errors) = self.decayed_assessment(now, forget_us, zone);
-        self.slowness_ratio = was_slow + weight * (slow - was_slow);
-        self.error_rate = errors + weight * (failed - errors);
+        let previous = self.decayed_assessment(now, half_life_us, zone_error_rate);
+        let weight = outcome.weight;
+        self.slowness_ratio =
+            previous.slowness_ratio + weight * (outcome.slowness_ratio - previous.slowness_ratio);
+        self.error_rate = previous.error_rate + weight * (outcome.failed - previous.error_rate);
         self.assessed_at = now;
     }
 }
-
-/// Times the usual that no server is told of for.
-const MAX_UNREPORTED_SLOWNESS: f64 = 4.0;
-/// That a server is well is half forgotten in this while its zone is not.
-const HEALTHY_HALF_LIFE_US: f64 = 300_000.0;
-/// Weight of one outcome in what is thought of a zone: about the last five.
-const ZONE_WEIGHT: f64 = 0.2;
-/// What is thought of a silent zone halves in this.
-const ZONE_HALF_LIFE_US: f64 = 4_000_000.0;
-
-/// How many attempts failed of late, by zone. Where a gateway meets each server rarely, that a zone is gone shows in all of
-/// its servers together long before it shows in one.
-#[derive(Default)]
-pub(crate) struct ZoneFailures(BTreeMap<String, (f64, Micros)>);
-
-impl ZoneFailures {
-    /// As they are now: few zones fade once, not for each of their servers.
-    pub fn at(&self, now: Micros) -> ZoneErrors<'_> {
-        let faded = |(errors, at): (f64, Micros)| {
-            errors * 0.5f64.powf(now.saturating_sub(at) as f64 / ZONE_HALF_LIFE_US)
-        };
-        ZoneErrors(
-            self.0
-                .iter()
-                .map(|(zone, &judged)| (zone.as_str(), faded(judged)))
-                .collect(),
-        )
-    }
-
-    /// Another outcome.
-    pub fn judge(&mut self, zone: &str, now: Micros, failed: f64) {
-        let errors = self.at(now).error_rate(zone);
-        let z = self.0.entry(zone.to_string()).or_default();
-        *z = (errors + ZONE_WEIGHT * (failed - errors), now);
-    }
-
-    /// Forgets zones that are not listed any more.
-    pub fn retain_listed(&mut self, listed: impl Fn(&str) -> bool) {
-        self.0.retain(|zone, _| listed(zone));
-    }
-}
-
-/// What is thought of the zones at one time.
-pub(crate) struct ZoneErrors<'a>(Vec<(&'a str, f64)>);
-
-impl ZoneErrors<'_> {
-    pub fn error_rate(&self, zone: &str) -> f64 {
-        self.0
-            .iter()
-            .find(|(name, _)| *name == zone)
-            .map_or(0.0, |(_, errors)| *errors)
-    }
-}
--- a/crates/traffic-control/src/status.rs
+++ b/crates/traffic-control/src/status.rs
@@ -1,11 +1,11 @@
-//! What is seen of a gateway from outside, and what it sees of its attempts. No decisions.
+//! What is seen of a gateway from outside, and what it learns from the end of an attempt. No decisions.
 
-use crate::counter_rate_limit::MAX_SMALL_FLEET_GATEWAYS;
+use crate::counter::MAX_SMALL_FLEET_GATEWAYS;
 use crate::gateway::Gateway;
 use crate::interface::{AttemptOutcome, HealthReports, ServerId};
 
 impl Gateway {
-    /// Requests not yet done with, attempts still out included.
+    /// Requests that are not done, those with attempts still in flight included.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
@@ -15,8 +15,8 @@
         self.fleet.avoided_servers(self.now)
     }
 
-    /// Gateways among which servers are dealt out; ready servers that this one uses; and those that all leave alone by what they
-    /// say to each other.
+    /// Gateways among which servers are assigned; ready servers that this one uses; and servers that all gateways eject by
+    /// their health reports.
     pub fn choices(&self) -> [usize; 3] {
         let ready = self.fleet.ready_servers().count();
         let used = if self.fleet.subset_share < 1.0 {
@@ -31,35 +31,38 @@
         ]
     }
 
-    /// What this gateway says of servers: those in trouble as seen from here, and those that others say are and that are well.
+    /// What this gateway reports of servers: those that fail as seen from here, and healthy ones that others report as
+    /// failing.
     pub fn words(&self) -> HealthReports {
         self.fleet.health_reports(self.now)
     }
 
-    /// An attempt ended: what it tells of its server and its class.
+    /// Records what the end of an attempt says of its server and its class.
     pub(crate) fn record_attempt_end(
         &mut self,
-        o: &AttemptOutcome,
+        outcome: &AttemptOutcome,
         class: usize,
         units: f64,
         server: &ServerId,
     ) {
-        let Some((warmth, ready)) =
-            self.fleet
-                .record_end(server, &self.settings.slow_start, self.now)
-        else {
+        let slow_start = &self.settings.slow_start;
+        let Some(at_end) = self.fleet.record_end(server, slow_start, self.now) else {
             return;
         };
-        let ratio = self
-            .server_latency
-            .record_attempt(class, units, o.status, o.elapsed_us, ready)
-            * warmth;
+        let latency_ratio = self.server_latency.record_attempt(
+            class,
+            units,
+            outcome.status,
+            outcome.elapsed_us,
+            at_end.is_ready,
+        ) * at_end.warmth;
+        let counts_for_zone = self.settings.gateways > MAX_SMALL_FLEET_GATEWAYS;
         self.fleet.record_outcome(
             server,
-            o.status,
-            ratio,
+            outcome.status,
+            latency_ratio,
             self.now,
-            self.settings.gateways > MAX_SMALL_FLEET_GATEWAYS,
+            counts_for_zone,
         );
     }
 }
--- a/crates/traffic-control/src/subset.rs
+++ b/crates/traffic-control/src/subset.rs
@@ -1,43 +1,44 @@
-//! The part of a large fleet of servers that this gateway uses, as it is dealt out among the gateways that there are.
+//! The subset of a large fleet of servers that this gateway uses, as servers are assigned to the gateways that there are.
 
 use crate::interface::ServerId;
 use crate::server::Server;
 use frosthatch_load_balancing::key;
-use frosthatch_load_balancing::subset::{deal, Server as Dealt};
+use frosthatch_load_balancing::subset::{deal, Server as AssignableServer};
 
-/// The gateways by number that servers are dealt out among, and what came of the last deal.
+/// The gateways that servers are assigned to, and the last assignment.
 pub(crate) struct Subset {
     own_key: u64,
     gateway_keys: Vec<u64>,
-    servers: Vec<Dealt>,
+    servers: Vec<AssignableServer>,
+    /// By gateway, indices of its servers.
     assignment: Vec<Vec<u32>>,
+    /// Size of the subsets; 0: nothing is assigned, each gateway uses all servers.
     size: usize,
 }
 
-fn gateway(number: u32) -> u64 {
+fn gateway_key(number: u32) -> u64 {
     key(&number.to_string())
 }
 
 impl Subset {
     pub fn new(me: u32, gateways: u32) -> Self {
-        let keys = (0..gateways).map(gateway).collect();
         Subset {
-            own_key: gateway(me),
-            gateway_keys: keys,
+            own_key: gateway_key(me),
+            gateway_keys: (0..gateways).map(gateway_key).collect(),
             servers: Vec::new(),
             assignment: Vec::new(),
             size: 0,
         }
     }
 
-    /// This gateway among them.
+    /// The key of this gateway.
     pub fn own_key(&self) -> u64 {
         self.own_key
     }
 
-    /// Other gateways are there. This one counts itself always: whoever does not hear of it still has it serve.
+    /// Sets which gateways there are. This one always counts itself: whoever does not hear of it still uses it.
     pub fn set_gateways(&mut self, gateways: &[u32]) {
-        self.gateway_keys = gateways.iter().copied().map(gateway).collect();
+        self.gateway_keys = gateways.iter().copied().map(gateway_key).collect();
         if !self.gateway_keys.contains(&self.own_key) {
             self.gateway_keys.push(self.own_key);
         }
@@ -48,51 +49,53 @@
         self.gateway_keys.len()
     }
 
-    /// Those of the ready servers that this gateway uses, in a subset of so many; none: all. What has not changed is not dealt anew.
+    /// The ready servers that this gateway uses, in a subset of `size`; `None`: all. Servers are only assigned again where
+    /// something has changed.
     pub fn select(
         &mut self,
         ready: &[(&ServerId, &Server)],
         size: Option<usize>,
     ) -> Option<Vec<ServerId>> {
         let Some(size) = size else {
-            (self.size, self.assignment) = (0, Vec::new());
+            self.size = 0;
+            self.assignment = Vec::new();
             return None;
         };
-        let dealt = |(_, s): &(&ServerId, &Server)| Dealt {
-            key: s.hash_key,
-            weight: s.share,
-            zone: key(&s.group.0),
-        };
-        let servers: Vec<Dealt> = ready.iter().map(dealt).collect();
+        let servers: Vec<AssignableServer> = ready
+            .iter()
+            .map(|(_, server)| AssignableServer {
+                key: server.hash_key,
+                weight: server.share,
+                zone: key(&server.group.0),
+            })
+            .collect();
         if size != self.size || servers != self.servers {
             self.assignment = deal(&self.gateway_keys, &servers, size);
-            (self.size, self.servers) = (size, servers);
+            self.size = size;
+            self.servers = servers;
         }
-        let mine = self
-            .gateway_keys
+        let own_position = self.gateway_keys.iter().position(|k| *k == self.own_key)?;
+        let own_servers = self.assignment.get(own_position)?;
+        let names = own_servers
             .iter()
-            .position(|k| *k == self.own_key)
-            .and_then(|n| self.assignment.get(n))?;
-        Some(mine.iter().map(|n| ready[*n as usize].0.clone()).collect())
+            .map(|index| ready[*index as usize].0.clone());
+        Some(names.collect())
     }
 
-    /// The gateways that use a server.
-    pub fn gateways_using(&self, server: u64) -> Vec<u64> {
-        let place = self
-            .servers
-            .iter()
-            .position(|s| s.key == server)
-            .map(|n| n as u32);
-        let uses = |some: &&Vec<u32>| place.is_some_and(|place| some.contains(&place));
-        match self.size {
-            0 => self.gateway_keys.clone(),
-            _ => self
-                .gateway_keys
-                .iter()
-                .zip(&self.assignment)
-                .filter(|(_, some)| uses(some))
-                .map(|(k, _)| *k)
-                .collect(),
+    /// The keys of the gateways that use a server.
+    pub fn gateways_using(&self, hash_key: u64) -> Vec<u64> {
+        if self.size == 0 {
+            return self.gateway_keys.clone();
         }
+        let position = self.servers.iter().position(|s| s.key == hash_key);
+        let Some(index) = position.map(|position| position as u32) else {
+            return Vec::new();
+        };
+        self.gateway_keys
+            .iter()
+            .zip(&self.assignment)
+            .filter(|(_, servers)| servers.contains(&index))
+            .map(|(key, _)| *key)
+            .collect()
     }
 }
