--- a/crates/traffic-control/src/boot.rs
+++ b/crates/traffic-control/src/boot.rs
@@ -37,10 +37,8 @@
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
-#[expect(
-    clippy::struct_excessive_bools,
-    reason = "mirrors the operators' document"
-)]
+// Mirrors the operators' document.
+#[expect(clippy::struct_excessive_bools)]
 struct Limits {
     cancel: bool,
     max_attempts: u32,
--- a/crates/traffic-control/src/interface/actions.rs
+++ b/crates/traffic-control/src/interface/actions.rs
@@ -9,24 +9,24 @@
 pub enum UnservedReason {
     /// Its class or plan is not among the settings.
     UnknownClass,
-    /// More customers are active than are kept.
+    /// More customers are active than are tracked.
     TooManyCustomers,
-    /// Nobody knows under which policy requests may be let in.
+    /// It is not known under which policy requests may be admitted.
     NoLease,
     /// Its customer's quota is used up, as far as is known.
     Quota,
-    /// It would pass its customer's ceiling.
+    /// It would exceed its customer's ceiling.
     Ceiling,
-    /// Servers are pressed, and it is among those that are left out.
+    /// Servers are over capacity, and it is among the requests that are shed.
     Pressure,
-    /// No server took it within the part of its time that it may wait.
+    /// No server was available within the time that it may wait.
     NoServer,
     /// Its attempts failed, and no further one may go out.
     AttemptsFailed,
 }
 
 impl UnservedReason {
-    /// As logs name it.
+    /// The name that logs use.
     pub fn name(self) -> &'static str {
         match self {
             UnservedReason::UnknownClass => "unknown_class",
@@ -48,12 +48,12 @@
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The server that it goes to.
         server: ServerId,
-        /// Its time-out; 0: until the client gives up.
+        /// Its timeout; 0: until the client gives up.
         timeout_us: Micros,
-        /// It may begin within this, and not any more when that has passed: then it never ran. Whoever carries it out looks
-        /// at the last moment, as a connection may come up late.
+        /// Time within which it may begin; after that it must not be sent and counts as never run. The driver checks this
+        /// at the last moment, as a connection may be established late.
         begin_within_us: Micros,
     },
     /// Stop waiting for an attempt.
@@ -63,48 +63,49 @@
         /// The attempt's number.
         attempt: u32,
     },
-    /// Final answer: refused; trying again is harmless.
+    /// Final answer: rejected; trying again is harmless.
     Reject {
         /// The request.
         request: RequestId,
-        /// How long to stay away; 0: no advice.
+        /// Retry-after; 0: none is given.
         retry_after_us: Micros,
-        /// Why; for logs and figures.
+        /// Why; for logs and metrics.
         reason: UnservedReason,
     },
-    /// Final answer: failed, with no promise.
+    /// Final answer: failed; the request may have run.
     Fail {
         /// The request.
         request: RequestId,
-        /// Why; for logs and figures.
+        /// Why; for logs and metrics.
         reason: UnservedReason,
     },
-    /// Wake the gateway.
+    /// Set a timer for the gateway.
     SetTimer {
-        /// After this.
+        /// Time from now.
         after_us: Micros,
-        /// With this.
+        /// The timer to return as an event.
         timer: Timer,
     },
     /// Send a message to another gateway.
     SendToPeer {
-        /// Its number.
+        /// The other gateway's number.
         to: u32,
         /// At most 256 bytes.
         bytes: Vec<u8>,
     },
-    /// Add to a named count.
+    /// Add to a count of the shared counter.
     AddToCounter {
         /// The name.
         name: String,
         /// The amount.
         amount: f64,
-        /// How long the name lives, if new.
+        /// How long the count is retained, if it is new.
         ttl_us: Micros,
     },
-    /// Units of a customer were let through within its quota: the other gateways are to know. Only with `ledger`.
+    /// Report units of a customer that passed within its quota to the other gateways. Only where
+    /// [`Settings::usage_report_ttl_us`] is set.
     ReportUsage {
-        /// The customer's short name.
+        /// The customer's tag.
         tag: u32,
         /// The units.
         units: f64,
--- a/crates/traffic-control/src/interface/events.rs
+++ b/crates/traffic-control/src/interface/events.rs
@@ -6,30 +6,30 @@
 use super::server_list::{ListKind, ServerEntry};
 use super::time::Micros;
 
-/// A timer that the gateway asked for.
+/// A timer that the gateway has set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timer {
     /// The control interval.
     Interval,
-    /// A request's own.
+    /// The timer of a request.
     Request(RequestId),
-    /// A customer's, by its short name.
+    /// The timer of a customer, by its tag.
     Customer(u32),
 }
 
-/// What a gateway says of servers to the others.
+/// What a gateway reports of servers to the others.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HealthReports {
-    /// Servers that it uses.
+    /// Number of servers that it uses.
     pub uses: usize,
-    /// Key of a server, part of what was sent there that failed of late, and when that was found out.
+    /// Hash key of a server, recent error rate there from 0 to 1, and when that was assessed.
     pub of: Vec<(u64, f64, Micros)>,
 }
 
-/// What a gateway is told.
+/// An event that a gateway handles.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the server list.
+    /// An update of the server list.
     Servers {
         /// How to read it.
         kind: ListKind,
@@ -38,54 +38,56 @@
     },
     /// A client request.
     Request(Request),
-    /// A streamed answer has begun: the attempt is the client's now.
+    /// A streamed answer has begun: no other attempt may follow.
     Streaming(RequestId),
     /// An attempt ended.
     Outcome(AttemptOutcome),
     /// The client has gone.
     ClientGone(RequestId),
-    /// A timer fell due.
+    /// A timer is due.
     Timer(Timer),
     /// A message from a peer.
     Peer {
-        /// Its index.
+        /// The peer's index.
         from: u32,
-        /// What it sent.
+        /// The message.
         bytes: Vec<u8>,
     },
-    /// Other gateways told what they let through within quotas.
+    /// Other gateways reported what they let through within quotas.
     UsageReported {
-        /// The gateways that told, since the last such event, all that they had let through until now.
+        /// The gateways that have reported all their use until now since the last such event.
         heard: Vec<u32>,
-        /// Gateways, short names of customers, and the units.
+        /// Index of a gateway, tag of a customer, and units.
         uses: Vec<(u32, u32, f64)>,
-        /// Customers and units of before the time from which a gateway is heard: nobody knows how much of it is old.
+        /// Tag of a customer, and units from before a gateway was first heard: how old they are is not known.
         past: Vec<(u32, f64)>,
     },
-    /// The gateways that are there, by number, in place of all that the settings count: servers are dealt out among them.
+    /// The numbers of the gateways that are present, in place of all that the settings count: servers are assigned to
+    /// these.
     Gateways(Vec<u32>),
-    /// All that another gateway says of servers, in place of what it said before.
+    /// All that another gateway reports of servers, in place of its previous reports.
     HealthReports {
-        /// Its number.
+        /// The other gateway's number.
         from: u32,
-        /// What it says.
+        /// Its reports.
         reports: HealthReports,
     },
-    /// All gateways of which is known that nothing comes through them: they left, or never were there.
+    /// All gateways that are known to pass no requests, as they left or never joined.
     GatewaysAbsent(Vec<u32>),
-    /// The wall clock, by which all gateways name counts, is so many microseconds ahead of the clock that events come with:
-    /// it was stepped.
+    /// The wall clock, by which all gateways name counts, was stepped: it is now `ahead_us` microseconds ahead of the clock
+    /// of events.
     WallClock {
-        /// Negative: behind it.
+        /// Negative where the wall clock is behind.
         ahead_us: i64,
     },
-    /// From now on other terms are in force. What customers used carries over, and for a moment the smaller of both holds.
+    /// Other policy terms are in force. What customers used carries over, and for a short transition the smaller of both
+    /// terms holds.
     PolicyChanged(PolicyTerms),
-    /// Whether requests may be let in from now on.
+    /// Whether requests may be admitted has changed.
     LeaseStateChanged(LeaseState),
-    /// The counter answered a call.
+    /// A call to the counter ended.
     CounterReply {
-        /// The name counted.
+        /// The name of the count.
         name: String,
         /// How the call ended.
         status: CompletionStatus,
--- a/crates/traffic-control/src/interface/identifiers.rs
+++ b/crates/traffic-control/src/interface/identifiers.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-/// A request's identifier; a client's further try carries a new one.
+/// A request's identifier; a client's retry carries a new one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
--- a/crates/traffic-control/src/interface/plans.rs
+++ b/crates/traffic-control/src/interface/plans.rs
@@ -20,9 +20,9 @@
     Repeatable,
     /// Repeats are dropped within `scope` for `window_us` from the first send that may have run.
     Keyed {
-        /// The servers that share what they have seen.
+        /// The servers that share which keys they have seen.
         scope: Scope,
-        /// How long they remember, from the send.
+        /// How long they remember a key, from the send.
         window_us: Micros,
     },
     /// Never: a further attempt needs proof that no earlier one ran.
@@ -34,24 +34,24 @@
 pub struct RequestClass {
     /// Name that requests carry.
     pub name: String,
-    /// An answer within this earns full worth.
+    /// Latency objective: an answer within it earns the full value.
     pub latency_objective_us: Micros,
-    /// The client's whole patience.
+    /// Time after which the client gives up.
     pub deadline_us: Micros,
-    /// May it run again.
+    /// Whether it may run again.
     pub effect: Effect,
-    /// Worth of one request before the plan's price and the units.
+    /// Value of one request before the plan's price and the units.
     pub priority_weight: f64,
-    /// Share of the worth that an answer between aim and deadline earns.
+    /// Share of the value that an answer between objective and deadline earns.
     pub late_weight: f64,
 }
 
-/// A hard ceiling: a second store of units that no customer of the plan may overdraw, all gateways together.
+/// A hard ceiling: a second store of units that no customer of the plan may overdraw at all gateways together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Ceiling {
-    /// Units a second at which it fills.
+    /// Units a second by which it fills.
     pub rate: f64,
-    /// Units that it holds at most.
+    /// Its capacity in units.
     pub depth: f64,
 }
 
@@ -75,26 +75,26 @@
     pub name: String,
     /// Units a second; 0: no quota on the rate.
     pub rate: f64,
-    /// Units that the store holds.
+    /// Capacity of the store in units.
     pub burst: f64,
-    /// Attempts out at once; 0: no such quota.
+    /// Limit on attempts in flight; 0: none.
     pub max_open: u32,
-    /// Multiplier on worth.
+    /// Factor on the value of its requests.
     pub price: f64,
-    /// Share of its worth that a request passed on beyond the quota earns.
+    /// Share of its value that a request beyond the quota earns.
     pub excess_weight: f64,
-    /// Share of its worth that passing on beyond the quota costs.
+    /// Share of its value that passing on a request beyond the quota costs.
     pub overrun_cost: f64,
     /// Hard ceiling, if any.
     pub ceiling: Option<Ceiling>,
 }
 
-/// The budget of further attempts.
+/// The retry budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// Further attempts that one first attempt earns.
+    /// Retries that one first attempt earns.
     pub ratio: f64,
-    /// Those that are saved up at most: they stay a small share of load.
+    /// Retries that may be saved up: they stay a small share of the load.
     pub max_saved: f64,
 }
 
@@ -107,14 +107,14 @@
     }
 }
 
-/// What an agreed policy sets: plans and classes are those of the settings, in their order, with other figures.
+/// What an agreed policy sets. Plans and classes are those of the settings in the same order, with other figures.
 #[derive(Clone, Debug)]
 pub struct PolicyTerms {
     /// All plans.
     pub plans: Vec<Plan>,
     /// All classes.
     pub classes: Vec<RequestClass>,
-    /// Further attempts.
+    /// Retry budget.
     pub retries: RetryBudget,
 }
 
@@ -150,13 +150,13 @@
     }
 }
 
-/// Whether requests may be let in, where gateways agree on their policy.
+/// Whether requests may be admitted, where gateways agree on their policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseState {
-    /// They may.
+    /// They may be admitted.
     Held,
-    /// Soon: they are held meanwhile, as long as their clients' time allows.
+    /// They wait for the lease, as long as their clients' time allows.
     Pending,
-    /// Nobody knows under what, or until when: they are refused at once.
+    /// No policy is known to hold: they are rejected at once.
     Missing,
 }
--- a/crates/traffic-control/src/interface/requests.rs
+++ b/crates/traffic-control/src/interface/requests.rs
@@ -8,25 +8,25 @@
 pub struct Request {
     /// Its identifier.
     pub id: RequestId,
-    /// Whose it is.
+    /// The customer that sent it.
     pub customer: CustomerId,
     /// The customer's plan.
     pub plan: String,
     /// The request's class.
     pub class: String,
-    /// Units that it draws.
+    /// Units that it takes of the quota.
     pub units: f64,
     /// Gateways that the customer uses.
     pub gateway_count: u32,
-    /// Index of the first of them; the others follow, counted round.
+    /// Index of the first of them; the others follow in a circle.
     pub first_gateway: u32,
-    /// Time until the client gives this try up.
+    /// Time until the client gives up.
     pub remaining_us: Micros,
-    /// The servers that it may go to.
+    /// The pool of servers that it may go to.
     pub pool: u8,
-    /// The one of them where it belongs, and whether it may go elsewhere once that one is lost.
+    /// The server that it is sticky to, and whether it may go elsewhere once that one is lost.
     pub sticky_server: Option<(ServerId, bool)>,
-    /// It comes after others of its class and plan where not all can be served.
+    /// Whether it is shed before others of its class and plan.
     pub low_priority: bool,
 }
 
@@ -49,12 +49,12 @@
     }
 }
 
-/// What a figure in a load report means.
+/// A metric in a server's load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadMetric {
-    /// Requests that the server holds.
+    /// Requests in flight at the server.
     Inflight,
-    /// Requests that wait at the server.
+    /// Requests queued at the server.
     Queue,
     /// Recent service time in milliseconds, without waiting.
     ServiceMs,
@@ -63,11 +63,11 @@
 /// How an attempt, or a call to the counter, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CompletionStatus {
-    /// Done.
+    /// It was answered.
     Served,
     /// The server answered with an error; it may have run.
     ServerError,
-    /// Turned away unseen; it never ran.
+    /// The server rejected it unseen; it never ran.
     Rejected,
     /// No answer in time; it may have run.
     NoAnswer,
@@ -75,14 +75,14 @@
     NoConnection,
     /// The connection broke; it may have run.
     ConnectionLost,
-    /// Withdrawn; it may have run.
+    /// It was cancelled; it may have run.
     Cancelled,
-    /// Not sent at all.
+    /// Nothing of it was sent; it never ran.
     NotSent,
 }
 
 impl CompletionStatus {
-    /// Whether this end proves that the attempt never ran.
+    /// Whether this status proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
@@ -100,22 +100,22 @@
     pub attempt: u32,
     /// The server.
     pub server: ServerId,
-    /// How it ended.
+    /// How the attempt ended.
     pub status: CompletionStatus,
     /// Time since the send.
     pub elapsed_us: Micros,
     /// Set once the client has its final answer.
     pub closed: bool,
-    /// Units that replace the guess, where units are settled afterwards.
+    /// Actual units, where the request's were an estimate.
     pub settled_units: Option<f64>,
-    /// The customer's use over all gateways in the meter's last period, as a share of its rate or open limit.
+    /// The customer's use at all gateways in the meter's last period, as a share of its rate or of its limit on attempts.
     pub metered_use: Option<f64>,
     /// The server's load report.
     pub load_report: Vec<(LoadMetric, f64)>,
 }
 
 impl AttemptOutcome {
-    /// An outcome that carries nothing besides its end and leaves the request open.
+    /// An outcome with a status only, which leaves the request open.
     pub fn new(
         request: RequestId,
         attempt: u32,
@@ -136,7 +136,7 @@
         }
     }
 
-    /// The same outcome, with the request closed by it.
+    /// The same outcome, with the request closed.
     pub fn closing(mut self) -> Self {
         self.closed = true;
         self
--- a/crates/traffic-control/src/interface/server_list.rs
+++ b/crates/traffic-control/src/interface/server_list.rs
@@ -3,28 +3,28 @@
 use super::identifiers::ServerId;
 use super::time::Micros;
 
-/// How a server list is to be read.
+/// What a server list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Changed entries only.
     Partial,
-    /// The whole list.
+    /// All entries.
     Complete,
-    /// The whole list as last held before a start, perhaps stale.
+    /// The complete list as it was persisted before a restart; it may be stale.
     Persisted,
-    /// A call to discovery failed; nothing is told.
+    /// Nothing, as a call to discovery failed.
     Error,
 }
 
 /// A server's state in the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Health {
-    /// Takes requests.
+    /// It takes requests.
     #[default]
     Ready,
-    /// Finishes what it has; nothing new may go there.
+    /// It finishes what it has; no new request may go there.
     Draining,
-    /// Gone.
+    /// It is gone.
     Removed,
 }
 
@@ -35,20 +35,20 @@
     pub server: ServerId,
     /// Its zone.
     pub zone: String,
-    /// Its cell: the servers that share which keys they have seen.
+    /// Its cell: servers of one cell share which idempotency keys they have seen.
     pub cell: u64,
-    /// Its size beside the others'.
+    /// Its relative capacity.
     pub weight: f64,
     /// When it last started; 0: long ago.
     pub started_us: Micros,
-    /// Its state.
+    /// Its state in the list.
     pub health: Health,
-    /// Requests of this pool only go there: servers of another protocol are another pool.
+    /// Its pool: only requests of the same pool go there. Each protocol has its own.
     pub pool: u8,
 }
 
 impl ServerEntry {
-    /// A ready server of unit size that started long ago.
+    /// A ready server of weight 1 that started long ago.
     pub fn ready(server: &str, zone: &str) -> Self {
         ServerEntry {
             server: ServerId(server.into()),
--- a/crates/traffic-control/src/interface/settings.rs
+++ b/crates/traffic-control/src/interface/settings.rs
@@ -3,25 +3,23 @@
 use super::plans::{Ceiling, Effect, Plan, RequestClass, RetryBudget};
 use super::time::Micros;
 
-/// How a server that has just started warms, and what pushes it over.
+/// How a server warms up after its start, and what overloads it meanwhile.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
-    /// Share of its capacity at the start, at least.
+    /// Least share of its capacity at the start.
     pub initial_share: f64,
-    /// Warm after this, at the latest.
+    /// It is warm after this at the latest.
     pub duration_us: Micros,
-    /// It falls when sent more than this multiple of what it can do...
+    /// It is overloaded by more than this multiple of what it can do...
     pub overload_multiple: f64,
-    /// ...for this long.
+    /// ...sent for this long.
     pub overload_after_us: Micros,
 }
 
-/// Everything a gateway knows at its start.
+/// The configuration of a gateway.
 #[derive(Clone, Debug)]
-#[expect(
-    clippy::struct_excessive_bools,
-    reason = "independent switches of the configuration"
-)]
+// Independent switches of the configuration.
+#[expect(clippy::struct_excessive_bools)]
 pub struct Settings {
     /// Number of gateways.
     pub gateways: u32,
@@ -33,33 +31,33 @@
     pub classes: Vec<RequestClass>,
     /// Customer plans.
     pub plans: Vec<Plan>,
-    /// Cold servers.
+    /// Slow start of servers.
     pub slow_start: SlowStart,
-    /// Attempts allowed for a request.
+    /// Attempts that a request may have.
     pub max_attempts: u32,
-    /// May two attempts of one request be out at once.
+    /// Whether two attempts of one request may be in flight at once.
     pub parallel_attempts: bool,
-    /// May an attempt be withdrawn.
+    /// Whether an attempt may be cancelled.
     pub cancel: bool,
-    /// Longest retry-after that a client keeps to; 0: none is passed on.
+    /// Longest retry-after that clients honour; 0: none is sent.
     pub max_retry_after_us: Micros,
-    /// May gateways message each other.
+    /// Whether gateways may send messages to each other.
     pub peer_messages: bool,
-    /// Messages a second that a gateway takes in.
+    /// Messages a second that a gateway accepts.
     pub peer_messages_per_s: f64,
-    /// Is there a shared counter.
+    /// Whether there is a shared counter.
     pub counter: bool,
-    /// Gateways tell each other what customers use, and their word counts for so long; 0: they do not.
+    /// How long the usage reports that gateways send each other count; 0: they send none.
     pub usage_report_ttl_us: Micros,
     /// Period of the usage meter; 0: none.
     pub meter_period_us: Micros,
-    /// Is the server list only told on request.
+    /// Whether the server list is only sent on request.
     pub list_on_request: bool,
-    /// Points lost for an attempt into another zone, as a share of a request's worth.
+    /// Cost of an attempt into another zone, as a share of a request's value.
     pub cross_zone_cost: f64,
-    /// Most units of one request.
+    /// The most units that one request takes.
     pub max_units: f64,
-    /// Further attempts.
+    /// Retry budget.
     pub retries: RetryBudget,
 }
 
@@ -109,7 +107,7 @@
         mistakes
     }
 
-    /// A small valid configuration, for trials: one gateway, one repeatable class `read`, one plan `basic`.
+    /// A small valid configuration for examples and tests: one gateway, one repeatable class `read`, one plan `basic`.
     pub fn example() -> Self {
         Settings {
             gateways: 1,
--- a/crates/traffic-control/src/interface/time.rs
+++ b/crates/traffic-control/src/interface/time.rs
@@ -1,10 +1,10 @@
-//! Time as the decisions count it, and how late things may happen.
+//! The unit of time, and how late attempts may begin.
 
-/// A time or a span in whole microseconds.
+/// A time or a duration in whole microseconds.
 pub type Micros = u64;
 
-/// A gateway may be held up for so long between reading its clock and writing; latest starts allow for it.
+/// A gateway may be delayed by this much between reading its clock and writing. Latest starts of attempts allow for it.
 pub const HELD_UP_US: Micros = 150_000;
 
-/// An attempt may begin so long after its client has gone.
+/// An attempt may begin this long after its client has gone.
 pub const GONE_SLACK_US: Micros = 100_000;
--- a/crates/traffic-control/src/lib.rs
+++ b/crates/traffic-control/src/lib.rs
@@ -1,12 +1,13 @@
-//! Decisions of a front door that meters many customers' use of one shared service.
+//! Decisions of a gateway that meters many customers' use of one shared service: admission, quotas, load balancing and
+//! retries.
 //!
-//! One [`Gateway`] value is one gateway. It is told what happens as [`Event`]s, each with the clock, and answers with
-//! [`Action`]s: send this request there, refuse that one, wake me later. It does no I/O, reads no clock and shares
+//! One [`Gateway`] value is one gateway. It handles [`Event`]s, each with the clock, and returns
+//! [`Action`]s: send this request there, reject that one, set a timer. It does no I/O, reads no clock and shares
 //! nothing, so the same events always yield the same actions.
 //!
-//! The ordinary path follows Lin, Ghosh and Das, "Wireless Networks Revenue Optimization through Overload Control
-//! with Priority Services": an admit fraction for each class and plan steps down while latency exceeds its aim and
-//! otherwise moves halfway to targets that maximise worth; per-customer token buckets hold the quotas.
+//! Admission follows Lin, Ghosh and Das, "Wireless Networks Revenue Optimization through Overload Control
+//! with Priority Services": the admission fraction of each class and plan steps down while latency exceeds its bound and
+//! otherwise moves halfway to targets that maximise value. Quotas are token buckets, one for each customer.
 //!
 //! ```
 //! use frosthatch_traffic_control::{Action, Event, Gateway, ListKind, AttemptOutcome, Request, ServerEntry, Settings, CompletionStatus};
