--- a/crates/traffic-control/src/interface/settings.rs
+++ b/crates/traffic-control/src/interface/settings.rs
@@ -179,5 +179,5 @@
 
 /// Why settings were not accepted; the text says what to correct.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("settings not usable: {0}")]
+#[error("settings not usable: {}", .0)]
 pub struct SettingsError(pub String);
--- a/crates/traffic-control/tests/common/mod.rs
+++ b/crates/traffic-control/tests/common/mod.rs
@@ -1,7 +1,10 @@
 //! A gateway on a bench of its own: events in, actions out, nothing else.
 #![allow(dead_code)]
 
-use frosthatch_traffic_control::*;
+use frosthatch_traffic_control::{
+    Action, AttemptOutcome, CompletionStatus, CustomerId, Event, Gateway, ListKind, Micros,
+    Request, RequestId, ServerEntry, ServerId, Settings, Timer,
+};
 
 pub struct Rig {
     pub gateway: Gateway,
@@ -24,40 +27,40 @@
 
     /// A rig whose list holds `n` ready servers, all started long ago.
     pub fn with_servers(settings: Settings, n: usize) -> Self {
-        Rig::new(settings).listing(n)
+        Rig::new(settings).with_listed(n)
     }
 
-    pub fn listing(mut self, n: usize) -> Self {
+    pub fn with_listed(mut self, n: usize) -> Self {
         let entries = (0..n)
             .map(|i| ServerEntry::ready(&format!("s{i}"), "a"))
             .collect();
-        self.list(ListKind::Complete, entries);
+        self.update_servers(ListKind::Complete, entries);
         self
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.gateway.handle(self.now, event, &mut out);
         out
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: Vec<ServerEntry>) -> Vec<Action> {
-        self.tell(Event::Servers { kind, entries })
+    pub fn update_servers(&mut self, kind: ListKind, entries: Vec<ServerEntry>) -> Vec<Action> {
+        self.handle(Event::Servers { kind, entries })
     }
 
     pub fn request(&mut self, customer: &str) -> (RequestId, Vec<Action>) {
-        self.ask(|r| r.customer = CustomerId(customer.into()))
+        self.request_with(|r| r.customer = CustomerId(customer.into()))
     }
 
-    pub fn ask(&mut self, change: impl FnOnce(&mut Request)) -> (RequestId, Vec<Action>) {
+    pub fn request_with(&mut self, change: impl FnOnce(&mut Request)) -> (RequestId, Vec<Action>) {
         let mut r = Request::new(self.next, "c", "basic", "read", 4_000_000);
         self.next += 1;
         change(&mut r);
         let id = r.id;
-        (id, self.tell(Event::Request(r)))
+        (id, self.handle(Event::Request(r)))
     }
 
-    pub fn outcome(
+    pub fn end_attempt_after(
         &mut self,
         id: RequestId,
         attempt: u32,
@@ -66,11 +69,11 @@
         after: Micros,
     ) -> Vec<Action> {
         self.now += after;
-        self.end(id, attempt, server, status, after)
+        self.end_attempt(id, attempt, server, status, after)
     }
 
     /// An attempt ends that took so long, now.
-    pub fn end(
+    pub fn end_attempt(
         &mut self,
         id: RequestId,
         attempt: u32,
@@ -80,17 +83,17 @@
     ) -> Vec<Action> {
         let mut o = AttemptOutcome::new(id, attempt, server.clone(), status, took);
         o.closed = status == CompletionStatus::Served;
-        self.tell(Event::Outcome(o))
+        self.handle(Event::Outcome(o))
     }
 
     /// Lets `us` pass and the interval timer fire.
     pub fn interval(&mut self) -> Vec<Action> {
         self.now += 1_000_000;
-        self.tell(Event::Timer(Timer::Interval))
+        self.handle(Event::Timer(Timer::Interval))
     }
 }
 
-pub fn sent(actions: &[Action]) -> Option<ServerId> {
+pub fn sent_server(actions: &[Action]) -> Option<ServerId> {
     actions.iter().find_map(|a| match a {
         Action::Send { server, .. } => Some(server.clone()),
         _ => None,
@@ -98,7 +101,7 @@
 }
 
 /// Answers what is asked of a counter that stands at `total`, and all that follows; what it says of calls is `how`'s.
-pub fn settle_as(
+pub fn reply_to_calls(
     rig: &mut Rig,
     mut actions: Vec<Action>,
     total: &mut f64,
@@ -113,7 +116,7 @@
             } else {
                 0.0
             };
-            actions.extend(rig.tell(Event::CounterReply {
+            actions.extend(rig.handle(Event::CounterReply {
                 name,
                 status,
                 total: *total,
@@ -124,25 +127,36 @@
     actions
 }
 
-pub fn settle(rig: &mut Rig, actions: Vec<Action>, total: &mut f64) -> Option<ServerId> {
-    sent(&settle_as(rig, actions, total, || CompletionStatus::Served))
+pub fn reply_and_find_send(
+    rig: &mut Rig,
+    actions: Vec<Action>,
+    total: &mut f64,
+) -> Option<ServerId> {
+    sent_server(&reply_to_calls(rig, actions, total, || {
+        CompletionStatus::Served
+    }))
 }
 
 /// How many of `tries` requests are passed on while a counter that stands at `total` answers at once.
-pub fn passed_by_counter(rig: &mut Rig, width: u32, tries: usize, total: &mut f64) -> usize {
+pub fn count_admitted_by_counter(
+    rig: &mut Rig,
+    width: u32,
+    tries: usize,
+    total: &mut f64,
+) -> usize {
     let mut n = 0;
     for _ in 0..tries {
-        let (id, actions) = rig.ask(|r| r.gateway_count = width);
-        if let Some(server) = settle(rig, actions, total) {
+        let (id, actions) = rig.request_with(|r| r.gateway_count = width);
+        if let Some(server) = reply_and_find_send(rig, actions, total) {
             n += 1;
-            rig.outcome(id, 0, &server, CompletionStatus::Served, 0);
+            rig.end_attempt_after(id, 0, &server, CompletionStatus::Served, 0);
         }
     }
     n
 }
 
 /// Sends one request after another, each answered after a while, and counts where they went.
-pub fn one_by_one(
+pub fn count_sends_one_by_one(
     rig: &mut Rig,
     requests: usize,
     pause: Micros,
@@ -152,23 +166,23 @@
     for _ in 0..requests {
         rig.now += pause;
         let (id, actions) = rig.request("c");
-        let server = sent(&actions).expect("sent");
+        let server = sent_server(&actions).expect("sent");
         *counts.entry(server.clone()).or_default() += 1;
-        rig.outcome(id, 0, &server, CompletionStatus::Served, takes);
+        rig.end_attempt_after(id, 0, &server, CompletionStatus::Served, takes);
     }
     counts
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+pub fn is_rejected(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
-pub fn failed(actions: &[Action]) -> bool {
+pub fn is_failed(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
 
 /// Settings with two gateways and generous quotas.
-pub fn wide() -> Settings {
+pub fn unlimited_settings() -> Settings {
     let mut s = Settings::example();
     (s.plans[0].rate, s.plans[0].burst) = (1e6, 1e6);
     s
--- a/crates/traffic-control/tests/counter_faults.rs
+++ b/crates/traffic-control/tests/counter_faults.rs
@@ -1,9 +1,12 @@
 //! Four gateways, a counter that goes wrong and a meter, in virtual time: what comes too much, and what the honest still get.
 
-use frosthatch_traffic_control::*;
+use frosthatch_traffic_control::{
+    Action, AttemptOutcome, CompletionStatus, Event, Gateway, ListKind, Micros, Request, RequestId,
+    ServerEntry, ServerId, Settings, Timer,
+};
 use std::collections::{BTreeMap, VecDeque};
 
-const STEP: Micros = 5_000;
+const STEP_US: Micros = 5_000;
 thread_local! {
     /// A count lives for a minute: whether it ends within a fault is up to the start.
     static START: std::cell::Cell<Micros> = const { std::cell::Cell::new(965_000_000) };
@@ -20,7 +23,7 @@
 }
 
 /// A large plan, and a small one whose requests may be large beside it; counts that end at different times.
-fn each(play: impl Fn()) {
+fn for_each_plan(play: impl Fn()) {
     for (plan, start) in [
         ((40.0, 80.0, 1.0), 965),
         ((40.0, 80.0, 1.0), 1_003),
@@ -35,29 +38,29 @@
 }
 const GATEWAYS: usize = 4;
 /// A call, and a request, take this long.
-const CALL: Micros = 2_000;
-const SERVED: Micros = 20_000;
+const CALL_US: Micros = 2_000;
+const SERVED_US: Micros = 20_000;
 /// A call without an answer is given up after this.
-const PATIENCE: Micros = 50_000;
-const METER_LATE: Micros = 600_000;
+const CALL_TIMEOUT_US: Micros = 50_000;
+const METER_DELAY_US: Micros = 600_000;
 /// Customers 0 and 1 ask for four times their quota evenly; the others for a part of theirs, most of it at one gateway.
-const ASKED: [f64; 6] = [4.0, 4.0, 0.4, 0.6, 0.8, 0.9];
+const DEMAND_PER_QUOTA: [f64; 6] = [4.0, 4.0, 0.4, 0.6, 0.8, 0.9];
 
 #[derive(Clone, Copy, PartialEq)]
-enum Lie {
+enum TotalFault {
     None,
     By(f64),
     NoNumber,
 }
 
 struct Counter {
-    books: Vec<BTreeMap<String, f64>>,
-    of: [usize; GATEWAYS],
-    lost: bool,
+    replicas: Vec<BTreeMap<String, f64>>,
+    replica_of_gateway: [usize; GATEWAYS],
+    is_lost: bool,
     /// Names of that one of three parts get no answer.
     lost_part: Option<usize>,
     delay: Micros,
-    lie: Lie,
+    total_fault: TotalFault,
 }
 
 struct World {
@@ -90,12 +93,12 @@
 impl World {
     fn new() -> World {
         let counter = Counter {
-            books: vec![BTreeMap::new()],
-            of: [0; GATEWAYS],
-            lost: false,
+            replicas: vec![BTreeMap::new()],
+            replica_of_gateway: [0; GATEWAYS],
+            is_lost: false,
             lost_part: None,
-            delay: CALL,
-            lie: Lie::None,
+            delay: CALL_US,
+            total_fault: TotalFault::None,
         };
         let mut world = World {
             now: START.with(std::cell::Cell::get),
@@ -107,8 +110,8 @@
             meter_lost: false,
             periods: BTreeMap::new(),
             customer_of: BTreeMap::new(),
-            asked: vec![Vec::new(); ASKED.len()],
-            sent: vec![Vec::new(); ASKED.len()],
+            asked: vec![Vec::new(); DEMAND_PER_QUOTA.len()],
+            sent: vec![Vec::new(); DEMAND_PER_QUOTA.len()],
             moved: false,
             state: 5,
             next: 1,
@@ -126,7 +129,7 @@
         let entries = (0..40)
             .map(|s| ServerEntry::ready(&format!("s{s}"), "a"))
             .collect();
-        self.feed(
+        self.handle_event(
             n,
             Event::Servers {
                 kind: ListKind::Complete,
@@ -135,7 +138,7 @@
         );
     }
 
-    fn chance(&mut self) -> f64 {
+    fn random_unit(&mut self) -> f64 {
         self.state = self
             .state
             .wrapping_mul(0x5851_F42D_4C95_7F2D)
@@ -143,7 +146,7 @@
         (self.state >> 33) as f64 / f64::from(1u32 << 31)
     }
 
-    fn feed(&mut self, n: usize, event: Event) {
+    fn handle_event(&mut self, n: usize, event: Event) {
         let mut actions = Vec::new();
         let Some(gateway) = &mut self.gateways[n] else {
             return;
@@ -160,7 +163,8 @@
                         .periods
                         .entry((customer, self.now / 1_000_000))
                         .or_default() += 1.0;
-                    self.ends.push_back((self.now + SERVED, n, request, server));
+                    self.ends
+                        .push_back((self.now + SERVED_US, n, request, server));
                 }
                 Action::SetTimer { after_us, timer } => {
                     self.timers[n]
@@ -179,18 +183,20 @@
         self.counted += 1;
         let c = &mut self.counter;
         let part = name.bytes().map(usize::from).sum::<usize>() % 3;
-        let silent = c.lost || c.lost_part == Some(part);
+        let silent = c.is_lost || c.lost_part == Some(part);
         let (mut status, mut total, mut at) =
-            (CompletionStatus::NoAnswer, 0.0, self.now + PATIENCE);
+            (CompletionStatus::NoAnswer, 0.0, self.now + CALL_TIMEOUT_US);
         if !silent {
-            let held = c.books[c.of[n]].entry(name.clone()).or_default();
+            let held = c.replicas[c.replica_of_gateway[n]]
+                .entry(name.clone())
+                .or_default();
             *held += amount;
-            if c.delay < PATIENCE {
+            if c.delay < CALL_TIMEOUT_US {
                 (status, total, at) = (CompletionStatus::Served, *held, self.now + c.delay);
             }
-            match c.lie {
-                Lie::By(by) if status == CompletionStatus::Served => total += by,
-                Lie::NoNumber => status = CompletionStatus::ServerError,
+            match c.total_fault {
+                TotalFault::By(by) if status == CompletionStatus::Served => total += by,
+                TotalFault::NoNumber => status = CompletionStatus::ServerError,
                 _ => {}
             }
         }
@@ -208,12 +214,12 @@
     }
 
     fn step(&mut self) {
-        self.now += STEP;
-        for (customer, of_rate) in ASKED.into_iter().enumerate() {
-            if self.chance() >= of_rate * rate() * STEP as f64 / 1e6 {
+        self.now += STEP_US;
+        for (customer, of_rate) in DEMAND_PER_QUOTA.into_iter().enumerate() {
+            if self.random_unit() >= of_rate * rate() * STEP_US as f64 / 1e6 {
                 continue;
             }
-            let draw = (self.chance() * 100.0) as usize;
+            let draw = (self.random_unit() * 100.0) as usize;
             let place = match draw {
                 _ if self.moved && customer < 2 => 3,
                 _ if customer < 2 => draw % GATEWAYS,
@@ -233,18 +239,18 @@
             self.next += 1;
             self.customer_of.insert(r.id, customer);
             self.asked[customer].push(self.now);
-            self.feed((customer + place) % GATEWAYS, Event::Request(r));
+            self.handle_event((customer + place) % GATEWAYS, Event::Request(r));
         }
         while let Some(call) = self.calls.first_entry().filter(|e| e.key().0 <= self.now) {
             let (n, event) = call.remove();
-            self.feed(n, event);
+            self.handle_event(n, event);
         }
         while self.ends.front().is_some_and(|(at, ..)| *at <= self.now) {
             let (_, n, id, server) = self.ends.pop_front().expect("one");
             let mut o =
-                AttemptOutcome::new(id, 0, server, CompletionStatus::Served, SERVED).closing();
+                AttemptOutcome::new(id, 0, server, CompletionStatus::Served, SERVED_US).closing();
             let period = (
-                (self.now - METER_LATE) / 1_000_000 - 1,
+                (self.now - METER_DELAY_US) / 1_000_000 - 1,
                 self.customer_of[&id],
             );
             let used = self
@@ -253,7 +259,7 @@
                 .copied()
                 .unwrap_or(0.0);
             o.metered_use = (!self.meter_lost).then_some(used / rate());
-            self.feed(n, Event::Outcome(o));
+            self.handle_event(n, Event::Outcome(o));
         }
         for n in 0..GATEWAYS {
             while let Some(due) = self.timers[n]
@@ -262,17 +268,17 @@
             {
                 due.remove()
                     .into_iter()
-                    .for_each(|t| self.feed(n, Event::Timer(t)));
+                    .for_each(|t| self.handle_event(n, Event::Timer(t)));
             }
         }
     }
 
     fn run(&mut self, seconds: f64) {
-        (0..(seconds * 1e6) as u64 / STEP).for_each(|_| self.step());
+        (0..(seconds * 1e6) as u64 / STEP_US).for_each(|_| self.step());
     }
 
     /// Units beyond a store of the quota since a time, of the customer with most of them, in units.
-    fn overrun(&self, from: Micros) -> f64 {
+    fn overrun_units(&self, from: Micros) -> f64 {
         let over = |sent: &Vec<Micros>| {
             let (mut level, mut at, mut over) = (burst(), START.with(std::cell::Cell::get), 0.0);
             for &t in sent {
@@ -290,7 +296,7 @@
     }
 
     /// Of what the honest asked since a time, the share that was sent on.
-    fn honest(&self, from: Micros) -> f64 {
+    fn honest_share(&self, from: Micros) -> f64 {
         let since = |all: &[Vec<Micros>]| -> f64 {
             all[2..]
                 .iter()
@@ -301,7 +307,7 @@
     }
 
     /// What whoever asks too much got since a time, beside the quota.
-    fn heavy(&self, from: Micros) -> f64 {
+    fn heavy_share(&self, from: Micros) -> f64 {
         let seconds = (self.now - from) as f64 / 1e6;
         let got = |n: usize| {
             self.sent[n].iter().filter(|t| **t >= from).count() as f64 / (seconds * rate())
@@ -311,7 +317,7 @@
 
     /// Plays a fault, then ten seconds more; then all must be as usual for twenty. Limits on what comes too much are in
     /// seconds of the quota's rate.
-    fn fault(
+    fn play_fault(
         &mut self,
         seconds: f64,
         begin: impl FnOnce(&mut World),
@@ -322,19 +328,19 @@
         let from = self.now;
         begin(self);
         self.run(seconds);
-        let honest = self.honest(from);
+        let honest = self.honest_share(from);
         end(self);
         self.run(10.0);
-        let over = self.overrun(from) / rate();
+        let over = self.overrun_units(from) / rate();
         println!("overrun {over:.2} s, honest {honest:.3}");
         assert!(over <= most_over, "{over} seconds' worth too much");
         assert!(honest >= least_honest, "the honest got {honest}");
         let usual = self.now;
         self.run(20.0);
         let (over, honest, heavy) = (
-            self.overrun(usual) / rate(),
-            self.honest(usual),
-            self.heavy(usual),
+            self.overrun_units(usual) / rate(),
+            self.honest_share(usual),
+            self.heavy_share(usual),
         );
         println!("   then {over:.2} s, honest {honest:.3}, heavy {heavy:.2}");
         assert!(
@@ -347,22 +353,22 @@
 }
 
 #[test]
-fn nothing_wrong() {
-    each(|| {
-        World::new().fault(10.0, |_| {}, |_| {}, 1.0, 0.98);
+fn without_a_fault_quotas_hold() {
+    for_each_plan(|| {
+        World::new().play_fault(10.0, |_| {}, |_| {}, 1.0, 0.98);
     });
 }
 
 /// Both lost at the busiest moment; the seconds in which nobody knows yet are all that may come too much.
 #[test]
-fn lost_for_1_10_and_60_seconds() {
-    each(|| {
+fn quotas_hold_while_the_counter_is_lost() {
+    for_each_plan(|| {
         for seconds in [1.0, 10.0, 60.0] {
             let mut world = World::new();
-            world.fault(
+            world.play_fault(
                 seconds,
-                |w| w.counter.lost = true,
-                |w| w.counter.lost = false,
+                |w| w.counter.is_lost = true,
+                |w| w.counter.is_lost = false,
                 4.0,
                 0.85,
             );
@@ -378,23 +384,23 @@
     });
 }
 
-fn split(w: &mut World) {
-    let copy = w.counter.books[0].clone();
-    w.counter.books.push(copy);
-    w.counter.of = [0, 0, 1, 1];
+fn split_counter(w: &mut World) {
+    let copy = w.counter.replicas[0].clone();
+    w.counter.replicas.push(copy);
+    w.counter.replica_of_gateway = [0, 0, 1, 1];
 }
 
-fn heal(w: &mut World) {
-    w.counter.of = [0; GATEWAYS];
+fn heal_counter(w: &mut World) {
+    w.counter.replica_of_gateway = [0; GATEWAYS];
 }
 
 /// The halves see half of the use each; the meter tells of all of it. Alone each half would let the whole rate through, a
 /// minute of it too much in all; of a small quota chance hides the split longer.
 #[test]
-fn split_for_a_minute_and_healed_with_other_totals() {
-    each(|| {
+fn quotas_hold_while_the_counter_is_split_and_after_it_heals() {
+    for_each_plan(|| {
         let mut world = World::new();
-        world.fault(60.0, split, heal, 22.0, 0.85);
+        world.play_fault(60.0, split_counter, heal_counter, 22.0, 0.85);
         assert!(
             world.logs.iter().any(|l| l.contains("counter doubtful")),
             "{:?}",
@@ -404,25 +410,25 @@
 }
 
 #[test]
-fn a_customer_that_moves_to_one_gateway_while_the_counter_is_split() {
-    each(|| {
+fn quotas_hold_for_a_customer_that_moves_while_the_counter_is_split() {
+    for_each_plan(|| {
         let mut world = World::new();
-        split(&mut world);
+        split_counter(&mut world);
         world.run(10.0);
-        world.fault(10.0, |w| w.moved = true, heal, 6.0, 0.85);
+        world.play_fault(10.0, |w| w.moved = true, heal_counter, 6.0, 0.85);
     });
 }
 
-fn swap(w: &mut World) {
-    w.counter.books.push(BTreeMap::new());
-    w.counter.of = [w.counter.books.len() - 1; GATEWAYS];
+fn replace_counter(w: &mut World) {
+    w.counter.replicas.push(BTreeMap::new());
+    w.counter.replica_of_gateway = [w.counter.replicas.len() - 1; GATEWAYS];
 }
 
 #[test]
-fn replaced_by_one_from_zero() {
-    each(|| {
+fn quotas_hold_when_the_counter_restarts_at_zero() {
+    for_each_plan(|| {
         let mut world = World::new();
-        world.fault(10.0, swap, |_| {}, 3.0, 0.95);
+        world.play_fault(10.0, replace_counter, |_| {}, 3.0, 0.95);
         assert!(
             world.logs.iter().any(|l| l.contains("counter doubtful")),
             "{:?}",
@@ -432,29 +438,29 @@
 }
 
 #[test]
-fn replaced_and_swapped_back() {
-    each(|| {
-        World::new().fault(10.0, swap, heal, 4.0, 0.9);
+fn quotas_hold_when_the_counter_is_replaced_and_restored() {
+    for_each_plan(|| {
+        World::new().play_fault(10.0, replace_counter, heal_counter, 4.0, 0.9);
     });
 }
 
 #[test]
-fn one_of_three_parts_lost() {
-    each(|| {
+fn quotas_hold_while_a_third_of_the_counter_is_lost() {
+    for_each_plan(|| {
         for part in 0..3 {
             let lose = |w: &mut World| w.counter.lost_part = Some(part);
-            World::new().fault(10.0, lose, |w| w.counter.lost_part = None, 4.0, 0.85);
+            World::new().play_fault(10.0, lose, |w| w.counter.lost_part = None, 4.0, 0.85);
         }
     });
 }
 
 #[test]
-fn answers_a_second_late() {
-    each(|| {
-        World::new().fault(
+fn quotas_hold_while_replies_are_a_second_late() {
+    for_each_plan(|| {
+        World::new().play_fault(
             10.0,
             |w| w.counter.delay = 1_000_000,
-            |w| w.counter.delay = CALL,
+            |w| w.counter.delay = CALL_US,
             4.0,
             0.85,
         );
@@ -462,39 +468,49 @@
 }
 
 #[test]
-fn totals_that_are_wrong() {
-    each(|| {
-        for lie in [Lie::By(500.0), Lie::By(-500.0), Lie::NoNumber] {
-            let tell = |w: &mut World| w.counter.lie = lie;
-            World::new().fault(10.0, tell, |w| w.counter.lie = Lie::None, 4.0, 0.85);
+fn quotas_hold_while_totals_are_wrong() {
+    for_each_plan(|| {
+        for lie in [
+            TotalFault::By(500.0),
+            TotalFault::By(-500.0),
+            TotalFault::NoNumber,
+        ] {
+            let tell = |w: &mut World| w.counter.total_fault = lie;
+            World::new().play_fault(
+                10.0,
+                tell,
+                |w| w.counter.total_fault = TotalFault::None,
+                4.0,
+                0.85,
+            );
         }
     });
 }
 
 /// Then each gateway has its even part, and no more is known.
 #[test]
-fn counter_and_meter_lost() {
-    each(|| {
-        let lose = |w: &mut World| (w.counter.lost, w.meter_lost) = (true, true);
-        let find = |w: &mut World| (w.counter.lost, w.meter_lost) = (false, false);
-        World::new().fault(10.0, lose, find, 4.0, 0.6);
+fn quotas_hold_while_counter_and_meter_are_lost() {
+    for_each_plan(|| {
+        let lose = |w: &mut World| (w.counter.is_lost, w.meter_lost) = (true, true);
+        let find = |w: &mut World| (w.counter.is_lost, w.meter_lost) = (false, false);
+        World::new().play_fault(10.0, lose, find, 4.0, 0.6);
     });
 }
 
 #[test]
-fn a_gateway_dies_and_starts_again_while_the_counter_is_lost() {
-    each(|| {
+fn quotas_hold_when_a_gateway_restarts_while_the_counter_is_lost() {
+    for_each_plan(|| {
         let mut world = World::new();
-        world.counter.lost = true;
+        world.counter.is_lost = true;
         world.run(3.0);
-        world.fault(
+        world.play_fault(
             10.0,
             |w| {
                 w.gateways[1] = None;
                 w.run(2.0);
                 w.start(1);
             },
-            |w| w.counter.lost = false,
+            |w| w.counter.is_lost = false,
             6.0,
             0.7,
         );
@@ -503,8 +519,8 @@
 
 /// What the ledger knows costs no calls.
 #[test]
-fn no_more_calls_than_before() {
-    each(|| {
+fn calls_do_not_increase() {
+    for_each_plan(|| {
         let mut world = World::new();
         let (asked, counted) = (world.next, world.counted);
         world.run(30.0);
--- a/crates/traffic-control/tests/fleet.rs
+++ b/crates/traffic-control/tests/fleet.rs
@@ -8,28 +8,31 @@
 )]
 
 mod common;
-use common::*;
-use frosthatch_traffic_control::*;
+use common::{is_rejected, sent_server, unlimited_settings, Rig};
+use frosthatch_traffic_control::{
+    Action, AttemptOutcome, Ceiling, CompletionStatus, CustomerId, Event, ListKind, Micros,
+    RequestId, ServerEntry, ServerId, Settings, Timer,
+};
 
 fn fleet(gateways: u32, change: impl Fn(&mut Settings)) -> Vec<Rig> {
     let one = |me| {
         let mut settings = Settings::example();
         (settings.gateways, settings.me, settings.peer_messages_per_s) = (gateways, me, 100.0);
         change(&mut settings);
-        Rig::seeded(settings, u64::from(me) + 1).listing(4)
+        Rig::seeded(settings, u64::from(me) + 1).with_listed(4)
     };
     (0..gateways).map(one).collect()
 }
 
 /// Delivers what gateway `from` tells to the others, and what they tell in turn; returns the sends of `from`.
-fn deliver(rigs: &mut [Rig], from: usize, actions: Vec<Action>) -> usize {
+fn deliver_messages(rigs: &mut [Rig], from: usize, actions: Vec<Action>) -> usize {
     let (mut sends, mut queue) = (0, vec![(from, actions)]);
     while let Some((from_now, actions)) = queue.pop() {
         for a in actions {
             match a {
                 Action::Send { .. } if from_now == from => sends += 1,
                 Action::SendToPeer { to, bytes } => {
-                    let answer = rigs[to as usize].tell(Event::Peer {
+                    let answer = rigs[to as usize].handle(Event::Peer {
                         from: from_now as u32,
                         bytes,
                     });
@@ -43,7 +46,7 @@
 }
 
 #[test]
-fn gateways_that_share_a_keeper_pass_the_quota_and_no_more() {
+fn gateways_that_share_an_owner_admit_the_quota_and_no_more() {
     for gateways in [3, 150, 600] {
         let mut rigs = fleet(gateways, |s| s.peer_messages = true);
         // Long enough for the keeper to have saved up the burst of 20: its start counts as a restart.
@@ -51,8 +54,8 @@
         let mut passed = 0;
         for g in 0..rigs.len().min(150) {
             for _ in 0..(150 / rigs.len()).max(1) {
-                let (_, actions) = rigs[g].ask(|r| r.gateway_count = gateways);
-                passed += deliver(&mut rigs, g, actions);
+                let (_, actions) = rigs[g].request_with(|r| r.gateway_count = gateways);
+                passed += deliver_messages(&mut rigs, g, actions);
             }
         }
         assert!(
@@ -63,11 +66,13 @@
 }
 
 #[test]
-fn unheard_few_gateways_serve_a_slice_under_one_request_on_the_mean_and_a_restart_mints_nothing() {
+fn few_unsynced_gateways_save_up_their_slice_and_a_restart_adds_nothing() {
     for gateways in [7, 8] {
         let slice_s = f64::from(gateways) / 10.0;
         let mut rig = fleet(gateways, |s| (s.plans[0].burst, s.max_units) = (5.0, 1.0)).remove(0);
-        let passed = |rig: &mut Rig| sent(&rig.ask(|r| r.gateway_count = gateways).1).is_some();
+        let passed = |rig: &mut Rig| {
+            sent_server(&rig.request_with(|r| r.gateway_count = gateways).1).is_some()
+        };
         assert!(
             !passed(&mut rig),
             "a fresh start owns a fraction of a request"
@@ -84,13 +89,12 @@
 /// Of many the slice is next to nothing, and most customers are within their quota: they are passed on until the meter tells of
 /// too much. What no gateway may risk, the ceiling, is kept to the slice all the same, and a restart mints nothing of it.
 #[test]
-fn unheard_many_gateways_pass_customers_on_until_the_meter_tells_of_too_much_and_keep_their_slice_of_a_ceiling(
-) {
+fn many_unsynced_gateways_admit_until_the_meter_shows_overuse_and_keep_to_their_ceiling_slice() {
     for gateways in [9, 150, 600] {
         let mut rig = fleet(gateways, |s| s.meter_period_us = 1_000_000).remove(0);
         let ask = |rig: &mut Rig| {
-            let (id, actions) = rig.ask(|r| r.gateway_count = gateways);
-            sent(&actions).map(|server| (id, server))
+            let (id, actions) = rig.request_with(|r| r.gateway_count = gateways);
+            sent_server(&actions).map(|server| (id, server))
         };
         let mut passed = 0;
         for n in 0..321 {
@@ -103,7 +107,7 @@
             passed += 1;
             let mut o = AttemptOutcome::new(id, 0, server, CompletionStatus::Served, 0);
             (o.closed, o.metered_use) = (true, Some(4.0));
-            rig.tell(Event::Outcome(o));
+            rig.handle(Event::Outcome(o));
         }
         // The first, a sixteenth of the others, and what was saved up of the slice.
         assert!(
@@ -123,7 +127,7 @@
 }
 
 #[test]
-fn many_gateways_together_stay_inside_a_cold_servers_budget() {
+fn many_gateways_together_stay_within_a_slow_start_budget() {
     for gateways in [3, 150, 600] {
         let mut rigs = fleet(gateways, |s| {
             (s.plans[0].rate, s.plans[0].burst) = (1e6, 1e6)
@@ -135,13 +139,13 @@
                 started_us: rig.now,
                 ..ServerEntry::ready("cold", "a")
             };
-            rig.list(ListKind::Complete, vec![cold]);
+            rig.update_servers(ListKind::Complete, vec![cold]);
             // The rule's window of two seconds, 600 requests a second for the fleet.
             for _ in 0..1200 / gateways {
                 let (id, actions) = rig.request("c");
-                if let Some(server) = sent(&actions) {
+                if let Some(server) = sent_server(&actions) {
                     to_cold += 1;
-                    rig.outcome(id, 0, &server, CompletionStatus::Served, 0);
+                    rig.end_attempt_after(id, 0, &server, CompletionStatus::Served, 0);
                 }
                 rig.now += 2_000_000 / u64::from(1200 / gateways);
             }
@@ -155,15 +159,15 @@
 }
 
 #[test]
-fn a_place_whose_return_is_lost_is_given_out_again() {
+fn a_permit_whose_return_is_lost_is_granted_again() {
     let capped = |s: &mut Settings| {
         s.peer_messages = true;
         (s.plans[0].rate, s.plans[0].burst, s.plans[0].max_open) = (0.0, 0.0, 3);
     };
     let mut rigs = fleet(150, capped);
     let pass = |rigs: &mut Vec<Rig>, g: usize| {
-        let (_, actions) = rigs[g].ask(|r| r.gateway_count = 150);
-        deliver(rigs, g, actions)
+        let (_, actions) = rigs[g].request_with(|r| r.gateway_count = 150);
+        deliver_messages(rigs, g, actions)
     };
     // Each gateway sends one and is never heard of again.
     assert_eq!(
@@ -180,25 +184,25 @@
 }
 
 #[test]
-fn a_request_is_not_held_for_a_silent_keeper_or_counter() {
+fn a_request_does_not_wait_long_for_a_silent_owner_or_counter() {
     for counter in [false, true] {
         let mut rig = fleet(150, |s| (s.counter, s.peer_messages) = (counter, !counter)).remove(0);
-        let (id, actions) = rig.ask(|r| r.gateway_count = 150);
+        let (id, actions) = rig.request_with(|r| r.gateway_count = 150);
         assert!(
-            sent(&actions).is_none() && !refused(&actions),
+            sent_server(&actions).is_none() && !is_rejected(&actions),
             "it waits for an answer"
         );
         let mut waits = 0;
         let mut last = Vec::new();
-        while !refused(&last) && sent(&last).is_none() && waits < 5 {
+        while !is_rejected(&last) && sent_server(&last).is_none() && waits < 5 {
             rig.now += 100_000;
-            last = rig.tell(Event::Timer(Timer::Request(id)));
+            last = rig.handle(Event::Timer(Timer::Request(id)));
             waits += 1;
         }
         assert!(waits <= 2, "answered after {waits} waits");
         // A client about to leave cannot wait at all.
-        let (_, actions) = rig.ask(|r| (r.gateway_count, r.remaining_us) = (150, 60_000));
-        assert!(refused(&actions) || sent(&actions).is_some());
+        let (_, actions) = rig.request_with(|r| (r.gateway_count, r.remaining_us) = (150, 60_000));
+        assert!(is_rejected(&actions) || sent_server(&actions).is_some());
     }
 }
 
@@ -208,8 +212,9 @@
         let mut rig = fleet(150, |s| s.counter = true).remove(0);
         let mut calls = [0, 0];
         for k in 0..1200 {
-            let (_, actions) = rig
-                .ask(|r| (r.gateway_count, r.customer) = (150, CustomerId(format!("c{k}").into())));
+            let (_, actions) = rig.request_with(|r| {
+                (r.gateway_count, r.customer) = (150, CustomerId(format!("c{k}").into()))
+            });
             rig.now += 50_000;
             for a in actions {
                 if let Action::AddToCounter { name, amount, .. } = a {
@@ -219,7 +224,7 @@
                     } else {
                         0.0
                     };
-                    rig.tell(Event::CounterReply {
+                    rig.handle(Event::CounterReply {
                         name,
                         status,
                         total,
@@ -244,13 +249,13 @@
 
 #[test]
 fn a_silent_server_loses_its_share() {
-    let mut settings = wide();
+    let mut settings = unlimited_settings();
     settings.gateways = 150;
     let mut rig = Rig::with_servers(settings, 4);
     let (mut silent, mut all) = (0, 0);
     for _ in 0..400 {
         let (id, actions) = rig.request("c");
-        let Some(server) = sent(&actions) else {
+        let Some(server) = sent_server(&actions) else {
             continue;
         };
         all += 1;
@@ -261,10 +266,10 @@
         } else {
             (CompletionStatus::Served, 100_000)
         };
-        rig.outcome(id, 0, &server, status, after);
+        rig.end_attempt_after(id, 0, &server, status, after);
         rig.now += 200_000;
         if all % 5 == 0 {
-            rig.tell(Event::Timer(Timer::Interval));
+            rig.handle(Event::Timer(Timer::Interval));
         }
     }
     assert!(
@@ -274,12 +279,12 @@
 }
 
 #[test]
-fn who_makes_a_count_makes_up_for_what_filled_in_before_it() {
+fn the_gateway_that_begins_a_count_corrects_it_for_what_filled_in_before() {
     // Guards against a second burst for who was idle, and against all gateways making up for it at once.
     let added = |name_made_before: f64| {
         let mut rig = fleet(150, |s| s.counter = true).remove(0);
         rig.now = 1_230_000_000;
-        let (_, actions) = rig.ask(|r| r.gateway_count = 150);
+        let (_, actions) = rig.request_with(|r| r.gateway_count = 150);
         let Some(Action::AddToCounter { name, amount, .. }) = actions
             .into_iter()
             .find(|a| matches!(a, Action::AddToCounter { .. }))
@@ -287,7 +292,7 @@
             panic!("it asks the counter")
         };
         let total = amount + name_made_before;
-        let next = rig.tell(Event::CounterReply {
+        let next = rig.handle(Event::CounterReply {
             name,
             status: CompletionStatus::Served,
             total,
@@ -310,7 +315,12 @@
 /// What a server that has just started gets of a whole fleet, in the worst span of the time that the settings name, beside what
 /// they allow it then. Each gateway hears of the start at another moment, every fifth begins anew in the middle, and `warm`
 /// says whether one warm server is left, which cannot do all that is asked for. A server works on as many at once as it has cores, and the others wait.
-fn worst_span_of_a_cold_server(gateways: u32, cores: usize, warm: bool, seed: u64) -> (usize, f64) {
+fn worst_span_of_server_in_slow_start(
+    gateways: u32,
+    cores: usize,
+    warm: bool,
+    seed: u64,
+) -> (usize, f64) {
     const WORK_US: Micros = 50_000;
     let change = |s: &mut Settings| {
         (s.plans[0].rate, s.plans[0].burst) = (1e6, 1e6);
@@ -377,28 +387,30 @@
         let (g, actions) = match what {
             Due::Answer(g, id, attempt, server, status, took) => {
                 rigs[g].now = now;
-                (g, rigs[g].end(id, attempt, &server, status, took))
+                (g, rigs[g].end_attempt(id, attempt, &server, status, took))
             }
             Due::News(g) => {
                 rigs[g].now = now;
-                (g, rigs[g].list(ListKind::Complete, list(begins)))
+                (g, rigs[g].update_servers(ListKind::Complete, list(begins)))
             }
             Due::Anew(g) => {
                 let fresh = fleet(gateways, change).swap_remove(g);
                 rigs[g] = fresh;
                 rigs[g].now = now;
-                (g, rigs[g].list(ListKind::Complete, list(begins)))
+                (g, rigs[g].update_servers(ListKind::Complete, list(begins)))
             }
             Due::Interval(g) => {
                 rigs[g].now = now;
-                (g, rigs[g].tell(Event::Timer(Timer::Interval)))
+                (g, rigs[g].handle(Event::Timer(Timer::Interval)))
             }
             Due::Request(g) => {
                 rigs[g].now = now;
                 (
                     g,
                     rigs[g]
-                        .ask(|r| (r.id.0, r.gateway_count) = (r.id.0 * 1_000 + g as u64, 1))
+                        .request_with(|r| {
+                            (r.id.0, r.gateway_count) = (r.id.0 * 1_000 + g as u64, 1)
+                        })
                         .1,
                 )
             }
@@ -461,7 +473,7 @@
 
 /// Guards against a server that falls under the sum of what all gateways send, each by its own part and by what it saved up.
 #[test]
-fn the_sum_of_all_gateways_leaves_a_cold_server_standing() {
+fn all_gateways_together_do_not_overload_a_server_in_slow_start() {
     let fleets = [2, 3, 20, 30, 300]
         .into_iter()
         .flat_map(|g| [1, 4].map(|cores| (g, cores)));
@@ -469,7 +481,7 @@
         fleets.flat_map(|(g, cores)| [true, false].map(|warm| (g, cores, warm)))
     {
         for seed in 1..4 {
-            let (sent, allowed) = worst_span_of_a_cold_server(gateways, cores, warm, seed);
+            let (sent, allowed) = worst_span_of_server_in_slow_start(gateways, cores, warm, seed);
             let most = allowed + 2.0 * allowed.sqrt() + 2.0;
             let what = format!(
                 "{gateways} gateways, {cores} cores, warm {warm}: {sent} sent, {most:.1} at most"
--- a/crates/traffic-control/tests/words.rs
+++ b/crates/traffic-control/tests/health_reports.rs
@@ -1,8 +1,11 @@
 //! What gateways tell each other of servers: one that fails is left alone by all soon, tried by one at a time, and back once it is well.
 
 mod common;
-use common::*;
-use frosthatch_traffic_control::*;
+use common::{sent_server, unlimited_settings, Rig};
+use frosthatch_traffic_control::{
+    CompletionStatus, Event, HealthReports, ListKind, RequestId, ServerEntry, ServerId, Settings,
+    Timer,
+};
 use std::collections::BTreeMap;
 
 const GATEWAYS: u32 = 12;
@@ -11,16 +14,16 @@
 const STEP: u64 = 50_000;
 
 struct Fleet {
-    all: Vec<Rig>,
+    gateways: Vec<Rig>,
     /// Gateways that hear nobody and whom nobody hears.
-    deaf: Vec<u32>,
+    unreachable_gateways: Vec<u32>,
     /// What comes of an attempt at a server by a gateway.
-    bad: fn(u32, &ServerId) -> bool,
+    fails: fn(u32, &ServerId) -> bool,
     /// Sends in the last time, by gateway and server.
     sends: BTreeMap<(u32, ServerId), usize>,
-    talk: bool,
+    exchanges_reports: bool,
     /// Under way: by whom, when it ends, and what.
-    out: Vec<(u32, u64, RequestId, u32, ServerId)>,
+    in_flight: Vec<(u32, u64, RequestId, u32, ServerId)>,
 }
 
 impl Fleet {
@@ -29,10 +32,10 @@
             let settings = Settings {
                 gateways: GATEWAYS,
                 me,
-                ..wide()
+                ..unlimited_settings()
             };
             let mut rig = Rig::seeded(settings, u64::from(me));
-            rig.list(
+            rig.update_servers(
                 ListKind::Complete,
                 (0..SERVERS)
                     .map(|n| ServerEntry::ready(&format!("s{n}"), "a"))
@@ -41,12 +44,12 @@
             rig
         };
         Fleet {
-            all: (0..GATEWAYS).map(one).collect(),
-            deaf: Vec::new(),
-            bad,
+            gateways: (0..GATEWAYS).map(one).collect(),
+            unreachable_gateways: Vec::new(),
+            fails: bad,
             sends: BTreeMap::new(),
-            talk,
-            out: Vec::new(),
+            exchanges_reports: talk,
+            in_flight: Vec::new(),
         }
     }
 
@@ -55,30 +58,31 @@
         self.sends.clear();
         for step in 0..seconds * 1_000_000 / STEP {
             for me in 0..GATEWAYS {
-                let rig = &mut self.all[me as usize];
+                let rig = &mut self.gateways[me as usize];
                 rig.now += STEP;
                 if step % 20 == 0 {
-                    rig.tell(Event::Timer(Timer::Interval));
+                    rig.handle(Event::Timer(Timer::Interval));
                 }
                 let now = rig.now;
-                let (due, later) = std::mem::take(&mut self.out)
+                let (due, later) = std::mem::take(&mut self.in_flight)
                     .into_iter()
                     .partition(|o| o.0 == me && o.1 <= now);
-                self.out = later;
+                self.in_flight = later;
                 let due: Vec<(u32, u64, RequestId, u32, ServerId)> = due;
                 for (_, _, id, attempt, server) in due {
-                    rig.end(id, attempt, &server, CompletionStatus::Served, 3 * STEP);
+                    rig.end_attempt(id, attempt, &server, CompletionStatus::Served, 3 * STEP);
                 }
                 for _ in 0..2 {
-                    let (id, mut actions) = self.all[me as usize].request("c");
+                    let (id, mut actions) = self.gateways[me as usize].request("c");
                     let mut attempt = 0;
-                    while let Some(server) = sent(&actions) {
+                    while let Some(server) = sent_server(&actions) {
                         *self.sends.entry((me, server.clone())).or_default() += 1;
-                        if !(self.bad)(me, &server) {
-                            self.out.push((me, now + 3 * STEP, id, attempt, server));
+                        if !(self.fails)(me, &server) {
+                            self.in_flight
+                                .push((me, now + 3 * STEP, id, attempt, server));
                             break;
                         }
-                        actions = self.all[me as usize].end(
+                        actions = self.gateways[me as usize].end_attempt(
                             id,
                             attempt,
                             &server,
@@ -89,18 +93,21 @@
                     }
                 }
             }
-            if self.talk && step % 4 == 0 {
-                self.say();
+            if self.exchanges_reports && step % 4 == 0 {
+                self.exchange_reports();
             }
         }
     }
 
-    fn say(&mut self) {
-        let words: Vec<HealthReports> = self.all.iter().map(|r| r.gateway.words()).collect();
-        for (me, rig) in (0..).zip(&mut self.all) {
+    fn exchange_reports(&mut self) {
+        let words: Vec<HealthReports> = self.gateways.iter().map(|r| r.gateway.words()).collect();
+        for (me, rig) in (0..).zip(&mut self.gateways) {
             for (from, words) in (0..).zip(&words) {
-                if from != me && !self.deaf.contains(&me) && !self.deaf.contains(&from) {
-                    rig.tell(Event::HealthReports {
+                if from != me
+                    && !self.unreachable_gateways.contains(&me)
+                    && !self.unreachable_gateways.contains(&from)
+                {
+                    rig.handle(Event::HealthReports {
                         from,
                         reports: words.clone(),
                     });
@@ -117,13 +124,16 @@
             .sum()
     }
 
-    fn left_alone(&self) -> Vec<usize> {
-        self.all.iter().map(|r| r.gateway.choices()[2]).collect()
+    fn ejected_servers(&self) -> Vec<usize> {
+        self.gateways
+            .iter()
+            .map(|r| r.gateway.choices()[2])
+            .collect()
     }
 }
 
 #[test]
-fn a_server_that_fails_is_found_out_by_few_and_tried_by_one_at_a_time() {
+fn a_failing_server_is_detected_by_few_and_tried_by_one_at_a_time() {
     let bad = |_, s: &ServerId| &*s.0 == "s7";
     let (mut alone, mut together) = (Fleet::new(false, bad), Fleet::new(true, bad));
     alone.run(3);
@@ -134,17 +144,17 @@
     let kept_out = (alone.sent_to("s7"), together.sent_to("s7"));
     // Of 14,400 requests; one in each turn of four seconds.
     assert!(
-        together.left_alone().iter().all(|out| *out == 1),
+        together.ejected_servers().iter().all(|out| *out == 1),
         "{:?}",
-        together.left_alone()
+        together.ejected_servers()
     );
     assert!((5..=10).contains(&kept_out.1), "{kept_out:?}");
     assert!(kept_out.1 * 4 < kept_out.0, "{kept_out:?}");
     assert!(found_out.1 <= found_out.0, "{found_out:?}");
     // It is well again: all use it within seconds.
-    together.bad = |_, _| false;
+    together.fails = |_, _| false;
     together.run(5);
-    assert!(together.left_alone().iter().all(|out| *out == 0));
+    assert!(together.ejected_servers().iter().all(|out| *out == 0));
     together.run(5);
     // As much as others, within chance.
     assert!(
@@ -156,33 +166,33 @@
 
 /// One whose own network is bad finds all servers bad, and takes none from the others.
 #[test]
-fn one_that_accuses_all_takes_none_from_the_others() {
+fn a_gateway_that_reports_all_servers_ejects_none() {
     let mut fleet = Fleet::new(true, |me, _| me == 3);
     fleet.run(10);
     let others = fleet
-        .left_alone()
+        .ejected_servers()
         .into_iter()
         .enumerate()
         .filter(|(n, _)| *n != 3)
         .all(|(_, out)| out == 0);
-    assert!(others, "{:?}", fleet.left_alone());
+    assert!(others, "{:?}", fleet.ejected_servers());
     // It can reach a part only: still one witness.
     let mut fleet = Fleet::new(true, |me, s| me == 3 && s.0.ends_with('1'));
     fleet.run(10);
     assert!(
-        fleet.left_alone().iter().all(|out| *out == 0),
+        fleet.ejected_servers().iter().all(|out| *out == 0),
         "{:?}",
-        fleet.left_alone()
+        fleet.ejected_servers()
     );
 }
 
 /// One that hears nobody goes by its own word: nothing is out for it but it does without the server nearly as before.
 #[test]
-fn one_that_hears_nobody_goes_by_what_it_sees() {
+fn a_gateway_without_reports_goes_by_its_own_outcomes() {
     let mut fleet = Fleet::new(true, |_, s| &*s.0 == "s7");
-    fleet.deaf = vec![5];
+    fleet.unreachable_gateways = vec![5];
     fleet.run(10);
-    let out = fleet.left_alone();
+    let out = fleet.ejected_servers();
     assert!(
         out.iter()
             .enumerate()
@@ -193,15 +203,15 @@
 
 /// What was found out of a server's earlier process is void.
 #[test]
-fn a_server_that_restarted_is_not_left_alone_for_what_was_before() {
+fn a_restarted_server_is_not_ejected_for_its_past() {
     let mut fleet = Fleet::new(true, |_, s| &*s.0 == "s7");
     fleet.run(4);
-    assert!(fleet.left_alone().iter().all(|out| *out == 1));
-    fleet.bad = |_, _| false;
-    for rig in &mut fleet.all {
+    assert!(fleet.ejected_servers().iter().all(|out| *out == 1));
+    fleet.fails = |_, _| false;
+    for rig in &mut fleet.gateways {
         rig.now += 10_000;
         let started_us = rig.now;
-        rig.list(
+        rig.update_servers(
             ListKind::Partial,
             vec![ServerEntry {
                 started_us,
@@ -209,10 +219,10 @@
             }],
         );
     }
-    fleet.say();
+    fleet.exchange_reports();
     assert!(
-        fleet.left_alone().iter().all(|out| *out == 0),
+        fleet.ejected_servers().iter().all(|out| *out == 0),
         "{:?}",
-        fleet.left_alone()
+        fleet.ejected_servers()
     );
 }
--- a/crates/traffic-control/tests/many.rs
+++ b/crates/traffic-control/tests/many_servers.rs
@@ -1,21 +1,23 @@
 //! Fleets that are too large to look at every server for every request.
 
 mod common;
-use common::*;
-use frosthatch_traffic_control::*;
+use common::{count_sends_one_by_one, sent_server, unlimited_settings, Rig};
+use frosthatch_traffic_control::{
+    CompletionStatus, Effect, Health, ListKind, Scope, ServerEntry, ServerId,
+};
 use std::collections::BTreeMap;
 
 const MANY: usize = 2_000;
 
 /// One request a millisecond, each answered 10 ms later.
-fn spread(rig: &mut Rig, requests: usize) -> BTreeMap<ServerId, usize> {
-    one_by_one(rig, requests, 1_000, 10_000)
+fn count_sends_by_server(rig: &mut Rig, requests: usize) -> BTreeMap<ServerId, usize> {
+    count_sends_one_by_one(rig, requests, 1_000, 10_000)
 }
 
 #[test]
-fn requests_spread_over_all_of_them() {
-    let mut rig = Rig::with_servers(wide(), MANY);
-    let counts = spread(&mut rig, 5 * MANY);
+fn requests_spread_over_many_servers() {
+    let mut rig = Rig::with_servers(unlimited_settings(), MANY);
+    let counts = count_sends_by_server(&mut rig, 5 * MANY);
     // By chance alone 1 in 150 gets none of five on average, and none gets many.
     assert!(counts.len() > MANY * 97 / 100, "{}", counts.len());
     assert!(
@@ -27,15 +29,15 @@
 
 /// The choice is for the least held, also where only some are looked at.
 #[test]
-fn busy_servers_are_left_alone() {
-    let mut rig = Rig::with_servers(wide(), MANY);
+fn busy_servers_get_few_requests() {
+    let mut rig = Rig::with_servers(unlimited_settings(), MANY);
     let mut busy = std::collections::BTreeSet::new();
     // Half of them hold one request each, unanswered.
     while busy.len() < MANY / 2 {
         let (_, actions) = rig.request("c");
-        busy.insert(sent(&actions).expect("sent"));
+        busy.insert(sent_server(&actions).expect("sent"));
     }
-    let counts = spread(&mut rig, MANY);
+    let counts = count_sends_by_server(&mut rig, MANY);
     let to_busy: usize = counts
         .iter()
         .filter(|(s, _)| busy.contains(s))
@@ -45,15 +47,15 @@
 }
 
 #[test]
-fn nothing_goes_to_those_that_drain_however_many_they_are() {
-    let mut rig = Rig::with_servers(wide(), MANY);
+fn nothing_goes_to_draining_servers_however_many_they_are() {
+    let mut rig = Rig::with_servers(unlimited_settings(), MANY);
     let draining = |n: usize| !n.is_multiple_of(20);
     let entries = (0..MANY).filter(|&n| draining(n)).map(|n| ServerEntry {
         health: Health::Draining,
         ..ServerEntry::ready(&format!("s{n}"), "a")
     });
-    rig.list(ListKind::Partial, entries.collect());
-    for server in spread(&mut rig, 1_000).keys() {
+    rig.update_servers(ListKind::Partial, entries.collect());
+    for server in count_sends_by_server(&mut rig, 1_000).keys() {
         let n: usize = server.0[1..].parse().expect("a number");
         assert!(!draining(n), "{n}");
     }
@@ -61,8 +63,8 @@
 
 /// Guards against a rare group that none of those looked at belongs to: the repeat goes there all the same.
 #[test]
-fn a_repeat_finds_the_one_other_server_that_drops_it() {
-    let mut settings = wide();
+fn a_retry_finds_the_one_other_server_that_drops_repeats() {
+    let mut settings = unlimited_settings();
     settings.classes[0].effect = Effect::Keyed {
         scope: Scope::Cell,
         window_us: 1_000_000,
@@ -72,29 +74,35 @@
         cell: n as u64 / 2,
         ..ServerEntry::ready(&format!("s{n}"), "a")
     });
-    rig.list(ListKind::Complete, entries.collect());
+    rig.update_servers(ListKind::Complete, entries.collect());
     for _ in 0..5 {
         let (id, actions) = rig.request("c");
-        let first = sent(&actions).expect("sent");
-        let second = sent(&rig.outcome(id, 0, &first, CompletionStatus::ConnectionLost, 1_000))
-            .expect("sent again");
+        let first = sent_server(&actions).expect("sent");
+        let second = sent_server(&rig.end_attempt_after(
+            id,
+            0,
+            &first,
+            CompletionStatus::ConnectionLost,
+            1_000,
+        ))
+        .expect("sent again");
         let cell = |s: &ServerId| s.0[1..].parse::<u64>().expect("a number") / 2;
         assert_eq!(cell(&first), cell(&second));
         assert_ne!(first, second, "the other one of the cell is tried first");
-        rig.outcome(id, 1, &second, CompletionStatus::Served, 1_000);
+        rig.end_attempt_after(id, 1, &second, CompletionStatus::Served, 1_000);
     }
 }
 
 /// A cold one among many is spared as among few.
 #[test]
-fn a_cold_server_among_many_gets_no_more_than_its_part() {
-    let mut settings = wide();
+fn a_server_in_slow_start_among_many_gets_no_more_than_its_share() {
+    let mut settings = unlimited_settings();
     (settings.gateways, settings.slow_start.initial_share) = (2, 0.25);
     let mut rig = Rig::with_servers(settings, MANY);
     let mut cold = ServerEntry::ready("cold", "a");
     cold.started_us = rig.now;
-    rig.list(ListKind::Partial, vec![cold]);
-    let counts = spread(&mut rig, 3_000);
+    rig.update_servers(ListKind::Partial, vec![cold]);
+    let counts = count_sends_by_server(&mut rig, 3_000);
     let to_cold = counts.get(&ServerId("cold".into())).copied().unwrap_or(0);
     // Three seconds and 30 s of work: a warm one gets one or two.
     assert!(to_cold <= 4, "{to_cold}");
--- a/crates/traffic-control/tests/mechanism.rs
+++ b/crates/traffic-control/tests/mechanism.rs
@@ -2,18 +2,24 @@
 #![expect(clippy::single_match_else)]
 
 mod common;
-use common::*;
-use frosthatch_traffic_control::*;
+use common::{
+    count_admitted_by_counter, is_rejected, reply_and_find_send, reply_to_calls, sent_server,
+    unlimited_settings, Rig,
+};
+use frosthatch_traffic_control::{
+    Action, AttemptOutcome, CompletionStatus, CustomerId, Event, Gateway, ListKind, Micros,
+    Request, RequestId, ServerEntry, ServerId, Settings, Timer,
+};
 use std::collections::VecDeque;
 
 /// Serves `n` requests with the given latency, one after another; returns how many were passed on.
-fn run(rig: &mut Rig, n: usize, latency: Micros) -> usize {
+fn serve_requests(rig: &mut Rig, n: usize, latency: Micros) -> usize {
     let mut passed = 0;
     for _ in 0..n {
         let (id, actions) = rig.request("c");
-        if let Some(server) = sent(&actions) {
+        if let Some(server) = sent_server(&actions) {
             passed += 1;
-            rig.outcome(id, 0, &server, CompletionStatus::Served, latency);
+            rig.end_attempt_after(id, 0, &server, CompletionStatus::Served, latency);
             rig.now -= latency;
         }
     }
@@ -22,17 +28,17 @@
 
 #[test]
 fn fractions_step_down_while_latency_is_over_its_bound_and_come_back_halfway() {
-    let mut rig = Rig::with_servers(wide(), 4);
-    run(&mut rig, 20, 100_000);
+    let mut rig = Rig::with_servers(unlimited_settings(), 4);
+    serve_requests(&mut rig, 20, 100_000);
     rig.interval();
     for _ in 0..3 {
-        run(&mut rig, 200, 900_000);
+        serve_requests(&mut rig, 200, 900_000);
         rig.interval();
     }
-    let low = run(&mut rig, 1000, 100_000);
+    let low = serve_requests(&mut rig, 1000, 100_000);
     assert!((600..800).contains(&low), "three steps down: {low} of 1000");
     rig.interval();
-    let back = run(&mut rig, 1000, 100_000);
+    let back = serve_requests(&mut rig, 1000, 100_000);
     assert!(
         (850..950).contains(&back),
         "halfway back, on the grid: {back} of 1000"
@@ -40,30 +46,30 @@
 }
 
 #[test]
-fn recovery_from_nought_needs_no_measurement() {
-    let mut rig = Rig::with_servers(wide(), 4);
+fn fractions_recover_from_zero_without_measurements() {
+    let mut rig = Rig::with_servers(unlimited_settings(), 4);
     for _ in 0..40 {
-        run(&mut rig, 1000, 900_000);
+        serve_requests(&mut rig, 1000, 900_000);
         rig.interval();
     }
     for _ in 0..6 {
         rig.interval();
     }
-    assert_eq!(run(&mut rig, 100, 100_000), 100);
+    assert_eq!(serve_requests(&mut rig, 100, 100_000), 100);
 }
 
 #[test]
-fn unheard_a_bucket_holds_the_even_slice_and_refuses_early_with_advice() {
+fn an_unsynced_bucket_holds_the_even_slice_and_rejects_with_retry_after() {
     let mut settings = Settings::example();
     settings.gateways = 2;
     let mut rig = Rig::with_servers(settings, 4);
     let mut passed = 0;
     for _ in 0..30 {
-        let (id, actions) = rig.ask(|r| r.gateway_count = 2);
-        match sent(&actions) {
+        let (id, actions) = rig.request_with(|r| r.gateway_count = 2);
+        match sent_server(&actions) {
             Some(server) => {
                 passed += 1;
-                rig.outcome(id, 0, &server, CompletionStatus::Served, 0);
+                rig.end_attempt_after(id, 0, &server, CompletionStatus::Served, 0);
             }
             None => {
                 let advised = |a: &Action| matches!(a, Action::Reject { retry_after_us, .. } if *retry_after_us > 0);
@@ -75,19 +81,19 @@
 }
 
 #[test]
-fn the_others_use_told_by_the_counter_is_drawn_and_what_they_left_comes_here() {
-    let settings = counted(2);
+fn use_of_others_that_the_counter_reports_is_charged_and_the_rest_is_available() {
+    let settings = settings_with_counter(2);
     // As much of the minute's fill is gone as the others used: the store stands at 20 less their use.
     let pass = |others: f64| {
         let mut rig = Rig::with_servers(settings.clone(), 4);
         rig.now = 1_200_000_000;
-        passed_by_counter(&mut rig, 2, 40, &mut { others })
+        count_admitted_by_counter(&mut rig, 2, 40, &mut { others })
     };
     assert_eq!((pass(0.0), pass(15.0)), (20, 5));
 }
 
 #[test]
-fn one_of_many_gateways_that_sees_a_customer_for_the_first_time_asks_the_counter() {
+fn one_of_many_gateways_queries_the_counter_for_an_unknown_customer() {
     for gateways in [150, 600] {
         let mut settings = Settings::example();
         (settings.gateways, settings.counter) = (gateways, true);
@@ -95,7 +101,7 @@
         let gateway = |_| {
             let mut rig = Rig::with_servers(settings.clone(), 4);
             rig.now = 1_200_000_000;
-            passed_by_counter(&mut rig, gateways, 1, &mut total)
+            count_admitted_by_counter(&mut rig, gateways, 1, &mut total)
         };
         // Each sees one request, and has a slice of a fraction of one: together they pass the burst.
         assert_eq!((0..150).map(gateway).sum::<usize>(), 20);
@@ -103,12 +109,12 @@
 }
 
 #[test]
-fn a_counter_back_at_nought_or_silent_mints_nothing() {
-    let settings = counted(2);
+fn a_counter_reset_to_zero_or_silent_adds_no_quota() {
+    let settings = settings_with_counter(2);
     let mut rig = Rig::with_servers(settings, 4);
     let mut n = 0;
     for k in 0..60 {
-        let (id, actions) = rig.ask(|r| r.gateway_count = 2);
+        let (id, actions) = rig.request_with(|r| r.gateway_count = 2);
         for a in &actions {
             if let Action::AddToCounter { name, amount, .. } = a {
                 let status = if k % 3 == 0 {
@@ -116,24 +122,24 @@
                 } else {
                     CompletionStatus::Served
                 };
-                rig.tell(Event::CounterReply {
+                rig.handle(Event::CounterReply {
                     name: name.clone(),
                     status,
                     total: *amount,
                 });
             }
         }
-        if let Some(server) = sent(&actions) {
+        if let Some(server) = sent_server(&actions) {
             n += 1;
-            rig.outcome(id, 0, &server, CompletionStatus::Served, 0);
+            rig.end_attempt_after(id, 0, &server, CompletionStatus::Served, 0);
         }
     }
     assert!(n <= 20, "{n} passed of a burst of 20");
 }
 
 #[test]
-fn attempts_out_at_once_are_capped() {
-    let mut settings = wide();
+fn attempts_in_flight_are_limited() {
+    let mut settings = unlimited_settings();
     (
         settings.plans[0].rate,
         settings.plans[0].burst,
@@ -141,14 +147,14 @@
     ) = (0.0, 0.0, 3);
     let mut rig = Rig::with_servers(settings, 4);
     let n = (0..10)
-        .filter(|_| sent(&rig.request("c").1).is_some())
+        .filter(|_| sent_server(&rig.request("c").1).is_some())
         .count();
     assert_eq!(n, 3);
 }
 
 #[test]
-fn a_cap_on_open_attempts_is_not_rounded_up_by_every_one_of_few_gateways_that_hear_nothing() {
-    let mut settings = wide();
+fn few_unsynced_gateways_do_not_each_round_up_a_limit_on_attempts() {
+    let mut settings = unlimited_settings();
     settings.gateways = 8;
     (
         settings.plans[0].rate,
@@ -156,7 +162,7 @@
         settings.plans[0].max_open,
     ) = (0.0, 0.0, 3);
     let mut rig = Rig::with_servers(settings, 4);
-    let passed = |rig: &mut Rig| !refused(&rig.ask(|r| r.gateway_count = 8).1);
+    let passed = |rig: &mut Rig| !is_rejected(&rig.request_with(|r| r.gateway_count = 8).1);
     assert!(!passed(&mut rig), "a third of a place is none at the start");
     rig.now += 5_000_000;
     assert!(passed(&mut rig), "saved up to one place");
@@ -166,8 +172,8 @@
 /// Of many each would save up for its place longer than customers stay: they are passed on until the meter tells of more than the
 /// cap.
 #[test]
-fn a_cap_on_open_attempts_is_held_by_the_meter_where_many_gateways_hear_nothing_else() {
-    let mut settings = wide();
+fn the_meter_keeps_a_limit_on_attempts_at_many_unsynced_gateways() {
+    let mut settings = unlimited_settings();
     (settings.gateways, settings.meter_period_us) = (100, 1_000_000);
     (
         settings.plans[0].rate,
@@ -177,8 +183,8 @@
     let mut rig = Rig::with_servers(settings, 4);
     let mut passed = 0;
     for n in 0..321 {
-        let (id, actions) = rig.ask(|r| r.gateway_count = 100);
-        let server = sent(&actions);
+        let (id, actions) = rig.request_with(|r| r.gateway_count = 100);
+        let server = sent_server(&actions);
         assert!(
             n > 0 || server.is_some(),
             "nothing is known of it: it is passed on"
@@ -187,7 +193,7 @@
         passed += 1;
         let mut o = AttemptOutcome::new(id, 0, server, CompletionStatus::Served, 0);
         (o.closed, o.metered_use) = (true, Some(4.0));
-        rig.tell(Event::Outcome(o));
+        rig.handle(Event::Outcome(o));
     }
     assert!(
         (8..=40).contains(&passed),
@@ -196,14 +202,14 @@
 }
 
 #[test]
-fn what_cannot_be_timely_is_refused_at_once() {
-    let mut rig = Rig::with_servers(wide(), 2);
+fn requests_that_would_be_late_are_rejected_at_once() {
+    let mut rig = Rig::with_servers(unlimited_settings(), 2);
     for _ in 0..20 {
         let (id, actions) = rig.request("c");
-        rig.outcome(
+        rig.end_attempt_after(
             id,
             0,
-            &sent(&actions).expect("sent"),
+            &sent_server(&actions).expect("sent"),
             CompletionStatus::Served,
             50_000,
         );
@@ -212,24 +218,24 @@
     rig.interval();
     // 20 a second were served: 100 at once would take five seconds.
     let n = (0..100)
-        .filter(|_| sent(&rig.request("c").1).is_some())
+        .filter(|_| sent_server(&rig.request("c").1).is_some())
         .count();
     assert!((5..20).contains(&n), "{n} passed");
 }
 
 #[test]
-fn a_server_that_fails_fast_is_not_taken_for_an_idle_one() {
-    let mut rig = Rig::with_servers(wide(), 4);
+fn a_server_that_fails_fast_does_not_look_idle() {
+    let mut rig = Rig::with_servers(unlimited_settings(), 4);
     let (mut bad, mut all) = (0, 0);
     for _ in 0..200 {
         let (id, actions) = rig.request("c");
-        let Some(server) = sent(&actions) else {
+        let Some(server) = sent_server(&actions) else {
             continue;
         };
         all += 1;
         let failing = &*server.0 == "s0";
         bad += u32::from(failing);
-        let actions = rig.outcome(
+        let actions = rig.end_attempt_after(
             id,
             0,
             &server,
@@ -240,9 +246,9 @@
             },
             1_000,
         );
-        if let Some(second) = sent(&actions) {
+        if let Some(second) = sent_server(&actions) {
             assert_ne!(second, server);
-            rig.outcome(id, 1, &second, CompletionStatus::Served, 20_000);
+            rig.end_attempt_after(id, 1, &second, CompletionStatus::Served, 20_000);
         }
     }
     assert!(bad * 10 < all, "{bad} of {all} went to the failing server");
@@ -250,20 +256,20 @@
 
 #[test]
 fn one_of_many_gateways_does_not_always_begin_with_the_largest_server() {
-    let mut settings = wide();
+    let mut settings = unlimited_settings();
     settings.gateways = 12;
     let mut rig = Rig::new(settings);
     let sized = |i: usize| ServerEntry {
         weight: 1.0 + i as f64 / 5.0,
         ..ServerEntry::ready(&format!("s{i}"), "a")
     };
-    rig.list(ListKind::Complete, (0..4).map(sized).collect());
+    rig.update_servers(ListKind::Complete, (0..4).map(sized).collect());
     let mut least = 0;
     for _ in 0..200 {
         let (id, actions) = rig.request("c");
-        let server = sent(&actions).expect("sent");
+        let server = sent_server(&actions).expect("sent");
         least += u32::from(&*server.0 == "s0");
-        rig.outcome(id, 0, &server, CompletionStatus::Served, 1_000);
+        rig.end_attempt_after(id, 0, &server, CompletionStatus::Served, 1_000);
     }
     assert!(
         least >= 8,
@@ -272,13 +278,13 @@
 }
 
 #[test]
-fn unknown_names_get_one_answer_and_strangers_change_nothing() {
-    let mut rig = Rig::with_servers(wide(), 2);
+fn unknown_names_get_one_answer_and_unknown_ids_change_nothing() {
+    let mut rig = Rig::with_servers(unlimited_settings(), 2);
     for change in [
         |r: &mut Request| r.plan = "?".into(),
         |r: &mut Request| r.class = "?".into(),
     ] {
-        let (_, actions) = rig.ask(change);
+        let (_, actions) = rig.request_with(change);
         assert_eq!(
             actions
                 .iter()
@@ -294,23 +300,23 @@
         CompletionStatus::Served,
         1,
     );
-    assert!(rig.tell(Event::Outcome(stranger)).is_empty());
-    assert!(rig.tell(Event::ClientGone(RequestId(99))).is_empty());
+    assert!(rig.handle(Event::Outcome(stranger)).is_empty());
+    assert!(rig.handle(Event::ClientGone(RequestId(99))).is_empty());
     assert!(rig
-        .tell(Event::Timer(Timer::Request(RequestId(99))))
+        .handle(Event::Timer(Timer::Request(RequestId(99))))
         .is_empty());
     let (id, actions) = rig.request("c");
-    let server = sent(&actions).expect("sent");
-    rig.outcome(id, 0, &server, CompletionStatus::Served, 1);
+    let server = sent_server(&actions).expect("sent");
+    rig.end_attempt_after(id, 0, &server, CompletionStatus::Served, 1);
     assert!(
-        rig.outcome(id, 0, &server, CompletionStatus::ServerError, 1)
+        rig.end_attempt_after(id, 0, &server, CompletionStatus::ServerError, 1)
             .is_empty(),
         "a repeated outcome is ignored"
     );
 }
 
 #[test]
-fn settings_that_make_no_sense_are_an_error() {
+fn invalid_settings_are_an_error() {
     let broken: [fn(&mut Settings); 5] = [
         |s| s.classes.clear(),
         |s| s.plans.clear(),
@@ -327,9 +333,9 @@
 
 #[test]
 fn memory_is_bounded_under_a_flood_of_customers() {
-    let mut rig = Rig::with_servers(wide(), 2);
+    let mut rig = Rig::with_servers(unlimited_settings(), 2);
     let answered = (0..70_000)
-        .filter(|i| refused(&rig.request(&format!("c{i}")).1))
+        .filter(|i| is_rejected(&rig.request(&format!("c{i}")).1))
         .count();
     assert!(
         answered >= 70_000 - 24_576,
@@ -338,7 +344,7 @@
 }
 
 /// Settings of one of several gateways that share a counter.
-fn counted(gateways: u32) -> Settings {
+fn settings_with_counter(gateways: u32) -> Settings {
     Settings {
         gateways,
         counter: true,
@@ -348,17 +354,17 @@
 
 /// Guards against a second burst for every customer whenever the counts begin anew.
 #[test]
-fn a_used_up_store_stays_used_up_when_its_count_begins_anew() {
-    let mut settings = counted(2);
+fn an_empty_store_stays_empty_in_a_new_counter_window() {
+    let mut settings = settings_with_counter(2);
     (settings.plans[0].rate, settings.plans[0].burst) = (0.5, 10.0);
     let mut rig = Rig::with_servers(settings, 4);
     rig.now = 1_019_500_000; // half a second before a minute is over
     let mut total = 0.0;
-    let burst = passed_by_counter(&mut rig, 2, 30, &mut total);
+    let burst = count_admitted_by_counter(&mut rig, 2, 30, &mut total);
     assert!((9..=11).contains(&burst), "the burst: {burst}, {total}");
     rig.now = 1_022_000_000;
     total = 0.0;
-    let again = passed_by_counter(&mut rig, 2, 30, &mut total);
+    let again = count_admitted_by_counter(&mut rig, 2, 30, &mut total);
     assert!((1..=2).contains(&again), "{again} more in 2.5 s");
     // All of it is in the new count, for the other gateway to see.
     assert!((9.0..=12.0).contains(&total), "{total} used");
@@ -366,30 +372,30 @@
 
 /// Guards, too, against the same when the counter has lost what it held.
 #[test]
-fn a_used_up_store_stays_used_up_when_the_counter_comes_back_empty() {
-    let mut settings = counted(2);
+fn an_empty_store_stays_empty_when_the_counter_comes_back_empty() {
+    let mut settings = settings_with_counter(2);
     (settings.plans[0].rate, settings.plans[0].burst) = (0.5, 10.0);
     let mut rig = Rig::with_servers(settings, 4);
     rig.now = 1_050_000_000;
     let mut total = 0.0;
     assert!(
-        passed_by_counter(&mut rig, 2, 30, &mut total) >= 9,
+        count_admitted_by_counter(&mut rig, 2, 30, &mut total) >= 9,
         "the burst"
     );
     rig.now += 2_000_000;
     total = 0.0;
-    let again = passed_by_counter(&mut rig, 2, 30, &mut total);
+    let again = count_admitted_by_counter(&mut rig, 2, 30, &mut total);
     assert!((1..=2).contains(&again), "{again} more in 2 s");
 }
 
 /// Guards against a store that looks used up: two gateways that see at once what the count lacks make up for it once.
 #[test]
-fn two_gateways_make_up_for_a_lack_once() {
+fn two_gateways_correct_a_count_once() {
     let mut rigs = [1, 2].map(|seed| {
-        let mut settings = counted(2);
+        let mut settings = settings_with_counter(2);
         settings.me = seed as u32 - 1;
         (settings.plans[0].rate, settings.plans[0].burst) = (10.0, 20.0);
-        let mut rig = Rig::seeded(settings, seed).listing(4);
+        let mut rig = Rig::seeded(settings, seed).with_listed(4);
         rig.now = 1_030_000_000; // ten seconds into the life of the count: 100 units came in and none was used
         rig
     });
@@ -397,14 +403,14 @@
     // Both ask before either has told what it makes up for.
     let mut waiting: Vec<Vec<Action>> = rigs
         .iter_mut()
-        .map(|rig| rig.ask(|r| r.gateway_count = 2).1)
+        .map(|rig| rig.request_with(|r| r.gateway_count = 2).1)
         .collect();
     while waiting.iter().any(|w| !w.is_empty()) {
         for (rig, actions) in rigs.iter_mut().zip(&mut waiting) {
             for action in std::mem::take(actions) {
                 if let Action::AddToCounter { name, amount, .. } = action {
                     total += amount;
-                    actions.extend(rig.tell(Event::CounterReply {
+                    actions.extend(rig.handle(Event::CounterReply {
                         name,
                         status: CompletionStatus::Served,
                         total,
@@ -416,7 +422,7 @@
     assert!((100.0..=105.0).contains(&total), "{total}");
     let mut passed = 0;
     for rig in &mut rigs {
-        passed += passed_by_counter(rig, 2, 30, &mut total);
+        passed += count_admitted_by_counter(rig, 2, 30, &mut total);
     }
     // A little more than the 18 that are left: small use is told in lumps.
     assert!((15..=22).contains(&passed), "{passed} passed");
@@ -424,11 +430,11 @@
 
 /// Guards against calls in a circle while nobody answers them.
 #[test]
-fn a_call_that_was_not_added_is_not_made_again_at_once() {
+fn a_call_that_was_not_added_is_not_repeated_at_once() {
     for status in [CompletionStatus::NoConnection, CompletionStatus::Rejected] {
-        let mut rig = Rig::with_servers(counted(2), 4);
-        let (_, actions) = rig.ask(|r| r.gateway_count = 2);
-        let all = settle_as(&mut rig, actions, &mut 0.0, || status);
+        let mut rig = Rig::with_servers(settings_with_counter(2), 4);
+        let (_, actions) = rig.request_with(|r| r.gateway_count = 2);
+        let all = reply_to_calls(&mut rig, actions, &mut 0.0, || status);
         let calls = all
             .iter()
             .filter(|a| matches!(a, Action::AddToCounter { .. }))
@@ -439,9 +445,9 @@
 
 /// Guards against a place that stays taken, or free, because nobody knows whether a call was added.
 #[test]
-fn a_place_whose_call_was_lost_is_put_right() {
+fn a_permit_whose_call_was_lost_is_corrected() {
     for lost in 0..3 {
-        let mut settings = counted(2);
+        let mut settings = settings_with_counter(2);
         (
             settings.plans[0].rate,
             settings.plans[0].burst,
@@ -458,17 +464,18 @@
             }
         };
         for _ in 0..4 {
-            let (id, actions) = rig.ask(|r| r.gateway_count = 2);
-            let actions = settle_as(&mut rig, actions, &mut total, &mut how);
-            if let Some(server) = sent(&actions) {
-                let actions = rig.outcome(id, 0, &server, CompletionStatus::Served, 10_000);
-                settle_as(&mut rig, actions, &mut total, &mut how);
+            let (id, actions) = rig.request_with(|r| r.gateway_count = 2);
+            let actions = reply_to_calls(&mut rig, actions, &mut total, &mut how);
+            if let Some(server) = sent_server(&actions) {
+                let actions =
+                    rig.end_attempt_after(id, 0, &server, CompletionStatus::Served, 10_000);
+                reply_to_calls(&mut rig, actions, &mut total, &mut how);
             }
         }
         let mut open = 0;
         for _ in 0..8 {
-            let (_, actions) = rig.ask(|r| r.gateway_count = 2);
-            open += usize::from(settle(&mut rig, actions, &mut total).is_some());
+            let (_, actions) = rig.request_with(|r| r.gateway_count = 2);
+            open += usize::from(reply_and_find_send(&mut rig, actions, &mut total).is_some());
         }
         assert_eq!((open, total), (4, 4.0), "call {lost} was lost");
     }
@@ -476,8 +483,8 @@
 
 /// Guards against an answer that is taken for another call's: with two out for one customer a place would stay taken.
 #[test]
-fn two_calls_that_are_out_are_told_apart() {
-    let mut settings = counted(2);
+fn two_calls_in_flight_are_distinguished() {
+    let mut settings = settings_with_counter(2);
     (
         settings.plans[0].rate,
         settings.plans[0].burst,
@@ -493,37 +500,37 @@
         actions.iter().filter_map(count).collect::<Vec<_>>()
     };
     // The answer does not come while the request can wait for it, and the next request calls anew.
-    let (first, actions) = rig.ask(|r| r.gateway_count = 2);
+    let (first, actions) = rig.request_with(|r| r.gateway_count = 2);
     let mut out = counts(&actions);
     rig.now += 100_000;
-    let after = rig.tell(Event::Timer(Timer::Request(first)));
+    let after = rig.handle(Event::Timer(Timer::Request(first)));
     out.extend(counts(&after));
-    out.extend(counts(&rig.ask(|r| r.gateway_count = 2).1));
+    out.extend(counts(&rig.request_with(|r| r.gateway_count = 2).1));
     assert!(out.len() >= 2, "{out:?}");
     let mut sends = Vec::new();
     while !out.is_empty() {
         let (name, amount) = out.remove(0);
         total += amount;
-        let actions = rig.tell(Event::CounterReply {
+        let actions = rig.handle(Event::CounterReply {
             name,
             status: CompletionStatus::Served,
             total,
         });
         out.extend(counts(&actions));
-        sends.extend(sent(&actions));
+        sends.extend(sent_server(&actions));
     }
-    let mut open = sends.len() + usize::from(sent(&after).is_some());
+    let mut open = sends.len() + usize::from(sent_server(&after).is_some());
     for _ in 0..8 {
-        let (_, actions) = rig.ask(|r| r.gateway_count = 2);
-        open += usize::from(settle(&mut rig, actions, &mut total).is_some());
+        let (_, actions) = rig.request_with(|r| r.gateway_count = 2);
+        open += usize::from(reply_and_find_send(&mut rig, actions, &mut total).is_some());
     }
     assert_eq!((open, total), (4, 4.0));
 }
 
 /// Guards against one place that two gateways see free at once.
 #[test]
-fn a_place_is_taken_in_the_count_before_anything_is_sent() {
-    let mut settings = counted(2);
+fn a_permit_is_taken_in_the_count_before_anything_is_sent() {
+    let mut settings = settings_with_counter(2);
     (
         settings.plans[0].rate,
         settings.plans[0].burst,
@@ -533,14 +540,14 @@
     let mut total = 0.0;
     // Several wait for one answer.
     let mut actions: Vec<Action> = (0..5)
-        .flat_map(|_| rig.ask(|r| r.gateway_count = 2).1)
+        .flat_map(|_| rig.request_with(|r| r.gateway_count = 2).1)
         .collect();
     let (mut sends, mut k) = (0, 0);
     while k < actions.len() {
         match actions[k].clone() {
             Action::AddToCounter { name, amount, .. } => {
                 total += amount;
-                actions.extend(rig.tell(Event::CounterReply {
+                actions.extend(rig.handle(Event::CounterReply {
                     name,
                     status: CompletionStatus::Served,
                     total,
@@ -560,8 +567,8 @@
     assert_eq!((sends, total), (2, 2.0));
 }
 
-fn places(gateways: u32, most: u32) -> Settings {
-    let mut settings = counted(gateways);
+fn settings_with_permits(gateways: u32, most: u32) -> Settings {
+    let mut settings = settings_with_counter(gateways);
     (
         settings.plans[0].rate,
         settings.plans[0].burst,
@@ -571,7 +578,7 @@
 }
 
 /// Answers the calls among these 20 ms later; `others` is what the others' place holds. The amounts called, and the sends.
-fn answered_late(rig: &mut Rig, actions: Vec<Action>, total: &mut f64) -> (Vec<f64>, usize) {
+fn reply_late(rig: &mut Rig, actions: Vec<Action>, total: &mut f64) -> (Vec<f64>, usize) {
     let (mut amounts, mut sends, mut todo) = (Vec::new(), 0, VecDeque::from(actions));
     while let Some(action) = todo.pop_front() {
         match action {
@@ -579,7 +586,7 @@
                 amounts.push(amount);
                 *total += amount;
                 rig.now += 20_000;
-                todo.extend(rig.tell(Event::CounterReply {
+                todo.extend(rig.handle(Event::CounterReply {
                     name,
                     status: CompletionStatus::Served,
                     total: *total,
@@ -594,14 +601,14 @@
 
 /// Guards against places that stand empty on both ways to a slow counter.
 #[test]
-fn a_place_is_kept_for_the_next_request_and_given_back_once_it_is_not_needed() {
-    let mut rig = Rig::with_servers(places(2, 2), 4);
+fn a_spare_permit_serves_the_next_request_and_is_returned_once_unneeded() {
+    let mut rig = Rig::with_servers(settings_with_permits(2, 2), 4);
     let (mut total, tag) = (0.0, Timer::Customer);
     let mut look = None;
     for n in 0..3 {
-        let (id, actions) = rig.ask(|r| r.gateway_count = 2);
-        let server = sent(&actions);
-        let (calls, sends) = answered_late(&mut rig, actions, &mut total);
+        let (id, actions) = rig.request_with(|r| r.gateway_count = 2);
+        let server = sent_server(&actions);
+        let (calls, sends) = reply_late(&mut rig, actions, &mut total);
         match n {
             0 => assert_eq!((calls, sends), (vec![1.0], 1), "the first asks"),
             _ => assert_eq!(
@@ -610,7 +617,7 @@
                 "the next has its place at once"
             ),
         }
-        let actions = rig.outcome(
+        let actions = rig.end_attempt_after(
             id,
             0,
             &ServerId("s0".into()),
@@ -625,7 +632,7 @@
             _ => None,
         }));
         assert_eq!(
-            answered_late(&mut rig, actions, &mut total).0,
+            reply_late(&mut rig, actions, &mut total).0,
             vec![],
             "nothing is given back yet"
         );
@@ -633,31 +640,31 @@
     }
     let of = look.expect("a look is due");
     // Used since: kept on. Then it was not.
-    let actions = rig.tell(Event::Timer(tag(of)));
-    assert_eq!(answered_late(&mut rig, actions, &mut total).0, vec![]);
-    let actions = rig.tell(Event::Timer(tag(of)));
-    assert_eq!(answered_late(&mut rig, actions, &mut total).0, vec![-1.0]);
+    let actions = rig.handle(Event::Timer(tag(of)));
+    assert_eq!(reply_late(&mut rig, actions, &mut total).0, vec![]);
+    let actions = rig.handle(Event::Timer(tag(of)));
+    assert_eq!(reply_late(&mut rig, actions, &mut total).0, vec![-1.0]);
     assert_eq!(total, 0.0);
 }
 
 /// Where no call can be made, or none is answered, what the others mostly use decides.
 #[test]
-fn unheard_places_go_by_what_the_others_mostly_use() {
+fn unsynced_permits_go_by_the_mean_use_of_others() {
     for (others, passed) in [(0.0, 5), (2.0, 0)] {
-        let mut rig = Rig::with_servers(places(2, 2), 4);
+        let mut rig = Rig::with_servers(settings_with_permits(2, 2), 4);
         // The others' digit is the second.
         let mut total = others * 16.0;
         for _ in 0..20 {
-            let (id, actions) = rig.ask(|r| r.gateway_count = 2);
-            if answered_late(&mut rig, actions, &mut total).1 > 0 {
-                let actions = rig.outcome(
+            let (id, actions) = rig.request_with(|r| r.gateway_count = 2);
+            if reply_late(&mut rig, actions, &mut total).1 > 0 {
+                let actions = rig.end_attempt_after(
                     id,
                     0,
                     &ServerId("s0".into()),
                     CompletionStatus::Served,
                     30_000,
                 );
-                answered_late(&mut rig, actions, &mut total);
+                reply_late(&mut rig, actions, &mut total);
             }
             rig.now += 300_000;
         }
@@ -665,12 +672,14 @@
         for _ in 0..5 {
             // What was kept is long given back; the counter says nothing.
             rig.now += 2_000_000;
-            let (id, actions) = rig.ask(|r| r.gateway_count = 2);
-            let actions = settle_as(&mut rig, actions, &mut total, || CompletionStatus::NoAnswer);
-            if let Some(server) = sent(&actions) {
+            let (id, actions) = rig.request_with(|r| r.gateway_count = 2);
+            let actions =
+                reply_to_calls(&mut rig, actions, &mut total, || CompletionStatus::NoAnswer);
+            if let Some(server) = sent_server(&actions) {
                 sends += 1;
-                let actions = rig.outcome(id, 0, &server, CompletionStatus::Served, 30_000);
-                settle_as(&mut rig, actions, &mut total, || CompletionStatus::NoAnswer);
+                let actions =
+                    rig.end_attempt_after(id, 0, &server, CompletionStatus::Served, 30_000);
+                reply_to_calls(&mut rig, actions, &mut total, || CompletionStatus::NoAnswer);
             }
         }
         assert_eq!(sends, passed, "with {others} of 2 used by the others");
@@ -679,8 +688,8 @@
 
 /// Guards against places that are lost for a minute: what was out at the turn of the counts comes back.
 #[test]
-fn places_come_back_when_their_count_begins_anew() {
-    let mut settings = counted(2);
+fn permits_come_back_in_a_new_counter_window() {
+    let mut settings = settings_with_counter(2);
     (
         settings.plans[0].rate,
         settings.plans[0].burst,
@@ -693,8 +702,8 @@
     let open = |rig: &mut Rig, total: &mut f64| {
         let mut out = Vec::new();
         for _ in 0..6 {
-            let (id, actions) = rig.ask(|r| r.gateway_count = 2);
-            out.extend(settle(rig, actions, total).map(|server| (id, server)));
+            let (id, actions) = rig.request_with(|r| r.gateway_count = 2);
+            out.extend(reply_and_find_send(rig, actions, total).map(|server| (id, server)));
         }
         out
     };
@@ -703,8 +712,8 @@
     rig.now = 1_022_000_000;
     total = 0.0;
     for (id, server) in first {
-        let actions = rig.outcome(id, 0, &server, CompletionStatus::Served, 0);
-        settle(&mut rig, actions, &mut total);
+        let actions = rig.end_attempt_after(id, 0, &server, CompletionStatus::Served, 0);
+        reply_and_find_send(&mut rig, actions, &mut total);
     }
     let then = open(&mut rig, &mut total).len();
     assert_eq!(then, 4, "all places are back");
@@ -726,15 +735,15 @@
         Some(1_000_000),
         "nothing is known of what is usual"
     );
-    run(&mut rig, 10, 50_000);
+    serve_requests(&mut rig, 10, 50_000);
     rig.interval();
     let (id, actions) = rig.request("d");
     let bound = time_out(&actions).expect("it is sent");
     assert!((200_000..=500_000).contains(&bound), "{bound}");
-    let server = sent(&actions).expect("it is sent");
-    let actions = rig.outcome(id, 0, &server, CompletionStatus::NoAnswer, bound);
+    let server = sent_server(&actions).expect("it is sent");
+    let actions = rig.end_attempt_after(id, 0, &server, CompletionStatus::NoAnswer, bound);
     assert!(
-        sent(&actions).is_some_and(|other| other != server),
+        sent_server(&actions).is_some_and(|other| other != server),
         "{actions:?}"
     );
 }
@@ -753,7 +762,7 @@
     let wait = wait.expect("it waits for a server");
     assert!((1_000_000..2_000_000).contains(&wait), "{wait}");
     rig.now += wait;
-    assert!(refused(&rig.tell(Event::Timer(Timer::Request(id)))));
+    assert!(is_rejected(&rig.handle(Event::Timer(Timer::Request(id)))));
 }
 
 /// The name that a call for a customer nobody has heard of yet goes by, if the counter is called.
@@ -762,7 +771,7 @@
         r.gateway_count = 2;
         r.customer = CustomerId(format!("c{customer}").into());
     };
-    let (_, actions) = rig.ask(named);
+    let (_, actions) = rig.request_with(named);
     actions.into_iter().find_map(|a| match a {
         Action::AddToCounter { name, .. } => Some(name),
         _ => None,
@@ -772,13 +781,13 @@
 #[test]
 fn calls_lost_at_one_moment_lower_the_rate_of_calls_once() {
     let calls_after = |lost: u64| {
-        let mut rig = Rig::with_servers(counted(2), 4);
+        let mut rig = Rig::with_servers(settings_with_counter(2), 4);
         rig.now += 1_000_000;
         let out: Vec<String> = (0..lost).filter_map(|n| call_for(&mut rig, n)).collect();
         assert_eq!(out.len() as u64, lost);
         rig.now += 50_000;
         for name in out {
-            rig.tell(Event::CounterReply {
+            rig.handle(Event::CounterReply {
                 name,
                 status: CompletionStatus::NoAnswer,
                 total: 0.0,
@@ -797,15 +806,15 @@
 }
 
 #[test]
-fn a_counter_that_has_become_slow_is_asked_all_the_same() {
-    let mut rig = Rig::with_servers(counted(2), 4);
+fn a_counter_that_has_become_slow_is_still_queried() {
+    let mut rig = Rig::with_servers(settings_with_counter(2), 4);
     // Ten requests a second, one after another: quick answers, then slow ones though no call waits for another.
     let mut calls = |took: Micros, first: u64| {
         (first..first + 100)
             .filter(|&n| {
                 let called = call_for(&mut rig, n).map(|name| {
                     rig.now += took;
-                    rig.tell(Event::CounterReply {
+                    rig.handle(Event::CounterReply {
                         name,
                         status: CompletionStatus::Served,
                         total: 1.0,
@@ -813,7 +822,7 @@
                 });
                 rig.now += 100_000;
                 if n % 10 == 0 {
-                    rig.tell(Event::Timer(Timer::Interval));
+                    rig.handle(Event::Timer(Timer::Interval));
                 }
                 called.is_some()
             })
--- a/crates/traffic-control/tests/replay.rs
+++ b/crates/traffic-control/tests/replay.rs
@@ -10,8 +10,11 @@
     clippy::too_many_lines
 )]
 
-use frosthatch_traffic_control::*;
-use proptest::prelude::*;
+use frosthatch_traffic_control::{
+    Action, AttemptOutcome, Ceiling, CompletionStatus, Effect, Event, Gateway, Health, ListKind,
+    Micros, Plan, Request, RequestClass, RequestId, Scope, ServerEntry, ServerId, Settings, Timer,
+};
+use proptest::prelude::{any, prop_oneof, Just, Strategy};
 use proptest::strategy::ValueTree;
 use proptest::test_runner::TestRunner;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -22,9 +25,9 @@
 
 const GOLDEN: &str = "tests/golden/replay.txt";
 /// Worlds of each size of fleet.
-const WORLDS: usize = 12;
+const WORLDS_PER_FLEET: usize = 12;
 /// Of a fleet so many gateways are played; what the others do shows in the counts.
-const PLAYED: u32 = 4;
+const PLAYED_GATEWAYS: u32 = 4;
 const SECONDS: u64 = 12;
 
 #[derive(Clone, Debug)]
@@ -32,15 +35,15 @@
     gateways: u32,
     counter: bool,
     peers: bool,
-    told: bool,
+    usage_reports: bool,
     effect: u8,
     servers: usize,
     customers: u32,
     per_s: f64, // requests that each gateway gets a second
     quota: f64,
     max_open: u32,
-    ceiling: f64, // times the quota; 0: none
-    trouble: f64, // part of attempts and calls that end badly
+    ceiling: f64,    // times the quota; 0: none
+    fault_rate: f64, // part of attempts and calls that end badly
     cancel: bool,
     seed: u64,
 }
@@ -58,7 +61,7 @@
         gateways,
         counter: known.0,
         peers: known.1,
-        told: known.2 && !known.0,
+        usage_reports: known.2 && !known.0,
         effect: fleet.0,
         servers: fleet.1,
         customers: fleet.2,
@@ -66,7 +69,7 @@
         quota: quotas.0,
         max_open: quotas.1,
         ceiling: quotas.2,
-        trouble: rest.0,
+        fault_rate: rest.0,
         cancel: rest.1,
         seed: rest.2,
     })
@@ -121,7 +124,7 @@
             peer_messages: self.peers,
             peer_messages_per_s: 100.0,
             counter: self.counter,
-            usage_report_ttl_us: if self.told { 400_000 } else { 0 },
+            usage_report_ttl_us: if self.usage_reports { 400_000 } else { 0 },
             meter_period_us: 1_000_000,
             cross_zone_cost: 0.02,
             max_units: 6.0,
@@ -157,12 +160,12 @@
     counts: BTreeMap<String, f64>,
     attempts: BTreeMap<(usize, RequestId), u32>,
     digest: u64,
-    seen: [u64; 8],
+    action_counts: [u64; 8],
 }
 
 impl Play {
     fn new(world: World) -> Play {
-        let played = world.gateways.min(PLAYED);
+        let played = world.gateways.min(PLAYED_GATEWAYS);
         let gateways = (0..played).map(|me| {
             Gateway::new(world.settings(me), world.seed + u64::from(me)).expect("settings")
         });
@@ -175,11 +178,11 @@
             counts: BTreeMap::new(),
             attempts: BTreeMap::new(),
             digest: 0xcbf2_9ce4_8422_2325,
-            seen: [0; 8],
+            action_counts: [0; 8],
             world,
         };
         for g in 0..played as usize {
-            play.later(
+            play.schedule(
                 0,
                 g,
                 Event::Servers {
@@ -191,13 +194,13 @@
         play
     }
 
-    fn later(&mut self, after: Micros, gateway: usize, event: Event) {
+    fn schedule(&mut self, after: Micros, gateway: usize, event: Event) {
         self.events += 1;
         self.due
             .insert((self.now + after, self.events), (gateway, event));
     }
 
-    fn chance(&mut self) -> f64 {
+    fn random_unit(&mut self) -> f64 {
         f64::from(self.rng.next_u32()) / f64::from(u32::MAX)
     }
 
@@ -211,18 +214,19 @@
         for g in 0..played {
             let mut at = 0;
             while at < SECONDS * 1_000_000 {
-                at += (-(1.0 - self.chance() * 0.999_999).ln() / self.world.per_s * 1e6) as Micros;
+                at += (-(1.0 - self.random_unit() * 0.999_999).ln() / self.world.per_s * 1e6)
+                    as Micros;
                 let request = self.request();
-                if self.chance() < 0.03 {
+                if self.random_unit() < 0.03 {
                     let after = at + Micros::from(self.below(100_000));
-                    self.later(after, g, Event::ClientGone(request.id));
+                    self.schedule(after, g, Event::ClientGone(request.id));
                 }
-                self.later(at, g, Event::Request(request));
+                self.schedule(at, g, Event::Request(request));
             }
             for second in 1..SECONDS {
-                let change = self.change(second);
+                let change = self.list_event(second);
                 let after = second * 1_000_000 + Micros::from(self.below(900_000));
-                self.later(after, g, change);
+                self.schedule(after, g, change);
             }
         }
         while let Some(((at, _), (g, event))) = self.due.pop_first() {
@@ -246,21 +250,25 @@
             let mut out = Vec::new();
             self.gateways[g].handle(at, event, &mut out);
             for action in out {
-                self.take(g, action);
+                self.carry_out(g, action);
             }
         }
         let left: u64 = self.gateways.iter().map(|g| g.open_requests() as u64).sum();
-        self.note(&format!(
+        self.add_to_digest(&format!(
             "{left} open, {} avoided",
             self.gateways[0].avoided()
         ));
-        (self.digest, self.seen)
+        (self.digest, self.action_counts)
     }
 
     fn request(&mut self) -> Request {
         let n = self.below(self.world.customers);
         let plan = ["small", "places", "large"][n as usize % 3];
-        let class = if self.chance() < 0.7 { "read" } else { "write" };
+        let class = if self.random_unit() < 0.7 {
+            "read"
+        } else {
+            "write"
+        };
         let patience = 150_000 + Micros::from(self.below(1_500_000));
         let id = self.events + 1;
         let mut r = Request::new(id, &format!("customer-{n}"), plan, class, patience);
@@ -271,18 +279,18 @@
         } else {
             n % self.world.gateways
         };
-        r.low_priority = self.chance() < 0.05;
-        if self.chance() < 0.02 {
+        r.low_priority = self.random_unit() < 0.05;
+        if self.random_unit() < 0.02 {
             r.sticky_server = Some((
                 ServerId(format!("s{}", n % 4).as_str().into()),
-                self.chance() < 0.5,
+                self.random_unit() < 0.5,
             ));
         }
         r
     }
 
     /// News of the list: drains, cold starts, all of it again, or a takeover.
-    fn change(&mut self, second: u64) -> Event {
+    fn list_event(&mut self, second: u64) -> Event {
         let n = self.below(self.world.servers as u32) as usize;
         let mut entry = self.world.entry(n);
         let kind = match self.below(6) {
@@ -318,7 +326,7 @@
         }
     }
 
-    fn take(&mut self, g: usize, action: Action) {
+    fn carry_out(&mut self, g: usize, action: Action) {
         let (now, recorded) = (self.now, recorded_form(&action));
         let kind = match action {
             Action::Send {
@@ -331,9 +339,14 @@
                 let attempt = *n;
                 *n += 1;
                 let took = 20_000
-                    + Micros::from(self.below(120_000)) * if self.chance() < 0.05 { 8 } else { 1 };
-                let took = if self.slow() { took * 4 } else { took };
-                let (mut status, mut took) = match self.chance() < self.world.trouble {
+                    + Micros::from(self.below(120_000))
+                        * if self.random_unit() < 0.05 { 8 } else { 1 };
+                let took = if self.servers_are_slow() {
+                    took * 4
+                } else {
+                    took
+                };
+                let (mut status, mut took) = match self.random_unit() < self.world.fault_rate {
                     false => (CompletionStatus::Served, took),
                     true => {
                         let bad = [
@@ -352,22 +365,23 @@
                 }
                 let mut o = AttemptOutcome::new(request, attempt, server, status, took);
                 o.closed = status == CompletionStatus::Served;
-                o.settled_units = (self.chance() < 0.1).then_some(2.0);
-                o.metered_use = (self.chance() < 0.5)
+                o.settled_units = (self.random_unit() < 0.1).then_some(2.0);
+                o.metered_use = (self.random_unit() < 0.5)
                     .then(|| f64::from((self.now / 1_000_000 % 5) as u32) * 0.6);
-                self.later(took, g, Event::Outcome(o));
+                self.schedule(took, g, Event::Outcome(o));
                 0
             }
             Action::Cancel { .. } => 1,
             Action::Reject { .. } => 2,
             Action::Fail { .. } => 3,
             Action::SetTimer { after_us, timer } => {
-                self.later(after_us, g, Event::Timer(timer));
+                self.schedule(after_us, g, Event::Timer(timer));
                 7
             }
             Action::SendToPeer { to, bytes } => {
-                if (to as usize) < self.gateways.len() && self.chance() > self.world.trouble {
-                    self.later(
+                if (to as usize) < self.gateways.len() && self.random_unit() > self.world.fault_rate
+                {
+                    self.schedule(
                         1_000,
                         to as usize,
                         Event::Peer {
@@ -383,12 +397,12 @@
                 amount,
                 ttl_us: _,
             } => {
-                self.count(g, name, amount);
+                self.add_to_counter(g, name, amount);
                 5
             }
             Action::ReportUsage { tag, units } => {
                 for other in (0..self.gateways.len()).filter(|o| *o != g) {
-                    self.later(2_000, other, {
+                    self.schedule(2_000, other, {
                         let (heard, uses) = (vec![g as u32], vec![(g as u32, tag, units)]);
                         Event::UsageReported {
                             heard,
@@ -401,22 +415,23 @@
             }
             Action::Subscribe | Action::Log(_) => 7,
         };
-        self.seen[kind] += 1;
-        self.note(&format!("{now} {g} {recorded}"));
+        self.action_counts[kind] += 1;
+        self.add_to_digest(&format!("{now} {g} {recorded}"));
     }
 
     /// Where there is trouble the servers are slow for four seconds.
-    fn slow(&self) -> bool {
-        self.world.trouble > 0.0 && (3_000_000..7_000_000).contains(&(self.now - 1_000_000_000))
+    fn servers_are_slow(&self) -> bool {
+        self.world.fault_rate > 0.0 && (3_000_000..7_000_000).contains(&(self.now - 1_000_000_000))
     }
 
     /// The others of the fleet add, too; now and then it fails, and once it is down for two seconds.
-    fn count(&mut self, g: usize, name: String, amount: f64) {
-        let others =
-            f64::from(self.world.gateways.saturating_sub(PLAYED)).min(20.0) * self.chance() * 0.05;
+    fn add_to_counter(&mut self, g: usize, name: String, amount: f64) {
+        let others = f64::from(self.world.gateways.saturating_sub(PLAYED_GATEWAYS)).min(20.0)
+            * self.random_unit()
+            * 0.05;
         let down = (5_000_000..7_000_000).contains(&(self.now - 1_000_000_000))
-            && self.world.trouble > 0.0;
-        let status = match down || self.chance() < self.world.trouble {
+            && self.world.fault_rate > 0.0;
+        let status = match down || self.random_unit() < self.world.fault_rate {
             false => CompletionStatus::Served,
             true => [
                 CompletionStatus::ServerError,
@@ -439,7 +454,7 @@
             } else {
                 0
             };
-        self.later(
+        self.schedule(
             after,
             g,
             Event::CounterReply {
@@ -451,7 +466,7 @@
     }
 
     /// FNV-1a, 64 bits.
-    fn note(&mut self, line: &str) {
+    fn add_to_digest(&mut self, line: &str) {
         let step = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3);
         self.digest = line.bytes().fold(self.digest, step);
     }
@@ -497,7 +512,7 @@
     );
     for gateways in [1, 3, 30, 300] {
         let mut runner = TestRunner::deterministic();
-        for n in 0..WORLDS {
+        for n in 0..WORLDS_PER_FLEET {
             let world = worlds(gateways)
                 .new_tree(&mut runner)
                 .expect("a world")
--- a/crates/traffic-control/tests/rules.rs
+++ b/crates/traffic-control/tests/rules.rs
@@ -1,11 +1,16 @@
 //! The five rules, each kept by one gateway alone.
 
 mod common;
-use common::*;
-use frosthatch_traffic_control::*;
+use common::{
+    count_admitted_by_counter, is_failed, is_rejected, sent_server, unlimited_settings, Rig,
+};
+use frosthatch_traffic_control::{
+    Action, AttemptOutcome, Ceiling, CompletionStatus, Effect, Event, Health, ListKind, Micros,
+    RequestId, Scope, ServerEntry, ServerId, Settings, Timer,
+};
 
 fn keyed(scope: Scope) -> Settings {
-    let mut s = wide();
+    let mut s = unlimited_settings();
     s.classes[0].effect = Effect::Keyed {
         scope,
         window_us: 1_000_000,
@@ -22,37 +27,37 @@
 
 #[test]
 fn a_time_out_at_the_deadline_is_still_answered() {
-    let mut rig = Rig::with_servers(wide(), 2);
+    let mut rig = Rig::with_servers(unlimited_settings(), 2);
     let (id, actions) = rig.request("c");
-    let server = sent(&actions).expect("sent");
-    let actions = rig.outcome(id, 0, &server, CompletionStatus::NoAnswer, 4_000_000);
-    assert!(refused(&actions) && sent(&actions).is_none());
+    let server = sent_server(&actions).expect("sent");
+    let actions = rig.end_attempt_after(id, 0, &server, CompletionStatus::NoAnswer, 4_000_000);
+    assert!(is_rejected(&actions) && sent_server(&actions).is_none());
     assert_eq!(rig.gateway.open_requests(), 0);
 }
 
 #[test]
-fn where_a_late_answer_is_worth_nothing_the_aim_ends_the_attempt_and_the_request() {
+fn without_late_value_the_latency_objective_ends_attempt_and_request() {
     for (late_worth, expected) in [(0.0, 1_000_000), (0.2, 4_000_000)] {
-        let mut settings = wide();
+        let mut settings = unlimited_settings();
         settings.classes[0].late_weight = late_worth;
         let mut rig = Rig::with_servers(settings, 2);
         let (id, actions) = rig.request("c");
-        let server = sent(&actions).expect("sent");
+        let server = sent_server(&actions).expect("sent");
         let timeout = actions.iter().find_map(|a| match a {
             Action::Send { timeout_us, .. } => Some(*timeout_us),
             _ => None,
         });
         assert_eq!(timeout, Some(expected));
-        let actions = rig.outcome(id, 0, &server, CompletionStatus::NoAnswer, expected);
-        assert!(refused(&actions) && sent(&actions).is_none());
+        let actions = rig.end_attempt_after(id, 0, &server, CompletionStatus::NoAnswer, expected);
+        assert!(is_rejected(&actions) && sent_server(&actions).is_none());
     }
 }
 
 #[test]
-fn a_request_held_without_servers_is_answered_before_its_client_leaves() {
-    let mut rig = Rig::new(wide());
+fn a_request_waiting_for_servers_is_answered_before_its_client_leaves() {
+    let mut rig = Rig::new(unlimited_settings());
     let (id, actions) = rig.request("c");
-    assert!(sent(&actions).is_none() && !refused(&actions));
+    assert!(sent_server(&actions).is_none() && !is_rejected(&actions));
     let timer = actions.iter().find_map(|a| match a {
         Action::SetTimer {
             after_us,
@@ -63,40 +68,44 @@
     let after = timer.expect("a held request needs a timer");
     assert!(after < 4_000_000);
     rig.now += after;
-    assert!(refused(&rig.tell(Event::Timer(Timer::Request(id)))));
+    assert!(is_rejected(&rig.handle(Event::Timer(Timer::Request(id)))));
     assert!(
-        !refused(&rig.tell(Event::Timer(Timer::Request(id)))),
+        !is_rejected(&rig.handle(Event::Timer(Timer::Request(id)))),
         "one answer only"
     );
 }
 
 #[test]
-fn a_held_request_goes_out_when_a_server_is_listed() {
-    let mut rig = Rig::new(wide());
+fn a_waiting_request_is_sent_when_a_server_is_listed() {
+    let mut rig = Rig::new(unlimited_settings());
     rig.request("c");
-    assert!(sent(&rig.list(ListKind::Partial, vec![ServerEntry::ready("s", "a")])).is_some());
+    assert!(sent_server(
+        &rig.update_servers(ListKind::Partial, vec![ServerEntry::ready("s", "a")])
+    )
+    .is_some());
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_is_neither_repeated_nor_refused() {
-    let mut settings = wide();
+fn a_non_idempotent_request_that_may_have_run_is_neither_retried_nor_rejected() {
+    let mut settings = unlimited_settings();
     settings.classes[0].effect = Effect::Once;
     let mut rig = Rig::with_servers(settings, 3);
     let (id, actions) = rig.request("c");
-    let server = sent(&actions).expect("sent");
-    let actions = rig.outcome(id, 0, &server, CompletionStatus::ConnectionLost, 1_000);
-    assert!(sent(&actions).is_none() && !refused(&actions) && failed(&actions));
+    let server = sent_server(&actions).expect("sent");
+    let actions = rig.end_attempt_after(id, 0, &server, CompletionStatus::ConnectionLost, 1_000);
+    assert!(sent_server(&actions).is_none() && !is_rejected(&actions) && is_failed(&actions));
 }
 
 #[test]
-fn an_unsafe_request_that_never_ran_is_tried_elsewhere() {
-    let mut settings = wide();
+fn a_non_idempotent_request_that_never_ran_is_retried_elsewhere() {
+    let mut settings = unlimited_settings();
     settings.classes[0].effect = Effect::Once;
     let mut rig = Rig::with_servers(settings, 3);
     let (id, actions) = rig.request("c");
-    let server = sent(&actions).expect("sent");
-    let again = sent(&rig.outcome(id, 0, &server, CompletionStatus::NoConnection, 1_000))
-        .expect("sent again");
+    let server = sent_server(&actions).expect("sent");
+    let again =
+        sent_server(&rig.end_attempt_after(id, 0, &server, CompletionStatus::NoConnection, 1_000))
+            .expect("sent again");
     assert_ne!(again, server);
 }
 
@@ -104,72 +113,78 @@
 fn a_keyed_request_that_may_have_run_stays_in_its_cell() {
     for _ in 0..8 {
         let mut rig = Rig::new(keyed(Scope::Cell));
-        rig.list(
+        rig.update_servers(
             ListKind::Complete,
             (0..8).map(|i| in_cell(&format!("s{i}"), i / 2)).collect(),
         );
         let (id, actions) = rig.request("c");
-        let server = sent(&actions).expect("sent");
-        let again = sent(&rig.outcome(id, 0, &server, CompletionStatus::ServerError, 1_000))
-            .expect("sent again");
+        let server = sent_server(&actions).expect("sent");
+        let again = sent_server(&rig.end_attempt_after(
+            id,
+            0,
+            &server,
+            CompletionStatus::ServerError,
+            1_000,
+        ))
+        .expect("sent again");
         let cell = |s: &ServerId| s.0[1..].parse::<u64>().expect("number") / 2;
         assert_eq!(cell(&again), cell(&server));
     }
 }
 
 #[test]
-fn a_keyed_request_is_not_repeated_after_its_window_nor_refused_outside_one_group() {
+fn a_keyed_request_is_not_retried_after_its_window_nor_rejected_outside_one_group() {
     let mut rig = Rig::with_servers(keyed(Scope::Cell), 3);
     let (id, actions) = rig.request("c");
-    let server = sent(&actions).expect("sent");
-    let actions = rig.outcome(id, 0, &server, CompletionStatus::ServerError, 1_000_001);
-    assert!(sent(&actions).is_none() && failed(&actions) && !refused(&actions));
+    let server = sent_server(&actions).expect("sent");
+    let actions = rig.end_attempt_after(id, 0, &server, CompletionStatus::ServerError, 1_000_001);
+    assert!(sent_server(&actions).is_none() && is_failed(&actions) && !is_rejected(&actions));
 }
 
 #[test]
 fn never_two_attempts_at_once_where_that_is_forbidden() {
-    let mut settings = wide();
+    let mut settings = unlimited_settings();
     settings.parallel_attempts = false;
     let mut rig = Rig::with_servers(settings, 3);
     let (id, actions) = rig.request("c");
-    assert!(sent(&actions).is_some());
+    assert!(sent_server(&actions).is_some());
     rig.now += 900_000;
-    assert!(sent(&rig.tell(Event::Timer(Timer::Request(id)))).is_none());
+    assert!(sent_server(&rig.handle(Event::Timer(Timer::Request(id)))).is_none());
 }
 
 #[test]
-fn nothing_new_goes_to_a_server_that_drains_or_is_gone() {
-    let mut rig = Rig::with_servers(wide(), 2);
+fn nothing_goes_to_a_draining_or_removed_server() {
+    let mut rig = Rig::with_servers(unlimited_settings(), 2);
     let drained = ServerEntry {
         health: Health::Draining,
         ..ServerEntry::ready("s0", "a")
     };
-    rig.list(ListKind::Partial, vec![drained]);
+    rig.update_servers(ListKind::Partial, vec![drained]);
     for _ in 0..20 {
         let (_, actions) = rig.request("c");
-        assert_eq!(sent(&actions), Some(ServerId("s1".into())));
+        assert_eq!(sent_server(&actions), Some(ServerId("s1".into())));
     }
-    rig.list(ListKind::Complete, vec![ServerEntry::ready("s2", "a")]);
+    rig.update_servers(ListKind::Complete, vec![ServerEntry::ready("s2", "a")]);
     let (_, actions) = rig.request("c");
-    assert_eq!(sent(&actions), Some(ServerId("s2".into())));
+    assert_eq!(sent_server(&actions), Some(ServerId("s2".into())));
 }
 
 #[test]
-fn a_cold_server_gets_no_more_than_its_part_though_it_is_empty() {
-    let mut rig = Rig::with_servers(wide(), 4);
+fn an_idle_server_in_slow_start_gets_no_more_than_its_share() {
+    let mut rig = Rig::with_servers(unlimited_settings(), 4);
     let cold = ServerEntry {
         started_us: rig.now,
         ..ServerEntry::ready("cold", "a")
     };
-    rig.list(ListKind::Partial, vec![cold]);
+    rig.update_servers(ListKind::Partial, vec![cold]);
     let mut to_cold = 0;
     for _ in 0..100 {
         let (id, actions) = rig.request("c");
-        let server = sent(&actions).expect("sent");
+        let server = sent_server(&actions).expect("sent");
         // The others hold what they get; the cold one answers at once and always looks empty.
         if &*server.0 == "cold" {
             to_cold += 1;
-            rig.outcome(id, 0, &server, CompletionStatus::Served, 0);
+            rig.end_attempt_after(id, 0, &server, CompletionStatus::Served, 0);
         }
         rig.now += 20_000;
     }
@@ -183,11 +198,11 @@
 /// Guards against a server that stays unused after it was put back, and that never grows warm: beside idle ones a cold
 /// one is always dear.
 #[test]
-fn a_cold_server_is_used_though_the_others_are_idle() {
+fn a_server_in_slow_start_is_used_though_others_are_idle() {
     let mut rig = Rig::with_servers(
         Settings {
             gateways: 4,
-            ..wide()
+            ..unlimited_settings()
         },
         8,
     );
@@ -195,15 +210,15 @@
         started_us: rig.now,
         ..ServerEntry::ready("cold", "a")
     };
-    rig.list(ListKind::Partial, vec![cold]);
+    rig.update_servers(ListKind::Partial, vec![cold]);
     for second in 0..5 {
         let mut to_cold = 0;
         for _ in 0..50 {
             rig.now += 20_000;
             let (id, actions) = rig.request("c");
-            let server = sent(&actions).expect("sent");
+            let server = sent_server(&actions).expect("sent");
             to_cold += u32::from(&*server.0 == "cold");
-            rig.outcome(id, 0, &server, CompletionStatus::Served, 0);
+            rig.end_attempt_after(id, 0, &server, CompletionStatus::Served, 0);
         }
         assert!(to_cold >= 1 || second == 0, "nothing in second {second}");
         // 50 a second over eight and a fifth.
@@ -216,11 +231,11 @@
 
 /// Latencies grow with queues: were a cold server's part to go by them, it would shrink just when it is needed most.
 #[test]
-fn a_cold_server_keeps_its_part_while_the_others_are_overloaded() {
+fn a_server_in_slow_start_keeps_its_share_while_others_are_overloaded() {
     let mut rig = Rig::with_servers(
         Settings {
             gateways: 2,
-            ..wide()
+            ..unlimited_settings()
         },
         3,
     );
@@ -230,7 +245,7 @@
         let mut to_cold = 0;
         for _ in 0..100 {
             let (id, actions) = rig.request("c");
-            let server = sent(&actions);
+            let server = sent_server(&actions);
             to_cold += u32::from(server.as_ref().is_some_and(|s| &*s.0 == "cold"));
             held.extend(server.map(|s| {
                 let took = if &*s.0 == "cold" { 200_000 } else { took };
@@ -241,16 +256,16 @@
             for (_, id, server, took) in held.extract_if(.., |h| h.0 <= now) {
                 let outcome =
                     AttemptOutcome::new(id, 0, server, CompletionStatus::Served, took).closing();
-                rig.tell(Event::Outcome(outcome));
+                rig.handle(Event::Outcome(outcome));
             }
         }
-        rig.tell(Event::Timer(Timer::Interval));
+        rig.handle(Event::Timer(Timer::Interval));
         if took == 400_000 && to_cold == 0 {
             let cold = ServerEntry {
                 started_us: rig.now,
                 ..ServerEntry::ready("cold", "a")
             };
-            rig.list(ListKind::Partial, vec![cold]);
+            rig.update_servers(ListKind::Partial, vec![cold]);
         }
         to_cold
     };
@@ -263,8 +278,8 @@
     assert!(slow[1..].iter().all(|n| (6..=20).contains(n)), "{slow:?}");
 }
 
-fn with_ceiling() -> Settings {
-    let mut s = wide();
+fn settings_with_ceiling() -> Settings {
+    let mut s = unlimited_settings();
     s.gateways = 2;
     s.plans[0].ceiling = Some(Ceiling {
         rate: 10.0,
@@ -274,12 +289,12 @@
 }
 
 fn passed(rig: &mut Rig, tries: usize) -> usize {
-    passed_by_counter(rig, 2, tries, &mut 0.0)
+    count_admitted_by_counter(rig, 2, tries, &mut 0.0)
 }
 
 #[test]
-fn a_restart_mints_no_second_ceiling_burst() {
-    let mut rig = Rig::with_servers(with_ceiling(), 2);
+fn a_restart_creates_no_second_ceiling_burst() {
+    let mut rig = Rig::with_servers(settings_with_ceiling(), 2);
     assert_eq!(
         passed(&mut rig, 50),
         0,
@@ -296,8 +311,8 @@
 }
 
 #[test]
-fn nothing_heard_raises_the_ceiling_slice() {
-    let mut settings = with_ceiling();
+fn no_message_raises_the_ceiling_slice() {
+    let mut settings = settings_with_ceiling();
     (
         settings.peer_messages,
         settings.peer_messages_per_s,
@@ -306,7 +321,7 @@
     let mut rig = Rig::with_servers(settings, 2);
     for k in 0..200u8 {
         rig.now += 10_000;
-        rig.tell(Event::Peer {
+        rig.handle(Event::Peer {
             from: u32::from(k % 4),
             bytes: [
                 &[3 + k % 2][..],
@@ -316,5 +331,5 @@
             .concat(),
         });
     }
-    assert_eq!(passed_by_counter(&mut rig, 2, 50, &mut -1e9), 10);
+    assert_eq!(count_admitted_by_counter(&mut rig, 2, 50, &mut -1e9), 10);
 }
--- a/crates/traffic-control/tests/streams.rs
+++ b/crates/traffic-control/tests/streams.rs
@@ -3,13 +3,16 @@
 
 mod common;
 
-use frosthatch_traffic_control::*;
-use proptest::prelude::*;
+use frosthatch_traffic_control::{
+    Action, AttemptOutcome, Ceiling, CompletionStatus, Effect, Event, Gateway, Health, ListKind,
+    Micros, Request, RequestId, Scope, ServerEntry, ServerId, Settings, Timer,
+};
+use proptest::prelude::{any, prop_assert, prop_assert_eq, proptest};
 use proptest::test_runner::{Config, RngSeed};
 use std::collections::{BTreeMap, BTreeSet};
 
 fn settings() -> Settings {
-    let mut s = common::wide();
+    let mut s = common::unlimited_settings();
     (
         s.gateways,
         s.peer_messages,
@@ -168,7 +171,7 @@
     #![proptest_config(Config { cases: 64, rng_seed: RngSeed::Fixed(20261128), failure_persistence: None, ..Config::default() })]
 
     #[test]
-    fn the_rules_hold_and_the_same_events_bring_the_same_actions(
+    fn the_rules_hold_and_the_same_events_give_the_same_actions(
         steps in proptest::collection::vec((any::<u8>(), any::<u8>(), 0u32..200_000), 1..300)
     ) {
         let (first, drawn) = play(&steps);
--- a/crates/traffic-control/tests/subsets.rs
+++ b/crates/traffic-control/tests/subsets.rs
@@ -1,18 +1,21 @@
 //! One of many gateways uses a part of many servers, and the rules hold all the same.
 
 mod common;
-use common::*;
-use frosthatch_traffic_control::*;
+use common::{count_sends_one_by_one, sent_server, unlimited_settings, Rig};
+use frosthatch_traffic_control::{
+    CompletionStatus, Effect, Event, Health, ListKind, Scope, ServerEntry, ServerId, Settings,
+    SlowStart,
+};
 use std::collections::BTreeSet;
 
 const GATEWAYS: u32 = 300;
 const SERVERS: usize = 200;
 
-fn one(me: u32, change: impl FnOnce(&mut Settings)) -> Rig {
+fn one_gateway(me: u32, change: impl FnOnce(&mut Settings)) -> Rig {
     let mut settings = Settings {
         gateways: GATEWAYS,
         me,
-        ..wide()
+        ..unlimited_settings()
     };
     change(&mut settings);
     Rig::seeded(settings, u64::from(me))
@@ -26,8 +29,8 @@
 }
 
 /// So many requests, one after the other: where they went.
-fn used(rig: &mut Rig, requests: usize) -> BTreeSet<ServerId> {
-    one_by_one(rig, requests, 50_000, 50_000)
+fn used_servers(rig: &mut Rig, requests: usize) -> BTreeSet<ServerId> {
+    count_sends_one_by_one(rig, requests, 50_000, 50_000)
         .into_keys()
         .collect()
 }
@@ -36,9 +39,9 @@
 fn one_of_many_gateways_uses_few_of_many_servers_and_all_use_all() {
     let mut all = BTreeSet::new();
     for me in 0..GATEWAYS {
-        let mut rig = one(me, |_| {});
-        rig.list(ListKind::Complete, (0..SERVERS).map(entry).collect());
-        let some = used(&mut rig, 100);
+        let mut rig = one_gateway(me, |_| {});
+        rig.update_servers(ListKind::Complete, (0..SERVERS).map(entry).collect());
+        let some = used_servers(&mut rig, 100);
         assert_eq!(some.len(), 7);
         all.extend(some);
     }
@@ -47,17 +50,17 @@
 
 /// Guards against a gateway that clings to its part: when all of it drains others take its place at once.
 #[test]
-fn when_its_servers_drain_others_take_their_place() {
-    let mut rig = one(7, |_| {});
-    rig.list(ListKind::Complete, (0..SERVERS).map(entry).collect());
-    let before = used(&mut rig, 200);
+fn draining_servers_of_a_subset_are_replaced() {
+    let mut rig = one_gateway(7, |_| {});
+    rig.update_servers(ListKind::Complete, (0..SERVERS).map(entry).collect());
+    let before = used_servers(&mut rig, 200);
     let drains = |n: &usize| before.contains(&entry(*n).server);
     let entries = (0..SERVERS).filter(drains).map(|n| ServerEntry {
         health: Health::Draining,
         ..entry(n)
     });
-    rig.list(ListKind::Partial, entries.collect());
-    let after = used(&mut rig, 200);
+    rig.update_servers(ListKind::Partial, entries.collect());
+    let after = used_servers(&mut rig, 200);
     assert!(
         before.is_disjoint(&after),
         "{:?}",
@@ -68,27 +71,33 @@
 
 /// A repeat may go only to the cell that drops it, of which the part may hold no other server.
 #[test]
-fn a_repeat_leaves_the_part_where_only_others_drop_it() {
+fn a_retry_leaves_the_subset_where_only_other_servers_drop_repeats() {
     let keyed = Effect::Keyed {
         scope: Scope::Cell,
         window_us: 1_000_000,
     };
-    let mut rig = one(11, |s| s.classes[0].effect = keyed);
-    rig.list(ListKind::Complete, (0..SERVERS).map(entry).collect());
-    let part = used(&mut rig, 200);
+    let mut rig = one_gateway(11, |s| s.classes[0].effect = keyed);
+    rig.update_servers(ListKind::Complete, (0..SERVERS).map(entry).collect());
+    let part = used_servers(&mut rig, 200);
     let cell = |s: &ServerId| s.0[1..].parse::<usize>().expect("its number") / 4;
     let mut left = 0;
     // The budget for further attempts holds ten.
     for _ in 0..10 {
         rig.now += 200_000;
         let (id, actions) = rig.request("c");
-        let first = sent(&actions).expect("sent");
-        let second = sent(&rig.outcome(id, 0, &first, CompletionStatus::ConnectionLost, 1_000))
-            .expect("sent again");
+        let first = sent_server(&actions).expect("sent");
+        let second = sent_server(&rig.end_attempt_after(
+            id,
+            0,
+            &first,
+            CompletionStatus::ConnectionLost,
+            1_000,
+        ))
+        .expect("sent again");
         assert_eq!(cell(&first), cell(&second));
         assert_ne!(first, second, "the cell has others");
         left += usize::from(!part.contains(&second));
-        rig.outcome(id, 1, &second, CompletionStatus::Served, 1_000);
+        rig.end_attempt_after(id, 1, &second, CompletionStatus::Served, 1_000);
     }
     assert!(left > 0, "of most cells the part has one server");
 }
@@ -96,7 +105,7 @@
 /// What all gateways together send to a cold server within the stated time stays under what makes it fall over, though
 /// only some of them use it, and each has nowhere else to go: all servers are cold.
 #[test]
-fn cold_servers_are_not_pushed_over_by_those_that_use_them() {
+fn servers_in_slow_start_are_not_overloaded_by_the_gateways_that_use_them() {
     let cold = SlowStart {
         initial_share: 0.27,
         duration_us: 18_000_000,
@@ -105,13 +114,13 @@
     };
     let mut to_each = std::collections::BTreeMap::<ServerId, usize>::new();
     for me in 0..GATEWAYS {
-        let mut rig = one(me, |s| s.slow_start = cold);
-        rig.list(ListKind::Complete, (0..SERVERS).map(entry).collect());
+        let mut rig = one_gateway(me, |s| s.slow_start = cold);
+        rig.update_servers(ListKind::Complete, (0..SERVERS).map(entry).collect());
         // What attempts take is learned first.
-        used(&mut rig, 20);
+        used_servers(&mut rig, 20);
         rig.interval();
         let now = rig.now;
-        rig.list(
+        rig.update_servers(
             ListKind::Complete,
             (0..SERVERS)
                 .map(|n| ServerEntry {
@@ -123,9 +132,9 @@
         for _ in 0..60 {
             rig.now += 50_000;
             let (id, actions) = rig.request("c");
-            if let Some(server) = sent(&actions) {
+            if let Some(server) = sent_server(&actions) {
                 *to_each.entry(server.clone()).or_default() += 1;
-                rig.outcome(id, 0, &server, CompletionStatus::Served, 0);
+                rig.end_attempt_after(id, 0, &server, CompletionStatus::Served, 0);
             }
         }
     }
@@ -144,16 +153,16 @@
 
 /// Where gateways know who is there, those that are left take all servers over; few that are left use all.
 #[test]
-fn those_that_are_left_use_all_servers_between_them() {
+fn the_remaining_gateways_use_all_servers_together() {
     let (numbers, left): (Vec<u32>, Vec<u32>) =
         ((0..30).collect(), (0..30).filter(|n| n % 3 > 0).collect());
     let of = |gateways: &[u32], shown: &[u32]| {
         let mut all = BTreeSet::new();
         for me in gateways {
-            let mut rig = one(*me, |s| s.gateways = 30);
-            rig.list(ListKind::Complete, (0..60).map(entry).collect());
-            rig.tell(Event::Gateways(shown.to_vec()));
-            all.extend(used(&mut rig, 400));
+            let mut rig = one_gateway(*me, |s| s.gateways = 30);
+            rig.update_servers(ListKind::Complete, (0..60).map(entry).collect());
+            rig.handle(Event::Gateways(shown.to_vec()));
+            all.extend(used_servers(&mut rig, 400));
         }
         all.len()
     };
@@ -169,17 +178,17 @@
 
 /// All that a gateway uses fails, and the list does not know: it turns to others, and back when they are well.
 #[test]
-fn when_all_of_its_servers_fail_it_turns_to_others() {
-    let mut rig = one(7, |_| {});
-    rig.list(ListKind::Complete, (0..SERVERS).map(entry).collect());
-    let part = used(&mut rig, 200);
+fn a_gateway_whose_servers_all_fail_uses_others() {
+    let mut rig = one_gateway(7, |_| {});
+    rig.update_servers(ListKind::Complete, (0..SERVERS).map(entry).collect());
+    let part = used_servers(&mut rig, 200);
     let mut served = 0;
     for _ in 0..200 {
         rig.now += 50_000;
         let (id, actions) = rig.request("c");
-        let first = sent(&actions).expect("sent");
+        let first = sent_server(&actions).expect("sent");
         let bad = part.contains(&first);
-        rig.outcome(
+        rig.end_attempt_after(
             id,
             0,
             &first,
@@ -190,11 +199,11 @@
             },
             1_000,
         );
-        rig.tell(Event::ClientGone(id));
+        rig.handle(Event::ClientGone(id));
         served += usize::from(!bad);
     }
     assert!(served > 120, "{served} of 200");
-    used(&mut rig, 600);
-    let after = used(&mut rig, 200);
+    used_servers(&mut rig, 600);
+    let after = used_servers(&mut rig, 200);
     assert!(after.is_subset(&part) && after.len() > 3, "{after:?}");
 }
--- a/crates/traffic-control/tests/terms.rs
+++ b/crates/traffic-control/tests/terms.rs
@@ -2,8 +2,11 @@
 //! while nobody knows which hold.
 
 mod common;
-use common::*;
-use frosthatch_traffic_control::*;
+use common::{is_rejected, sent_server, Rig};
+use frosthatch_traffic_control::{
+    Action, Ceiling, CompletionStatus, Event, LeaseState, ListKind, Plan, PolicyTerms, RetryBudget,
+    ServerEntry, Settings, Timer,
+};
 
 fn plan(rate: f64, burst: f64, ceiling: Option<f64>) -> Plan {
     let ceiling = ceiling.map(|c| Ceiling { rate: c, depth: c });
@@ -31,13 +34,13 @@
 }
 
 /// So many of the requests that come now, one after another, are sent on; each is served at once.
-fn passes(rig: &mut Rig, most: usize) -> usize {
+fn count_admitted(rig: &mut Rig, most: usize) -> usize {
     let mut passed = 0;
     for _ in 0..most {
         let (id, actions) = rig.request("c");
-        if let Some(server) = sent(&actions) {
+        if let Some(server) = sent_server(&actions) {
             passed += 1;
-            rig.outcome(id, 0, &server, CompletionStatus::Served, 0);
+            rig.end_attempt_after(id, 0, &server, CompletionStatus::Served, 0);
         }
     }
     passed
@@ -46,32 +49,32 @@
 #[test]
 fn a_lowered_quota_holds_at_once_for_a_customer_at_its_limit() {
     let mut rig = Rig::with_servers(settings(plan(10.0, 20.0, None)), 2);
-    assert_eq!(passes(&mut rig, 15), 15);
-    rig.tell(terms(plan(2.0, 4.0, None)));
+    assert_eq!(count_admitted(&mut rig, 15), 15);
+    rig.handle(terms(plan(2.0, 4.0, None)));
     assert_eq!(
-        passes(&mut rig, 15),
+        count_admitted(&mut rig, 15),
         4,
         "of the five that were left as many as fit the smaller store"
     );
     rig.now += 1_000_000;
-    assert_eq!(passes(&mut rig, 15), 2);
+    assert_eq!(count_admitted(&mut rig, 15), 2);
 }
 
 #[test]
-fn a_raised_quota_gives_nothing_back_that_was_used_and_fills_by_the_smaller_at_first() {
+fn a_raised_quota_returns_nothing_used_and_fills_by_the_smaller_at_first() {
     let mut rig = Rig::with_servers(settings(plan(2.0, 4.0, None)), 2);
-    assert_eq!(passes(&mut rig, 10), 4);
-    rig.tell(terms(plan(40.0, 40.0, None)));
-    assert_eq!(passes(&mut rig, 10), 0, "what was used is used");
+    assert_eq!(count_admitted(&mut rig, 10), 4);
+    rig.handle(terms(plan(40.0, 40.0, None)));
+    assert_eq!(count_admitted(&mut rig, 10), 0, "what was used is used");
     // Half of the window: by the smaller rate a quarter of a unit.
     rig.now += 125_000;
-    rig.tell(Event::Timer(Timer::Interval));
-    assert_eq!(passes(&mut rig, 10), 0);
+    rig.handle(Event::Timer(Timer::Interval));
+    assert_eq!(count_admitted(&mut rig, 10), 0);
     rig.now += 125_000;
-    rig.tell(Event::Timer(Timer::Interval));
+    rig.handle(Event::Timer(Timer::Interval));
     rig.now += 500_000;
     assert_eq!(
-        passes(&mut rig, 100),
+        count_admitted(&mut rig, 100),
         20,
         "half a second by the new rate, and half a unit from before"
     );
@@ -84,13 +87,13 @@
         let mut rig = Rig::with_servers(settings(plan(100.0, 100.0, Some(first))), 2);
         rig.now += 5_000_000;
         // The first customer's slice fills from the start on.
-        passes(&mut rig, 200);
+        count_admitted(&mut rig, 200);
         rig.now += 2_000_000;
-        rig.tell(terms(plan(100.0, 100.0, Some(then))));
+        rig.handle(terms(plan(100.0, 100.0, Some(then))));
         let within: usize = (0..10)
             .map(|_| {
                 rig.now += 25_000;
-                passes(&mut rig, 50)
+                count_admitted(&mut rig, 50)
             })
             .sum();
         let smaller = f64::min(first, then);
@@ -101,7 +104,7 @@
         let after: usize = (0..100)
             .map(|_| {
                 rig.now += 25_000;
-                passes(&mut rig, 50)
+                count_admitted(&mut rig, 50)
             })
             .sum();
         assert!(
@@ -116,18 +119,21 @@
 }
 
 #[test]
-fn while_it_turns_requests_are_held_and_decided_on_by_what_holds_then() {
+fn requests_wait_while_the_policy_changes_and_are_decided_under_the_new_one() {
     let mut rig = Rig::with_servers(settings(plan(10.0, 20.0, None)), 2);
-    rig.tell(Event::LeaseStateChanged(LeaseState::Pending));
+    rig.handle(Event::LeaseStateChanged(LeaseState::Pending));
     for _ in 0..6 {
         let (_, actions) = rig.request("c");
-        assert!(sent(&actions).is_none() && !refused(&actions));
+        assert!(sent_server(&actions).is_none() && !is_rejected(&actions));
     }
     // News of the list lets none of them in.
-    assert!(sent(&rig.list(ListKind::Complete, vec![ServerEntry::ready("s9", "a")])).is_none());
+    assert!(sent_server(
+        &rig.update_servers(ListKind::Complete, vec![ServerEntry::ready("s9", "a")])
+    )
+    .is_none());
     rig.now += 60_000;
-    rig.tell(terms(plan(1.0, 2.0, None)));
-    let actions = rig.tell(Event::LeaseStateChanged(LeaseState::Held));
+    rig.handle(terms(plan(1.0, 2.0, None)));
+    let actions = rig.handle(Event::LeaseStateChanged(LeaseState::Held));
     let n = |which: fn(&Action) -> bool| actions.iter().filter(|a| which(a)).count();
     assert_eq!(
         n(|a| matches!(a, Action::Send { .. })),
@@ -142,9 +148,9 @@
 }
 
 #[test]
-fn one_that_is_held_too_long_is_answered_while_its_client_can_try_elsewhere() {
+fn a_request_that_waits_too_long_is_answered_while_its_client_can_try_elsewhere() {
     let mut rig = Rig::with_servers(settings(plan(10.0, 20.0, None)), 2);
-    rig.tell(Event::LeaseStateChanged(LeaseState::Pending));
+    rig.handle(Event::LeaseStateChanged(LeaseState::Pending));
     let (id, actions) = rig.request("c");
     let after = actions.iter().find_map(|a| match a {
         Action::SetTimer {
@@ -154,19 +160,19 @@
         _ => None,
     });
     rig.now += after.expect("a timer");
-    assert!(refused(&rig.tell(Event::Timer(Timer::Request(id)))));
+    assert!(is_rejected(&rig.handle(Event::Timer(Timer::Request(id)))));
 }
 
 #[test]
-fn without_a_policy_all_are_refused_at_once_and_what_was_let_in_goes_on() {
+fn without_a_policy_requests_are_rejected_and_admitted_ones_go_on() {
     let mut rig = Rig::with_servers(settings(plan(10.0, 20.0, None)), 2);
     let (running, actions) = rig.request("c");
-    let server = sent(&actions).expect("sent");
-    rig.tell(Event::LeaseStateChanged(LeaseState::Pending));
+    let server = sent_server(&actions).expect("sent");
+    rig.handle(Event::LeaseStateChanged(LeaseState::Pending));
     let (_, held) = rig.request("c");
-    assert!(!refused(&held));
+    assert!(!is_rejected(&held));
     assert!(
-        refused(&rig.tell(Event::LeaseStateChanged(LeaseState::Missing))),
+        is_rejected(&rig.handle(Event::LeaseStateChanged(LeaseState::Missing))),
         "what was held is answered"
     );
     let (_, actions) = rig.request("c");
@@ -176,14 +182,14 @@
     });
     assert_eq!(after, Some(1_000_000));
     // Its first attempt was let in: a further one is no other request.
-    let actions = rig.outcome(running, 0, &server, CompletionStatus::Rejected, 10_000);
-    assert!(sent(&actions).is_some());
-    rig.tell(Event::LeaseStateChanged(LeaseState::Held));
-    assert!(sent(&rig.request("c").1).is_some());
+    let actions = rig.end_attempt_after(running, 0, &server, CompletionStatus::Rejected, 10_000);
+    assert!(sent_server(&actions).is_some());
+    rig.handle(Event::LeaseStateChanged(LeaseState::Held));
+    assert!(sent_server(&rig.request("c").1).is_some());
 }
 
 #[test]
-fn the_smaller_of_two_is_that_of_each_figure() {
+fn the_smaller_terms_take_the_smaller_of_each_figure() {
     let set = Settings::example();
     let of = |rate: f64, burst: f64, cap: u32, ceiling: Option<f64>| {
         let ceiling = ceiling.map(|c| Ceiling { rate: c, depth: c });
--- a/crates/traffic-control/tests/wide_sets.rs
+++ b/crates/traffic-control/tests/wide_sets.rs
@@ -2,13 +2,16 @@
 #![expect(clippy::items_after_statements)]
 
 mod common;
-use common::*;
-use frosthatch_traffic_control::*;
+use common::{is_rejected, reply_to_calls, sent_server, unlimited_settings, Rig};
+use frosthatch_traffic_control::{
+    Action, AttemptOutcome, Ceiling, CompletionStatus, CustomerId, Event, ListKind, Micros,
+    Request, RequestId, ServerEntry, Settings, Timer,
+};
 
 const GATEWAYS: u32 = 100;
 
 /// One of many gateways. The plan's burst spread over the set is under one request.
-fn one(seed: u64) -> Rig {
+fn one_gateway(seed: u64) -> Rig {
     let mut settings = Settings {
         gateways: GATEWAYS,
         counter: true,
@@ -16,10 +19,10 @@
     };
     settings.me = seed as u32 % GATEWAYS;
     (settings.plans[0].overrun_cost, settings.plans[0].price) = (0.5, 1.0);
-    Rig::seeded(settings, seed).listing(4)
+    Rig::seeded(settings, seed).with_listed(4)
 }
 
-fn calls(actions: &[Action]) -> Vec<(String, f64, Micros)> {
+fn counter_calls(actions: &[Action]) -> Vec<(String, f64, Micros)> {
     let call = |a: &Action| match a {
         Action::AddToCounter {
             name,
@@ -31,18 +34,18 @@
     actions.iter().filter_map(call).collect()
 }
 
-fn named(customer: u64) -> impl FnOnce(&mut Request) {
+fn from_customer(customer: u64) -> impl FnOnce(&mut Request) {
     move |r| (r.gateway_count, r.customer) = (GATEWAYS, CustomerId(format!("c{customer}").into()))
 }
 
 /// Guards against a fleet that begins, or begins anew after a release, with all the calls that it saved up.
 #[test]
-fn many_gateways_that_begin_at_once_make_few_calls() {
+fn many_gateways_that_start_at_once_make_few_calls() {
     let made: usize = (0..u64::from(GATEWAYS))
         .map(|seed| {
-            let mut rig = one(seed);
+            let mut rig = one_gateway(seed);
             (0..10)
-                .map(|c| calls(&rig.ask(named(c)).1).len())
+                .map(|c| counter_calls(&rig.request_with(from_customer(c)).1).len())
                 .sum::<usize>()
         })
         .sum();
@@ -54,23 +57,23 @@
 
 /// Asked in vain, a slice of next to nothing is no reason to refuse.
 #[test]
-fn a_customer_of_whom_nothing_is_known_is_passed_on_when_the_counter_says_nothing() {
-    let mut rig = one(1);
-    let (id, actions) = rig.ask(named(1));
-    assert_eq!(calls(&actions).len(), 1, "it asks: {actions:?}");
-    let told = settle_as(&mut rig, actions, &mut 0.0, || CompletionStatus::NoAnswer);
-    let server = sent(&told).expect("passed on");
+fn an_unknown_customer_is_admitted_when_the_counter_is_silent() {
+    let mut rig = one_gateway(1);
+    let (id, actions) = rig.request_with(from_customer(1));
+    assert_eq!(counter_calls(&actions).len(), 1, "it asks: {actions:?}");
+    let told = reply_to_calls(&mut rig, actions, &mut 0.0, || CompletionStatus::NoAnswer);
+    let server = sent_server(&told).expect("passed on");
     // The meter says that the customer uses four times its quota: as many pass as leave it used in sum.
     let mut o = AttemptOutcome::new(id, 0, server, CompletionStatus::Served, 50_000);
     (o.closed, o.metered_use) = (true, Some(4.0));
-    rig.tell(Event::Outcome(o));
+    rig.handle(Event::Outcome(o));
     let mut passed = 0;
     for _ in 0..200 {
-        let (id, actions) = rig.ask(named(1));
-        let actions = settle_as(&mut rig, actions, &mut 0.0, || CompletionStatus::Rejected);
-        if let Some(server) = sent(&actions) {
+        let (id, actions) = rig.request_with(from_customer(1));
+        let actions = reply_to_calls(&mut rig, actions, &mut 0.0, || CompletionStatus::Rejected);
+        if let Some(server) = sent_server(&actions) {
             passed += 1;
-            rig.outcome(id, 0, &server, CompletionStatus::Served, 0);
+            rig.end_attempt_after(id, 0, &server, CompletionStatus::Served, 0);
         }
     }
     assert!(
@@ -81,7 +84,7 @@
 
 /// Many gateways with neither a counter nor each other's word, each with a request of a customer now and then. Its quota is 2
 /// units a second; it asks for so many, one at a time. How many are passed on in each second, `metered` or not.
-fn passed_without_a_counter(per_s: usize, metered: bool) -> Vec<usize> {
+fn admitted_without_counter(per_s: usize, metered: bool) -> Vec<usize> {
     let mut settings = Settings {
         gateways: GATEWAYS,
         counter: false,
@@ -103,7 +106,7 @@
                 },
                 me.into(),
             )
-            .listing(4)
+            .with_listed(4)
         })
         .collect();
     let (mut asked, mut passed) = (0, vec![0; 40]);
@@ -113,8 +116,8 @@
             asked += 1;
             let rig = &mut rigs[asked * 37 % GATEWAYS as usize];
             rig.now = begins + (second as u64 * 1_000_000) + (n * 1_000_000 / per_s) as u64;
-            let (id, actions) = rig.ask(|r| (r.gateway_count, r.units) = (GATEWAYS, 1.0));
-            let Some(server) = sent(&actions) else {
+            let (id, actions) = rig.request_with(|r| (r.gateway_count, r.units) = (GATEWAYS, 1.0));
+            let Some(server) = sent_server(&actions) else {
                 continue;
             };
             passed[second] += 1;
@@ -122,7 +125,7 @@
             // Of the last period that is over.
             let told = passed[second.saturating_sub(1)] as f64 / 2.0;
             (o.closed, o.metered_use) = (true, metered.then_some(told));
-            rig.tell(Event::Outcome(o));
+            rig.handle(Event::Outcome(o));
         }
     }
     passed
@@ -130,17 +133,17 @@
 
 /// Guards against a fleet without a counter that refuses nearly all: an even slice is a hundredth of a quota, and says nothing.
 #[test]
-fn without_a_counter_a_customer_within_its_quota_is_passed_on() {
+fn without_a_counter_a_customer_within_its_quota_is_admitted() {
     for metered in [true, false] {
-        let passed: usize = passed_without_a_counter(1, metered).iter().sum();
+        let passed: usize = admitted_without_counter(1, metered).iter().sum();
         assert!(passed >= 36, "{passed} of 40, metered {metered}");
     }
 }
 
 /// Guards against passing all that is asked for where the meter tells of too much.
 #[test]
-fn without_a_counter_a_customer_that_asks_for_too_much_is_held_by_the_meter() {
-    let passed = passed_without_a_counter(12, true);
+fn without_a_counter_the_meter_limits_a_customer_that_overuses() {
+    let passed = admitted_without_counter(12, true);
     let late: usize = passed[10..].iter().sum();
     let times = late as f64 / (passed.len() - 10) as f64 / 2.0;
     assert!(
@@ -151,19 +154,19 @@
 
 /// Guards against use that stays untold until its customer comes again, which may be never.
 #[test]
-fn what_was_asked_for_and_not_used_goes_back_though_its_customer_stays_away() {
-    let mut rig = one(1);
-    let (_, actions) = rig.ask(|r| (r.gateway_count, r.units) = (GATEWAYS, 3.0));
-    let [(name, asked, _)] = &calls(&actions)[..] else {
+fn unused_reserved_units_are_returned_though_their_customer_stays_away() {
+    let mut rig = one_gateway(1);
+    let (_, actions) = rig.request_with(|r| (r.gateway_count, r.units) = (GATEWAYS, 3.0));
+    let [(name, asked, _)] = &counter_calls(&actions)[..] else {
         panic!("it asks: {actions:?}")
     };
-    let mut told = rig.tell(Event::CounterReply {
+    let mut told = rig.handle(Event::CounterReply {
         name: name.clone(),
         status: CompletionStatus::Served,
         total: 1e3,
     });
-    assert!(refused(&told), "all is used: {told:?}");
-    let mut back = calls(&told).iter().map(|c| c.1).sum::<f64>();
+    assert!(is_rejected(&told), "all is used: {told:?}");
+    let mut back = counter_calls(&told).iter().map(|c| c.1).sum::<f64>();
     for _ in 0..10 {
         let timers: Vec<(Micros, Timer)> = told
             .iter()
@@ -178,16 +181,16 @@
         told.clear();
         for (after_us, timer) in timers {
             rig.now += after_us;
-            told.extend(rig.tell(Event::Timer(timer)));
+            told.extend(rig.handle(Event::Timer(timer)));
         }
-        back += calls(&told).iter().map(|c| c.1).sum::<f64>();
+        back += counter_calls(&told).iter().map(|c| c.1).sum::<f64>();
     }
     assert_eq!(back, -asked);
 }
 
 /// A cap over so many gateways is one sum, which begins anew every few seconds: what a gateway that died held is free again.
 #[test]
-fn places_that_a_dead_gateway_held_are_free_again_soon() {
+fn permits_of_a_dead_gateway_are_soon_free_again() {
     let mut settings = Settings {
         gateways: GATEWAYS,
         counter: true,
@@ -201,9 +204,9 @@
     settings.plans[0].overrun_cost = 1.0;
     let mut counts = std::collections::HashMap::new();
     let mut passes = |seed: u64, later: Micros, ends: bool| {
-        let mut rig = Rig::seeded(settings.clone(), seed).listing(4);
+        let mut rig = Rig::seeded(settings.clone(), seed).with_listed(4);
         rig.now += later;
-        let (id, mut actions) = rig.ask(named(1));
+        let (id, mut actions) = rig.request_with(from_customer(1));
         let mut server = None;
         let mut k = 0;
         while k < actions.len() {
@@ -216,10 +219,16 @@
                         status: CompletionStatus::Served,
                         total: *total,
                     };
-                    actions.extend(rig.tell(told));
+                    actions.extend(rig.handle(told));
                 }
                 Action::Send { server: to, .. } if ends => {
-                    actions.extend(rig.outcome(id, 0, &to, CompletionStatus::Served, 50_000));
+                    actions.extend(rig.end_attempt_after(
+                        id,
+                        0,
+                        &to,
+                        CompletionStatus::Served,
+                        50_000,
+                    ));
                     server = Some(to);
                 }
                 Action::Send { server: to, .. } => server = Some(to),
@@ -246,17 +255,17 @@
 
 /// Where each server is met rarely its own answers tell too late that all of its zone is gone.
 #[test]
-fn a_zone_that_is_gone_is_left_after_a_few_failures_and_tried_again() {
-    let mut settings = wide();
+fn a_lost_zone_is_avoided_after_a_few_failures_and_tried_again() {
+    let mut settings = unlimited_settings();
     settings.gateways = GATEWAYS;
     let mut rig = Rig::new(settings);
     let entry = |n: usize| ServerEntry::ready(&format!("s{n}"), if n < 30 { "a" } else { "b" });
-    rig.list(ListKind::Complete, (0..60).map(entry).collect());
+    rig.update_servers(ListKind::Complete, (0..60).map(entry).collect());
     let play = |rig: &mut Rig, tries: usize, gone: bool| {
         let mut to_a = 0;
         for _ in 0..tries {
             let (id, actions) = rig.request("c");
-            let server = sent(&actions).expect("a server");
+            let server = sent_server(&actions).expect("a server");
             let in_a = server.0[1..].parse::<usize>().expect("its number") < 30;
             to_a += usize::from(in_a);
             let lost = in_a && gone;
@@ -265,12 +274,17 @@
             } else {
                 CompletionStatus::Served
             };
-            let again =
-                sent(&rig.outcome(id, 0, &server, status, if lost { 250_000 } else { 100_000 }));
-            rig.tell(Event::ClientGone(id));
+            let again = sent_server(&rig.end_attempt_after(
+                id,
+                0,
+                &server,
+                status,
+                if lost { 250_000 } else { 100_000 },
+            ));
+            rig.handle(Event::ClientGone(id));
             // Its client does not wait for the further attempt, which is called off.
             if let Some(server) = again {
-                rig.outcome(id, 1, &server, CompletionStatus::Cancelled, 0);
+                rig.end_attempt_after(id, 1, &server, CompletionStatus::Cancelled, 0);
             }
             rig.now += 50_000;
         }
@@ -300,7 +314,7 @@
         depth: 120.0,
     });
     s.plans[0].overrun_cost = 1.0;
-    Rig::seeded(s, u64::from(me)).listing(4)
+    Rig::seeded(s, u64::from(me)).with_listed(4)
 }
 
 /// The part of a ceiling above the quota is all that passes without the count's word, by all gateways together, and the
@@ -317,7 +331,7 @@
                 rig.now += 10_000;
             }
             let rig = &mut rigs[(k * 7 % u64::from(SET)) as usize];
-            let (id, actions) = rig.ask(|r| (r.gateway_count, r.units) = (SET, 3.0));
+            let (id, actions) = rig.request_with(|r| (r.gateway_count, r.units) = (SET, 3.0));
             let mut how = || {
                 n += 1;
                 if answers && n % 5 != 4 {
@@ -326,15 +340,15 @@
                     CompletionStatus::Rejected
                 }
             };
-            let actions = settle_as(rig, actions, &mut total, &mut how);
-            if let Some(server) = sent(&actions) {
+            let actions = reply_to_calls(rig, actions, &mut total, &mut how);
+            if let Some(server) = sent_server(&actions) {
                 passed += 3.0;
-                let ended = rig.outcome(id, 0, &server, CompletionStatus::Served, 0);
-                settle_as(rig, ended, &mut total, &mut how);
+                let ended = rig.end_attempt_after(id, 0, &server, CompletionStatus::Served, 0);
+                reply_to_calls(rig, ended, &mut total, &mut how);
             }
             for rig in &mut rigs {
                 if k % 100 == 99 {
-                    rig.tell(Event::Timer(Timer::Interval));
+                    rig.handle(Event::Timer(Timer::Interval));
                 }
             }
         }
@@ -353,31 +367,31 @@
 /// Guards against refusals for want of units that nobody asked for: what comes to wait while a call is out is asked for
 /// before it is decided.
 #[test]
-fn requests_that_wait_for_anothers_call_are_asked_for_too() {
+fn requests_that_wait_for_another_call_are_queried_too() {
     const SET: u32 = 10;
     let mut rig = one_with_a_ceiling(0);
     let asks = |r: &mut Request| (r.gateway_count, r.units) = (SET, 3.0);
     // What the slice above the quota holds at the start is nothing, so all goes by the count.
-    let (first, actions) = rig.ask(asks);
-    let [(name, asked, _)] = &calls(&actions)[..] else {
+    let (first, actions) = rig.request_with(asks);
+    let [(name, asked, _)] = &counter_calls(&actions)[..] else {
         panic!("it asks: {actions:?}")
     };
-    let waiting: Vec<RequestId> = (0..2).map(|_| rig.ask(asks).0).collect();
+    let waiting: Vec<RequestId> = (0..2).map(|_| rig.request_with(asks).0).collect();
     // Of the count's life 40 s are over, in which 400 units came in and were used, and 20 more.
     let mut total = 420.0 + asked;
-    let told = rig.tell(Event::CounterReply {
+    let told = rig.handle(Event::CounterReply {
         name: name.clone(),
         status: CompletionStatus::Served,
         total,
     });
     assert!(
-        !refused(&told),
+        !is_rejected(&told),
         "nobody is refused before it was asked for: {told:?}"
     );
-    let again = calls(&told);
+    let again = counter_calls(&told);
     assert_eq!(again.len(), 1, "one call for all that wait: {told:?}");
     total += again[0].1;
-    let told = rig.tell(Event::CounterReply {
+    let told = rig.handle(Event::CounterReply {
         name: name.clone(),
         status: CompletionStatus::Served,
         total,
