--- a/crates/traffic-control/tests/fleet/main.rs
+++ b/crates/traffic-control/tests/fleet/main.rs
@@ -1,11 +1,4 @@
 //! Many gateways: what all of them together do where each one's part is under one request.
-#![expect(
-    clippy::default_trait_access,
-    clippy::items_after_statements,
-    clippy::match_bool,
-    clippy::semicolon_if_nothing_returned,
-    clippy::too_many_lines
-)]
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -133,7 +126,8 @@
 fn many_gateways_together_stay_within_a_slow_start_budget() {
     for gateways in [3, 150, 600] {
         let mut rigs = fleet(gateways, |s| {
-            (s.plans[0].rate, s.plans[0].burst) = (1e6, 1e6)
+            s.plans[0].rate = 1e6;
+            s.plans[0].burst = 1e6;
         });
         let mut to_cold = 0;
         for rig in &mut rigs {
@@ -216,7 +210,8 @@
         let mut calls = [0, 0];
         for k in 0..1200 {
             let (_, actions) = rig.request_with(|r| {
-                (r.gateway_count, r.customer) = (150, CustomerId(format!("c{k}").into()))
+                r.gateway_count = 150;
+                r.customer = CustomerId(format!("c{k}").into());
             });
             rig.now += 50_000;
             for a in actions {
--- a/crates/traffic-control/tests/fleet/slow_start.rs
+++ b/crates/traffic-control/tests/fleet/slow_start.rs
@@ -1,171 +1,288 @@
 //! What all gateways together send to a server in slow start.
 
+use crate::common::Rig;
 use crate::fleet;
 use frosthatch_traffic_control::{
     Action, CompletionStatus, Event, ListKind, Micros, RequestId, ServerEntry, ServerId, Settings,
-    Timer,
+    SlowStart, Timer,
 };
+use std::collections::BTreeMap;
 
-/// What a server that has just started gets of a whole fleet, in the worst span of the time that the settings name, beside what
-/// they allow it then. Each gateway hears of the start at another moment, every fifth begins anew in the middle, and `warm`
-/// says whether one warm server is left, which cannot do all that is asked for. A server works on as many at once as it has cores, and the others wait.
-fn worst_span_of_server_in_slow_start(
-    gateways: u32,
-    cores: usize,
-    warm: bool,
-    seed: u64,
-) -> (usize, f64) {
-    const WORK_US: Micros = 50_000;
-    let change = |s: &mut Settings| {
-        (s.plans[0].rate, s.plans[0].burst) = (1e6, 1e6);
-        s.counter = true;
-    };
-    let list = |at: Micros| {
-        let cold = ServerEntry {
-            started_us: at,
-            ..ServerEntry::ready("cold", "a")
-        };
-        [warm.then(|| ServerEntry::ready("warm", "a")), Some(cold)]
-            .into_iter()
-            .flatten()
-            .collect()
-    };
-    let mut rigs = fleet(gateways, change);
-    let cold = Settings::example().slow_start;
-    let begins = rigs[0].now;
-    let mut dice = seed;
-    let mut draw = |below: u64| {
-        dice = dice
+/// Work of a request at a warm core.
+const WORK_US: Micros = 50_000;
+
+/// Indices of the two servers.
+const WARM: usize = 0;
+const COLD: usize = 1;
+
+/// An attempt that ends.
+struct EndedAttempt {
+    gateway: usize,
+    request: RequestId,
+    attempt: u32,
+    server: ServerId,
+    status: CompletionStatus,
+    elapsed_us: Micros,
+}
+
+/// What is due at a time.
+enum Due {
+    Answer(EndedAttempt),
+    ListUpdate(usize),
+    Restart(usize),
+    Interval(usize),
+    Request(usize),
+}
+
+/// Events by time, then in the order in which they were scheduled.
+#[derive(Default)]
+struct Schedule {
+    due: BTreeMap<(Micros, u64), Due>,
+    scheduled: u64,
+}
+
+impl Schedule {
+    fn add(&mut self, at: Micros, event: Due) {
+        self.scheduled += 1;
+        self.due.insert((at, self.scheduled), event);
+    }
+}
+
+/// A linear congruential generator.
+struct Dice(u64);
+
+impl Dice {
+    fn draw(&mut self, below: u64) -> u64 {
+        self.0 = self
+            .0
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
-        (dice >> 33) % below
-    };
-    // By time: who has something to do, and what: an answer, news of the start, a new beginning, an interval, a request.
-    enum Due {
-        Answer(usize, RequestId, u32, ServerId, CompletionStatus, Micros),
-        News(usize),
-        Anew(usize),
-        Interval(usize),
-        Request(usize),
+        (self.0 >> 33) % below
     }
-    let mut due: std::collections::BTreeMap<(Micros, u64), Due> = Default::default();
-    let mut n = 0;
-    let mut at =
-        |due: &mut std::collections::BTreeMap<(Micros, u64), Due>, t: Micros, what: Due| {
-            n += 1;
-            due.insert((t, n), what);
-        };
-    for g in 0..rigs.len() {
-        at(&mut due, begins + draw(1_000_000), Due::News(g));
-        if g % 5 == 4 {
-            at(&mut due, begins + 2_000_000 + draw(1_000_000), Due::Anew(g));
+}
+
+/// What a server got in a span of time, beside what it may get.
+#[derive(Clone, Copy)]
+struct Span {
+    sent: usize,
+    allowed: f64,
+}
+
+impl Span {
+    fn excess(&self) -> f64 {
+        self.sent as f64 - self.allowed
+    }
+}
+
+/// A fleet of gateways, a server in slow start, and perhaps a warm one that cannot do all that is asked for. A server works
+/// on as many requests at once as it has cores; the others wait.
+struct Play {
+    gateways: u32,
+    cores: usize,
+    has_warm_server: bool,
+    began_us: Micros,
+    slow_start: SlowStart,
+    rigs: Vec<Rig>,
+    schedule: Schedule,
+    attempts: BTreeMap<(usize, RequestId), u32>,
+    /// When each core of the warm server and of the cold one is free.
+    cores_free_at: [Vec<Micros>; 2],
+    sent_to_cold_at: Vec<Micros>,
+}
+
+fn change(settings: &mut Settings) {
+    settings.plans[0].rate = 1e6;
+    settings.plans[0].burst = 1e6;
+    settings.counter = true;
+}
+
+impl Play {
+    fn new(gateways: u32, cores: usize, has_warm_server: bool) -> Play {
+        let rigs = fleet(gateways, change);
+        Play {
+            gateways,
+            cores,
+            has_warm_server,
+            began_us: rigs[0].now,
+            slow_start: Settings::example().slow_start,
+            rigs,
+            schedule: Schedule::default(),
+            attempts: BTreeMap::new(),
+            cores_free_at: [vec![0; cores], vec![0; cores]],
+            sent_to_cold_at: Vec::new(),
         }
-        (1..6).for_each(|s| at(&mut due, begins + s * 1_000_000, Due::Interval(g)));
     }
-    for k in 0..300 * cores as u64 {
-        at(
-            &mut due,
-            begins + k * 20_000 / cores as u64,
-            Due::Request(draw(rigs.len() as u64) as usize),
-        );
+
+    /// Each gateway hears of the start at another moment, and every fifth restarts in the middle.
+    fn schedule_events(&mut self, seed: u64) {
+        let began = self.began_us;
+        let mut dice = Dice(seed);
+        for gateway in 0..self.rigs.len() {
+            let heard_at = began + dice.draw(1_000_000);
+            self.schedule.add(heard_at, Due::ListUpdate(gateway));
+            if gateway % 5 == 4 {
+                let restarted_at = began + 2_000_000 + dice.draw(1_000_000);
+                self.schedule.add(restarted_at, Due::Restart(gateway));
+            }
+            for second in 1..6 {
+                self.schedule
+                    .add(began + second * 1_000_000, Due::Interval(gateway));
+            }
+        }
+        for number in 0..300 * self.cores as u64 {
+            let gateway = dice.draw(self.rigs.len() as u64) as usize;
+            let at = began + number * 20_000 / self.cores as u64;
+            self.schedule.add(at, Due::Request(gateway));
+        }
     }
-    let mut to_cold: Vec<Micros> = Vec::new();
-    let mut attempts: std::collections::BTreeMap<(usize, RequestId), u32> = Default::default();
-    let warmth = |now: Micros| {
-        let age = (now - begins) as f64 / cold.duration_us as f64;
-        cold.initial_share + (1.0 - cold.initial_share) * age.min(1.0)
-    };
-    // When each core of the warm server and of the cold one is free.
-    let mut free = vec![vec![0; cores]; 2];
-    while let Some(((now, _), what)) = due.pop_first() {
-        let (g, actions) = match what {
-            Due::Answer(g, id, attempt, server, status, took) => {
-                rigs[g].now = now;
-                (g, rigs[g].end_attempt(id, attempt, &server, status, took))
+
+    fn run(&mut self) {
+        while let Some(((now, _), event)) = self.schedule.due.pop_first() {
+            let (gateway, actions) = self.handle(now, event);
+            for action in actions {
+                if let Action::Send {
+                    request,
+                    server,
+                    timeout_us,
+                    ..
+                } = action
+                {
+                    self.serve(now, gateway, request, server, timeout_us);
+                }
             }
-            Due::News(g) => {
-                rigs[g].now = now;
-                (g, rigs[g].update_servers(ListKind::Complete, list(begins)))
+        }
+    }
+
+    fn handle(&mut self, now: Micros, event: Due) -> (usize, Vec<Action>) {
+        match event {
+            Due::Answer(ended) => {
+                let rig = self.rig_at(ended.gateway, now);
+                let actions = rig.end_attempt(
+                    ended.request,
+                    ended.attempt,
+                    &ended.server,
+                    ended.status,
+                    ended.elapsed_us,
+                );
+                (ended.gateway, actions)
             }
-            Due::Anew(g) => {
-                let fresh = fleet(gateways, change).swap_remove(g);
-                rigs[g] = fresh;
-                rigs[g].now = now;
-                (g, rigs[g].update_servers(ListKind::Complete, list(begins)))
+            Due::ListUpdate(gateway) => (gateway, self.update_list(gateway, now)),
+            Due::Restart(gateway) => {
+                self.rigs[gateway] = fleet(self.gateways, change).swap_remove(gateway);
+                (gateway, self.update_list(gateway, now))
             }
-            Due::Interval(g) => {
-                rigs[g].now = now;
-                (g, rigs[g].handle(Event::Timer(Timer::Interval)))
+            Due::Interval(gateway) => {
+                let rig = self.rig_at(gateway, now);
+                (gateway, rig.handle(Event::Timer(Timer::Interval)))
             }
-            Due::Request(g) => {
-                rigs[g].now = now;
-                (
-                    g,
-                    rigs[g]
-                        .request_with(|r| {
-                            (r.id.0, r.gateway_count) = (r.id.0 * 1_000 + g as u64, 1)
-                        })
-                        .1,
-                )
+            Due::Request(gateway) => {
+                let rig = self.rig_at(gateway, now);
+                let request = rig.request_with(|r| {
+                    r.id.0 = r.id.0 * 1_000 + gateway as u64;
+                    r.gateway_count = 1;
+                });
+                (gateway, request.1)
             }
+        }
+    }
+
+    fn rig_at(&mut self, gateway: usize, now: Micros) -> &mut Rig {
+        let rig = &mut self.rigs[gateway];
+        rig.now = now;
+        rig
+    }
+
+    fn update_list(&mut self, gateway: usize, now: Micros) -> Vec<Action> {
+        let cold = ServerEntry {
+            started_us: self.began_us,
+            ..ServerEntry::ready("cold", "a")
         };
-        for action in actions {
-            if let Action::Send {
-                request,
-                server,
-                timeout_us,
-                ..
-            } = action
-            {
-                let is_cold = &*server.0 == "cold";
-                if is_cold {
-                    to_cold.push(now);
-                }
-                let n = attempts.entry((g, request)).or_default();
-                let speed = if is_cold { warmth(now) } else { 1.0 };
-                let core = free[usize::from(is_cold)].iter_mut().min().expect("cores");
-                let done = now.max(*core) + (WORK_US as f64 / speed) as Micros;
-                // Who has given up is not worked for.
-                let (status, took) = match done - now > timeout_us {
-                    true => (CompletionStatus::NoAnswer, timeout_us),
-                    false => (CompletionStatus::Served, done - now),
-                };
-                *core = if status == CompletionStatus::Served {
-                    done
-                } else {
-                    *core
-                };
-                at(
-                    &mut due,
-                    now + took,
-                    Due::Answer(g, request, *n, server, status, took),
-                );
-                *n += 1;
-            }
+        let warm = self
+            .has_warm_server
+            .then(|| ServerEntry::ready("warm", "a"));
+        let entries = warm.into_iter().chain([cold]).collect();
+        self.rig_at(gateway, now)
+            .update_servers(ListKind::Complete, entries)
+    }
+
+    /// A server works on an attempt, unless it takes too long for the gateway that sent it.
+    fn serve(
+        &mut self,
+        now: Micros,
+        gateway: usize,
+        request: RequestId,
+        server: ServerId,
+        timeout_us: Micros,
+    ) {
+        let is_cold = &*server.0 == "cold";
+        if is_cold {
+            self.sent_to_cold_at.push(now);
         }
+        let speed = if is_cold { self.warmth(now) } else { 1.0 };
+        let attempts = self.attempts.entry((gateway, request)).or_default();
+        let attempt = *attempts;
+        *attempts += 1;
+        let server_index = if is_cold { COLD } else { WARM };
+        let core_free_at = self.cores_free_at[server_index]
+            .iter_mut()
+            .min()
+            .expect("cores");
+        let done_at = now.max(*core_free_at) + (WORK_US as f64 / speed) as Micros;
+        let times_out = done_at - now > timeout_us;
+        let (status, elapsed_us) = if times_out {
+            (CompletionStatus::NoAnswer, timeout_us)
+        } else {
+            *core_free_at = done_at;
+            (CompletionStatus::Served, done_at - now)
+        };
+        let ended = EndedAttempt {
+            gateway,
+            request,
+            attempt,
+            server,
+            status,
+            elapsed_us,
+        };
+        self.schedule.add(now + elapsed_us, Due::Answer(ended));
     }
-    // A multiple of what its warmth lets it do.
-    let allowed = |from: Micros| {
-        cold.overload_multiple * warmth(from) * cores as f64 * cold.overload_after_us as f64
-            / WORK_US as f64
-    };
-    let over = |from: Micros| {
-        let sent = to_cold
+
+    fn warmth(&self, now: Micros) -> f64 {
+        let age = (now - self.began_us) as f64 / self.slow_start.duration_us as f64;
+        self.slow_start.initial_share + (1.0 - self.slow_start.initial_share) * age.min(1.0)
+    }
+
+    /// The span of time after `from` in which a server may be overloaded.
+    fn span(&self, from: Micros) -> Span {
+        let length_us = self.slow_start.overload_after_us;
+        let sent = self
+            .sent_to_cold_at
             .iter()
-            .filter(|t| (from..from + cold.overload_after_us).contains(*t))
+            .filter(|at| (from..from + length_us).contains(*at))
             .count();
-        (sent, allowed(from))
-    };
-    let by_excess =
-        |a: &(usize, f64), b: &(usize, f64)| (a.0 as f64 - a.1).total_cmp(&(b.0 as f64 - b.1));
-    to_cold
-        .iter()
-        .map(|t| over(*t))
-        .max_by(by_excess)
-        .unwrap_or((0, 1.0))
+        // A multiple of what its warmth lets it do.
+        let allowed = self.slow_start.overload_multiple
+            * self.warmth(from)
+            * self.cores as f64
+            * length_us as f64
+            / WORK_US as f64;
+        Span { sent, allowed }
+    }
+
+    fn worst_span(&self) -> Span {
+        let by_excess = |a: &Span, b: &Span| a.excess().total_cmp(&b.excess());
+        self.sent_to_cold_at
+            .iter()
+            .map(|at| self.span(*at))
+            .max_by(by_excess)
+            .unwrap_or(Span {
+                sent: 0,
+                allowed: 1.0,
+            })
+    }
 }
 
-/// Guards against a server that falls under the sum of what all gateways send, each by its own part and by what it saved up.
+/// Without a common budget a server would fall under the sum of what all gateways send, each its own share and what it
+/// saved up.
 #[test]
 fn all_gateways_together_do_not_overload_a_server_in_slow_start() {
     let fleets = [2, 3, 20, 30, 300]
@@ -175,7 +292,10 @@
         fleets.flat_map(|(g, cores)| [true, false].map(|warm| (g, cores, warm)))
     {
         for seed in 1..4 {
-            let (sent, allowed) = worst_span_of_server_in_slow_start(gateways, cores, warm, seed);
+            let mut play = Play::new(gateways, cores, warm);
+            play.schedule_events(seed);
+            play.run();
+            let Span { sent, allowed } = play.worst_span();
             let most = allowed + 2.0 * allowed.sqrt() + 2.0;
             let what = format!(
                 "{gateways} gateways, {cores} cores, warm {warm}: {sent} sent, {most:.1} at most"
--- a/crates/traffic-control/tests/mechanism/main.rs
+++ b/crates/traffic-control/tests/mechanism/main.rs
@@ -1,5 +1,4 @@
 //! Admit fractions, buckets, and bad input, at the interface.
-#![expect(clippy::single_match_else)]
 
 mod admission;
 #[path = "../common/mod.rs"]
--- a/crates/traffic-control/tests/mechanism/quotas.rs
+++ b/crates/traffic-control/tests/mechanism/quotas.rs
@@ -12,15 +12,12 @@
     let mut passed = 0;
     for _ in 0..30 {
         let (id, actions) = rig.request_with(|r| r.gateway_count = 2);
-        match sent_server(&actions) {
-            Some(server) => {
-                passed += 1;
-                rig.end_attempt_after(id, 0, &server, CompletionStatus::Served, 0);
-            }
-            None => {
-                let advised = |a: &Action| matches!(a, Action::Reject { retry_after_us, .. } if *retry_after_us > 0);
-                assert!(actions.iter().any(advised));
-            }
+        if let Some(server) = sent_server(&actions) {
+            passed += 1;
+            rig.end_attempt_after(id, 0, &server, CompletionStatus::Served, 0);
+        } else {
+            let has_retry_after = |a: &Action| matches!(a, Action::Reject { retry_after_us, .. } if *retry_after_us > 0);
+            assert!(actions.iter().any(has_retry_after));
         }
     }
     assert_eq!(passed, 10, "half of a burst of 20");
--- a/crates/traffic-control/tests/replay/main.rs
+++ b/crates/traffic-control/tests/replay/main.rs
@@ -3,12 +3,6 @@
 //! that is to alter behaviour records them anew, in a commit of its own that says what it gains:
 //!
 //!     RECORD=1 cargo test -p frosthatch_traffic_control --test replay
-#![expect(
-    clippy::default_trait_access,
-    clippy::match_bool,
-    clippy::struct_excessive_bools,
-    clippy::too_many_lines
-)]
 
 mod play;
 mod world;
--- a/crates/traffic-control/tests/replay/play.rs
+++ b/crates/traffic-control/tests/replay/play.rs
@@ -5,25 +5,43 @@
     Action, AttemptOutcome, CompletionStatus, Event, Gateway, Health, ListKind, Micros, Request,
     RequestId, ServerId, Timer,
 };
-use rand_pcg::rand_core::RngCore;
-use rand_pcg::rand_core::SeedableRng;
+use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-pub const SECONDS: u64 = 12;
+/// How long a world is played.
+const SECONDS: u64 = 12;
 
+/// How an attempt may fail.
+const FAULTS: [CompletionStatus; 6] = [
+    CompletionStatus::ServerError,
+    CompletionStatus::Rejected,
+    CompletionStatus::NoAnswer,
+    CompletionStatus::NoConnection,
+    CompletionStatus::ConnectionLost,
+    CompletionStatus::NotSent,
+];
+
+/// How a call to the counter may fail.
+const COUNTER_FAULTS: [CompletionStatus; 3] = [
+    CompletionStatus::ServerError,
+    CompletionStatus::NoAnswer,
+    CompletionStatus::NoConnection,
+];
+
+/// A world as it is played.
 pub struct Play {
-    pub world: World,
-    pub rng: Pcg64Mcg,
-    pub now: Micros,
-    pub gateways: Vec<Gateway>,
-    // By time, then in the order in which they came up.
-    pub due: BTreeMap<(Micros, u64), (usize, Event)>,
-    pub events: u64,
-    pub counts: BTreeMap<String, f64>,
-    pub attempts: BTreeMap<(usize, RequestId), u32>,
-    pub digest: u64,
-    pub action_counts: [u64; 8],
+    world: World,
+    rng: Pcg64Mcg,
+    now: Micros,
+    gateways: Vec<Gateway>,
+    /// By time, then in the order in which they were scheduled.
+    due: BTreeMap<(Micros, u64), (usize, Event)>,
+    events: u64,
+    counts: BTreeMap<String, f64>,
+    attempts: BTreeMap<(usize, RequestId), u32>,
+    digest: u64,
+    action_counts: [u64; 8],
 }
 
 impl Play {
@@ -57,21 +75,22 @@
         play
     }
 
-    pub fn schedule(&mut self, after: Micros, gateway: usize, event: Event) {
+    fn schedule(&mut self, after: Micros, gateway: usize, event: Event) {
         self.events += 1;
         self.due
             .insert((self.now + after, self.events), (gateway, event));
     }
 
-    pub fn random_unit(&mut self) -> f64 {
+    fn random_unit(&mut self) -> f64 {
         f64::from(self.rng.next_u32()) / f64::from(u32::MAX)
     }
 
-    pub fn below(&mut self, n: u32) -> u32 {
+    fn below(&mut self, n: u32) -> u32 {
         self.rng.next_u32() % n.max(1)
     }
 
-    /// All of it: what comes in for each gateway, and what follows.
+    /// Plays the world to its end: what comes in for each gateway, and what follows. Returns the digest and the number of
+    /// actions by kind.
     pub fn run(mut self) -> (u64, [u64; 8]) {
         let (end, played) = (self.now + SECONDS * 1_000_000, self.gateways.len());
         for g in 0..played {
@@ -124,7 +143,7 @@
         (self.digest, self.action_counts)
     }
 
-    pub fn request(&mut self) -> Request {
+    fn request(&mut self) -> Request {
         let n = self.below(self.world.customers);
         let plan = ["small", "places", "large"][n as usize % 3];
         let class = if self.random_unit() < 0.7 {
@@ -152,8 +171,8 @@
         r
     }
 
-    /// News of the list: drains, cold starts, all of it again, or a takeover.
-    pub fn list_event(&mut self, second: u64) -> Event {
+    /// An update of the server list: drains, restarts, the complete list, or a takeover.
+    fn list_event(&mut self, second: u64) -> Event {
         let n = self.below(self.world.servers as u32) as usize;
         let mut entry = self.world.entry(n);
         let kind = match self.below(6) {
@@ -189,8 +208,10 @@
         }
     }
 
-    pub fn carry_out(&mut self, g: usize, action: Action) {
-        let (now, recorded) = (self.now, recorded_form(&action));
+    /// Carries an action of gateway `g` out: schedules the events that follow from it.
+    fn carry_out(&mut self, g: usize, action: Action) {
+        let now = self.now;
+        let recorded = recorded_form(&action);
         let kind = match action {
             Action::Send {
                 request,
@@ -198,40 +219,7 @@
                 timeout_us,
                 begin_within_us: _,
             } => {
-                let n = self.attempts.entry((g, request)).or_default();
-                let attempt = *n;
-                *n += 1;
-                let took = 20_000
-                    + Micros::from(self.below(120_000))
-                        * if self.random_unit() < 0.05 { 8 } else { 1 };
-                let took = if self.servers_are_slow() {
-                    took * 4
-                } else {
-                    took
-                };
-                let (mut status, mut took) = match self.random_unit() < self.world.fault_rate {
-                    false => (CompletionStatus::Served, took),
-                    true => {
-                        let bad = [
-                            CompletionStatus::ServerError,
-                            CompletionStatus::Rejected,
-                            CompletionStatus::NoAnswer,
-                            CompletionStatus::NoConnection,
-                            CompletionStatus::ConnectionLost,
-                            CompletionStatus::NotSent,
-                        ];
-                        (bad[self.below(6) as usize], took / 3)
-                    }
-                };
-                if timeout_us > 0 && took > timeout_us {
-                    (status, took) = (CompletionStatus::NoAnswer, timeout_us);
-                }
-                let mut o = AttemptOutcome::new(request, attempt, server, status, took);
-                o.closed = status == CompletionStatus::Served;
-                o.settled_units = (self.random_unit() < 0.1).then_some(2.0);
-                o.metered_use = (self.random_unit() < 0.5)
-                    .then(|| f64::from((self.now / 1_000_000 % 5) as u32) * 0.6);
-                self.schedule(took, g, Event::Outcome(o));
+                self.schedule_outcome(g, request, server, timeout_us);
                 0
             }
             Action::Cancel { .. } => 1,
@@ -242,17 +230,7 @@
                 7
             }
             Action::SendToPeer { to, bytes } => {
-                if (to as usize) < self.gateways.len() && self.random_unit() > self.world.fault_rate
-                {
-                    self.schedule(
-                        1_000,
-                        to as usize,
-                        Event::Peer {
-                            from: g as u32,
-                            bytes,
-                        },
-                    );
-                }
+                self.deliver_message(g, to as usize, bytes);
                 4
             }
             Action::AddToCounter {
@@ -264,16 +242,7 @@
                 5
             }
             Action::ReportUsage { tag, units } => {
-                for other in (0..self.gateways.len()).filter(|o| *o != g) {
-                    self.schedule(2_000, other, {
-                        let (heard, uses) = (vec![g as u32], vec![(g as u32, tag, units)]);
-                        Event::UsageReported {
-                            heard,
-                            uses,
-                            past: Vec::new(),
-                        }
-                    });
-                }
+                self.deliver_usage_report(g, tag, units);
                 6
             }
             Action::Subscribe | Action::Log(_) => 7,
@@ -282,25 +251,71 @@
         self.add_to_digest(&format!("{now} {g} {recorded}"));
     }
 
-    /// Where there is trouble the servers are slow for four seconds.
-    pub fn servers_are_slow(&self) -> bool {
+    fn schedule_outcome(
+        &mut self,
+        g: usize,
+        request: RequestId,
+        server: ServerId,
+        timeout_us: Micros,
+    ) {
+        let attempts = self.attempts.entry((g, request)).or_default();
+        let attempt = *attempts;
+        *attempts += 1;
+        let work_us = Micros::from(self.below(120_000));
+        let stretch = if self.random_unit() < 0.05 { 8 } else { 1 };
+        let slowdown = if self.servers_are_slow() { 4 } else { 1 };
+        let mut elapsed_us = (20_000 + work_us * stretch) * slowdown;
+        let mut status = CompletionStatus::Served;
+        if self.random_unit() < self.world.fault_rate {
+            status = FAULTS[self.below(6) as usize];
+            elapsed_us /= 3;
+        }
+        if timeout_us > 0 && elapsed_us > timeout_us {
+            status = CompletionStatus::NoAnswer;
+            elapsed_us = timeout_us;
+        }
+        let mut outcome = AttemptOutcome::new(request, attempt, server, status, elapsed_us);
+        outcome.closed = status == CompletionStatus::Served;
+        outcome.settled_units = (self.random_unit() < 0.1).then_some(2.0);
+        outcome.metered_use =
+            (self.random_unit() < 0.5).then(|| f64::from((self.now / 1_000_000 % 5) as u32) * 0.6);
+        self.schedule(elapsed_us, g, Event::Outcome(outcome));
+    }
+
+    fn deliver_message(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
+        if to < self.gateways.len() && self.random_unit() > self.world.fault_rate {
+            let from = from as u32;
+            self.schedule(1_000, to, Event::Peer { from, bytes });
+        }
+    }
+
+    fn deliver_usage_report(&mut self, from: usize, tag: u32, units: f64) {
+        for other in (0..self.gateways.len()).filter(|o| *o != from) {
+            let report = Event::UsageReported {
+                heard: vec![from as u32],
+                uses: vec![(from as u32, tag, units)],
+                past: Vec::new(),
+            };
+            self.schedule(2_000, other, report);
+        }
+    }
+
+    /// In worlds with faults the servers are slow for four seconds.
+    fn servers_are_slow(&self) -> bool {
         self.world.fault_rate > 0.0 && (3_000_000..7_000_000).contains(&(self.now - 1_000_000_000))
     }
 
     /// The others of the fleet add, too; now and then it fails, and once it is down for two seconds.
-    pub fn add_to_counter(&mut self, g: usize, name: String, amount: f64) {
+    fn add_to_counter(&mut self, g: usize, name: String, amount: f64) {
         let others = f64::from(self.world.gateways.saturating_sub(PLAYED_GATEWAYS)).min(20.0)
             * self.random_unit()
             * 0.05;
         let down = (5_000_000..7_000_000).contains(&(self.now - 1_000_000_000))
             && self.world.fault_rate > 0.0;
-        let status = match down || self.random_unit() < self.world.fault_rate {
-            false => CompletionStatus::Served,
-            true => [
-                CompletionStatus::ServerError,
-                CompletionStatus::NoAnswer,
-                CompletionStatus::NoConnection,
-            ][self.below(3) as usize],
+        let status = if down || self.random_unit() < self.world.fault_rate {
+            COUNTER_FAULTS[self.below(3) as usize]
+        } else {
+            CompletionStatus::Served
         };
         let total = self.counts.entry(name.clone()).or_default();
         if matches!(
@@ -329,14 +344,14 @@
     }
 
     /// FNV-1a, 64 bits.
-    pub fn add_to_digest(&mut self, line: &str) {
+    fn add_to_digest(&mut self, line: &str) {
         let step = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3);
         self.digest = line.bytes().fold(self.digest, step);
     }
 }
 
 /// An action in the words of the record, which do not change with the names of the code.
-pub fn recorded_form(action: &Action) -> String {
+fn recorded_form(action: &Action) -> String {
     let of = |id: &RequestId| format!("RequestId({})", id.0);
     match action {
         Action::Send { request, server, timeout_us, begin_within_us } => format!(
--- a/crates/traffic-control/tests/replay/world.rs
+++ b/crates/traffic-control/tests/replay/world.rs
@@ -1,30 +1,37 @@
 //! The worlds that are played.
 
 use frosthatch_traffic_control::{
-    Ceiling, Effect, Plan, RequestClass, Scope, ServerEntry, Settings,
+    Ceiling, Effect, Plan, RequestClass, RetryBudget, Scope, ServerEntry, Settings,
 };
-use proptest::prelude::any;
-use proptest::prelude::prop_oneof;
-use proptest::prelude::Just;
-use proptest::prelude::Strategy;
+use proptest::prelude::{any, prop_oneof, Just, Strategy};
 
-/// Of a fleet so many gateways are played; what the others do shows in the counts.
+/// Gateways of a fleet that are played; what the others do shows in the counts.
 pub const PLAYED_GATEWAYS: u32 = 4;
 
+/// What gateways know of each other's use by.
 #[derive(Clone, Debug)]
-pub struct World {
-    pub gateways: u32,
+pub struct Channels {
     pub counter: bool,
-    pub peers: bool,
+    pub peer_messages: bool,
     pub usage_reports: bool,
+}
+
+/// One fleet with its servers, customers and faults.
+#[derive(Clone, Debug)]
+pub struct World {
+    pub gateways: u32,
+    pub channels: Channels,
     pub effect: u8,
     pub servers: usize,
     pub customers: u32,
-    pub per_s: f64, // requests that each gateway gets a second
+    /// Requests that each gateway gets a second.
+    pub per_s: f64,
     pub quota: f64,
     pub max_open: u32,
-    pub ceiling: f64,    // times the quota; 0: none
-    pub fault_rate: f64, // part of attempts and calls that end badly
+    /// Times the quota; 0: none.
+    pub ceiling: f64,
+    /// Share of attempts and calls that fail.
+    pub fault_rate: f64,
     pub cancel: bool,
     pub seed: u64,
 }
@@ -40,9 +47,11 @@
     );
     (known, fleet, quotas, rest).prop_map(move |(known, fleet, quotas, rest)| World {
         gateways,
-        counter: known.0,
-        peers: known.1,
-        usage_reports: known.2 && !known.0,
+        channels: Channels {
+            counter: known.0,
+            peer_messages: known.1,
+            usage_reports: known.2 && !known.0,
+        },
         effect: fleet.0,
         servers: fleet.1,
         customers: fleet.2,
@@ -58,12 +67,12 @@
 
 impl World {
     pub fn settings(&self, me: u32) -> Settings {
-        let class = |name: &str, aim_us, worth, effect| RequestClass {
+        let class = |name: &str, latency_objective_us, priority_weight, effect| RequestClass {
             name: name.into(),
-            latency_objective_us: aim_us,
-            deadline_us: 3 * aim_us,
+            latency_objective_us,
+            deadline_us: 3 * latency_objective_us,
             effect,
-            priority_weight: worth,
+            priority_weight,
             late_weight: 0.0,
         };
         let effect = match self.effect {
@@ -74,14 +83,14 @@
             },
             _ => Effect::Once,
         };
-        let plan = |name: &str, rate: f64, max_open, price, excess_worth, ceiling: f64| Plan {
+        let plan = |name: &str, rate: f64, max_open, price, excess_weight, ceiling: f64| Plan {
             name: name.into(),
             rate,
             burst: rate * 2.0,
             max_open,
             price,
-            excess_weight: excess_worth,
-            overrun_cost: 1.0 - excess_worth,
+            excess_weight,
+            overrun_cost: 1.0 - excess_weight,
             ceiling: (ceiling > 0.0).then_some(Ceiling {
                 rate: rate * ceiling,
                 depth: rate * ceiling * 2.0,
@@ -102,14 +111,18 @@
             max_attempts: 4,
             parallel_attempts: false,
             cancel: self.cancel,
-            peer_messages: self.peers,
+            peer_messages: self.channels.peer_messages,
             peer_messages_per_s: 100.0,
-            counter: self.counter,
-            usage_report_ttl_us: if self.usage_reports { 400_000 } else { 0 },
+            counter: self.channels.counter,
+            usage_report_ttl_us: if self.channels.usage_reports {
+                400_000
+            } else {
+                0
+            },
             meter_period_us: 1_000_000,
             cross_zone_cost: 0.02,
             max_units: 6.0,
-            retries: Default::default(),
+            retries: RetryBudget::default(),
             ..Settings::example()
         }
     }
--- a/crates/traffic-control/tests/streams.rs
+++ b/crates/traffic-control/tests/streams.rs
@@ -1,5 +1,4 @@
 //! Random event streams with fixed seeds: what must hold whatever happens.
-#![expect(clippy::too_many_lines, clippy::unreadable_literal)]
 
 mod common;
 
@@ -39,136 +38,213 @@
     CompletionStatus::ConnectionLost,
 ];
 
-/// Plays the stream and checks every action; returns all actions, and what the ceiling slice let through.
-fn play(steps: &[(u8, u8, u32)]) -> (Vec<Action>, f64) {
-    let mut g = Gateway::new(settings(), 5).expect("settings");
-    let start: Micros = 7_000_000;
-    let (mut now, mut next) = (start, 1u64);
-    let mut listed: BTreeSet<ServerId> = BTreeSet::new();
-    let mut out: Vec<(RequestId, u32, ServerId, Micros)> = Vec::new();
-    let mut attempts: BTreeMap<RequestId, u32> = BTreeMap::new();
-    let mut answered: BTreeMap<RequestId, u32> = BTreeMap::new();
-    let mut deadlines: BTreeMap<RequestId, Micros> = BTreeMap::new();
-    let mut timers: Vec<(Micros, Timer)> = Vec::new();
-    let (mut all, mut drawn) = (Vec::new(), 0.0);
-    let drain = |n: usize| (0..n).map(|_| (5u8, 3u8, 5_000_000u32));
-    for (kind, pick, us) in steps.iter().copied().chain(drain(400)) {
-        let mut events = Vec::new();
-        let until = now + Micros::from(us);
-        // What falls due before the next step comes first: time-outs cut to the client's deadline, then timers.
-        timers.sort_by_key(|t| t.0);
-        out.sort_by_key(|o| deadlines[&o.0]);
-        let timer_at = timers.first().map_or(Micros::MAX, |t| t.0);
-        let overdue = out
-            .first()
-            .map(|o| deadlines[&o.0])
-            .filter(|d| *d <= until.min(timer_at));
-        if let Some(at) = overdue {
-            let (id, n, server, sent) = out.remove(0);
-            now = now.max(at);
-            let mut o = AttemptOutcome::new(id, n, server, CompletionStatus::NoAnswer, now - sent);
-            o.closed = answered.contains_key(&id);
-            events.push(Event::Outcome(o));
+/// An attempt that has not ended.
+struct OpenAttempt {
+    request: RequestId,
+    number: u32,
+    server: ServerId,
+    sent_at: Micros,
+}
+
+/// A gateway, what it was sent and what it did.
+struct Play {
+    gateway: Gateway,
+    now: Micros,
+    next_request: u64,
+    listed: BTreeSet<ServerId>,
+    open: Vec<OpenAttempt>,
+    attempts: BTreeMap<RequestId, u32>,
+    answers: BTreeMap<RequestId, u32>,
+    deadlines: BTreeMap<RequestId, Micros>,
+    timers: Vec<(Micros, Timer)>,
+    actions: Vec<Action>,
+    /// Units that the ceiling slice let through.
+    drawn: f64,
+}
+
+const START: Micros = 7_000_000;
+
+impl Play {
+    fn new() -> Play {
+        Play {
+            gateway: Gateway::new(settings(), 5).expect("settings"),
+            now: START,
+            next_request: 1u64,
+            listed: BTreeSet::new(),
+            open: Vec::new(),
+            attempts: BTreeMap::new(),
+            answers: BTreeMap::new(),
+            deadlines: BTreeMap::new(),
+            timers: Vec::new(),
+            actions: Vec::new(),
+            drawn: 0.0,
         }
-        match timers
+    }
+
+    /// The next event. What is due before the next step comes first: attempts at their client's deadline, then timers.
+    fn next_event(&mut self, kind: u8, pick: u8, until: Micros) -> Option<Event> {
+        self.timers.sort_by_key(|timer| timer.0);
+        self.open.sort_by_key(|o| self.deadlines[&o.request]);
+        let timer_at = self.timers.first().map_or(Micros::MAX, |t| t.0);
+        let overdue = self
+            .open
             .first()
-            .copied()
-            .filter(|t| t.0 <= until && overdue.is_none())
-        {
-            Some((at, t)) => {
-                timers.remove(0);
-                now = now.max(at);
-                events.push(Event::Timer(t));
+            .map(|o| self.deadlines[&o.request])
+            .filter(|deadline| *deadline <= until.min(timer_at));
+        if let Some(deadline) = overdue {
+            self.now = self.now.max(deadline);
+            return Some(self.end_attempt(0, CompletionStatus::NoAnswer));
+        }
+        if self.timers.first().is_some_and(|t| t.0 <= until) {
+            let (at, timer) = self.timers.remove(0);
+            self.now = self.now.max(at);
+            return Some(Event::Timer(timer));
+        }
+        self.drawn_event(kind, pick, until)
+    }
+
+    fn drawn_event(&mut self, kind: u8, pick: u8, until: Micros) -> Option<Event> {
+        match kind % 6 {
+            0 | 1 => {
+                self.now = until;
+                Some(self.request())
             }
-            None if overdue.is_some() => {}
-            None => match kind % 6 {
-                0 | 1 => {
-                    now = until;
-                    let mut r = Request::new(next, "c", "basic", "read", 2_000_000);
-                    (r.gateway_count, r.id) = (3, RequestId(next));
-                    next += 1;
-                    deadlines.insert(r.id, now + 2_000_000);
-                    events.push(Event::Request(r));
-                }
-                2 => {
-                    now = until;
-                    let health =
-                        [Health::Ready, Health::Draining, Health::Removed][usize::from(pick) % 3];
-                    let entry = ServerEntry {
-                        health,
-                        cell: u64::from(pick % 2),
-                        ..ServerEntry::ready(&format!("s{}", pick % 5), "a")
-                    };
-                    if health == Health::Ready {
-                        listed.insert(entry.server.clone());
-                    } else {
-                        listed.remove(&entry.server);
-                    }
-                    events.push(Event::Servers {
-                        kind: ListKind::Partial,
-                        entries: vec![entry],
-                    });
-                }
-                3 => events.push(Event::Peer {
-                    from: u32::from(pick % 3),
-                    bytes: vec![1, pick, 0, 0, pick],
-                }),
-                _ if !out.is_empty() => {
-                    let (id, n, server, sent) = out.remove(usize::from(pick) % out.len());
-                    now = until;
-                    let status = STATUSES[usize::from(pick) % 6];
-                    let mut o = AttemptOutcome::new(id, n, server, status, now - sent);
-                    o.closed = answered.contains_key(&id) || status == CompletionStatus::Served;
-                    if status == CompletionStatus::Served {
-                        answered.entry(id).or_insert(1);
-                    }
-                    events.push(Event::Outcome(o));
+            2 => {
+                self.now = until;
+                Some(self.list_update(pick))
+            }
+            3 => Some(Event::Peer {
+                from: u32::from(pick % 3),
+                bytes: vec![1, pick, 0, 0, pick],
+            }),
+            _ => {
+                self.now = until;
+                if self.open.is_empty() {
+                    return None;
                 }
-                _ => now = until,
-            },
+                let index = usize::from(pick) % self.open.len();
+                Some(self.end_attempt(index, STATUSES[usize::from(pick) % 6]))
+            }
         }
-        for event in events {
-            let mut actions = Vec::new();
-            g.handle(now, event, &mut actions);
-            for a in &actions {
-                match a {
-                    Action::Send {
-                        request, server, ..
-                    } => {
-                        assert!(
-                            listed.contains(server),
-                            "sent to a server that drains or is gone"
-                        );
-                        assert!(!answered.contains_key(request), "sent after the answer");
-                        let n = attempts.entry(*request).or_default();
-                        drawn += f64::from(u8::from(*n == 0));
-                        out.push((*request, *n, server.clone(), now));
-                        *n += 1;
-                    }
-                    Action::Reject { request, .. } | Action::Fail { request, .. } => {
-                        *answered.entry(*request).or_default() += 1;
-                        assert_eq!(answered[request], 1, "one answer each");
-                        assert!(now <= deadlines[request], "answered in time");
-                    }
-                    Action::SetTimer { after_us, timer } => timers.push((now + after_us, *timer)),
-                    _ => {}
-                }
+    }
+
+    fn request(&mut self) -> Event {
+        let mut request = Request::new(self.next_request, "c", "basic", "read", 2_000_000);
+        request.gateway_count = 3;
+        self.next_request += 1;
+        self.deadlines.insert(request.id, self.now + 2_000_000);
+        Event::Request(request)
+    }
+
+    fn list_update(&mut self, pick: u8) -> Event {
+        let health = [Health::Ready, Health::Draining, Health::Removed][usize::from(pick) % 3];
+        let entry = ServerEntry {
+            health,
+            cell: u64::from(pick % 2),
+            ..ServerEntry::ready(&format!("s{}", pick % 5), "a")
+        };
+        if health == Health::Ready {
+            self.listed.insert(entry.server.clone());
+        } else {
+            self.listed.remove(&entry.server);
+        }
+        Event::Servers {
+            kind: ListKind::Partial,
+            entries: vec![entry],
+        }
+    }
+
+    fn end_attempt(&mut self, index: usize, status: CompletionStatus) -> Event {
+        let ended = self.open.remove(index);
+        let mut outcome = AttemptOutcome::new(
+            ended.request,
+            ended.number,
+            ended.server,
+            status,
+            self.now - ended.sent_at,
+        );
+        let is_served = status == CompletionStatus::Served;
+        outcome.closed = self.answers.contains_key(&ended.request) || is_served;
+        if is_served {
+            self.answers.entry(ended.request).or_insert(1);
+        }
+        Event::Outcome(outcome)
+    }
+
+    fn handle(&mut self, event: Event) {
+        let mut actions = Vec::new();
+        self.gateway.handle(self.now, event, &mut actions);
+        for action in &actions {
+            self.check(action);
+        }
+        self.actions.extend(actions);
+    }
+
+    fn check(&mut self, action: &Action) {
+        match action {
+            Action::Send {
+                request, server, ..
+            } => {
+                assert!(
+                    self.listed.contains(server),
+                    "sent to a server that drains or is gone"
+                );
+                assert!(!self.answers.contains_key(request), "sent after the answer");
+                let attempts = self.attempts.entry(*request).or_default();
+                self.drawn += f64::from(u8::from(*attempts == 0));
+                self.open.push(OpenAttempt {
+                    request: *request,
+                    number: *attempts,
+                    server: server.clone(),
+                    sent_at: self.now,
+                });
+                *attempts += 1;
+            }
+            Action::Reject { request, .. } | Action::Fail { request, .. } => {
+                *self.answers.entry(*request).or_default() += 1;
+                assert_eq!(self.answers[request], 1, "one answer each");
+                assert!(self.now <= self.deadlines[request], "answered in time");
+            }
+            Action::SetTimer { after_us, timer } => {
+                self.timers.push((self.now + after_us, *timer));
             }
-            all.extend(actions);
+            _ => {}
         }
-        let slice = 10.0 + 50.0 / 3.0 * ((now - start) as f64 / 1e6);
+    }
+
+    fn check_ceiling(&self) {
+        let drawn = self.drawn;
+        let slice = 10.0 + 50.0 / 3.0 * ((self.now - START) as f64 / 1e6);
         assert!(drawn <= slice + 1e-6, "{drawn} drawn of a slice of {slice}");
     }
-    let unanswered = deadlines
-        .keys()
-        .filter(|id| !answered.contains_key(id))
-        .count();
-    assert_eq!(unanswered, 0, "every request is answered");
-    (all, drawn)
+
+    fn check_all_answered(&self) {
+        let unanswered = self
+            .deadlines
+            .keys()
+            .filter(|id| !self.answers.contains_key(id))
+            .count();
+        assert_eq!(unanswered, 0, "every request is answered");
+    }
+}
+
+/// Plays the stream and checks every action; returns all actions, and what the ceiling slice let through.
+fn play(steps: &[(u8, u8, u32)]) -> (Vec<Action>, f64) {
+    let mut play = Play::new();
+    let drain = |n: usize| (0..n).map(|_| (5u8, 3u8, 5_000_000u32));
+    for (kind, pick, us) in steps.iter().copied().chain(drain(400)) {
+        let until = play.now + Micros::from(us);
+        if let Some(event) = play.next_event(kind, pick, until) {
+            play.handle(event);
+        }
+        play.check_ceiling();
+    }
+    play.check_all_answered();
+    (play.actions, play.drawn)
 }
 
 proptest! {
-    #![proptest_config(Config { cases: 64, rng_seed: RngSeed::Fixed(20261128), failure_persistence: None, ..Config::default() })]
+    #![proptest_config(Config { cases: 64, rng_seed: RngSeed::Fixed(20_261_128), failure_persistence: None, ..Config::default() })]
 
     #[test]
     fn the_rules_hold_and_the_same_events_give_the_same_actions(
--- a/crates/traffic-control/tests/wide_sets.rs
+++ b/crates/traffic-control/tests/wide_sets.rs
@@ -1,5 +1,4 @@
 //! Customers whose requests come through so many gateways that each sees hardly any of them.
-#![expect(clippy::items_after_statements)]
 
 mod common;
 use common::{is_rejected, reply_to_calls, sent_server, unlimited_settings, Rig};
@@ -322,10 +321,10 @@
 #[test]
 fn a_ceiling_is_kept_by_all_gateways_with_and_without_the_count() {
     const SET: u32 = 10;
+    const SECONDS: u64 = 10;
     for answers in [true, false] {
         let mut rigs: Vec<Rig> = (0..SET).map(one_with_a_ceiling).collect();
         let (mut total, mut passed, mut n) = (0.0, 0.0, 0);
-        const SECONDS: u64 = 10;
         for k in 0..SECONDS * 100 {
             for rig in &mut rigs {
                 rig.now += 10_000;
