--- a/crates/traffic-control/benches/decisions.rs
+++ b/crates/traffic-control/benches/decisions.rs
@@ -35,7 +35,8 @@
 /// Mean time of a request, in ns.
 fn play(servers: usize, customers: u64) -> f64 {
     let mut gateway = Gateway::new(settings(), 7).expect("settings");
-    let (mut out, mut now) = (Vec::new(), 1_000_000_000);
+    let mut out = Vec::new();
+    let mut now = 1_000_000_000;
     let entries = (0..servers)
         .map(|n| ServerEntry::ready(&format!("s{n}"), "a"))
         .collect();
--- a/crates/traffic-control/tests/common/mod.rs
+++ b/crates/traffic-control/tests/common/mod.rs
@@ -184,6 +184,7 @@
 /// Settings with two gateways and generous quotas.
 pub fn unlimited_settings() -> Settings {
     let mut s = Settings::example();
-    (s.plans[0].rate, s.plans[0].burst) = (1e6, 1e6);
+    s.plans[0].rate = 1e6;
+    s.plans[0].burst = 1e6;
     s
 }
--- a/crates/traffic-control/tests/counter_faults/main.rs
+++ b/crates/traffic-control/tests/counter_faults/main.rs
@@ -190,7 +190,8 @@
 fn calls_do_not_increase() {
     for_each_plan(|| {
         let mut world = World::new();
-        let (asked, counted) = (world.next, world.counted);
+        let asked = world.next;
+        let counted = world.counted;
         world.run(30.0);
         let calls = (world.counted - counted) as f64 / (world.next - asked) as f64;
         println!("{calls:.3} calls a request");
--- a/crates/traffic-control/tests/counter_faults/world.rs
+++ b/crates/traffic-control/tests/counter_faults/world.rs
@@ -77,9 +77,12 @@
 
 pub fn settings(me: usize) -> Settings {
     let mut s = Settings::example();
-    (s.gateways, s.me, s.counter) = (GATEWAYS as u32, me as u32, true);
+    s.gateways = GATEWAYS as u32;
+    s.me = me as u32;
+    s.counter = true;
     (s.plans[0].rate, s.plans[0].burst, s.max_units) = PLAN.with(std::cell::Cell::get);
-    (s.meter_period_us, s.parallel_attempts) = (1_000_000, false);
+    s.meter_period_us = 1_000_000;
+    s.parallel_attempts = false;
     s
 }
 
@@ -177,15 +180,18 @@
         let c = &mut self.counter;
         let part = name.bytes().map(usize::from).sum::<usize>() % 3;
         let silent = c.is_lost || c.lost_part == Some(part);
-        let (mut status, mut total, mut at) =
-            (CompletionStatus::NoAnswer, 0.0, self.now + CALL_TIMEOUT_US);
+        let mut status = CompletionStatus::NoAnswer;
+        let mut total = 0.0;
+        let mut at = self.now + CALL_TIMEOUT_US;
         if !silent {
             let held = c.replicas[c.replica_of_gateway[n]]
                 .entry(name.clone())
                 .or_default();
             *held += amount;
             if c.delay < CALL_TIMEOUT_US {
-                (status, total, at) = (CompletionStatus::Served, *held, self.now + c.delay);
+                status = CompletionStatus::Served;
+                total = *held;
+                at = self.now + c.delay;
             }
             match c.total_fault {
                 TotalFault::By(by) if status == CompletionStatus::Served => total += by,
@@ -273,7 +279,9 @@
     /// Units beyond a store of the quota since a time, of the customer with most of them, in units.
     pub fn overrun_units(&self, from: Micros) -> f64 {
         let over = |sent: &Vec<Micros>| {
-            let (mut level, mut at, mut over) = (burst(), START.with(std::cell::Cell::get), 0.0);
+            let mut level = burst();
+            let mut at = START.with(std::cell::Cell::get);
+            let mut over = 0.0;
             for &t in sent {
                 level = (level + (t - at) as f64 / 1e6 * rate()).min(burst());
                 at = t;
@@ -330,11 +338,9 @@
         assert!(honest >= least_honest, "the honest got {honest}");
         let usual = self.now;
         self.run(20.0);
-        let (over, honest, heavy) = (
-            self.overrun_units(usual) / rate(),
-            self.honest_share(usual),
-            self.heavy_share(usual),
-        );
+        let over = self.overrun_units(usual) / rate();
+        let honest = self.honest_share(usual);
+        let heavy = self.heavy_share(usual);
         println!("   then {over:.2} s, honest {honest:.3}, heavy {heavy:.2}");
         assert!(
             over <= 4.0,
--- a/crates/traffic-control/tests/fleet/main.rs
+++ b/crates/traffic-control/tests/fleet/main.rs
@@ -13,7 +13,9 @@
 fn fleet(gateways: u32, change: impl Fn(&mut Settings)) -> Vec<Rig> {
     let one = |me| {
         let mut settings = Settings::example();
-        (settings.gateways, settings.me, settings.peer_messages_per_s) = (gateways, me, 100.0);
+        settings.gateways = gateways;
+        settings.me = me;
+        settings.peer_messages_per_s = 100.0;
         change(&mut settings);
         Rig::seeded(settings, u64::from(me) + 1).with_listed(4)
     };
@@ -22,7 +24,8 @@
 
 /// Delivers what gateway `from` tells to the others, and what they tell in turn; returns the sends of `from`.
 fn deliver_messages(rigs: &mut [Rig], from: usize, actions: Vec<Action>) -> usize {
-    let (mut sends, mut queue) = (0, vec![(from, actions)]);
+    let mut sends = 0;
+    let mut queue = vec![(from, actions)];
     while let Some((from_now, actions)) = queue.pop() {
         for a in actions {
             match a {
@@ -47,16 +50,16 @@
         let mut rigs = fleet(gateways, |s| s.peer_messages = true);
         // Long enough for the keeper to have saved up the burst of 20: its start counts as a restart.
         rigs.iter_mut().for_each(|r| r.now += 10_000_000);
-        let mut passed = 0;
+        let mut admitted = 0;
         for g in 0..rigs.len().min(150) {
             for _ in 0..(150 / rigs.len()).max(1) {
                 let (_, actions) = rigs[g].request_with(|r| r.gateway_count = gateways);
-                passed += deliver_messages(&mut rigs, g, actions);
+                admitted += deliver_messages(&mut rigs, g, actions);
             }
         }
         assert!(
-            (19..=21).contains(&passed),
-            "{passed} of a burst of 20 with {gateways} gateways"
+            (19..=21).contains(&admitted),
+            "{admitted} of a burst of 20 with {gateways} gateways"
         );
     }
 }
@@ -65,16 +68,20 @@
 fn few_unsynced_gateways_save_up_their_slice_and_a_restart_adds_nothing() {
     for gateways in [7, 8] {
         let slice_s = f64::from(gateways) / 10.0;
-        let mut rig = fleet(gateways, |s| (s.plans[0].burst, s.max_units) = (5.0, 1.0)).remove(0);
-        let passed = |rig: &mut Rig| {
+        let mut rig = fleet(gateways, |s| {
+            s.plans[0].burst = 5.0;
+            s.max_units = 1.0;
+        })
+        .remove(0);
+        let admitted = |rig: &mut Rig| {
             sent_server(&rig.request_with(|r| r.gateway_count = gateways).1).is_some()
         };
         assert!(
-            !passed(&mut rig),
+            !admitted(&mut rig),
             "a fresh start owns a fraction of a request"
         );
         rig.now += (slice_s * 1e6) as Micros;
-        let n = (0..5).filter(|_| passed(&mut rig)).count();
+        let n = (0..5).filter(|_| admitted(&mut rig)).count();
         assert_eq!(
             n, 1,
             "one request is saved up in the time that the slice takes for it, and no more"
@@ -92,7 +99,7 @@
             let (id, actions) = rig.request_with(|r| r.gateway_count = gateways);
             sent_server(&actions).map(|server| (id, server))
         };
-        let mut passed = 0;
+        let mut admitted = 0;
         for n in 0..321 {
             let sent = ask(&mut rig);
             assert!(
@@ -100,15 +107,16 @@
                 "nothing is known of it: it is passed on"
             );
             let Some((id, server)) = sent else { continue };
-            passed += 1;
+            admitted += 1;
             let mut o = AttemptOutcome::new(id, 0, server, CompletionStatus::Served, 0);
-            (o.closed, o.metered_use) = (true, Some(4.0));
+            o.closed = true;
+            o.metered_use = Some(4.0);
             rig.handle(Event::Outcome(o));
         }
         // The first, a sixteenth of the others, and what was saved up of the slice.
         assert!(
-            (8..=40).contains(&passed),
-            "{passed} of 321 by {gateways} gateways"
+            (8..=40).contains(&admitted),
+            "{admitted} of 321 by {gateways} gateways"
         );
         let ceiling = Some(Ceiling {
             rate: 15.0,
@@ -159,7 +167,9 @@
 fn a_permit_whose_return_is_lost_is_granted_again() {
     let capped = |s: &mut Settings| {
         s.peer_messages = true;
-        (s.plans[0].rate, s.plans[0].burst, s.plans[0].max_open) = (0.0, 0.0, 3);
+        s.plans[0].rate = 0.0;
+        s.plans[0].burst = 0.0;
+        s.plans[0].max_open = 3;
     };
     let mut rigs = fleet(150, capped);
     let pass = |rigs: &mut Vec<Rig>, g: usize| {
@@ -183,7 +193,11 @@
 #[test]
 fn a_request_does_not_wait_long_for_a_silent_owner_or_counter() {
     for counter in [false, true] {
-        let mut rig = fleet(150, |s| (s.counter, s.peer_messages) = (counter, !counter)).remove(0);
+        let mut rig = fleet(150, |s| {
+            s.counter = counter;
+            s.peer_messages = !counter;
+        })
+        .remove(0);
         let (id, actions) = rig.request_with(|r| r.gateway_count = 150);
         assert!(
             sent_server(&actions).is_none() && !is_rejected(&actions),
@@ -198,7 +212,10 @@
         }
         assert!(waits <= 2, "answered after {waits} waits");
         // A client about to leave cannot wait at all.
-        let (_, actions) = rig.request_with(|r| (r.gateway_count, r.remaining_us) = (150, 60_000));
+        let (_, actions) = rig.request_with(|r| {
+            r.gateway_count = 150;
+            r.remaining_us = 60_000;
+        });
         assert!(is_rejected(&actions) || sent_server(&actions).is_some());
     }
 }
@@ -250,7 +267,8 @@
     let mut settings = unlimited_settings();
     settings.gateways = 150;
     let mut rig = Rig::with_servers(settings, 4);
-    let (mut silent, mut all) = (0, 0);
+    let mut silent = 0;
+    let mut all = 0;
     for _ in 0..400 {
         let (id, actions) = rig.request("c");
         let Some(server) = sent_server(&actions) else {
--- a/crates/traffic-control/tests/health_reports.rs
+++ b/crates/traffic-control/tests/health_reports.rs
@@ -100,16 +100,16 @@
     }
 
     fn exchange_reports(&mut self) {
-        let words: Vec<HealthReports> = self.gateways.iter().map(|r| r.gateway.words()).collect();
+        let reports: Vec<HealthReports> = self.gateways.iter().map(|r| r.gateway.words()).collect();
         for (me, rig) in (0..).zip(&mut self.gateways) {
-            for (from, words) in (0..).zip(&words) {
+            for (from, reports) in (0..).zip(&reports) {
                 if from != me
                     && !self.unreachable_gateways.contains(&me)
                     && !self.unreachable_gateways.contains(&from)
                 {
                     rig.handle(Event::HealthReports {
                         from,
-                        reports: words.clone(),
+                        reports: reports.clone(),
                     });
                 }
             }
@@ -135,7 +135,8 @@
 #[test]
 fn a_failing_server_is_detected_by_few_and_tried_by_one_at_a_time() {
     let bad = |_, s: &ServerId| &*s.0 == "s7";
-    let (mut alone, mut together) = (Fleet::new(false, bad), Fleet::new(true, bad));
+    let mut alone = Fleet::new(false, bad);
+    let mut together = Fleet::new(true, bad);
     alone.run(3);
     together.run(3);
     let found_out = (alone.sent_to("s7"), together.sent_to("s7"));
--- a/crates/traffic-control/tests/many_servers.rs
+++ b/crates/traffic-control/tests/many_servers.rs
@@ -97,7 +97,8 @@
 #[test]
 fn a_server_in_slow_start_among_many_gets_no_more_than_its_share() {
     let mut settings = unlimited_settings();
-    (settings.gateways, settings.slow_start.initial_share) = (2, 0.25);
+    settings.gateways = 2;
+    settings.slow_start.initial_share = 0.25;
     let mut rig = Rig::with_servers(settings, MANY);
     let mut cold = ServerEntry::ready("cold", "a");
     cold.started_us = rig.now;
--- a/crates/traffic-control/tests/mechanism/admission.rs
+++ b/crates/traffic-control/tests/mechanism/admission.rs
@@ -5,16 +5,16 @@
 
 /// Serves `n` requests with the given latency, one after another; returns how many were passed on.
 fn serve_requests(rig: &mut Rig, n: usize, latency: Micros) -> usize {
-    let mut passed = 0;
+    let mut admitted = 0;
     for _ in 0..n {
         let (id, actions) = rig.request("c");
         if let Some(server) = sent_server(&actions) {
-            passed += 1;
+            admitted += 1;
             rig.end_attempt_after(id, 0, &server, CompletionStatus::Served, latency);
             rig.now -= latency;
         }
     }
-    passed
+    admitted
 }
 
 #[test]
--- a/crates/traffic-control/tests/mechanism/counter_calls.rs
+++ b/crates/traffic-control/tests/mechanism/counter_calls.rs
@@ -54,7 +54,8 @@
             .filter(|&n| call_for(&mut rig, n).is_some())
             .count()
     };
-    let (one, many) = (calls_after(1), calls_after(30));
+    let one = calls_after(1);
+    let many = calls_after(30);
     assert!(
         many * 10 > one * 5,
         "{many} calls after thirty were lost, {one} after one"
--- a/crates/traffic-control/tests/mechanism/permits.rs
+++ b/crates/traffic-control/tests/mechanism/permits.rs
@@ -12,11 +12,9 @@
 #[test]
 fn attempts_in_flight_are_limited() {
     let mut settings = unlimited_settings();
-    (
-        settings.plans[0].rate,
-        settings.plans[0].burst,
-        settings.plans[0].max_open,
-    ) = (0.0, 0.0, 3);
+    settings.plans[0].rate = 0.0;
+    settings.plans[0].burst = 0.0;
+    settings.plans[0].max_open = 3;
     let mut rig = Rig::with_servers(settings, 4);
     let n = (0..10)
         .filter(|_| sent_server(&rig.request("c").1).is_some())
@@ -28,17 +26,18 @@
 fn few_unsynced_gateways_do_not_each_round_up_a_limit_on_attempts() {
     let mut settings = unlimited_settings();
     settings.gateways = 8;
-    (
-        settings.plans[0].rate,
-        settings.plans[0].burst,
-        settings.plans[0].max_open,
-    ) = (0.0, 0.0, 3);
+    settings.plans[0].rate = 0.0;
+    settings.plans[0].burst = 0.0;
+    settings.plans[0].max_open = 3;
     let mut rig = Rig::with_servers(settings, 4);
-    let passed = |rig: &mut Rig| !is_rejected(&rig.request_with(|r| r.gateway_count = 8).1);
-    assert!(!passed(&mut rig), "a third of a place is none at the start");
+    let admitted = |rig: &mut Rig| !is_rejected(&rig.request_with(|r| r.gateway_count = 8).1);
+    assert!(
+        !admitted(&mut rig),
+        "a third of a place is none at the start"
+    );
     rig.now += 5_000_000;
-    assert!(passed(&mut rig), "saved up to one place");
-    assert!(!passed(&mut rig), "and no more");
+    assert!(admitted(&mut rig), "saved up to one place");
+    assert!(!admitted(&mut rig), "and no more");
 }
 
 /// Of many each would save up for its place longer than customers stay: they are passed on until the meter tells of more than the
@@ -46,14 +45,13 @@
 #[test]
 fn the_meter_keeps_a_limit_on_attempts_at_many_unsynced_gateways() {
     let mut settings = unlimited_settings();
-    (settings.gateways, settings.meter_period_us) = (100, 1_000_000);
-    (
-        settings.plans[0].rate,
-        settings.plans[0].burst,
-        settings.plans[0].max_open,
-    ) = (0.0, 0.0, 3);
+    settings.gateways = 100;
+    settings.meter_period_us = 1_000_000;
+    settings.plans[0].rate = 0.0;
+    settings.plans[0].burst = 0.0;
+    settings.plans[0].max_open = 3;
     let mut rig = Rig::with_servers(settings, 4);
-    let mut passed = 0;
+    let mut admitted = 0;
     for n in 0..321 {
         let (id, actions) = rig.request_with(|r| r.gateway_count = 100);
         let server = sent_server(&actions);
@@ -62,14 +60,15 @@
             "nothing is known of it: it is passed on"
         );
         let Some(server) = server else { continue };
-        passed += 1;
+        admitted += 1;
         let mut o = AttemptOutcome::new(id, 0, server, CompletionStatus::Served, 0);
-        (o.closed, o.metered_use) = (true, Some(4.0));
+        o.closed = true;
+        o.metered_use = Some(4.0);
         rig.handle(Event::Outcome(o));
     }
     assert!(
-        (8..=40).contains(&passed),
-        "{passed} of 321: the first, and a sixteenth of the others"
+        (8..=40).contains(&admitted),
+        "{admitted} of 321: the first, and a sixteenth of the others"
     );
 }
 
@@ -78,13 +77,12 @@
 fn a_permit_whose_call_was_lost_is_corrected() {
     for lost in 0..3 {
         let mut settings = settings_with_counter(2);
-        (
-            settings.plans[0].rate,
-            settings.plans[0].burst,
-            settings.plans[0].max_open,
-        ) = (0.0, 0.0, 4);
+        settings.plans[0].rate = 0.0;
+        settings.plans[0].burst = 0.0;
+        settings.plans[0].max_open = 4;
         let mut rig = Rig::with_servers(settings, 4);
-        let (mut total, mut calls) = (0.0, 0);
+        let mut total = 0.0;
+        let mut calls = 0;
         let mut how = || {
             calls += 1;
             if calls - 1 == lost {
@@ -115,11 +113,9 @@
 #[test]
 fn two_calls_in_flight_are_distinguished() {
     let mut settings = settings_with_counter(2);
-    (
-        settings.plans[0].rate,
-        settings.plans[0].burst,
-        settings.plans[0].max_open,
-    ) = (0.0, 0.0, 4);
+    settings.plans[0].rate = 0.0;
+    settings.plans[0].burst = 0.0;
+    settings.plans[0].max_open = 4;
     let mut rig = Rig::with_servers(settings, 4);
     let mut total = 0.0;
     let counts = |actions: &[Action]| {
@@ -161,18 +157,17 @@
 #[test]
 fn a_permit_is_taken_in_the_count_before_anything_is_sent() {
     let mut settings = settings_with_counter(2);
-    (
-        settings.plans[0].rate,
-        settings.plans[0].burst,
-        settings.plans[0].max_open,
-    ) = (0.0, 0.0, 2);
+    settings.plans[0].rate = 0.0;
+    settings.plans[0].burst = 0.0;
+    settings.plans[0].max_open = 2;
     let mut rig = Rig::with_servers(settings, 4);
     let mut total = 0.0;
     // Several wait for one answer.
     let mut actions: Vec<Action> = (0..5)
         .flat_map(|_| rig.request_with(|r| r.gateway_count = 2).1)
         .collect();
-    let (mut sends, mut k) = (0, 0);
+    let mut sends = 0;
+    let mut k = 0;
     while k < actions.len() {
         match actions[k].clone() {
             Action::AddToCounter { name, amount, .. } => {
@@ -199,7 +194,9 @@
 
 /// Answers the calls among these 20 ms later; `others` is what the others' place holds. The amounts called, and the sends.
 fn reply_late(rig: &mut Rig, actions: Vec<Action>, total: &mut f64) -> (Vec<f64>, usize) {
-    let (mut amounts, mut sends, mut todo) = (Vec::new(), 0, VecDeque::from(actions));
+    let mut amounts = Vec::new();
+    let mut sends = 0;
+    let mut todo = VecDeque::from(actions);
     while let Some(action) = todo.pop_front() {
         match action {
             Action::AddToCounter { name, amount, .. } => {
@@ -223,7 +220,8 @@
 #[test]
 fn a_spare_permit_serves_the_next_request_and_is_returned_once_unneeded() {
     let mut rig = Rig::with_servers(settings_with_permits(2, 2), 4);
-    let (mut total, tag) = (0.0, Timer::Customer);
+    let mut total = 0.0;
+    let tag = Timer::Customer;
     let mut look = None;
     for n in 0..3 {
         let (id, actions) = rig.request_with(|r| r.gateway_count = 2);
@@ -270,7 +268,7 @@
 /// Where no call can be made, or none is answered, what the others mostly use decides.
 #[test]
 fn unsynced_permits_go_by_the_mean_use_of_others() {
-    for (others, passed) in [(0.0, 5), (2.0, 0)] {
+    for (others, admitted) in [(0.0, 5), (2.0, 0)] {
         let mut rig = Rig::with_servers(settings_with_permits(2, 2), 4);
         // The others' digit is the second.
         let mut total = others * 16.0;
@@ -302,7 +300,7 @@
                 reply_to_calls(&mut rig, actions, &mut total, || CompletionStatus::NoAnswer);
             }
         }
-        assert_eq!(sends, passed, "with {others} of 2 used by the others");
+        assert_eq!(sends, admitted, "with {others} of 2 used by the others");
     }
 }
 
@@ -310,11 +308,9 @@
 #[test]
 fn permits_come_back_in_a_new_counter_window() {
     let mut settings = settings_with_counter(2);
-    (
-        settings.plans[0].rate,
-        settings.plans[0].burst,
-        settings.plans[0].max_open,
-    ) = (0.0, 0.0, 4);
+    settings.plans[0].rate = 0.0;
+    settings.plans[0].burst = 0.0;
+    settings.plans[0].max_open = 4;
     let mut rig = Rig::with_servers(settings, 4);
     rig.now = 1_019_000_000;
     let mut total = 0.0;
--- a/crates/traffic-control/tests/mechanism/quotas.rs
+++ b/crates/traffic-control/tests/mechanism/quotas.rs
@@ -9,18 +9,18 @@
     let mut settings = Settings::example();
     settings.gateways = 2;
     let mut rig = Rig::with_servers(settings, 4);
-    let mut passed = 0;
+    let mut admitted = 0;
     for _ in 0..30 {
         let (id, actions) = rig.request_with(|r| r.gateway_count = 2);
         if let Some(server) = sent_server(&actions) {
-            passed += 1;
+            admitted += 1;
             rig.end_attempt_after(id, 0, &server, CompletionStatus::Served, 0);
         } else {
             let has_retry_after = |a: &Action| matches!(a, Action::Reject { retry_after_us, .. } if *retry_after_us > 0);
             assert!(actions.iter().any(has_retry_after));
         }
     }
-    assert_eq!(passed, 10, "half of a burst of 20");
+    assert_eq!(admitted, 10, "half of a burst of 20");
 }
 
 #[test]
@@ -39,7 +39,8 @@
 fn one_of_many_gateways_queries_the_counter_for_an_unknown_customer() {
     for gateways in [150, 600] {
         let mut settings = Settings::example();
-        (settings.gateways, settings.counter) = (gateways, true);
+        settings.gateways = gateways;
+        settings.counter = true;
         let mut total = 0.0;
         let gateway = |_| {
             let mut rig = Rig::with_servers(settings.clone(), 4);
@@ -84,7 +85,8 @@
 #[test]
 fn an_empty_store_stays_empty_in_a_new_counter_window() {
     let mut settings = settings_with_counter(2);
-    (settings.plans[0].rate, settings.plans[0].burst) = (0.5, 10.0);
+    settings.plans[0].rate = 0.5;
+    settings.plans[0].burst = 10.0;
     let mut rig = Rig::with_servers(settings, 4);
     rig.now = 1_019_500_000; // half a second before a minute is over
     let mut total = 0.0;
@@ -102,7 +104,8 @@
 #[test]
 fn an_empty_store_stays_empty_when_the_counter_comes_back_empty() {
     let mut settings = settings_with_counter(2);
-    (settings.plans[0].rate, settings.plans[0].burst) = (0.5, 10.0);
+    settings.plans[0].rate = 0.5;
+    settings.plans[0].burst = 10.0;
     let mut rig = Rig::with_servers(settings, 4);
     rig.now = 1_050_000_000;
     let mut total = 0.0;
@@ -122,7 +125,8 @@
     let mut rigs = [1, 2].map(|seed| {
         let mut settings = settings_with_counter(2);
         settings.me = seed as u32 - 1;
-        (settings.plans[0].rate, settings.plans[0].burst) = (10.0, 20.0);
+        settings.plans[0].rate = 10.0;
+        settings.plans[0].burst = 20.0;
         let mut rig = Rig::seeded(settings, seed).with_listed(4);
         rig.now = 1_030_000_000; // ten seconds into the life of the count: 100 units came in and none was used
         rig
@@ -148,10 +152,10 @@
         }
     }
     assert!((100.0..=105.0).contains(&total), "{total}");
-    let mut passed = 0;
+    let mut admitted = 0;
     for rig in &mut rigs {
-        passed += count_admitted_by_counter(rig, 2, 30, &mut total);
+        admitted += count_admitted_by_counter(rig, 2, 30, &mut total);
     }
     // A little more than the 18 that are left: small use is told in lumps.
-    assert!((15..=22).contains(&passed), "{passed} passed");
+    assert!((15..=22).contains(&admitted), "{admitted} passed");
 }
--- a/crates/traffic-control/tests/mechanism/servers.rs
+++ b/crates/traffic-control/tests/mechanism/servers.rs
@@ -6,7 +6,8 @@
 #[test]
 fn a_server_that_fails_fast_does_not_look_idle() {
     let mut rig = Rig::with_servers(unlimited_settings(), 4);
-    let (mut bad, mut all) = (0, 0);
+    let mut bad = 0;
+    let mut all = 0;
     for _ in 0..200 {
         let (id, actions) = rig.request("c");
         let Some(server) = sent_server(&actions) else {
--- a/crates/traffic-control/tests/mechanism/support.rs
+++ b/crates/traffic-control/tests/mechanism/support.rs
@@ -13,10 +13,8 @@
 
 pub fn settings_with_permits(gateways: u32, most: u32) -> Settings {
     let mut settings = settings_with_counter(gateways);
-    (
-        settings.plans[0].rate,
-        settings.plans[0].burst,
-        settings.plans[0].max_open,
-    ) = (0.0, 0.0, most);
+    settings.plans[0].rate = 0.0;
+    settings.plans[0].burst = 0.0;
+    settings.plans[0].max_open = most;
     settings
 }
--- a/crates/traffic-control/tests/replay/play.rs
+++ b/crates/traffic-control/tests/replay/play.rs
@@ -92,7 +92,8 @@
     /// Plays the world to its end: what comes in for each gateway, and what follows. Returns the digest and the number of
     /// actions by kind.
     pub fn run(mut self) -> (u64, [u64; 8]) {
-        let (end, played) = (self.now + SECONDS * 1_000_000, self.gateways.len());
+        let end = self.now + SECONDS * 1_000_000;
+        let played = self.gateways.len();
         for g in 0..played {
             let mut at = 0;
             while at < SECONDS * 1_000_000 {
--- a/crates/traffic-control/tests/rules.rs
+++ b/crates/traffic-control/tests/rules.rs
@@ -288,7 +288,7 @@
     s
 }
 
-fn passed(rig: &mut Rig, tries: usize) -> usize {
+fn admitted(rig: &mut Rig, tries: usize) -> usize {
     count_admitted_by_counter(rig, 2, tries, &mut 0.0)
 }
 
@@ -296,28 +296,26 @@
 fn a_restart_creates_no_second_ceiling_burst() {
     let mut rig = Rig::with_servers(settings_with_ceiling(), 2);
     assert_eq!(
-        passed(&mut rig, 50),
+        admitted(&mut rig, 50),
         0,
         "a gateway that has just started owns nothing of the ceiling"
     );
     rig.now += 1_000_000;
     assert_eq!(
-        passed(&mut rig, 50),
+        admitted(&mut rig, 50),
         5,
         "half of the ceiling's rate for a second"
     );
     rig.now += 60_000_000;
-    assert_eq!(passed(&mut rig, 50), 10, "half of the ceiling's depth");
+    assert_eq!(admitted(&mut rig, 50), 10, "half of the ceiling's depth");
 }
 
 #[test]
 fn no_message_raises_the_ceiling_slice() {
     let mut settings = settings_with_ceiling();
-    (
-        settings.peer_messages,
-        settings.peer_messages_per_s,
-        settings.counter,
-    ) = (true, 100.0, true);
+    settings.peer_messages = true;
+    settings.peer_messages_per_s = 100.0;
+    settings.counter = true;
     let mut rig = Rig::with_servers(settings, 2);
     for k in 0..200u8 {
         rig.now += 10_000;
--- a/crates/traffic-control/tests/streams.rs
+++ b/crates/traffic-control/tests/streams.rs
@@ -12,12 +12,10 @@
 
 fn settings() -> Settings {
     let mut s = common::unlimited_settings();
-    (
-        s.gateways,
-        s.peer_messages,
-        s.peer_messages_per_s,
-        s.counter,
-    ) = (3, true, 100.0, true);
+    s.gateways = 3;
+    s.peer_messages = true;
+    s.peer_messages_per_s = 100.0;
+    s.counter = true;
     s.plans[0].ceiling = Some(Ceiling {
         rate: 50.0,
         depth: 30.0,
--- a/crates/traffic-control/tests/subsets.rs
+++ b/crates/traffic-control/tests/subsets.rs
@@ -139,10 +139,8 @@
         }
     }
     // Each did 30 a second for all gateways before; cold 0.27 of it, times 4, for 3 s.
-    let (allowed, sum) = (
-        30.0 * 0.27 * 4.0 * 3.0,
-        to_each.values().sum::<usize>() as f64,
-    );
+    let allowed = 30.0 * 0.27 * 4.0 * 3.0;
+    let sum = to_each.values().sum::<usize>() as f64;
     let most = to_each.values().max().copied().unwrap_or(0) as f64;
     assert!(most < allowed, "{most} to one of {allowed}");
     assert!(
--- a/crates/traffic-control/tests/terms.rs
+++ b/crates/traffic-control/tests/terms.rs
@@ -35,15 +35,15 @@
 
 /// So many of the requests that come now, one after another, are sent on; each is served at once.
 fn count_admitted(rig: &mut Rig, most: usize) -> usize {
-    let mut passed = 0;
+    let mut admitted = 0;
     for _ in 0..most {
         let (id, actions) = rig.request("c");
         if let Some(server) = sent_server(&actions) {
-            passed += 1;
+            admitted += 1;
             rig.end_attempt_after(id, 0, &server, CompletionStatus::Served, 0);
         }
     }
-    passed
+    admitted
 }
 
 #[test]
--- a/crates/traffic-control/tests/wide_sets.rs
+++ b/crates/traffic-control/tests/wide_sets.rs
@@ -17,7 +17,8 @@
         ..Settings::example()
     };
     settings.me = seed as u32 % GATEWAYS;
-    (settings.plans[0].overrun_cost, settings.plans[0].price) = (0.5, 1.0);
+    settings.plans[0].overrun_cost = 0.5;
+    settings.plans[0].price = 1.0;
     Rig::seeded(settings, seed).with_listed(4)
 }
 
@@ -34,7 +35,10 @@
 }
 
 fn from_customer(customer: u64) -> impl FnOnce(&mut Request) {
-    move |r| (r.gateway_count, r.customer) = (GATEWAYS, CustomerId(format!("c{customer}").into()))
+    move |r| {
+        r.gateway_count = GATEWAYS;
+        r.customer = CustomerId(format!("c{customer}").into());
+    }
 }
 
 /// Guards against a fleet that begins, or begins anew after a release, with all the calls that it saved up.
@@ -64,20 +68,21 @@
     let server = sent_server(&told).expect("passed on");
     // The meter says that the customer uses four times its quota: as many pass as leave it used in sum.
     let mut o = AttemptOutcome::new(id, 0, server, CompletionStatus::Served, 50_000);
-    (o.closed, o.metered_use) = (true, Some(4.0));
+    o.closed = true;
+    o.metered_use = Some(4.0);
     rig.handle(Event::Outcome(o));
-    let mut passed = 0;
+    let mut admitted = 0;
     for _ in 0..200 {
         let (id, actions) = rig.request_with(from_customer(1));
         let actions = reply_to_calls(&mut rig, actions, &mut 0.0, || CompletionStatus::Rejected);
         if let Some(server) = sent_server(&actions) {
-            passed += 1;
+            admitted += 1;
             rig.end_attempt_after(id, 0, &server, CompletionStatus::Served, 0);
         }
     }
     assert!(
-        (4..=30).contains(&passed),
-        "{passed} of 200 passed, a sixteenth is due"
+        (4..=30).contains(&admitted),
+        "{admitted} of 200 passed, a sixteenth is due"
     );
 }
 
@@ -89,13 +94,13 @@
         counter: false,
         ..Settings::example()
     };
-    (
-        settings.peer_messages,
-        settings.usage_report_ttl_us,
-        settings.max_units,
-    ) = (false, 0, 4.0);
-    (settings.plans[0].rate, settings.plans[0].burst) = (2.0, 8.0);
-    (settings.plans[0].overrun_cost, settings.plans[0].price) = (0.6, 1.0);
+    settings.peer_messages = false;
+    settings.usage_report_ttl_us = 0;
+    settings.max_units = 4.0;
+    settings.plans[0].rate = 2.0;
+    settings.plans[0].burst = 8.0;
+    settings.plans[0].overrun_cost = 0.6;
+    settings.plans[0].price = 1.0;
     let mut rigs: Vec<Rig> = (0..GATEWAYS)
         .map(|me| {
             Rig::seeded(
@@ -108,46 +113,51 @@
             .with_listed(4)
         })
         .collect();
-    let (mut asked, mut passed) = (0, vec![0; 40]);
+    let mut asked = 0;
+    let mut admitted = vec![0; 40];
     let begins = rigs[0].now;
-    for second in 0..passed.len() {
+    for second in 0..admitted.len() {
         for n in 0..per_s {
             asked += 1;
             let rig = &mut rigs[asked * 37 % GATEWAYS as usize];
             rig.now = begins + (second as u64 * 1_000_000) + (n * 1_000_000 / per_s) as u64;
-            let (id, actions) = rig.request_with(|r| (r.gateway_count, r.units) = (GATEWAYS, 1.0));
+            let (id, actions) = rig.request_with(|r| {
+                r.gateway_count = GATEWAYS;
+                r.units = 1.0;
+            });
             let Some(server) = sent_server(&actions) else {
                 continue;
             };
-            passed[second] += 1;
+            admitted[second] += 1;
             let mut o = AttemptOutcome::new(id, 0, server, CompletionStatus::Served, 0);
             // Of the last period that is over.
-            let told = passed[second.saturating_sub(1)] as f64 / 2.0;
-            (o.closed, o.metered_use) = (true, metered.then_some(told));
+            let told = admitted[second.saturating_sub(1)] as f64 / 2.0;
+            o.closed = true;
+            o.metered_use = metered.then_some(told);
             rig.handle(Event::Outcome(o));
         }
     }
-    passed
+    admitted
 }
 
 /// Guards against a fleet without a counter that refuses nearly all: an even slice is a hundredth of a quota, and says nothing.
 #[test]
 fn without_a_counter_a_customer_within_its_quota_is_admitted() {
     for metered in [true, false] {
-        let passed: usize = admitted_without_counter(1, metered).iter().sum();
-        assert!(passed >= 36, "{passed} of 40, metered {metered}");
+        let admitted: usize = admitted_without_counter(1, metered).iter().sum();
+        assert!(admitted >= 36, "{admitted} of 40, metered {metered}");
     }
 }
 
 /// Guards against passing all that is asked for where the meter tells of too much.
 #[test]
 fn without_a_counter_the_meter_limits_a_customer_that_overuses() {
-    let passed = admitted_without_counter(12, true);
-    let late: usize = passed[10..].iter().sum();
-    let times = late as f64 / (passed.len() - 10) as f64 / 2.0;
+    let admitted = admitted_without_counter(12, true);
+    let late: usize = admitted[10..].iter().sum();
+    let times = late as f64 / (admitted.len() - 10) as f64 / 2.0;
     assert!(
         (0.75..=2.25).contains(&times),
-        "{times} times its quota of six asked for: {passed:?}"
+        "{times} times its quota of six asked for: {admitted:?}"
     );
 }
 
@@ -155,7 +165,10 @@
 #[test]
 fn unused_reserved_units_are_returned_though_their_customer_stays_away() {
     let mut rig = one_gateway(1);
-    let (_, actions) = rig.request_with(|r| (r.gateway_count, r.units) = (GATEWAYS, 3.0));
+    let (_, actions) = rig.request_with(|r| {
+        r.gateway_count = GATEWAYS;
+        r.units = 3.0;
+    });
     let [(name, asked, _)] = &counter_calls(&actions)[..] else {
         panic!("it asks: {actions:?}")
     };
@@ -195,11 +208,9 @@
         counter: true,
         ..Settings::example()
     };
-    (
-        settings.plans[0].rate,
-        settings.plans[0].burst,
-        settings.plans[0].max_open,
-    ) = (0.0, 0.0, 2);
+    settings.plans[0].rate = 0.0;
+    settings.plans[0].burst = 0.0;
+    settings.plans[0].max_open = 2;
     settings.plans[0].overrun_cost = 1.0;
     let mut counts = std::collections::HashMap::new();
     let mut passes = |seed: u64, later: Micros, ends: bool| {
@@ -307,7 +318,8 @@
         me,
         ..Settings::example()
     };
-    (s.plans[0].rate, s.plans[0].burst) = (10.0, 60.0);
+    s.plans[0].rate = 10.0;
+    s.plans[0].burst = 60.0;
     s.plans[0].ceiling = Some(Ceiling {
         rate: 20.0,
         depth: 120.0,
@@ -324,13 +336,18 @@
     const SECONDS: u64 = 10;
     for answers in [true, false] {
         let mut rigs: Vec<Rig> = (0..SET).map(one_with_a_ceiling).collect();
-        let (mut total, mut passed, mut n) = (0.0, 0.0, 0);
+        let mut total = 0.0;
+        let mut admitted = 0.0;
+        let mut n = 0;
         for k in 0..SECONDS * 100 {
             for rig in &mut rigs {
                 rig.now += 10_000;
             }
             let rig = &mut rigs[(k * 7 % u64::from(SET)) as usize];
-            let (id, actions) = rig.request_with(|r| (r.gateway_count, r.units) = (SET, 3.0));
+            let (id, actions) = rig.request_with(|r| {
+                r.gateway_count = SET;
+                r.units = 3.0;
+            });
             let mut how = || {
                 n += 1;
                 if answers && n % 5 != 4 {
@@ -341,7 +358,7 @@
             };
             let actions = reply_to_calls(rig, actions, &mut total, &mut how);
             if let Some(server) = sent_server(&actions) {
-                passed += 3.0;
+                admitted += 3.0;
                 let ended = rig.end_attempt_after(id, 0, &server, CompletionStatus::Served, 0);
                 reply_to_calls(rig, ended, &mut total, &mut how);
             }
@@ -353,12 +370,12 @@
         }
         let most = 120.0 + 20.0 * SECONDS as f64;
         assert!(
-            passed <= most,
-            "{passed} units of {most} with answers: {answers}"
+            admitted <= most,
+            "{admitted} units of {most} with answers: {answers}"
         );
         assert!(
-            !answers || passed >= 0.8 * (60.0 + 10.0 * SECONDS as f64),
-            "{passed} units served"
+            !answers || admitted >= 0.8 * (60.0 + 10.0 * SECONDS as f64),
+            "{admitted} units served"
         );
     }
 }
@@ -395,12 +412,12 @@
         status: CompletionStatus::Served,
         total,
     });
-    let passed = |id| {
+    let admitted = |id| {
         told.iter()
             .any(|a| matches!(a, Action::Send { request, .. } if *request == id))
     };
     assert!(
-        passed(first) && waiting.iter().all(|id| passed(*id)),
+        admitted(first) && waiting.iter().all(|id| admitted(*id)),
         "{told:?}"
     );
     assert_eq!(total, 429.0, "and no more units are taken than they draw");
