--- a/crates/traffic-control/tests/common/mod.rs
+++ b/crates/traffic-control/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway on a bench of its own: events in, actions out, nothing else.
+//! A test rig: one gateway that events are sent to and whose actions are looked at.
 #![allow(dead_code)]
 
 use frosthatch_traffic_control::{
@@ -72,7 +72,7 @@
         self.end_attempt(id, attempt, server, status, after)
     }
 
-    /// An attempt ends that took so long, now.
+    /// Ends an attempt now that took so long.
     pub fn end_attempt(
         &mut self,
         id: RequestId,
@@ -86,7 +86,7 @@
         self.handle(Event::Outcome(o))
     }
 
-    /// Lets `us` pass and the interval timer fire.
+    /// Lets a control interval pass, and its timer fire.
     pub fn interval(&mut self) -> Vec<Action> {
         self.now += 1_000_000;
         self.handle(Event::Timer(Timer::Interval))
@@ -100,7 +100,7 @@
     })
 }
 
-/// Answers what is asked of a counter that stands at `total`, and all that follows; what it says of calls is `how`'s.
+/// Replies to all calls to a counter that stands at `total`, and to those that follow; `how` gives the status of each.
 pub fn reply_to_calls(
     rig: &mut Rig,
     mut actions: Vec<Action>,
@@ -137,7 +137,7 @@
     }))
 }
 
-/// How many of `tries` requests are passed on while a counter that stands at `total` answers at once.
+/// How many of `tries` requests are admitted while a counter that stands at `total` replies at once.
 pub fn count_admitted_by_counter(
     rig: &mut Rig,
     width: u32,
@@ -181,7 +181,7 @@
     actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
 
-/// Settings with two gateways and generous quotas.
+/// Settings with quotas that no test uses up.
 pub fn unlimited_settings() -> Settings {
     let mut s = Settings::example();
     s.plans[0].rate = 1e6;
--- a/crates/traffic-control/tests/counter_faults/main.rs
+++ b/crates/traffic-control/tests/counter_faults/main.rs
@@ -1,11 +1,12 @@
-//! Four gateways, a counter that goes wrong and a meter, in virtual time: what comes too much, and what the honest still get.
+//! Four gateways, a counter with faults and a meter, in virtual time: how much is admitted beyond quotas, and what customers
+//! within their quotas still get.
 
 mod world;
 
 use std::collections::BTreeMap;
 use world::{TotalFault, World, CALL_US, GATEWAYS, PLAN, START};
 
-/// A large plan, and a small one whose requests may be large beside it; counts that end at different times.
+/// Plays with a large plan, and with a small one whose requests may be large beside it, and with windows that end at different times.
 fn for_each_plan(play: impl Fn()) {
     for (plan, start) in [
         ((40.0, 80.0, 1.0), 965),
@@ -27,7 +28,7 @@
     });
 }
 
-/// Both lost at the busiest moment; the seconds in which nobody knows yet are all that may come too much.
+/// Only what is admitted in the seconds before the loss is noticed may exceed the quotas.
 #[test]
 fn quotas_hold_while_the_counter_is_lost() {
     for_each_plan(|| {
@@ -62,8 +63,8 @@
     w.counter.replica_of_gateway = [0; GATEWAYS];
 }
 
-/// The halves see half of the use each; the meter tells of all of it. Alone each half would let the whole rate through, a
-/// minute of it too much in all; of a small quota chance hides the split longer.
+/// The halves see half of the use each; the meter reports all of it. By itself each half would admit the whole rate, a
+/// minute of it too much in all; with a small quota noise hides the split longer.
 #[test]
 fn quotas_hold_while_the_counter_is_split_and_after_it_heals() {
     for_each_plan(|| {
@@ -155,7 +156,7 @@
     });
 }
 
-/// Then each gateway has its even part, and no more is known.
+/// Then each gateway has its even slice, and no more is known.
 #[test]
 fn quotas_hold_while_counter_and_meter_are_lost() {
     for_each_plan(|| {
@@ -185,7 +186,7 @@
     });
 }
 
-/// What the ledger knows costs no calls.
+/// The usage ledger costs no calls.
 #[test]
 fn calls_do_not_increase() {
     for_each_plan(|| {
--- a/crates/traffic-control/tests/counter_faults/world.rs
+++ b/crates/traffic-control/tests/counter_faults/world.rs
@@ -10,9 +10,9 @@
 pub const STEP_US: Micros = 5_000;
 
 thread_local! {
-    /// A count lives for a minute: whether it ends within a fault is up to the start.
+    /// A counter window is a minute: whether it ends within a fault depends on the start.
     pub static START: std::cell::Cell<Micros> = const { std::cell::Cell::new(965_000_000) };
-    /// Units a second, burst, and most units of one request.
+    /// Units a second, burst, and the most units of one request.
     pub static PLAN: std::cell::Cell<(f64, f64, f64)> = const { std::cell::Cell::new((40.0, 80.0, 1.0)) };
 }
 
@@ -26,17 +26,17 @@
 
 pub const GATEWAYS: usize = 4;
 
-/// A call, and a request, take this long.
+/// How long a call takes, and a request.
 pub const CALL_US: Micros = 2_000;
 
 pub const SERVED_US: Micros = 20_000;
 
-/// A call without an answer is given up after this.
+/// Timeout of a call.
 pub const CALL_TIMEOUT_US: Micros = 50_000;
 
 pub const METER_DELAY_US: Micros = 600_000;
 
-/// Customers 0 and 1 ask for four times their quota evenly; the others for a part of theirs, most of it at one gateway.
+/// Demand by customer, as a multiple of the quota. Customers 0 and 1 use all gateways evenly; the others mostly one.
 pub const DEMAND_PER_QUOTA: [f64; 6] = [4.0, 4.0, 0.4, 0.6, 0.8, 0.9];
 
 #[derive(Clone, Copy, PartialEq)]
@@ -50,7 +50,7 @@
     pub replicas: Vec<BTreeMap<String, f64>>,
     pub replica_of_gateway: [usize; GATEWAYS],
     pub is_lost: bool,
-    /// Names of that one of three parts get no answer.
+    /// Calls for names of this third get no reply.
     pub lost_part: Option<usize>,
     pub delay: Micros,
     pub total_fault: TotalFault,
@@ -276,7 +276,7 @@
         (0..(seconds * 1e6) as u64 / STEP_US).for_each(|_| self.step());
     }
 
-    /// Units beyond a store of the quota since a time, of the customer with most of them, in units.
+    /// Units beyond the quota since a time, of the customer with most of them.
     pub fn overrun_units(&self, from: Micros) -> f64 {
         let over = |sent: &Vec<Micros>| {
             let mut level = burst();
@@ -296,7 +296,7 @@
         self.sent.iter().map(over).fold(0.0, f64::max)
     }
 
-    /// Of what the honest asked since a time, the share that was sent on.
+    /// The share of the requests of customers within their quota that were sent since a time.
     pub fn honest_share(&self, from: Micros) -> f64 {
         let since = |all: &[Vec<Micros>]| -> f64 {
             all[2..]
@@ -307,7 +307,7 @@
         since(&self.sent) / since(&self.asked)
     }
 
-    /// What whoever asks too much got since a time, beside the quota.
+    /// What customers beyond their quota got since a time, as a multiple of the quota.
     pub fn heavy_share(&self, from: Micros) -> f64 {
         let seconds = (self.now - from) as f64 / 1e6;
         let got = |n: usize| {
@@ -316,7 +316,7 @@
         got(0).min(got(1))
     }
 
-    /// Plays a fault, then ten seconds more; then all must be as usual for twenty. Limits on what comes too much are in
+    /// Plays a fault, then ten seconds more; then all must be as usual for twenty seconds. Limits on the overrun are in
     /// seconds of the quota's rate.
     pub fn play_fault(
         &mut self,
--- a/crates/traffic-control/tests/fleet/main.rs
+++ b/crates/traffic-control/tests/fleet/main.rs
@@ -1,4 +1,4 @@
-//! Many gateways: what all of them together do where each one's part is under one request.
+//! What many gateways do together where each one's slice is under one request.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -22,7 +22,7 @@
     (0..gateways).map(one).collect()
 }
 
-/// Delivers what gateway `from` tells to the others, and what they tell in turn; returns the sends of `from`.
+/// Delivers the messages of gateway `from` to the others, and their replies. Returns the number of sends of `from`.
 fn deliver_messages(rigs: &mut [Rig], from: usize, actions: Vec<Action>) -> usize {
     let mut sends = 0;
     let mut queue = vec![(from, actions)];
@@ -48,7 +48,7 @@
 fn gateways_that_share_an_owner_admit_the_quota_and_no_more() {
     for gateways in [3, 150, 600] {
         let mut rigs = fleet(gateways, |s| s.peer_messages = true);
-        // Long enough for the keeper to have saved up the burst of 20: its start counts as a restart.
+        // Long enough for the owner to have saved up the burst of 20: its start counts as a restart.
         rigs.iter_mut().for_each(|r| r.now += 10_000_000);
         let mut admitted = 0;
         for g in 0..rigs.len().min(150) {
@@ -89,8 +89,8 @@
     }
 }
 
-/// Of many the slice is next to nothing, and most customers are within their quota: they are passed on until the meter tells of
-/// too much. What no gateway may risk, the ceiling, is kept to the slice all the same, and a restart mints nothing of it.
+/// At many gateways the slice is next to nothing and most customers are within their quota: they are admitted until the meter shows
+/// overuse. A ceiling, which no gateway may risk, is kept to the slice, and a restart adds nothing to it.
 #[test]
 fn many_unsynced_gateways_admit_until_the_meter_shows_overuse_and_keep_to_their_ceiling_slice() {
     for gateways in [9, 150, 600] {
@@ -139,13 +139,13 @@
         });
         let mut to_cold = 0;
         for rig in &mut rigs {
-            // It is all there is: every request wants it.
+            // It is the only server.
             let cold = ServerEntry {
                 started_us: rig.now,
                 ..ServerEntry::ready("cold", "a")
             };
             rig.update_servers(ListKind::Complete, vec![cold]);
-            // The rule's window of two seconds, 600 requests a second for the fleet.
+            // The window of two seconds, with 600 requests a second for the fleet.
             for _ in 0..1200 / gateways {
                 let (id, actions) = rig.request("c");
                 if let Some(server) = sent_server(&actions) {
@@ -176,7 +176,7 @@
         let (_, actions) = rigs[g].request_with(|r| r.gateway_count = 150);
         deliver_messages(rigs, g, actions)
     };
-    // Each gateway sends one and is never heard of again.
+    // Each gateway sends one request and then is silent.
     assert_eq!(
         (1..20).map(|g| pass(&mut rigs, g)).sum::<usize>(),
         3,
@@ -211,7 +211,7 @@
             waits += 1;
         }
         assert!(waits <= 2, "answered after {waits} waits");
-        // A client about to leave cannot wait at all.
+        // A request of a client about to leave cannot wait at all.
         let (_, actions) = rig.request_with(|r| {
             r.gateway_count = 150;
             r.remaining_us = 60_000;
@@ -296,7 +296,7 @@
 
 #[test]
 fn the_gateway_that_begins_a_count_corrects_it_for_what_filled_in_before() {
-    // Guards against a second burst for who was idle, and against all gateways making up for it at once.
+    // Otherwise an idle customer would get a second burst, and all gateways would correct the count at once.
     let added = |name_made_before: f64| {
         let mut rig = fleet(150, |s| s.counter = true).remove(0);
         rig.now = 1_230_000_000;
@@ -323,7 +323,7 @@
             })
             .sum::<f64>()
     };
-    // Half a minute at ten a second filled in since the count's minute began.
+    // Half a minute at ten units a second filled in since the counter's window began.
     assert!((added(0.0) - 300.0).abs() < 2.0);
     assert_eq!(added(300.0), 0.0, "a count in step is left alone");
 }
--- a/crates/traffic-control/tests/health_reports.rs
+++ b/crates/traffic-control/tests/health_reports.rs
@@ -1,4 +1,5 @@
-//! What gateways tell each other of servers: one that fails is left alone by all soon, tried by one at a time, and back once it is well.
+//! Health reports between gateways: a failing server is soon ejected by all, tried by one gateway at a time, and used again once it
+//! has recovered.
 
 mod common;
 use common::{sent_server, unlimited_settings, Rig};
@@ -9,20 +10,20 @@
 use std::collections::BTreeMap;
 
 const GATEWAYS: u32 = 12;
-/// So few that all are used by all.
+/// So few that all gateways use all of them.
 const SERVERS: usize = 18;
 const STEP: u64 = 50_000;
 
 struct Fleet {
     gateways: Vec<Rig>,
-    /// Gateways that hear nobody and whom nobody hears.
+    /// Gateways that neither send nor get reports.
     unreachable_gateways: Vec<u32>,
-    /// What comes of an attempt at a server by a gateway.
+    /// Whether an attempt of a gateway at a server fails.
     fails: fn(u32, &ServerId) -> bool,
-    /// Sends in the last time, by gateway and server.
+    /// Sends in the last run, by gateway and server.
     sends: BTreeMap<(u32, ServerId), usize>,
     exchanges_reports: bool,
-    /// Under way: by whom, when it ends, and what.
+    /// Attempts in flight: gateway, when it ends, request, attempt and server.
     in_flight: Vec<(u32, u64, RequestId, u32, ServerId)>,
 }
 
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Each gets forty requests a second, which take three steps at servers that are well, and says what it has to say five times.
+    /// Each gateway gets forty requests a second, which take three steps at healthy servers, and reports five times a second.
     fn run(&mut self, seconds: u64) {
         self.sends.clear();
         for step in 0..seconds * 1_000_000 / STEP {
@@ -143,7 +144,7 @@
     alone.run(30);
     together.run(30);
     let kept_out = (alone.sent_to("s7"), together.sent_to("s7"));
-    // Of 14,400 requests; one in each turn of four seconds.
+    // Of 14,400 requests; one in each interval of four seconds.
     assert!(
         together.ejected_servers().iter().all(|out| *out == 1),
         "{:?}",
@@ -152,12 +153,12 @@
     assert!((5..=10).contains(&kept_out.1), "{kept_out:?}");
     assert!(kept_out.1 * 4 < kept_out.0, "{kept_out:?}");
     assert!(found_out.1 <= found_out.0, "{found_out:?}");
-    // It is well again: all use it within seconds.
+    // It has recovered: all use it within seconds.
     together.fails = |_, _| false;
     together.run(5);
     assert!(together.ejected_servers().iter().all(|out| *out == 0));
     together.run(5);
-    // As much as others, within chance.
+    // As much as the others, within noise.
     assert!(
         (40..160).contains(&together.sent_to("s7")),
         "{}",
@@ -165,7 +166,7 @@
     );
 }
 
-/// One whose own network is bad finds all servers bad, and takes none from the others.
+/// A gateway with a faulty network reports all servers, and ejects none of them for the others.
 #[test]
 fn a_gateway_that_reports_all_servers_ejects_none() {
     let mut fleet = Fleet::new(true, |me, _| me == 3);
@@ -177,7 +178,7 @@
         .filter(|(n, _)| *n != 3)
         .all(|(_, out)| out == 0);
     assert!(others, "{:?}", fleet.ejected_servers());
-    // It can reach a part only: still one witness.
+    // It can reach some servers only: it is still one reporter.
     let mut fleet = Fleet::new(true, |me, s| me == 3 && s.0.ends_with('1'));
     fleet.run(10);
     assert!(
@@ -187,7 +188,7 @@
     );
 }
 
-/// One that hears nobody goes by its own word: nothing is out for it but it does without the server nearly as before.
+/// A gateway without reports ejects nothing, but avoids the server nearly as before.
 #[test]
 fn a_gateway_without_reports_goes_by_its_own_outcomes() {
     let mut fleet = Fleet::new(true, |_, s| &*s.0 == "s7");
@@ -202,7 +203,7 @@
     );
 }
 
-/// What was found out of a server's earlier process is void.
+/// What was known of a server's previous process does not hold any more.
 #[test]
 fn a_restarted_server_is_not_ejected_for_its_past() {
     let mut fleet = Fleet::new(true, |_, s| &*s.0 == "s7");
--- a/crates/traffic-control/tests/many_servers.rs
+++ b/crates/traffic-control/tests/many_servers.rs
@@ -1,4 +1,4 @@
-//! Fleets that are too large to look at every server for every request.
+//! Fleets that are too large to compare all servers for each request.
 
 mod common;
 use common::{count_sends_one_by_one, sent_server, unlimited_settings, Rig};
@@ -18,7 +18,7 @@
 fn requests_spread_over_many_servers() {
     let mut rig = Rig::with_servers(unlimited_settings(), MANY);
     let counts = count_sends_by_server(&mut rig, 5 * MANY);
-    // By chance alone 1 in 150 gets none of five on average, and none gets many.
+    // At random 1 in 150 gets none where each gets five on average, and none gets many.
     assert!(counts.len() > MANY * 97 / 100, "{}", counts.len());
     assert!(
         counts.values().max() < Some(&20),
@@ -27,12 +27,12 @@
     );
 }
 
-/// The choice is for the least held, also where only some are looked at.
+/// The least loaded server is chosen, also where only some are compared.
 #[test]
 fn busy_servers_get_few_requests() {
     let mut rig = Rig::with_servers(unlimited_settings(), MANY);
     let mut busy = std::collections::BTreeSet::new();
-    // Half of them hold one request each, unanswered.
+    // Half of them have one request each in flight.
     while busy.len() < MANY / 2 {
         let (_, actions) = rig.request("c");
         busy.insert(sent_server(&actions).expect("sent"));
@@ -61,7 +61,7 @@
     }
 }
 
-/// Guards against a rare group that none of those looked at belongs to: the repeat goes there all the same.
+/// A retry goes to the one cell that drops repeats, also where none of the compared servers belongs to it.
 #[test]
 fn a_retry_finds_the_one_other_server_that_drops_repeats() {
     let mut settings = unlimited_settings();
@@ -93,7 +93,7 @@
     }
 }
 
-/// A cold one among many is spared as among few.
+/// A server in slow start is protected among many servers as among few.
 #[test]
 fn a_server_in_slow_start_among_many_gets_no_more_than_its_share() {
     let mut settings = unlimited_settings();
@@ -105,6 +105,6 @@
     rig.update_servers(ListKind::Partial, vec![cold]);
     let counts = count_sends_by_server(&mut rig, 3_000);
     let to_cold = counts.get(&ServerId("cold".into())).copied().unwrap_or(0);
-    // Three seconds and 30 s of work: a warm one gets one or two.
+    // Three seconds and 30 s of work: a warm server gets one or two.
     assert!(to_cold <= 4, "{to_cold}");
 }
--- a/crates/traffic-control/tests/mechanism/admission.rs
+++ b/crates/traffic-control/tests/mechanism/admission.rs
@@ -3,7 +3,7 @@
 use crate::common::{is_rejected, sent_server, unlimited_settings, Rig};
 use frosthatch_traffic_control::{Action, CompletionStatus, Event, Micros, Settings, Timer};
 
-/// Serves `n` requests with the given latency, one after another; returns how many were passed on.
+/// Serves `n` requests with the given latency, one after another. Returns how many were admitted.
 fn serve_requests(rig: &mut Rig, n: usize, latency: Micros) -> usize {
     let mut admitted = 0;
     for _ in 0..n {
@@ -71,7 +71,7 @@
     assert!((5..20).contains(&n), "{n} passed");
 }
 
-/// Guards against one silent server that eats all the time a request has.
+/// One silent server does not take all the time of a request.
 #[test]
 fn an_attempt_ends_while_another_may_follow() {
     let mut rig = Rig::with_servers(Settings::example(), 3);
@@ -100,7 +100,7 @@
     );
 }
 
-/// Guards against an answer that comes too late for its client to try elsewhere.
+/// The answer does not come too late for the client to try elsewhere.
 #[test]
 fn a_request_that_no_server_can_take_is_answered_before_half_of_its_time_is_over() {
     let mut settings = Settings::example();
--- a/crates/traffic-control/tests/mechanism/counter_calls.rs
+++ b/crates/traffic-control/tests/mechanism/counter_calls.rs
@@ -6,7 +6,7 @@
     Action, CompletionStatus, CustomerId, Event, Micros, Request, Timer,
 };
 
-/// Guards against calls in a circle while nobody answers them.
+/// Calls without a reply do not cause further calls at once.
 #[test]
 fn a_call_that_was_not_added_is_not_repeated_at_once() {
     for status in [CompletionStatus::NoConnection, CompletionStatus::Rejected] {
@@ -21,7 +21,7 @@
     }
 }
 
-/// The name that a call for a customer nobody has heard of yet goes by, if the counter is called.
+/// The name of the call for an unknown customer, if the counter is called.
 fn call_for(rig: &mut Rig, customer: u64) -> Option<String> {
     let named = |r: &mut Request| {
         r.gateway_count = 2;
@@ -65,7 +65,7 @@
 #[test]
 fn a_counter_that_has_become_slow_is_still_queried() {
     let mut rig = Rig::with_servers(settings_with_counter(2), 4);
-    // Ten requests a second, one after another: quick answers, then slow ones though no call waits for another.
+    // Ten requests a second, one after another: quick replies, then slow ones though no call waits for another.
     let mut calls = |took: Micros, first: u64| {
         (first..first + 100)
             .filter(|&n| {
--- a/crates/traffic-control/tests/mechanism/main.rs
+++ b/crates/traffic-control/tests/mechanism/main.rs
@@ -1,4 +1,4 @@
-//! Admit fractions, buckets, and bad input, at the interface.
+//! Admission fractions, quotas and bad input, at the interface.
 
 mod admission;
 #[path = "../common/mod.rs"]
--- a/crates/traffic-control/tests/mechanism/permits.rs
+++ b/crates/traffic-control/tests/mechanism/permits.rs
@@ -40,8 +40,8 @@
     assert!(!admitted(&mut rig), "and no more");
 }
 
-/// Of many each would save up for its place longer than customers stay: they are passed on until the meter tells of more than the
-/// cap.
+/// Each of many gateways would save up for its permit longer than customers stay: they are admitted until the meter shows more than
+/// the limit.
 #[test]
 fn the_meter_keeps_a_limit_on_attempts_at_many_unsynced_gateways() {
     let mut settings = unlimited_settings();
@@ -72,7 +72,7 @@
     );
 }
 
-/// Guards against a place that stays taken, or free, because nobody knows whether a call was added.
+/// A permit does not stay taken, or free, because it is unknown whether a call was added.
 #[test]
 fn a_permit_whose_call_was_lost_is_corrected() {
     for lost in 0..3 {
@@ -109,7 +109,7 @@
     }
 }
 
-/// Guards against an answer that is taken for another call's: with two out for one customer a place would stay taken.
+/// A reply is not taken for another call's: with two in flight for one customer a permit would stay taken.
 #[test]
 fn two_calls_in_flight_are_distinguished() {
     let mut settings = settings_with_counter(2);
@@ -125,7 +125,7 @@
         };
         actions.iter().filter_map(count).collect::<Vec<_>>()
     };
-    // The answer does not come while the request can wait for it, and the next request calls anew.
+    // The reply does not come while the request can wait for it, and the next request makes another call.
     let (first, actions) = rig.request_with(|r| r.gateway_count = 2);
     let mut out = counts(&actions);
     rig.now += 100_000;
@@ -153,7 +153,7 @@
     assert_eq!((open, total), (4, 4.0));
 }
 
-/// Guards against one place that two gateways see free at once.
+/// Two gateways do not take the same free permit at once.
 #[test]
 fn a_permit_is_taken_in_the_count_before_anything_is_sent() {
     let mut settings = settings_with_counter(2);
@@ -162,7 +162,7 @@
     settings.plans[0].max_open = 2;
     let mut rig = Rig::with_servers(settings, 4);
     let mut total = 0.0;
-    // Several wait for one answer.
+    // Several requests wait for one reply.
     let mut actions: Vec<Action> = (0..5)
         .flat_map(|_| rig.request_with(|r| r.gateway_count = 2).1)
         .collect();
@@ -192,7 +192,7 @@
     assert_eq!((sends, total), (2, 2.0));
 }
 
-/// Answers the calls among these 20 ms later; `others` is what the others' place holds. The amounts called, and the sends.
+/// Replies to the calls among these actions 20 ms later. Returns the amounts of the calls, and the number of sends.
 fn reply_late(rig: &mut Rig, actions: Vec<Action>, total: &mut f64) -> (Vec<f64>, usize) {
     let mut amounts = Vec::new();
     let mut sends = 0;
@@ -216,7 +216,7 @@
     (amounts, sends)
 }
 
-/// Guards against places that stand empty on both ways to a slow counter.
+/// Permits are not unused while calls to a slow counter return and take them.
 #[test]
 fn a_spare_permit_serves_the_next_request_and_is_returned_once_unneeded() {
     let mut rig = Rig::with_servers(settings_with_permits(2, 2), 4);
@@ -257,7 +257,7 @@
         assert_eq!(total, 1.0);
     }
     let of = look.expect("a look is due");
-    // Used since: kept on. Then it was not.
+    // It was used since the review became due, so it stays spare. Then it was not used.
     let actions = rig.handle(Event::Timer(tag(of)));
     assert_eq!(reply_late(&mut rig, actions, &mut total).0, vec![]);
     let actions = rig.handle(Event::Timer(tag(of)));
@@ -265,7 +265,7 @@
     assert_eq!(total, 0.0);
 }
 
-/// Where no call can be made, or none is answered, what the others mostly use decides.
+/// Where no call can be made, or none gets a reply, the mean use of the others decides.
 #[test]
 fn unsynced_permits_go_by_the_mean_use_of_others() {
     for (others, admitted) in [(0.0, 5), (2.0, 0)] {
@@ -288,7 +288,7 @@
         }
         let mut sends = 0;
         for _ in 0..5 {
-            // What was kept is long given back; the counter says nothing.
+            // The spare permit was returned long ago; the counter does not reply.
             rig.now += 2_000_000;
             let (id, actions) = rig.request_with(|r| r.gateway_count = 2);
             let actions =
@@ -304,7 +304,7 @@
     }
 }
 
-/// Guards against places that are lost for a minute: what was out at the turn of the counts comes back.
+/// Permits are not lost for a minute: those in use when the window ends come back.
 #[test]
 fn permits_come_back_in_a_new_counter_window() {
     let mut settings = settings_with_counter(2);
@@ -314,7 +314,7 @@
     let mut rig = Rig::with_servers(settings, 4);
     rig.now = 1_019_000_000;
     let mut total = 0.0;
-    // Opens as many as may be open at once.
+    // Opens as many attempts as may be open at once.
     let open = |rig: &mut Rig, total: &mut f64| {
         let mut out = Vec::new();
         for _ in 0..6 {
--- a/crates/traffic-control/tests/mechanism/quotas.rs
+++ b/crates/traffic-control/tests/mechanism/quotas.rs
@@ -26,7 +26,7 @@
 #[test]
 fn use_of_others_that_the_counter_reports_is_charged_and_the_rest_is_available() {
     let settings = settings_with_counter(2);
-    // As much of the minute's fill is gone as the others used: the store stands at 20 less their use.
+    // The others used as much of the window's fill: the store holds 20 less their use.
     let pass = |others: f64| {
         let mut rig = Rig::with_servers(settings.clone(), 4);
         rig.now = 1_200_000_000;
@@ -47,7 +47,7 @@
             rig.now = 1_200_000_000;
             count_admitted_by_counter(&mut rig, gateways, 1, &mut total)
         };
-        // Each sees one request, and has a slice of a fraction of one: together they pass the burst.
+        // Each sees one request, and has a slice of a fraction of one: together they admit the burst.
         assert_eq!((0..150).map(gateway).sum::<usize>(), 20);
     }
 }
@@ -81,7 +81,7 @@
     assert!(n <= 20, "{n} passed of a burst of 20");
 }
 
-/// Guards against a second burst for every customer whenever the counts begin anew.
+/// Customers do not get a second burst whenever a counter window begins.
 #[test]
 fn an_empty_store_stays_empty_in_a_new_counter_window() {
     let mut settings = settings_with_counter(2);
@@ -96,11 +96,11 @@
     total = 0.0;
     let again = count_admitted_by_counter(&mut rig, 2, 30, &mut total);
     assert!((1..=2).contains(&again), "{again} more in 2.5 s");
-    // All of it is in the new count, for the other gateway to see.
+    // All use is in the new count, for the other gateway to see.
     assert!((9.0..=12.0).contains(&total), "{total} used");
 }
 
-/// Guards, too, against the same when the counter has lost what it held.
+/// The same when the counter has lost its counts.
 #[test]
 fn an_empty_store_stays_empty_when_the_counter_comes_back_empty() {
     let mut settings = settings_with_counter(2);
@@ -119,7 +119,7 @@
     assert!((1..=2).contains(&again), "{again} more in 2 s");
 }
 
-/// Guards against a store that looks used up: two gateways that see at once what the count lacks make up for it once.
+/// Two gateways that see the same lack in a count at once correct it once; otherwise the store would look empty.
 #[test]
 fn two_gateways_correct_a_count_once() {
     let mut rigs = [1, 2].map(|seed| {
@@ -132,7 +132,7 @@
         rig
     });
     let mut total = 0.0;
-    // Both ask before either has told what it makes up for.
+    // Both query before either has reported its correction.
     let mut waiting: Vec<Vec<Action>> = rigs
         .iter_mut()
         .map(|rig| rig.request_with(|r| r.gateway_count = 2).1)
@@ -156,6 +156,6 @@
     for rig in &mut rigs {
         admitted += count_admitted_by_counter(rig, 2, 30, &mut total);
     }
-    // A little more than the 18 that are left: small use is told in lumps.
+    // A little more than the 18 that are left: small use is reported in lumps.
     assert!((15..=22).contains(&admitted), "{admitted} passed");
 }
--- a/crates/traffic-control/tests/replay/main.rs
+++ b/crates/traffic-control/tests/replay/main.rs
@@ -1,8 +1,8 @@
-//! Whether the decisions are still the same ones. Drawn worlds (gateways, servers, a counter, peers, reloads and takeovers)
+//! Whether the decisions are still the same ones. Random worlds (gateways, servers, a counter, peers, reloads and takeovers)
 //! are played against the module, and a digest of all its actions is compared with the one that was recorded. A change
 //! that is to alter behaviour records them anew, in a commit of its own that says what it gains:
 //!
-//!     RECORD=1 cargo test -p frosthatch_traffic_control --test replay
+//!     RECORD=1 cargo test -p frosthatch-traffic-control --test replay
 
 mod play;
 mod world;
@@ -16,7 +16,7 @@
 
 const GOLDEN: &str = "tests/golden/replay.txt";
 
-/// Worlds of each size of fleet.
+/// Worlds for each size of fleet.
 const WORLDS_PER_FLEET: usize = 12;
 
 fn play_all() -> String {
@@ -38,7 +38,7 @@
     text
 }
 
-/// Played once for all tests that only look at it.
+/// Played once for all tests that only read the results.
 static RESULTS: LazyLock<String> = LazyLock::new(play_all);
 
 #[test]
@@ -55,7 +55,7 @@
     assert_eq!(recorded.lines().count(), now.lines().count());
 }
 
-/// Every kind of action occurs in the recorded worlds, or a digest would say little.
+/// Without each kind of action in the recorded worlds a digest would say little.
 #[test]
 fn the_worlds_show_all_kinds_of_actions() {
     let mut sums = [0u64; 8];
--- a/crates/traffic-control/tests/replay/play.rs
+++ b/crates/traffic-control/tests/replay/play.rs
@@ -117,7 +117,7 @@
                 break;
             }
             self.now = at;
-            // A takeover: another process with the list that this one had. What was out is nobody's.
+            // A takeover: another process with the list of this one. Attempts and calls in flight belong to nobody.
             if matches!(
                 &event,
                 Event::Servers {
@@ -306,7 +306,7 @@
         self.world.fault_rate > 0.0 && (3_000_000..7_000_000).contains(&(self.now - 1_000_000_000))
     }
 
-    /// The others of the fleet add, too; now and then it fails, and once it is down for two seconds.
+    /// Adds to a counter that the others of the fleet add to as well; calls fail at times, and once it is down for two seconds.
     fn add_to_counter(&mut self, g: usize, name: String, amount: f64) {
         let others = f64::from(self.world.gateways.saturating_sub(PLAYED_GATEWAYS)).min(20.0)
             * self.random_unit()
@@ -351,7 +351,7 @@
     }
 }
 
-/// An action in the words of the record, which do not change with the names of the code.
+/// An action as the digests record it, which does not change with the names of the code.
 fn recorded_form(action: &Action) -> String {
     let of = |id: &RequestId| format!("RequestId({})", id.0);
     match action {
@@ -363,7 +363,7 @@
         Action::Cancel { request, attempt } => {
             format!("Cancel {{ request: {}, attempt: {attempt} }}", of(request))
         }
-        // Reasons are for logs.
+        // Reasons are for logs only.
         Action::Reject { request, retry_after_us, reason: _ } => {
             format!("Refuse {{ request: {}, retry_after_us: {retry_after_us} }}", of(request))
         }
@@ -377,7 +377,7 @@
             format!("SetTimer {{ after_us: {after_us}, timer: {timer} }}")
         }
         Action::SendToPeer { to, bytes } => format!("Tell {{ to: {to}, bytes: {bytes:?} }}"),
-        // Of no weight here: the last digits of what a logarithm or a power gives on another machine.
+        // Rounded, as logarithms and powers may differ in the last digits on another machine.
         Action::AddToCounter { name, amount, ttl_us } => format!("Count {name} {amount:.6} {ttl_us}"),
         Action::ReportUsage { tag, units } => format!("Used {{ tag: {tag}, units: {units:?} }}"),
         Action::Subscribe => "Subscribe".to_string(),
--- a/crates/traffic-control/tests/replay/world.rs
+++ b/crates/traffic-control/tests/replay/world.rs
@@ -5,10 +5,10 @@
 };
 use proptest::prelude::{any, prop_oneof, Just, Strategy};
 
-/// Gateways of a fleet that are played; what the others do shows in the counts.
+/// Gateways of a fleet that are played; the others only show in the counts.
 pub const PLAYED_GATEWAYS: u32 = 4;
 
-/// What gateways know of each other's use by.
+/// The channels by which gateways learn of each other's use.
 #[derive(Clone, Debug)]
 pub struct Channels {
     pub counter: bool,
--- a/crates/traffic-control/tests/rules.rs
+++ b/crates/traffic-control/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The five rules, each kept by one gateway alone.
+//! Rules that one gateway keeps by itself: deadlines, effects, draining, slow start and ceilings.
 
 mod common;
 use common::{
@@ -181,22 +181,22 @@
     for _ in 0..100 {
         let (id, actions) = rig.request("c");
         let server = sent_server(&actions).expect("sent");
-        // The others hold what they get; the cold one answers at once and always looks empty.
+        // The others do not answer; the server in slow start answers at once and always looks idle.
         if &*server.0 == "cold" {
             to_cold += 1;
             rig.end_attempt_after(id, 0, &server, CompletionStatus::Served, 0);
         }
         rig.now += 20_000;
     }
-    // A fifth of what one of five like servers would get in the two seconds is four.
+    // A fifth of what one of five equal servers would get in the two seconds is four.
     assert!(
         (1..=6).contains(&to_cold),
         "{to_cold} of 100 went to the cold server"
     );
 }
 
-/// Guards against a server that stays unused after it was put back, and that never grows warm: beside idle ones a cold
-/// one is always dear.
+/// A restarted server does not stay unused, and so never warm up: beside idle servers one in slow start always looks
+/// expensive.
 #[test]
 fn a_server_in_slow_start_is_used_though_others_are_idle() {
     let mut rig = Rig::with_servers(
@@ -229,7 +229,7 @@
     }
 }
 
-/// Latencies grow with queues: were a cold server's part to go by them, it would shrink just when it is needed most.
+/// Latencies grow with queues: if the share of a server in slow start went by them, it would shrink when it is needed most.
 #[test]
 fn a_server_in_slow_start_keeps_its_share_while_others_are_overloaded() {
     let mut rig = Rig::with_servers(
@@ -240,7 +240,7 @@
         3,
     );
     let mut held: Vec<(Micros, RequestId, ServerId, Micros)> = Vec::new();
-    // A second of 100 requests, warm servers taking so long; how many of them went to the cold one.
+    // A second of 100 requests at this latency of warm servers; returns how many of them went to the cold one.
     let mut second = |took: Micros| {
         let mut to_cold = 0;
         for _ in 0..100 {
@@ -273,7 +273,7 @@
         second(40_000);
     }
     let slow: Vec<u32> = (0..4).map(|_| second(400_000)).collect();
-    // A warm one was seen to do 33 a second: a fifth of that is 7, and the rule allows three times as much for all
+    // A warm server did 33 a second: a fifth of that is 7, and the rule allows three times as much for all
     // gateways together.
     assert!(slow[1..].iter().all(|n| (6..=20).contains(n)), "{slow:?}");
 }
--- a/crates/traffic-control/tests/subsets.rs
+++ b/crates/traffic-control/tests/subsets.rs
@@ -1,4 +1,4 @@
-//! One of many gateways uses a part of many servers, and the rules hold all the same.
+//! One of many gateways uses a subset of many servers, and the rules hold all the same.
 
 mod common;
 use common::{count_sends_one_by_one, sent_server, unlimited_settings, Rig};
@@ -28,7 +28,7 @@
     }
 }
 
-/// So many requests, one after the other: where they went.
+/// The servers that so many requests go to, one after the other.
 fn used_servers(rig: &mut Rig, requests: usize) -> BTreeSet<ServerId> {
     count_sends_one_by_one(rig, requests, 50_000, 50_000)
         .into_keys()
@@ -48,7 +48,7 @@
     assert_eq!(all.len(), SERVERS);
 }
 
-/// Guards against a gateway that clings to its part: when all of it drains others take its place at once.
+/// When all servers of a subset drain, others replace them at once.
 #[test]
 fn draining_servers_of_a_subset_are_replaced() {
     let mut rig = one_gateway(7, |_| {});
@@ -69,7 +69,7 @@
     assert_eq!(after.len(), 7);
 }
 
-/// A repeat may go only to the cell that drops it, of which the part may hold no other server.
+/// A retry may only go to the cell that drops repeats, of which the subset may have no other server.
 #[test]
 fn a_retry_leaves_the_subset_where_only_other_servers_drop_repeats() {
     let keyed = Effect::Keyed {
@@ -81,7 +81,7 @@
     let part = used_servers(&mut rig, 200);
     let cell = |s: &ServerId| s.0[1..].parse::<usize>().expect("its number") / 4;
     let mut left = 0;
-    // The budget for further attempts holds ten.
+    // The retry budget holds ten.
     for _ in 0..10 {
         rig.now += 200_000;
         let (id, actions) = rig.request("c");
@@ -102,8 +102,8 @@
     assert!(left > 0, "of most cells the part has one server");
 }
 
-/// What all gateways together send to a cold server within the stated time stays under what makes it fall over, though
-/// only some of them use it, and each has nowhere else to go: all servers are cold.
+/// What all gateways together send to a server in slow start within the stated time does not overload it, though
+/// only some of them use it, and each has nowhere else to go: all servers are in slow start.
 #[test]
 fn servers_in_slow_start_are_not_overloaded_by_the_gateways_that_use_them() {
     let cold = SlowStart {
@@ -116,7 +116,7 @@
     for me in 0..GATEWAYS {
         let mut rig = one_gateway(me, |s| s.slow_start = cold);
         rig.update_servers(ListKind::Complete, (0..SERVERS).map(entry).collect());
-        // What attempts take is learned first.
+        // Latencies are measured first.
         used_servers(&mut rig, 20);
         rig.interval();
         let now = rig.now;
@@ -149,7 +149,7 @@
     );
 }
 
-/// Where gateways know who is there, those that are left take all servers over; few that are left use all.
+/// Where gateways know which of them are present, the remaining ones take all servers over; a few use all servers.
 #[test]
 fn the_remaining_gateways_use_all_servers_together() {
     let (numbers, left): (Vec<u32>, Vec<u32>) =
@@ -166,15 +166,15 @@
     };
     assert_eq!(of(&numbers, &numbers), 60);
     assert_eq!(of(&left, &left), 60);
-    // Before they know of it some servers are nobody's.
+    // Before they know of it some servers are used by none.
     assert!(of(&left[..9], &numbers) < 60);
     assert_eq!(of(&left[..9], &left[..9]), 60);
-    // One that sees nobody uses all; one that is not in the view that it has counts itself.
+    // A gateway that sees no other uses all servers; one that is not in its own view counts itself.
     assert_eq!(of(&[4], &[]), 60);
     assert_eq!(of(&[4], &left[3..17]), 12);
 }
 
-/// All that a gateway uses fails, and the list does not know: it turns to others, and back when they are well.
+/// All servers of a gateway fail, though they are listed: it uses others, and its own again once they recover.
 #[test]
 fn a_gateway_whose_servers_all_fail_uses_others() {
     let mut rig = one_gateway(7, |_| {});
--- a/crates/traffic-control/tests/terms.rs
+++ b/crates/traffic-control/tests/terms.rs
@@ -1,5 +1,5 @@
-//! Terms that change while requests come: what was used carries over, the smaller of both holds for a moment, and nothing is let in
-//! while nobody knows which hold.
+//! Policy terms that change while requests come: what was used carries over, the smaller of both holds for a short time, and no
+//! request is admitted while it is unknown which hold.
 
 mod common;
 use common::{is_rejected, sent_server, Rig};
@@ -33,7 +33,7 @@
     })
 }
 
-/// So many of the requests that come now, one after another, are sent on; each is served at once.
+/// How many of the requests that come now, one after another, are admitted; each is served at once.
 fn count_admitted(rig: &mut Rig, most: usize) -> usize {
     let mut admitted = 0;
     for _ in 0..most {
@@ -66,7 +66,7 @@
     assert_eq!(count_admitted(&mut rig, 10), 4);
     rig.handle(terms(plan(40.0, 40.0, None)));
     assert_eq!(count_admitted(&mut rig, 10), 0, "what was used is used");
-    // Half of the window: by the smaller rate a quarter of a unit.
+    // Half of the transition: by the smaller rate a quarter of a unit.
     rig.now += 125_000;
     rig.handle(Event::Timer(Timer::Interval));
     assert_eq!(count_admitted(&mut rig, 10), 0);
@@ -80,13 +80,13 @@
     );
 }
 
-/// Whatever the order of changes, no more passes in any time than the largest ceiling, and in the window than the smaller.
+/// Whatever the order of changes, no more is admitted in any time than by the largest ceiling, and in the transition than by the smaller.
 #[test]
 fn a_ceiling_is_kept_across_changes_by_the_smaller_while_both_may_hold() {
     for (first, then) in [(20.0, 8.0), (8.0, 20.0)] {
         let mut rig = Rig::with_servers(settings(plan(100.0, 100.0, Some(first))), 2);
         rig.now += 5_000_000;
-        // The first customer's slice fills from the start on.
+        // The first customer's slice fills from the start.
         count_admitted(&mut rig, 200);
         rig.now += 2_000_000;
         rig.handle(terms(plan(100.0, 100.0, Some(then))));
@@ -126,7 +126,7 @@
         let (_, actions) = rig.request("c");
         assert!(sent_server(&actions).is_none() && !is_rejected(&actions));
     }
-    // News of the list lets none of them in.
+    // A list update admits none of them.
     assert!(sent_server(
         &rig.update_servers(ListKind::Complete, vec![ServerEntry::ready("s9", "a")])
     )
@@ -181,7 +181,7 @@
         _ => None,
     });
     assert_eq!(after, Some(1_000_000));
-    // Its first attempt was let in: a further one is no other request.
+    // Its first attempt was admitted: a retry is not another request.
     let actions = rig.end_attempt_after(running, 0, &server, CompletionStatus::Rejected, 10_000);
     assert!(sent_server(&actions).is_some());
     rig.handle(Event::LeaseStateChanged(LeaseState::Held));
--- a/crates/traffic-control/tests/wide_sets/ceilings.rs
+++ b/crates/traffic-control/tests/wide_sets/ceilings.rs
@@ -24,8 +24,8 @@
     Rig::seeded(s, u64::from(me)).with_listed(4)
 }
 
-/// The part of a ceiling above the quota is all that passes without the count's word, by all gateways together, and the
-/// count's word passes no more than the quota: in sum the ceiling is kept whatever the calls do.
+/// Without the counter all gateways together admit at most the part of the ceiling above the quota, and by the counter at
+/// most the quota: in sum the ceiling is kept whatever becomes of the calls.
 #[test]
 fn a_ceiling_is_kept_by_all_gateways_with_and_without_the_count() {
     const SET: u32 = 10;
@@ -76,20 +76,20 @@
     }
 }
 
-/// Guards against refusals for want of units that nobody asked for: what comes to wait while a call is out is asked for
-/// before it is decided.
+/// Requests are not rejected for want of units that nobody queried: those that begin to wait while a call is in flight are
+/// queried before they are decided.
 #[test]
 fn requests_that_wait_for_another_call_are_queried_too() {
     const SET: u32 = 10;
     let mut rig = one_with_a_ceiling(0);
     let asks = |r: &mut Request| (r.gateway_count, r.units) = (SET, 3.0);
-    // What the slice above the quota holds at the start is nothing, so all goes by the count.
+    // The slice above the quota is empty at the start, so all goes by the counter.
     let (first, actions) = rig.request_with(asks);
     let [(name, asked, _)] = &counter_calls(&actions)[..] else {
         panic!("it asks: {actions:?}")
     };
     let waiting: Vec<RequestId> = (0..2).map(|_| rig.request_with(asks).0).collect();
-    // Of the count's life 40 s are over, in which 400 units came in and were used, and 20 more.
+    // Of the counter's window 40 s are over, in which 400 units filled in and were used, and 20 more.
     let mut total = 420.0 + asked;
     let told = rig.handle(Event::CounterReply {
         name: name.clone(),
--- a/crates/traffic-control/tests/wide_sets/main.rs
+++ b/crates/traffic-control/tests/wide_sets/main.rs
@@ -45,7 +45,7 @@
     }
 }
 
-/// Guards against a fleet that begins, or begins anew after a release, with all the calls that it saved up.
+/// A fleet that starts, or restarts for a release, does not begin with all the calls that it could have saved up.
 #[test]
 fn many_gateways_that_start_at_once_make_few_calls() {
     let made: usize = (0..u64::from(GATEWAYS))
@@ -62,7 +62,7 @@
     );
 }
 
-/// Asked in vain, a slice of next to nothing is no reason to refuse.
+/// After a query without a reply, a slice of next to nothing is no reason to reject.
 #[test]
 fn an_unknown_customer_is_admitted_when_the_counter_is_silent() {
     let mut rig = one_gateway(1);
@@ -70,7 +70,7 @@
     assert_eq!(counter_calls(&actions).len(), 1, "it asks: {actions:?}");
     let told = reply_to_calls(&mut rig, actions, &mut 0.0, || CompletionStatus::NoAnswer);
     let server = sent_server(&told).expect("passed on");
-    // The meter says that the customer uses four times its quota: as many pass as leave it used in sum.
+    // The meter reports four times the quota: as many requests are admitted as use the quota up in sum.
     let mut o = AttemptOutcome::new(id, 0, server, CompletionStatus::Served, 50_000);
     o.closed = true;
     o.metered_use = Some(4.0);
@@ -90,7 +90,7 @@
     );
 }
 
-/// Guards against use that stays untold until its customer comes again, which may be never.
+/// Reserved units do not stay reserved until their customer comes again, which may be never.
 #[test]
 fn unused_reserved_units_are_returned_though_their_customer_stays_away() {
     let mut rig = one_gateway(1);
@@ -129,7 +129,7 @@
     assert_eq!(back, -asked);
 }
 
-/// A cap over so many gateways is one sum, which begins anew every few seconds: what a gateway that died held is free again.
+/// The permits of so many gateways are one sum, which starts again every few seconds: those of a dead gateway are free then.
 #[test]
 fn permits_of_a_dead_gateway_are_soon_free_again() {
     let mut settings = Settings {
--- a/crates/traffic-control/tests/wide_sets/meter.rs
+++ b/crates/traffic-control/tests/wide_sets/meter.rs
@@ -4,8 +4,8 @@
 use crate::GATEWAYS;
 use frosthatch_traffic_control::{AttemptOutcome, CompletionStatus, Event, Settings};
 
-/// Many gateways with neither a counter nor each other's word, each with a request of a customer now and then. Its quota is 2
-/// units a second; it asks for so many, one at a time. How many are passed on in each second, `metered` or not.
+/// Many gateways with neither a counter nor reports of each other, each with a request of a customer now and then. Its quota is 2
+/// units a second; it requests `per_s`, one at a time. Returns how many are admitted in each second, `metered` or not.
 fn admitted_without_counter(per_s: usize, metered: bool) -> Vec<usize> {
     let mut settings = Settings {
         gateways: GATEWAYS,
@@ -48,7 +48,7 @@
             };
             admitted[second] += 1;
             let mut o = AttemptOutcome::new(id, 0, server, CompletionStatus::Served, 0);
-            // Of the last period that is over.
+            // The use of the last complete period.
             let told = admitted[second.saturating_sub(1)] as f64 / 2.0;
             o.closed = true;
             o.metered_use = metered.then_some(told);
@@ -58,7 +58,7 @@
     admitted
 }
 
-/// Guards against a fleet without a counter that refuses nearly all: an even slice is a hundredth of a quota, and says nothing.
+/// A fleet without a counter does not reject nearly all: an even slice is a hundredth of a quota, and says nothing.
 #[test]
 fn without_a_counter_a_customer_within_its_quota_is_admitted() {
     for metered in [true, false] {
@@ -67,7 +67,7 @@
     }
 }
 
-/// Guards against passing all that is asked for where the meter tells of too much.
+/// Not all requests are admitted where the meter shows overuse.
 #[test]
 fn without_a_counter_the_meter_limits_a_customer_that_overuses() {
     let admitted = admitted_without_counter(12, true);
--- a/crates/traffic-control/tests/wide_sets/zones.rs
+++ b/crates/traffic-control/tests/wide_sets/zones.rs
@@ -1,10 +1,10 @@
-//! A zone that is lost, where each server is met rarely.
+//! A lost zone, where each server gets few requests from a gateway.
 
 use crate::common::{sent_server, unlimited_settings, Rig};
 use crate::GATEWAYS;
 use frosthatch_traffic_control::{CompletionStatus, Event, ListKind, ServerEntry};
 
-/// Where each server is met rarely its own answers tell too late that all of its zone is gone.
+/// Where each server gets few requests, its own outcomes show too late that all of its zone is gone.
 #[test]
 fn a_lost_zone_is_avoided_after_a_few_failures_and_tried_again() {
     let mut settings = unlimited_settings();
@@ -33,7 +33,7 @@
                 if lost { 250_000 } else { 100_000 },
             ));
             rig.handle(Event::ClientGone(id));
-            // Its client does not wait for the further attempt, which is called off.
+            // Its client does not wait for the retry, which is cancelled.
             if let Some(server) = again {
                 rig.end_attempt_after(id, 1, &server, CompletionStatus::Cancelled, 0);
             }
