--- a/crates/traffic-control/src/counter/meter_history.rs
+++ b/crates/traffic-control/src/counter/meter_history.rs
@@ -5,13 +5,13 @@
 
 /// A reading of the meter counts for so long: a period, its lateness, and one that was missed.
 pub(super) const METER_TIMEOUT_US: Micros = 3_500_000;
-/// Rates are taken over at least this: longer than the meter is late, so that both speak of about the same time...
+/// Rates are taken over at least this: longer than the meter's delay, so that both cover about the same time...
 const MIN_TAU_US: f64 = 2_000_000.0;
 /// ...at most this...
 const MAX_TAU_US: f64 = 8_000_000.0;
-/// ...and in between over as long as so many units come in, as few units vary most by chance.
+/// ...and in between over as long as so many units come in, as few units vary most.
 const TAU_UNITS: f64 = 40.0;
-/// The highest rate that the counter reported of late halves in this.
+/// The highest rate that the counter reported recently halves in this.
 const PEAK_HALF_LIFE_US: f64 = 2_000_000.0;
 /// That a customer uses too much is half forgotten after this: most do so for some seconds...
 const OVERUSE_HALF_LIFE_US: f64 = 5_000_000.0;
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Records units that this gateway passed on.
+    /// Records units that this gateway admitted.
     pub fn record_own_usage(&mut self, now: Micros, units: f64) {
         self.own_usage.add(now, self.tau_us, units);
         self.record_counter_usage(now, units);
--- a/crates/traffic-control/src/counter/usage_ledger.rs
+++ b/crates/traffic-control/src/counter/usage_ledger.rs
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Records units that this gateway passed on.
+    /// Records units that this gateway admitted.
     pub fn record_own_usage(&mut self, now: Micros, units: f64) {
         self.meter.record_own_usage(now, units);
     }
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Records a total and says what it is worth.
+    /// Records a total and assesses it.
     pub fn assess_total(&mut self, now: Micros, reported: &ReportedTotal) -> TotalAssessment {
         self.record_reply(now);
         let previous = self.last_total.replace((reported.window, reported.total));
--- a/crates/traffic-control/src/counter/window.rs
+++ b/crates/traffic-control/src/counter/window.rs
@@ -3,7 +3,7 @@
 
 use crate::interface::Micros;
 
-/// How long a count lives (the counter's maximum), and so its name.
+/// How long a count and its name are used: the longest time that the counter retains one.
 pub(crate) const COUNTER_WINDOW_US: Micros = 60_000_000;
 
 /// One window of all counts.
--- a/crates/traffic-control/src/customer/concurrency.rs
+++ b/crates/traffic-control/src/customer/concurrency.rs
@@ -15,7 +15,7 @@
     Ends,
 }
 
-/// The name of a count, and how long it lives in the counter.
+/// The name of a count, and how long the counter retains it.
 pub(crate) struct CountName {
     pub name: String,
     pub ttl_us: Micros,
--- a/crates/traffic-control/src/customer/counter_sync.rs
+++ b/crates/traffic-control/src/customer/counter_sync.rs
@@ -70,7 +70,7 @@
 
     /// Takes in a total of units. What all gateways used in the window, beside what filled in since, is the store's level;
     /// what overflowed while it was full is corrected in the count. `rate_share`: this gateway's share of what fills in;
-    /// `random` is drawn only where chance decides who corrects the count.
+    /// `random` is drawn only where it decides who corrects the count.
     pub fn sync_units(
         &mut self,
         quota: &Quota,
@@ -121,7 +121,7 @@
         self.undo_doubled_correction(&mut sync, assessment.others_units);
         self.correct_count(quota, &sync, &rule, is_doubted, now);
         let reserved_units = self.apply_level(quota, &sync, assessment.others_units, now);
-        // A doubted total reserves nothing for anyone: it would create a ceiling's worth.
+        // A doubted total reserves nothing for anyone: otherwise it would create as much as a ceiling holds.
         let is_certain = !is_doubted && reply.in_flight_amount == 0.0;
         UnitSync {
             evidence: assessment.evidence,
@@ -145,7 +145,7 @@
             .map_or(0.0, |at| now.saturating_sub(at) as f64 / 1e6);
         let expected = self.level + quota.rate_per_s * (1.0 - rate_share) * unsynced_s;
         let remaining = if !self.is_synced(now) && self.ledger.has_recently_recovered(now) {
-            // Each gateway kept its share of the store: with less nobody can be wrong.
+            // Each gateway kept its share of the store: that is certain to be there.
             self.level
         } else {
             let others_per_s = self.ledger.metered_others_usage_per_s(now).unwrap_or(0.0);
--- a/crates/traffic-control/src/customer/estimate.rs
+++ b/crates/traffic-control/src/customer/estimate.rs
@@ -4,7 +4,7 @@
 use crate::interface::Micros;
 use crate::quota::Quota;
 
-/// Of many gateways some have just asked in vain: a level that is older than this may already be higher again.
+/// Units that other gateways reserved in vain are soon returned: a level that is older than this may be higher by now.
 const MAX_SPARSE_STALENESS_US: Micros = 100_000;
 /// A guess that a permit is free has to earn so many times its cost, as many gateways guess alike.
 pub(crate) const GUESS_COST_FACTOR: f64 = 2.0;
--- a/crates/traffic-control/src/customer/mod.rs
+++ b/crates/traffic-control/src/customer/mod.rs
@@ -99,7 +99,7 @@
     pub permits: ConcurrencyPermits,
     /// How permits are written in the count; `None`: as one sum.
     pub permit_digits: Option<PermitDigits>,
-    /// The epoch in which the count last heard of its permits.
+    /// The epoch in which its permits were last reported to the count.
     pub reported_epoch: u64,
     /// As owner: permits granted to other gateways, by when they lapse.
     pub granted_permits: VecDeque<Micros>,
@@ -140,7 +140,7 @@
             || is_recent && !self.ledger.is_unreliable(now)
     }
 
-    /// Whether its level was synced just now, not only of late.
+    /// Whether its level was synced just now, not only recently.
     pub fn is_synced_now(&self, now: Micros) -> bool {
         self.synced_at == Some(now)
     }
--- a/crates/traffic-control/src/customer/store.rs
+++ b/crates/traffic-control/src/customer/store.rs
@@ -38,7 +38,7 @@
             return even_share;
         }
         let metered_share = self.metered_rate_share(quota, now);
-        // None of the gateways that report their use is heard: what was set aside for them is not used here.
+        // Some gateways of the set are silent: what was set aside for them is not used here.
         if !self.shares.all_reachable() {
             return metered_share.max(self.shares.reachable_share());
         }
--- a/crates/traffic-control/src/fleet.rs
+++ b/crates/traffic-control/src/fleet.rs
@@ -24,7 +24,7 @@
 const ASSESSMENT_HALF_LIFE_SENDS: f64 = 2.0;
 /// That a server is healthy is reported for so long after it was seen.
 const HEALTHY_REPORT_US: Micros = 2_000_000;
-/// Sums over many servers are kept this long: short beside a control interval.
+/// Sums over many servers are cached this long: short beside a control interval.
 const TOTALS_REFRESH_INTERVAL_US: Micros = 50_000;
 /// A server of which a larger share of attempts failed mostly fails.
 const MOSTLY_FAILS_ERROR_RATE: f64 = 0.5;
--- a/crates/traffic-control/src/gateway.rs
+++ b/crates/traffic-control/src/gateway.rs
@@ -25,7 +25,7 @@
     pub arrivals: f64,
     /// Admitted ones of them.
     pub admitted: f64,
-    /// Rate of the last interval, as peers are told.
+    /// Rate of the last interval, as it is reported to peers.
     pub admitted_per_s: f64,
 }
 
--- a/crates/traffic-control/src/gossip.rs
+++ b/crates/traffic-control/src/gossip.rs
@@ -38,7 +38,7 @@
     pub granted_units: f64,
     /// The store's level before the grant.
     pub level: f64,
-    /// What all gateways are asked for, in units a second.
+    /// Demand at all gateways, in units a second.
     pub demand_per_s: f64,
 }
 
--- a/crates/traffic-control/src/interface/actions.rs
+++ b/crates/traffic-control/src/interface/actions.rs
@@ -103,7 +103,7 @@
         ttl_us: Micros,
     },
     /// Report units of a customer that passed within its quota to the other gateways. Only where
-    /// [`Settings::usage_report_ttl_us`] is set.
+    /// [`Settings::usage_report_ttl_us`](crate::Settings::usage_report_ttl_us) is set.
     ReportUsage {
         /// The customer's tag.
         tag: u32,
--- a/crates/traffic-control/src/interface/events.rs
+++ b/crates/traffic-control/src/interface/events.rs
@@ -59,7 +59,7 @@
         heard: Vec<u32>,
         /// Index of a gateway, tag of a customer, and units.
         uses: Vec<(u32, u32, f64)>,
-        /// Tag of a customer, and units from before a gateway was first heard: how old they are is not known.
+        /// Tag of a customer, and units from before a gateway first reported: how old they are is not known.
         past: Vec<(u32, f64)>,
     },
     /// The numbers of the gateways that are present, in place of all that the settings count: servers are assigned to
--- a/crates/traffic-control/src/pending_request.rs
+++ b/crates/traffic-control/src/pending_request.rs
@@ -1,4 +1,4 @@
-//! What is kept of one request while it is open: its demands, its deadlines and its attempts.
+//! The state of one request while it is open: its demands, its deadlines and its attempts.
 
 use crate::interface::{Micros, ServerId};
 
--- a/crates/traffic-control/src/policy/admission.rs
+++ b/crates/traffic-control/src/policy/admission.rs
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Decides whether the request is sent on, waits for a reply of the counter, or is rejected.
+    /// Decides whether the request is sent, waits for a reply of the counter, or is rejected.
     pub(super) fn decide(&mut self, id: RequestId, phase: QueryPhase, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|r| !r.is_closed) else {
             return;
@@ -183,7 +183,7 @@
         self.finish(id, quota.wait_us, UnservedReason::Quota, actions);
     }
 
-    /// The decision where nobody is queried any more. Chance is drawn for each request of an unknown quota.
+    /// The decision where nobody is queried any more. A random number is drawn for each request of an unknown quota.
     fn admits(&mut self, candidate: &Candidate, quota: &QuotaAssessment) -> bool {
         let is_guessed = quota.is_unknown
             && self.admits_blindly(
@@ -199,7 +199,7 @@
         }
     }
 
-    /// What the customer's quota says; `None` where the customer is not kept any more.
+    /// What the customer's quota says; `None` where the customer is not tracked any more.
     fn assess_quota(
         &mut self,
         candidate: &Candidate,
@@ -219,7 +219,7 @@
         let estimate = customer.estimate(&quota, plan.overrun_cost, now, attempt_s);
         let is_unknown = !estimate.is_synced
             && (is_sparse || !quota.limits_concurrency && customer.is_undersized(&quota));
-        // Queried in vain, a slice under one request says nothing, but what others were told does.
+        // After a query without a reply a slice under one request says nothing, but the results of other queries do.
         let was_queried_in_vain = is_unknown && is_sparse && !customer.is_synced_now(now);
         // One of many gateways cannot see whether servers are at ease.
         let passes_excess = !is_sparse && servers_are_at_ease && excess_pays(plan);
@@ -268,7 +268,7 @@
     }
 }
 
-/// How long an answer is of use: where a late one is worth nothing the latency objective ends it.
+/// How long an answer is of use: where a late one has no value the latency objective ends it.
 fn useful_time_us(class: &RequestClass) -> Micros {
     if class.late_weight > 0.0 {
         Micros::MAX
--- a/crates/traffic-control/src/policy/effect_rule.rs
+++ b/crates/traffic-control/src/policy/effect_rule.rs
@@ -55,7 +55,7 @@
             .fold(useful_us, Micros::min)
     }
 
-    /// Whether the client may be told that trying again is harmless.
+    /// Whether the answer may say that trying again is harmless.
     pub(super) fn may_reject(&self, settings: &Settings) -> bool {
         let repeats_are_harmless = matches!(
             settings.classes[self.class].effect,
--- a/crates/traffic-control/src/policy/quota_charges.rs
+++ b/crates/traffic-control/src/policy/quota_charges.rs
@@ -141,7 +141,7 @@
     }
 
     /// Takes in what other gateways let through. The use of a restarted gateway counts on. `past`: use of customers from
-    /// before the time since which a gateway is heard.
+    /// before a gateway first reported.
     pub(super) fn on_usage_reported(
         &mut self,
         heard: &[u32],
--- a/crates/traffic-control/src/quota.rs
+++ b/crates/traffic-control/src/quota.rs
@@ -16,7 +16,7 @@
     pub ceiling: Option<Ceiling>,
     /// What passing on beyond it costs, as a share of what it costs for the plan where that is most.
     pub relative_cost: f64,
-    /// Whether the gateways are many and tell each other nothing: at most the counter knows the use of all.
+    /// Whether the gateways are many and report nothing to each other: at most the counter knows the use of all.
     pub is_counter_only: bool,
     pub has_counter: bool,
 }
--- a/crates/traffic-control/src/server.rs
+++ b/crates/traffic-control/src/server.rs
@@ -89,7 +89,7 @@
         }
     }
 
-    /// What other gateways are told: the share of attempts that had failed at the last outcome, or as much for its
+    /// What is reported to other gateways: the share of attempts that had failed at the last outcome, or as much for its
     /// slowness.
     pub fn reported_error_rate(&self) -> f64 {
         let slowness_ratio = self.slowness_ratio.max(MAX_UNREPORTED_SLOWNESS);
--- a/crates/traffic-control/src/shares.rs
+++ b/crates/traffic-control/src/shares.rs
@@ -102,6 +102,7 @@
             }
             is_silent
         });
+        let all_usage = self.all_usage(now);
         for &(gateway, since) in silent {
             if self.silent_gateways.iter().any(|s| s.gateway == gateway) {
                 continue;
@@ -109,7 +110,7 @@
             let reachable_share = self.reachable_share();
             // The last gateway's share is what is left.
             let share = self
-                .share_by_usage(now, gateway, gateway_count)
+                .share_by_usage(now, gateway, gateway_count, all_usage)
                 .min(reachable_share);
             let remaining_units = if reachable_share > 0.0 {
                 *level * share / reachable_share
@@ -126,13 +127,15 @@
         }
     }
 
-    fn share_by_usage(&self, now: Micros, gateway: u32, gateway_count: u32) -> f64 {
-        let even_share = 1.0 / f64::from(gateway_count);
-        let all_usage: f64 = self
-            .recent_usage
+    fn all_usage(&self, now: Micros) -> f64 {
+        self.recent_usage
             .iter()
             .map(|(_, usage)| usage.at(now, DEMAND_TAU_US))
-            .sum();
+            .sum()
+    }
+
+    fn share_by_usage(&self, now: Micros, gateway: u32, gateway_count: u32, all_usage: f64) -> f64 {
+        let even_share = 1.0 / f64::from(gateway_count);
         if all_usage <= 0.0 {
             return even_share;
         }
