--- a/crates/traffic-control/src/gateway.rs
+++ b/crates/traffic-control/src/gateway.rs
@@ -1,16 +1,16 @@
-//! One gateway's state. What it decides stands in `policy`.
+//! One gateway's state. Its decisions are in `policy`.
 
-use crate::calls::{Calls, FEW};
-use crate::count::Counting;
-use crate::count_clock::CountClock;
-use crate::customer::{Customer, Quota};
-use crate::decayed::Decayed;
-use crate::fleet::Fleet;
+use crate::counter::{
+    CallsInFlight, CounterClock, CounterMonitor, CounterRateLimiter, MAX_SMALL_FLEET_GATEWAYS,
+};
+use crate::customer::Customer;
+use crate::decaying_sum::DecayingSum;
+use crate::fleet::ServerFleet;
 use crate::interface::{LeaseState, Micros, RequestId, Settings, SettingsError};
-use crate::ledger::CounterWatch;
-use crate::pace::Pace;
-use crate::peers::Peers;
-use crate::request::Pending;
+use crate::peer_reports::PeerReports;
+use crate::pending_request::PendingRequest;
+use crate::quota::Quota;
+use crate::server_latency::ServerLatency;
 use crate::subset::Subset;
 use rand_pcg::rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -18,72 +18,95 @@
 
 /// A class of one plan: what the paper calls a service.
 #[derive(Clone, Default)]
-pub(crate) struct Cell {
+pub(crate) struct AdmissionCell {
+    /// Share of its requests that are admitted.
     pub fraction: f64,
+    /// Requests in this interval.
     pub arrivals: f64,
+    /// Admitted ones of them.
     pub admitted: f64,
-    pub admitted_rate: f64, // admitted a second in the last interval, as peers are told
+    /// Rate of the last interval, as it is reported to peers.
+    pub admitted_per_s: f64,
+}
+
+/// Recent queries of a plan's customers, by what they found.
+#[derive(Clone, Default)]
+pub(crate) struct QueryResults {
+    pub without_capacity: DecayingSum,
+    pub with_capacity: DecayingSum,
 }
 
 /// One gateway's whole state.
 pub struct Gateway {
-    pub(crate) set: Settings,
+    pub(crate) settings: Settings,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) now: Micros,
-    pub(crate) cells: Vec<Cell>,
-    pub(crate) pace: Pace,
+    /// When the first event came.
+    pub(crate) started_at: Option<Micros>,
+    /// By class, and in each by plan.
+    pub(crate) cells: Vec<AdmissionCell>,
+    pub(crate) server_latency: ServerLatency,
+    pub(crate) fleet: ServerFleet,
+    /// By tag.
     pub(crate) customers: BTreeMap<u32, Customer>,
-    pub(crate) calls: Calls,
-    pub(crate) odds: Vec<[Decayed; 2]>, // by plan: asks answered of late without room, and with
+    /// By plan.
     pub(crate) quotas: Vec<Quota>,
-    pub(crate) counting: Counting,
-    pub(crate) count_clock: CountClock,
-    pub(crate) watch: CounterWatch,
-    pub(crate) peers: Peers,
-    pub(crate) fleet: Fleet,
-    pub(crate) requests: BTreeMap<RequestId, Pending>,
-    pub(crate) waiting: BTreeSet<RequestId>,
+    /// By plan.
+    pub(crate) query_results: Vec<QueryResults>,
+    pub(crate) counter_limiter: CounterRateLimiter,
+    pub(crate) counter_calls: CallsInFlight,
+    pub(crate) counter_clock: CounterClock,
+    pub(crate) counter_monitor: CounterMonitor,
+    pub(crate) peer_reports: PeerReports,
+    pub(crate) requests: BTreeMap<RequestId, PendingRequest>,
+    /// Requests that wait for a server.
+    pub(crate) waiting_requests: BTreeSet<RequestId>,
     pub(crate) retry_tokens: f64,
-    pub(crate) standing: LeaseState,
-    pub(crate) settles: Option<Micros>, // till then the smaller of two terms holds
-    pub(crate) started: Option<Micros>,
+    pub(crate) lease_state: LeaseState,
+    /// Until when the smaller of two policies holds.
+    pub(crate) transition_until: Option<Micros>,
 }
 
 impl Gateway {
-    /// A gateway with nothing known yet. `seed` is its only source of chance.
+    /// A gateway with nothing known yet. `seed` is its only source of randomness.
+    ///
     /// # Errors
     /// Settings that make no sense; the text says what to correct.
-    pub fn new(set: Settings, seed: u64) -> Result<Self, SettingsError> {
-        set.validate()?;
-        let cells = vec![
-            Cell {
-                fraction: 1.0,
-                ..Cell::default()
-            };
-            set.classes.len() * set.plans.len()
-        ];
-        let pace = Pace::new(&set.classes);
+    pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
+        settings.validate()?;
+        let open_cell = AdmissionCell {
+            fraction: 1.0,
+            ..AdmissionCell::default()
+        };
+        let cells = vec![open_cell; settings.classes.len() * settings.plans.len()];
+        let server_latency = ServerLatency::new(&settings.classes);
+        let quotas = Quota::for_plans(
+            &settings,
+            server_latency.attempt_s,
+            MAX_SMALL_FLEET_GATEWAYS,
+        );
+        let has_only_counter = settings.usage_report_ttl_us == 0;
         Ok(Gateway {
             rng: Pcg64Mcg::seed_from_u64(seed),
             now: 0,
-            quotas: Quota::all(&set, pace.attempt_s, FEW),
-            odds: vec![Default::default(); set.plans.len()],
-            calls: Calls::new(set.gateways, set.usage_report_ttl_us == 0),
-            peers: Peers::new(cells.len()),
-            fleet: Fleet::new(Subset::new(set.me, set.gateways)),
+            started_at: None,
+            peer_reports: PeerReports::new(cells.len()),
             cells,
-            pace,
+            server_latency,
+            fleet: ServerFleet::new(Subset::new(settings.me, settings.gateways)),
             customers: BTreeMap::new(),
-            counting: Counting::default(),
-            count_clock: CountClock::default(),
-            watch: CounterWatch::default(),
+            quotas,
+            query_results: vec![QueryResults::default(); settings.plans.len()],
+            counter_limiter: CounterRateLimiter::new(settings.gateways, has_only_counter),
+            counter_calls: CallsInFlight::default(),
+            counter_clock: CounterClock::default(),
+            counter_monitor: CounterMonitor::default(),
             requests: BTreeMap::new(),
-            waiting: BTreeSet::new(),
-            retry_tokens: set.retries.max_saved,
-            standing: LeaseState::Held,
-            settles: None,
-            started: None,
-            set,
+            waiting_requests: BTreeSet::new(),
+            retry_tokens: settings.retries.max_saved,
+            lease_state: LeaseState::Held,
+            transition_until: None,
+            settings,
         })
     }
 }
--- /dev/null
+++ b/crates/traffic-control/src/interface/settings.rs
@@ -0,0 +1,183 @@
+//! The settings that a gateway starts with, and their validation.
+
+use super::plans::{Ceiling, Effect, Plan, RequestClass, RetryBudget};
+use super::time::Micros;
+
+/// How a server warms up after its start, and what overloads it meanwhile.
+#[derive(Clone, Copy, Debug)]
+pub struct SlowStart {
+    /// Least share of its capacity at the start.
+    pub initial_share: f64,
+    /// It is warm after this at the latest.
+    pub duration_us: Micros,
+    /// It is overloaded by more than this multiple of what it can do...
+    pub overload_multiple: f64,
+    /// ...sent for this long.
+    pub overload_after_us: Micros,
+}
+
+/// The configuration of a gateway.
+#[derive(Clone, Debug)]
+// Independent switches of the configuration.
+#[expect(clippy::struct_excessive_bools)]
+pub struct Settings {
+    /// Number of gateways.
+    pub gateways: u32,
+    /// This gateway's index.
+    pub me: u32,
+    /// This gateway's zone.
+    pub zone: String,
+    /// Request classes.
+    pub classes: Vec<RequestClass>,
+    /// Customer plans.
+    pub plans: Vec<Plan>,
+    /// Slow start of servers.
+    pub slow_start: SlowStart,
+    /// Attempts that a request may have.
+    pub max_attempts: u32,
+    /// Whether two attempts of one request may be in flight at once.
+    pub parallel_attempts: bool,
+    /// Whether an attempt may be cancelled.
+    pub cancel: bool,
+    /// Longest retry-after that clients honour; 0: none is sent.
+    pub max_retry_after_us: Micros,
+    /// Whether gateways may send messages to each other.
+    pub peer_messages: bool,
+    /// Messages a second that a gateway accepts.
+    pub peer_messages_per_s: f64,
+    /// Whether there is a shared counter.
+    pub counter: bool,
+    /// How long the usage reports that gateways send each other count; 0: they send none.
+    pub usage_report_ttl_us: Micros,
+    /// Period of the usage meter; 0: none.
+    pub meter_period_us: Micros,
+    /// Whether the server list is only sent on request.
+    pub list_on_request: bool,
+    /// Cost of an attempt into another zone, as a share of a request's value.
+    pub cross_zone_cost: f64,
+    /// The most units that one request takes.
+    pub max_units: f64,
+    /// Retry budget.
+    pub retries: RetryBudget,
+}
+
+impl Settings {
+    /// # Errors
+    /// The first mistake; the text says what to correct.
+    pub(crate) fn validate(&self) -> Result<(), SettingsError> {
+        match self.mistakes().into_iter().next() {
+            Some(mistake) => Err(SettingsError(mistake)),
+            None => Ok(()),
+        }
+    }
+
+    /// All mistakes, each with what would be right.
+    pub fn mistakes(&self) -> Vec<String> {
+        let mut mistakes = Vec::new();
+        if self.classes.is_empty() || self.plans.is_empty() {
+            mistakes.push("give at least one class and one plan".to_string());
+        }
+        if self.gateways == 0 || self.me >= self.gateways {
+            mistakes.push("`gateways` must be at least 1 and `me` below it".into());
+        }
+        for class in self.classes.iter().filter(|class| !is_valid_class(class)) {
+            mistakes.push(format!(
+                "class {:?} needs a positive aim and finite, non-negative worths",
+                class.name
+            ));
+        }
+        for plan in self.plans.iter().filter(|plan| !is_valid_plan(plan)) {
+            mistakes.push(format!(
+                "plan {:?}: rate, burst, price, worth, cost and ceiling must be finite and not negative",
+                plan.name
+            ));
+        }
+        let quantities = [
+            self.slow_start.initial_share,
+            self.slow_start.overload_multiple,
+            self.peer_messages_per_s,
+            self.cross_zone_cost,
+            self.max_units,
+        ];
+        if !quantities.into_iter().all(is_valid_quantity) {
+            mistakes.push(
+                "cold start, mail, zone cost and units must be finite and not negative".into(),
+            );
+        }
+        mistakes
+    }
+
+    /// A small valid configuration for examples and tests: one gateway, one repeatable class `read`, one plan `basic`.
+    pub fn example() -> Self {
+        Settings {
+            gateways: 1,
+            me: 0,
+            zone: "a".into(),
+            classes: vec![RequestClass {
+                name: "read".into(),
+                latency_objective_us: 1_000_000,
+                deadline_us: 4_000_000,
+                effect: Effect::Repeatable,
+                priority_weight: 1.0,
+                late_weight: 0.0,
+            }],
+            plans: vec![Plan {
+                name: "basic".into(),
+                rate: 10.0,
+                burst: 20.0,
+                max_open: 0,
+                price: 1.0,
+                excess_weight: 0.0,
+                overrun_cost: 1.0,
+                ceiling: None,
+            }],
+            slow_start: SlowStart {
+                initial_share: 0.2,
+                duration_us: 20_000_000,
+                overload_multiple: 3.0,
+                overload_after_us: 2_000_000,
+            },
+            max_attempts: 3,
+            parallel_attempts: true,
+            cancel: true,
+            max_retry_after_us: 2_000_000,
+            peer_messages: false,
+            peer_messages_per_s: 0.0,
+            counter: false,
+            usage_report_ttl_us: 0,
+            meter_period_us: 0,
+            list_on_request: false,
+            cross_zone_cost: 0.0,
+            max_units: 1.0,
+            retries: RetryBudget::default(),
+        }
+    }
+}
+
+fn is_valid_quantity(value: f64) -> bool {
+    value.is_finite() && value >= 0.0
+}
+
+fn is_valid_class(class: &RequestClass) -> bool {
+    class.latency_objective_us > 0
+        && is_valid_quantity(class.priority_weight)
+        && is_valid_quantity(class.late_weight)
+}
+
+fn is_valid_plan(plan: &Plan) -> bool {
+    let quantities = [
+        plan.rate,
+        plan.burst,
+        plan.price,
+        plan.excess_weight,
+        plan.overrun_cost,
+    ];
+    let is_valid_ceiling =
+        |ceiling: Ceiling| is_valid_quantity(ceiling.rate) && is_valid_quantity(ceiling.depth);
+    quantities.into_iter().all(is_valid_quantity) && plan.ceiling.is_none_or(is_valid_ceiling)
+}
+
+/// Why settings were not accepted; the text says what to correct.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("settings not usable: {}", .0)]
+pub struct SettingsError(pub String);
