--- /dev/null
+++ b/crates/discovery/src/dnssd/browser/push_updates.rs
@@ -0,0 +1,213 @@
+//! The browser's use of DNS Push Notifications: the connection, the changes it brings, and the check that it brings all
+//! of them.
+
+use super::events::Output;
+use super::state::Browser;
+use crate::dnssd::push::{PushSession, SessionEvent};
+use crate::dnssd::wire::{Name, Record, RecordChange, RecordData, RecordType};
+use crate::dnssd::DnsSdConfig;
+use std::collections::{BTreeMap, VecDeque};
+use std::net::SocketAddr;
+
+/// A session that has not pushed a change this long after a round found it is ended.
+const MISSED_PUSH_TIMEOUT_US: u64 = 1_000_000;
+
+pub(super) struct PushState {
+    /// `None`: push is not configured.
+    session: Option<PushSession>,
+    servers: Vec<SocketAddr>,
+    /// Counts the connections that failed or ended; selects the next server.
+    server_index: usize,
+    /// Whether a connection is being made or is up.
+    is_connecting: bool,
+    established_at_us: u64,
+    /// Changes that rounds found and push has not brought, with the time they were found.
+    unpushed_changes: BTreeMap<Name, u64>,
+}
+
+impl PushState {
+    pub(super) fn new(config: &DnsSdConfig) -> Self {
+        let push = config.push.as_ref();
+        PushState {
+            session: push.map(|push| PushSession::new(&config.services, push.keepalive)),
+            servers: push.map_or_else(Vec::new, |push| push.servers.clone()),
+            server_index: 0,
+            is_connecting: false,
+            established_at_us: 0,
+            unpushed_changes: BTreeMap::new(),
+        }
+    }
+
+    /// Whether every service is subscribed to.
+    pub(super) fn is_established(&self) -> bool {
+        self.session
+            .as_ref()
+            .is_some_and(PushSession::is_established)
+    }
+
+    /// Whether changes of this name's records are pushed.
+    pub(super) fn covers(&self, name: &Name) -> bool {
+        self.session
+            .as_ref()
+            .is_some_and(|session| session.covers(name))
+    }
+
+    /// When the next step is due.
+    pub(super) fn next_wakeup_us(&self) -> Option<u64> {
+        let oldest_unpushed = self.unpushed_changes.values().min();
+        let missed_push = oldest_unpushed.map(|at_us| at_us + MISSED_PUSH_TIMEOUT_US);
+        let session = self.session.as_ref().and_then(|session| {
+            if self.is_connecting {
+                session.next_wakeup_us()
+            } else {
+                Some(session.reconnect_at_us())
+            }
+        });
+        missed_push.into_iter().chain(session).min()
+    }
+
+    fn has_missed_push(&self, now_us: u64) -> bool {
+        self.unpushed_changes
+            .values()
+            .any(|&at_us| at_us + MISSED_PUSH_TIMEOUT_US <= now_us)
+    }
+}
+
+impl Browser {
+    /// Notes that a round found a change, which a working push session brings as well.
+    pub(super) fn expect_push_of(&mut self, now_us: u64, name: &Name) {
+        let settled_at_us = self.push.established_at_us + MISSED_PUSH_TIMEOUT_US;
+        if self.push.is_established() && now_us >= settled_at_us {
+            let unpushed_changes = &mut self.push.unpushed_changes;
+            unpushed_changes.entry(name.clone()).or_insert(now_us);
+        }
+    }
+
+    pub(super) fn run_due_push(&mut self, now_us: u64, out: &mut Vec<Output>) {
+        if self.push.has_missed_push(now_us) {
+            self.drive_push(now_us, out, |session, events| {
+                session.end(now_us, "it did not tell a change", events);
+            });
+        }
+        self.drive_push(now_us, out, |session, events| {
+            session.handle_timer(now_us, events);
+        });
+        let Some(session) = &self.push.session else {
+            return;
+        };
+        if !self.push.is_connecting && session.reconnect_at_us() <= now_us {
+            self.push.is_connecting = true;
+            let servers = &self.push.servers;
+            let server = servers[self.push.server_index % servers.len()];
+            out.push(Output::ConnectPush(server));
+        }
+    }
+
+    /// Handles a connection that could not be established, or has ended.
+    pub(super) fn handle_push_closed(&mut self, now_us: u64, out: &mut Vec<Output>) {
+        self.drive_push(now_us, out, |session, events| {
+            session.end(now_us, "the connection ended", events);
+        });
+        if std::mem::take(&mut self.push.is_connecting) {
+            self.push.server_index += 1;
+            if let Some(session) = &mut self.push.session {
+                session.reset_with_backoff(now_us);
+            }
+        }
+    }
+
+    /// Runs one step of the session, if push is configured, and handles the events that come of it.
+    pub(super) fn drive_push(
+        &mut self,
+        now_us: u64,
+        out: &mut Vec<Output>,
+        step: impl FnOnce(&mut PushSession, &mut Vec<SessionEvent>),
+    ) {
+        let Some(session) = &mut self.push.session else {
+            return;
+        };
+        let mut events = Vec::new();
+        step(session, &mut events);
+        let mut events = VecDeque::from(events);
+        while let Some(event) = events.pop_front() {
+            match event {
+                SessionEvent::Write(bytes) => out.push(Output::WritePush(bytes)),
+                SessionEvent::Change(change) => self.apply_pushed_change(now_us, change, out),
+                SessionEvent::Established => {
+                    self.push.established_at_us = now_us;
+                    self.log.log(now_us, "dns-sd: push in force".into(), out);
+                    events.extend(self.subscribe_all(now_us));
+                }
+                SessionEvent::Ended(reason) => self.handle_session_end(now_us, &reason, out),
+            }
+        }
+    }
+
+    /// Subscribes to the records of all instances and hosts.
+    fn subscribe_all(&mut self, now_us: u64) -> Vec<SessionEvent> {
+        let mut events = Vec::new();
+        let names = self.instances.keys().chain(self.hosts.keys());
+        if let Some(session) = &mut self.push.session {
+            for name in names {
+                session.subscribe(now_us, name, &mut events);
+            }
+        }
+        events
+    }
+
+    fn handle_session_end(&mut self, now_us: u64, reason: &str, out: &mut Vec<Output>) {
+        let line = format!("dns-sd: push is over: {reason}; asking as before");
+        self.log.log(now_us, line, out);
+        out.push(Output::ClosePush);
+        self.push.is_connecting = false;
+        self.push.server_index += 1;
+        self.push.unpushed_changes.clear();
+        self.next_round_at_us = now_us;
+    }
+
+    fn apply_pushed_change(&mut self, now_us: u64, change: RecordChange, out: &mut Vec<Output>) {
+        match change {
+            RecordChange::Added(Record {
+                owner,
+                data: RecordData::Ptr(name),
+                ..
+            }) if self.is_service(&owner) => {
+                self.push.unpushed_changes.remove(&name);
+                if !self.instances.get(&name).is_some_and(|i| i.is_present()) {
+                    self.add_instance(now_us, &name, !self.has_reported, out);
+                    self.refresh_instance(now_us, &name);
+                }
+                self.mark_pushed(now_us, &name);
+            }
+            // Removals of single records are deliberate, however many there are.
+            RecordChange::Removed(Record {
+                owner,
+                data: RecordData::Ptr(name),
+                ..
+            }) if self.is_service(&owner) => {
+                self.push.unpushed_changes.remove(&name);
+                self.drain_instance(now_us, &name);
+                self.mark_pushed(now_us, &name);
+            }
+            // The removal of all is no more trusted than an empty answer: a round follows.
+            RecordChange::AllRemoved(name, None | Some(RecordType::Ptr))
+                if self.is_service(&name) =>
+            {
+                self.next_round_at_us = now_us;
+            }
+            RecordChange::Added(record) => self.store_records(now_us, vec![record]),
+            // A detail stays in use until it is replaced.
+            RecordChange::Removed(_) | RecordChange::AllRemoved(..) => {}
+        }
+    }
+
+    fn mark_pushed(&mut self, now_us: u64, name: &Name) {
+        if let Some(instance) = self.instances.get_mut(name) {
+            instance.pushed_at_us = now_us;
+        }
+    }
+
+    fn is_service(&self, name: &Name) -> bool {
+        self.config.services.contains(name)
+    }
+}
--- a/crates/discovery/src/dnssd/driver.rs
+++ b/crates/discovery/src/dnssd/driver.rs
@@ -1,6 +1,6 @@
 //! The sockets of a browser: a query a socket, or a connection, and one session of push. No rules here.
 
-use super::browser::{Browser, Input, Output};
+use super::browser::{Browser, Input, Output, Transport};
 use super::{read_anchor, DnsSdConfig, PushConfig};
 use crate::registry::EndpointRegistry;
 use frosthatch_log::log_line;
@@ -55,7 +55,9 @@
     let (mut push, mut pushes) = (None::<(AbortHandle, mpsc::Sender<Vec<u8>>)>, 0u64);
     let mut out = Vec::new();
     loop {
-        let wait = browser.next(desk.now()).saturating_sub(desk.now());
+        let wait = browser
+            .next_wakeup_us(desk.now())
+            .saturating_sub(desk.now());
         let next = tokio::select! {
             next = came.recv() => next,
             () = sleep(Duration::from_micros(wait)) => None,
@@ -63,15 +65,15 @@
         let input = match &next {
             None => None,
             Some(Came::Datagram { query, from, bytes }) => Some(Input::Datagram {
-                query: *query,
+                query_id: *query,
                 from: *from,
                 bytes,
             }),
             Some(Came::Stream { query, bytes }) => Some(Input::Stream {
-                query: *query,
+                query_id: *query,
                 bytes,
             }),
-            Some(Came::Broken { query }) => Some(Input::Broken { query: *query }),
+            Some(Came::Broken { query }) => Some(Input::QueryFailed { query_id: *query }),
             // Of a session that was left already.
             Some(Came::Push(number, _)) if *number != pushes || push.is_none() => None,
             Some(Came::Push(_, Pushed::Opened)) => Some(Input::PushOpened),
@@ -81,17 +83,17 @@
         browser.handle(desk.now(), input, &mut out);
         for output in out.drain(..) {
             match output {
-                Output::Ask {
-                    query,
+                Output::SendQuery {
+                    query_id: query,
                     to,
-                    tcp,
+                    transport,
                     bytes,
                 } => {
                     let tell = tell.clone();
                     let task = tasks.spawn_local(async move {
-                        let asked = match tcp {
-                            true => ask_stream(query, to, &bytes, &tell).await,
-                            false => ask_datagram(query, to, &bytes, &tell).await,
+                        let asked = match transport {
+                            Transport::Tcp => ask_stream(query, to, &bytes, &tell).await,
+                            Transport::Udp => ask_datagram(query, to, &bytes, &tell).await,
                         };
                         if asked.is_err() {
                             let _ = tell.send(Came::Broken { query }).await;
@@ -99,9 +101,16 @@
                     });
                     queries.insert(query, task);
                 }
-                Output::Forget { query } => drop(queries.remove(&query).map(|task| task.abort())),
-                Output::Tell { kind, members } => desk.tell(kind, members),
-                Output::Connect(to) => {
+                Output::CloseQuery { query_id: query } => {
+                    if let Some(task) = queries.remove(&query) {
+                        task.abort();
+                    }
+                }
+                Output::UpdateEndpoints {
+                    kind,
+                    endpoints: members,
+                } => desk.tell(kind, members),
+                Output::ConnectPush(to) => {
                     if let Some((old, _)) = push.take() {
                         old.abort();
                     }
@@ -115,13 +124,17 @@
                     });
                     push = Some((task, write));
                 }
-                Output::Write(bytes) => {
+                Output::WritePush(bytes) => {
                     // A server that reads nothing is silent, which ends the session in time.
                     if let Some((_, write)) = &push {
                         let _ = write.try_send(bytes);
                     }
                 }
-                Output::HangUp => drop(push.take().map(|(task, _)| task.abort())),
+                Output::ClosePush => {
+                    if let Some((task, _)) = push.take() {
+                        task.abort();
+                    }
+                }
                 Output::Log(line) => log_line!("{line}"),
             }
         }
--- a/crates/discovery/src/dnssd/push/tests.rs
+++ b/crates/discovery/src/dnssd/push/tests.rs
@@ -1,65 +1,71 @@
-use super::{Heard, Session, RESPONSE_US};
-use crate::dnssd::wire::{self, Name};
+//! Tests of a push session.
+
+use super::{PushSession, SessionEvent, RESPONSE_TIMEOUT_US};
+use crate::dnssd::wire::{Name, HEADER_BYTES};
 use std::time::Duration;
 
-fn session() -> (Session, Vec<Heard>) {
-    let mut s = Session::new(&["_t._tcp.example.org".into()], Duration::from_secs(1));
-    let mut heard = Vec::new();
-    s.opened(0, &mut heard);
-    (s, heard)
+fn opened_session() -> (PushSession, Vec<SessionEvent>) {
+    let mut session = PushSession::new(&["_t._tcp.example.org".into()], Duration::from_secs(1));
+    let mut events = Vec::new();
+    session.handle_opened(0, &mut events);
+    (session, events)
 }
 
 fn response(id: u16, code: u8) -> Vec<u8> {
-    let mut m = vec![0; wire::HEADER];
-    m[..2].copy_from_slice(&id.to_be_bytes());
-    (m[2], m[3]) = (0x80 | 6 << 3, code);
-    m
+    let mut message = vec![0; HEADER_BYTES];
+    message[..2].copy_from_slice(&id.to_be_bytes());
+    message[2] = 0x80 | 6 << 3;
+    message[3] = code;
+    message
 }
 
 #[test]
-fn it_is_in_force_once_every_service_is_granted() {
-    let (mut s, heard) = session();
-    assert!(matches!(&heard[..], [Heard::Write(_)]) && !s.in_force());
-    let mut heard = Vec::new();
-    s.message(1, &response(1, 0), &mut heard);
-    assert_eq!(heard, [Heard::InForce]);
+fn a_session_is_established_once_every_service_is_granted() {
+    let (mut session, events) = opened_session();
+    assert!(matches!(&events[..], [SessionEvent::Write(_)]) && !session.is_established());
+    let mut events = Vec::new();
+    session.handle_message(1, &response(1, 0), &mut events);
+    assert_eq!(events, [SessionEvent::Established]);
     let name: Name = "a._t._tcp.example.org".into();
-    s.watch(2, &name, &mut heard);
-    assert!(!s.covers(&name));
-    s.message(3, &response(2, 0), &mut heard);
-    assert!(s.covers(&name));
+    session.subscribe(2, &name, &mut events);
+    assert!(!session.covers(&name));
+    session.handle_message(3, &response(2, 0), &mut events);
+    assert!(session.covers(&name));
 }
 
 #[test]
-fn refusal_silence_nonsense_and_answers_to_nothing_end_it() {
-    for (bytes, why) in [
+fn a_refusal_an_unexpected_response_an_invalid_message_or_silence_ends_the_session() {
+    for (bytes, reason) in [
         (Some(response(1, 5)), "refused, code 5"),
         (Some(response(9, 0)), "response to nothing"),
         (Some(vec![1, 2, 3]), "no sense"),
         (None, "silent"),
     ] {
-        let (mut s, mut heard) = session();
-        heard.clear();
+        let (mut session, mut events) = opened_session();
+        events.clear();
         match &bytes {
-            Some(bytes) => s.message(1, bytes, &mut heard),
-            None => s.tick(RESPONSE_US, &mut heard),
+            Some(bytes) => session.handle_message(1, bytes, &mut events),
+            None => session.handle_timer(RESPONSE_TIMEOUT_US, &mut events),
         }
-        let [Heard::Over(text)] = &heard[..] else {
-            panic!("{heard:?}")
+        let [SessionEvent::Ended(text)] = &events[..] else {
+            panic!("{events:?}")
         };
-        assert!(text.contains(why), "{text}");
-        assert!(s.not_before > 0 && s.next().is_none());
+        assert!(text.contains(reason), "{text}");
+        assert!(session.reconnect_at_us() > 0 && session.next_wakeup_us().is_none());
     }
 }
 
-/// A server that is gone without a word answers no keepalive.
+/// A server that is gone without closing the connection answers no keepalive.
 #[test]
-fn a_session_that_falls_silent_ends() {
-    let (mut s, mut heard) = session();
-    s.message(1, &response(1, 0), &mut heard);
-    heard.clear();
-    s.tick(1_000_000, &mut heard);
-    assert!(matches!(&heard[..], [Heard::Write(_)]));
-    s.tick(1_000_000 + RESPONSE_US, &mut heard);
-    assert!(matches!(&heard[1..], [Heard::Over(_)]), "{heard:?}");
+fn a_session_without_a_keepalive_response_ends() {
+    let (mut session, mut events) = opened_session();
+    session.handle_message(1, &response(1, 0), &mut events);
+    events.clear();
+    session.handle_timer(1_000_000, &mut events);
+    assert!(matches!(&events[..], [SessionEvent::Write(_)]));
+    session.handle_timer(1_000_000 + RESPONSE_TIMEOUT_US, &mut events);
+    assert!(
+        matches!(&events[1..], [SessionEvent::Ended(_)]),
+        "{events:?}"
+    );
 }
--- a/crates/discovery/src/dnssd/wire/mod.rs
+++ b/crates/discovery/src/dnssd/wire/mod.rs
@@ -10,7 +10,9 @@
 #[cfg(test)]
 mod tests;
 
-pub use dso::{keepalive, stateful, subscribe, Change, Stateful, HEADER};
-pub use name::{label_text, name, split, Name};
-pub use record::{Data, Kind, Record};
-pub use reply::{query, reply, Code, Reply, Unread};
+pub use dso::{
+    encode_keepalive, encode_subscribe, parse_dso_message, DsoMessage, RecordChange, HEADER_BYTES,
+};
+pub use name::{parse_name, split_first_label, Name};
+pub use record::{Record, RecordData, RecordType};
+pub use reply::{encode_query, parse_reply, Reply, ReplyError, ResponseCode};
--- a/crates/discovery/src/dnssd/wire/name.rs
+++ b/crates/discovery/src/dnssd/wire/name.rs
@@ -1,6 +1,6 @@
 //! Domain names in canonical text form.
 
-use domain::base::name::{FromStrError, Label, Name as Wire, ToLabelIter};
+use domain::base::name::{FromStrError, Label, Name as WireName, ToLabelIter};
 use std::fmt::Write;
 use std::str::FromStr;
 use std::sync::Arc;
@@ -9,34 +9,17 @@
 /// `\032`), no dot at the end. Names that are the same in DNS are the same text.
 pub type Name = Arc<str>;
 
-/// The canonical form of one label.
-pub fn label_text(label: &[u8]) -> String {
-    let mut text = String::with_capacity(label.len());
-    for b in label {
-        match b.to_ascii_lowercase() {
-            b @ (b'.' | b'\\') => text.extend(['\\', b as char]),
-            b if b.is_ascii_graphic() => text.push(b as char),
-            b => drop(write!(text, "\\{b:03}")),
-        }
-    }
-    text
-}
-
-pub(super) fn name_text<'a>(labels: impl Iterator<Item = &'a Label>) -> Name {
-    let labels: Vec<String> = labels
-        .filter(|l| !l.is_root())
-        .map(|l| label_text(l.as_slice()))
-        .collect();
-    labels.join(".").into()
-}
-
-/// A name as somebody wrote it, in its canonical form.
-pub fn name(text: &str) -> Result<Name, FromStrError> {
-    Ok(name_text(Wire::<Vec<u8>>::from_str(text)?.iter_labels()))
+/// Parses a name in presentation form and returns its canonical form.
+///
+/// # Errors
+/// Why the text is no domain name.
+pub fn parse_name(text: &str) -> Result<Name, FromStrError> {
+    let name = WireName::<Vec<u8>>::from_str(text)?;
+    Ok(canonical_name(name.iter_labels()))
 }
 
-/// The first label of a name and what stands behind it, both canonical.
-pub fn split(name: &str) -> Option<(&str, &str)> {
+/// Splits a canonical name into its first label and the rest; `None` if it has only one label.
+pub fn split_first_label(name: &str) -> Option<(&str, &str)> {
     let bytes = name.as_bytes();
     let mut at = 0;
     while at < bytes.len() {
@@ -49,3 +32,24 @@
     }
     None
 }
+
+pub(super) fn canonical_name<'a>(labels: impl Iterator<Item = &'a Label>) -> Name {
+    let labels: Vec<String> = labels
+        .filter(|label| !label.is_root())
+        .map(|label| escape_label(label.as_slice()))
+        .collect();
+    labels.join(".").into()
+}
+
+/// The canonical form of one label.
+fn escape_label(label: &[u8]) -> String {
+    let mut text = String::with_capacity(label.len());
+    for byte in label {
+        match byte.to_ascii_lowercase() {
+            special @ (b'.' | b'\\') => text.extend(['\\', special as char]),
+            plain if plain.is_ascii_graphic() => text.push(plain as char),
+            other => drop(write!(text, "\\{other:03}")),
+        }
+    }
+    text
+}
--- a/crates/discovery/src/dnssd/wire/record.rs
+++ b/crates/discovery/src/dnssd/wire/record.rs
@@ -1,103 +1,154 @@
 //! Resource records: the types and data that service discovery uses.
 
-use super::name::{name_text, Name};
+use super::name::{canonical_name, Name};
 use domain::base::iana::{Class, Rtype};
 use domain::base::name::{ParsedName, ToLabelIter};
 use domain::base::record::ParsedRecord;
 use domain::rdata::{Aaaa, Cname, Ptr, Soa, Srv, Txt, A};
 use std::net::{Ipv4Addr, Ipv6Addr};
 
+/// The type of a query or subscription.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Kind {
+pub enum RecordType {
+    /// Names of instances (RFC 6763).
     Ptr,
+    /// Host and port of an instance (RFC 2782).
     Srv,
+    /// Attributes of an instance (RFC 6763).
     Txt,
+    /// IPv4 address.
     A,
+    /// IPv6 address.
     Aaaa,
+    /// Start of authority, for its serial.
     Soa,
     /// Any type; in subscriptions only (RFC 8765 section 6.2.1).
     Any,
 }
 
-impl Kind {
-    pub(super) fn rtype(self) -> Rtype {
+impl RecordType {
+    pub(super) fn to_rtype(self) -> Rtype {
         match self {
-            Kind::Ptr => Rtype::PTR,
-            Kind::Srv => Rtype::SRV,
-            Kind::Txt => Rtype::TXT,
-            Kind::A => Rtype::A,
-            Kind::Aaaa => Rtype::AAAA,
-            Kind::Soa => Rtype::SOA,
-            Kind::Any => Rtype::ANY,
+            RecordType::Ptr => Rtype::PTR,
+            RecordType::Srv => Rtype::SRV,
+            RecordType::Txt => Rtype::TXT,
+            RecordType::A => Rtype::A,
+            RecordType::Aaaa => Rtype::AAAA,
+            RecordType::Soa => Rtype::SOA,
+            RecordType::Any => Rtype::ANY,
         }
     }
 }
 
-/// What a record says; types that nobody here asks for are not kept.
+/// The data of a record; records of other types are skipped when a message is parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Data {
+pub enum RecordData {
+    /// Name of an instance.
     Ptr(Name),
+    /// Location of an instance.
     Srv {
+        /// Lower values are used first.
         priority: u16,
+        /// Share of the load among records of the same priority.
         weight: u16,
+        /// The port.
         port: u16,
+        /// Name of the host; empty: not available.
         target: Name,
     },
+    /// Strings of attributes.
     Txt(Vec<Vec<u8>>),
+    /// IPv4 address of a host.
     A(Ipv4Addr),
+    /// IPv6 address of a host.
     Aaaa(Ipv6Addr),
+    /// The name that this one is an alias of.
     Cname(Name),
+    /// Start of a zone.
     Soa {
+        /// Serial number of the zone's version (RFC 1982).
         serial: u32,
     },
 }
 
+/// A resource record of class IN.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
+    /// The name that the record belongs to.
     pub owner: Name,
-    pub ttl: u32,
-    pub data: Data,
+    /// Time to live in seconds.
+    pub ttl_s: u32,
+    /// Type and data.
+    pub data: RecordData,
 }
 
-/// What a record says: `None` if it makes no sense, an empty one if nobody here asks for its type.
-pub(super) fn read(record: &ParsedRecord<'_, &[u8]>) -> Option<Option<Record>> {
-    if record.class() != Class::IN && record.rtype() != Rtype::OPT {
-        return Some(None);
-    }
-    fn text<O: AsRef<[u8]>>(name: &ParsedName<O>) -> Name {
-        name_text(name.iter_labels())
+/// The data of a record does not have the form of its type.
+pub(super) struct MalformedRecord;
+
+/// Parses a record; `None` if its type or class is not used.
+pub(super) fn parse_record(
+    record: &ParsedRecord<'_, &[u8]>,
+) -> Result<Option<Record>, MalformedRecord> {
+    if record.class() != Class::IN || !is_used(record.rtype()) {
+        return Ok(None);
     }
-    let data = match record.rtype() {
-        Rtype::PTR => Data::Ptr(text(record.to_record::<Ptr<_>>().ok()??.data().ptrdname())),
+    Ok(Some(Record {
+        owner: to_name(&record.owner()),
+        ttl_s: record.ttl().as_secs(),
+        data: parse_data(record).ok_or(MalformedRecord)?,
+    }))
+}
+
+fn is_used(rtype: Rtype) -> bool {
+    matches!(
+        rtype,
+        Rtype::PTR | Rtype::SRV | Rtype::TXT | Rtype::A | Rtype::AAAA | Rtype::CNAME | Rtype::SOA
+    )
+}
+
+/// The data of a record whose type is used; `None` if it is malformed.
+fn parse_data(record: &ParsedRecord<'_, &[u8]>) -> Option<RecordData> {
+    match record.rtype() {
+        Rtype::PTR => {
+            let record = record.to_record::<Ptr<_>>().ok()??;
+            Some(RecordData::Ptr(to_name(record.data().ptrdname())))
+        }
         Rtype::SRV => {
             let record = record.to_record::<Srv<_>>().ok()??;
-            let s = record.data();
-            let target = text(s.target());
-            Data::Srv {
-                priority: s.priority(),
-                weight: s.weight(),
-                port: s.port(),
-                target,
-            }
+            let data = record.data();
+            Some(RecordData::Srv {
+                priority: data.priority(),
+                weight: data.weight(),
+                port: data.port(),
+                target: to_name(data.target()),
+            })
         }
         Rtype::TXT => {
             let record = record.to_record::<Txt<_>>().ok()??;
-            Data::Txt(record.data().iter().map(<[u8]>::to_vec).collect())
+            let strings = record.data().iter().map(<[u8]>::to_vec);
+            Some(RecordData::Txt(strings.collect()))
+        }
+        Rtype::A => {
+            let record = record.to_record::<A>().ok()??;
+            Some(RecordData::A(record.data().addr()))
+        }
+        Rtype::AAAA => {
+            let record = record.to_record::<Aaaa>().ok()??;
+            Some(RecordData::Aaaa(record.data().addr()))
+        }
+        Rtype::CNAME => {
+            let record = record.to_record::<Cname<_>>().ok()??;
+            Some(RecordData::Cname(to_name(record.data().cname())))
         }
-        Rtype::A => Data::A(record.to_record::<A>().ok()??.data().addr()),
-        Rtype::AAAA => Data::Aaaa(record.to_record::<Aaaa>().ok()??.data().addr()),
-        Rtype::CNAME => Data::Cname(text(record.to_record::<Cname<_>>().ok()??.data().cname())),
         Rtype::SOA => {
             let record = record.to_record::<Soa<_>>().ok()??;
-            Data::Soa {
-                serial: record.data().serial().into_int(),
-            }
+            let serial = record.data().serial().into_int();
+            Some(RecordData::Soa { serial })
         }
-        _ => return Some(None),
-    };
-    Some(Some(Record {
-        owner: text(&record.owner()),
-        ttl: record.ttl().as_secs(),
-        data,
-    }))
+        _ => None,
+    }
+}
+
+fn to_name<O: AsRef<[u8]>>(name: &ParsedName<O>) -> Name {
+    canonical_name(name.iter_labels())
 }
--- a/crates/discovery/src/dnssd/wire/reply.rs
+++ b/crates/discovery/src/dnssd/wire/reply.rs
@@ -1,110 +1,146 @@
 //! Queries and their replies (RFC 1035, RFC 6891).
 
-use super::name::name_text;
-use super::record::{read, Kind, Record};
+use super::name::canonical_name;
+use super::record::{parse_record, MalformedRecord, Record, RecordType};
 use domain::base::iana::{Class, Opcode, Rcode};
-use domain::base::name::{Name as Wire, ToLabelIter};
+use domain::base::message::RecordSection;
+use domain::base::name::{Name as WireName, ToLabelIter};
 use domain::base::{Message, MessageBuilder};
 use std::str::FromStr;
 
-/// Bytes that a UDP answer may have: what passes everywhere unfragmented (DNS flag day 2020).
-const UDP_BYTES: u16 = 1_232;
+/// Largest UDP reply that is accepted: passes everywhere without fragmentation (DNS flag day 2020).
+const MAX_UDP_REPLY_BYTES: u16 = 1_232;
 
 /// How a query was answered (RFC 1035 section 4.1.1).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Code {
+pub enum ResponseCode {
+    /// The name exists, with or without records of the type.
     NoError,
+    /// The name does not exist.
     NxDomain,
-    /// SERVFAIL, REFUSED and all others.
+    /// SERVFAIL, REFUSED and all others, by number.
     Other(u8),
 }
 
-/// An answer that could be read to its end.
+/// A reply that was parsed to its end.
 #[derive(Debug)]
 pub struct Reply {
-    pub code: Code,
-    pub authoritative: bool,
-    pub truncated: bool,
+    /// How the query was answered.
+    pub code: ResponseCode,
+    /// The AA bit: the reply is not from a cache.
+    pub is_authoritative: bool,
+    /// The TC bit: the reply was too long for its datagram.
+    pub is_truncated: bool,
+    /// Records that answer the question.
     pub answer: Vec<Record>,
+    /// Records of the zone's authority.
     pub authority: Vec<Record>,
+    /// Records that the resolver added of its own.
     pub additional: Vec<Record>,
 }
 
-/// Why a message was not read.
+/// Why a message is not accepted as a reply.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Unread {
-    /// It does not belong to the question: another id, another question, or no answer at all.
-    Foreign,
-    /// It does, and makes no sense.
+pub enum ReplyError {
+    /// It does not belong to the query: another id, another question, or no response at all.
+    Unrelated,
+    /// It belongs to the query and is not a valid message.
     Malformed,
 }
 
-/// A query with EDNS(0) (RFC 6891) that asks a resolver to look further.
-pub fn query(id: u16, name: &str, kind: Kind) -> Option<Vec<u8>> {
-    let name = Wire::<Vec<u8>>::from_str(name).ok()?;
+/// The record sections of a message, in their order.
+#[derive(Default)]
+struct Sections {
+    answer: Vec<Record>,
+    authority: Vec<Record>,
+    additional: Vec<Record>,
+}
+
+/// Encodes a recursive query with EDNS(0) (RFC 6891); `None` if the name is not valid.
+pub fn encode_query(id: u16, name: &str, record_type: RecordType) -> Option<Vec<u8>> {
+    let name = WireName::<Vec<u8>>::from_str(name).ok()?;
     let mut message = MessageBuilder::new_vec();
     message.header_mut().set_id(id);
     message.header_mut().set_rd(true);
     let mut question = message.question();
-    question.push((&name, kind.rtype())).ok()?;
+    question.push((&name, record_type.to_rtype())).ok()?;
     let mut additional = question.additional();
     additional
         .opt(|opt| {
-            opt.set_udp_payload_size(UDP_BYTES);
+            opt.set_udp_payload_size(MAX_UDP_REPLY_BYTES);
             Ok(())
         })
         .ok()?;
     Some(additional.finish())
 }
 
-/// The answer to a question, read to its end or not at all.
-pub fn reply(bytes: &[u8], id: u16, name: &str, kind: Kind) -> Result<Reply, Unread> {
-    let message = Message::from_octets(bytes).map_err(|_| Unread::Foreign)?;
+/// Parses the reply to the query with this id and question.
+///
+/// # Errors
+/// The message does not belong to the query, or is malformed.
+pub fn parse_reply(
+    bytes: &[u8],
+    id: u16,
+    name: &str,
+    record_type: RecordType,
+) -> Result<Reply, ReplyError> {
+    let message = Message::from_octets(bytes).map_err(|_| ReplyError::Unrelated)?;
     let header = message.header();
     if header.id() != id || !header.qr() || header.opcode() != Opcode::QUERY {
-        return Err(Unread::Foreign);
+        return Err(ReplyError::Unrelated);
     }
-    let question = message.sole_question().map_err(|_| Unread::Foreign)?;
-    let same = question.qtype() == kind.rtype()
+    let question = message.sole_question();
+    let question = question.map_err(|_| ReplyError::Unrelated)?;
+    let is_same_question = question.qtype() == record_type.to_rtype()
         && question.qclass() == Class::IN
-        && &*name_text(question.qname().iter_labels()) == name;
-    if !same {
-        return Err(Unread::Foreign);
+        && &*canonical_name(question.qname().iter_labels()) == name;
+    if !is_same_question {
+        return Err(ReplyError::Unrelated);
     }
     let code = match header.rcode() {
-        Rcode::NOERROR => Code::NoError,
-        Rcode::NXDOMAIN => Code::NxDomain,
-        other => Code::Other(other.to_int()),
+        Rcode::NOERROR => ResponseCode::NoError,
+        Rcode::NXDOMAIN => ResponseCode::NxDomain,
+        other => ResponseCode::Other(other.to_int()),
     };
-    let (mut answer, mut authority, mut additional) = (Vec::new(), Vec::new(), Vec::new());
-    let sections = (|| {
-        let mut section = message.answer().ok()?;
-        read_all(&mut section, &mut answer)?;
-        let mut section = section.next_section().ok()??;
-        read_all(&mut section, &mut authority)?;
-        let mut section = section.next_section().ok()??;
-        read_all(&mut section, &mut additional)
-    })();
-    // What was cut off ends anywhere; nothing of it is used.
-    if sections.is_none() && !header.tc() {
-        return Err(Unread::Malformed);
+    let mut sections = Sections::default();
+    let parsed = parse_sections(&message, &mut sections);
+    // A truncated reply may end anywhere; the query is repeated over TCP.
+    if parsed.is_err() && !header.tc() {
+        return Err(ReplyError::Malformed);
     }
     Ok(Reply {
         code,
-        authoritative: header.aa(),
-        truncated: header.tc(),
-        answer,
-        authority,
-        additional,
+        is_authoritative: header.aa(),
+        is_truncated: header.tc(),
+        answer: sections.answer,
+        authority: sections.authority,
+        additional: sections.additional,
     })
 }
 
-fn read_all<'a>(
-    section: &mut domain::base::message::RecordSection<'a, &'a [u8]>,
+fn parse_sections(message: &Message<&[u8]>, into: &mut Sections) -> Result<(), MalformedRecord> {
+    let mut section = message.answer().map_err(|_| MalformedRecord)?;
+    parse_records(&mut section, &mut into.answer)?;
+    let mut section = next_section(section)?;
+    parse_records(&mut section, &mut into.authority)?;
+    let mut section = next_section(section)?;
+    parse_records(&mut section, &mut into.additional)
+}
+
+fn next_section<'a>(
+    section: RecordSection<'a, &'a [u8]>,
+) -> Result<RecordSection<'a, &'a [u8]>, MalformedRecord> {
+    let next = section.next_section().map_err(|_| MalformedRecord)?;
+    next.ok_or(MalformedRecord)
+}
+
+fn parse_records<'a>(
+    section: &mut RecordSection<'a, &'a [u8]>,
     into: &mut Vec<Record>,
-) -> Option<()> {
+) -> Result<(), MalformedRecord> {
     for record in section {
-        into.extend(read(&record.ok()?)?);
+        let record = record.map_err(|_| MalformedRecord)?;
+        into.extend(parse_record(&record)?);
     }
-    Some(())
+    Ok(())
 }
--- a/crates/discovery/tests/world/mod.rs
+++ b/crates/discovery/tests/world/mod.rs
@@ -1,7 +1,7 @@
 //! A browser between resolvers, in virtual time: nothing waits, nothing is random but the seed.
 #![allow(dead_code)]
 
-use frosthatch_discovery::dnssd::browser::{Browser, Input, Output};
+use frosthatch_discovery::dnssd::browser::{Browser, Input, Output, Transport};
 use frosthatch_discovery::dnssd::{DnsSdConfig, PushConfig};
 use frosthatch_engine::{Endpoint, EndpointState};
 use frosthatch_test_doubles::{Rr, Zone, ZoneChange};
@@ -143,7 +143,7 @@
             let coming = self.coming.front().map(|(at, _)| *at);
             let next = self
                 .browser
-                .next(self.now)
+                .next_wakeup_us(self.now)
                 .max(self.now)
                 .min(coming.unwrap_or(u64::MAX));
             if next > until {
@@ -164,15 +164,15 @@
         let input = match &came {
             None => None,
             Some(Coming::Datagram { query, from, bytes }) => Some(Input::Datagram {
-                query: *query,
+                query_id: *query,
                 from: *from,
                 bytes,
             }),
             Some(Coming::Stream { query, bytes }) => Some(Input::Stream {
-                query: *query,
+                query_id: *query,
                 bytes,
             }),
-            Some(Coming::Broken { query }) => Some(Input::Broken { query: *query }),
+            Some(Coming::Broken { query }) => Some(Input::QueryFailed { query_id: *query }),
             Some(Coming::Opened) => Some(Input::PushOpened),
             Some(Coming::Pushed(bytes)) => Some(Input::PushMessage(bytes)),
             Some(Coming::Closed) => Some(Input::PushClosed),
@@ -200,26 +200,26 @@
 
     fn carry_out(&mut self, output: Output) {
         match output {
-            Output::Ask {
-                query,
+            Output::SendQuery {
+                query_id,
                 to,
-                tcp,
+                transport,
                 bytes,
-            } => self.asked_for(query, to, tcp, bytes),
-            Output::Forget { .. } => {}
-            Output::Tell { kind, members } => {
+            } => self.asked_for(query_id, to, transport == Transport::Tcp, bytes),
+            Output::CloseQuery { .. } => {}
+            Output::UpdateEndpoints { kind, endpoints } => {
                 if kind == ListKind::Complete {
                     self.fleet.clear();
                 }
-                for m in &members {
+                for m in &endpoints {
                     match m.state {
                         EndpointState::Gone => drop(self.fleet.remove(&m.uid)),
                         _ => drop(self.fleet.insert(m.uid.clone(), m.clone())),
                     }
                 }
-                self.tellings.push((self.now, kind, members));
+                self.tellings.push((self.now, kind, endpoints));
             }
-            Output::Connect(_) => {
+            Output::ConnectPush(_) => {
                 self.connects += 1;
                 let what = if self.push_up {
                     Coming::Opened
@@ -229,8 +229,8 @@
                 self.subscriptions = self.push_up.then(Vec::new);
                 self.come(2 * WAY, what);
             }
-            Output::Write(bytes) => self.session(&bytes),
-            Output::HangUp => self.subscriptions = None,
+            Output::WritePush(bytes) => self.session(&bytes),
+            Output::ClosePush => self.subscriptions = None,
             Output::Log(line) => self.log.push(line),
         }
     }
