--- /dev/null
+++ b/crates/discovery/src/dnssd/driver/query_socket.rs
@@ -0,0 +1,112 @@
+//! Sends one query over a socket of its own and reports what is received on it.
+
+use super::DriverEvent;
+use crate::dnssd::browser::Input;
+use frosthatch_sockets::{connect, Uninterrupted};
+use std::io;
+use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
+use tokio::io::{AsyncRead, AsyncReadExt, AsyncWriteExt};
+use tokio::net::UdpSocket;
+use tokio::sync::mpsc;
+
+/// Size of the receive buffer: more than a query allows its reply (EDNS(0)). A longer datagram is cut off and malformed.
+const DATAGRAM_BUFFER_BYTES: usize = 4_096;
+
+/// What happened on a query's socket.
+pub(super) enum QueryEvent {
+    Datagram {
+        query_id: u64,
+        from: SocketAddr,
+        bytes: Vec<u8>,
+    },
+    Stream {
+        query_id: u64,
+        bytes: Vec<u8>,
+    },
+    Failed {
+        query_id: u64,
+    },
+}
+
+impl QueryEvent {
+    pub(super) fn to_input(&self) -> Input<'_> {
+        match self {
+            QueryEvent::Datagram {
+                query_id,
+                from,
+                bytes,
+            } => Input::Datagram {
+                query_id: *query_id,
+                from: *from,
+                bytes,
+            },
+            QueryEvent::Stream { query_id, bytes } => Input::Stream {
+                query_id: *query_id,
+                bytes,
+            },
+            QueryEvent::Failed { query_id } => Input::QueryFailed {
+                query_id: *query_id,
+            },
+        }
+    }
+}
+
+/// Sends the query and reports every datagram that arrives until the task is aborted.
+pub(super) async fn query_over_udp(
+    query_id: u64,
+    to: SocketAddr,
+    bytes: &[u8],
+    events: &mpsc::Sender<DriverEvent>,
+) -> io::Result<()> {
+    let unspecified: IpAddr = match to {
+        SocketAddr::V4(_) => Ipv4Addr::UNSPECIFIED.into(),
+        SocketAddr::V6(_) => Ipv6Addr::UNSPECIFIED.into(),
+    };
+    // Port 0: the system selects a random one (RFC 5452 section 9.2).
+    let socket = UdpSocket::bind((unspecified, 0)).await?;
+    socket.send_to(bytes, to).await?;
+    let mut buffer = vec![0; DATAGRAM_BUFFER_BYTES];
+    loop {
+        let (length, from) = socket.recv_from(&mut buffer).await?;
+        let event = QueryEvent::Datagram {
+            query_id,
+            from,
+            bytes: buffer[..length].to_vec(),
+        };
+        if events.send(DriverEvent::Query(event)).await.is_err() {
+            return Ok(());
+        }
+    }
+}
+
+/// Sends the query over a new connection and reports the reply.
+pub(super) async fn query_over_tcp(
+    query_id: u64,
+    to: SocketAddr,
+    bytes: &[u8],
+    events: &mpsc::Sender<DriverEvent>,
+) -> io::Result<()> {
+    let mut stream = Uninterrupted(connect(to).await?);
+    stream.write_all(&add_length_prefix(bytes)).await?;
+    let bytes = read_message(&mut stream).await?;
+    let event = QueryEvent::Stream { query_id, bytes };
+    let _ = events.send(DriverEvent::Query(event)).await;
+    Ok(())
+}
+
+/// A message as it is sent over a stream (RFC 1035 section 4.2.2).
+pub(super) fn add_length_prefix(bytes: &[u8]) -> Vec<u8> {
+    let length = (bytes.len() as u16).to_be_bytes();
+    [&length[..], bytes].concat()
+}
+
+/// Reads the next message of a stream. Memory is allocated as its bytes arrive.
+pub(super) async fn read_message(stream: &mut (impl AsyncRead + Unpin)) -> io::Result<Vec<u8>> {
+    let length = u64::from(stream.read_u16().await?);
+    let mut bytes = Vec::new();
+    let received = stream.take(length).read_to_end(&mut bytes).await?;
+    if received as u64 != length {
+        return Err(io::ErrorKind::UnexpectedEof.into());
+    }
+    Ok(bytes)
+}
--- a/crates/discovery/src/endpoint_table.rs
+++ b/crates/discovery/src/endpoint_table.rs
@@ -1,194 +1,228 @@
-//! What has been told of the servers, and how one source takes over from another. No I/O.
+//! The endpoints that are listed, the marks of operators on them, and the takeover by another source. No I/O.
 
 use frosthatch_engine::{Endpoint, EndpointState};
 use frosthatch_traffic_control::ListKind;
 use std::collections::{HashMap, HashSet};
 
-/// A server that the new source does not name finishes what it has for so long, in microseconds: longer than any
-/// request lives.
-const LINGER_US: u64 = 10_000_000;
+/// How long an endpoint drains that a new source does not list, in microseconds: longer than any request takes.
+const TAKEOVER_DRAIN_US: u64 = 10_000_000;
+/// Limit on the marks; those on endpoints that are no longer listed are dropped first.
+const MAX_MARKS: usize = 4_096;
 
-/// Marks of operators that are kept at most: those of servers long gone make room.
-const MOST_MARKS: usize = 4_096;
-
-/// What an operator has done to a server by hand.
+/// What an operator has done to an endpoint by hand.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OperatorMark {
-    /// When it was taken out, Unix time in milliseconds.
+    /// When it was taken out, as Unix time in milliseconds.
     pub out_ms: u64,
-    /// When it was put back; none: it is out.
+    /// When it was put back; `None`: it is out.
     pub back_ms: Option<u64>,
 }
 
+impl OperatorMark {
+    fn is_out(&self) -> bool {
+        self.back_ms.is_none()
+    }
+}
+
+/// An endpoint that the present source does not list, after a takeover.
+struct DrainingEndpoint {
+    uid: String,
+    remove_at_us: u64,
+}
+
+/// The endpoints as the source lists them, with the marks that change how the engine gets them.
 #[derive(Default)]
 pub struct EndpointTable {
-    told: HashMap<String, Endpoint>,
+    listed: HashMap<String, Endpoint>,
     marks: HashMap<String, OperatorMark>,
-    /// The next whole list is the first of another source.
-    taking_over: bool,
-    /// Not named by the new source: gone at that time.
-    leaving: Vec<(u64, String)>,
+    /// Whether the next complete list is the first of another source.
+    is_taking_over: bool,
+    draining: Vec<DrainingEndpoint>,
 }
 
 impl EndpointTable {
-    /// The next whole list comes from elsewhere, where the old one's silence on a server means nothing yet.
-    pub fn take_over(&mut self) {
-        self.taking_over = !self.told.is_empty();
+    /// The next complete list comes from another source: endpoints that it lacks drain instead of being removed.
+    pub fn begin_takeover(&mut self) {
+        self.is_taking_over = !self.listed.is_empty();
     }
 
-    /// All that is known and not gone, as sources tell it.
-    pub fn known(&self) -> impl Iterator<Item = &Endpoint> {
-        self.told.values()
+    /// All listed endpoints as the source gave them.
+    pub fn source_endpoints(&self) -> impl Iterator<Item = &Endpoint> {
+        self.listed.values()
     }
 
-    /// The same as the engine hears of it.
-    pub fn heard(&self) -> impl Iterator<Item = Endpoint> + '_ {
-        self.told.values().map(|m| self.marked(m.clone()))
+    /// All listed endpoints with the marks applied, as the engine gets them.
+    pub fn effective_endpoints(&self) -> impl Iterator<Item = Endpoint> + '_ {
+        self.listed
+            .values()
+            .map(|endpoint| self.with_mark(endpoint.clone()))
     }
 
-    /// Takes a server out until it is put back, whatever sources say of it; what to tell the engine, or none if no such
-    /// server is known.
-    pub fn take_out(&mut self, now: u64, uid: &str) -> Option<Vec<Endpoint>> {
-        let known = self.told.contains_key(uid);
-        let out = self.marks.get(uid).is_some_and(|m| m.back_ms.is_none());
-        if !known && !out {
+    /// Takes an endpoint out until it is put back, whatever the source lists. Returns the update for the engine, or `None`
+    /// if no such endpoint is known.
+    pub fn take_out(&mut self, now_us: u64, uid: &str) -> Option<Vec<Endpoint>> {
+        let is_out = self.marks.get(uid).is_some_and(OperatorMark::is_out);
+        if is_out {
+            return Some(self.effective_endpoint(uid));
+        }
+        if !self.listed.contains_key(uid) {
             return None;
         }
-        Some(match out {
-            true => self.heard_of(uid),
-            false => self.set_mark(
-                uid,
-                OperatorMark {
-                    out_ms: now / 1_000,
-                    back_ms: None,
-                },
-            ),
-        })
+        let mark = OperatorMark {
+            out_ms: now_us / 1_000,
+            back_ms: None,
+        };
+        Some(self.set_mark(uid, mark))
     }
 
-    /// Puts a server back, however often it was taken out.
-    pub fn put_back(&mut self, now: u64, uid: &str) -> Option<Vec<Endpoint>> {
-        match self.marks.get_mut(uid).filter(|m| m.back_ms.is_none()) {
-            Some(mark) => mark.back_ms = Some(now / 1_000),
-            None if !self.told.contains_key(uid) => return None,
+    /// Puts an endpoint back, however often it was taken out. Returns the update for the engine, or `None` if no such
+    /// endpoint is known.
+    pub fn put_back(&mut self, now_us: u64, uid: &str) -> Option<Vec<Endpoint>> {
+        match self.marks.get_mut(uid).filter(|mark| mark.is_out()) {
+            Some(mark) => mark.back_ms = Some(now_us / 1_000),
+            None if !self.listed.contains_key(uid) => return None,
             None => {}
         }
-        Some(self.heard_of(uid))
+        Some(self.effective_endpoint(uid))
     }
 
+    /// The mark on an endpoint.
     pub fn mark(&self, uid: &str) -> Option<OperatorMark> {
         self.marks.get(uid).copied()
     }
 
+    /// All marks, by uid.
     pub fn marks(&self) -> impl Iterator<Item = (&String, &OperatorMark)> {
         self.marks.iter()
     }
 
-    /// A mark made elsewhere under the same name; what to tell the engine.
+    /// Sets a mark and returns the update for the engine.
     pub fn set_mark(&mut self, uid: &str, mark: OperatorMark) -> Vec<Endpoint> {
         if !self.marks.contains_key(uid) {
-            self.forget_marks();
+            self.make_room_for_mark();
         }
         self.marks.insert(uid.into(), mark);
-        self.heard_of(uid)
+        self.effective_endpoint(uid)
     }
 
-    /// One server, if it is listed, as the engine hears of it.
-    fn heard_of(&self, uid: &str) -> Vec<Endpoint> {
-        self.told
+    /// One endpoint with its mark applied; empty if it is not listed.
+    fn effective_endpoint(&self, uid: &str) -> Vec<Endpoint> {
+        self.listed
             .get(uid)
-            .map(|m| self.marked(m.clone()))
+            .map(|endpoint| self.with_mark(endpoint.clone()))
             .into_iter()
             .collect()
     }
 
-    /// Bounds the marks: those that say nothing any more go first, then those of servers that nobody lists.
-    fn forget_marks(&mut self) {
-        if self.marks.len() < MOST_MARKS {
+    /// Drops marks that have no effect any more, and then the oldest, those on endpoints that are not listed first.
+    fn make_room_for_mark(&mut self) {
+        if self.marks.len() < MAX_MARKS {
             return;
         }
-        let told = &self.told;
+        let listed = &self.listed;
         self.marks
-            .retain(|uid, m| m.back_ms.is_none() || told.contains_key(uid));
-        while self.marks.len() >= MOST_MARKS {
+            .retain(|uid, mark| mark.is_out() || listed.contains_key(uid));
+        while self.marks.len() >= MAX_MARKS {
             let oldest = self
                 .marks
                 .iter()
-                .min_by_key(|(uid, m)| (told.contains_key(*uid), m.out_ms));
-            let Some(oldest) = oldest.map(|(uid, _)| uid.clone()) else {
+                .min_by_key(|(uid, mark)| (listed.contains_key(*uid), mark.out_ms));
+            let Some(uid) = oldest.map(|(uid, _)| uid.clone()) else {
                 return;
             };
-            self.marks.remove(&oldest);
+            self.marks.remove(&uid);
         }
     }
 
-    /// A server as the operators' marks have it.
-    fn marked(&self, mut m: Endpoint) -> Endpoint {
-        match self.marks.get(&m.uid) {
-            Some(OperatorMark { back_ms: None, .. }) if m.state == EndpointState::Ready => {
-                m.state = EndpointState::Draining
+    /// An endpoint with the effect of its mark.
+    fn with_mark(&self, mut endpoint: Endpoint) -> Endpoint {
+        let Some(mark) = self.marks.get(&endpoint.uid) else {
+            return endpoint;
+        };
+        match mark.back_ms {
+            None => {
+                if endpoint.state == EndpointState::Ready {
+                    endpoint.state = EndpointState::Draining;
+                }
+            }
+            // The endpoint may have been restarted while it was out, which the list may show only later. Until then it
+            // counts as started when it was put back, so that it warms up.
+            Some(back_ms) => {
+                if endpoint.started_ms < mark.out_ms {
+                    endpoint.started_ms = back_ms;
+                }
             }
-            // Guards against pushing over a server that was restarted while it was out, of which the list tells later.
-            Some(OperatorMark {
-                out_ms,
-                back_ms: Some(back_ms),
-            }) if m.started_ms < *out_ms => m.started_ms = *back_ms,
-            _ => {}
         }
-        m
+        endpoint
     }
 
-    /// What to tell the engine for news from the present source.
-    pub fn hear(&mut self, now: u64, kind: ListKind, mut members: Vec<Endpoint>) -> Vec<Endpoint> {
-        let whole = kind != ListKind::Partial;
-        if whole {
-            let named: HashSet<&str> = members.iter().map(|m| m.uid.as_str()).collect();
-            let mut left: Vec<Endpoint> = self
-                .told
-                .values()
-                .filter(|m| !named.contains(m.uid.as_str()))
-                .cloned()
-                .collect();
-            if std::mem::take(&mut self.taking_over) {
-                // Guards against cutting off what is out at servers that the two sources call by other names.
-                left.iter_mut()
-                    .for_each(|m| m.state = EndpointState::Draining);
-                self.leaving
-                    .extend(left.iter().map(|m| (now + LINGER_US, m.uid.clone())));
-                members.extend(left);
+    /// Applies a list, or a change of the list, from the present source. Returns the update for the engine.
+    pub fn apply_update(
+        &mut self,
+        now_us: u64,
+        kind: ListKind,
+        mut endpoints: Vec<Endpoint>,
+    ) -> Vec<Endpoint> {
+        if kind != ListKind::Partial {
+            if std::mem::take(&mut self.is_taking_over) {
+                let unlisted = self.drain_unlisted(now_us, &endpoints);
+                endpoints.extend(unlisted);
             }
-            self.told.clear();
+            self.listed.clear();
         }
-        for m in &members {
-            match m.state {
-                EndpointState::Gone => drop(self.told.remove(&m.uid)),
-                _ => drop(self.told.insert(m.uid.clone(), m.clone())),
+        for endpoint in &endpoints {
+            if endpoint.state == EndpointState::Gone {
+                self.listed.remove(&endpoint.uid);
+            } else {
+                self.listed.insert(endpoint.uid.clone(), endpoint.clone());
             }
         }
-        // Named again by the new source: it stays.
-        let told = &self.told;
-        self.leaving.retain(|(_, uid)| {
-            told.get(uid)
-                .is_some_and(|m| m.state == EndpointState::Draining)
+        // One that the new source lists as ready stays.
+        let listed = &self.listed;
+        self.draining.retain(|draining| {
+            listed
+                .get(&draining.uid)
+                .is_some_and(|endpoint| endpoint.state == EndpointState::Draining)
         });
-        members.into_iter().map(|m| self.marked(m)).collect()
+        endpoints
+            .into_iter()
+            .map(|endpoint| self.with_mark(endpoint))
+            .collect()
     }
 
-    /// Those whose time to finish is over.
-    pub fn due(&mut self, now: u64) -> Vec<Endpoint> {
-        let gone: Vec<String> = self
-            .leaving
-            .iter()
-            .filter(|(at, _)| *at <= now)
-            .map(|(_, uid)| uid.clone())
+    /// Lets the endpoints drain that a new source's first list lacks: the sources may use different uids for the same
+    /// endpoint, and removal would cut off its requests in flight.
+    fn drain_unlisted(&mut self, now_us: u64, new_list: &[Endpoint]) -> Vec<Endpoint> {
+        let named: HashSet<&str> = new_list.iter().map(|e| e.uid.as_str()).collect();
+        let unlisted: Vec<Endpoint> = self
+            .listed
+            .values()
+            .filter(|endpoint| !named.contains(endpoint.uid.as_str()))
+            .map(|endpoint| Endpoint {
+                state: EndpointState::Draining,
+                ..endpoint.clone()
+            })
             .collect();
-        self.leaving.retain(|(at, _)| *at > now);
-        let gone = gone.into_iter().filter_map(|uid| self.told.remove(&uid));
-        gone.map(|m| Endpoint {
-            state: EndpointState::Gone,
-            ..m
-        })
-        .collect()
+        let remove_at_us = now_us + TAKEOVER_DRAIN_US;
+        let draining = unlisted.iter().map(|endpoint| DrainingEndpoint {
+            uid: endpoint.uid.clone(),
+            remove_at_us,
+        });
+        self.draining.extend(draining);
+        unlisted
+    }
+
+    /// Removes the endpoints whose time to drain is over, and returns them as gone.
+    pub fn remove_drained(&mut self, now_us: u64) -> Vec<Endpoint> {
+        let is_due = |draining: &mut DrainingEndpoint| draining.remove_at_us <= now_us;
+        let due: Vec<DrainingEndpoint> = self.draining.extract_if(.., is_due).collect();
+        due.into_iter()
+            .filter_map(|draining| self.listed.remove(&draining.uid))
+            .map(|endpoint| Endpoint {
+                state: EndpointState::Gone,
+                ..endpoint
+            })
+            .collect()
     }
 }
 
--- a/crates/discovery/src/endpoint_table/tests.rs
+++ b/crates/discovery/src/endpoint_table/tests.rs
@@ -1,9 +1,10 @@
-use super::{EndpointTable, LINGER_US, MOST_MARKS};
-use frosthatch_engine::Protocol;
-use frosthatch_engine::{Endpoint, EndpointState};
+//! Tests of the endpoint table.
+
+use super::{EndpointTable, MAX_MARKS, TAKEOVER_DRAIN_US};
+use frosthatch_engine::{Endpoint, EndpointState, Protocol};
 use frosthatch_traffic_control::ListKind;
 
-fn member(uid: &str) -> Endpoint {
+fn ready_endpoint(uid: &str) -> Endpoint {
     Endpoint {
         uid: uid.into(),
         address: ([127, 0, 0, 1], 1).into(),
@@ -17,109 +18,133 @@
 }
 
 #[test]
-fn a_source_that_takes_over_lets_the_others_finish_and_then_go() {
-    let mut roster = EndpointTable::default();
-    roster.hear(0, ListKind::Complete, vec![member("a"), member("b")]);
-    roster.take_over();
-    let told = roster.hear(1, ListKind::Complete, vec![member("b"), member("c")]);
-    let state = |uid: &str| told.iter().find(|m| m.uid == uid).map(|m| m.state);
+fn endpoints_that_a_new_source_lacks_drain_and_are_then_removed() {
+    let mut table = EndpointTable::default();
+    table.apply_update(
+        0,
+        ListKind::Complete,
+        vec![ready_endpoint("a"), ready_endpoint("b")],
+    );
+    table.begin_takeover();
+    let update = table.apply_update(
+        1,
+        ListKind::Complete,
+        vec![ready_endpoint("b"), ready_endpoint("c")],
+    );
+    let state = |uid: &str| {
+        update
+            .iter()
+            .find(|endpoint| endpoint.uid == uid)
+            .map(|endpoint| endpoint.state)
+    };
     assert_eq!(state("a"), Some(EndpointState::Draining));
     assert_eq!(
         (state("b"), state("c")),
         (Some(EndpointState::Ready), Some(EndpointState::Ready))
     );
-    assert!(roster.due(LINGER_US).is_empty());
-    let gone = roster.due(LINGER_US + 1);
+    assert!(table.remove_drained(TAKEOVER_DRAIN_US).is_empty());
+    let gone = table.remove_drained(TAKEOVER_DRAIN_US + 1);
     assert_eq!(
         gone.iter()
-            .map(|m| (m.uid.as_str(), m.state))
+            .map(|endpoint| (endpoint.uid.as_str(), endpoint.state))
             .collect::<Vec<_>>(),
         [("a", EndpointState::Gone)]
     );
-    assert!(roster.due(u64::MAX).is_empty());
+    assert!(table.remove_drained(u64::MAX).is_empty());
 }
 
 #[test]
-fn one_that_the_new_source_names_later_stays() {
-    let mut roster = EndpointTable::default();
-    roster.hear(0, ListKind::Complete, vec![member("a")]);
-    roster.take_over();
-    roster.hear(1, ListKind::Complete, vec![]);
-    roster.hear(2, ListKind::Partial, vec![member("a")]);
-    assert!(roster.due(u64::MAX).is_empty());
+fn an_endpoint_that_the_new_source_lists_later_is_not_removed() {
+    let mut table = EndpointTable::default();
+    table.apply_update(0, ListKind::Complete, vec![ready_endpoint("a")]);
+    table.begin_takeover();
+    table.apply_update(1, ListKind::Complete, vec![]);
+    table.apply_update(2, ListKind::Partial, vec![ready_endpoint("a")]);
+    assert!(table.remove_drained(u64::MAX).is_empty());
 }
 
-/// Guards against a list that still calls it ready, and against a server that was restarted meanwhile.
+/// A list may still give the endpoint as ready, and it may have been restarted while it was out.
 #[test]
-fn a_server_taken_out_by_hand_drains_until_it_is_put_back_and_is_cold_then() {
-    let mut roster = EndpointTable::default();
-    roster.hear(0, ListKind::Complete, vec![member("a"), member("b")]);
-    assert_eq!(roster.take_out(5_000_000, "nobody"), None);
-    let told = roster.take_out(5_000_000, "a").expect("known");
+fn an_endpoint_taken_out_by_hand_drains_until_it_is_put_back_and_warms_up_then() {
+    let mut table = EndpointTable::default();
+    table.apply_update(
+        0,
+        ListKind::Complete,
+        vec![ready_endpoint("a"), ready_endpoint("b")],
+    );
+    assert_eq!(table.take_out(5_000_000, "nobody"), None);
+    let update = table.take_out(5_000_000, "a").expect("known");
     assert_eq!(
-        (told[0].uid.as_str(), told[0].state),
+        (update[0].uid.as_str(), update[0].state),
         ("a", EndpointState::Draining)
     );
-    roster.take_out(6_000_000, "a").expect("a second call out");
+    table.take_out(6_000_000, "a").expect("a second call out");
     for list in [
-        vec![member("a")],
+        vec![ready_endpoint("a")],
         vec![Endpoint {
             state: EndpointState::Gone,
-            ..member("a")
+            ..ready_endpoint("a")
         }],
-        vec![member("a")],
+        vec![ready_endpoint("a")],
     ] {
-        for told in roster.hear(7_000_000, ListKind::Partial, list) {
-            assert_ne!(told.state, EndpointState::Ready);
+        for endpoint in table.apply_update(7_000_000, ListKind::Partial, list) {
+            assert_ne!(endpoint.state, EndpointState::Ready);
         }
     }
-    let told = roster.put_back(9_000_000, "a").expect("known");
+    let update = table.put_back(9_000_000, "a").expect("known");
     assert_eq!(
-        (told[0].state, told[0].started_ms),
+        (update[0].state, update[0].started_ms),
         (EndpointState::Ready, 9_000)
     );
-    // The list's own word on its start counts once it is later than the mark.
-    let told = roster.hear(
+    // The start time in the list counts once it is later than the mark.
+    let update = table.apply_update(
         0,
         ListKind::Partial,
         vec![Endpoint {
             started_ms: 8_000,
-            ..member("a")
+            ..ready_endpoint("a")
         }],
     );
-    assert_eq!(told[0].started_ms, 8_000);
-    assert_eq!(roster.put_back(9_000_000, "nobody"), None);
+    assert_eq!(update[0].started_ms, 8_000);
+    assert_eq!(table.put_back(9_000_000, "nobody"), None);
     assert_eq!(
-        roster.put_back(9_000_000, "b").expect("known")[0].started_ms,
+        table.put_back(9_000_000, "b").expect("known")[0].started_ms,
         0
     );
 }
 
 #[test]
-fn marks_are_bounded_and_those_of_listed_servers_stay() {
-    let mut roster = EndpointTable::default();
-    for n in 0..MOST_MARKS + 10 {
+fn marks_are_bounded_and_those_on_listed_endpoints_stay() {
+    let mut table = EndpointTable::default();
+    for n in 0..MAX_MARKS + 10 {
         let uid = format!("s-{n}");
-        let kept = member("kept");
-        roster.hear(0, ListKind::Complete, vec![kept, member(&uid)]);
-        roster.take_out(n as u64, "kept");
-        roster.take_out(n as u64, &uid).expect("known");
+        let listed = ready_endpoint("kept");
+        table.apply_update(0, ListKind::Complete, vec![listed, ready_endpoint(&uid)]);
+        table.take_out(n as u64, "kept");
+        table.take_out(n as u64, &uid).expect("known");
     }
-    assert_eq!(roster.marks.len(), MOST_MARKS);
+    assert_eq!(table.marks.len(), MAX_MARKS);
     assert_eq!(
-        roster.heard().find(|m| m.uid == "kept").map(|m| m.state),
+        table
+            .effective_endpoints()
+            .find(|endpoint| endpoint.uid == "kept")
+            .map(|endpoint| endpoint.state),
         Some(EndpointState::Draining)
     );
 }
 
-/// The list agent's whole lists mean what they say.
+/// Without a takeover a complete list replaces the one before.
 #[test]
-fn a_whole_list_of_the_same_source_forgets_what_it_leaves_out() {
-    let mut roster = EndpointTable::default();
-    roster.hear(0, ListKind::Complete, vec![member("a"), member("b")]);
+fn a_complete_list_of_the_same_source_removes_what_it_lacks() {
+    let mut table = EndpointTable::default();
+    table.apply_update(
+        0,
+        ListKind::Complete,
+        vec![ready_endpoint("a"), ready_endpoint("b")],
+    );
     assert_eq!(
-        roster.hear(1, ListKind::Complete, vec![member("b")]),
-        vec![member("b")]
+        table.apply_update(1, ListKind::Complete, vec![ready_endpoint("b")]),
+        vec![ready_endpoint("b")]
     );
-    assert_eq!(roster.known().count(), 1);
+    assert_eq!(table.source_endpoints().count(), 1);
 }
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,11 +1,8 @@
-//! Where the servers are. [`list`] follows the list agent, [`dnssd`] reads DNS-SD records; [`source`] runs whichever is
-//! configured; both tell [`desk`], which through [`roster`] goes from one to the other without cutting anything short.
-#![expect(
-    clippy::match_bool,
-    clippy::semicolon_if_nothing_returned,
-    clippy::too_many_lines,
-    missing_docs
-)]
+//! Endpoint discovery: where the servers are.
+//!
+//! [`list`] is the client of a list agent, [`dnssd`] finds endpoints with DNS-SD. [`run`] follows whichever [`Source`] is
+//! configured. Both pass lists and changes to the [`EndpointRegistry`], which applies the marks of operators, lets
+//! endpoints drain when one source takes over from another, and passes the result to the engine.
 
 pub mod dnssd;
 mod endpoint_table;
--- /dev/null
+++ b/crates/discovery/src/list/client.rs
@@ -0,0 +1,95 @@
+//! One call to the list agent over HTTP/1.1.
+
+use super::server_list::ServerList;
+use frosthatch_http1::conn::{Conn, Sending};
+use std::cell::Cell;
+use std::fmt;
+use std::net::SocketAddr;
+
+/// Limit on the size of a list.
+const MAX_LIST_BYTES: usize = 4 << 20;
+
+/// Asks for nothing but what is newer than a version of the list.
+#[derive(Clone, Copy)]
+pub(super) struct NewerThan {
+    pub(super) version: u64,
+    /// How long the agent may delay the response until there is something newer; 0: not at all.
+    pub(super) hold_ms: u64,
+}
+
+/// A list, and the connection it came over if that can be used again.
+pub(super) struct ListResponse {
+    pub(super) list: ServerList,
+    pub(super) connection: Option<Conn>,
+}
+
+/// Why a call brought no list.
+pub(super) enum CallError {
+    /// There was no response in time.
+    Timeout,
+    /// The connection failed.
+    Io(std::io::Error),
+    /// The response has another status than 200.
+    Status(u16),
+    /// The response is no list.
+    Malformed(serde_json::Error),
+    /// The response is longer than [`MAX_LIST_BYTES`].
+    TooLong,
+}
+
+impl fmt::Display for CallError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            CallError::Timeout => write!(f, "no answer"),
+            CallError::Io(error) => write!(f, "{error}"),
+            CallError::Status(status) => write!(f, "status {status}"),
+            CallError::TooLong => write!(f, "a list of more than {MAX_LIST_BYTES} bytes"),
+            CallError::Malformed(error) => write!(f, "malformed list: {error}"),
+        }
+    }
+}
+
+/// Requests the complete list, or what is newer than a version. Uses `connection` if it is still usable, otherwise a new
+/// one.
+pub(super) async fn request_list(
+    address: SocketAddr,
+    connection: Option<Conn>,
+    newer_than: Option<NewerThan>,
+) -> Result<ListResponse, CallError> {
+    let path = match newer_than {
+        None => "/v1/endpoints".to_string(),
+        Some(NewerThan { version, hold_ms }) => {
+            format!("/v1/endpoints?from={version}&hold_ms={hold_ms}")
+        }
+    };
+    let connection = match connection.filter(Conn::quiet) {
+        Some(connection) => connection,
+        None => open_connection(address).await?,
+    };
+    let head = format!("GET {path} HTTP/1.1\r\nHost: {address}\r\n\r\n");
+    let written = Cell::new(0);
+    let sending = Sending {
+        request: [head.as_bytes(), b""],
+        written: &written,
+        may: &|_| Ok(()),
+        whole: &|| (),
+    };
+    let response = connection.ask(sending, MAX_LIST_BYTES).await;
+    let response = response.map_err(CallError::Io)?;
+    if response.rest.is_some() {
+        return Err(CallError::TooLong);
+    }
+    if response.status != 200 {
+        return Err(CallError::Status(response.status));
+    }
+    let list = serde_json::from_slice(&response.body).map_err(CallError::Malformed)?;
+    Ok(ListResponse {
+        list,
+        connection: response.reusable.then_some(connection),
+    })
+}
+
+async fn open_connection(address: SocketAddr) -> Result<Conn, CallError> {
+    let opened = Conn::open(address).await;
+    opened.map_err(|error| CallError::Io(error.into()))
+}
--- a/crates/discovery/src/registry.rs
+++ b/crates/discovery/src/registry.rs
@@ -1,4 +1,4 @@
-//! Where the news of whichever source is followed come together with what operators do by hand, on their way to the engine.
+//! The endpoint lists of the source that is followed and the marks of operators, on their way to the engine.
 
 use crate::endpoint_table::{EndpointTable, OperatorMark};
 use frosthatch_engine::{Endpoint, EndpointState, Engine};
@@ -6,96 +6,103 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Where a source's news go, and what operators do to servers by hand.
+/// Holds the endpoints that are listed and what operators did to them, and passes every change to the engine.
 pub struct EndpointRegistry {
     engine: Rc<Engine>,
-    roster: RefCell<EndpointTable>,
+    table: RefCell<EndpointTable>,
 }
 
 impl EndpointRegistry {
+    /// An empty registry in front of this engine.
     pub fn new(engine: Rc<Engine>) -> Rc<EndpointRegistry> {
         Rc::new(EndpointRegistry {
             engine,
-            roster: RefCell::default(),
+            table: RefCell::default(),
         })
     }
 
-    /// Takes a server out by hand; whether it is known. It is heard as draining before this returns.
+    /// Takes an endpoint out by hand; returns whether it is known. The engine has it as draining when this returns.
     pub fn take_out(&self, uid: &str) -> bool {
-        // As lists tell servers' starts, with which it is compared.
-        let now = self.engine.wall_clock_us();
-        let known = self.roster.borrow_mut().take_out(now, uid);
-        known
-            .map(|told| self.engine.update_endpoints(ListKind::Partial, told))
-            .is_some()
+        // Wall clock, because it is compared with the start times in lists.
+        let now_us = self.engine.wall_clock_us();
+        let update = self.table.borrow_mut().take_out(now_us, uid);
+        self.pass_on_mark(update)
     }
 
-    /// Puts a server back; whether it is known.
+    /// Puts an endpoint back; returns whether it is known.
     pub fn put_back(&self, uid: &str) -> bool {
-        // As lists tell servers' starts, with which it is compared.
-        let now = self.engine.wall_clock_us();
-        let known = self.roster.borrow_mut().put_back(now, uid);
-        known
-            .map(|told| self.engine.update_endpoints(ListKind::Partial, told))
-            .is_some()
+        // Wall clock, because it is compared with the start times in lists.
+        let now_us = self.engine.wall_clock_us();
+        let update = self.table.borrow_mut().put_back(now_us, uid);
+        self.pass_on_mark(update)
     }
 
-    /// What operators did to a server by hand.
+    /// Passes the effect of a mark to the engine; returns whether the endpoint is known.
+    fn pass_on_mark(&self, update: Option<Vec<Endpoint>>) -> bool {
+        let Some(endpoints) = update else {
+            return false;
+        };
+        self.engine.update_endpoints(ListKind::Partial, endpoints);
+        true
+    }
+
+    /// The mark of an operator on an endpoint.
     pub fn mark(&self, uid: &str) -> Option<OperatorMark> {
-        self.roster.borrow().mark(uid)
+        self.table.borrow().mark(uid)
     }
 
-    /// The same for all, by their names.
+    /// All marks, by the uid of the endpoint.
     pub fn marks(&self) -> Vec<(String, OperatorMark)> {
-        self.roster
-            .borrow()
-            .marks()
-            .map(|(uid, mark)| (uid.clone(), *mark))
-            .collect()
+        let table = self.table.borrow();
+        let marks = table.marks();
+        marks.map(|(uid, mark)| (uid.clone(), *mark)).collect()
     }
 
-    /// Takes over what another process of this gateway was told of a server.
+    /// Sets a mark that was made in another process of this gateway.
     pub fn set_mark(&self, uid: &str, mark: OperatorMark) {
-        let told = self.roster.borrow_mut().set_mark(uid, mark);
-        self.engine.update_endpoints(ListKind::Partial, told);
+        let endpoints = self.table.borrow_mut().set_mark(uid, mark);
+        self.engine.update_endpoints(ListKind::Partial, endpoints);
     }
 
-    /// Servers that are listed, and how many of them take nothing new.
+    /// The number of endpoints that are listed, and how many of them are not ready.
     pub fn listed(&self) -> (usize, usize) {
-        let roster = self.roster.borrow();
-        (
-            roster.known().count(),
-            roster
-                .heard()
-                .filter(|m| m.state != EndpointState::Ready)
-                .count(),
-        )
+        let table = self.table.borrow();
+        let listed = table.source_endpoints().count();
+        let not_ready = table
+            .effective_endpoints()
+            .filter(|endpoint| endpoint.state != EndpointState::Ready)
+            .count();
+        (listed, not_ready)
     }
 
-    pub(crate) fn tell(&self, kind: ListKind, members: Vec<Endpoint>) {
-        let members = self
-            .roster
+    /// Applies a list, or a change of the list, from the source.
+    pub(crate) fn update_endpoints(&self, kind: ListKind, endpoints: Vec<Endpoint>) {
+        let now_us = self.engine.now();
+        let endpoints = self
+            .table
             .borrow_mut()
-            .hear(self.engine.now(), kind, members);
-        self.engine.update_endpoints(kind, members);
+            .apply_update(now_us, kind, endpoints);
+        self.engine.update_endpoints(kind, endpoints);
     }
 
-    pub(crate) fn now(&self) -> u64 {
+    /// The engine's monotonic time in microseconds.
+    pub(crate) fn now_us(&self) -> u64 {
         self.engine.now()
     }
 
-    pub(crate) fn known(&self) -> Vec<Endpoint> {
-        self.roster.borrow().known().cloned().collect()
+    /// The endpoints that are listed, as the source gave them.
+    pub(crate) fn source_endpoints(&self) -> Vec<Endpoint> {
+        self.table.borrow().source_endpoints().cloned().collect()
     }
 
-    /// Another source tells of the servers from now on, and begins with all of them.
-    pub(crate) fn source_moved(&self) {
-        self.roster.borrow_mut().take_over();
+    /// Prepares for another source, whose first list is a complete one.
+    pub(crate) fn begin_takeover(&self) {
+        self.table.borrow_mut().begin_takeover();
     }
 
-    /// What the source before told and the one now does not is gone when its time is over.
-    pub(crate) fn let_go(&self) {
-        let gone = self.roster.borrow_mut().due(self.engine.now());
+    /// Removes endpoints that the previous source listed and the present one does not, once they had time to drain.
+    pub(crate) fn remove_drained(&self) {
+        let gone = self.table.borrow_mut().remove_drained(self.engine.now());
         self.engine.update_endpoints(ListKind::Partial, gone);
     }
 }
