--- a/crates/discovery/src/dnssd/browser/push_updates.rs
+++ b/crates/discovery/src/dnssd/browser/push_updates.rs
@@ -3,9 +3,9 @@
 
 use super::events::Output;
 use super::state::Browser;
+use crate::dnssd::config::DnsSdConfig;
 use crate::dnssd::push::{PushSession, SessionEvent};
 use crate::dnssd::wire::{Name, Record, RecordChange, RecordData, RecordType};
-use crate::dnssd::DnsSdConfig;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
--- a/crates/discovery/src/dnssd/browser/scheduling.rs
+++ b/crates/discovery/src/dnssd/browser/scheduling.rs
@@ -4,8 +4,8 @@
 use super::events::{Output, Transport};
 use super::query::{BrowseRound, PendingQuery, QueryPurpose, Question};
 use super::state::Browser;
+use crate::dnssd::config::MAX_OUTSTANDING_QUERIES;
 use crate::dnssd::wire::{encode_query, Name, RecordType};
-use crate::dnssd::MAX_OUTSTANDING_QUERIES;
 use rand_pcg::rand_core::RngCore;
 use std::net::SocketAddr;
 
--- a/crates/discovery/src/dnssd/driver/mod.rs
+++ b/crates/discovery/src/dnssd/driver/mod.rs
@@ -1,15 +1,17 @@
 //! The sockets and timers of a browser: a socket or connection for each query, and one push connection. It takes no
 //! decisions.
 
+mod events;
 mod push_connection;
 mod query_socket;
 
-use super::browser::{Browser, Input, Output, Transport};
-use super::DnsSdConfig;
+use crate::dnssd::browser::{Browser, Input, Output, Transport};
+use crate::dnssd::config::DnsSdConfig;
 use crate::registry::EndpointRegistry;
+use events::{DriverEvent, QueryEvent};
 use frosthatch_log::log_line;
-use push_connection::{PushConnection, PushConnectionEvent};
-use query_socket::{query_over_tcp, query_over_udp, QueryEvent};
+use push_connection::PushConnection;
+use query_socket::{query_over_tcp, query_over_udp};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -46,15 +48,6 @@
     }
 }
 
-/// What the driver's tasks report.
-enum DriverEvent {
-    Query(QueryEvent),
-    Push {
-        connection_id: u64,
-        event: PushConnectionEvent,
-    },
-}
-
 struct Driver<'a> {
     config: Arc<DnsSdConfig>,
     registry: &'a EndpointRegistry,
--- a/crates/discovery/src/dnssd/driver/push_connection.rs
+++ b/crates/discovery/src/dnssd/driver/push_connection.rs
@@ -1,9 +1,9 @@
 //! The connection to a push server, over TLS where a root certificate is configured (RFC 8765 section 4).
 
+use super::events::{DriverEvent, PushConnectionEvent};
 use super::query_socket::{add_length_prefix, read_message};
-use super::DriverEvent;
-use crate::dnssd::browser::Input;
-use crate::dnssd::{read_anchor, PushConfig};
+use crate::dnssd::config::PushConfig;
+use crate::dnssd::trust_anchor::read_anchor;
 use frosthatch_log::log_line;
 use frosthatch_sockets::{connect, Uninterrupted};
 use rustls::pki_types::ServerName;
@@ -23,23 +23,6 @@
 /// Messages that wait to be written; further ones are dropped.
 const MAX_QUEUED_MESSAGES: usize = 256;
 
-/// What happened on the connection.
-pub(super) enum PushConnectionEvent {
-    Opened,
-    Message(Vec<u8>),
-    Closed,
-}
-
-impl PushConnectionEvent {
-    pub(super) fn to_input(&self) -> Input<'_> {
-        match self {
-            PushConnectionEvent::Opened => Input::PushOpened,
-            PushConnectionEvent::Message(bytes) => Input::PushMessage(bytes),
-            PushConnectionEvent::Closed => Input::PushClosed,
-        }
-    }
-}
-
 /// Handle of the task that runs a connection.
 pub(super) struct PushConnection {
     pub(super) id: u64,
--- a/crates/discovery/src/dnssd/driver/query_socket.rs
+++ b/crates/discovery/src/dnssd/driver/query_socket.rs
@@ -1,7 +1,6 @@
 //! Sends one query over a socket of its own and reports what is received on it.
 
-use super::DriverEvent;
-use crate::dnssd::browser::Input;
+use super::events::{DriverEvent, QueryEvent};
 use frosthatch_sockets::{connect, Uninterrupted};
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
@@ -12,45 +11,6 @@
 /// Size of the receive buffer: more than a query allows its reply (EDNS(0)). A longer datagram is cut off and malformed.
 const DATAGRAM_BUFFER_BYTES: usize = 4_096;
 
-/// What happened on a query's socket.
-pub(super) enum QueryEvent {
-    Datagram {
-        query_id: u64,
-        from: SocketAddr,
-        bytes: Vec<u8>,
-    },
-    Stream {
-        query_id: u64,
-        bytes: Vec<u8>,
-    },
-    Failed {
-        query_id: u64,
-    },
-}
-
-impl QueryEvent {
-    pub(super) fn to_input(&self) -> Input<'_> {
-        match self {
-            QueryEvent::Datagram {
-                query_id,
-                from,
-                bytes,
-            } => Input::Datagram {
-                query_id: *query_id,
-                from: *from,
-                bytes,
-            },
-            QueryEvent::Stream { query_id, bytes } => Input::Stream {
-                query_id: *query_id,
-                bytes,
-            },
-            QueryEvent::Failed { query_id } => Input::QueryFailed {
-                query_id: *query_id,
-            },
-        }
-    }
-}
-
 /// Sends the query and reports every datagram that arrives until the task is aborted.
 pub(super) async fn query_over_udp(
     query_id: u64,
--- a/crates/discovery/src/dnssd/mod.rs
+++ b/crates/discovery/src/dnssd/mod.rs
@@ -18,5 +18,3 @@
 pub use config::{DnsSdConfig, PushConfig, MOST_RESOLVERS, MOST_SERVICES};
 pub(crate) use driver::follow;
 pub use trust_anchor::read_anchor;
-
-use config::MAX_OUTSTANDING_QUERIES;
