--- /dev/null
+++ b/crates/discovery/tests/browsing/lists.rs
@@ -0,0 +1,284 @@
+//! The list of endpoints: first list, added, changed and removed instances.
+
+use crate::world::{
+    config, instance_address, zone, World, MILLISECOND_US, PROPAGATION_US, SECOND_US, SERVICE,
+};
+use frosthatch_discovery::dnssd::DnsSdConfig;
+use frosthatch_engine::{Endpoint, EndpointState, Protocol};
+use frosthatch_test_doubles::Rr;
+use frosthatch_traffic_control::ListKind;
+
+#[test]
+fn the_first_list_is_reported_complete_and_not_warming_up() {
+    let mut world = World::new(config(1), vec![zone(10)]);
+    world.run(SECOND_US);
+    let (_, kind, endpoints) = &world.updates[0];
+    assert_eq!(
+        (*kind, endpoints.len(), world.updates.len()),
+        (ListKind::Complete, 10, 1)
+    );
+    let endpoint = &world.endpoints["n3"];
+    assert_eq!(
+        (
+            endpoint.address,
+            endpoint.zone.as_str(),
+            endpoint.cell,
+            endpoint.state
+        ),
+        (instance_address(3), "hall-a", 1, EndpointState::Ready)
+    );
+    assert!(world
+        .endpoints
+        .values()
+        .all(|endpoint| endpoint.started_ms == 0 && endpoint.weight == 1.0));
+}
+
+#[test]
+fn an_instance_has_one_uid_regardless_of_case_and_escapes() {
+    let mut world = World::new(config(1), vec![zone(0)]);
+    world.zones[0].add_instance(SERVICE, "Till\\0321\\.A", instance_address(0), &[]);
+    world.zones[0].remove(SERVICE, |_| true);
+    world.zones[0].add(
+        SERVICE,
+        Rr::Ptr("tILL\\ 1\\046a._TopUp._TCP.Example.ORG".into()),
+    );
+    world.run(SECOND_US);
+    assert_eq!(
+        world.endpoints.keys().collect::<Vec<_>>(),
+        ["till\\0321\\.a"]
+    );
+    assert_eq!(world.ready(), 1);
+}
+
+/// It gets no new requests at once, those in flight may finish, and then it is gone.
+#[test]
+fn a_removed_instance_drains_and_is_then_gone() {
+    let mut world = World::new(config(1), vec![zone(10)]);
+    world.run(SECOND_US);
+    world.zones[0].remove_instance(SERVICE, "n4");
+    let since_us = world.now_us;
+    world.run(PROPAGATION_US);
+    assert_eq!(
+        (world.state("n4"), world.ready()),
+        (Some(EndpointState::Draining), 9)
+    );
+    assert!(world.updates[1].0 - since_us <= PROPAGATION_US);
+    world.run(10 * SECOND_US);
+    assert_eq!(world.state("n4"), None);
+    assert!(
+        matches!(&world.updates[2].2[..], [endpoint] if endpoint.uid == "n4" && endpoint.state == EndpointState::Gone)
+    );
+}
+
+#[test]
+fn an_instance_removed_while_draining_by_its_attributes_stays_draining_and_is_then_gone() {
+    let mut world = World::new(config(1), vec![zone(3)]);
+    world.run(SECOND_US);
+    let name = format!("n1.{SERVICE}");
+    world.zones[0].remove(&name, |record| matches!(record, Rr::Txt(_)));
+    world.zones[0].add(&name, Rr::Txt(vec!["state=draining".into()]));
+    world.run(PROPAGATION_US);
+    assert_eq!(world.state("n1"), Some(EndpointState::Draining));
+    world.zones[0].remove_instance(SERVICE, "n1");
+    world.run(PROPAGATION_US);
+    assert_eq!(world.state("n1"), Some(EndpointState::Draining));
+    assert!(!world.updates.iter().any(|(_, _, endpoints)| endpoints
+        .iter()
+        .any(|endpoint| endpoint.state == EndpointState::Gone)));
+    world.run(11 * SECOND_US);
+    assert_eq!((world.state("n1"), world.ready()), (None, 2));
+}
+
+#[test]
+fn a_new_instance_warms_up_from_when_it_is_first_seen_unless_it_gives_its_boot_time() {
+    let mut world = World::new(config(1), vec![zone(3)]);
+    world.run(SECOND_US);
+    let since_ms = world.now_us / MILLISECOND_US;
+    world.zones[0].add_instance(SERVICE, "new", instance_address(50), &[]);
+    world.zones[0].add_instance(
+        SERVICE,
+        "old",
+        instance_address(51),
+        &["boot=1600000000000"],
+    );
+    world.zones[0].add_instance(
+        SERVICE,
+        "ahead",
+        instance_address(52),
+        &["boot=99000000000000"],
+    );
+    world.run(PROPAGATION_US);
+    let started_ms = |uid: &str| world.endpoints[uid].started_ms;
+    assert!(
+        (since_ms..=since_ms + 400).contains(&started_ms("new")),
+        "{} {since_ms}",
+        started_ms("new")
+    );
+    assert_eq!(started_ms("old"), 1_600_000_000_000);
+    assert!(
+        started_ms("ahead") <= world.now_us / MILLISECOND_US,
+        "nothing has booted later than now"
+    );
+    // A new address of the same instance does not make it warm up again.
+    let before = started_ms("new");
+    let host = "new.host.example.org";
+    world.zones[0].remove(host, |_| true);
+    world.zones[0].add(host, Rr::A([127, 1, 9, 9].into()));
+    world.run(PROPAGATION_US);
+    assert_eq!(
+        world.endpoints["new"].address,
+        "127.1.9.9:8080".parse().expect("an address")
+    );
+    assert_eq!(world.endpoints["new"].started_ms, before);
+}
+
+#[test]
+fn another_name_at_the_same_address_is_a_new_instance_and_so_is_one_that_comes_back() {
+    let mut world = World::new(config(1), vec![zone(3)]);
+    world.run(SECOND_US);
+    for (old, new) in [("n1", "m1"), ("m1", "n1")] {
+        let since_ms = world.now_us / MILLISECOND_US;
+        world.zones[0].remove_instance(SERVICE, old);
+        world.zones[0].add_instance(SERVICE, new, instance_address(1), &[]);
+        world.run(PROPAGATION_US);
+        assert_eq!(
+            (world.state(old), world.state(new)),
+            (Some(EndpointState::Draining), Some(EndpointState::Ready))
+        );
+        assert!(world.endpoints[new].started_ms >= since_ms, "{new} is cold");
+        assert_eq!(world.endpoints[new].address, instance_address(1));
+    }
+    world.run(20 * SECOND_US);
+    assert_eq!(
+        (world.state("m1"), world.state("n1"), world.ready()),
+        (None, Some(EndpointState::Ready), 3)
+    );
+}
+
+#[test]
+fn an_instance_keeps_its_address_until_its_new_target_has_one() {
+    let mut world = World::new(config(1), vec![zone(3)]);
+    world.run(SECOND_US);
+    let name = format!("n1.{SERVICE}");
+    world.zones[0].remove(&name, |record| matches!(record, Rr::Srv(..)));
+    world.zones[0].add(&name, Rr::Srv(0, 0, 9090, "moved.example.org".into()));
+    world.run(5 * SECOND_US);
+    assert_eq!(
+        (world.endpoints["n1"].address, world.state("n1")),
+        (instance_address(1), Some(EndpointState::Ready))
+    );
+    world.zones[0].add("moved.example.org", Rr::A([127, 1, 8, 8].into()));
+    world.run(PROPAGATION_US);
+    assert_eq!(
+        world.endpoints["n1"].address,
+        "127.1.8.8:9090".parse().expect("an address")
+    );
+    assert_eq!(world.endpoints["n1"].started_ms, 0, "it has only moved");
+}
+
+#[test]
+fn forty_new_instances_at_once_are_reported_and_warm_up() {
+    let mut world = World::new(config(1), vec![zone(10)]);
+    world.run(SECOND_US);
+    let since_ms = world.now_us / MILLISECOND_US;
+    for n in 10..50 {
+        world.zones[0].add_instance(
+            SERVICE,
+            &format!("n{n}"),
+            instance_address(n),
+            &["zone=hall-b"],
+        );
+    }
+    world.run(SECOND_US);
+    assert_eq!(world.ready(), 50);
+    assert_eq!(
+        world
+            .endpoints
+            .values()
+            .filter(|endpoint| endpoint.started_ms >= since_ms)
+            .count(),
+        40
+    );
+}
+
+#[test]
+fn of_two_thousand_instances_only_the_changed_one_is_reported() {
+    let mut world = World::new(
+        DnsSdConfig {
+            queries_per_s: 5_000,
+            ..config(1)
+        },
+        vec![zone(2_000)],
+    );
+    world.run(3 * SECOND_US);
+    assert_eq!(world.ready(), 2_000);
+    assert!(world.tcp_queries > 0, "it takes TCP");
+    let before = world.updates.len();
+    world.zones[0].remove_instance(SERVICE, "n777");
+    let since_us = world.now_us;
+    world.run(PROPAGATION_US);
+    let [(updated_at_us, ListKind::Partial, endpoints)] = &world.updates[before..] else {
+        panic!("{} tellings", world.updates.len() - before)
+    };
+    assert!(
+        matches!(&endpoints[..], [endpoint] if endpoint.uid == "n777" && endpoint.state == EndpointState::Draining)
+    );
+    assert!(updated_at_us - since_us <= PROPAGATION_US);
+}
+
+/// An instance that is known from before and not resolved yet is reported as it was.
+#[test]
+fn a_known_instance_without_an_address_yet_stays_in_the_first_list() {
+    let known = Endpoint {
+        uid: "n1".into(),
+        address: instance_address(99),
+        zone: "hall-a".into(),
+        cell: 1,
+        state: EndpointState::Ready,
+        weight: 1.0,
+        started_ms: 5,
+        protocol: Protocol::default(),
+    };
+    let mut world = World::with_known_endpoints(config(1), vec![zone(3)], vec![known]);
+    world.zones[0].remove("n1.host.example.org", |_| true);
+    world.run(2 * SECOND_US);
+    assert_eq!(
+        (
+            world.ready(),
+            world.endpoints["n1"].address,
+            world.endpoints["n1"].started_ms
+        ),
+        (3, instance_address(99), 5)
+    );
+}
+
+/// When the gateway starts, a resolver may have no records yet, or a zone may be loaded in part.
+#[test]
+fn an_empty_first_list_does_not_remove_known_endpoints_at_once() {
+    let known = Endpoint {
+        uid: "n1".into(),
+        address: instance_address(1),
+        zone: String::new(),
+        cell: 0,
+        state: EndpointState::Ready,
+        weight: 1.0,
+        started_ms: 0,
+        protocol: Protocol::default(),
+    };
+    let mut world = World::with_known_endpoints(config(1), vec![zone(0)], vec![known.clone()]);
+    world.run(9 * SECOND_US);
+    assert!(world.updates.is_empty());
+    world.run(2 * SECOND_US);
+    assert!(
+        matches!(&world.updates[..], [(_, ListKind::Complete, endpoints)] if endpoints.is_empty())
+    );
+    let mut world = World::with_known_endpoints(config(1), vec![zone(0)], vec![known]);
+    world.run(5 * SECOND_US);
+    world.zones[0].add_instance(SERVICE, "n1", instance_address(1), &[]);
+    world.run(SECOND_US);
+    assert_eq!(
+        (world.ready(), world.endpoints["n1"].started_ms),
+        (1, 0),
+        "it is the first list, and warm"
+    );
+}
--- /dev/null
+++ b/crates/discovery/tests/browsing/records.rs
@@ -0,0 +1,178 @@
+//! What the records of instances and services mean.
+
+use crate::world::{
+    config, instance_address, ptr_record, resolver_address, zone, World, PROPAGATION_US, SECOND_US,
+    SERVICE,
+};
+use frosthatch_discovery::dnssd::DnsSdConfig;
+use frosthatch_engine::EndpointState;
+use frosthatch_test_doubles::Rr;
+
+#[test]
+fn records_missing_from_the_additional_section_are_queried() {
+    let mut zone_without_additional = zone(10);
+    zone_without_additional.additional = false;
+    let mut world = World::new(config(1), vec![zone_without_additional]);
+    world.run(SECOND_US);
+    assert_eq!(world.ready(), 10);
+    assert_eq!(world.updates.len(), 1, "whole at once");
+}
+
+#[test]
+fn a_higher_priority_value_serves_only_when_no_lower_one_is_ready() {
+    let mut world = World::new(config(1), vec![zone(2)]);
+    let name = format!("spare.{SERVICE}");
+    world.zones[0].add_instance(SERVICE, "spare", instance_address(70), &[]);
+    world.zones[0].remove(&name, |record| matches!(record, Rr::Srv(..)));
+    world.zones[0].add(&name, Rr::Srv(5, 0, 8080, "spare.host.example.org".into()));
+    world.run(SECOND_US);
+    assert_eq!(
+        (world.state("n0"), world.state("spare")),
+        (Some(EndpointState::Ready), Some(EndpointState::Draining))
+    );
+    for n in ["n0", "n1"] {
+        let name = format!("{n}.{SERVICE}");
+        world.zones[0].remove(&name, |record| matches!(record, Rr::Txt(_)));
+        world.zones[0].add(&name, Rr::Txt(vec!["state=draining".into()]));
+    }
+    world.run(PROPAGATION_US);
+    assert_eq!(
+        (world.state("n0"), world.state("spare")),
+        (Some(EndpointState::Draining), Some(EndpointState::Ready))
+    );
+}
+
+#[test]
+fn weights_are_scaled_and_a_zero_beside_others_is_minimal() {
+    let mut world = World::new(config(1), vec![zone(3)]);
+    for (n, weight) in [(0, 100), (1, 50)] {
+        let name = format!("n{n}.{SERVICE}");
+        world.zones[0].remove(&name, |record| matches!(record, Rr::Srv(..)));
+        world.zones[0].add(
+            &name,
+            Rr::Srv(0, weight, 8080, format!("n{n}.host.example.org")),
+        );
+    }
+    world.run(SECOND_US);
+    let weight = |uid: &str| world.endpoints[uid].weight;
+    assert_eq!((weight("n0"), weight("n1"), weight("n2")), (1.0, 0.5, 0.01));
+}
+
+#[test]
+fn an_invalid_text_record_leaves_out_its_instance_alone_and_is_logged_once() {
+    let mut world = World::new(config(1), vec![zone(3)]);
+    world.zones[0].add_instance(SERVICE, "bad", instance_address(80), &["cell=many"]);
+    world.run(10 * SECOND_US);
+    assert_eq!((world.ready(), world.state("bad")), (3, None));
+    assert_eq!(
+        world
+            .log
+            .iter()
+            .filter(|line| line.contains("TXT key cell"))
+            .count(),
+        1,
+        "{:?}",
+        world.log
+    );
+    let name = format!("bad.{SERVICE}");
+    world.zones[0].remove(&name, |record| matches!(record, Rr::Txt(_)));
+    world.zones[0].add(&name, Rr::Txt(vec!["cell=4".into()]));
+    world.run(PROPAGATION_US);
+    assert_eq!(world.endpoints["bad"].cell, 4);
+}
+
+#[test]
+fn loops_of_aliases_and_targets_end() {
+    let mut world = World::new(config(1), vec![zone(2)]);
+    let zone = &mut world.zones[0];
+    // An SRV record whose target is the instance itself, one whose target is the service, and a loop of CNAMEs.
+    for (n, target) in [
+        ("self", format!("self.{SERVICE}")),
+        ("up", SERVICE.into()),
+        ("round", "a.example.org".into()),
+    ] {
+        let name = format!("{n}.{SERVICE}");
+        zone.add(&name, Rr::Srv(0, 0, 1, target));
+        zone.add(&name, Rr::Txt(vec![]));
+        zone.add(SERVICE, Rr::Ptr(name));
+    }
+    zone.add(SERVICE, Rr::Ptr(SERVICE.into()));
+    zone.add("a.example.org", Rr::Cname("b.example.org".into()));
+    zone.add("b.example.org", Rr::Cname("a.example.org".into()));
+    world.run(10 * SECOND_US);
+    assert_eq!(world.ready(), 2);
+    // Per round two queries for the service, and at most A and AAAA for each of three hosts.
+    assert!(
+        world.queries_sent_at_us.len() < 51 * (2 + 3 * 2 + 8),
+        "{}",
+        world.queries_sent_at_us.len()
+    );
+}
+
+#[test]
+fn an_alias_of_the_service_is_followed() {
+    let mut config = config(1);
+    config.services = vec!["_alias._tcp.example.org".into()];
+    let mut world = World::new(config, vec![zone(3)]);
+    world.zones[0].add("_alias._tcp.example.org", Rr::Cname(SERVICE.into()));
+    world.run(SECOND_US);
+    assert_eq!(world.ready(), 3);
+}
+
+#[test]
+fn instances_of_several_subtypes_are_combined() {
+    let mut config = DnsSdConfig {
+        resolvers: vec![resolver_address(0)],
+        ..DnsSdConfig::default()
+    };
+    let subtype_a = format!("_a._sub.{SERVICE}");
+    let subtype_b = format!("_b._sub.{SERVICE}");
+    config
+        .set_services(&[&subtype_a, &subtype_b])
+        .expect("subtypes of one service");
+    assert!(config
+        .clone()
+        .set_services(&["_other._tcp.example.org"])
+        .is_err());
+    let mut world = World::new(config, vec![zone(4)]);
+    for (n, subtype) in [
+        (0, &subtype_a),
+        (1, &subtype_a),
+        (1, &subtype_b),
+        (2, &subtype_b),
+    ] {
+        world.zones[0].add(subtype, ptr_record(&format!("n{n}")));
+    }
+    world.run(SECOND_US);
+    assert_eq!(
+        world.endpoints.keys().collect::<Vec<_>>(),
+        ["n0", "n1", "n2"]
+    );
+}
+
+#[test]
+fn instances_of_other_domains_and_beyond_the_limit_are_ignored() {
+    let mut world = World::new(
+        DnsSdConfig {
+            most_instances: 3,
+            ..config(1)
+        },
+        vec![zone(5)],
+    );
+    world.zones[0].add(SERVICE, Rr::Ptr("evil._topup._tcp.example.net".into()));
+    world.run(SECOND_US);
+    assert_eq!(world.ready(), 3);
+    assert!(
+        world
+            .log
+            .iter()
+            .any(|line| line.contains("another service or domain")),
+        "{:?}",
+        world.log
+    );
+    assert!(
+        world.log.iter().any(|line| line.contains("most_instances")),
+        "{:?}",
+        world.log
+    );
+}
--- /dev/null
+++ b/crates/discovery/tests/browsing/world/push_server.rs
@@ -0,0 +1,123 @@
+//! The simulated push server, which serves the first zone.
+
+use super::fixtures::ONE_WAY_DELAY_US;
+use super::simulation::{Arrival, World};
+use frosthatch_test_doubles::{Zone, ZoneChange};
+
+/// What the client of a session has subscribed to.
+pub struct Subscription {
+    name: String,
+    record_type: u16,
+}
+
+impl Subscription {
+    /// From a SUBSCRIBE message: an uncompressed name, type and class.
+    fn parse(message: &[u8]) -> Subscription {
+        let mut labels = Vec::new();
+        let mut at = 16;
+        while message[at] != 0 {
+            let length = usize::from(message[at]);
+            let label = &message[at + 1..at + 1 + length];
+            labels.push(String::from_utf8_lossy(label).to_string());
+            at += 1 + length;
+        }
+        Subscription {
+            name: labels.join("."),
+            record_type: u16::from_be_bytes([message[at + 1], message[at + 2]]),
+        }
+    }
+
+    /// Whether the change is of the subscription's name and type; type 255 stands for all types.
+    fn covers(&self, change: &ZoneChange) -> bool {
+        let record_type = change.rr.rtype().to_int();
+        self.name.eq_ignore_ascii_case(&change.owner)
+            && (self.record_type == 255 || self.record_type == record_type)
+    }
+}
+
+impl World {
+    /// Accepts or refuses a connection.
+    pub fn handle_push_connection(&mut self) {
+        self.push_connections += 1;
+        let result = if self.push_server_is_up {
+            Arrival::PushOpened
+        } else {
+            Arrival::PushClosed
+        };
+        self.subscriptions = self.push_server_is_up.then(Vec::new);
+        self.schedule(2 * ONE_WAY_DELAY_US, result);
+    }
+
+    /// Responds to a request of the session's client.
+    pub fn handle_push_request(&mut self, request: &[u8]) {
+        if self.push_server_is_silent || self.subscriptions.is_none() {
+            return;
+        }
+        let mut response = request[..12].to_vec();
+        response[2] |= 0x80;
+        let is_keepalive = request[13] == 1;
+        if is_keepalive {
+            response.extend(&request[12..]);
+            self.schedule(2 * ONE_WAY_DELAY_US, Arrival::PushMessage(response));
+            return;
+        }
+        let subscription = Subscription::parse(request);
+        let record_type = subscription.record_type;
+        let records: Vec<Vec<u8>> = self.zones[0]
+            .records(&subscription.name)
+            .iter()
+            .filter(|rr| record_type == 255 || rr.rtype().to_int() == record_type)
+            .map(|rr| rr.pushed(&subscription.name, 10))
+            .collect();
+        if let Some(subscriptions) = &mut self.subscriptions {
+            subscriptions.push(subscription);
+        }
+        self.schedule(2 * ONE_WAY_DELAY_US, Arrival::PushMessage(response));
+        if !records.is_empty() {
+            let message = push_message(&records);
+            self.schedule(2 * ONE_WAY_DELAY_US, Arrival::PushMessage(message));
+        }
+    }
+
+    /// Changes the first zone and pushes the changes that are subscribed to.
+    pub fn change_zone(&mut self, change: impl FnOnce(&mut Zone)) {
+        change(&mut self.zones[0]);
+        let changes = self.zones[0].take_changes();
+        if self.push_server_is_silent {
+            return;
+        }
+        let Some(subscriptions) = &self.subscriptions else {
+            return;
+        };
+        let records: Vec<Vec<u8>> = changes
+            .iter()
+            .filter(|change| subscriptions.iter().any(|s| s.covers(change)))
+            .map(|change| {
+                let ttl = if change.added { 10 } else { u32::MAX };
+                change.rr.pushed(&change.owner, ttl)
+            })
+            .collect();
+        if !records.is_empty() {
+            self.send_push_message(push_message(&records));
+        }
+    }
+
+    /// Sends a message to the client, whether valid or not.
+    pub fn send_push_message(&mut self, message: Vec<u8>) {
+        self.schedule(ONE_WAY_DELAY_US, Arrival::PushMessage(message));
+    }
+
+    pub fn drop_push_connection(&mut self) {
+        self.subscriptions = None;
+        self.schedule(ONE_WAY_DELAY_US, Arrival::PushClosed);
+    }
+}
+
+/// A PUSH message with these records.
+pub fn push_message(records: &[Vec<u8>]) -> Vec<u8> {
+    let data = records.concat();
+    let mut message = vec![0, 0, 6 << 3, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0x41];
+    message.extend((data.len() as u16).to_be_bytes());
+    message.extend(data);
+    message
+}
