--- a/crates/discovery/src/dnssd/browser/mod.rs
+++ b/crates/discovery/src/dnssd/browser/mod.rs
@@ -19,6 +19,8 @@
 mod instances;
 mod log_limiter;
 mod loss;
+mod loss_state;
+mod push_state;
 mod push_updates;
 mod query;
 mod ranking;
--- a/crates/discovery/tests/browsing/world/push_server.rs
+++ b/crates/discovery/tests/browsing/world/push_server.rs
@@ -1,39 +1,9 @@
 //! The simulated push server, which serves the first zone.
 
+use super::exchange::{Arrival, Subscription};
 use super::fixtures::ONE_WAY_DELAY_US;
-use super::simulation::{Arrival, World};
-use frosthatch_test_doubles::{Zone, ZoneChange};
-
-/// What the client of a session has subscribed to.
-pub struct Subscription {
-    name: String,
-    record_type: u16,
-}
-
-impl Subscription {
-    /// From a SUBSCRIBE message: an uncompressed name, type and class.
-    fn parse(message: &[u8]) -> Subscription {
-        let mut labels = Vec::new();
-        let mut at = 16;
-        while message[at] != 0 {
-            let length = usize::from(message[at]);
-            let label = &message[at + 1..at + 1 + length];
-            labels.push(String::from_utf8_lossy(label).to_string());
-            at += 1 + length;
-        }
-        Subscription {
-            name: labels.join("."),
-            record_type: u16::from_be_bytes([message[at + 1], message[at + 2]]),
-        }
-    }
-
-    /// Whether the change is of the subscription's name and type; type 255 stands for all types.
-    fn covers(&self, change: &ZoneChange) -> bool {
-        let record_type = change.rr.rtype().to_int();
-        self.name.eq_ignore_ascii_case(&change.owner)
-            && (self.record_type == 255 || self.record_type == record_type)
-    }
-}
+use super::simulation::World;
+use frosthatch_test_doubles::Zone;
 
 impl World {
     /// Accepts or refuses a connection.
--- a/crates/discovery/tests/browsing/world/resolver.rs
+++ b/crates/discovery/tests/browsing/world/resolver.rs
@@ -1,33 +1,11 @@
 //! Simulated resolvers: what they answer to a query, and what else arrives.
 
+use super::exchange::{Arrival, ResolverBehavior, SentQuery};
 use super::fixtures::{resolver_address, ONE_WAY_DELAY_US};
-use super::simulation::{Arrival, World};
+use super::simulation::World;
 use frosthatch_discovery::dnssd::browser::Transport;
 use std::net::SocketAddr;
 
-#[derive(Clone, Copy, PartialEq, Debug)]
-pub enum ResolverBehavior {
-    Normal,
-    Silent,
-    /// Answers with this response code.
-    Code(u8),
-    Garbage,
-    /// Replies end in the middle.
-    CutOff,
-    /// Replies are truncated over UDP, and TCP fails.
-    OnlyTruncated,
-    /// Before the reply arrive forged ones: from another address, with another id, and to another question.
-    Spoofed,
-}
-
-/// A query that the browser has sent.
-pub struct SentQuery {
-    pub query_id: u64,
-    pub to: SocketAddr,
-    pub transport: Transport,
-    pub bytes: Vec<u8>,
-}
-
 impl World {
     pub fn answer_query(&mut self, query: SentQuery) {
         let SentQuery {
--- a/crates/discovery/tests/browsing/world/simulation.rs
+++ b/crates/discovery/tests/browsing/world/simulation.rs
@@ -1,9 +1,8 @@
 //! The simulation's state, its clock, and what the browser reports.
 
+use super::exchange::{Arrival, ResolverBehavior, SentQuery, Subscription};
 use super::fixtures::SECOND_US;
-use super::push_server::Subscription;
-use super::resolver::{ResolverBehavior, SentQuery};
-use frosthatch_discovery::dnssd::browser::{Browser, Input, Output};
+use frosthatch_discovery::dnssd::browser::{Browser, Output};
 use frosthatch_discovery::dnssd::DnsSdConfig;
 use frosthatch_engine::{Endpoint, EndpointState};
 use frosthatch_test_doubles::Zone;
@@ -11,51 +10,6 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// What reaches the browser.
-pub enum Arrival {
-    Datagram {
-        query_id: u64,
-        from: SocketAddr,
-        bytes: Vec<u8>,
-    },
-    Stream {
-        query_id: u64,
-        bytes: Vec<u8>,
-    },
-    QueryFailed {
-        query_id: u64,
-    },
-    PushOpened,
-    PushMessage(Vec<u8>),
-    PushClosed,
-}
-
-impl Arrival {
-    fn to_input(&self) -> Input<'_> {
-        match self {
-            Arrival::Datagram {
-                query_id,
-                from,
-                bytes,
-            } => Input::Datagram {
-                query_id: *query_id,
-                from: *from,
-                bytes,
-            },
-            Arrival::Stream { query_id, bytes } => Input::Stream {
-                query_id: *query_id,
-                bytes,
-            },
-            Arrival::QueryFailed { query_id } => Input::QueryFailed {
-                query_id: *query_id,
-            },
-            Arrival::PushOpened => Input::PushOpened,
-            Arrival::PushMessage(bytes) => Input::PushMessage(bytes),
-            Arrival::PushClosed => Input::PushClosed,
-        }
-    }
-}
-
 /// One report of the browser: its time in microseconds, its kind, and the endpoints.
 pub type EndpointUpdate = (u64, ListKind, Vec<Endpoint>);
 
