--- a/crates/discovery/src/dnssd/browser/instances.rs
+++ b/crates/discovery/src/dnssd/browser/instances.rs
@@ -24,7 +24,7 @@
         let forget_at_us = self.instances.get(name).and_then(|i| i.forget_at_us);
         if let Some(at_us) = forget_at_us {
             self.forget_deadlines.remove(&(at_us, name.clone()));
-        } else if self.instances.len() >= self.config.most_instances as usize {
+        } else if self.instances.len() >= self.config.max_instances as usize {
             let line = "dns-sd: more instances than most_instances; the rest is passed over";
             self.log.log_once(now_us, line, out);
             return;
@@ -49,7 +49,7 @@
 
     /// Stops new requests to an instance; those in flight may finish until it is forgotten.
     pub(super) fn drain_instance(&mut self, now_us: u64, name: &Name) {
-        let forget_at_us = now_us + self.config.linger.as_micros() as u64;
+        let forget_at_us = now_us + self.config.drain_time.as_micros() as u64;
         let Some(instance) = self.instances.get_mut(name) else {
             return;
         };
--- a/crates/discovery/src/dnssd/browser/loss.rs
+++ b/crates/discovery/src/dnssd/browser/loss.rs
@@ -32,7 +32,7 @@
             self.log.log(now_us, line, out);
         }
         let since_us = *self.serial.regressed_since_us.get_or_insert(now_us);
-        let is_lasting = now_us - since_us >= self.config.loss_hold.as_micros() as u64;
+        let is_lasting = now_us - since_us >= self.config.mass_loss_hold.as_micros() as u64;
         if is_lasting {
             self.serial.newest = serial;
             self.serial.regressed_since_us = None;
@@ -57,14 +57,14 @@
             self.removals.must_confirm = false;
             return;
         }
-        if !round.is_authoritative && !self.config.cached_answers {
+        if !round.is_authoritative && !self.config.trusts_cached_answers {
             let line = "dns-sd: answers are not authoritative; nothing is removed by them";
             self.log.log_once(now_us, line, out);
             return;
         }
         let is_held = self.hold_mass_loss(now_us, missing.len(), out);
         let must_confirm = self.removals.must_confirm || round.names.is_empty();
-        let confirm_us = self.config.confirm.as_micros() as u64;
+        let confirm_us = self.config.confirmation_time.as_micros() as u64;
         for name in missing {
             let missing_since = &mut self.removals.missing_since_us;
             let since_us = *missing_since.entry(name.clone()).or_insert(now_us);
@@ -92,19 +92,19 @@
     /// Whether removals wait because more than `loss_share` of the instances are missing at once.
     fn hold_mass_loss(&mut self, now_us: u64, missing: usize, out: &mut Vec<Output>) -> bool {
         let present = self.instances.values().filter(|i| i.is_present()).count();
-        let is_mass_loss = missing as f64 > self.config.loss_share * present as f64;
+        let is_mass_loss = missing as f64 > self.config.max_loss_share * present as f64;
         if !is_mass_loss {
             self.removals.mass_loss_since_us = None;
             return false;
         }
         if self.removals.mass_loss_since_us.is_none() {
-            let hold_s = self.config.loss_hold.as_secs_f64();
+            let hold_s = self.config.mass_loss_hold.as_secs_f64();
             let line = format!(
                 "dns-sd: {missing} of {present} instances are missing at once; held for {hold_s} s"
             );
             self.log.log(now_us, line, out);
         }
         let since_us = *self.removals.mass_loss_since_us.get_or_insert(now_us);
-        now_us - since_us < self.config.loss_hold.as_micros() as u64
+        now_us - since_us < self.config.mass_loss_hold.as_micros() as u64
     }
 }
--- a/crates/discovery/src/dnssd/browser/push_state.rs
+++ b/crates/discovery/src/dnssd/browser/push_state.rs
@@ -26,7 +26,7 @@
     pub(super) fn new(config: &DnsSdConfig) -> Self {
         let push = config.push.as_ref();
         PushState {
-            session: push.map(|push| PushSession::new(&config.services, push.keepalive)),
+            session: push.map(|push| PushSession::new(&config.services, push.keepalive_interval)),
             servers: push.map_or_else(Vec::new, |push| push.servers.clone()),
             server_index: 0,
             is_connecting: false,
--- a/crates/discovery/src/dnssd/browser/rounds.rs
+++ b/crates/discovery/src/dnssd/browser/rounds.rs
@@ -52,16 +52,16 @@
     fn round_interval(&self, round: &BrowseRound) -> Duration {
         let push = self.config.push.as_ref();
         if let Some(push) = push.filter(|_| self.push.is_established()) {
-            return push.check;
+            return push.check_interval;
         }
         // A TTL may be anything from 0 to 2^31 (RFC 2181 section 8).
         let ttl = Duration::from_secs(u64::from(round.ttl_s));
-        ttl.clamp(self.config.poll_least, self.config.poll_most)
+        ttl.clamp(self.config.min_poll_interval, self.config.max_poll_interval)
     }
 
     fn handle_failed_round(&mut self, now_us: u64, out: &mut Vec<Output>) {
         self.consecutive_failed_rounds += 1;
-        let latest_us = now_us + self.config.poll_most.as_micros() as u64;
+        let latest_us = now_us + self.config.max_poll_interval.as_micros() as u64;
         self.next_round_at_us = self.next_round_at_us.min(latest_us);
         if !self
             .consecutive_failed_rounds
@@ -107,9 +107,9 @@
         let hold = if self.previous_endpoints.is_empty() {
             Duration::ZERO
         } else {
-            self.config.loss_hold
+            self.config.mass_loss_hold
         };
-        let wait_us = self.config.confirm.max(hold).as_micros() as u64;
+        let wait_us = self.config.confirmation_time.max(hold).as_micros() as u64;
         now_us - *self.empty_since_us.get_or_insert(now_us) >= wait_us
     }
 
--- a/crates/discovery/src/dnssd/browser/scheduling.rs
+++ b/crates/discovery/src/dnssd/browser/scheduling.rs
@@ -53,7 +53,7 @@
 
     pub(super) fn send_query(&mut self, now_us: u64, question: Question, out: &mut Vec<Output>) {
         let message_id = self.rng.next_u32() as u16;
-        let deadline_us = now_us + self.config.timeout.as_micros() as u64;
+        let deadline_us = now_us + self.config.query_timeout.as_micros() as u64;
         let Some(bytes) = encode_query(message_id, &question.name, question.record_type) else {
             return;
         };
@@ -195,7 +195,7 @@
         let interval_us = if self.push.covers(name) {
             SUBSCRIBED_REFRESH_INTERVAL_US
         } else {
-            self.config.poll_most.as_micros() as u64
+            self.config.max_poll_interval.as_micros() as u64
         };
         refreshed_at_us == 0 || now_us >= refreshed_at_us + interval_us
     }
--- a/crates/discovery/src/dnssd/config.rs
+++ b/crates/discovery/src/dnssd/config.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 /// Limit on the names that the service is browsed by. One reply holds some 2,500 instances.
-pub const MOST_SERVICES: usize = 8;
+pub const MAX_SERVICES: usize = 8;
 /// Limit on the number of resolvers, and of push servers.
-pub const MOST_RESOLVERS: usize = 4;
+pub const MAX_RESOLVERS: usize = 4;
 /// Limit on the queries in flight; each has a socket of its own.
 pub(super) const MAX_OUTSTANDING_QUERIES: usize = 16;
 /// The push session's socket, and the one that replaces it.
@@ -24,25 +24,25 @@
     /// Resolvers, in the order of preference.
     pub resolvers: Vec<SocketAddr>,
     /// The shortest interval between rounds; between the bounds, the TTL of the records decides.
-    pub poll_least: Duration,
+    pub min_poll_interval: Duration,
     /// The longest interval between rounds.
-    pub poll_most: Duration,
+    pub max_poll_interval: Duration,
     /// How long the reply to a query is awaited.
-    pub timeout: Duration,
+    pub query_timeout: Duration,
     /// Limit on the rate of queries for single records that the additional sections leave out, per second.
     pub queries_per_s: u32,
     /// How long an empty list, or a loss seen only after a change of the resolver, has to last before it is used.
-    pub confirm: Duration,
+    pub confirmation_time: Duration,
     /// The share of the instances, from 0 to 1, above which a simultaneous loss is held back.
-    pub loss_share: f64,
+    pub max_loss_share: f64,
     /// How long such a loss is held back.
-    pub loss_hold: Duration,
+    pub mass_loss_hold: Duration,
     /// How long an instance drains after its record is removed.
-    pub linger: Duration,
+    pub drain_time: Duration,
     /// Whether replies without the AA bit, from a cache, may remove instances as well.
-    pub cached_answers: bool,
+    pub trusts_cached_answers: bool,
     /// Limit on the number of instances.
-    pub most_instances: u32,
+    pub max_instances: u32,
     /// DNS Push Notifications; `None`: the service is only polled.
     pub push: Option<PushConfig>,
 }
@@ -53,16 +53,16 @@
             services: Vec::new(),
             base: "".into(),
             resolvers: Vec::new(),
-            poll_least: Duration::from_millis(100),
-            poll_most: Duration::from_millis(200),
-            timeout: Duration::from_millis(150),
+            min_poll_interval: Duration::from_millis(100),
+            max_poll_interval: Duration::from_millis(200),
+            query_timeout: Duration::from_millis(150),
             queries_per_s: 200,
-            confirm: Duration::from_secs(1),
-            loss_share: 0.5,
-            loss_hold: Duration::from_secs(10),
-            linger: Duration::from_secs(10),
-            cached_answers: false,
-            most_instances: 10_000,
+            confirmation_time: Duration::from_secs(1),
+            max_loss_share: 0.5,
+            mass_loss_hold: Duration::from_secs(10),
+            drain_time: Duration::from_secs(10),
+            trusts_cached_answers: false,
+            max_instances: 10_000,
             push: None,
         }
     }
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     /// A name is not valid, is not a service, or belongs to another service or domain than the ones before it.
-    pub fn set_services(&mut self, names: &[&str]) -> Result<(), String> {
+    pub fn add_services(&mut self, names: &[&str]) -> Result<(), String> {
         for text in names {
             let name = parse_name(text).map_err(|e| format!("{text:?} is no domain name: {e}"))?;
             let base: Name = match name.split_once("._sub.") {
@@ -99,7 +99,7 @@
     }
 
     /// The largest number of file descriptors in use at once.
-    pub fn sockets(&self) -> usize {
+    pub fn max_sockets(&self) -> usize {
         MAX_OUTSTANDING_QUERIES + PUSH_SOCKETS
     }
 }
@@ -110,9 +110,9 @@
     /// The push servers, used in turn.
     pub servers: Vec<SocketAddr>,
     /// The interval of rounds while push is established; they check that it brings all changes.
-    pub check: Duration,
+    pub check_interval: Duration,
     /// The interval of keepalive requests.
-    pub keepalive: Duration,
+    pub keepalive_interval: Duration,
     /// The file of the root certificate, and the server's name. `None`: plain TCP, allowed on loopback only.
     pub tls: Option<(PathBuf, String)>,
 }
@@ -121,8 +121,8 @@
     fn default() -> Self {
         PushConfig {
             servers: Vec::new(),
-            check: Duration::from_secs(2),
-            keepalive: Duration::from_secs(10),
+            check_interval: Duration::from_secs(2),
+            keepalive_interval: Duration::from_secs(10),
             tls: None,
         }
     }
--- a/crates/discovery/src/dnssd/driver/push_connection.rs
+++ b/crates/discovery/src/dnssd/driver/push_connection.rs
@@ -3,7 +3,7 @@
 use super::events::{DriverEvent, PushConnectionEvent};
 use super::query_socket::{add_length_prefix, read_message};
 use crate::dnssd::config::PushConfig;
-use crate::dnssd::trust_anchor::read_anchor;
+use crate::dnssd::trust_anchor::read_trust_anchor;
 use frosthatch_log::log_line;
 use frosthatch_sockets::{connect, Uninterrupted};
 use rustls::pki_types::ServerName;
@@ -115,7 +115,7 @@
 }
 
 fn tls_settings(anchor_file: &Path, server_name: &str) -> io::Result<TlsSettings> {
-    let roots = read_anchor(anchor_file).map_err(invalid_input)?;
+    let roots = read_trust_anchor(anchor_file).map_err(invalid_input)?;
     let server_name = ServerName::try_from(server_name.to_owned())
         .map_err(|error| invalid_input(error.to_string()))?;
     let provider = Arc::new(rustls::crypto::ring::default_provider());
--- a/crates/discovery/src/dnssd/mod.rs
+++ b/crates/discovery/src/dnssd/mod.rs
@@ -15,6 +15,6 @@
 mod trust_anchor;
 pub mod wire;
 
-pub use config::{DnsSdConfig, PushConfig, MOST_RESOLVERS, MOST_SERVICES};
+pub use config::{DnsSdConfig, PushConfig, MAX_RESOLVERS, MAX_SERVICES};
 pub(crate) use driver::follow;
-pub use trust_anchor::read_anchor;
+pub use trust_anchor::read_trust_anchor;
--- a/crates/discovery/src/dnssd/trust_anchor.rs
+++ b/crates/discovery/src/dnssd/trust_anchor.rs
@@ -9,7 +9,7 @@
 ///
 /// # Errors
 /// The file cannot be read, a certificate is not valid, or there is none.
-pub fn read_anchor(file: &Path) -> Result<RootCertStore, String> {
+pub fn read_trust_anchor(file: &Path) -> Result<RootCertStore, String> {
     let describe = |error: &dyn Display| format!("{}: {error}", file.display());
     let mut roots = RootCertStore::empty();
     for certificate in CertificateDer::pem_file_iter(file).map_err(|e| describe(&e))? {
--- a/crates/discovery/tests/browsing/records.rs
+++ b/crates/discovery/tests/browsing/records.rs
@@ -128,11 +128,11 @@
     let subtype_a = format!("_a._sub.{SERVICE}");
     let subtype_b = format!("_b._sub.{SERVICE}");
     config
-        .set_services(&[&subtype_a, &subtype_b])
+        .add_services(&[&subtype_a, &subtype_b])
         .expect("subtypes of one service");
     assert!(config
         .clone()
-        .set_services(&["_other._tcp.example.org"])
+        .add_services(&["_other._tcp.example.org"])
         .is_err());
     let mut world = World::new(config, vec![zone(4)]);
     for (n, subtype) in [
@@ -154,7 +154,7 @@
 fn instances_of_other_domains_and_beyond_the_limit_are_ignored() {
     let mut world = World::new(
         DnsSdConfig {
-            most_instances: 3,
+            max_instances: 3,
             ..config(1)
         },
         vec![zone(5)],
--- a/crates/discovery/tests/browsing/resolvers.rs
+++ b/crates/discovery/tests/browsing/resolvers.rs
@@ -170,7 +170,7 @@
     for nxdomain in [false, true] {
         let mut world = World::new(
             DnsSdConfig {
-                loss_hold: Duration::from_secs(3),
+                mass_loss_hold: Duration::from_secs(3),
                 ..config(1)
             },
             vec![zone(4)],
@@ -195,7 +195,7 @@
 fn an_empty_answer_for_a_moment_changes_nothing() {
     let mut world = World::new(
         DnsSdConfig {
-            loss_hold: Duration::ZERO,
+            mass_loss_hold: Duration::ZERO,
             ..config(1)
         },
         vec![zone(4)],
@@ -273,7 +273,7 @@
         zone.authoritative = false;
         let mut world = World::new(
             DnsSdConfig {
-                cached_answers,
+                trusts_cached_answers: cached_answers,
                 ..config(1)
             },
             vec![zone],
--- a/crates/discovery/tests/browsing/world/fixtures.rs
+++ b/crates/discovery/tests/browsing/world/fixtures.rs
@@ -22,14 +22,14 @@
         resolvers: (0..resolvers).map(resolver_address).collect(),
         ..DnsSdConfig::default()
     };
-    config.set_services(&[SERVICE]).expect("a service");
+    config.add_services(&[SERVICE]).expect("a service");
     config
 }
 
 pub fn config_with_push(resolvers: usize) -> DnsSdConfig {
     let push = PushConfig {
         servers: vec![resolver_address(9)],
-        keepalive: Duration::from_secs(10),
+        keepalive_interval: Duration::from_secs(10),
         ..PushConfig::default()
     };
     DnsSdConfig {
--- a/crates/engine/src/attempt_permit.rs
+++ b/crates/engine/src/attempt_permit.rs
@@ -6,18 +6,18 @@
 //! violation of a [`Rule`].
 
 use crate::violations::{Rule, Violations};
-use frosthatch_traffic_control::{RequestId, GONE_SLACK_US, HELD_UP_US};
+use frosthatch_traffic_control::{RequestId, CLIENT_GONE_SLACK_US, MAX_GATEWAY_DELAY_US};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
 
 /// How long the process may be held up; the latest start allows for it.
-const MAX_HOLDUP: Duration = Duration::from_micros(HELD_UP_US);
+const MAX_HOLDUP: Duration = Duration::from_micros(MAX_GATEWAY_DELAY_US);
 /// The protocol's tolerance on each time limit.
 const TIME_LIMIT_SLACK: Duration = Duration::from_millis(50);
 /// How long after the client has gone an attempt may still begin; the decisions allow for it.
-const CLIENT_GONE_SLACK: Duration = Duration::from_micros(GONE_SLACK_US);
+const CLIENT_GONE_SLACK: Duration = Duration::from_micros(CLIENT_GONE_SLACK_US);
 /// How much more time than the client has left may be forwarded to a server.
 const FORWARDED_DEADLINE_SLACK: Duration = Duration::from_millis(150);
 
@@ -106,7 +106,7 @@
     /// the server believes that the response is awaited, if it was informed.
     pub fn written(&self, forwarded_deadline: Option<Instant>) {
         let now = Instant::now();
-        let note_violation = |rule| self.violations.note(rule, Some(self.request));
+        let note_violation = |rule| self.violations.record(rule, Some(self.request));
         if now > self.latest_start + MAX_HOLDUP + TIME_LIMIT_SLACK {
             note_violation(Rule::LatestStart);
         }
--- a/crates/engine/src/engine/endpoints.rs
+++ b/crates/engine/src/engine/endpoints.rs
@@ -20,7 +20,7 @@
 
     /// The number of ready servers that are avoided as outliers.
     pub fn avoided_endpoints(&self) -> usize {
-        self.state.borrow().gateway.avoided()
+        self.state.borrow().gateway.avoided_server_count()
     }
 
     /// Takes an endpoint list, or changes to it.
--- a/crates/engine/src/engine/gateways.rs
+++ b/crates/engine/src/engine/gateways.rs
@@ -39,12 +39,12 @@
 
     /// This gateway's own health reports on servers.
     pub fn health_reports(&self) -> HealthReports {
-        self.state.borrow().gateway.words()
+        self.state.borrow().gateway.health_reports()
     }
 
     /// The number of gateways that servers are distributed among, of servers that this gateway uses, and of servers that
     /// all gateways have ejected.
     pub fn subset_counts(&self) -> [usize; 3] {
-        self.state.borrow().gateway.choices()
+        self.state.borrow().gateway.subset_counts()
     }
 }
--- a/crates/engine/src/engine/requests.rs
+++ b/crates/engine/src/engine/requests.rs
@@ -104,7 +104,7 @@
     /// Counts the requests that are still unanswered at the end of the process as violations.
     pub fn note_unanswered(&self) {
         for id in self.state.borrow().requests.open_ids() {
-            self.violations.note(Rule::Answered, Some(id));
+            self.violations.record(Rule::Answered, Some(id));
         }
     }
 
--- a/crates/engine/src/violations.rs
+++ b/crates/engine/src/violations.rs
@@ -43,7 +43,7 @@
 
 impl Violations {
     /// Counts and logs a violation.
-    pub fn note(&self, rule: Rule, request: Option<RequestId>) {
+    pub fn record(&self, rule: Rule, request: Option<RequestId>) {
         let count = &self.0[rule as usize];
         count.set(count.get() + 1);
         match request {
--- a/crates/frosthatch/src/gateway/budget.rs
+++ b/crates/frosthatch/src/gateway/budget.rs
@@ -48,7 +48,7 @@
 /// Descriptors for everything but clients and servers over HTTP.
 fn other_sockets(platform: &PlatformConfig, operator: &OperatorConfig) -> usize {
     let dns_sd = operator.dns_sd.as_ref();
-    let dns_sd_sockets = dns_sd.map_or(0, |config| config.sockets());
+    let dns_sd_sockets = dns_sd.map_or(0, |config| config.max_sockets());
     let admin_sockets = platform
         .admin
         .map_or(0, |_| frosthatch_admin::MAX_CONNECTIONS + 1);
--- a/crates/frosthatch/src/operator_config/dns_sd.rs
+++ b/crates/frosthatch/src/operator_config/dns_sd.rs
@@ -2,7 +2,7 @@
 
 use frosthatch_config_reader::{ConfigReader, TableReader};
 use frosthatch_discovery::dnssd::{
-    read_anchor, DnsSdConfig, PushConfig, MOST_RESOLVERS, MOST_SERVICES,
+    read_trust_anchor, DnsSdConfig, PushConfig, MAX_RESOLVERS, MAX_SERVICES,
 };
 use std::net::SocketAddr;
 use std::path::Path;
@@ -16,12 +16,12 @@
     mut table: TableReader,
     folder: &Path,
 ) -> DnsSdConfig {
-    let services = table.strings(reader, "services", 1..=MOST_SERVICES, SERVICE_HINT);
+    let services = table.strings(reader, "services", 1..=MAX_SERVICES, SERVICE_HINT);
     let resolvers =
-        table.parsed_strings::<SocketAddr>(reader, "resolvers", 1..=MOST_RESOLVERS, RESOLVER_HINT);
+        table.parsed_strings::<SocketAddr>(reader, "resolvers", 1..=MAX_RESOLVERS, RESOLVER_HINT);
     let mut config = read_intervals_and_limits(reader, &mut table);
     config.resolvers = resolvers;
-    if config.poll_least > config.poll_most {
+    if config.min_poll_interval > config.max_poll_interval {
         reader.report(
             table.span_of("poll_least_ms"),
             "poll_least_ms is above poll_most_ms",
@@ -31,7 +31,7 @@
     if let Some(push) = table.table(reader, "push") {
         config.push = Some(read_push(reader, push, folder));
     }
-    if let Err(error) = config.set_services(&services) {
+    if let Err(error) = config.add_services(&services) {
         reader.report(table.span_of("services"), error, SERVICE_HINT);
     }
     table.finish(reader);
@@ -41,25 +41,49 @@
 fn read_intervals_and_limits(reader: &mut ConfigReader, table: &mut TableReader) -> DnsSdConfig {
     let defaults = DnsSdConfig::default();
     DnsSdConfig {
-        poll_least: table.milliseconds(reader, "poll_least_ms", 20..=10_000, defaults.poll_least),
-        poll_most: table.milliseconds(reader, "poll_most_ms", 20..=60_000, defaults.poll_most),
-        timeout: table.milliseconds(reader, "timeout_ms", 10..=5_000, defaults.timeout),
+        min_poll_interval: table.milliseconds(
+            reader,
+            "poll_least_ms",
+            20..=10_000,
+            defaults.min_poll_interval,
+        ),
+        max_poll_interval: table.milliseconds(
+            reader,
+            "poll_most_ms",
+            20..=60_000,
+            defaults.max_poll_interval,
+        ),
+        query_timeout: table.milliseconds(reader, "timeout_ms", 10..=5_000, defaults.query_timeout),
         queries_per_s: table.number(
             reader,
             "queries_per_s",
             10..=10_000,
             defaults.queries_per_s.into(),
         ) as u32,
-        confirm: table.milliseconds(reader, "confirm_ms", 50..=60_000, defaults.confirm),
-        loss_share: table.fraction(reader, "loss_share", defaults.loss_share),
-        loss_hold: table.milliseconds(reader, "loss_hold_ms", 0..=3_600_000, defaults.loss_hold),
-        linger: table.milliseconds(reader, "linger_ms", 100..=600_000, defaults.linger),
-        cached_answers: table.boolean(reader, "cached_answers", defaults.cached_answers),
-        most_instances: table.number(
+        confirmation_time: table.milliseconds(
+            reader,
+            "confirm_ms",
+            50..=60_000,
+            defaults.confirmation_time,
+        ),
+        max_loss_share: table.fraction(reader, "loss_share", defaults.max_loss_share),
+        mass_loss_hold: table.milliseconds(
+            reader,
+            "loss_hold_ms",
+            0..=3_600_000,
+            defaults.mass_loss_hold,
+        ),
+        drain_time: table.milliseconds(reader, "linger_ms", 100..=600_000, defaults.drain_time),
+        trusts_cached_answers: table.boolean(
+            reader,
+            "cached_answers",
+            defaults.trusts_cached_answers,
+        ),
+        max_instances: table.number(
             reader,
             "most_instances",
             1..=20_000,
-            defaults.most_instances.into(),
+            defaults.max_instances.into(),
         ) as u32,
         ..defaults
     }
@@ -68,7 +92,7 @@
 fn read_push(reader: &mut ConfigReader, mut table: TableReader, folder: &Path) -> PushConfig {
     let defaults = PushConfig::default();
     let servers =
-        table.parsed_strings::<SocketAddr>(reader, "servers", 1..=MOST_RESOLVERS, RESOLVER_HINT);
+        table.parsed_strings::<SocketAddr>(reader, "servers", 1..=MAX_RESOLVERS, RESOLVER_HINT);
     let trust_anchor = table
         .string(reader, "trust_anchor")
         .map(|file| folder.join(file));
@@ -88,7 +112,7 @@
             "give both: the PEM file and the name in the server's certificate",
         );
     }
-    if let Some(Err(error)) = trust_anchor.as_deref().map(read_anchor) {
+    if let Some(Err(error)) = trust_anchor.as_deref().map(read_trust_anchor) {
         reader.report(
             table.span_of("trust_anchor"),
             error,
@@ -97,8 +121,18 @@
     }
     let config = PushConfig {
         servers,
-        check: table.milliseconds(reader, "check_ms", 100..=60_000, defaults.check),
-        keepalive: table.milliseconds(reader, "keepalive_ms", 100..=3_600_000, defaults.keepalive),
+        check_interval: table.milliseconds(
+            reader,
+            "check_ms",
+            100..=60_000,
+            defaults.check_interval,
+        ),
+        keepalive_interval: table.milliseconds(
+            reader,
+            "keepalive_ms",
+            100..=3_600_000,
+            defaults.keepalive_interval,
+        ),
         tls: trust_anchor.zip(server_name),
     };
     table.finish(reader);
--- a/crates/frosthatch/src/operator_config/tests.rs
+++ b/crates/frosthatch/src/operator_config/tests.rs
@@ -20,8 +20,11 @@
     let read = OperatorConfig::parse("o", &format!("{FINE}timeout_ms = 90\n"), Path::new("."))
         .expect("in order");
     let plan = read.dns_sd.expect("dns-sd is on");
-    assert_eq!(plan.timeout, Duration::from_millis(90));
-    assert_eq!(plan.poll_most, DnsSdConfig::default().poll_most);
+    assert_eq!(plan.query_timeout, Duration::from_millis(90));
+    assert_eq!(
+        plan.max_poll_interval,
+        DnsSdConfig::default().max_poll_interval
+    );
     assert!(OperatorConfig::parse("o", "", Path::new("."))
         .expect("in order")
         .dns_sd
--- a/crates/frosthatch/src/tls.rs
+++ b/crates/frosthatch/src/tls.rs
@@ -1,6 +1,6 @@
 //! Certificates and keys from files, in the form in which TLS takes them.
 
-use frosthatch_discovery::dnssd::read_anchor;
+use frosthatch_discovery::dnssd::read_trust_anchor;
 use rustls::crypto::ring::default_provider;
 use rustls::crypto::CryptoProvider;
 use rustls::pki_types::{pem::PemObject, CertificateDer, PrivateKeyDer, ServerName};
@@ -62,7 +62,7 @@
     /// # Errors
     /// Which file or name cannot be used, and why.
     pub fn load(&self) -> Result<Tls, TlsError> {
-        let anchor = read_anchor(&self.trust_anchor).map_err(TlsError::TrustAnchor)?;
+        let anchor = read_trust_anchor(&self.trust_anchor).map_err(TlsError::TrustAnchor)?;
         let roots = Arc::new(anchor);
         let provider = Arc::new(default_provider());
         let chain = self.read_chain()?;
--- a/crates/lab/src/choices_size.rs
+++ b/crates/lab/src/choices_size.rs
@@ -243,7 +243,7 @@
                     let Some(gateway) = self.gateways[by].as_ref().filter(|_| self.talk) else {
                         continue;
                     };
-                    let words = gateway.words();
+                    let words = gateway.health_reports();
                     if words.of.is_empty() {
                         continue;
                     }
--- a/crates/traffic-control/src/interface/mod.rs
+++ b/crates/traffic-control/src/interface/mod.rs
@@ -17,4 +17,4 @@
 pub use requests::{AttemptOutcome, CompletionStatus, LoadMetric, Request};
 pub use server_list::{Health, ListKind, ServerEntry};
 pub use settings::{Settings, SettingsError, SlowStart};
-pub use time::{Micros, GONE_SLACK_US, HELD_UP_US};
+pub use time::{Micros, CLIENT_GONE_SLACK_US, MAX_GATEWAY_DELAY_US};
--- a/crates/traffic-control/src/interface/time.rs
+++ b/crates/traffic-control/src/interface/time.rs
@@ -4,7 +4,7 @@
 pub type Micros = u64;
 
 /// A gateway may be delayed by this much between reading its clock and writing. Latest starts of attempts allow for it.
-pub const HELD_UP_US: Micros = 150_000;
+pub const MAX_GATEWAY_DELAY_US: Micros = 150_000;
 
 /// An attempt may begin this long after its client has gone.
-pub const GONE_SLACK_US: Micros = 100_000;
+pub const CLIENT_GONE_SLACK_US: Micros = 100_000;
--- a/crates/traffic-control/src/lib.rs
+++ b/crates/traffic-control/src/lib.rs
@@ -59,5 +59,5 @@
     Action, AttemptOutcome, Ceiling, CompletionStatus, CustomerId, Effect, Event, Health,
     HealthReports, LeaseState, ListKind, LoadMetric, Micros, Plan, PolicyTerms, Request,
     RequestClass, RequestId, RetryBudget, Scope, ServerEntry, ServerId, Settings, SettingsError,
-    SlowStart, Timer, UnservedReason, GONE_SLACK_US, HELD_UP_US,
+    SlowStart, Timer, UnservedReason, CLIENT_GONE_SLACK_US, MAX_GATEWAY_DELAY_US,
 };
--- a/crates/traffic-control/src/policy/effect_rule.rs
+++ b/crates/traffic-control/src/policy/effect_rule.rs
@@ -1,13 +1,15 @@
 //! The effect rule: which further attempts of a request may go out, so that no effect happens twice.
 
-use crate::interface::{Effect, Micros, Scope, Settings, GONE_SLACK_US, HELD_UP_US};
+use crate::interface::{
+    Effect, Micros, Scope, Settings, CLIENT_GONE_SLACK_US, MAX_GATEWAY_DELAY_US,
+};
 use crate::pending_request::{Attempt, AttemptState, PendingRequest};
 use crate::server::Server;
 
 /// Until when a repeat of this attempt may be written: its last byte comes while servers remember the key, also where the
 /// gateway is held up on the way.
 fn remembered_until(attempt: &Attempt, window_us: Micros) -> Micros {
-    attempt.sent_at + window_us.saturating_sub(HELD_UP_US)
+    attempt.sent_at + window_us.saturating_sub(MAX_GATEWAY_DELAY_US)
 }
 
 /// Whether a server shares the keys that it has seen with the server of an attempt.
@@ -46,7 +48,8 @@
     /// that may have run.
     pub(super) fn begin_within_us(&self, settings: &Settings, now: Micros) -> Micros {
         let remaining_us = self.deadline.saturating_sub(now);
-        let useful_us = remaining_us - (HELD_UP_US - GONE_SLACK_US).min(remaining_us / 4);
+        let useful_us =
+            remaining_us - (MAX_GATEWAY_DELAY_US - CLIENT_GONE_SLACK_US).min(remaining_us / 4);
         let Effect::Keyed { window_us, .. } = settings.classes[self.class].effect else {
             return useful_us;
         };
--- a/crates/traffic-control/src/status.rs
+++ b/crates/traffic-control/src/status.rs
@@ -11,13 +11,13 @@
     }
 
     /// Ready servers that hardly any request goes to, as more of them failed there than not.
-    pub fn avoided(&self) -> usize {
+    pub fn avoided_server_count(&self) -> usize {
         self.fleet.avoided_servers(self.now)
     }
 
     /// Gateways among which servers are assigned; ready servers that this one uses; and servers that all gateways eject by
     /// their health reports.
-    pub fn choices(&self) -> [usize; 3] {
+    pub fn subset_counts(&self) -> [usize; 3] {
         let ready = self.fleet.ready_servers().count();
         let used = if self.fleet.subset_share < 1.0 {
             self.fleet.candidates.len()
@@ -33,7 +33,7 @@
 
     /// What this gateway reports of servers: those that fail as seen from here, and healthy ones that others report as
     /// failing.
-    pub fn words(&self) -> HealthReports {
+    pub fn health_reports(&self) -> HealthReports {
         self.fleet.health_reports(self.now)
     }
 
--- a/crates/traffic-control/tests/health_reports.rs
+++ b/crates/traffic-control/tests/health_reports.rs
@@ -101,7 +101,11 @@
     }
 
     fn exchange_reports(&mut self) {
-        let reports: Vec<HealthReports> = self.gateways.iter().map(|r| r.gateway.words()).collect();
+        let reports: Vec<HealthReports> = self
+            .gateways
+            .iter()
+            .map(|r| r.gateway.health_reports())
+            .collect();
         for (me, rig) in (0..).zip(&mut self.gateways) {
             for (from, reports) in (0..).zip(&reports) {
                 if from != me
@@ -128,7 +132,7 @@
     fn ejected_servers(&self) -> Vec<usize> {
         self.gateways
             .iter()
-            .map(|r| r.gateway.choices()[2])
+            .map(|r| r.gateway.subset_counts()[2])
             .collect()
     }
 }
--- a/crates/traffic-control/tests/replay/play.rs
+++ b/crates/traffic-control/tests/replay/play.rs
@@ -139,7 +139,7 @@
         let left: u64 = self.gateways.iter().map(|g| g.open_requests() as u64).sum();
         self.add_to_digest(&format!(
             "{left} open, {} avoided",
-            self.gateways[0].avoided()
+            self.gateways[0].avoided_server_count()
         ));
         (self.digest, self.action_counts)
     }
