--- /dev/null
+++ b/crates/handover/src/driver/inherited.rs
@@ -0,0 +1,85 @@
+//! The first part of a handover in the new process: gets listeners and state from the old one.
+
+use super::tick::TICK_INTERVAL;
+use crate::connection::Connection;
+use crate::message::State;
+use crate::target::{HandoverTarget, Input, Output};
+use frosthatch_log::log_line;
+use std::io;
+use std::net::{SocketAddr, TcpListener};
+use std::path::Path;
+use tokio::net::UnixStream;
+use tokio::time::{sleep, Instant};
+
+/// What a new process has got from the old one.
+pub struct Inherited {
+    /// The listeners and their names.
+    pub listeners: Vec<(String, TcpListener)>,
+    /// The state of the old process.
+    pub state: State,
+    pub(super) target: HandoverTarget,
+    pub(super) connection: Connection,
+    pub(super) started: Instant,
+}
+
+impl Inherited {
+    /// A duplicate of the listener with this name, if its address is `address` (with port 0: any port).
+    pub fn listener(&self, name: &str, address: SocketAddr) -> Option<io::Result<TcpListener>> {
+        let (_, listener) = self.listeners.iter().find(|(other, _)| other == name)?;
+        let bound = listener.local_addr().ok()?;
+        let is_same_port = address.port() == 0 || bound.port() == address.port();
+        let is_same_address = bound.ip() == address.ip() && is_same_port;
+        is_same_address.then(|| listener.try_clone())
+    }
+}
+
+/// Connects to the old process at `path`. `None` if this process has to open its own listeners.
+pub async fn inherit(path: &Path) -> Option<Inherited> {
+    let stream = UnixStream::connect(path).await.ok()?;
+    let connection = Connection::new(stream);
+    let started = Instant::now();
+    let mut outputs = Vec::new();
+    let mut target = HandoverTarget::new(started.elapsed(), std::process::id(), &mut outputs);
+    loop {
+        for output in outputs.drain(..) {
+            match output {
+                Output::Send(message) => drop(connection.send(&message, &[]).await),
+                Output::Log(line) => log_line!("{line}"),
+                Output::Adopt { listeners, state } => {
+                    return Some(Inherited {
+                        listeners: received_listeners(&connection, listeners)?,
+                        state,
+                        target,
+                        connection,
+                        started,
+                    });
+                }
+                Output::Bind => return None,
+                _ => {}
+            }
+        }
+        let input = tokio::select! {
+            received = connection.receive() => received.map_or(Input::Disconnected, Input::Received),
+            () = sleep(TICK_INTERVAL) => Input::Tick,
+        };
+        target.handle(started.elapsed(), input, &mut outputs);
+    }
+}
+
+/// `None` unless there is one descriptor a name.
+fn received_listeners(
+    connection: &Connection,
+    names: Vec<String>,
+) -> Option<Vec<(String, TcpListener)>> {
+    let descriptors = connection.take_descriptors();
+    if descriptors.len() != names.len() {
+        log_line!(
+            "upgrade: {} listeners of {} came",
+            descriptors.len(),
+            names.len()
+        );
+        return None;
+    }
+    let listeners = descriptors.into_iter().map(TcpListener::from);
+    Some(names.into_iter().zip(listeners).collect())
+}
--- /dev/null
+++ b/crates/handover/src/driver/old_process.rs
@@ -0,0 +1,201 @@
+//! The old process of a handover: listens for a new process and serves one at a time.
+
+use super::host::{Host, LocalEvent};
+use super::tick::TICK_INTERVAL;
+use crate::connection::Connection;
+use crate::message::{Message, VERSION};
+use crate::source::{HandoverSource, Input, Output, Stage};
+use frosthatch_log::log_line;
+use std::io;
+use std::os::fd::OwnedFd;
+use std::os::unix::fs::PermissionsExt;
+use std::path::Path;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::{UnixListener, UnixStream};
+use tokio::sync::mpsc;
+use tokio::time::{interval, sleep, timeout, Instant, Interval, MissedTickBehavior};
+
+/// A rejection that cannot be written within this time is dropped.
+const REJECTION_TIMEOUT: Duration = Duration::from_millis(500);
+/// A new process has to send its first message within this time.
+const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// The connection to a new process.
+struct Peer {
+    connection: Connection,
+    connected_at: Instant,
+}
+
+/// What the driver waits for.
+enum Event {
+    /// A process has connected.
+    Connected(UnixStream),
+    AcceptFailed,
+    Input(Input),
+    Ignored,
+    /// This process takes no more part in handovers.
+    Closed,
+}
+
+pub(super) struct OldProcess {
+    listener: UnixListener,
+    host: Rc<dyn Host>,
+    source: HandoverSource,
+    started: Instant,
+    peer: Option<Peer>,
+}
+
+impl OldProcess {
+    pub(super) fn listen(path: &Path, host: Rc<dyn Host>) -> io::Result<OldProcess> {
+        let listener = bind_owner_only(path)?;
+        Ok(OldProcess {
+            listener,
+            host,
+            source: HandoverSource::default(),
+            started: Instant::now(),
+            peer: None,
+        })
+    }
+
+    /// Serves new processes until `events` is closed.
+    pub(super) async fn run(mut self, mut events: mpsc::Receiver<LocalEvent>) {
+        let mut ticks = interval(TICK_INTERVAL);
+        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        loop {
+            match self.next_event(&mut ticks, &mut events).await {
+                Event::Connected(stream) => self.admit(stream),
+                Event::AcceptFailed => sleep(TICK_INTERVAL).await,
+                Event::Input(input) => self.handle(input).await,
+                Event::Ignored => {}
+                Event::Closed => return,
+            }
+        }
+    }
+
+    async fn next_event(
+        &self,
+        ticks: &mut Interval,
+        events: &mut mpsc::Receiver<LocalEvent>,
+    ) -> Event {
+        tokio::select! {
+            accepted = self.listener.accept() => match accepted {
+                Ok((stream, _)) => Event::Connected(stream),
+                Err(_) => Event::AcceptFailed,
+            },
+            input = self.receive() => Event::Input(input),
+            event = events.recv() => match event {
+                Some(LocalEvent::Terminate) => Event::Input(Input::Terminate),
+                Some(LocalEvent::Marked(mark)) => Event::Input(Input::Marked(mark)),
+                Some(LocalEvent::Prepared) => Event::Ignored,
+                None => Event::Closed,
+            },
+            // An interval and not a sleep, which each connection attempt would start anew.
+            _ = ticks.tick(), if self.peer.is_some() => Event::Input(Input::Tick),
+        }
+    }
+
+    async fn receive(&self) -> Input {
+        match &self.peer {
+            Some(peer) => {
+                let received = peer.connection.receive().await;
+                received.map_or(Input::Disconnected, Input::Received)
+            }
+            None => std::future::pending().await,
+        }
+    }
+
+    async fn handle(&mut self, input: Input) {
+        let is_disconnected = input == Input::Disconnected;
+        let mut outputs = Vec::new();
+        self.source
+            .handle(self.started.elapsed(), input, &mut outputs);
+        for output in outputs {
+            self.perform(output).await;
+        }
+        if is_disconnected || self.is_hello_overdue() {
+            self.peer = None;
+        }
+    }
+
+    /// Whether a peer holds the connection without a message.
+    fn is_hello_overdue(&self) -> bool {
+        self.source.stage() == Stage::Idle
+            && self
+                .peer
+                .as_ref()
+                .is_some_and(|peer| peer.connected_at.elapsed() >= HELLO_TIMEOUT)
+    }
+
+    async fn perform(&mut self, output: Output) {
+        match output {
+            Output::Send(message) => self.send(&message, &[]).await,
+            Output::SendWelcome => self.send_welcome().await,
+            Output::CloseConnection => self.peer = None,
+            Output::HalveCapacity => self.host.halve(true),
+            Output::RestoreCapacity => self.host.halve(false),
+            Output::StartAccepting => self.host.accept(true),
+            Output::StopAccepting => self.host.accept(false),
+            Output::ApplyMark(mark) => self.host.mark(mark),
+            Output::Log(line) => log_line!("{line}"),
+        }
+    }
+
+    async fn send_welcome(&self) {
+        if self.peer.is_none() {
+            return;
+        }
+        let (listeners, descriptors): (_, Vec<OwnedFd>) = self.host.listeners().into_iter().unzip();
+        let welcome = Message::Welcome {
+            version: VERSION,
+            listeners,
+            state: self.host.state(),
+        };
+        self.send(&welcome, &descriptors).await;
+    }
+
+    async fn send(&self, message: &Message, descriptors: &[OwnedFd]) {
+        if let Some(peer) = &self.peer {
+            // A broken connection is noticed when it is read.
+            let _ = peer.connection.send(message, descriptors).await;
+        }
+    }
+
+    /// Keeps a connection of the same user while there is no other, and rejects all others with the reason.
+    fn admit(&mut self, stream: UnixStream) {
+        let own_uid = rustix::process::geteuid().as_raw();
+        let is_same_user = stream
+            .peer_cred()
+            .is_ok_and(|credentials| credentials.uid() == own_uid);
+        if !is_same_user {
+            reject(stream, "not the owner");
+        } else if self.peer.is_some() {
+            reject(stream, "another upgrade is under way");
+        } else {
+            self.peer = Some(Peer {
+                connection: Connection::new(stream),
+                connected_at: Instant::now(),
+            });
+        }
+    }
+}
+
+fn reject(stream: UnixStream, reason: &str) {
+    let rejection = Message::Rejected {
+        reason: reason.into(),
+    };
+    tokio::task::spawn_local(async move {
+        let connection = Connection::new(stream);
+        let _ = timeout(REJECTION_TIMEOUT, connection.send(&rejection, &[])).await;
+    });
+}
+
+/// Listens on a socket that only the owner can connect to. It replaces a previous one atomically.
+fn bind_owner_only(path: &Path) -> io::Result<UnixListener> {
+    let temporary = path.with_extension(format!("new-{}", std::process::id()));
+    let _ = std::fs::remove_file(&temporary);
+    let listener = UnixListener::bind(&temporary)?;
+    std::fs::set_permissions(&temporary, std::fs::Permissions::from_mode(0o600))?;
+    std::fs::rename(&temporary, path)?;
+    Ok(listener)
+}
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,15 +1,10 @@
-//! A new process takes over from a running one. [`elder`] and [`heir`] are the two sides' steps and know no socket;
-//! [`driver`] passes messages and descriptors between them; [`message`] is what they say.
-#![expect(
-    clippy::missing_errors_doc,
-    clippy::semicolon_if_nothing_returned,
-    clippy::single_match_else,
-    clippy::too_many_lines,
-    missing_docs
-)]
+//! Hot restart: a new process takes over listeners and state from a running one, over a Unix socket.
+//!
+//! [`source`] is the state machine of the running process and [`target`] that of the new one; neither has I/O. [`driver`]
+//! connects them to sockets, and [`message`] defines what the processes send to each other.
 
+mod connection;
 pub mod driver;
 pub mod message;
-mod pipe;
 pub mod source;
 pub mod target;
--- a/crates/handover/src/message.rs
+++ b/crates/handover/src/message.rs
@@ -1,199 +1,160 @@
-//! What the two processes say, and the form in which they say it.
+//! The messages between the two processes, and their frames on the connection.
+//!
+//! A frame is the length and the CRC-32 of the body, four bytes each and big-endian, and the body in JSON. The names in
+//! the JSON are part of the protocol between versions of this program.
 
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
-/// Another major version is not understood; a minor one adds fields and messages that older ones skip.
+/// The version of this process. Another major version is incompatible; a minor version adds fields and messages that older
+/// ones skip.
 pub const VERSION: Version = Version { major: 1, minor: 0 };
-/// A message is no longer than this.
-pub const MOST_BYTES: usize = 1 << 20;
-/// Length and checksum ahead of each message, four bytes each, big-endian.
+/// Length of a message's body, at most.
+pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
+/// Length and checksum ahead of each message's body.
 pub const HEADER_BYTES: usize = 8;
 
+/// A version of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Version {
+    /// Incompatible if it differs.
     pub major: u16,
+    /// Compatible if it differs.
     pub minor: u16,
 }
 
-/// An operator's mark on a server.
+/// An operator's mark that takes a server out of service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Mark {
+    /// The server's name.
     pub server: String,
-    /// When it was taken out, Unix time in milliseconds.
+    /// When it was taken out of service, Unix time in milliseconds.
     pub out_ms: u64,
-    /// When it was put back; none: it is out.
+    /// When it was put back into service, Unix time in milliseconds; `None` while it is out.
     pub back_ms: Option<u64>,
 }
 
-/// What the new process knows from the old one.
+/// The state that the new process gets from the old one.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct State {
+    /// All marks of operators.
     pub marks: Vec<Mark>,
 }
 
+/// A message between the old and the new process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// New to old.
-    Hello { version: Version, pid: u32 },
-    /// Old to new; the listeners come along, in this order.
+    /// New to old: it wants to take over.
+    Hello {
+        /// The version of the new process.
+        version: Version,
+        /// Its process id.
+        pid: u32,
+    },
+    /// Old to new: the listeners' descriptors come with this message.
     Welcome {
+        /// The version of the old process.
         version: Version,
+        /// The names of the listeners, in the order of their descriptors.
         listeners: Vec<String>,
+        /// The state to adopt.
         state: State,
     },
-    /// Old to new: not now, or not this one.
-    Refused { why: String },
-    /// New to old: it accepts.
+    /// Old to new: the handover does not take place.
+    #[serde(rename = "Refused")]
+    Rejected {
+        /// For the log of the new process.
+        #[serde(rename = "why")]
+        reason: String,
+    },
+    /// New to old: it can accept connections.
     Ready,
-    /// Old to new: it does not accept any more.
-    Yours,
-    /// Either way.
+    /// Old to new: it has stopped accepting connections.
+    #[serde(rename = "Yours")]
+    StoppedAccepting,
+    /// Either way: an operator marked a server.
     Marked(Mark),
-    /// Of a later minor version.
+    /// A message of a later minor version.
     #[serde(other)]
     Unknown,
 }
 
-#[derive(Debug, PartialEq)]
-pub enum Broken {
-    TooLong(usize),
+/// Why received bytes are not a message.
+#[derive(Debug, Error, PartialEq)]
+pub enum FrameError {
+    /// The header announces a longer body than is permitted.
+    #[error("a message of {bytes} bytes, of {MAX_MESSAGE_BYTES} at most")]
+    TooLong {
+        /// The announced length.
+        bytes: usize,
+    },
+    /// The body was corrupted.
+    #[error("a message whose checksum is wrong")]
     Checksum,
+    /// The body is not a known message, for this reason.
+    #[error("a message that cannot be read: {0}")]
     Malformed(String),
 }
 
-impl std::fmt::Display for Broken {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            Broken::TooLong(n) => write!(f, "a message of {n} bytes, of {MOST_BYTES} at most"),
-            Broken::Checksum => write!(f, "a message whose checksum is wrong"),
-            Broken::Malformed(e) => write!(f, "a message that cannot be read: {e}"),
-        }
-    }
-}
-
 impl Message {
-    /// As it is sent.
+    /// Encodes the message with its header.
     pub fn framed(&self) -> Vec<u8> {
         let body = serde_json::to_vec(self).unwrap_or_default();
-        let mut framed = Vec::with_capacity(HEADER_BYTES + body.len());
-        framed.extend((body.len() as u32).to_be_bytes());
-        framed.extend(crc32fast::hash(&body).to_be_bytes());
-        framed.extend(body);
-        framed
+        let mut frame = Vec::with_capacity(HEADER_BYTES + body.len());
+        frame.extend((body.len() as u32).to_be_bytes());
+        frame.extend(crc32fast::hash(&body).to_be_bytes());
+        frame.extend(body);
+        frame
     }
 }
 
-/// Takes the first message off what has come; none while it is not whole.
-pub fn take(buffer: &mut Vec<u8>) -> Result<Option<Message>, Broken> {
-    let word = |at: usize| {
-        buffer
-            .get(at..at + 4)?
-            .try_into()
-            .ok()
-            .map(u32::from_be_bytes)
-    };
-    let (Some(length), Some(sum)) = (word(0), word(4)) else {
+/// Removes the first message from the received bytes; `None` while it is incomplete.
+///
+/// # Errors
+/// The bytes are not a message; the connection cannot be used any more.
+pub fn take_message(buffer: &mut Vec<u8>) -> Result<Option<Message>, FrameError> {
+    let (Some(length), Some(checksum)) = (u32_at(buffer, 0), u32_at(buffer, 4)) else {
         return Ok(None);
     };
     let length = length as usize;
-    if length > MOST_BYTES {
-        return Err(Broken::TooLong(length));
+    if length > MAX_MESSAGE_BYTES {
+        return Err(FrameError::TooLong { bytes: length });
     }
     let Some(body) = buffer.get(HEADER_BYTES..HEADER_BYTES + length) else {
         return Ok(None);
     };
-    if crc32fast::hash(body) != sum {
-        return Err(Broken::Checksum);
+    if crc32fast::hash(body) != checksum {
+        return Err(FrameError::Checksum);
     }
-    let message = serde_json::from_slice(body).or_else(|e| {
-        // A message of a later version that carries something is none of ours to read.
-        let named = serde_json::from_slice::<serde_json::Map<String, serde_json::Value>>(body);
-        let known = ["Hello", "Welcome", "Refused", "Marked"];
-        match named {
-            Ok(map) if map.len() == 1 && !map.keys().any(|k| known.contains(&k.as_str())) => {
-                Ok(Message::Unknown)
-            }
-            _ => Err(Broken::Malformed(e.to_string())),
-        }
-    })?;
+    let message = decode_body(body)?;
     buffer.drain(..HEADER_BYTES + length);
     Ok(Some(message))
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    fn raw(body: &[u8]) -> Vec<u8> {
-        let mut framed = (body.len() as u32).to_be_bytes().to_vec();
-        framed.extend(crc32fast::hash(body).to_be_bytes());
-        framed.extend(body);
-        framed
-    }
-
-    #[test]
-    fn messages_come_out_as_they_went_in_however_they_are_cut() {
-        let mark = Mark {
-            server: "s-1".into(),
-            out_ms: 5,
-            back_ms: None,
-        };
-        let state = State {
-            marks: vec![mark.clone()],
-        };
-        let all = [
-            Message::Hello {
-                version: VERSION,
-                pid: 7,
-            },
-            Message::Welcome {
-                version: VERSION,
-                listeners: vec!["clients".into()],
-                state,
-            },
-            Message::Ready,
-            Message::Marked(mark),
-        ];
-        let bytes: Vec<u8> = all.iter().flat_map(Message::framed).collect();
-        let (mut buffer, mut read) = (Vec::new(), Vec::new());
-        for byte in bytes {
-            buffer.push(byte);
-            read.extend(take(&mut buffer).expect("in order"));
-        }
-        assert_eq!(read, all);
-    }
-
-    #[test]
-    fn what_a_later_minor_version_says_is_skipped() {
-        for later in [&br#""Later""#[..], br#"{"Later":{"x":1}}"#] {
-            assert_eq!(take(&mut raw(later)), Ok(Some(Message::Unknown)));
-        }
-        let more =
-            br#"{"Welcome":{"version":{"major":1,"minor":9,"x":0},"listeners":[],"state":{"new":[1]}}}"#;
-        let read = take(&mut raw(more)).expect("in order");
-        assert!(matches!(read, Some(Message::Welcome { state, .. }) if state == State::default()));
-        assert!(matches!(
-            take(&mut raw(br#"{"Hello":{}}"#)),
-            Err(Broken::Malformed(_))
-        ));
-    }
+fn u32_at(buffer: &[u8], offset: usize) -> Option<u32> {
+    let bytes = buffer.get(offset..offset + 4)?;
+    bytes.try_into().ok().map(u32::from_be_bytes)
+}
 
-    proptest! {
-        /// A flipped bit is never taken for a message, and nothing panics.
-        #[test]
-        fn a_flipped_bit_is_told(bit in 0usize..400) {
-            let mut bytes = Message::Hello { version: VERSION, pid: 1234 }.framed();
-            let bit = bit % (bytes.len() * 8);
-            bytes[bit / 8] ^= 1 << (bit % 8);
-            prop_assert!(!matches!(take(&mut bytes), Ok(Some(_))));
+fn decode_body(body: &[u8]) -> Result<Message, FrameError> {
+    serde_json::from_slice(body).or_else(|error| {
+        if is_message_of_later_version(body) {
+            Ok(Message::Unknown)
+        } else {
+            Err(FrameError::Malformed(error.to_string()))
         }
+    })
+}
 
-        #[test]
-        fn noise_never_panics(noise in proptest::collection::vec(any::<u8>(), 0..200)) {
-            let _ = take(&mut noise.clone());
-            let _ = take(&mut raw(&noise));
-        }
+/// `#[serde(other)]` covers only unknown messages without fields; this covers those with fields.
+fn is_message_of_later_version(body: &[u8]) -> bool {
+    let known_names = ["Hello", "Welcome", "Refused", "Marked"];
+    match serde_json::from_slice::<serde_json::Map<String, serde_json::Value>>(body) {
+        Ok(map) => map.len() == 1 && !map.keys().any(|name| known_names.contains(&name.as_str())),
+        Err(_) => false,
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/handover/src/message/tests.rs
@@ -0,0 +1,76 @@
+use super::{take_message, FrameError, Mark, Message, State, VERSION};
+use proptest::prelude::{any, prop_assert, proptest};
+
+fn frame_of(body: &[u8]) -> Vec<u8> {
+    let mut framed = (body.len() as u32).to_be_bytes().to_vec();
+    framed.extend(crc32fast::hash(body).to_be_bytes());
+    framed.extend(body);
+    framed
+}
+
+#[test]
+fn messages_are_read_back_when_they_arrive_byte_by_byte() {
+    let mark = Mark {
+        server: "s-1".into(),
+        out_ms: 5,
+        back_ms: None,
+    };
+    let state = State {
+        marks: vec![mark.clone()],
+    };
+    let all = [
+        Message::Hello {
+            version: VERSION,
+            pid: 7,
+        },
+        Message::Welcome {
+            version: VERSION,
+            listeners: vec!["clients".into()],
+            state,
+        },
+        Message::Ready,
+        Message::Marked(mark),
+    ];
+    let bytes: Vec<u8> = all.iter().flat_map(Message::framed).collect();
+    let mut buffer = Vec::new();
+    let mut read = Vec::new();
+    for byte in bytes {
+        buffer.push(byte);
+        read.extend(take_message(&mut buffer).expect("in order"));
+    }
+    assert_eq!(read, all);
+}
+
+#[test]
+fn messages_and_fields_of_a_later_minor_version_are_skipped() {
+    for later in [&br#""Later""#[..], br#"{"Later":{"x":1}}"#] {
+        assert_eq!(
+            take_message(&mut frame_of(later)),
+            Ok(Some(Message::Unknown))
+        );
+    }
+    let more =
+        br#"{"Welcome":{"version":{"major":1,"minor":9,"x":0},"listeners":[],"state":{"new":[1]}}}"#;
+    let read = take_message(&mut frame_of(more)).expect("in order");
+    assert!(matches!(read, Some(Message::Welcome { state, .. }) if state == State::default()));
+    assert!(matches!(
+        take_message(&mut frame_of(br#"{"Hello":{}}"#)),
+        Err(FrameError::Malformed(_))
+    ));
+}
+
+proptest! {
+        #[test]
+    fn a_flipped_bit_is_detected(bit in 0usize..400) {
+        let mut bytes = Message::Hello { version: VERSION, pid: 1234 }.framed();
+        let bit = bit % (bytes.len() * 8);
+        bytes[bit / 8] ^= 1 << (bit % 8);
+        prop_assert!(!matches!(take_message(&mut bytes), Ok(Some(_))));
+    }
+
+    #[test]
+    fn arbitrary_bytes_never_panic(noise in proptest::collection::vec(any::<u8>(), 0..200)) {
+        let _ = take_message(&mut noise.clone());
+        let _ = take_message(&mut frame_of(&noise));
+    }
+}
--- a/crates/handover/src/target.rs
+++ b/crates/handover/src/target.rs
@@ -1,152 +1,217 @@
-//! The side of the new process.
+//! The state machine of the new process.
+//!
+//! ```text
+//! Joining --Welcome--> Preparing --prepared--> AwaitingSwitch --StoppedAccepting--> Accepting
+//!    |                     |                         |                                  |
+//!    '---------------------'------ disconnect, rejection --------> Alone <--------------'
+//! ```
 
-use crate::message::{Mark, Message, State, VERSION};
+use crate::message::{Mark, Message, State, Version, VERSION};
 use std::time::Duration;
 
-/// A process that is there answers within this: its loop turns in milliseconds.
-pub const WELCOME_WITHIN: Duration = Duration::from_secs(1);
+/// An old process that does not answer within this time is ignored.
+pub const WELCOME_TIMEOUT: Duration = Duration::from_secs(1);
 
+/// How far the handover is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    Joining(Duration),
-    /// It has the listeners and does not accept yet.
+    /// It waits for the answer of the old process.
+    Joining {
+        /// The answer has to come by then, in time since the start.
+        deadline: Duration,
+    },
+    /// It has the listeners and does not accept connections yet.
     Preparing,
-    /// It could accept, and waits until the old one does not.
-    Asking,
-    /// It accepts; the old one may still be there.
-    Switched,
-    /// Nobody is there beside it.
+    /// It could accept connections, and waits until the old process does not.
+    AwaitingSwitch,
+    /// It accepts connections; the old process still serves those that it has.
+    Accepting,
+    /// There is no old process, or none that it could replace.
     Alone,
 }
 
+/// An event for the state machine.
 #[derive(Debug, PartialEq)]
 pub enum Input {
-    Heard(Message),
-    /// The link has ended.
-    Left,
+    /// The old process sent a message.
+    Received(Message),
+    /// The connection has ended, for any reason.
+    Disconnected,
+    /// Some time has passed.
     Tick,
-    /// All is there that it takes to serve.
+    /// This process can serve.
     Prepared,
-    /// An operator marked a server here.
+    /// An operator marked a server in this process.
     Marked(Mark),
 }
 
+/// An action for the driver.
 #[derive(Debug, PartialEq)]
 pub enum Output {
-    Say(Message),
-    HangUp,
-    /// Take these over, in the order in which their descriptors came.
-    Adopt(Vec<String>, State),
-    /// There is nothing to take over: listen by oneself.
+    /// Send a message to the old process.
+    Send(Message),
+    /// Close the connection.
+    CloseConnection,
+    /// Adopt what came with [`Message::Welcome`].
+    Adopt {
+        /// The names of the listeners, in the order of their descriptors.
+        listeners: Vec<String>,
+        /// The state of the old process.
+        state: State,
+    },
+    /// Open own listeners, as there is nothing to adopt.
     Bind,
-    Accept,
-    /// The old one has taken the way back and serves: end.
+    /// Accept client connections.
+    StartAccepting,
+    /// End this process for this reason: the old process continues to serve.
     GiveUp(String),
-    /// All of the limits are its own.
-    Whole,
-    Mark(Mark),
+    /// Use all of the connection limits.
+    RestoreCapacity,
+    /// Apply an operator's mark.
+    ApplyMark(Mark),
+    /// Write a line to the log.
     Log(String),
 }
 
+/// The state of the new process.
 #[derive(Debug)]
 pub struct HandoverTarget {
     stage: Stage,
-    prepared: bool,
+    is_prepared: bool,
 }
 
 impl HandoverTarget {
-    /// Calls the process that is there.
+    /// Starts at `now`, the time since the start, and appends the first message to `out`.
     pub fn new(now: Duration, pid: u32, out: &mut Vec<Output>) -> HandoverTarget {
-        out.push(Output::Say(Message::Hello {
+        out.push(Output::Send(Message::Hello {
             version: VERSION,
             pid,
         }));
         HandoverTarget {
-            stage: Stage::Joining(now + WELCOME_WITHIN),
-            prepared: false,
+            stage: Stage::Joining {
+                deadline: now + WELCOME_TIMEOUT,
+            },
+            is_prepared: false,
         }
     }
 
+    /// How far the handover is.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
+    /// Handles an input at `now`, the time since the start, and appends the actions to `out`.
     pub fn handle(&mut self, now: Duration, input: Input, out: &mut Vec<Output>) {
-        match (self.stage, input) {
-            (
-                Stage::Joining(_),
-                Input::Heard(Message::Welcome {
-                    version,
-                    listeners,
-                    state,
-                }),
-            ) => {
-                if version.major != VERSION.major {
-                    return self.bind("the old process is of another major version", true, out);
-                }
-                self.stage = Stage::Preparing;
-                out.push(Output::Adopt(listeners, state));
-                if self.prepared {
-                    self.switch(out);
-                }
-            }
-            (Stage::Joining(_), Input::Heard(Message::Refused { why })) => {
-                self.bind(&why, true, out)
-            }
-            (Stage::Joining(by), Input::Tick) if now >= by => {
-                self.bind("the old process does not answer", true, out)
-            }
-            (Stage::Joining(_), Input::Left) => self.bind("the old process has gone", false, out),
-            (Stage::Joining(_), Input::Heard(_)) => {
-                self.bind("the old process makes no sense", true, out)
-            }
-            (Stage::Preparing, Input::Prepared) => self.switch(out),
-            (_, Input::Prepared) => self.prepared = true,
-            (Stage::Asking, Input::Heard(Message::Yours)) => {
-                self.stage = Stage::Switched;
-                out.push(Output::Accept);
+        match self.stage {
+            Stage::Joining { deadline } => self.handle_joining(now, deadline, input, out),
+            Stage::Preparing | Stage::AwaitingSwitch => self.handle_before_switch(input, out),
+            Stage::Accepting => self.handle_accepting(input, out),
+            Stage::Alone => {}
+        }
+    }
+
+    fn handle_joining(
+        &mut self,
+        now: Duration,
+        deadline: Duration,
+        input: Input,
+        out: &mut Vec<Output>,
+    ) {
+        match input {
+            Input::Received(Message::Welcome {
+                version,
+                listeners,
+                state,
+            }) => self.adopt(version, listeners, state, out),
+            Input::Received(Message::Rejected { reason }) => self.leave_and_bind(&reason, out),
+            Input::Received(_) => self.leave_and_bind("the old process makes no sense", out),
+            Input::Tick if now >= deadline => {
+                self.leave_and_bind("the old process does not answer", out);
             }
-            (Stage::Preparing | Stage::Asking, Input::Heard(Message::Refused { why })) => {
-                self.stage = Stage::Alone;
-                out.extend([Output::HangUp, Output::GiveUp(why)]);
+            Input::Disconnected => self.bind("the old process has gone", out),
+            Input::Prepared => self.is_prepared = true,
+            Input::Tick | Input::Marked(_) => {}
+        }
+    }
+
+    fn adopt(
+        &mut self,
+        version: Version,
+        listeners: Vec<String>,
+        state: State,
+        out: &mut Vec<Output>,
+    ) {
+        if version.major != VERSION.major {
+            return self.leave_and_bind("the old process is of another major version", out);
+        }
+        self.stage = Stage::Preparing;
+        out.push(Output::Adopt { listeners, state });
+        if self.is_prepared {
+            self.request_switch(out);
+        }
+    }
+
+    fn handle_before_switch(&mut self, input: Input, out: &mut Vec<Output>) {
+        match input {
+            Input::Prepared if self.stage == Stage::Preparing => self.request_switch(out),
+            Input::Received(Message::StoppedAccepting) if self.stage == Stage::AwaitingSwitch => {
+                self.stage = Stage::Accepting;
+                out.push(Output::StartAccepting);
             }
-            // Nobody accepts but this one: it does so as it is, and gets ready meanwhile.
-            (Stage::Preparing | Stage::Asking, Input::Left) => {
+            Input::Received(Message::Rejected { reason }) => {
                 self.stage = Stage::Alone;
-                out.extend([Output::Accept, Output::Whole]);
-                out.push(Output::Log(
-                    "upgrade: the old process has gone before the switch".into(),
-                ));
+                out.extend([Output::CloseConnection, Output::GiveUp(reason)]);
             }
-            (Stage::Switched, Input::Left) => {
+            // No other process accepts connections, so this one does even if it is not prepared yet.
+            Input::Disconnected => {
                 self.stage = Stage::Alone;
                 out.extend([
-                    Output::Whole,
-                    Output::Log("upgrade: the old process has ended".into()),
+                    Output::StartAccepting,
+                    Output::RestoreCapacity,
+                    Output::Log("upgrade: the old process has gone before the switch".into()),
                 ]);
             }
-            (
-                Stage::Preparing | Stage::Asking | Stage::Switched,
-                Input::Heard(Message::Marked(mark)),
-            ) => out.push(Output::Mark(mark)),
-            (Stage::Preparing | Stage::Asking | Stage::Switched, Input::Marked(mark)) => {
-                out.push(Output::Say(Message::Marked(mark)))
-            }
-            (_, Input::Heard(_) | Input::Left | Input::Tick | Input::Marked(_)) => {}
+            other => exchange_mark(other, out),
+        }
+    }
+
+    fn handle_accepting(&mut self, input: Input, out: &mut Vec<Output>) {
+        if input == Input::Disconnected {
+            self.stage = Stage::Alone;
+            out.extend([
+                Output::RestoreCapacity,
+                Output::Log("upgrade: the old process has ended".into()),
+            ]);
+        } else {
+            exchange_mark(input, out);
         }
     }
 
-    fn switch(&mut self, out: &mut Vec<Output>) {
-        self.stage = Stage::Asking;
-        out.push(Output::Say(Message::Ready));
+    fn request_switch(&mut self, out: &mut Vec<Output>) {
+        self.stage = Stage::AwaitingSwitch;
+        out.push(Output::Send(Message::Ready));
+    }
+
+    fn leave_and_bind(&mut self, reason: &str, out: &mut Vec<Output>) {
+        out.push(Output::CloseConnection);
+        self.bind(reason, out);
     }
 
-    fn bind(&mut self, why: &str, linked: bool, out: &mut Vec<Output>) {
+    /// Starts without the old process.
+    fn bind(&mut self, reason: &str, out: &mut Vec<Output>) {
         self.stage = Stage::Alone;
-        out.extend(linked.then_some(Output::HangUp));
         out.extend([
-            Output::Log(format!("upgrade: {why}; listens by itself")),
+            Output::Log(format!("upgrade: {reason}; listens by itself")),
             Output::Bind,
         ]);
     }
 }
+
+/// Marks go both ways while both processes serve; other inputs are ignored.
+fn exchange_mark(input: Input, out: &mut Vec<Output>) {
+    match input {
+        Input::Received(Message::Marked(mark)) => out.push(Output::ApplyMark(mark)),
+        Input::Marked(mark) => out.push(Output::Send(Message::Marked(mark))),
+        Input::Received(_) | Input::Disconnected | Input::Tick | Input::Prepared => {}
+    }
+}
--- a/crates/handover/tests/golden_forms.rs
+++ b/crates/handover/tests/golden_forms.rs
@@ -1,7 +1,7 @@
-//! Recorded bytes of what an old and a new process say to each other: another version of the program has to read them.
+//! Recorded bytes of the messages between an old and a new process: another version of the program has to read them.
 //! `RECORD=1 cargo test --test golden_forms` records them anew.
 
-use frosthatch_handover::message::{take, Mark, Message, State, Version, VERSION};
+use frosthatch_handover::message::{take_message, Mark, Message, State, Version, VERSION};
 use std::fmt::Write;
 
 fn messages() -> Vec<Message> {
@@ -27,24 +27,24 @@
                 marks: vec![mark.clone(), back.clone()],
             },
         },
-        Message::Refused {
-            why: "it is busy".into(),
+        Message::Rejected {
+            reason: "it is busy".into(),
         },
         Message::Ready,
-        Message::Yours,
+        Message::StoppedAccepting,
         Message::Marked(mark),
         Message::Marked(back),
     ]
 }
 
 #[test]
-fn the_bytes_of_messages_are_those_that_were_recorded() {
+fn encoded_messages_equal_the_recorded_bytes() {
     let mut text = String::new();
     for message in messages() {
         let mut bytes = message.framed();
         let hex: String = bytes.iter().map(|b| format!("{b:02x}")).collect();
         writeln!(text, "{hex} {}", String::from_utf8_lossy(&bytes[8..])).expect("to memory");
-        assert_eq!(take(&mut bytes), Ok(Some(message)));
+        assert_eq!(take_message(&mut bytes), Ok(Some(message)));
     }
     let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/messages.txt");
     if std::env::var_os("RECORD").is_some() {
--- a/crates/handover/tests/steps.rs
+++ b/crates/handover/tests/steps.rs
@@ -1,8 +1,7 @@
-//! Both sides' steps, through every order of messages, deaths and time-outs up to a depth: in the end exactly one of
-//! those that live accepts.
-#![expect(clippy::default_trait_access)]
+//! Both state machines through every order of messages, process ends and timeouts up to a depth: afterwards exactly one of the
+//! processes that are alive accepts connections.
 
-use frosthatch_handover::message::{Message, Version};
+use frosthatch_handover::message::{Message, State, Version};
 use frosthatch_handover::source::{self, HandoverSource};
 use frosthatch_handover::target::{self, HandoverTarget};
 use std::collections::VecDeque;
@@ -10,150 +9,164 @@
 
 /// What may happen next.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Next {
-    ToElder,
-    ToHeir,
+enum Event {
+    DeliverToSource,
+    DeliverToTarget,
     Prepared,
-    HeirDies,
-    ElderDies,
+    TargetDies,
+    SourceDies,
     TimePasses,
 }
 
-const ALL: [Next; 6] = [
-    Next::ToElder,
-    Next::ToHeir,
-    Next::Prepared,
-    Next::HeirDies,
-    Next::ElderDies,
-    Next::TimePasses,
+const ALL: [Event; 6] = [
+    Event::DeliverToSource,
+    Event::DeliverToTarget,
+    Event::Prepared,
+    Event::TargetDies,
+    Event::SourceDies,
+    Event::TimePasses,
 ];
 
-struct World {
-    elder: HandoverSource,
-    heir: HandoverTarget,
+struct Simulation {
+    source_machine: HandoverSource,
+    target_machine: HandoverTarget,
     now: Duration,
-    to_elder: VecDeque<Message>,
-    to_heir: VecDeque<Message>,
-    lives: [bool; 2],
-    accepts: [bool; 2],
-    linked: [bool; 2],
-    prepared: bool,
-    /// The new one has a listener of its own.
-    bound: bool,
+    to_source: VecDeque<Message>,
+    to_target: VecDeque<Message>,
+    /// Of the source and of the target, as the next two.
+    is_alive: [bool; 2],
+    is_accepting: [bool; 2],
+    is_connected: [bool; 2],
+    is_prepared: bool,
+    /// Whether the target process has bound its own listener.
+    has_own_listener: bool,
 }
 
-impl World {
-    fn new() -> World {
+impl Simulation {
+    fn new() -> Simulation {
         let mut out = Vec::new();
-        let heir = HandoverTarget::new(Duration::ZERO, 1, &mut out);
-        let mut world = World {
-            elder: HandoverSource::default(),
-            heir,
+        let target_machine = HandoverTarget::new(Duration::ZERO, 1, &mut out);
+        let mut simulation = Simulation {
+            source_machine: HandoverSource::default(),
+            target_machine,
             now: Duration::ZERO,
-            to_elder: VecDeque::new(),
-            to_heir: VecDeque::new(),
-            lives: [true, true],
-            accepts: [true, false],
-            linked: [true, true],
-            prepared: false,
-            bound: false,
+            to_source: VecDeque::new(),
+            to_target: VecDeque::new(),
+            is_alive: [true, true],
+            is_accepting: [true, false],
+            is_connected: [true, true],
+            is_prepared: false,
+            has_own_listener: false,
         };
-        world.by_heir(out);
-        world
+        simulation.apply_target_outputs(out);
+        simulation
     }
 
-    fn by_elder(&mut self, out: Vec<source::Output>) {
-        for o in out {
-            match o {
-                source::Output::Say(m) => self.to_heir.push_back(m),
-                source::Output::Lend => self.to_heir.push_back(Message::Welcome {
+    fn apply_source_outputs(&mut self, out: Vec<source::Output>) {
+        for output in out {
+            match output {
+                source::Output::Send(message) => self.to_target.push_back(message),
+                source::Output::SendWelcome => self.to_target.push_back(Message::Welcome {
                     version: Version { major: 1, minor: 0 },
                     listeners: vec!["clients".into()],
-                    state: Default::default(),
+                    state: State::default(),
                 }),
-                source::Output::HangUp => self.linked[0] = false,
-                source::Output::Accept(yes) => self.accepts[0] = yes,
+                source::Output::CloseConnection => self.is_connected[0] = false,
+                source::Output::StartAccepting => self.is_accepting[0] = true,
+                source::Output::StopAccepting => self.is_accepting[0] = false,
                 _ => {}
             }
         }
     }
 
-    fn by_heir(&mut self, out: Vec<target::Output>) {
-        for o in out {
-            match o {
-                target::Output::Say(m) => self.to_elder.push_back(m),
-                target::Output::HangUp => self.linked[1] = false,
-                target::Output::Bind => (self.accepts[1], self.bound) = (true, true),
-                target::Output::Accept => self.accepts[1] = true,
-                target::Output::GiveUp(_) => (self.lives[1], self.accepts[1]) = (false, false),
+    fn apply_target_outputs(&mut self, out: Vec<target::Output>) {
+        for output in out {
+            match output {
+                target::Output::Send(message) => self.to_source.push_back(message),
+                target::Output::CloseConnection => self.is_connected[1] = false,
+                target::Output::Bind => {
+                    self.is_accepting[1] = true;
+                    self.has_own_listener = true;
+                }
+                target::Output::StartAccepting => self.is_accepting[1] = true,
+                target::Output::GiveUp(_) => {
+                    self.is_alive[1] = false;
+                    self.is_accepting[1] = false;
+                }
                 _ => {}
             }
         }
     }
 
-    fn tell_elder(&mut self, input: source::Input) {
-        if self.lives[0] {
+    fn feed_source(&mut self, input: source::Input) {
+        if self.is_alive[0] {
             let mut out = Vec::new();
-            self.elder.handle(self.now, input, &mut out);
-            self.by_elder(out);
+            self.source_machine.handle(self.now, input, &mut out);
+            self.apply_source_outputs(out);
         }
     }
 
-    fn tell_heir(&mut self, input: target::Input) {
-        if self.lives[1] {
+    fn feed_target(&mut self, input: target::Input) {
+        if self.is_alive[1] {
             let mut out = Vec::new();
-            self.heir.handle(self.now, input, &mut out);
-            self.by_heir(out);
+            self.target_machine.handle(self.now, input, &mut out);
+            self.apply_target_outputs(out);
         }
     }
 
-    /// Whether it could happen.
-    fn step(&mut self, next: Next) -> bool {
-        match next {
-            Next::ToElder if self.linked[0] => match self.to_elder.pop_front() {
-                Some(m) => self.tell_elder(source::Input::Heard(m)),
-                // The end of the connection, behind all that was said.
-                None if !self.linked[1] || !self.lives[1] => {
-                    self.linked[0] = false;
-                    self.tell_elder(source::Input::Left);
+    /// Applies an event; `false` if it cannot happen now.
+    fn apply(&mut self, event: Event) -> bool {
+        match event {
+            Event::DeliverToSource if self.is_connected[0] => match self.to_source.pop_front() {
+                Some(message) => self.feed_source(source::Input::Received(message)),
+                // The end of the connection comes after all messages.
+                None if !self.is_connected[1] || !self.is_alive[1] => {
+                    self.is_connected[0] = false;
+                    self.feed_source(source::Input::Disconnected);
                 }
                 None => return false,
             },
-            Next::ToHeir if self.linked[1] => match self.to_heir.pop_front() {
-                Some(m) => self.tell_heir(target::Input::Heard(m)),
-                None if !self.linked[0] || !self.lives[0] => {
-                    self.linked[1] = false;
-                    self.tell_heir(target::Input::Left);
+            Event::DeliverToTarget if self.is_connected[1] => match self.to_target.pop_front() {
+                Some(message) => self.feed_target(target::Input::Received(message)),
+                None if !self.is_connected[0] || !self.is_alive[0] => {
+                    self.is_connected[1] = false;
+                    self.feed_target(target::Input::Disconnected);
                 }
                 None => return false,
             },
-            Next::ToElder | Next::ToHeir => return false,
-            Next::Prepared if !self.prepared && self.lives[1] => {
-                self.prepared = true;
-                self.tell_heir(target::Input::Prepared);
+            Event::DeliverToSource | Event::DeliverToTarget => return false,
+            Event::Prepared if !self.is_prepared && self.is_alive[1] => {
+                self.is_prepared = true;
+                self.feed_target(target::Input::Prepared);
+            }
+            Event::Prepared => return false,
+            Event::TargetDies if self.is_alive[1] => {
+                self.is_alive[1] = false;
+                self.is_accepting[1] = false;
             }
-            Next::Prepared => return false,
-            Next::HeirDies if self.lives[1] => (self.lives[1], self.accepts[1]) = (false, false),
-            Next::ElderDies if self.lives[0] => (self.lives[0], self.accepts[0]) = (false, false),
-            Next::HeirDies | Next::ElderDies => return false,
-            Next::TimePasses => {
-                self.now += source::PREPARES_WITHIN / 2;
-                self.tell_elder(source::Input::Tick);
-                self.tell_heir(target::Input::Tick);
+            Event::SourceDies if self.is_alive[0] => {
+                self.is_alive[0] = false;
+                self.is_accepting[0] = false;
+            }
+            Event::TargetDies | Event::SourceDies => return false,
+            Event::TimePasses => {
+                self.now += source::PREPARE_TIMEOUT / 2;
+                self.feed_source(source::Input::Tick);
+                self.feed_target(target::Input::Tick);
             }
         }
         true
     }
 
-    /// All that is under way arrives.
+    /// Delivers all messages that are in flight.
     fn settle(&mut self) {
         for _ in 0..20 {
-            let moved = [
-                self.step(Next::ToElder),
-                self.step(Next::ToHeir),
-                self.step(Next::Prepared),
+            let applied = [
+                self.apply(Event::DeliverToSource),
+                self.apply(Event::DeliverToTarget),
+                self.apply(Event::Prepared),
             ];
-            if moved == [false; 3] {
+            if applied == [false; 3] {
                 return;
             }
         }
@@ -161,89 +174,100 @@
     }
 }
 
-fn played(steps: &[Next]) -> Option<World> {
-    let mut world = World::new();
-    steps.iter().all(|&s| world.step(s)).then_some(world)
+fn play(events: &[Event]) -> Option<Simulation> {
+    let mut simulation = Simulation::new();
+    events
+        .iter()
+        .all(|&event| simulation.apply(event))
+        .then_some(simulation)
 }
 
-fn explore(steps: &mut Vec<Next>, depth: usize, seen: &mut usize) {
-    let Some(mut world) = played(steps) else {
+fn explore(events: &mut Vec<Event>, depth: usize, explored: &mut usize) {
+    let Some(mut simulation) = play(events) else {
         return;
     };
-    world.settle();
-    *seen += 1;
-    let accepting = world.accepts.iter().filter(|a| **a).count();
-    let living = world.lives.iter().filter(|l| **l).count();
+    simulation.settle();
+    *explored += 1;
+    let accepting = simulation.is_accepting.iter().filter(|a| **a).count();
+    let alive = simulation.is_alive.iter().filter(|l| **l).count();
+    assert!(
+        alive == 0 || accepting >= 1,
+        "nobody accepts after {events:?}"
+    );
     assert!(
-        living == 0 || accepting >= 1,
-        "nobody accepts after {steps:?}"
+        accepting <= 1 || simulation.has_own_listener,
+        "two accept after {events:?}"
     );
-    assert!(accepting <= 1 || world.bound, "two accept after {steps:?}");
     if depth > 0 {
-        for next in ALL {
-            steps.push(next);
-            explore(steps, depth - 1, seen);
-            steps.pop();
+        for event in ALL {
+            events.push(event);
+            explore(events, depth - 1, explored);
+            events.pop();
         }
     }
 }
 
 #[test]
-fn in_whatever_order_it_happens_one_accepts() {
-    let mut seen = 0;
-    explore(&mut Vec::new(), 8, &mut seen);
-    assert!(seen > 5_000, "{seen} orders");
+fn exactly_one_process_accepts_after_every_order_of_events() {
+    let mut explored = 0;
+    explore(&mut Vec::new(), 8, &mut explored);
+    assert!(explored > 5_000, "{explored} orders");
 }
 
 #[test]
-fn the_ordinary_way_ends_with_the_new_one() {
-    let steps = [
-        Next::ToElder,
-        Next::ToHeir,
-        Next::Prepared,
-        Next::ToElder,
-        Next::ToHeir,
-        Next::ElderDies,
+fn an_undisturbed_handover_ends_with_the_new_process() {
+    let events = [
+        Event::DeliverToSource,
+        Event::DeliverToTarget,
+        Event::Prepared,
+        Event::DeliverToSource,
+        Event::DeliverToTarget,
+        Event::SourceDies,
     ];
-    let mut world = played(&steps).expect("it can happen");
-    world.settle();
+    let mut simulation = play(&events).expect("it can happen");
+    simulation.settle();
     assert_eq!(
-        (world.accepts, world.heir.stage()),
+        (simulation.is_accepting, simulation.target_machine.stage()),
         ([false, true], target::Stage::Alone)
     );
 }
 
-/// Guards against a new process that hangs: the way back is taken in time.
 #[test]
-fn one_that_hangs_is_given_up() {
-    let mut elder = HandoverSource::default();
+fn a_new_process_that_hangs_is_given_up() {
+    let mut source = HandoverSource::default();
     let mut out = Vec::new();
     let hello = Message::Hello {
         version: Version { major: 1, minor: 3 },
         pid: 1,
     };
-    elder.handle(Duration::ZERO, source::Input::Heard(hello), &mut out);
-    elder.handle(
-        source::PREPARES_WITHIN - Duration::from_millis(1),
+    source.handle(Duration::ZERO, source::Input::Received(hello), &mut out);
+    source.handle(
+        source::PREPARE_TIMEOUT - Duration::from_millis(1),
         source::Input::Tick,
         &mut out,
     );
-    assert!(matches!(elder.stage(), source::Stage::Offered(_)));
+    assert!(matches!(source.stage(), source::Stage::Offered { .. }));
     out.clear();
-    elder.handle(source::PREPARES_WITHIN, source::Input::Tick, &mut out);
-    assert_eq!(elder.stage(), source::Stage::Alone);
-    assert!(out.contains(&source::Output::HangUp) && out.contains(&source::Output::Halve(false)));
+    source.handle(source::PREPARE_TIMEOUT, source::Input::Tick, &mut out);
+    assert_eq!(source.stage(), source::Stage::Idle);
+    assert!(
+        out.contains(&source::Output::CloseConnection)
+            && out.contains(&source::Output::RestoreCapacity)
+    );
 }
 
 #[test]
-fn one_that_is_ending_lends_nothing() {
-    let mut elder = HandoverSource::default();
+fn a_terminating_process_rejects_a_handover() {
+    let mut source = HandoverSource::default();
     let mut out = Vec::new();
-    elder.handle(Duration::ZERO, source::Input::Terminate, &mut out);
+    source.handle(Duration::ZERO, source::Input::Terminate, &mut out);
     let hello = Message::Hello {
         version: Version { major: 1, minor: 0 },
         pid: 1,
     };
-    elder.handle(Duration::ZERO, source::Input::Heard(hello), &mut out);
-    assert!(!out.contains(&source::Output::Lend) && out.contains(&source::Output::HangUp));
+    source.handle(Duration::ZERO, source::Input::Received(hello), &mut out);
+    assert!(
+        !out.contains(&source::Output::SendWelcome)
+            && out.contains(&source::Output::CloseConnection)
+    );
 }
