--- a/crates/diameter/src/credit.rs
+++ b/crates/diameter/src/credit.rs
@@ -188,7 +188,7 @@
         };
         // What was turned away unseen is asked again with the same ids, and then not turned away for that.
         if answer.result() != Some(result::TOO_BUSY) {
-            self.kept += size(answer);
+            self.kept += answer.memory_bytes();
             self.known
                 .insert(key.clone(), Known::Answered(answer.clone()));
             self.answered
@@ -247,20 +247,20 @@
             return false;
         };
         if let Some(Known::Answered(answer)) = self.known.remove(&key) {
-            self.kept = self.kept.saturating_sub(size(&answer));
+            self.kept = self.kept.saturating_sub(answer.memory_bytes());
         }
         true
     }
 
     fn read(&mut self, now: u64, ccr: &Message) -> Result<Ask, Fault> {
-        let must = |code| ccr.find(code).ok_or_else(|| Fault::missing(code));
+        let must = |code| ccr.find(code).ok_or_else(|| Fault::missing_avp(code));
         let id = named(must(code::SESSION_ID)?)?;
         must(code::ORIGIN_REALM)?;
         must(code::DESTINATION_REALM)?;
         must(code::SERVICE_CONTEXT_ID)?;
         let app = must(code::AUTH_APPLICATION_ID)?;
         if app.u32()? != application::CREDIT_CONTROL {
-            return Err(Fault::of(result::INVALID_AVP_VALUE, app));
+            return Err(Fault::in_avp(result::INVALID_AVP_VALUE, app));
         }
         must(code::CC_REQUEST_NUMBER)?.u32()?;
         let kind = must(code::CC_REQUEST_TYPE)?;
@@ -274,10 +274,10 @@
                     0 | 1 => m.charge.clone(),
                     // CHECK_BALANCE, PRICE_ENQUIRY
                     2 | 3 => m.check.clone(),
-                    _ => return Err(Fault::of(result::INVALID_AVP_VALUE, action)),
+                    _ => return Err(Fault::in_avp(result::INVALID_AVP_VALUE, action)),
                 }
             }
-            _ => return Err(Fault::of(result::INVALID_AVP_VALUE, kind)),
+            _ => return Err(Fault::in_avp(result::INVALID_AVP_VALUE, kind)),
         };
         let kind = kind.u32()?;
         let units = units(ccr, if kind == EVENT { 1.0 } else { 0.0 })?;
@@ -286,8 +286,8 @@
                 .find(code::REQUESTED_SERVICE_UNIT)
                 .or(ccr.find(code::MULTIPLE_SERVICES_CREDIT_CONTROL));
             return Err(Fault {
-                code: result::INVALID_AVP_VALUE,
-                avp: avp.cloned(),
+                result_code: result::INVALID_AVP_VALUE,
+                failed_avp: avp.cloned(),
             });
         }
         let known = self.sessions.get(id).filter(|s| now < s.at + m.session_us);
@@ -302,7 +302,7 @@
             (None, _) if matches!(kind, UPDATE | TERMINATION) => {
                 return Err(Fault::new(result::UNKNOWN_SESSION_ID));
             }
-            (None, _) => return Err(Fault::missing(code::SUBSCRIPTION_ID)),
+            (None, _) => return Err(Fault::missing_avp(code::SUBSCRIPTION_ID)),
         };
         let ask = Ask {
             customer,
@@ -353,19 +353,10 @@
     }
 }
 
-/// About what a message takes.
-pub(crate) fn size(message: &Message) -> usize {
-    message
-        .avps
-        .iter()
-        .map(|a| a.data.len() + std::mem::size_of::<Avp>())
-        .sum()
-}
-
 fn named(avp: &Avp) -> Result<&str, Fault> {
     let text = avp.text()?;
     if text.is_empty() || text.len() > NAME_BYTES {
-        return Err(Fault::of(result::INVALID_AVP_VALUE, avp));
+        return Err(Fault::in_avp(result::INVALID_AVP_VALUE, avp));
     }
     Ok(text)
 }
@@ -373,7 +364,7 @@
 fn key(ccr: &Message) -> Result<Key, Fault> {
     let host = ccr
         .find(code::ORIGIN_HOST)
-        .ok_or_else(|| Fault::missing(code::ORIGIN_HOST))?;
+        .ok_or_else(|| Fault::missing_avp(code::ORIGIN_HOST))?;
     Ok(Key {
         host: named(host)?.to_ascii_lowercase(),
         end_to_end: ccr.header.end_to_end,
@@ -390,7 +381,7 @@
         .filter(|a| a.code == code::SUBSCRIPTION_ID && a.vendor.is_none())
     {
         let group = avp.group()?;
-        let must = |code| find(&group, code).ok_or_else(|| Fault::missing(code));
+        let must = |code| find(&group, code).ok_or_else(|| Fault::missing_avp(code));
         let (kind, data) = (
             must(code::SUBSCRIPTION_ID_TYPE)?.u32()?,
             must(code::SUBSCRIPTION_ID_DATA)?.text()?,
@@ -403,7 +394,7 @@
         };
         match number.filter(|&n| n < CUSTOMERS) {
             Some(number) => return Ok(Some(number)),
-            None => wrong = Some(Fault::of(result::INVALID_AVP_VALUE, avp)),
+            None => wrong = Some(Fault::in_avp(result::INVALID_AVP_VALUE, avp)),
         }
     }
     wrong.map_or(Ok(None), Err)
@@ -446,15 +437,15 @@
 fn money(avp: &Avp) -> Result<f64, Fault> {
     let group = avp.group()?;
     let value = find(&group, code::UNIT_VALUE)
-        .ok_or_else(|| Fault::missing(code::UNIT_VALUE))?
+        .ok_or_else(|| Fault::missing_avp(code::UNIT_VALUE))?
         .group()?;
     let digits = find(&value, code::VALUE_DIGITS)
-        .ok_or_else(|| Fault::missing(code::VALUE_DIGITS))?
+        .ok_or_else(|| Fault::missing_avp(code::VALUE_DIGITS))?
         .u64()?;
     let exponent = find(&value, code::EXPONENT).map_or(Ok(0), Avp::u32)? as i32;
     let amount = digits as i64 as f64 * 10f64.powi(exponent.clamp(-18, 18));
     if !(0.0..1e15).contains(&amount) {
-        return Err(Fault::of(result::INVALID_AVP_VALUE, avp));
+        return Err(Fault::in_avp(result::INVALID_AVP_VALUE, avp));
     }
     Ok(amount)
 }
--- a/crates/diameter/src/dictionary.rs
+++ b/crates/diameter/src/dictionary.rs
@@ -1,33 +1,56 @@
-//! The AVPs and commands that are known, as data (RFC 6733 section 4.5, RFC 8506 section 8, RFC 7683 section 7).
+//! Codes of AVPs, commands, applications and results that the gateway knows (RFC 6733 section 4.5, RFC 8506 section 8,
+//! RFC 7683 section 7).
 
 use Kind::{
     Address, Grouped, Integer32, Integer64, OctetString, Time, Unsigned32, Unsigned64, Utf8String,
 };
 
-/// How an AVP's data is to be read (RFC 6733 sections 4.2 and 4.3).
+/// Data format of an AVP (RFC 6733 sections 4.2 and 4.3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
+    /// Arbitrary bytes.
     OctetString,
+    /// 4 bytes, signed.
     Integer32,
+    /// 8 bytes, signed.
     Integer64,
+    /// 4 bytes, unsigned. Enumerated AVPs as well.
     Unsigned32,
+    /// 8 bytes, unsigned.
     Unsigned64,
-    /// Identities and URIs are checked as this, too.
+    /// UTF-8. Identities and URIs are validated as this, too.
     Utf8String,
-    /// 2 bytes of family and 4 or 16 of address.
+    /// 2 bytes of address family, then the address.
     Address,
+    /// 4 bytes: seconds since 1900.
     Time,
+    /// A sequence of AVPs.
     Grouped,
 }
 
+/// An AVP without a vendor.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct AvpDefinition {
+    /// AVP code.
+    pub code: u32,
+    /// Name as in the RFCs, in upper case with underscores.
+    pub name: &'static str,
+    /// Data format.
+    pub kind: Kind,
+}
+
 macro_rules! dictionary {
     ($($name:ident = $code:literal $kind:ident,)*) => {
-        /// The codes of known AVPs.
+        /// The codes of known AVPs, by their names in the RFCs.
         pub mod code {
             $(#[allow(missing_docs)] pub const $name: u32 = $code;)*
         }
-        /// Known AVPs without a vendor: code, name, kind.
-        pub const AVPS: &[(u32, &str, Kind)] = &[$(($code, stringify!($name), $kind),)*];
+        /// Known AVPs.
+        pub const AVPS: &[AvpDefinition] = &[$(AvpDefinition {
+            code: $code,
+            name: stringify!($name),
+            kind: $kind,
+        },)*];
     };
 }
 
@@ -131,11 +154,11 @@
     REDIRECT_SERVER_EXTENSION = 665 Grouped,
 }
 
-/// The kind of an AVP without a vendor; none if it is not known.
+/// The data format of an AVP without a vendor; `None` if it is not known.
 pub fn kind(code: u32) -> Option<Kind> {
     AVPS.iter()
-        .find(|(c, ..)| *c == code)
-        .map(|(_, _, kind)| *kind)
+        .find(|definition| definition.code == code)
+        .map(|definition| definition.kind)
 }
 
 /// Command codes (RFC 6733 section 3.1, RFC 8506 section 3).
@@ -162,25 +185,46 @@
 
 /// Result codes (RFC 6733 section 7.1, RFC 8506 section 9).
 pub mod result {
+    /// The request was completed.
     pub const SUCCESS: u32 = 2001;
+    /// The command code is not known.
     pub const COMMAND_UNSUPPORTED: u32 = 3001;
+    /// The request could not be delivered to its destination.
     pub const UNABLE_TO_DELIVER: u32 = 3002;
+    /// The request was rejected because of load; another peer may be tried.
     pub const TOO_BUSY: u32 = 3004;
+    /// The Route-Record contains the receiver.
     pub const LOOP_DETECTED: u32 = 3005;
+    /// The application is not known.
     pub const APPLICATION_UNSUPPORTED: u32 = 3007;
+    /// Command flags have an invalid combination.
     pub const INVALID_HDR_BITS: u32 = 3008;
+    /// Reserved AVP flags are set.
     pub const INVALID_AVP_BITS: u32 = 3009;
+    /// The sender of a CER is not a known peer.
     pub const UNKNOWN_PEER: u32 = 3010;
+    /// The customer's account does not cover the service.
     pub const CREDIT_LIMIT_REACHED: u32 = 4012;
+    /// A mandatory AVP is not known.
     pub const AVP_UNSUPPORTED: u32 = 5001;
+    /// The session is not known.
     pub const UNKNOWN_SESSION_ID: u32 = 5002;
+    /// An AVP has an invalid value.
     pub const INVALID_AVP_VALUE: u32 = 5004;
+    /// A required AVP is missing.
     pub const MISSING_AVP: u32 = 5005;
+    /// An AVP occurs more often than allowed.
     pub const AVP_OCCURS_TOO_MANY_TIMES: u32 = 5009;
+    /// The peers have no application in common.
     pub const NO_COMMON_APPLICATION: u32 = 5010;
+    /// The protocol version is not 1.
     pub const UNSUPPORTED_VERSION: u32 = 5011;
+    /// The request failed for an unspecified reason.
     pub const UNABLE_TO_COMPLY: u32 = 5012;
+    /// An AVP has an invalid length.
     pub const INVALID_AVP_LENGTH: u32 = 5014;
+    /// The message has an invalid length.
     pub const INVALID_MESSAGE_LENGTH: u32 = 5015;
+    /// The customer is not known.
     pub const USER_UNKNOWN: u32 = 5030;
 }
--- a/crates/diameter/src/front.rs
+++ b/crates/diameter/src/front.rs
@@ -1,10 +1,10 @@
 //! The clients' side: accepts their connections, and gives each of their requests its one answer.
 
 use crate::codec::Message;
-use crate::credit::{loops, size, Ask, Credit, Key, Mapping, Taken};
+use crate::credit::{loops, Ask, Credit, Key, Mapping, Taken};
 use crate::dictionary::result;
 use crate::link::{Budget, Event, Link};
-use crate::overload::Reporter;
+use crate::overload::OverloadReporter;
 use crate::peer::{Cause, Identity, Peer, Role};
 use crate::servers::{Outgoing, Servers};
 use frosthatch_engine::{Engine, IncomingRequest, Protocol, Response};
@@ -61,7 +61,7 @@
     engine: Rc<Engine>,
     servers: Rc<Servers>,
     credit: RefCell<Credit<Waiter>>,
-    reporter: RefCell<Reporter>,
+    reporter: RefCell<OverloadReporter>,
     clients: RefCell<HashMap<u64, Rc<Link>>>,
     open: RefCell<HashMap<RequestId, Open>>,
     /// Bytes of theirs.
@@ -208,7 +208,7 @@
             link.answer(&link.own_answer(&ccr, code));
         };
         let plan = self.plan();
-        if self.leaving.get() || self.open_bytes.get() + size(&ccr) > plan.request_bytes {
+        if self.leaving.get() || self.open_bytes.get() + ccr.memory_bytes() > plan.request_bytes {
             return refuse(result::TOO_BUSY);
         }
         if loops(&ccr, &plan.me.host) {
@@ -229,8 +229,8 @@
                 link.answer(&answer);
             }
             Taken::Faulty(fault) => {
-                let mut answer = link.own_answer(&ccr, fault.code);
-                if let Some(avp) = fault.avp {
+                let mut answer = link.own_answer(&ccr, fault.result_code);
+                if let Some(avp) = fault.failed_avp {
                     let failed = crate::dictionary::code::FAILED_AVP;
                     answer
                         .avps
@@ -281,7 +281,7 @@
             sticky_server: pin,
             low_priority: false,
         };
-        let bytes = size(&ccr);
+        let bytes = ccr.memory_bytes();
         let ccr = Rc::new(ccr);
         let answered_by = Rc::new(RefCell::new(None));
         let payload = Box::new(Outgoing {
@@ -332,8 +332,8 @@
             };
             {
                 let (mut reporter, now) = (front.reporter.borrow_mut(), front.engine.now());
-                reporter.note(now, refused);
-                reporter.sign(now, &ccr, &mut answer);
+                reporter.record_answer(now, refused);
+                reporter.add_report(now, &ccr, &mut answer);
             }
             front.answer(&key, &ccr, &answer, by.as_ref().map(|s| &*s.0));
         });
--- a/crates/diameter/src/lib.rs
+++ b/crates/diameter/src/lib.rs
@@ -5,7 +5,6 @@
 //! [`overload`] what is reported of overload. None of
 //! these does I/O.
 #![expect(
-    clippy::match_bool,
     clippy::semicolon_if_nothing_returned,
     clippy::single_match_else,
     clippy::too_many_lines,
--- a/crates/diameter/src/peer.rs
+++ b/crates/diameter/src/peer.rs
@@ -10,7 +10,7 @@
 
 use crate::codec::{flag, Avp, Fault, Header, Message, Unreadable};
 use crate::dictionary::{application, code, command, result};
-use crate::watchdog::{Act, Watchdog};
+use crate::watchdog::{Action, Watchdog};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::net::IpAddr;
@@ -113,7 +113,7 @@
         let (end_to_end, hop_by_hop) = (rng.next_u32(), rng.next_u32());
         let mut watchdog = Watchdog::new(tw_us);
         if again {
-            watchdog.down();
+            watchdog.handle_down();
         }
         Peer {
             me,
@@ -134,7 +134,7 @@
 
     pub fn next(&self) -> u64 {
         if self.state == State::Open {
-            self.due.min(self.watchdog.due())
+            self.due.min(self.watchdog.due_us())
         } else {
             self.due
         }
@@ -192,8 +192,8 @@
     }
 
     fn fault(&self, to: &Message, fault: &Fault) -> Message {
-        let answer = self.answer(to, fault.code);
-        match &fault.avp {
+        let answer = self.answer(to, fault.result_code);
+        match &fault.failed_avp {
             Some(avp) => answer.with(Avp::of_group(code::FAILED_AVP, std::slice::from_ref(avp))),
             None => answer,
         }
@@ -242,23 +242,23 @@
             return self.close(why, out);
         }
         if self.state == State::Open {
-            if let Some(act) = self.watchdog.tick(now, &mut self.rng) {
+            if let Some(act) = self.watchdog.handle_timeout(now, &mut self.rng) {
                 self.act(act, out);
             }
         }
     }
 
-    fn act(&mut self, act: Act, out: &mut Vec<Output>) {
+    fn act(&mut self, act: Action, out: &mut Vec<Output>) {
         match act {
-            Act::Ask => {
+            Action::SendRequest => {
                 let dwr = self.request(command::DEVICE_WATCHDOG);
                 out.push(Output::Send(
                     dwr.with(Avp::of_u32(code::ORIGIN_STATE_ID, self.me.state_id)),
                 ));
             }
-            Act::Failover => out.push(Output::Failover),
-            Act::Failback => out.push(Output::Failback),
-            Act::Close => self.close("its watchdog has fallen silent", out),
+            Action::Failover => out.push(Output::Failover),
+            Action::Failback => out.push(Output::Failback),
+            Action::Close => self.close("its watchdog has fallen silent", out),
         }
     }
 
@@ -274,7 +274,7 @@
         let common = message.header.application == application::COMMON;
         if self.state == State::Open {
             let answer = which == command::DEVICE_WATCHDOG && !request;
-            if let Some(act) = self.watchdog.heard(now, answer, &mut self.rng) {
+            if let Some(act) = self.watchdog.handle_message(now, answer, &mut self.rng) {
                 self.act(act, out);
             }
         }
@@ -313,7 +313,7 @@
             (_, command::CREDIT_CONTROL, true)
                 if message.header.application == application::CREDIT_CONTROL =>
             {
-                match message.check() {
+                match message.validate() {
                     Err(fault) => out.push(Output::Send(self.fault(&message, &fault))),
                     // What crossed our goodbye was not taken.
                     Ok(()) if self.state == State::Closing => {
@@ -368,7 +368,7 @@
     fn up(&mut self, now: u64, remote: Remote, out: &mut Vec<Output>) {
         (self.state, self.due) = (State::Open, u64::MAX);
         out.push(Output::Up(remote));
-        if let Some(act) = self.watchdog.up(now, &mut self.rng) {
+        if let Some(act) = self.watchdog.handle_up(now, &mut self.rng) {
             // Not yet believed.
             out.push(Output::Failover);
             self.act(act, out);
@@ -378,11 +378,11 @@
 
 /// Who the sender of capabilities is.
 fn remote(message: &Message) -> Result<Remote, Fault> {
-    message.check()?;
+    message.validate()?;
     let text = |code| {
-        let avp = message.find(code).ok_or_else(|| Fault::missing(code))?;
+        let avp = message.find(code).ok_or_else(|| Fault::missing_avp(code))?;
         match avp.text()? {
-            "" => Err(Fault::of(result::INVALID_AVP_VALUE, avp)),
+            "" => Err(Fault::in_avp(result::INVALID_AVP_VALUE, avp)),
             text => Ok(text.to_ascii_lowercase()),
         }
     };
--- a/crates/diameter/src/servers.rs
+++ b/crates/diameter/src/servers.rs
@@ -3,7 +3,7 @@
 use crate::codec::Message;
 use crate::credit::{forwarded, verdict, Verdict};
 use crate::link::{Budget, Event, Handed, Link};
-use crate::overload::{announce, Heeded};
+use crate::overload::{announce_support, OverloadAbatement};
 use crate::peer::{Cause, Identity, Peer, Role};
 use frosthatch_engine::{
     Attempt, AttemptPermit, AttemptResult, Endpoint, EndpointObserver, EndpointState, Payload,
@@ -67,7 +67,7 @@
     was_up: Cell<bool>,
     state_id: Cell<Option<u32>>,
     /// How much less it wants to be asked.
-    heeded: RefCell<Heeded>,
+    heeded: RefCell<OverloadAbatement>,
     task: RefCell<Option<AbortHandle>>,
 }
 
@@ -280,13 +280,13 @@
         }
         if s.heeded
             .borrow()
-            .spares((self.clock)(), &mut self.rng.borrow_mut())
+            .draw_abated((self.clock)(), &mut self.rng.borrow_mut())
         {
             return AttemptResult::without_answer(CompletionStatus::Rejected);
         }
         let hop = link.hop();
         let mut message = forwarded(ccr, from, hop, again);
-        announce(&mut message);
+        announce_support(&mut message);
         if permit.check().is_err() {
             return AttemptResult::without_answer(CompletionStatus::NotSent);
         }
@@ -314,7 +314,7 @@
         };
         match answered {
             Ok(Ok(Some(answer))) => {
-                s.heeded.borrow_mut().hear((self.clock)(), &answer);
+                s.heeded.borrow_mut().update((self.clock)(), &answer);
                 let status = match verdict(&answer) {
                     Verdict::Answered => CompletionStatus::Served,
                     Verdict::TurnedAway => CompletionStatus::Rejected,
--- a/crates/diameter/tests/codec.rs
+++ b/crates/diameter/tests/codec.rs
@@ -1,9 +1,9 @@
 //! The codec against vectors worked out by hand from RFC 6733, and against anything at all.
 
 use bytes::Bytes;
-use frosthatch_diameter::codec::*;
+use frosthatch_diameter::codec::{flag, frame, Avp, Fault, Header, Message};
 use frosthatch_diameter::dictionary::{code, command, result};
-use proptest::prelude::*;
+use proptest::prelude::{any, prop_assert_eq, proptest, Strategy};
 
 /// A DWR: version 1, 20 + 16 + 16 bytes, R bit, command 280, application 0; Origin-Host "a.b" (11 bytes and one of
 /// padding) and Origin-Realm "example" (15 and one).
@@ -34,7 +34,7 @@
     let message = Message::decode(Bytes::from_static(DWR)).expect("a message");
     assert_eq!(message, dwr());
     assert_eq!(message.encode(), DWR);
-    assert_eq!(message.check(), Ok(()));
+    assert_eq!(message.validate(), Ok(()));
 }
 
 /// Vendor-specific and unknown AVPs go through as they came, in their order.
@@ -50,14 +50,14 @@
     message.avps.insert(1, unknown.clone());
     let read = Message::decode(message.encode().into()).expect("a message");
     assert_eq!(read.avps[1], unknown);
-    assert_eq!(read.check(), Ok(()));
+    assert_eq!(read.validate(), Ok(()));
     message.avps[1].flags = 0xc0;
     let fault = Message::decode(message.encode().into())
         .expect("a message")
-        .check()
+        .validate()
         .expect_err("mandatory");
     assert_eq!(
-        (fault.code, fault.avp.map(|a| a.code)),
+        (fault.result_code, fault.failed_avp.map(|a| a.code)),
         (result::AVP_UNSUPPORTED, Some(9_999))
     );
 }
@@ -85,11 +85,11 @@
     bytes[20 + 12 + 7] = 0xff;
     let unreadable = Message::decode(bytes.into()).expect_err("it overruns the message");
     assert_eq!(
-        (unreadable.fault.code, unreadable.header.hop_by_hop),
+        (unreadable.fault.result_code, unreadable.header.hop_by_hop),
         (result::INVALID_AVP_LENGTH, 7)
     );
     assert_eq!(
-        unreadable.fault.avp.map(|a| a.code),
+        unreadable.fault.failed_avp.map(|a| a.code),
         Some(code::ORIGIN_REALM)
     );
     // One in a group says more than the group holds.
@@ -101,9 +101,9 @@
     data[7] = 40;
     group.data = data.into();
     let read = Message::decode(dwr().with(group).encode().into()).expect("the outside is in order");
-    let fault = read.check().expect_err("it overruns its group");
+    let fault = read.validate().expect_err("it overruns its group");
     assert_eq!(
-        (fault.code, fault.avp.map(|a| a.code)),
+        (fault.result_code, fault.failed_avp.map(|a| a.code)),
         (result::INVALID_AVP_LENGTH, Some(code::SUBSCRIPTION_ID))
     );
 }
@@ -113,9 +113,9 @@
     let wrong = |avp: Avp| {
         Message::decode(dwr().with(avp).encode().into())
             .expect("a message")
-            .check()
+            .validate()
             .expect_err("wrong")
-            .code
+            .result_code
     };
     assert_eq!(
         wrong(Avp::new(code::RESULT_CODE, vec![1, 2])),
@@ -131,7 +131,7 @@
         Message::decode(bits.into())
             .expect_err("a request with E")
             .fault
-            .code,
+            .result_code,
         result::INVALID_HDR_BITS
     );
     let mut bits = DWR.to_vec();
@@ -140,12 +140,12 @@
         Message::decode(bits.into())
             .expect_err("a reserved bit")
             .fault
-            .code,
+            .result_code,
         result::INVALID_AVP_BITS
     );
     assert_eq!(
-        Fault::missing(code::CC_REQUEST_NUMBER)
-            .avp
+        Fault::missing_avp(code::CC_REQUEST_NUMBER)
+            .failed_avp
             .map(|a| a.data.len()),
         Some(4)
     );
@@ -159,7 +159,11 @@
         avp = Avp::of_group(code::PROXY_INFO, &[avp]);
     }
     assert_eq!(
-        dwr().with(avp).check().expect_err("too deep").code,
+        dwr()
+            .with(avp)
+            .validate()
+            .expect_err("too deep")
+            .result_code,
         result::INVALID_AVP_VALUE
     );
 }
@@ -197,7 +201,7 @@
     fn arbitrary_bytes_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let _ = frame(&bytes);
         if let Ok(message) = Message::decode(bytes.into()) {
-            let _ = message.check();
+            let _ = message.validate();
         }
     }
 
@@ -206,7 +210,7 @@
     fn arbitrary_avps_never_panic(tail in proptest::collection::vec(any::<u8>(), 0..400)) {
         let bytes = [&DWR[..20], &tail].concat();
         if let Ok(message) = Message::decode(bytes.into()) {
-            let _ = message.check();
+            let _ = message.validate();
             prop_assert_eq!(Message::decode(message.encode().into()), Ok(message));
         }
     }
--- a/crates/diameter/tests/crediting.rs
+++ b/crates/diameter/tests/crediting.rs
@@ -77,7 +77,7 @@
 
 fn faulty(credit: &mut Credit<u32>, ccr: &Message) -> u32 {
     match credit.take(0, ccr, 1) {
-        Taken::Faulty(fault) => fault.code,
+        Taken::Faulty(fault) => fault.result_code,
         other => panic!("{other:?}"),
     }
 }
@@ -415,7 +415,7 @@
     let Taken::Faulty(fault) = credit.take(61 * SECOND, &event(2, 24), 1) else {
         panic!("too many")
     };
-    assert_eq!(fault.code, result::TOO_BUSY);
+    assert_eq!(fault.result_code, result::TOO_BUSY);
 }
 
 #[test]
--- a/crates/diameter/tests/golden_forms.rs
+++ b/crates/diameter/tests/golden_forms.rs
@@ -1,13 +1,13 @@
 //! The recorded dictionary: codes, names and kinds of AVPs, commands, applications and results are the RFCs'.
 //! `RECORD=1 cargo test --test golden_forms` records them anew.
 
-use frosthatch_diameter::dictionary::{application, command, result, AVPS};
+use frosthatch_diameter::dictionary::{application, command, result, AvpDefinition, AVPS};
 use std::fmt::Write;
 
 #[test]
 fn the_dictionary_is_the_one_that_was_recorded() {
     let mut text = String::new();
-    for (code, name, kind) in AVPS {
+    for AvpDefinition { code, name, kind } in AVPS {
         writeln!(text, "avp {code} {name} {kind:?}").expect("to memory");
     }
     let commands = [
