--- a/crates/diameter/src/front.rs
+++ b/crates/diameter/src/front.rs
@@ -3,9 +3,9 @@
 use crate::codec::Message;
 use crate::credit::{loops, Ask, Credit, Key, Mapping, Taken};
 use crate::dictionary::result;
-use crate::link::{Budget, Event, Link};
+use crate::link::{Event, Link, WriteBudget};
 use crate::overload::OverloadReporter;
-use crate::peer::{Cause, Identity, Peer, Role};
+use crate::peer::{DisconnectCause, Identity, Peer, Role};
 use crate::servers::{Outgoing, Servers};
 use frosthatch_engine::{Engine, IncomingRequest, Protocol, Response};
 use frosthatch_traffic_control::{CustomerId, Request, RequestId, ServerId};
@@ -57,7 +57,7 @@
 
 pub struct Front {
     plan: RefCell<Rc<FrontConfig>>,
-    budget: Rc<Budget>,
+    budget: Rc<WriteBudget>,
     engine: Rc<Engine>,
     servers: Rc<Servers>,
     credit: RefCell<Credit<Waiter>>,
@@ -76,7 +76,7 @@
         let credit = RefCell::new(Credit::new(plan.mapping.clone()));
         let next = Cell::new(plan.seed);
         let front = Rc::new(Front {
-            budget: Budget::new(plan.queued_bytes),
+            budget: WriteBudget::new(plan.queued_bytes),
             plan: RefCell::new(Rc::new(plan)),
             engine,
             servers: servers.clone(),
@@ -100,7 +100,7 @@
 
     /// From now on by another plan: each request when it comes, each connection when it is made.
     pub fn reload(&self, plan: FrontConfig) {
-        self.budget.most.set(plan.queued_bytes);
+        self.budget.set_max_bytes(plan.queued_bytes);
         self.credit.borrow_mut().remap(plan.mapping.clone());
         *self.plan.borrow_mut() = Rc::new(plan);
     }
@@ -131,7 +131,7 @@
         self.clients
             .borrow()
             .values()
-            .for_each(|link| link.leave(Cause::Rebooting));
+            .for_each(|link| link.disconnect(DisconnectCause::Rebooting));
     }
 
     /// Accepts connections for good.
@@ -205,7 +205,7 @@
 
     fn request(self: &Rc<Self>, client: u64, link: &Link, from: &str, ccr: Message) {
         let refuse = |code| {
-            link.answer(&link.own_answer(&ccr, code));
+            link.send_answer(&link.own_answer(&ccr, code));
         };
         let plan = self.plan();
         if self.leaving.get() || self.open_bytes.get() + ccr.memory_bytes() > plan.request_bytes {
@@ -226,7 +226,7 @@
             Taken::Joins => {}
             Taken::Again(mut answer) => {
                 answer.header.hop_by_hop = ccr.header.hop_by_hop;
-                link.answer(&answer);
+                link.send_answer(&answer);
             }
             Taken::Faulty(fault) => {
                 let mut answer = link.own_answer(&ccr, fault.result_code);
@@ -236,7 +236,7 @@
                         .avps
                         .push(crate::codec::Avp::of_group(failed, &[avp]));
                 }
-                link.answer(&answer);
+                link.send_answer(&answer);
             }
             Taken::Ask(key, ask) => self.ask(link, from, key, ask, ccr),
         }
@@ -351,7 +351,7 @@
             if let Some(link) = link {
                 let mut answer = answer.clone();
                 answer.header.hop_by_hop = w.hop_by_hop;
-                link.answer(&answer);
+                link.send_answer(&answer);
             }
         }
     }
--- a/crates/diameter/src/lib.rs
+++ b/crates/diameter/src/lib.rs
@@ -4,12 +4,7 @@
 //! the decisions; [`peer`] is one connection's state, [`watchdog`] a part of it,
 //! [`overload`] what is reported of overload. None of
 //! these does I/O.
-#![expect(
-    clippy::semicolon_if_nothing_returned,
-    clippy::single_match_else,
-    clippy::too_many_lines,
-    missing_docs
-)]
+#![expect(clippy::too_many_lines, missing_docs)]
 
 pub mod codec;
 pub mod credit;
--- a/crates/diameter/src/link.rs
+++ b/crates/diameter/src/link.rs
@@ -1,299 +1,325 @@
-//! The driver of one connection: bytes in and out, and the peer's timers. No rules here.
+//! The driver of one connection: reads, writes, and calls the state machine of [`peer`](crate::peer) when its timers
+//! expire. It contains no rules of the protocol.
 
-use crate::codec::{self, Message};
-use crate::peer::{Cause, Input, Output, Peer, Remote};
+mod end;
+mod write_queue;
+
+pub use end::LinkEnd;
+pub use write_queue::{QueuedMessage, SentAttempt, WriteBudget};
+
+use crate::codec::{self, Fault, Message};
+use crate::peer::{DisconnectCause, Input, Output, Peer, Remote};
 use bytes::{Bytes, BytesMut};
-use frosthatch_engine::{AttemptPermit, WriteDenied};
+use frosthatch_engine::AttemptPermit;
 use frosthatch_sockets::Uninterrupted;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
+use tokio::io::{self, AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::sync::{mpsc, oneshot, Notify};
 use tokio::time::sleep;
+use write_queue::QueuedAttempt;
 
-/// Messages that wait to be written to one peer at most, and its part of the bytes that may wait for all.
-const WAITING: usize = 1_024;
-const SHARE: usize = 2;
-/// Read at once.
-const CHUNK: usize = 8 << 10;
+/// Messages that may wait to be written on one connection.
+const MAX_QUEUED_MESSAGES: usize = 1_024;
+/// Space for one read.
+const READ_CHUNK_BYTES: usize = 8 << 10;
+/// Longest time between two checks of the timers.
+const MAX_TIMER_WAIT_US: u64 = 1_000_000;
+/// Before a connection is closed its queue is checked so often, at this interval, for whether all is written.
+const FLUSH_CHECKS: usize = 20;
+const FLUSH_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What happens on a connection, for whoever uses it.
+/// What a connection's user has to know.
 pub enum Event {
+    /// Capabilities have been exchanged.
     Up(Remote),
+    /// Send new requests to other peers.
     Failover,
+    /// The peer accepts requests again.
     Failback,
-    Leaving,
+    /// The peer accepts no new requests and will close the connection.
+    PeerClosing,
+    /// A request was received.
     Request(Message),
+    /// An answer was received.
     Answer(Message),
 }
 
-/// Bytes that wait to be written on all connections of one side.
-pub struct Budget {
-    pub most: Cell<usize>,
-    held: Cell<usize>,
-}
-
-impl Budget {
-    pub fn new(most: usize) -> Rc<Budget> {
-        Rc::new(Budget {
-            most: Cell::new(most),
-            held: Cell::new(0),
-        })
-    }
-}
-
-/// A message that waits to be written.
-pub struct Queued {
-    bytes: Vec<u8>,
-    /// Of an attempt: leave to write it, and who hears if there is none any more.
-    attempt: Option<(AttemptPermit, oneshot::Sender<WriteDenied>)>,
-}
-
-/// An attempt's message that was handed over.
-pub struct Handed {
-    /// Where its last byte stands in all that is written.
-    pub end: u64,
-    /// Hears why it was not written, if it was not.
-    pub withheld: oneshot::Receiver<WriteDenied>,
-}
-
-/// The near end of a connection.
+/// The handle of a connection.
 pub struct Link {
     peer: RefCell<Peer>,
-    budget: Rc<Budget>,
-    out: mpsc::Sender<Queued>,
-    /// Bytes handed over so far, and of them those that were written.
-    queued: Cell<u64>,
-    written: Cell<u64>,
-    broken: Notify,
+    budget: Rc<WriteBudget>,
+    write_queue: mpsc::Sender<QueuedMessage>,
+    /// Bytes that were queued since the start.
+    queued_bytes: Cell<u64>,
+    /// Those of them that were written or discarded.
+    written_bytes: Cell<u64>,
+    abandoned: Notify,
     clock: Rc<dyn Fn() -> u64>,
 }
 
 impl Link {
-    /// A connection's near end, and what it has to write.
+    /// A connection's handle, and the queue that [`run`](Self::run) is to write. `clock`: microseconds.
     pub fn new(
         peer: Peer,
         clock: Rc<dyn Fn() -> u64>,
-        budget: Rc<Budget>,
-    ) -> (Rc<Link>, mpsc::Receiver<Queued>) {
-        let (out, to_write) = mpsc::channel(WAITING);
-        let (queued, written, broken) = (Cell::new(0), Cell::new(0), Notify::new());
-        (
-            Rc::new(Link {
-                peer: RefCell::new(peer),
-                budget,
-                out,
-                queued,
-                written,
-                broken,
-                clock,
-            }),
-            to_write,
-        )
-    }
-
-    pub fn open(&self) -> bool {
-        self.peer.borrow().open()
-    }
-
-    /// A fresh Hop-by-Hop id.
-    pub fn hop(&self) -> u32 {
-        self.peer.borrow_mut().hop()
+        budget: Rc<WriteBudget>,
+    ) -> (Rc<Link>, mpsc::Receiver<QueuedMessage>) {
+        let (write_queue, to_write) = mpsc::channel(MAX_QUEUED_MESSAGES);
+        let link = Link {
+            peer: RefCell::new(peer),
+            budget,
+            write_queue,
+            queued_bytes: Cell::new(0),
+            written_bytes: Cell::new(0),
+            abandoned: Notify::new(),
+            clock,
+        };
+        (Rc::new(link), to_write)
     }
 
-    /// An answer of the gateway's own.
-    pub fn own_answer(&self, to: &Message, result: u32) -> Message {
-        self.peer.borrow().answer(to, result)
+    /// Whether requests may be exchanged.
+    pub fn is_open(&self) -> bool {
+        self.peer.borrow().is_open()
     }
 
-    /// Hands a message over to be written; where its last byte stands in all that is written. None if too much waits
-    /// there already.
-    pub fn send(&self, message: &Message) -> Option<u64> {
-        self.send_within_budget(message.encode(), None)
+    /// Assigns the next Hop-by-Hop Identifier.
+    pub fn next_hop_by_hop(&self) -> u32 {
+        self.peer.borrow_mut().next_hop_by_hop()
     }
 
-    /// The same for an attempt: when its turn comes it is written only if it still may be.
-    pub fn send_attempt(&self, message: &Message, permit: AttemptPermit) -> Option<Handed> {
-        let (sender, withheld) = oneshot::channel();
-        let end = self.send_within_budget(message.encode(), Some((permit, sender)))?;
-        Some(Handed { end, withheld })
+    /// An answer from the gateway itself; it is not sent.
+    pub fn own_answer(&self, request: &Message, result_code: u32) -> Message {
+        self.peer.borrow().answer(request, result_code)
     }
 
-    fn send_within_budget(
-        &self,
-        bytes: Vec<u8>,
-        attempt: Option<(AttemptPermit, oneshot::Sender<WriteDenied>)>,
-    ) -> Option<u64> {
-        let most = self.budget.most.get();
-        let own = (self.queued.get() - self.written.get()) as usize + bytes.len();
-        let fits = own <= most / SHARE && self.budget.held.get() + bytes.len() <= most;
-        fits.then(|| self.queue(Queued { bytes, attempt }))?
+    /// The answer that reports a fault of a request; it is not sent.
+    pub fn fault_answer(&self, request: &Message, fault: &Fault) -> Message {
+        self.peer.borrow().fault_answer(request, fault)
     }
 
-    /// The same for the gateway's part in the connection itself, which no answers of others hold up.
-    fn put(&self, bytes: Vec<u8>) -> Option<u64> {
-        self.queue(Queued {
-            bytes,
-            attempt: None,
-        })
+    /// Queues a message. Returns the position of its end in the byte stream; `None` if too much is queued already.
+    pub fn send(&self, message: &Message) -> Option<u64> {
+        self.queue_within_budget(message.encode(), None)
     }
 
-    fn queue(&self, queued: Queued) -> Option<u64> {
-        let length = queued.bytes.len();
-        self.out.try_send(queued).ok()?;
-        self.budget.held.set(self.budget.held.get() + length);
-        self.queued.set(self.queued.get() + length as u64);
-        Some(self.queued.get())
+    /// Queues an attempt's message. It is written only if `permit` still allows it when its turn comes.
+    pub fn send_attempt(&self, message: &Message, permit: AttemptPermit) -> Option<SentAttempt> {
+        let (sender, denied) = oneshot::channel();
+        let attempt = QueuedAttempt {
+            permit,
+            denied: sender,
+        };
+        let end = self.queue_within_budget(message.encode(), Some(attempt))?;
+        Some(SentAttempt { end, denied })
     }
 
-    /// Hands over an answer. A client that has not read so many others is left.
-    pub fn answer(&self, answer: &Message) {
+    /// Queues an answer. The connection of a client that does not read its answers is abandoned.
+    pub fn send_answer(&self, answer: &Message) {
         if self.send(answer).is_none() {
-            self.broken.notify_one();
+            self.abandoned.notify_one();
         }
     }
 
-    /// Whether all up to there has been written.
+    /// Whether the byte stream has been written up to this position.
     pub fn has_written(&self, end: u64) -> bool {
-        self.written.get() >= end
+        self.written_bytes.get() >= end
     }
 
-    /// Says goodbye.
-    pub fn leave(&self, cause: Cause) {
+    /// Sends a disconnect request. The connection ends with its answer or its timeout.
+    pub fn disconnect(&self, cause: DisconnectCause) {
         let mut out = Vec::new();
-        self.peer
-            .borrow_mut()
-            .handle((self.clock)(), Input::Leave(cause), &mut out);
-        // Nothing of this is an event; a close ends the loop by its timer or by the end of the stream.
+        self.handle(Input::Disconnect(cause), &mut out);
         for output in out {
             match output {
-                Output::Send(message) => drop(self.put(message.encode())),
-                Output::Close(_) => self.broken.notify_one(),
+                Output::Send(message) => drop(self.send_control(&message)),
+                Output::Close(_) => self.abandoned.notify_one(),
                 _ => {}
             }
         }
     }
 
-    /// So many bytes wait no longer.
-    fn left_queue(&self, bytes: usize) {
-        self.written.set(self.written.get() + bytes as u64);
-        self.budget.held.set(self.budget.held.get() - bytes);
-    }
-
-    /// Carries the connection until it ends; why it did.
+    /// Drives the connection until it ends.
     pub async fn run(
         &self,
         stream: impl AsyncRead + AsyncWrite + Unpin,
-        mut to_write: mpsc::Receiver<Queued>,
-        mut event: impl FnMut(Event),
-    ) -> String {
-        let (mut read, mut write) = tokio::io::split(Uninterrupted(stream));
-        let writes = async {
-            while let Some(Queued { bytes, attempt }) = to_write.recv().await {
-                // It may have waited for long behind others that the peer was slow to read.
-                let mut written = None;
-                if let Some((permit, withheld)) = attempt {
-                    if let Err(why) = permit.check() {
-                        let _ = withheld.send(why);
-                        self.left_queue(bytes.len());
-                        continue;
-                    }
-                    written = Some(permit);
-                }
-                if write.write_all(&bytes).await.is_err() {
-                    return;
-                }
-                // In the same step as the last byte: nothing that has left counts as not written.
-                if let Some(permit) = written {
-                    permit.written(None);
+        to_write: mpsc::Receiver<QueuedMessage>,
+        on_event: impl FnMut(Event),
+    ) -> LinkEnd {
+        let (reader, writer) = io::split(Uninterrupted(stream));
+        tokio::select! {
+            end = self.read_messages(reader, on_event) => end,
+            () = self.write_messages(writer, to_write) => LinkEnd::WriteFailed,
+        }
+    }
+
+    /// Writes queued messages until that fails.
+    async fn write_messages(
+        &self,
+        mut writer: impl AsyncWrite + Unpin,
+        mut to_write: mpsc::Receiver<QueuedMessage>,
+    ) {
+        while let Some(QueuedMessage { bytes, attempt }) = to_write.recv().await {
+            let mut permit = None;
+            if let Some(attempt) = attempt {
+                // The message may have waited for long while the peer was slow to read.
+                if let Err(denied) = attempt.permit.check() {
+                    let _ = attempt.denied.send(denied);
+                    self.release(bytes.len());
+                    continue;
                 }
-                self.left_queue(bytes.len());
-                if write.flush().await.is_err() {
-                    return;
+                permit = Some(attempt.permit);
+            }
+            if writer.write_all(&bytes).await.is_err() {
+                return;
+            }
+            // Without an await after the last byte: what has been sent never counts as not written.
+            if let Some(permit) = permit {
+                permit.written(None);
+            }
+            self.release(bytes.len());
+            if writer.flush().await.is_err() {
+                return;
+            }
+        }
+    }
+
+    /// Reads messages, and handles timers, until the connection ends.
+    async fn read_messages(
+        &self,
+        mut reader: impl AsyncRead + Unpin,
+        mut on_event: impl FnMut(Event),
+    ) -> LinkEnd {
+        let mut buffer = BytesMut::new();
+        let mut out = Vec::new();
+        self.handle(Input::Connected, &mut out);
+        loop {
+            for output in out.drain(..) {
+                if let Err(end) = self.apply(output, &mut on_event).await {
+                    return end;
                 }
             }
-        };
-        let reads = async {
-            let mut buffer = BytesMut::new();
-            let mut out = Vec::new();
-            self.peer
-                .borrow_mut()
-                .handle((self.clock)(), Input::Connected, &mut out);
-            loop {
-                for output in out.drain(..) {
-                    match output {
-                        Output::Send(message) => {
-                            if self.put(message.encode()).is_none() {
-                                return "it does not read".to_string();
-                            }
-                        }
-                        Output::Close(why) => {
-                            // What was handed over before may still go out.
-                            let end = self.queued.get();
-                            for _ in 0..20 {
-                                if self.has_written(end) {
-                                    break;
-                                }
-                                sleep(Duration::from_millis(5)).await;
-                            }
-                            return why;
-                        }
-                        Output::Up(remote) => event(Event::Up(remote)),
-                        Output::Failover => event(Event::Failover),
-                        Output::Failback => event(Event::Failback),
-                        Output::Leaving => event(Event::Leaving),
-                        Output::Request(message) => event(Event::Request(message)),
-                        Output::Answer(message) => event(Event::Answer(message)),
-                    }
+            match next_message(&mut buffer) {
+                Ok(Some(bytes)) => {
+                    self.handle(decode(bytes), &mut out);
+                    continue;
                 }
-                match next(&mut buffer) {
-                    Ok(Some(bytes)) => {
-                        let input = match Message::decode(bytes) {
-                            Ok(message) => Input::Message(message),
-                            Err(unreadable) => Input::Unreadable(unreadable),
-                        };
-                        self.peer
-                            .borrow_mut()
-                            .handle((self.clock)(), input, &mut out);
-                        continue;
-                    }
-                    Ok(None) => {}
-                    Err(code) => return format!("its stream cannot be followed, {code}"),
+                Ok(None) => {}
+                Err(fault) => {
+                    let code = fault.result_code;
+                    return LinkEnd::InvalidFrame { code };
                 }
-                let wait = self.peer.borrow().next().saturating_sub((self.clock)());
-                buffer.reserve(CHUNK);
-                tokio::select! {
-                    n = read.read_buf(&mut buffer) => if !matches!(n, Ok(n) if n > 0) {
-                        return "the connection ended".into();
-                    },
-                    () = sleep(Duration::from_micros(wait.min(1_000_000))) => {
-                        self.peer.borrow_mut().tick((self.clock)(), &mut out);
-                    }
-                    () = self.broken.notified() => return "it is left".into(),
+            }
+            buffer.reserve(READ_CHUNK_BYTES);
+            tokio::select! {
+                read = reader.read_buf(&mut buffer) => if !matches!(read, Ok(length) if length > 0) {
+                    return LinkEnd::ConnectionEnded;
+                },
+                () = sleep(self.timer_wait()) => {
+                    self.peer.borrow_mut().handle_timeout((self.clock)(), &mut out);
                 }
+                () = self.abandoned.notified() => return LinkEnd::Abandoned,
             }
-        };
-        tokio::select! {
-            why = reads => why,
-            () = writes => "it cannot be written to".into(),
         }
     }
+
+    /// # Errors
+    /// The connection ends.
+    async fn apply(&self, output: Output, on_event: &mut impl FnMut(Event)) -> Result<(), LinkEnd> {
+        match output {
+            Output::Send(message) => {
+                self.send_control(&message).ok_or(LinkEnd::PeerNotReading)?;
+            }
+            Output::Close(reason) => {
+                self.flush().await;
+                return Err(LinkEnd::Closed(reason));
+            }
+            Output::Up(remote) => on_event(Event::Up(remote)),
+            Output::Failover => on_event(Event::Failover),
+            Output::Failback => on_event(Event::Failback),
+            Output::PeerClosing => on_event(Event::PeerClosing),
+            Output::Request(message) => on_event(Event::Request(message)),
+            Output::Answer(message) => on_event(Event::Answer(message)),
+        }
+        Ok(())
+    }
+
+    /// Waits, for a bounded time, until what is queued now has been written.
+    async fn flush(&self) {
+        let end = self.queued_bytes.get();
+        for _ in 0..FLUSH_CHECKS {
+            if self.has_written(end) {
+                break;
+            }
+            sleep(FLUSH_CHECK_INTERVAL).await;
+        }
+    }
+
+    fn handle(&self, input: Input, out: &mut Vec<Output>) {
+        self.peer.borrow_mut().handle((self.clock)(), input, out);
+    }
+
+    fn timer_wait(&self) -> Duration {
+        let wait_us = self.peer.borrow().due_us().saturating_sub((self.clock)());
+        Duration::from_micros(wait_us.min(MAX_TIMER_WAIT_US))
+    }
+
+    fn queue_within_budget(&self, bytes: Vec<u8>, attempt: Option<QueuedAttempt>) -> Option<u64> {
+        if !self
+            .budget
+            .has_capacity(self.unwritten_bytes(), bytes.len())
+        {
+            return None;
+        }
+        self.queue(QueuedMessage { bytes, attempt })
+    }
+
+    /// Queues a message of the connection itself; the budget does not apply, so that application messages cannot block it.
+    fn send_control(&self, message: &Message) -> Option<u64> {
+        self.queue(QueuedMessage {
+            bytes: message.encode(),
+            attempt: None,
+        })
+    }
+
+    fn queue(&self, message: QueuedMessage) -> Option<u64> {
+        let length = message.bytes.len();
+        self.write_queue.try_send(message).ok()?;
+        self.budget.add(length);
+        let end = self.queued_bytes.get() + length as u64;
+        self.queued_bytes.set(end);
+        Some(end)
+    }
+
+    /// Records that a message of this length left the queue.
+    fn release(&self, bytes: usize) {
+        self.written_bytes
+            .set(self.written_bytes.get() + bytes as u64);
+        self.budget.release(bytes);
+    }
+
+    fn unwritten_bytes(&self) -> usize {
+        (self.queued_bytes.get() - self.written_bytes.get()) as usize
+    }
 }
 
 impl Drop for Link {
     fn drop(&mut self) {
-        let unwritten = (self.queued.get() - self.written.get()) as usize;
-        self.budget.held.set(self.budget.held.get() - unwritten);
+        self.budget.release(self.unwritten_bytes());
     }
 }
 
-/// The next whole message's bytes.
-fn next(buffer: &mut BytesMut) -> Result<Option<Bytes>, u32> {
-    match codec::frame(buffer) {
-        Ok(Some(length)) => Ok(Some(buffer.split_to(length).freeze())),
-        Ok(None) => Ok(None),
-        Err(fault) => Err(fault.result_code),
+/// Takes the first message's bytes off the buffer; `None` while it is incomplete.
+fn next_message(buffer: &mut BytesMut) -> Result<Option<Bytes>, Fault> {
+    let length = codec::frame(buffer)?;
+    Ok(length.map(|length| buffer.split_to(length).freeze()))
+}
+
+fn decode(bytes: Bytes) -> Input {
+    match Message::decode(bytes) {
+        Ok(message) => Input::Message(message),
+        Err(unreadable) => Input::Unreadable(unreadable),
     }
 }
 
--- a/crates/diameter/src/link/tests.rs
+++ b/crates/diameter/src/link/tests.rs
@@ -1,27 +1,29 @@
-use super::*;
-use crate::codec::{Avp, Header};
+use super::{Link, QueuedMessage, WriteBudget};
+use crate::codec::{Avp, Header, Message};
 use crate::dictionary::{code, command};
-use crate::peer::{Identity, Role};
-use frosthatch_engine::ClientPresence;
+use crate::peer::{Identity, Peer, Role};
+use frosthatch_engine::{AttemptPermit, ClientPresence, WriteDenied};
 use frosthatch_traffic_control::RequestId;
 use std::rc::Rc;
-use tokio::io::DuplexStream;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, DuplexStream};
+use tokio::sync::mpsc;
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{timeout, Instant};
 
-/// What a connection takes from the link before its peer reads.
-const TAKEN: usize = 16;
+/// Bytes that the transport buffers before the peer reads.
+const TRANSPORT_BUFFER_BYTES: usize = 16;
 
-fn link() -> (Rc<Link>, mpsc::Receiver<Queued>) {
+fn link() -> (Rc<Link>, mpsc::Receiver<QueuedMessage>) {
     let address = "127.0.0.1".parse().expect("an address");
-    let me = Identity {
+    let identity = Identity {
         host: "g".into(),
         realm: "example.org".into(),
         address,
         state_id: 1,
     };
-    let peer = Peer::new(me, Role::Client, 30_000_000, false, 1);
-    Link::new(peer, Rc::new(|| 0), Budget::new(1 << 20))
+    let peer = Peer::new(identity, Role::Client, 30_000_000, false, 1);
+    Link::new(peer, Rc::new(|| 0), WriteBudget::new(1 << 20))
 }
 
 fn message(session: &str) -> Message {
@@ -35,48 +37,51 @@
     Message::new(header).with(Avp::of_text(code::SESSION_ID, session))
 }
 
-fn permit(waiting: &ClientPresence) -> AttemptPermit {
+fn permit(client: &ClientPresence) -> AttemptPermit {
     let later = Instant::now() + Duration::from_secs(60);
-    AttemptPermit::new(RequestId(1), later, later, waiting.clone(), Rc::default())
+    AttemptPermit::new(RequestId(1), later, later, client.clone(), Rc::default())
 }
 
 async fn read_all(mut stream: DuplexStream) -> String {
-    let mut all = Vec::new();
+    let mut bytes = Vec::new();
     let mut chunk = [0; 64];
-    while let Ok(Ok(n @ 1..)) = timeout(Duration::from_millis(200), stream.read(&mut chunk)).await {
-        all.extend_from_slice(&chunk[..n]);
+    while let Ok(Ok(length @ 1..)) =
+        timeout(Duration::from_millis(200), stream.read(&mut chunk)).await
+    {
+        bytes.extend_from_slice(&chunk[..length]);
     }
-    String::from_utf8_lossy(&all).into()
+    String::from_utf8_lossy(&bytes).into()
 }
 
-/// Guards against an attempt that waits behind others until nobody wants it any more, and is written all the same.
+/// Guards against an attempt that is written although its client left while it waited behind others.
 #[tokio::test]
-async fn an_attempt_that_waited_too_long_is_not_written() {
+async fn an_attempt_whose_client_left_while_it_was_queued_is_not_written() {
     let test = async {
         let (link, to_write) = link();
-        let (near, far) = tokio::io::duplex(TAKEN);
+        let (near_end, far_end) = tokio::io::duplex(TRANSPORT_BUFFER_BYTES);
         let running = link.clone();
-        spawn_local(async move { running.run(near, to_write, |_| ()).await });
-        let (stays, leaves) = (ClientPresence::default(), ClientPresence::default());
+        spawn_local(async move { running.run(near_end, to_write, |_| ()).await });
+        let staying_client = ClientPresence::default();
+        let leaving_client = ClientPresence::default();
         let first = link
-            .send_attempt(&message("session-one"), permit(&stays))
+            .send_attempt(&message("session-one"), permit(&staying_client))
             .expect("room");
         let second = link
-            .send_attempt(&message("session-two"), permit(&leaves))
+            .send_attempt(&message("session-two"), permit(&leaving_client))
             .expect("room");
         let third = link
-            .send_attempt(&message("session-three"), permit(&stays))
+            .send_attempt(&message("session-three"), permit(&staying_client))
             .expect("room");
         tokio::task::yield_now().await;
-        leaves.end();
-        let read = read_all(far).await;
+        leaving_client.end();
+        let read = read_all(far_end).await;
         assert!(
             read.contains("session-one") && read.contains("session-three"),
             "{read:?}"
         );
         assert!(!read.contains("session-two"), "{read:?}");
-        assert_eq!(second.withheld.await, Ok(WriteDenied::NobodyWaits));
-        assert!(first.withheld.await.is_err() && third.withheld.await.is_err());
+        assert_eq!(second.denied.await, Ok(WriteDenied::NobodyWaits));
+        assert!(first.denied.await.is_err() && third.denied.await.is_err());
     };
     LocalSet::new().run_until(test).await;
 }
--- a/crates/diameter/src/peer.rs
+++ b/crates/diameter/src/peer.rs
@@ -1,85 +1,107 @@
-//! One peer's connection (RFC 6733 section 5): capabilities, watchdog, the end. No I/O and no clock.
+//! The state machine of one connection to a peer (RFC 6733 section 5): capabilities exchange, watchdog, disconnect. No I/O
+//! and no clock: times are microseconds, handed in.
 //!
-//! A peer that connects to the gateway is a client, one that the gateway connects to is a server: there is one connection
-//! to each and no election (section 5.6.4).
+//! A peer that connects to the gateway is a client, one that the gateway connects to is a server. There is one connection
+//! to each, and no election (section 5.6.4).
 //!
 //! ```text
 //!   accepted: WAIT_CER --CER--> OPEN          connected: (CER sent) WAIT_CEA --CEA 2001--> OPEN
-//!   OPEN --DPR from us--> CLOSING --DPA--> closed      OPEN --DPR from the peer--> LEAVING --it closes--> closed
+//!   OPEN --DPR from us--> CLOSING --DPA--> closed      OPEN --DPR from the peer--> PEER_CLOSING --it closes--> closed
 //! ```
 
+mod capabilities;
+mod close_reason;
+mod messages;
+
+pub use close_reason::CloseReason;
+
 use crate::codec::{flag, Avp, Fault, Header, Message, Unreadable};
-use crate::dictionary::{application, code, command, result};
+use crate::dictionary::{application, code, command};
 use crate::watchdog::{Action, Watchdog};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::net::IpAddr;
 
-/// Capabilities, and the answer to a DPR, are awaited for so long.
-const ANSWERS_WITHIN_US: u64 = 5_000_000;
-/// After the peer's DPR the connection is the peer's to close, for so long.
-const LEAVES_WITHIN_US: u64 = 30_000_000;
+/// For the peer's capabilities, and for its answer to a disconnect request.
+const ANSWER_TIMEOUT_US: u64 = 5_000_000;
+/// For the peer to close the connection after its disconnect request.
+const PEER_CLOSE_TIMEOUT_US: u64 = 30_000_000;
 
-/// Why a connection ends (RFC 6733 section 5.4.3).
+/// Disconnect-Cause (RFC 6733 section 5.4.3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
+pub enum DisconnectCause {
+    /// The gateway restarts.
     Rebooting = 0,
+    /// The gateway is short of resources.
     Busy = 1,
+    /// No messages to this peer are expected.
     DoNotWantToTalkToYou = 2,
 }
 
-/// Who the gateway is to its peers.
+/// How the gateway identifies itself to its peers.
 #[derive(Clone, Debug)]
 pub struct Identity {
+    /// Origin-Host.
     pub host: String,
+    /// Origin-Realm.
     pub realm: String,
+    /// Host-IP-Address.
     pub address: IpAddr,
-    /// Grows with each start (RFC 6733 section 8.16).
+    /// Origin-State-Id, which increases with each start (RFC 6733 section 8.16).
     pub state_id: u32,
 }
 
-/// Who a peer says it is.
+/// How a peer identifies itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Remote {
+    /// Origin-Host in lower case.
     pub host: String,
+    /// Origin-Realm in lower case.
     pub realm: String,
-    /// None: it keeps no state.
+    /// Origin-State-Id; `None` if the peer does not send it.
     pub state_id: Option<u32>,
 }
 
+/// The peer's role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// The peer connected.
+    /// The peer connected to the gateway.
     Client,
-    /// The gateway connected.
+    /// The gateway connected to the peer.
     Server,
 }
 
+/// What happens to a connection.
 pub enum Input {
-    /// The transport is there.
+    /// The transport is connected.
     Connected,
+    /// A message was received.
     Message(Message),
+    /// A message was received that cannot be decoded.
     Unreadable(Unreadable),
-    /// Say goodbye: nothing is held for the peer any more.
-    Leave(Cause),
+    /// The gateway disconnects; no requests are pending any more.
+    Disconnect(DisconnectCause),
 }
 
+/// What is to be done on a connection, or what its user has to know.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Output {
+    /// Send a message.
     Send(Message),
-    /// Capabilities are exchanged.
+    /// Capabilities have been exchanged.
     Up(Remote),
-    /// New requests go elsewhere.
+    /// Send new requests to other peers.
     Failover,
-    /// It takes requests again.
+    /// The peer accepts requests again.
     Failback,
-    /// It takes no new requests, and will close.
-    Leaving,
-    /// An application's message.
+    /// The peer accepts no new requests and will close the connection.
+    PeerClosing,
+    /// A valid request of the credit-control application was received.
     Request(Message),
+    /// An answer was received.
     Answer(Message),
-    /// Close the transport; why, for the log.
-    Close(String),
+    /// Close the transport.
+    Close(CloseReason),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -88,325 +110,186 @@
     WaitCer,
     WaitCea,
     Open,
-    /// Our DPR is out.
+    /// The gateway's DPR is not answered yet.
     Closing,
-    /// Its DPR was answered.
-    Leaving,
+    /// The peer's DPR was answered.
+    PeerClosing,
     Closed,
 }
 
+/// The state of one connection.
 pub struct Peer {
-    me: Identity,
+    identity: Identity,
     role: Role,
     state: State,
     watchdog: Watchdog,
     rng: Pcg64Mcg,
-    due: u64,
+    /// When the current state times out.
+    due_us: u64,
     end_to_end: u32,
     hop_by_hop: u32,
 }
 
 impl Peer {
-    /// `again`: it was up before, and must show that it is back (RFC 3539: REOPEN).
-    pub fn new(me: Identity, role: Role, tw_us: u64, again: bool, seed: u64) -> Peer {
+    /// A connection that is not established yet. `tw_us`: the watchdog's interval. `was_up_before`: the peer was connected
+    /// earlier, and has to answer watchdog requests before it gets requests again (RFC 3539: REOPEN).
+    pub fn new(identity: Identity, role: Role, tw_us: u64, was_up_before: bool, seed: u64) -> Peer {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let (end_to_end, hop_by_hop) = (rng.next_u32(), rng.next_u32());
+        let end_to_end = rng.next_u32();
+        let hop_by_hop = rng.next_u32();
         let mut watchdog = Watchdog::new(tw_us);
-        if again {
+        if was_up_before {
             watchdog.handle_down();
         }
         Peer {
-            me,
+            identity,
             role,
             state: State::Idle,
             watchdog,
             rng,
-            due: u64::MAX,
+            due_us: u64::MAX,
             end_to_end,
             hop_by_hop,
         }
     }
 
-    /// Whether it takes new requests.
-    pub fn open(&self) -> bool {
+    /// Whether requests may be exchanged.
+    pub fn is_open(&self) -> bool {
         self.state == State::Open
     }
 
-    pub fn next(&self) -> u64 {
+    /// When [`handle_timeout`](Self::handle_timeout) is to be called; `u64::MAX` for never.
+    pub fn due_us(&self) -> u64 {
         if self.state == State::Open {
-            self.due.min(self.watchdog.due_us())
+            self.due_us.min(self.watchdog.due_us())
         } else {
-            self.due
+            self.due_us
         }
     }
 
-    /// A fresh Hop-by-Hop id on this connection.
-    pub fn hop(&mut self) -> u32 {
+    /// Assigns the next Hop-by-Hop Identifier of this connection.
+    pub fn next_hop_by_hop(&mut self) -> u32 {
         self.hop_by_hop = self.hop_by_hop.wrapping_add(1);
         self.hop_by_hop
     }
 
-    fn request(&mut self, command: u32) -> Message {
-        self.end_to_end = self.end_to_end.wrapping_add(1);
-        let (hop_by_hop, end_to_end) = (self.hop(), self.end_to_end);
-        let header = Header {
-            flags: flag::REQUEST,
-            command,
-            application: application::COMMON,
-            hop_by_hop,
-            end_to_end,
-        };
-        self.signed(Message::new(header))
-    }
-
-    fn signed(&self, message: Message) -> Message {
-        message
-            .with(Avp::of_text(code::ORIGIN_HOST, &self.me.host))
-            .with(Avp::of_text(code::ORIGIN_REALM, &self.me.realm))
-    }
-
-    fn capabilities(&self, message: Message) -> Message {
-        let mut address = vec![0, if self.me.address.is_ipv4() { 1 } else { 2 }];
-        match self.me.address {
-            IpAddr::V4(a) => address.extend(a.octets()),
-            IpAddr::V6(a) => address.extend(a.octets()),
-        }
-        message
-            .with(Avp::new(code::HOST_IP_ADDRESS, address))
-            .with(Avp::of_u32(code::VENDOR_ID, 0))
-            .with(Avp::of_text(code::PRODUCT_NAME, "frosthatch").optional())
-            .with(Avp::of_u32(code::ORIGIN_STATE_ID, self.me.state_id))
-            .with(Avp::of_u32(
-                code::AUTH_APPLICATION_ID,
-                application::CREDIT_CONTROL,
-            ))
-    }
-
-    /// An answer of our own to a request, with its result.
-    pub fn answer(&self, to: &Message, result: u32) -> Message {
-        let mut answer = self.signed(to.answer().with(Avp::of_u32(code::RESULT_CODE, result)));
-        if (3_000..4_000).contains(&result) {
+    /// An answer from the gateway itself to a request.
+    pub fn answer(&self, request: &Message, result_code: u32) -> Message {
+        let result = Avp::of_u32(code::RESULT_CODE, result_code);
+        let mut answer = self.with_origin(request.answer().with(result));
+        if (3_000..4_000).contains(&result_code) {
             answer.header.flags |= flag::ERROR;
         }
         answer
     }
 
-    fn fault(&self, to: &Message, fault: &Fault) -> Message {
-        let answer = self.answer(to, fault.result_code);
+    /// The answer that reports a fault of a request, with its Failed-AVP.
+    pub fn fault_answer(&self, request: &Message, fault: &Fault) -> Message {
+        let answer = self.answer(request, fault.result_code);
         match &fault.failed_avp {
             Some(avp) => answer.with(Avp::of_group(code::FAILED_AVP, std::slice::from_ref(avp))),
             None => answer,
         }
     }
 
-    pub fn handle(&mut self, now: u64, input: Input, out: &mut Vec<Output>) {
+    /// Advances the state machine; what follows is appended to `out`.
+    pub fn handle(&mut self, now_us: u64, input: Input, out: &mut Vec<Output>) {
         match input {
-            Input::Connected if self.state == State::Idle => {
-                self.due = now + ANSWERS_WITHIN_US;
-                self.state = State::WaitCer;
-                if self.role == Role::Server {
-                    self.state = State::WaitCea;
-                    let cer = self.request(command::CAPABILITIES_EXCHANGE);
-                    out.push(Output::Send(self.capabilities(cer)));
-                }
-            }
+            Input::Connected if self.state == State::Idle => self.start(now_us, out),
             Input::Connected => {}
-            Input::Message(message) => self.message(now, message, out),
-            Input::Unreadable(Unreadable { header, fault }) => {
-                let message = Message::new(header);
-                match header.has(flag::REQUEST) && self.state == State::Open {
-                    true => out.push(Output::Send(self.fault(&message, &fault))),
-                    // RFC 6733 section 7.2: an answer that makes no sense is dropped. What it belongs to times out.
-                    false if self.state == State::Open => {}
-                    false => self.close("a message that cannot be read before capabilities", out),
-                }
-            }
-            Input::Leave(cause) if self.state == State::Open => {
+            Input::Message(message) => self.handle_message(now_us, message, out),
+            Input::Unreadable(unreadable) => self.handle_unreadable(&unreadable, out),
+            Input::Disconnect(cause) if self.state == State::Open => {
                 let dpr = self.request(command::DISCONNECT_PEER);
-                out.push(Output::Send(
-                    dpr.with(Avp::of_u32(code::DISCONNECT_CAUSE, cause as u32)),
-                ));
-                (self.state, self.due) = (State::Closing, now + ANSWERS_WITHIN_US);
+                let cause = Avp::of_u32(code::DISCONNECT_CAUSE, cause as u32);
+                out.push(Output::Send(dpr.with(cause)));
+                self.state = State::Closing;
+                self.due_us = now_us + ANSWER_TIMEOUT_US;
             }
-            Input::Leave(_) => self.close("it is left", out),
+            Input::Disconnect(_) => self.close(CloseReason::Abandoned, out),
         }
     }
 
-    pub fn tick(&mut self, now: u64, out: &mut Vec<Output>) {
-        if self.due <= now {
-            let why = match self.state {
-                State::WaitCer | State::WaitCea => "no capabilities in time",
-                State::Closing => "no answer to the goodbye",
-                _ => "it did not close after its goodbye",
+    /// Acts on timers that have expired.
+    pub fn handle_timeout(&mut self, now_us: u64, out: &mut Vec<Output>) {
+        if self.due_us <= now_us {
+            let reason = match self.state {
+                State::WaitCer | State::WaitCea => CloseReason::CapabilitiesTimeout,
+                State::Closing => CloseReason::DisconnectAnswerTimeout,
+                _ => CloseReason::PeerCloseTimeout,
             };
-            return self.close(why, out);
+            return self.close(reason, out);
         }
         if self.state == State::Open {
-            if let Some(act) = self.watchdog.handle_timeout(now, &mut self.rng) {
-                self.act(act, out);
+            if let Some(action) = self.watchdog.handle_timeout(now_us, &mut self.rng) {
+                self.apply_watchdog(action, out);
             }
         }
     }
 
-    fn act(&mut self, act: Action, out: &mut Vec<Output>) {
-        match act {
-            Action::SendRequest => {
-                let dwr = self.request(command::DEVICE_WATCHDOG);
-                out.push(Output::Send(
-                    dwr.with(Avp::of_u32(code::ORIGIN_STATE_ID, self.me.state_id)),
-                ));
+    fn start(&mut self, now_us: u64, out: &mut Vec<Output>) {
+        self.due_us = now_us + ANSWER_TIMEOUT_US;
+        match self.role {
+            Role::Client => self.state = State::WaitCer,
+            Role::Server => {
+                self.state = State::WaitCea;
+                let cer = self.request(command::CAPABILITIES_EXCHANGE);
+                out.push(Output::Send(self.with_capabilities(cer)));
             }
-            Action::Failover => out.push(Output::Failover),
-            Action::Failback => out.push(Output::Failback),
-            Action::Close => self.close("its watchdog has fallen silent", out),
         }
     }
 
-    fn close(&mut self, why: &str, out: &mut Vec<Output>) {
-        if self.state != State::Closed {
-            (self.state, self.due) = (State::Closed, u64::MAX);
-            out.push(Output::Close(why.into()));
+    fn open(&mut self, now_us: u64, remote: Remote, out: &mut Vec<Output>) {
+        self.state = State::Open;
+        self.due_us = u64::MAX;
+        out.push(Output::Up(remote));
+        if let Some(action) = self.watchdog.handle_up(now_us, &mut self.rng) {
+            // A reopened connection gets no requests before the watchdog reports a failback.
+            out.push(Output::Failover);
+            self.apply_watchdog(action, out);
         }
     }
 
-    fn message(&mut self, now: u64, message: Message, out: &mut Vec<Output>) {
-        let (request, which) = (message.header.has(flag::REQUEST), message.header.command);
-        let common = message.header.application == application::COMMON;
-        if self.state == State::Open {
-            let answer = which == command::DEVICE_WATCHDOG && !request;
-            if let Some(act) = self.watchdog.handle_message(now, answer, &mut self.rng) {
-                self.act(act, out);
-            }
-        }
-        match (self.state, which, request) {
-            (State::WaitCer, command::CAPABILITIES_EXCHANGE, true) => self.cer(now, &message, out),
-            (State::WaitCea, command::CAPABILITIES_EXCHANGE, false) => self.cea(now, &message, out),
-            (State::WaitCer | State::WaitCea, ..) => {
-                self.close("something else than capabilities came first", out)
-            }
-            (State::Closed | State::Idle, ..) => {}
-            // A second CER on an open connection changes nothing (RFC 6733 section 5.6: I-Rcv-CER is for new ones).
-            (State::Open, command::CAPABILITIES_EXCHANGE, true) => {
-                out.push(Output::Send(
-                    self.answer(&message, result::UNABLE_TO_COMPLY),
-                ));
-            }
-            (_, command::DEVICE_WATCHDOG, true) => {
-                let dwa = self.answer(&message, result::SUCCESS);
-                out.push(Output::Send(
-                    dwa.with(Avp::of_u32(code::ORIGIN_STATE_ID, self.me.state_id)),
-                ));
-            }
-            (_, command::DEVICE_WATCHDOG, false) => {}
-            (State::Closing, command::DISCONNECT_PEER, false) => self.close("goodbye", out),
-            (_, command::DISCONNECT_PEER, true) => {
-                out.push(Output::Send(self.answer(&message, result::SUCCESS)));
-                // Both at once: each has said goodbye.
-                match self.state {
-                    State::Closing => self.close("goodbye from both sides", out),
-                    _ => {
-                        (self.state, self.due) = (State::Leaving, now + LEAVES_WITHIN_US);
-                        out.push(Output::Leaving);
-                    }
-                }
-            }
-            (_, command::CREDIT_CONTROL, true)
-                if message.header.application == application::CREDIT_CONTROL =>
-            {
-                match message.validate() {
-                    Err(fault) => out.push(Output::Send(self.fault(&message, &fault))),
-                    // What crossed our goodbye was not taken.
-                    Ok(()) if self.state == State::Closing => {
-                        out.push(Output::Send(self.answer(&message, result::TOO_BUSY)));
-                    }
-                    Ok(()) => out.push(Output::Request(message)),
-                }
-            }
-            (_, _, true) => {
-                let result = if common {
-                    result::COMMAND_UNSUPPORTED
-                } else {
-                    result::APPLICATION_UNSUPPORTED
-                };
-                out.push(Output::Send(self.answer(&message, result)));
-            }
-            // Whether anybody asked is known where requests are kept.
-            (_, _, false) => out.push(Output::Answer(message)),
+    fn close(&mut self, reason: CloseReason, out: &mut Vec<Output>) {
+        if self.state != State::Closed {
+            self.state = State::Closed;
+            self.due_us = u64::MAX;
+            out.push(Output::Close(reason));
         }
     }
 
-    fn cer(&mut self, now: u64, cer: &Message, out: &mut Vec<Output>) {
-        let remote = match remote(cer) {
-            Ok(remote) => remote,
-            Err(fault) => {
-                out.push(Output::Send(self.fault(cer, &fault)));
-                return self.close("its capabilities are not in order", out);
+    fn apply_watchdog(&mut self, action: Action, out: &mut Vec<Output>) {
+        match action {
+            Action::SendRequest => {
+                let dwr = self.request(command::DEVICE_WATCHDOG);
+                out.push(Output::Send(dwr.with(self.origin_state_id())));
             }
-        };
-        if !common_application(&cer.avps) {
-            out.push(Output::Send(
-                self.answer(cer, result::NO_COMMON_APPLICATION),
-            ));
-            return self.close("it has no application in common", out);
+            Action::Failover => out.push(Output::Failover),
+            Action::Failback => out.push(Output::Failback),
+            Action::Close => self.close(CloseReason::WatchdogTimeout, out),
         }
-        let cea = self.answer(cer, result::SUCCESS);
-        out.push(Output::Send(self.capabilities(cea)));
-        self.up(now, remote, out);
     }
 
-    fn cea(&mut self, now: u64, cea: &Message, out: &mut Vec<Output>) {
-        match (cea.result(), remote(cea)) {
-            (Some(result::SUCCESS), Ok(remote)) if common_application(&cea.avps) => {
-                self.up(now, remote, out)
-            }
-            (Some(result::SUCCESS), Ok(_)) => self.close("it has no application in common", out),
-            (Some(result::SUCCESS), Err(_)) => self.close("its capabilities are not in order", out),
-            (code, _) => self.close(&format!("it refuses, result {}", code.unwrap_or(0)), out),
-        }
+    /// A request of the base protocol.
+    fn request(&mut self, command: u32) -> Message {
+        self.end_to_end = self.end_to_end.wrapping_add(1);
+        let header = Header {
+            flags: flag::REQUEST,
+            command,
+            application: application::COMMON,
+            hop_by_hop: self.next_hop_by_hop(),
+            end_to_end: self.end_to_end,
+        };
+        self.with_origin(Message::new(header))
     }
 
-    fn up(&mut self, now: u64, remote: Remote, out: &mut Vec<Output>) {
-        (self.state, self.due) = (State::Open, u64::MAX);
-        out.push(Output::Up(remote));
-        if let Some(act) = self.watchdog.handle_up(now, &mut self.rng) {
-            // Not yet believed.
-            out.push(Output::Failover);
-            self.act(act, out);
-        }
+    fn with_origin(&self, message: Message) -> Message {
+        message
+            .with(Avp::of_text(code::ORIGIN_HOST, &self.identity.host))
+            .with(Avp::of_text(code::ORIGIN_REALM, &self.identity.realm))
     }
-}
 
-/// Who the sender of capabilities is.
-fn remote(message: &Message) -> Result<Remote, Fault> {
-    message.validate()?;
-    let text = |code| {
-        let avp = message.find(code).ok_or_else(|| Fault::missing_avp(code))?;
-        match avp.text()? {
-            "" => Err(Fault::in_avp(result::INVALID_AVP_VALUE, avp)),
-            text => Ok(text.to_ascii_lowercase()),
-        }
-    };
-    let (host, realm) = (text(code::ORIGIN_HOST)?, text(code::ORIGIN_REALM)?);
-    Ok(Remote {
-        host,
-        realm,
-        state_id: message.number(code::ORIGIN_STATE_ID),
-    })
-}
-
-fn common_application(avps: &[Avp]) -> bool {
-    let ours = |a: &Avp| {
-        matches!(
-            a.u32(),
-            Ok(application::CREDIT_CONTROL | application::RELAY)
-        )
-    };
-    avps.iter().any(|a| match (a.code, a.vendor) {
-        (code::AUTH_APPLICATION_ID, None) => ours(a),
-        (code::VENDOR_SPECIFIC_APPLICATION_ID, None) => a.group().is_ok_and(|g| {
-            g.iter()
-                .any(|a| a.code == code::AUTH_APPLICATION_ID && ours(a))
-        }),
-        _ => false,
-    })
+    fn origin_state_id(&self) -> Avp {
+        Avp::of_u32(code::ORIGIN_STATE_ID, self.identity.state_id)
+    }
 }
--- /dev/null
+++ b/crates/diameter/src/peer/messages.rs
@@ -0,0 +1,119 @@
+//! Messages that were received from a peer.
+
+use super::{CloseReason, Output, Peer, State, PEER_CLOSE_TIMEOUT_US};
+use crate::codec::{flag, Message, Unreadable};
+use crate::dictionary::{application, command, result};
+
+impl Peer {
+    pub(super) fn handle_message(&mut self, now_us: u64, message: Message, out: &mut Vec<Output>) {
+        let is_request = message.header.has(flag::REQUEST);
+        if self.state == State::Open {
+            let is_watchdog_answer =
+                message.header.command == command::DEVICE_WATCHDOG && !is_request;
+            let action = self
+                .watchdog
+                .handle_message(now_us, is_watchdog_answer, &mut self.rng);
+            if let Some(action) = action {
+                self.apply_watchdog(action, out);
+            }
+        }
+        match self.state {
+            State::Idle | State::Closed => {}
+            State::WaitCer | State::WaitCea => self.handle_first_message(now_us, &message, out),
+            State::Open | State::Closing | State::PeerClosing => {
+                if is_request {
+                    self.handle_request(now_us, message, out);
+                } else {
+                    self.handle_answer(message, out);
+                }
+            }
+        }
+    }
+
+    pub(super) fn handle_unreadable(&mut self, unreadable: &Unreadable, out: &mut Vec<Output>) {
+        if self.state != State::Open {
+            return self.close(CloseReason::UnreadableMessage, out);
+        }
+        // An answer that cannot be read is dropped (RFC 6733 section 7.2), and its request times out.
+        if unreadable.header.has(flag::REQUEST) {
+            let request = Message::new(unreadable.header);
+            let answer = self.fault_answer(&request, &unreadable.fault);
+            out.push(Output::Send(answer));
+        }
+    }
+
+    fn handle_first_message(&mut self, now_us: u64, message: &Message, out: &mut Vec<Output>) {
+        let is_request = message.header.has(flag::REQUEST);
+        match (self.state, message.header.command, is_request) {
+            (State::WaitCer, command::CAPABILITIES_EXCHANGE, true) => {
+                self.handle_cer(now_us, message, out);
+            }
+            (State::WaitCea, command::CAPABILITIES_EXCHANGE, false) => {
+                self.handle_cea(now_us, message, out);
+            }
+            _ => self.close(CloseReason::CapabilitiesExpected, out),
+        }
+    }
+
+    fn handle_request(&mut self, now_us: u64, request: Message, out: &mut Vec<Output>) {
+        match request.header.command {
+            // A second CER on an open connection changes nothing (RFC 6733 section 5.6: I-Rcv-CER is for new ones).
+            command::CAPABILITIES_EXCHANGE if self.state == State::Open => {
+                let cea = self.answer(&request, result::UNABLE_TO_COMPLY);
+                out.push(Output::Send(cea));
+            }
+            command::DEVICE_WATCHDOG => {
+                let dwa = self.answer(&request, result::SUCCESS);
+                out.push(Output::Send(dwa.with(self.origin_state_id())));
+            }
+            command::DISCONNECT_PEER => self.handle_dpr(now_us, &request, out),
+            command::CREDIT_CONTROL
+                if request.header.application == application::CREDIT_CONTROL =>
+            {
+                self.handle_ccr(request, out);
+            }
+            _ => {
+                let result_code = if request.header.application == application::COMMON {
+                    result::COMMAND_UNSUPPORTED
+                } else {
+                    result::APPLICATION_UNSUPPORTED
+                };
+                out.push(Output::Send(self.answer(&request, result_code)));
+            }
+        }
+    }
+
+    /// Handles a Disconnect-Peer-Request.
+    fn handle_dpr(&mut self, now_us: u64, dpr: &Message, out: &mut Vec<Output>) {
+        out.push(Output::Send(self.answer(dpr, result::SUCCESS)));
+        if self.state == State::Closing {
+            return self.close(CloseReason::DisconnectedByBoth, out);
+        }
+        self.state = State::PeerClosing;
+        self.due_us = now_us + PEER_CLOSE_TIMEOUT_US;
+        out.push(Output::PeerClosing);
+    }
+
+    /// Handles a Credit-Control-Request.
+    fn handle_ccr(&mut self, ccr: Message, out: &mut Vec<Output>) {
+        if let Err(fault) = ccr.validate() {
+            out.push(Output::Send(self.fault_answer(&ccr, &fault)));
+        } else if self.state == State::Closing {
+            // It crossed the disconnect request and is not executed: the client may send it to another peer.
+            out.push(Output::Send(self.answer(&ccr, result::TOO_BUSY)));
+        } else {
+            out.push(Output::Request(ccr));
+        }
+    }
+
+    fn handle_answer(&mut self, answer: Message, out: &mut Vec<Output>) {
+        match answer.header.command {
+            command::DEVICE_WATCHDOG => {}
+            command::DISCONNECT_PEER if self.state == State::Closing => {
+                self.close(CloseReason::Disconnected, out);
+            }
+            // Whether it belongs to a pending request is known where those are kept.
+            _ => out.push(Output::Answer(answer)),
+        }
+    }
+}
--- a/crates/diameter/src/servers.rs
+++ b/crates/diameter/src/servers.rs
@@ -2,9 +2,9 @@
 
 use crate::codec::Message;
 use crate::credit::{forwarded, verdict, Verdict};
-use crate::link::{Budget, Event, Handed, Link};
+use crate::link::{Event, Link, LinkEnd, SentAttempt, WriteBudget};
 use crate::overload::{announce_support, OverloadAbatement};
-use crate::peer::{Cause, Identity, Peer, Role};
+use crate::peer::{DisconnectCause, Identity, Peer, Role};
 use frosthatch_engine::{
     Attempt, AttemptPermit, AttemptResult, Endpoint, EndpointObserver, EndpointState, Payload,
     Protocol,
@@ -86,8 +86,8 @@
         if let (false, true, Some(link)) =
             (self.ready.get(), self.pending.borrow().is_empty(), link)
         {
-            if link.open() {
-                link.leave(Cause::DoNotWantToTalkToYou);
+            if link.is_open() {
+                link.disconnect(DisconnectCause::DoNotWantToTalkToYou);
             }
         }
     }
@@ -111,7 +111,7 @@
 
 pub struct Servers {
     plan: RefCell<Rc<ServersConfig>>,
-    budget: Rc<Budget>,
+    budget: Rc<WriteBudget>,
     clock: Rc<dyn Fn() -> u64>,
     servers: RefCell<HashMap<ServerId, Rc<Server>>>,
     restarted: RefCell<Option<Restarted>>,
@@ -124,7 +124,7 @@
         let rng = RefCell::new(Pcg64Mcg::seed_from_u64(plan.seed));
         Rc::new_cyclic(|me| Servers {
             rng,
-            budget: Budget::new(plan.queued_bytes),
+            budget: WriteBudget::new(plan.queued_bytes),
             plan: RefCell::new(Rc::new(plan)),
             clock,
             servers: RefCell::default(),
@@ -135,7 +135,7 @@
 
     /// From now on by another plan: each connection when it is made anew.
     pub fn reload(&self, plan: ServersConfig) {
-        self.budget.most.set(plan.queued_bytes);
+        self.budget.set_max_bytes(plan.queued_bytes);
         *self.plan.borrow_mut() = Rc::new(plan);
     }
 
@@ -160,7 +160,7 @@
         for s in self.servers.borrow().values() {
             s.ready.set(false);
             if let Some(link) = &*s.link.borrow() {
-                link.leave(Cause::Rebooting);
+                link.disconnect(DisconnectCause::Rebooting);
             }
         }
     }
@@ -192,8 +192,8 @@
                         let connect = TlsConnector::from(tls).connect(name, stream);
                         match timeout(TLS_WITHIN, connect).await {
                             Ok(Ok(stream)) => link.run(stream, to_write, events).await,
-                            Ok(Err(e)) => e.to_string(),
-                            Err(_) => "no TLS in time".into(),
+                            Ok(Err(error)) => LinkEnd::TlsFailed(error),
+                            Err(_) => LinkEnd::TlsTimeout,
                         }
                     }
                 };
@@ -237,7 +237,7 @@
                 s.okay.set(true);
                 s.served.set(true);
             }
-            Event::Leaving => s.okay.set(false),
+            Event::PeerClosing => s.okay.set(false),
             // What nobody waits for any more, or never has: dropped.
             Event::Answer(answer) => {
                 let pending = s.pending.borrow_mut().remove(&answer.header.hop_by_hop);
@@ -273,7 +273,7 @@
             .link
             .borrow()
             .clone()
-            .filter(|l| l.open() && s.ready.get() && s.okay.get());
+            .filter(|l| l.is_open() && s.ready.get() && s.okay.get());
         let Some(link) = link else { return never };
         if s.pending.borrow().len() >= self.plan().most_pending {
             return never;
@@ -284,13 +284,13 @@
         {
             return AttemptResult::without_answer(CompletionStatus::Rejected);
         }
-        let hop = link.hop();
+        let hop = link.next_hop_by_hop();
         let mut message = forwarded(ccr, from, hop, again);
         announce_support(&mut message);
         if permit.check().is_err() {
             return AttemptResult::without_answer(CompletionStatus::NotSent);
         }
-        let Some(Handed { end, mut withheld }) = link.send_attempt(&message, permit) else {
+        let Some(SentAttempt { end, mut denied }) = link.send_attempt(&message, permit) else {
             return never;
         };
         let (sender, answer) = oneshot::channel();
@@ -309,7 +309,7 @@
         let answered = timeout_at(deadline, answer);
         let answered = tokio::select! {
             biased;
-            Ok(_) = &mut withheld => return AttemptResult::without_answer(CompletionStatus::NotSent),
+            Ok(_) = &mut denied => return AttemptResult::without_answer(CompletionStatus::NotSent),
             answered = answered => answered,
         };
         match answered {
--- a/crates/diameter/tests/peers.rs
+++ b/crates/diameter/tests/peers.rs
@@ -2,7 +2,7 @@
 
 use frosthatch_diameter::codec::{flag, Avp, Header, Message};
 use frosthatch_diameter::dictionary::{application, code, command, result};
-use frosthatch_diameter::peer::{Cause, Identity, Input, Output, Peer, Role};
+use frosthatch_diameter::peer::{DisconnectCause, Identity, Input, Output, Peer, Role};
 
 const TW: u64 = 30_000_000;
 
@@ -68,7 +68,7 @@
         matches!(&out[..], [Output::Up(r)] if r.host == "gateway.example.org"),
         "{out:?}"
     );
-    assert!(a.open() && b.open());
+    assert!(a.is_open() && b.is_open());
     (a, b)
 }
 
@@ -137,7 +137,7 @@
             cea.find(code::FAILED_AVP).is_some(),
             code >= 5_000 && code != result::NO_COMMON_APPLICATION
         );
-        assert!(matches!(out.last(), Some(Output::Close(_))) && !b.open());
+        assert!(matches!(out.last(), Some(Output::Close(_))) && !b.is_open());
     }
 }
 
@@ -156,10 +156,10 @@
 fn capabilities_that_never_come_end_the_connection() {
     let mut b = peer("gateway.example.org", Role::Client);
     step(&mut b, 0, Input::Connected);
-    let (mut out, due) = (Vec::new(), b.next());
-    b.tick(due, &mut out);
+    let (mut out, due) = (Vec::new(), b.due_us());
+    b.handle_timeout(due, &mut out);
     assert!(matches!(&out[..], [Output::Close(_)]));
-    assert_eq!(b.next(), u64::MAX);
+    assert_eq!(b.due_us(), u64::MAX);
 }
 
 #[test]
@@ -179,7 +179,7 @@
 fn watchdogs_are_answered_and_asked_and_a_silent_peer_fails_over_and_goes() {
     let (mut a, mut b) = pair();
     let mut out = Vec::new();
-    a.tick(a.next(), &mut out);
+    a.handle_timeout(a.due_us(), &mut out);
     let dwr = sent(&out).pop().expect("a DWR");
     assert_eq!(
         (dwr.header.command, dwr.number(code::ORIGIN_STATE_ID)),
@@ -188,10 +188,10 @@
     assert_eq!(asked(&mut b, dwr).result(), Some(result::SUCCESS));
     // No answer comes back to a.
     let mut out = Vec::new();
-    a.tick(a.next(), &mut out);
+    a.handle_timeout(a.due_us(), &mut out);
     assert_eq!(out, [Output::Failover]);
     out.clear();
-    a.tick(a.next(), &mut out);
+    a.handle_timeout(a.due_us(), &mut out);
     assert!(matches!(&out[..], [Output::Close(_)]));
 }
 
@@ -230,14 +230,18 @@
 #[test]
 fn goodbye_carries_its_cause_and_ends_with_its_answer() {
     let (mut a, mut b) = pair();
-    let dpr = sent(&step(&mut b, 1, Input::Leave(Cause::Rebooting)))
-        .pop()
-        .expect("a DPR");
+    let dpr = sent(&step(
+        &mut b,
+        1,
+        Input::Disconnect(DisconnectCause::Rebooting),
+    ))
+    .pop()
+    .expect("a DPR");
     assert_eq!(dpr.number(code::DISCONNECT_CAUSE), Some(0));
     // A request that crosses it was not taken, and says so.
     assert_eq!(asked(&mut b, ccr()).result(), Some(result::TOO_BUSY));
     let out = step(&mut a, 1, Input::Message(dpr));
-    assert!(out.contains(&Output::Leaving) && !a.open());
+    assert!(out.contains(&Output::PeerClosing) && !a.is_open());
     let dpa = sent(&out).pop().expect("a DPA");
     assert!(matches!(
         &step(&mut b, 1, Input::Message(dpa))[..],
@@ -248,12 +252,16 @@
 #[test]
 fn goodbyes_that_cross_end_both_sides() {
     let (mut a, mut b) = pair();
-    let from_a = sent(&step(&mut a, 1, Input::Leave(Cause::Busy)))
-        .pop()
-        .expect("a DPR");
-    let from_b = sent(&step(&mut b, 1, Input::Leave(Cause::Rebooting)))
+    let from_a = sent(&step(&mut a, 1, Input::Disconnect(DisconnectCause::Busy)))
         .pop()
         .expect("a DPR");
+    let from_b = sent(&step(
+        &mut b,
+        1,
+        Input::Disconnect(DisconnectCause::Rebooting),
+    ))
+    .pop()
+    .expect("a DPR");
     for (peer, dpr) in [(&mut a, from_b), (&mut b, from_a)] {
         let out = step(peer, 2, Input::Message(dpr));
         assert!(
@@ -274,7 +282,7 @@
     let cea = server.answer(&cer, result::UNKNOWN_PEER);
     let out = step(&mut a, 0, Input::Message(cea));
     assert!(
-        matches!(&out[..], [Output::Close(why)] if why.contains("3010")),
+        matches!(&out[..], [Output::Close(why)] if why.to_string().contains("3010")),
         "{out:?}"
     );
 }
