--- /dev/null
+++ b/crates/diameter/src/credit/units.rs
@@ -0,0 +1,65 @@
+//! How many units a request asks for (RFC 8506 sections 8.16 and 8.18).
+
+use crate::codec::{find, Avp, Fault, Message};
+use crate::dictionary::{code, result};
+
+/// Amounts of money are below this: they are exact to a part of the currency unit as f64.
+const MONEY_LIMIT: f64 = 1e15;
+/// Largest power of ten that an amount of money is scaled by, in both directions.
+const MAX_EXPONENT: i32 = 18;
+
+/// The sum over the request and all its services, in service-specific units or whole currency units; `None` if nothing is
+/// requested.
+///
+/// # Errors
+/// The first AVP that cannot be read.
+pub(super) fn requested_units(ccr: &Message) -> Result<Option<f64>, Fault> {
+    let mut sum = None;
+    add_units(&ccr.avps, &mut sum)?;
+    let services = ccr
+        .avps
+        .iter()
+        .filter(|avp| avp.code == code::MULTIPLE_SERVICES_CREDIT_CONTROL);
+    for service in services {
+        add_units(&service.group()?, &mut sum)?;
+    }
+    Ok(sum)
+}
+
+fn add_units(avps: &[Avp], sum: &mut Option<f64>) -> Result<(), Fault> {
+    let requested = avps
+        .iter()
+        .filter(|avp| avp.is(code::REQUESTED_SERVICE_UNIT));
+    for avp in requested {
+        *sum = Some(sum.unwrap_or(0.0) + service_units(&avp.group()?)?);
+    }
+    Ok(())
+}
+
+fn service_units(group: &[Avp]) -> Result<f64, Fault> {
+    if let Some(units) = find(group, code::CC_SERVICE_SPECIFIC_UNITS) {
+        Ok(units.u64()? as f64)
+    } else if let Some(money) = find(group, code::CC_MONEY) {
+        money_amount(money)
+    } else {
+        // Without a number the server decides how much it grants (section 8.18).
+        Ok(1.0)
+    }
+}
+
+fn money_amount(money: &Avp) -> Result<f64, Fault> {
+    let group = money.group()?;
+    let value = find(&group, code::UNIT_VALUE)
+        .ok_or_else(|| Fault::missing_avp(code::UNIT_VALUE))?
+        .group()?;
+    let digits = find(&value, code::VALUE_DIGITS)
+        .ok_or_else(|| Fault::missing_avp(code::VALUE_DIGITS))?
+        .u64()?;
+    let exponent = find(&value, code::EXPONENT).map_or(Ok(0), Avp::u32)? as i32;
+    let scale = 10f64.powi(exponent.clamp(-MAX_EXPONENT, MAX_EXPONENT));
+    let amount = digits as i64 as f64 * scale;
+    if !(0.0..MONEY_LIMIT).contains(&amount) {
+        return Err(Fault::in_avp(result::INVALID_AVP_VALUE, money));
+    }
+    Ok(amount)
+}
--- /dev/null
+++ b/crates/diameter/src/front/requests.rs
@@ -0,0 +1,243 @@
+//! The path of a client's request: accepted, submitted to the engine, answered.
+
+use super::in_flight::InFlightRequest;
+use super::{Front, WaitingClient};
+use crate::codec::{flag, Avp, Message};
+use crate::credit::{has_loop, CreditRequest, Disposition, RequestKey};
+use crate::dictionary::{code, result};
+use crate::lcg;
+use crate::link::Link;
+use crate::servers::OutgoingRequest;
+use frosthatch_engine::{IncomingRequest, Protocol, Response};
+use frosthatch_traffic_control::{CustomerId, Request, RequestId, ServerId};
+use std::cell::RefCell;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::task::spawn_local;
+use tokio::time::Instant;
+
+/// How long clients wait for an answer in classes without a configured time (RFC 8506 section 13: Tx).
+const DEFAULT_TX: Duration = Duration::from_secs(10);
+/// Increment of the sequence of request ids.
+const REQUEST_ID_INCREMENT: u64 = 0x1405_7B7E_F767_814F;
+
+/// What completing a submitted request needs.
+struct Submission {
+    id: RequestId,
+    key: RequestKey,
+    ccr: Rc<Message>,
+    answered_by: Rc<RefCell<Option<ServerId>>>,
+    /// The answer if no server gives one.
+    error_answer: Message,
+}
+
+/// Where a request of a session is to go.
+enum Routing {
+    AnyServer,
+    /// The server, and whether another may be tried.
+    Sticky(ServerId, bool),
+    /// Its server accepts no requests, and no other may be tried.
+    Undeliverable,
+}
+
+impl Front {
+    /// Handles a request of a client: it is answered now, or submitted.
+    pub(super) fn handle_request(
+        self: &Rc<Self>,
+        client_id: u64,
+        link: &Link,
+        client_host: &str,
+        ccr: Message,
+    ) {
+        let config = self.config();
+        let in_flight_bytes = self.in_flight.borrow().bytes();
+        if self.is_leaving.get() || in_flight_bytes + ccr.memory_bytes() > config.request_bytes {
+            return link.send_answer(&link.own_answer(&ccr, result::TOO_BUSY));
+        }
+        if has_loop(&ccr, &config.me.host) {
+            return link.send_answer(&link.own_answer(&ccr, result::LOOP_DETECTED));
+        }
+        let client = WaitingClient {
+            client_id,
+            hop_by_hop: ccr.header.hop_by_hop,
+        };
+        let disposition = self
+            .credit
+            .borrow_mut()
+            .accept(self.engine.now(), &ccr, client);
+        match disposition {
+            Disposition::Joined => {}
+            Disposition::Answered(mut answer) => {
+                answer.header.hop_by_hop = ccr.header.hop_by_hop;
+                link.send_answer(&answer);
+            }
+            Disposition::Rejected(fault) => link.send_answer(&link.fault_answer(&ccr, &fault)),
+            Disposition::Submit(key, request) => self.submit(link, client_host, key, request, ccr),
+        }
+    }
+
+    fn submit(
+        self: &Rc<Self>,
+        link: &Link,
+        client_host: &str,
+        key: RequestKey,
+        credit_request: CreditRequest,
+        ccr: Message,
+    ) {
+        let sticky_server = match self.route(&credit_request) {
+            Routing::AnyServer => None,
+            Routing::Sticky(server, may_fail_over) => Some((server, may_fail_over)),
+            Routing::Undeliverable => {
+                let answer = link.own_answer(&ccr, result::UNABLE_TO_DELIVER);
+                return self.deliver(&key, &ccr, &answer, None);
+            }
+        };
+        let submission = Submission {
+            id: self.next_request_id(),
+            error_answer: link.own_answer(&ccr, result::UNABLE_TO_COMPLY),
+            key,
+            ccr: Rc::new(ccr),
+            answered_by: Rc::default(),
+        };
+        let in_flight = InFlightRequest {
+            key: submission.key.clone(),
+            is_charge: credit_request.class == self.config().mapping.charge,
+            bytes: submission.ccr.memory_bytes(),
+        };
+        let incoming =
+            self.incoming_request(&submission, client_host, credit_request, sticky_server);
+        self.in_flight.borrow_mut().insert(submission.id, in_flight);
+        let Ok(response) = self.engine.submit(incoming) else {
+            self.in_flight.borrow_mut().remove(submission.id);
+            let Submission {
+                key,
+                ccr,
+                error_answer,
+                ..
+            } = submission;
+            return self.deliver(&key, &ccr, &error_answer, None);
+        };
+        let front = self.clone();
+        spawn_local(async move {
+            // Without a response the request was cancelled, because its clients have gone.
+            if let Ok(response) = response.await {
+                front.complete(submission, response);
+            }
+        });
+    }
+
+    fn route(&self, request: &CreditRequest) -> Routing {
+        match &request.sticky_server {
+            Some(server) if self.servers.accepts_requests(server) => {
+                Routing::Sticky(ServerId(server.as_str().into()), request.may_fail_over)
+            }
+            Some(_) if !request.may_fail_over => Routing::Undeliverable,
+            _ => Routing::AnyServer,
+        }
+    }
+
+    fn next_request_id(&self) -> RequestId {
+        let id = lcg::next(self.last_request_id.get(), REQUEST_ID_INCREMENT);
+        self.last_request_id.set(id);
+        RequestId(id)
+    }
+
+    /// The request as the engine takes it.
+    fn incoming_request(
+        &self,
+        submission: &Submission,
+        client_host: &str,
+        credit_request: CreditRequest,
+        sticky_server: Option<(ServerId, bool)>,
+    ) -> IncomingRequest {
+        let config = self.config();
+        let tx = config.tx.get(&credit_request.class);
+        let gone_at = Instant::now() + tx.copied().unwrap_or(DEFAULT_TX);
+        let request = Request {
+            id: submission.id,
+            customer: CustomerId(credit_request.customer.as_str().into()),
+            plan: credit_request.plan,
+            class: credit_request.class,
+            units: credit_request.units,
+            gateway_count: config.gateways,
+            first_gateway: 0,
+            remaining_us: 0,
+            pool: Protocol::Diameter as u8,
+            sticky_server,
+            low_priority: false,
+        };
+        let payload = OutgoingRequest {
+            ccr: submission.ccr.clone(),
+            client_host: client_host.into(),
+            servers: self.servers.clone(),
+            answered_by: submission.answered_by.clone(),
+            may_have_run: Rc::default(),
+        };
+        IncomingRequest {
+            request,
+            gone_at,
+            payload: Box::new(payload),
+        }
+    }
+
+    /// Answers a submitted request by the engine's response.
+    fn complete(&self, submission: Submission, response: Response) {
+        let Submission {
+            id,
+            key,
+            ccr,
+            answered_by,
+            error_answer,
+        } = submission;
+        self.in_flight.borrow_mut().remove(id);
+        let answered_by = answered_by.borrow().clone();
+        let is_rejected = matches!(response, Response::Rejected { .. });
+        let mut answer = match response {
+            Response::Served(bytes) => Message::decode(bytes).unwrap_or(error_answer),
+            Response::Rejected { retry_after } => rejection(error_answer, retry_after),
+            // Only HTTP has streaming responses.
+            Response::Failed { .. } | Response::Streaming(..) => error_answer,
+        };
+        let now_us = self.engine.now();
+        let mut reporter = self.overload_reporter.borrow_mut();
+        reporter.record_answer(now_us, is_rejected);
+        reporter.add_report(now_us, &ccr, &mut answer);
+        drop(reporter);
+        self.deliver(&key, &ccr, &answer, answered_by.as_ref());
+    }
+
+    /// Sends the one answer of a request to all clients that wait for it. `server`: the one that answered.
+    fn deliver(
+        &self,
+        key: &RequestKey,
+        ccr: &Message,
+        answer: &Message,
+        server: Option<&ServerId>,
+    ) {
+        let now_us = self.engine.now();
+        let server = server.map(|server| &*server.0);
+        let clients = self
+            .credit
+            .borrow_mut()
+            .complete(now_us, key, ccr, answer, server);
+        for client in clients {
+            let link = self.clients.borrow().get(&client.client_id).cloned();
+            if let Some(link) = link {
+                let mut answer = answer.clone();
+                answer.header.hop_by_hop = client.hop_by_hop;
+                link.send_answer(&answer);
+            }
+        }
+    }
+}
+
+/// The answer to a request that was not executed: `DIAMETER_TOO_BUSY` (RFC 6733 section 7.1.3), with the time after which
+/// to retry.
+fn rejection(mut answer: Message, retry_after: Duration) -> Message {
+    answer.avps.retain(|avp| avp.code != code::RESULT_CODE);
+    answer.header.flags |= flag::ERROR;
+    let text = format!("refused; come back in {} ms", retry_after.as_millis());
+    answer
+        .with(Avp::of_u32(code::RESULT_CODE, result::TOO_BUSY))
+        .with(Avp::of_text(code::ERROR_MESSAGE, &text).optional())
+}
--- a/crates/diameter/src/lib.rs
+++ b/crates/diameter/src/lib.rs
@@ -1,15 +1,14 @@
-//! Diameter (RFC 6733) with the credit-control application (RFC 8506).
+//! Diameter (RFC 6733) with the credit-control application (RFC 8506), on both sides of the gateway.
 //!
-//! [`codec`] and [`dictionary`] are messages and AVPs; [`credit`] is credit control between clients and
-//! the decisions; [`peer`] is one connection's state, [`watchdog`] a part of it,
-//! [`overload`] what is reported of overload. None of
-//! these does I/O.
-#![expect(clippy::too_many_lines, missing_docs)]
+//! Without I/O: [`codec`] and [`dictionary`] read and write messages, [`peer`] is the state machine of a connection with
+//! its [`watchdog`], [`credit`] interprets credit-control requests, and [`overload`] exchanges overload reports (RFC 7683).
+//! With I/O: [`link`] drives one connection, [`front`] serves clients, [`servers`] connects to servers.
 
 pub mod codec;
 pub mod credit;
 pub mod dictionary;
 pub mod front;
+mod lcg;
 pub mod link;
 pub mod overload;
 pub mod peer;
--- a/crates/diameter/src/link.rs
+++ b/crates/diameter/src/link.rs
@@ -20,6 +20,9 @@
 use tokio::time::sleep;
 use write_queue::QueuedAttempt;
 
+/// For the TLS handshake, on both sides.
+pub(crate) const TLS_HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
+
 /// Messages that may wait to be written on one connection.
 const MAX_QUEUED_MESSAGES: usize = 1_024;
 /// Space for one read.
--- a/crates/diameter/tests/crediting.rs
+++ b/crates/diameter/tests/crediting.rs
@@ -1,7 +1,10 @@
 //! What credit-control requests ask, sessions and repeats, in virtual time.
 
 use frosthatch_diameter::codec::{flag, Avp, Header, Message};
-use frosthatch_diameter::credit::*;
+use frosthatch_diameter::credit::{
+    classify_answer, forwarded_request, has_loop, AnswerClass, CreditControl, CreditRequest,
+    Disposition, Mapping, RequestKey,
+};
 use frosthatch_diameter::dictionary::{code, command, result};
 use std::collections::BTreeMap;
 
@@ -68,25 +71,25 @@
     to.answer().with(Avp::of_u32(code::RESULT_CODE, result))
 }
 
-fn ask(credit: &mut Credit<u32>, now: u64, ccr: &Message) -> (Key, Ask) {
-    match credit.take(now, ccr, 1) {
-        Taken::Ask(key, ask) => (key, ask),
+fn ask(credit: &mut CreditControl<u32>, now: u64, ccr: &Message) -> (RequestKey, CreditRequest) {
+    match credit.accept(now, ccr, 1) {
+        Disposition::Submit(key, request) => (key, request),
         other => panic!("{other:?}"),
     }
 }
 
-fn faulty(credit: &mut Credit<u32>, ccr: &Message) -> u32 {
-    match credit.take(0, ccr, 1) {
-        Taken::Faulty(fault) => fault.result_code,
+fn faulty(credit: &mut CreditControl<u32>, ccr: &Message) -> u32 {
+    match credit.accept(0, ccr, 1) {
+        Disposition::Rejected(fault) => fault.result_code,
         other => panic!("{other:?}"),
     }
 }
 
 /// Takes a request and answers it with success from a server.
-fn served(credit: &mut Credit<u32>, now: u64, ccr: &Message, server: &str) -> Ask {
+fn served(credit: &mut CreditControl<u32>, now: u64, ccr: &Message, server: &str) -> CreditRequest {
     let (key, ask) = ask(credit, now, ccr);
     assert_eq!(
-        credit.finished(now, &key, ccr, &answer(ccr, result::SUCCESS), Some(server)),
+        credit.complete(now, &key, ccr, &answer(ccr, result::SUCCESS), Some(server)),
         [1]
     );
     ask
@@ -94,7 +97,7 @@
 
 #[test]
 fn events_map_to_classes_customers_plans_and_units() {
-    let mut credit = Credit::new(mapping());
+    let mut credit = CreditControl::new(mapping());
     for (action, class) in [
         (0, "top-up"),
         (1, "top-up"),
@@ -127,7 +130,7 @@
 
 #[test]
 fn the_units_of_all_services_are_added_and_money_counts_whole() {
-    let mut credit = Credit::new(mapping());
+    let mut credit = CreditControl::new(mapping());
     let service =
         |units| Avp::of_group(code::MULTIPLE_SERVICES_CREDIT_CONTROL, &[requested(units)]);
     assert_eq!(
@@ -155,7 +158,7 @@
 
 #[test]
 fn what_is_missing_or_makes_no_sense_is_told_by_its_code() {
-    let mut credit = Credit::new(mapping());
+    let mut credit = CreditControl::new(mapping());
     let without = |code| {
         let mut ccr = event(0, 1);
         ccr.avps.retain(|a| a.code != code);
@@ -192,7 +195,7 @@
         ),
         result::INVALID_AVP_VALUE
     );
-    let mut strict = Credit::new(Mapping {
+    let mut strict = CreditControl::new(Mapping {
         otherwise: None,
         ..mapping()
     });
@@ -203,31 +206,34 @@
         ),
         result::USER_UNKNOWN
     );
-    assert_eq!(strict.sessions(), 0);
+    assert_eq!(strict.session_count(), 0);
 }
 
 #[test]
 fn a_session_stays_with_the_server_that_opened_it_until_it_ends() {
-    let mut credit = Credit::new(mapping());
+    let mut credit = CreditControl::new(mapping());
     let first = served(
         &mut credit,
         0,
         &bare("a", 1, 0, 1).with(subscription(0, "4512345678")),
         "s1",
     );
-    assert_eq!((first.server, first.may_move), (None, true));
+    assert_eq!((first.sticky_server, first.may_fail_over), (None, true));
     let update = served(&mut credit, 1, &bare("a", 2, 1, 2).with(requested(2)), "s1");
     assert_eq!(
         (
-            update.server.as_deref(),
-            update.may_move,
+            update.sticky_server.as_deref(),
+            update.may_fail_over,
             update.plan.as_str()
         ),
         (Some("s1"), false, "stor")
     );
     let last = served(&mut credit, 2, &bare("a", 3, 2, 3), "s1");
-    assert_eq!((last.server.as_deref(), last.units), (Some("s1"), 0.0));
-    assert_eq!(credit.sessions(), 0);
+    assert_eq!(
+        (last.sticky_server.as_deref(), last.units),
+        (Some("s1"), 0.0)
+    );
+    assert_eq!(credit.session_count(), 0);
     assert_eq!(
         faulty(&mut credit, &bare("a", 2, 3, 4)),
         result::UNKNOWN_SESSION_ID
@@ -248,7 +254,7 @@
         (Some(1), Some(2), true),
     ];
     for (n, (failover, handling, moves)) in cases.into_iter().enumerate() {
-        let (mut credit, id) = (Credit::new(mapping()), 10 * n as u32);
+        let (mut credit, id) = (CreditControl::new(mapping()), 10 * n as u32);
         let open = bare("a", 1, 0, id).with(subscription(0, "4512345678"));
         let (key, _) = ask(&mut credit, 0, &open);
         let with = |message: Message, code, value: Option<u32>| match value {
@@ -261,17 +267,17 @@
             failover,
         );
         let good = with(good, code::CREDIT_CONTROL_FAILURE_HANDLING, handling);
-        credit.finished(0, &key, &open, &good, Some("s1"));
+        credit.complete(0, &key, &open, &good, Some("s1"));
         // Answers without either leave both as they were; where it moved it stays.
         let update = served(&mut credit, 1, &bare("a", 2, 1, id + 1), "s2");
         assert_eq!(
-            (update.may_move, update.server.as_deref()),
+            (update.may_fail_over, update.sticky_server.as_deref()),
             (moves, Some("s1")),
             "{failover:?} {handling:?}"
         );
         let update = served(&mut credit, 2, &bare("a", 2, 2, id + 2), "s2");
         assert_eq!(
-            (update.may_move, update.server.as_deref()),
+            (update.may_fail_over, update.sticky_server.as_deref()),
             (moves, Some("s2"))
         );
     }
@@ -280,7 +286,7 @@
 /// A new file's mapping is for what comes from now on: a session keeps the plan that it was opened with.
 #[test]
 fn another_mapping_is_for_new_requests() {
-    let mut credit = Credit::new(mapping());
+    let mut credit = CreditControl::new(mapping());
     served(
         &mut credit,
         0,
@@ -290,7 +296,7 @@
     let mut other = mapping();
     other.plans.insert(4_512_345_678, "lille".into());
     other.most_sessions = 1;
-    credit.remap(other);
+    credit.set_mapping(other);
     assert_eq!(ask(&mut credit, 1, &event(2, 2)).1.plan, "lille");
     assert_eq!(
         served(&mut credit, 1, &bare("a", 2, 1, 3), "s1").plan,
@@ -302,7 +308,7 @@
 
 #[test]
 fn a_server_that_restarted_has_lost_its_sessions() {
-    let mut credit = Credit::new(mapping());
+    let mut credit = CreditControl::new(mapping());
     served(
         &mut credit,
         0,
@@ -315,7 +321,7 @@
         &bare("b", 1, 0, 2).with(subscription(0, "1")),
         "s2",
     );
-    credit.server_lost_sessions("s1");
+    credit.remove_sessions_of("s1");
     assert_eq!(
         faulty(&mut credit, &bare("a", 2, 1, 3)),
         result::UNKNOWN_SESSION_ID
@@ -325,22 +331,22 @@
 
 #[test]
 fn a_repeat_joins_what_is_out_and_gets_what_was_answered() {
-    let mut credit = Credit::new(mapping());
+    let mut credit = CreditControl::new(mapping());
     let ccr = event(0, 1);
     let (key, _) = ask(&mut credit, 0, &ccr);
     let mut again = ccr.clone();
     (again.header.flags, again.header.hop_by_hop) = (again.header.flags | flag::RETRANSMITTED, 99);
-    assert_eq!(credit.take(1, &again, 2), Taken::Joins);
+    assert_eq!(credit.accept(1, &again, 2), Disposition::Joined);
     let good = answer(&ccr, result::SUCCESS);
     assert_eq!(
-        credit.finished(2, &key, &ccr, &good, Some("s")),
+        credit.complete(2, &key, &ccr, &good, Some("s")),
         [1, 2],
         "one answer to each"
     );
-    assert_eq!(credit.take(3, &again, 3), Taken::Again(good));
+    assert_eq!(credit.accept(3, &again, 3), Disposition::Answered(good));
     assert!(
         credit
-            .finished(4, &key, &ccr, &answer(&ccr, 5012), None)
+            .complete(4, &key, &ccr, &answer(&ccr, 5012), None)
             .is_empty(),
         "a late one is dropped"
     );
@@ -355,29 +361,29 @@
 /// A refusal ran nowhere: asked again, it is asked again.
 #[test]
 fn a_refusal_is_not_kept_for_repeats() {
-    let mut credit = Credit::new(mapping());
+    let mut credit = CreditControl::new(mapping());
     let ccr = event(0, 1);
     let (key, _) = ask(&mut credit, 0, &ccr);
-    credit.finished(0, &key, &ccr, &answer(&ccr, result::TOO_BUSY), None);
+    credit.complete(0, &key, &ccr, &answer(&ccr, result::TOO_BUSY), None);
     ask(&mut credit, 1, &ccr);
 }
 
 #[test]
 fn a_request_whose_clients_have_all_gone_is_waited_for_by_nobody() {
-    let mut credit = Credit::new(mapping());
+    let mut credit = CreditControl::new(mapping());
     let ccr = event(0, 1);
     let (key, _) = ask(&mut credit, 0, &ccr);
-    credit.take(0, &ccr, 2);
-    assert!(!credit.leave(&key, |w| *w == 1));
-    assert!(credit.leave(&key, |w| *w == 2));
+    credit.accept(0, &ccr, 2);
+    assert!(!credit.cancel_for_clients(&key, |client| *client == 1));
+    assert!(credit.cancel_for_clients(&key, |client| *client == 2));
     assert!(credit
-        .finished(1, &key, &ccr, &answer(&ccr, 2001), Some("s"))
+        .complete(1, &key, &ccr, &answer(&ccr, 2001), Some("s"))
         .is_empty());
 }
 
 #[test]
 fn kept_answers_are_bounded_in_bytes_and_the_newest_stay() {
-    let mut credit = Credit::new(mapping());
+    let mut credit = CreditControl::new(mapping());
     let long = |n: u32| {
         let ccr = event(0, n);
         let answer = answer(&ccr, result::SUCCESS).with(Avp::new(code::CLASS, vec![7; 4_000]));
@@ -386,16 +392,22 @@
     for n in 1..=3 {
         let (ccr, answer) = long(n);
         let (key, _) = ask(&mut credit, 0, &ccr);
-        credit.finished(0, &key, &ccr, &answer, Some("s"));
+        credit.complete(0, &key, &ccr, &answer, Some("s"));
     }
-    assert_eq!(credit.take(1, &long(3).0, 1), Taken::Again(long(3).1));
-    assert_eq!(credit.take(1, &long(2).0, 1), Taken::Again(long(2).1));
+    assert_eq!(
+        credit.accept(1, &long(3).0, 1),
+        Disposition::Answered(long(3).1)
+    );
+    assert_eq!(
+        credit.accept(1, &long(2).0, 1),
+        Disposition::Answered(long(2).1)
+    );
     ask(&mut credit, 1, &long(1).0);
 }
 
 #[test]
 fn sessions_and_repeats_are_bounded() {
-    let mut credit = Credit::new(mapping());
+    let mut credit = CreditControl::new(mapping());
     for n in 0..3 {
         served(
             &mut credit,
@@ -412,7 +424,7 @@
     for n in 20..23 {
         ask(&mut credit, 61 * SECOND, &event(2, n));
     }
-    let Taken::Faulty(fault) = credit.take(61 * SECOND, &event(2, 24), 1) else {
+    let Disposition::Rejected(fault) = credit.accept(61 * SECOND, &event(2, 24), 1) else {
         panic!("too many")
     };
     assert_eq!(fault.result_code, result::TOO_BUSY);
@@ -426,24 +438,28 @@
         vendor: Some(7),
         data: vec![1, 2, 3].into(),
     });
-    assert!(!loops(&ccr, "gw.example.org"));
-    let on = forwarded(&ccr, "GW.example.org", 1_234, true);
-    assert!(loops(&on, "gw.example.org"));
+    assert!(!has_loop(&ccr, "gw.example.org"));
+    let on = forwarded_request(&ccr, "GW.example.org", 1_234, true);
+    assert!(has_loop(&on, "gw.example.org"));
     assert_eq!((on.header.hop_by_hop, on.header.end_to_end), (1_234, 5));
     assert!(
         on.header.has(flag::RETRANSMITTED)
-            && !forwarded(&ccr, "g", 1, false)
+            && !forwarded_request(&ccr, "g", 1, false)
                 .header
                 .has(flag::RETRANSMITTED)
     );
     assert_eq!(on.avps[..ccr.avps.len()], ccr.avps[..]);
-    let says = |code| verdict(&answer(&ccr, code));
+    let says = |code| classify_answer(&answer(&ccr, code));
     assert_eq!(
         (says(2001), says(4012), says(5030)),
-        (Verdict::Answered, Verdict::Answered, Verdict::Answered)
+        (AnswerClass::Final, AnswerClass::Final, AnswerClass::Final)
     );
     assert_eq!(
         (says(3002), says(3004), says(5012)),
-        (Verdict::TurnedAway, Verdict::TurnedAway, Verdict::Error)
+        (
+            AnswerClass::Rejected,
+            AnswerClass::Rejected,
+            AnswerClass::Failed
+        )
     );
 }
