--- a/crates/diameter/src/codec/message.rs
+++ b/crates/diameter/src/codec/message.rs
@@ -1,7 +1,11 @@
 //! Messages: header and AVPs (RFC 6733 section 3).
 
-use super::avp::{find, read_all, Avp};
-use super::{flag, u24_at, u32_at, validation, Fault, Header, Unreadable, HEADER_BYTES};
+use super::avp::{find, Avp};
+use super::big_endian::{u24_at, u32_at};
+use super::fault::{Fault, Unreadable};
+use super::header::{flag, Header, HEADER_BYTES};
+use super::read_avp::read_all;
+use super::validation;
 use crate::dictionary::{code, result};
 use bytes::Bytes;
 
--- a/crates/diameter/src/codec/validation.rs
+++ b/crates/diameter/src/codec/validation.rs
@@ -2,7 +2,7 @@
 //! AVP is known.
 
 use super::avp::{Avp, MANDATORY};
-use super::Fault;
+use super::fault::Fault;
 use crate::dictionary::{self, code, result, Kind};
 
 /// Levels of grouped AVPs inside each other. Bounds the recursion on input from the network.
--- a/crates/diameter/src/credit/duplicates.rs
+++ b/crates/diameter/src/credit/duplicates.rs
@@ -1,7 +1,7 @@
 //! Detection of duplicate requests (RFC 6733 section 3): which requests are in flight, and cached answers.
 
+use super::mapping::Mapping;
 use super::request::RequestKey;
-use super::Mapping;
 use crate::codec::Message;
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/diameter/src/credit/request.rs
+++ b/crates/diameter/src/credit/request.rs
@@ -1,7 +1,7 @@
 //! Reads Credit-Control-Requests.
 
+use super::mapping::Mapping;
 use super::units::requested_units;
-use super::Mapping;
 use crate::codec::{find, Avp, Fault, Message};
 use crate::dictionary::{application, code, result};
 
--- a/crates/diameter/src/credit/sessions.rs
+++ b/crates/diameter/src/credit/sessions.rs
@@ -1,7 +1,7 @@
 //! Credit-control sessions: whose they are, and which server has their state.
 
+use super::mapping::Mapping;
 use super::request::RequestType;
-use super::Mapping;
 use crate::codec::{Fault, Message};
 use crate::dictionary::{code, result};
 use std::collections::HashMap;
--- a/crates/diameter/tests/codec.rs
+++ b/crates/diameter/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The codec against vectors worked out by hand from RFC 6733, and against anything at all.
+//! The codec against messages encoded by hand from RFC 6733, and against arbitrary bytes.
 
 use bytes::Bytes;
 use frosthatch_diameter::codec::{flag, frame, Avp, Fault, Header, Message};
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_message_written_by_hand_is_read_and_written_the_same() {
+fn a_message_encoded_by_hand_is_decoded_and_encoded_the_same() {
     assert_eq!(
         frame(DWR),
         Ok(Some(DWR.len())).map(|_: Option<usize>| Some(48))
@@ -37,9 +37,9 @@
     assert_eq!(message.validate(), Ok(()));
 }
 
-/// Vendor-specific and unknown AVPs go through as they came, in their order.
+/// Vendor-specific and unknown AVPs are forwarded unchanged and in order.
 #[test]
-fn what_is_not_known_is_kept_as_it_came() {
+fn unknown_avps_are_kept_unchanged() {
     let unknown = Avp {
         code: 9_999,
         flags: 0x80,
@@ -62,9 +62,9 @@
     );
 }
 
-/// 16 MB are not waited for, and no other version is followed.
+/// The gateway does not wait for 16 MB, and does not interpret other versions.
 #[test]
-fn lengths_that_no_message_has_are_refused_by_the_first_four_bytes() {
+fn impossible_lengths_and_versions_are_rejected_by_the_first_four_bytes() {
     for (bytes, code) in [
         (&b"\x01\xff\xff\xff"[..], result::INVALID_MESSAGE_LENGTH),
         (b"\x01\x00\x00\x10", result::INVALID_MESSAGE_LENGTH),
@@ -79,8 +79,8 @@
 }
 
 #[test]
-fn avps_that_overrun_what_they_stand_in_are_told() {
-    // Origin-Realm says 255 bytes.
+fn avps_that_overrun_their_message_or_group_are_rejected() {
+    // The length of Origin-Realm becomes 255 bytes.
     let mut bytes = DWR.to_vec();
     bytes[20 + 12 + 7] = 0xff;
     let unreadable = Message::decode(bytes.into()).expect_err("it overruns the message");
@@ -92,7 +92,7 @@
         unreadable.fault.failed_avp.map(|a| a.code),
         Some(code::ORIGIN_REALM)
     );
-    // One in a group says more than the group holds.
+    // The length of a member is more than its group has.
     let mut group = Avp::of_group(
         code::SUBSCRIPTION_ID,
         &[Avp::of_u32(code::SUBSCRIPTION_ID_TYPE, 0)],
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn values_and_bits_that_make_no_sense_are_told() {
+fn invalid_values_and_flags_are_rejected() {
     let wrong = |avp: Avp| {
         Message::decode(dwr().with(avp).encode().into())
             .expect("a message")
@@ -151,9 +151,9 @@
     );
 }
 
-/// Groups in groups without end are no message.
+/// Recursion on received groups is bounded.
 #[test]
-fn groups_nest_only_so_deep() {
+fn too_deeply_nested_groups_are_rejected() {
     let mut avp = Avp::of_u32(code::RESULT_CODE, 1);
     for _ in 0..20 {
         avp = Avp::of_group(code::PROXY_INFO, &[avp]);
@@ -189,9 +189,9 @@
 
 proptest! {
     #[test]
-    fn what_is_written_is_read(avps in proptest::collection::vec(any_avp(), 0..20), hop in any::<u32>(), t in any::<bool>()) {
-        let flags = flag::REQUEST | if t { flag::RETRANSMITTED } else { 0 };
-        let message = Message { header: Header { flags, command: 272, application: 4, hop_by_hop: hop, end_to_end: 1 }, avps };
+    fn encoded_messages_are_decoded_the_same(avps in proptest::collection::vec(any_avp(), 0..20), hop_by_hop in any::<u32>(), is_retransmitted in any::<bool>()) {
+        let flags = flag::REQUEST | if is_retransmitted { flag::RETRANSMITTED } else { 0 };
+        let message = Message { header: Header { flags, command: 272, application: 4, hop_by_hop, end_to_end: 1 }, avps };
         let bytes = message.encode();
         prop_assert_eq!(frame(&bytes), Ok(Some(bytes.len())));
         prop_assert_eq!(Message::decode(bytes.into()).expect("a message"), message);
@@ -205,7 +205,7 @@
         }
     }
 
-    /// The same behind a head that lets them in.
+    /// The same after a valid header.
     #[test]
     fn arbitrary_avps_never_panic(tail in proptest::collection::vec(any::<u8>(), 0..400)) {
         let bytes = [&DWR[..20], &tail].concat();
--- a/crates/diameter/tests/peers.rs
+++ b/crates/diameter/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Two peers face to face in virtual time, and peers that misbehave.
+//! Two peers connected to each other in virtual time, and peers that violate the protocol.
 
 use frosthatch_diameter::codec::{flag, Avp, Header, Message};
 use frosthatch_diameter::dictionary::{application, code, command, result};
@@ -35,25 +35,23 @@
         .collect()
 }
 
-/// What the gateway answers to a request of its client.
-fn asked(peer: &mut Peer, message: Message) -> Message {
+/// The gateway's answer to a request of its client.
+fn answer_to(peer: &mut Peer, message: Message) -> Message {
     let out = step(peer, 1, Input::Message(message));
     sent(&out)
         .pop()
         .unwrap_or_else(|| panic!("no answer: {out:?}"))
 }
 
-/// A client's and a server's side, both open.
-fn pair() -> (Peer, Peer) {
-    let (mut a, mut b) = (
-        peer("client.example.org", Role::Server),
-        peer("gateway.example.org", Role::Client),
-    );
-    assert!(step(&mut b, 0, Input::Connected).is_empty());
-    let cer = sent(&step(&mut a, 0, Input::Connected))
+/// A client and the gateway, both open.
+fn open_pair() -> (Peer, Peer) {
+    let mut client = peer("client.example.org", Role::Server);
+    let mut gateway = peer("gateway.example.org", Role::Client);
+    assert!(step(&mut gateway, 0, Input::Connected).is_empty());
+    let cer = sent(&step(&mut client, 0, Input::Connected))
         .pop()
         .expect("a CER");
-    let out = step(&mut b, 0, Input::Message(cer));
+    let out = step(&mut gateway, 0, Input::Message(cer));
     let Output::Up(remote) = &out[1] else {
         panic!("{out:?}")
     };
@@ -63,13 +61,13 @@
     );
     let cea = sent(&out).pop().expect("a CEA");
     assert_eq!(cea.result(), Some(result::SUCCESS));
-    let out = step(&mut a, 0, Input::Message(cea));
+    let out = step(&mut client, 0, Input::Message(cea));
     assert!(
         matches!(&out[..], [Output::Up(r)] if r.host == "gateway.example.org"),
         "{out:?}"
     );
-    assert!(a.is_open() && b.is_open());
-    (a, b)
+    assert!(client.is_open() && gateway.is_open());
+    (client, gateway)
 }
 
 fn ccr() -> Message {
@@ -98,22 +96,22 @@
 }
 
 #[test]
-fn capabilities_bring_both_sides_up_and_requests_through() {
-    let (_, mut b) = pair();
+fn capabilities_open_both_sides_for_requests() {
+    let (_, mut gateway) = open_pair();
     assert_eq!(
-        step(&mut b, 1, Input::Message(ccr())),
+        step(&mut gateway, 1, Input::Message(ccr())),
         [Output::Request(ccr())]
     );
     let mut answer = ccr();
     answer.header.flags = flag::PROXIABLE;
     assert_eq!(
-        step(&mut b, 1, Input::Message(answer.clone())),
+        step(&mut gateway, 1, Input::Message(answer.clone())),
         [Output::Answer(answer)]
     );
 }
 
 #[test]
-fn capabilities_that_are_not_in_order_are_answered_and_the_end() {
+fn invalid_capabilities_are_answered_and_end_the_connection() {
     for (cer, code) in [
         (
             cer(|m| m.avps.retain(|a| a.code != code::ORIGIN_REALM)),
@@ -128,89 +126,89 @@
             result::AVP_UNSUPPORTED,
         ),
     ] {
-        let mut b = peer("gateway.example.org", Role::Client);
-        step(&mut b, 0, Input::Connected);
-        let out = step(&mut b, 0, Input::Message(cer));
+        let mut gateway = peer("gateway.example.org", Role::Client);
+        step(&mut gateway, 0, Input::Connected);
+        let out = step(&mut gateway, 0, Input::Message(cer));
         let cea = sent(&out).pop().expect("a CEA");
         assert_eq!(cea.result(), Some(code));
         assert_eq!(
             cea.find(code::FAILED_AVP).is_some(),
             code >= 5_000 && code != result::NO_COMMON_APPLICATION
         );
-        assert!(matches!(out.last(), Some(Output::Close(_))) && !b.is_open());
+        assert!(matches!(out.last(), Some(Output::Close(_))) && !gateway.is_open());
     }
 }
 
 #[test]
-fn something_else_than_capabilities_first_ends_the_connection() {
-    let mut b = peer("gateway.example.org", Role::Client);
-    step(&mut b, 0, Input::Connected);
+fn another_first_message_than_capabilities_ends_the_connection() {
+    let mut gateway = peer("gateway.example.org", Role::Client);
+    step(&mut gateway, 0, Input::Connected);
     assert!(matches!(
-        &step(&mut b, 0, Input::Message(ccr()))[..],
+        &step(&mut gateway, 0, Input::Message(ccr()))[..],
         [Output::Close(_)]
     ));
 }
 
-/// A connection that says nothing is not held for good.
+/// A silent connection does not occupy resources forever.
 #[test]
-fn capabilities_that_never_come_end_the_connection() {
-    let mut b = peer("gateway.example.org", Role::Client);
-    step(&mut b, 0, Input::Connected);
-    let (mut out, due) = (Vec::new(), b.due_us());
-    b.handle_timeout(due, &mut out);
+fn a_connection_without_capabilities_times_out() {
+    let mut gateway = peer("gateway.example.org", Role::Client);
+    step(&mut gateway, 0, Input::Connected);
+    let (mut out, due) = (Vec::new(), gateway.due_us());
+    gateway.handle_timeout(due, &mut out);
     assert!(matches!(&out[..], [Output::Close(_)]));
-    assert_eq!(b.due_us(), u64::MAX);
+    assert_eq!(gateway.due_us(), u64::MAX);
 }
 
 #[test]
-fn a_second_cer_is_turned_down_and_the_connection_goes_on() {
-    let (_, mut b) = pair();
+fn a_second_cer_is_rejected_and_the_connection_stays_open() {
+    let (_, mut gateway) = open_pair();
     assert_eq!(
-        asked(&mut b, cer(|_| {})).result(),
+        answer_to(&mut gateway, cer(|_| {})).result(),
         Some(result::UNABLE_TO_COMPLY)
     );
     assert_eq!(
-        step(&mut b, 1, Input::Message(ccr())),
+        step(&mut gateway, 1, Input::Message(ccr())),
         [Output::Request(ccr())]
     );
 }
 
 #[test]
-fn watchdogs_are_answered_and_asked_and_a_silent_peer_fails_over_and_goes() {
-    let (mut a, mut b) = pair();
+fn watchdog_requests_are_answered_and_a_silent_peer_fails_over_and_is_closed() {
+    let (mut client, mut gateway) = open_pair();
     let mut out = Vec::new();
-    a.handle_timeout(a.due_us(), &mut out);
+    client.handle_timeout(client.due_us(), &mut out);
     let dwr = sent(&out).pop().expect("a DWR");
     assert_eq!(
         (dwr.header.command, dwr.number(code::ORIGIN_STATE_ID)),
         (command::DEVICE_WATCHDOG, Some(5))
     );
-    assert_eq!(asked(&mut b, dwr).result(), Some(result::SUCCESS));
-    // No answer comes back to a.
+    assert_eq!(answer_to(&mut gateway, dwr).result(), Some(result::SUCCESS));
+    // The client does not get the answer.
     let mut out = Vec::new();
-    a.handle_timeout(a.due_us(), &mut out);
+    client.handle_timeout(client.due_us(), &mut out);
     assert_eq!(out, [Output::Failover]);
     out.clear();
-    a.handle_timeout(a.due_us(), &mut out);
+    client.handle_timeout(client.due_us(), &mut out);
     assert!(matches!(&out[..], [Output::Close(_)]));
 }
 
 #[test]
-fn unknown_commands_applications_and_avps_are_told_as_the_rfc_says() {
-    let (_, mut b) = pair();
+fn unknown_commands_applications_and_avps_get_their_result_codes() {
+    let (_, mut gateway) = open_pair();
     let mut unknown = ccr();
     unknown.header.command = 999;
-    let answer = asked(&mut b, unknown.clone());
+    let answer = answer_to(&mut gateway, unknown.clone());
     assert_eq!(
         (answer.result(), answer.header.has(flag::ERROR)),
         (Some(result::APPLICATION_UNSUPPORTED), true)
     );
     unknown.header.application = application::COMMON;
     assert_eq!(
-        asked(&mut b, unknown).result(),
+        answer_to(&mut gateway, unknown).result(),
         Some(result::COMMAND_UNSUPPORTED)
     );
-    let answer = asked(&mut b, ccr().with(Avp::new(9_999, vec![1])));
+    let answer = answer_to(&mut gateway, ccr().with(Avp::new(9_999, vec![1])));
     let failed = answer
         .find(code::FAILED_AVP)
         .expect("a Failed-AVP")
@@ -228,41 +226,48 @@
 }
 
 #[test]
-fn goodbye_carries_its_cause_and_ends_with_its_answer() {
-    let (mut a, mut b) = pair();
+fn a_disconnect_request_has_its_cause_and_its_answer_closes_the_connection() {
+    let (mut client, mut gateway) = open_pair();
     let dpr = sent(&step(
-        &mut b,
+        &mut gateway,
         1,
         Input::Disconnect(DisconnectCause::Rebooting),
     ))
     .pop()
     .expect("a DPR");
     assert_eq!(dpr.number(code::DISCONNECT_CAUSE), Some(0));
-    // A request that crosses it was not taken, and says so.
-    assert_eq!(asked(&mut b, ccr()).result(), Some(result::TOO_BUSY));
-    let out = step(&mut a, 1, Input::Message(dpr));
-    assert!(out.contains(&Output::PeerClosing) && !a.is_open());
+    // A request that crosses it is rejected.
+    assert_eq!(
+        answer_to(&mut gateway, ccr()).result(),
+        Some(result::TOO_BUSY)
+    );
+    let out = step(&mut client, 1, Input::Message(dpr));
+    assert!(out.contains(&Output::PeerClosing) && !client.is_open());
     let dpa = sent(&out).pop().expect("a DPA");
     assert!(matches!(
-        &step(&mut b, 1, Input::Message(dpa))[..],
+        &step(&mut gateway, 1, Input::Message(dpa))[..],
         [Output::Close(_)]
     ));
 }
 
 #[test]
-fn goodbyes_that_cross_end_both_sides() {
-    let (mut a, mut b) = pair();
-    let from_a = sent(&step(&mut a, 1, Input::Disconnect(DisconnectCause::Busy)))
-        .pop()
-        .expect("a DPR");
-    let from_b = sent(&step(
-        &mut b,
+fn crossing_disconnect_requests_close_both_sides() {
+    let (mut client, mut gateway) = open_pair();
+    let client_dpr = sent(&step(
+        &mut client,
+        1,
+        Input::Disconnect(DisconnectCause::Busy),
+    ))
+    .pop()
+    .expect("a DPR");
+    let gateway_dpr = sent(&step(
+        &mut gateway,
         1,
         Input::Disconnect(DisconnectCause::Rebooting),
     ))
     .pop()
     .expect("a DPR");
-    for (peer, dpr) in [(&mut a, from_b), (&mut b, from_a)] {
+    for (peer, dpr) in [(&mut client, gateway_dpr), (&mut gateway, client_dpr)] {
         let out = step(peer, 2, Input::Message(dpr));
         assert!(
             matches!(&out[..], [Output::Send(_), Output::Close(_)]),
@@ -272,15 +277,15 @@
 }
 
 #[test]
-fn a_server_that_refuses_is_left() {
-    let mut a = peer("gateway.example.org", Role::Server);
-    let cer = sent(&step(&mut a, 0, Input::Connected))
+fn a_server_that_rejects_the_capabilities_is_disconnected() {
+    let mut gateway = peer("gateway.example.org", Role::Server);
+    let cer = sent(&step(&mut gateway, 0, Input::Connected))
         .pop()
         .expect("a CER");
     let mut server = peer("server.example.org", Role::Client);
     step(&mut server, 0, Input::Connected);
     let cea = server.answer(&cer, result::UNKNOWN_PEER);
-    let out = step(&mut a, 0, Input::Message(cea));
+    let out = step(&mut gateway, 0, Input::Message(cea));
     assert!(
         matches!(&out[..], [Output::Close(why)] if why.to_string().contains("3010")),
         "{out:?}"
