--- a/crates/diameter/src/codec/message.rs
+++ b/crates/diameter/src/codec/message.rs
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Reads one message, framed by [`frame`](super::frame).
+    /// Reads one message, framed by [`frame`](super::frame()).
     ///
     /// # Errors
     /// What is wrong with it, and its header.
--- a/crates/diameter/src/front/requests.rs
+++ b/crates/diameter/src/front/requests.rs
@@ -34,8 +34,11 @@
 /// Where a request of a session is to go.
 enum Routing {
     AnyServer,
-    /// The server, and whether another may be tried.
-    Sticky(ServerId, bool),
+    /// The server that has the session's state, and whether another may be tried if it is lost.
+    Sticky {
+        server: ServerId,
+        may_fail_over: bool,
+    },
     /// Its server accepts no requests, and no other may be tried.
     Undeliverable,
 }
@@ -86,7 +89,10 @@
     ) {
         let sticky_server = match self.route(&credit_request) {
             Routing::AnyServer => None,
-            Routing::Sticky(server, may_fail_over) => Some((server, may_fail_over)),
+            Routing::Sticky {
+                server,
+                may_fail_over,
+            } => Some((server, may_fail_over)),
             Routing::Undeliverable => {
                 let answer = link.own_answer(&ccr, result::UNABLE_TO_DELIVER);
                 return self.deliver(&key, &ccr, &answer, None);
@@ -128,9 +134,10 @@
 
     fn route(&self, request: &CreditRequest) -> Routing {
         match &request.sticky_server {
-            Some(server) if self.servers.accepts_requests(server) => {
-                Routing::Sticky(ServerId(server.as_str().into()), request.may_fail_over)
-            }
+            Some(server) if self.servers.accepts_requests(server) => Routing::Sticky {
+                server: ServerId(server.as_str().into()),
+                may_fail_over: request.may_fail_over,
+            },
             Some(_) if !request.may_fail_over => Routing::Undeliverable,
             _ => Routing::AnyServer,
         }
--- a/crates/diameter/tests/peers.rs
+++ b/crates/diameter/tests/peers.rs
@@ -154,8 +154,9 @@
 fn a_connection_without_capabilities_times_out() {
     let mut gateway = peer("gateway.example.org", Role::Client);
     step(&mut gateway, 0, Input::Connected);
-    let (mut out, due) = (Vec::new(), gateway.due_us());
-    gateway.handle_timeout(due, &mut out);
+    let mut out = Vec::new();
+    let due_us = gateway.due_us();
+    gateway.handle_timeout(due_us, &mut out);
     assert!(matches!(&out[..], [Output::Close(_)]));
     assert_eq!(gateway.due_us(), u64::MAX);
 }
