--- a/crates/diameter/tests/codec.rs
+++ b/crates/diameter/tests/codec.rs
@@ -1,9 +1,9 @@
-//! The codec against vectors worked out by hand from RFC 6733, and against anything at all.
+//! The codec against messages encoded by hand from RFC 6733, and against arbitrary bytes.
 
 use bytes::Bytes;
-use frosthatch_diameter::codec::*;
+use frosthatch_diameter::codec::{flag, frame, Avp, Fault, Header, Message};
 use frosthatch_diameter::dictionary::{code, command, result};
-use proptest::prelude::*;
+use proptest::prelude::{any, prop_assert_eq, proptest, Strategy};
 
 /// A DWR: version 1, 20 + 16 + 16 bytes, R bit, command 280, application 0; Origin-Host "a.b" (11 bytes and one of
 /// padding) and Origin-Realm "example" (15 and one).
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_message_written_by_hand_is_read_and_written_the_same() {
+fn a_message_encoded_by_hand_is_decoded_and_encoded_the_same() {
     assert_eq!(
         frame(DWR),
         Ok(Some(DWR.len())).map(|_: Option<usize>| Some(48))
@@ -34,12 +34,12 @@
     let message = Message::decode(Bytes::from_static(DWR)).expect("a message");
     assert_eq!(message, dwr());
     assert_eq!(message.encode(), DWR);
-    assert_eq!(message.check(), Ok(()));
+    assert_eq!(message.validate(), Ok(()));
 }
 
-/// Vendor-specific and unknown AVPs go through as they came, in their order.
+/// Vendor-specific and unknown AVPs are forwarded unchanged and in order.
 #[test]
-fn what_is_not_known_is_kept_as_it_came() {
+fn unknown_avps_are_kept_unchanged() {
     let unknown = Avp {
         code: 9_999,
         flags: 0x80,
@@ -50,21 +50,21 @@
     message.avps.insert(1, unknown.clone());
     let read = Message::decode(message.encode().into()).expect("a message");
     assert_eq!(read.avps[1], unknown);
-    assert_eq!(read.check(), Ok(()));
+    assert_eq!(read.validate(), Ok(()));
     message.avps[1].flags = 0xc0;
     let fault = Message::decode(message.encode().into())
         .expect("a message")
-        .check()
+        .validate()
         .expect_err("mandatory");
     assert_eq!(
-        (fault.code, fault.avp.map(|a| a.code)),
+        (fault.result_code, fault.failed_avp.map(|a| a.code)),
         (result::AVP_UNSUPPORTED, Some(9_999))
     );
 }
 
-/// 16 MB are not waited for, and no other version is followed.
+/// The gateway does not wait for 16 MB, and does not interpret other versions.
 #[test]
-fn lengths_that_no_message_has_are_refused_by_the_first_four_bytes() {
+fn impossible_lengths_and_versions_are_rejected_by_the_first_four_bytes() {
     for (bytes, code) in [
         (&b"\x01\xff\xff\xff"[..], result::INVALID_MESSAGE_LENGTH),
         (b"\x01\x00\x00\x10", result::INVALID_MESSAGE_LENGTH),
@@ -79,20 +79,20 @@
 }
 
 #[test]
-fn avps_that_overrun_what_they_stand_in_are_told() {
-    // Origin-Realm says 255 bytes.
+fn avps_that_overrun_their_message_or_group_are_rejected() {
+    // The length of Origin-Realm becomes 255 bytes.
     let mut bytes = DWR.to_vec();
     bytes[20 + 12 + 7] = 0xff;
     let unreadable = Message::decode(bytes.into()).expect_err("it overruns the message");
     assert_eq!(
-        (unreadable.fault.code, unreadable.header.hop_by_hop),
+        (unreadable.fault.result_code, unreadable.header.hop_by_hop),
         (result::INVALID_AVP_LENGTH, 7)
     );
     assert_eq!(
-        unreadable.fault.avp.map(|a| a.code),
+        unreadable.fault.failed_avp.map(|a| a.code),
         Some(code::ORIGIN_REALM)
     );
-    // One in a group says more than the group holds.
+    // The length of a member is more than its group has.
     let mut group = Avp::of_group(
         code::SUBSCRIPTION_ID,
         &[Avp::of_u32(code::SUBSCRIPTION_ID_TYPE, 0)],
@@ -101,21 +101,21 @@
     data[7] = 40;
     group.data = data.into();
     let read = Message::decode(dwr().with(group).encode().into()).expect("the outside is in order");
-    let fault = read.check().expect_err("it overruns its group");
+    let fault = read.validate().expect_err("it overruns its group");
     assert_eq!(
-        (fault.code, fault.avp.map(|a| a.code)),
+        (fault.result_code, fault.failed_avp.map(|a| a.code)),
         (result::INVALID_AVP_LENGTH, Some(code::SUBSCRIPTION_ID))
     );
 }
 
 #[test]
-fn values_and_bits_that_make_no_sense_are_told() {
+fn invalid_values_and_flags_are_rejected() {
     let wrong = |avp: Avp| {
         Message::decode(dwr().with(avp).encode().into())
             .expect("a message")
-            .check()
+            .validate()
             .expect_err("wrong")
-            .code
+            .result_code
     };
     assert_eq!(
         wrong(Avp::new(code::RESULT_CODE, vec![1, 2])),
@@ -131,7 +131,7 @@
         Message::decode(bits.into())
             .expect_err("a request with E")
             .fault
-            .code,
+            .result_code,
         result::INVALID_HDR_BITS
     );
     let mut bits = DWR.to_vec();
@@ -140,26 +140,30 @@
         Message::decode(bits.into())
             .expect_err("a reserved bit")
             .fault
-            .code,
+            .result_code,
         result::INVALID_AVP_BITS
     );
     assert_eq!(
-        Fault::missing(code::CC_REQUEST_NUMBER)
-            .avp
+        Fault::missing_avp(code::CC_REQUEST_NUMBER)
+            .failed_avp
             .map(|a| a.data.len()),
         Some(4)
     );
 }
 
-/// Groups in groups without end are no message.
+/// Recursion on received groups is bounded.
 #[test]
-fn groups_nest_only_so_deep() {
+fn too_deeply_nested_groups_are_rejected() {
     let mut avp = Avp::of_u32(code::RESULT_CODE, 1);
     for _ in 0..20 {
         avp = Avp::of_group(code::PROXY_INFO, &[avp]);
     }
     assert_eq!(
-        dwr().with(avp).check().expect_err("too deep").code,
+        dwr()
+            .with(avp)
+            .validate()
+            .expect_err("too deep")
+            .result_code,
         result::INVALID_AVP_VALUE
     );
 }
@@ -185,9 +189,9 @@
 
 proptest! {
     #[test]
-    fn what_is_written_is_read(avps in proptest::collection::vec(any_avp(), 0..20), hop in any::<u32>(), t in any::<bool>()) {
-        let flags = flag::REQUEST | if t { flag::RETRANSMITTED } else { 0 };
-        let message = Message { header: Header { flags, command: 272, application: 4, hop_by_hop: hop, end_to_end: 1 }, avps };
+    fn encoded_messages_are_decoded_the_same(avps in proptest::collection::vec(any_avp(), 0..20), hop_by_hop in any::<u32>(), is_retransmitted in any::<bool>()) {
+        let flags = flag::REQUEST | if is_retransmitted { flag::RETRANSMITTED } else { 0 };
+        let message = Message { header: Header { flags, command: 272, application: 4, hop_by_hop, end_to_end: 1 }, avps };
         let bytes = message.encode();
         prop_assert_eq!(frame(&bytes), Ok(Some(bytes.len())));
         prop_assert_eq!(Message::decode(bytes.into()).expect("a message"), message);
@@ -197,16 +201,16 @@
     fn arbitrary_bytes_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let _ = frame(&bytes);
         if let Ok(message) = Message::decode(bytes.into()) {
-            let _ = message.check();
+            let _ = message.validate();
         }
     }
 
-    /// The same behind a head that lets them in.
+    /// The same after a valid header.
     #[test]
     fn arbitrary_avps_never_panic(tail in proptest::collection::vec(any::<u8>(), 0..400)) {
         let bytes = [&DWR[..20], &tail].concat();
         if let Ok(message) = Message::decode(bytes.into()) {
-            let _ = message.check();
+            let _ = message.validate();
             prop_assert_eq!(Message::decode(message.encode().into()), Ok(message));
         }
     }
