--- a/crates/frosthatch/src/gateway/start.rs
+++ b/crates/frosthatch/src/gateway/start.rs
@@ -1,33 +1,34 @@
 //! The start in stages: sockets that may be inherited, the engine, discovery and counter, plug-ins and policy, the clients'
 //! side, hot restart, the admin API.
 
+mod services;
+
 use super::budget::ResourceBudget;
-use super::{discovery_source, RunningGateway, Signals};
+use super::{RunningGateway, Signals};
 use crate::admin::{GatewayAdmin, ReloadCounters};
-use crate::diameter::{DiameterBackend, DiameterService};
+use crate::diameter::DiameterBackend;
 use crate::hot_restart::{self, RestartHost, CLIENT_LISTENER};
+use crate::membership;
 use crate::operator_config::OperatorConfig;
 use crate::platform_config::PlatformConfig;
-use crate::policy::PolicyService;
-use crate::{membership, outlier_gossip};
 use frosthatch_cluster_membership::driver::MembershipHandle;
-use frosthatch_discovery::{EndpointRegistry, Source};
+use frosthatch_discovery::EndpointRegistry;
 use frosthatch_engine::{
-    Clock, CounterCall, EndpointObserver, Engine, RequestCounters, RequestPlugins, UsageReporter,
+    Clock, CounterCall, EndpointObserver, Engine, RequestCounters, UsageReporter,
 };
 use frosthatch_handover::driver::{self as handover, Host, Inherited, LocalEventSender};
-use frosthatch_http1::backend::{self, Upstream, UpstreamLimits};
+use frosthatch_http1::backend::{Upstream, UpstreamLimits};
 use frosthatch_http1::server::HttpServer;
 use frosthatch_log::log_line;
-use frosthatch_plugins::host::Plugins;
 use frosthatch_sockets::{listen, Sharing};
 use frosthatch_traffic_control::Gateway;
+use services::Services;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpListener;
-use tokio::sync::{mpsc, watch, Notify};
+use tokio::sync::{mpsc, Notify};
 use tokio::task::spawn_local;
 
 /// Starts all parts.
@@ -136,52 +137,6 @@
     }
 }
 
-/// The parts round the engine.
-struct Services {
-    diameter: Option<DiameterService>,
-    endpoints: Rc<EndpointRegistry>,
-    discovery_source: watch::Sender<Source>,
-    counter_address: watch::Sender<Option<SocketAddr>>,
-    plugins: Option<Rc<Plugins>>,
-    policy: Option<Rc<PolicyService>>,
-}
-
-impl Services {
-    async fn start(
-        core: Core,
-        listener: &TcpListener,
-        member: Option<&Rc<MembershipHandle>>,
-        operator: &OperatorConfig,
-        platform: &Rc<PlatformConfig>,
-    ) -> Result<Services, String> {
-        let engine = core.engine;
-        let address = listener.local_addr();
-        let address = address.map_err(|error| format!("cannot listen: {error}"))?;
-        let diameter = start_diameter(core.diameter, operator, platform, &engine).await?;
-        log_line!("{} listens on {address}", platform.name);
-        spawn_local(engine.clone().run_timers());
-        spawn_membership(member, operator, &engine);
-        spawn_local(backend::close_stale_connections(core.upstream));
-        let (endpoints, discovery_source) = spawn_discovery(platform, operator, &engine);
-        let counter_address = spawn_counter(platform, core.counter_calls, &engine);
-        let plugins = start_plugins(operator, platform, &core.clock).await?;
-        let policy = start_policy(operator, platform, member, &engine)?;
-        Ok(Services {
-            diameter,
-            endpoints,
-            discovery_source,
-            counter_address,
-            plugins,
-            policy,
-        })
-    }
-
-    fn request_plugins(&self) -> Option<Rc<dyn RequestPlugins>> {
-        let plugins = self.plugins.clone();
-        plugins.map(|plugins| plugins as Rc<dyn RequestPlugins>)
-    }
-}
-
 /// The engine and the servers' sides that it is created with.
 struct Core {
     engine: Rc<Engine>,
@@ -238,19 +193,6 @@
     }
 }
 
-async fn start_diameter(
-    backend: Option<DiameterBackend>,
-    operator: &OperatorConfig,
-    platform: &Rc<PlatformConfig>,
-    engine: &Rc<Engine>,
-) -> Result<Option<DiameterService>, String> {
-    let (Some(backend), Some(config)) = (backend, &operator.diameter) else {
-        return Ok(None);
-    };
-    let service = backend.into_service(config.clone(), platform.clone(), engine.clone());
-    Ok(Some(service.await?))
-}
-
 /// The clients' listener: of the process that is replaced, or a new one.
 async fn client_listener(
     platform: &PlatformConfig,
@@ -269,87 +211,6 @@
     Ok(Rc::new(listener))
 }
 
-fn spawn_membership(
-    member: Option<&Rc<MembershipHandle>>,
-    operator: &OperatorConfig,
-    engine: &Rc<Engine>,
-) {
-    let (Some(member), Some(fleet)) = (member, &operator.fleet) else {
-        return;
-    };
-    spawn_local(member.clone().run(fleet.gossip_interval, engine.clone()));
-    if fleet.shares_server_choices {
-        spawn_local(outlier_gossip::run(member.clone(), engine.clone()));
-    }
-}
-
-fn spawn_discovery(
-    platform: &PlatformConfig,
-    operator: &OperatorConfig,
-    engine: &Rc<Engine>,
-) -> (Rc<EndpointRegistry>, watch::Sender<Source>) {
-    let (source, source_changes) = watch::channel(discovery_source(platform, operator));
-    let endpoints = EndpointRegistry::new(engine.clone());
-    spawn_local(frosthatch_discovery::run(
-        source_changes,
-        platform.known_endpoints.targets.clone(),
-        platform.seed,
-        endpoints.clone(),
-    ));
-    (endpoints, source)
-}
-
-fn spawn_counter(
-    platform: &PlatformConfig,
-    calls: mpsc::Receiver<CounterCall>,
-    engine: &Rc<Engine>,
-) -> watch::Sender<Option<SocketAddr>> {
-    let (address, address_changes) = watch::channel(platform.counter);
-    spawn_local(frosthatch_counter::run(
-        address_changes,
-        platform.counter_timeout,
-        calls,
-        engine.clone(),
-    ));
-    address
-}
-
-/// Plug-ins are compiled on threads of their own; without any none of their machinery runs.
-async fn start_plugins(
-    operator: &OperatorConfig,
-    platform: &PlatformConfig,
-    clock: &Rc<Clock>,
-) -> Result<Option<Rc<Plugins>>, String> {
-    if operator.plugins.is_empty() {
-        return Ok(None);
-    }
-    let max_units = platform.settings.max_units;
-    let reader = clock.clone().reader();
-    let plugins = Plugins::start(operator.plugins.clone(), max_units, reader).await?;
-    spawn_local(plugins.clone().run_ticks());
-    Ok(Some(plugins))
-}
-
-fn start_policy(
-    operator: &OperatorConfig,
-    platform: &PlatformConfig,
-    member: Option<&Rc<MembershipHandle>>,
-    engine: &Rc<Engine>,
-) -> Result<Option<Rc<PolicyService>>, String> {
-    let (Some(config), Some(member)) = (&operator.policy, member) else {
-        return Ok(None);
-    };
-    let service = PolicyService::start(
-        config,
-        member.clone(),
-        engine.clone(),
-        platform.settings.clone(),
-        platform.seed,
-        &operator.plugins,
-    )?;
-    Ok(Some(service))
-}
-
 /// Runs both roles of a hot restart: this process may replace another, and may be replaced.
 fn spawn_hot_restart(
     path: PathBuf,
--- a/crates/frosthatch/tests/choices.rs
+++ b/crates/frosthatch/tests/choices.rs
@@ -1,5 +1,4 @@
 //! Ten real processes that choose among twenty servers by each other's word, and faults between them.
-#![expect(clippy::match_bool)]
 
 use frosthatch_lab::rig::{fleet_file, stage, Act, Process, Relay, Stage};
 use frosthatch_lab::site::Node;
@@ -43,9 +42,10 @@
                     return ok("done");
                 }
                 tried.fetch_add(1, Ordering::SeqCst);
-                match failing.load(Ordering::SeqCst) {
-                    true => status("500 Internal Server Error"),
-                    false => ok("done"),
+                if failing.load(Ordering::SeqCst) {
+                    status("500 Internal Server Error")
+                } else {
+                    ok("done")
                 }
             })
         };
--- a/crates/frosthatch/tests/console.rs
+++ b/crates/frosthatch/tests/console.rs
@@ -1,5 +1,4 @@
 //! Operators' calls to the real binary.
-#![expect(clippy::match_bool)]
 
 mod common;
 use common::*;
@@ -87,9 +86,12 @@
 
 #[test]
 fn figures_count_what_was_done() {
-    let server = Server::new(|m| match m.line.contains("bad") {
-        true => status("500 Internal Server Error"),
-        false => ok("served"),
+    let server = Server::new(|m| {
+        if m.line.contains("bad") {
+            status("500 Internal Server Error")
+        } else {
+            ok("served")
+        }
     });
     let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
     let site = Site::new(&discovery);
--- a/crates/frosthatch/tests/counting.rs
+++ b/crates/frosthatch/tests/counting.rs
@@ -1,5 +1,4 @@
 //! The counter as the gateway meets it: busy, in error, late, broken, gone.
-#![expect(clippy::match_bool)]
 
 mod common;
 use common::*;
@@ -58,9 +57,12 @@
 /// Guards against a late answer that is taken for the next call's.
 #[test]
 fn a_late_answer_is_nobody_elses() {
-    let counter = Counter::new(|_, line| match line.contains(&tag(1)) {
-        true => Some((Duration::from_millis(600), "ok 15".into())),
-        false => Some((Duration::ZERO, "ok 3".into())),
+    let counter = Counter::new(|_, line| {
+        if line.contains(&tag(1)) {
+            Some((Duration::from_millis(600), "ok 15".into()))
+        } else {
+            Some((Duration::ZERO, "ok 3".into()))
+        }
     });
     let (_server, gateway) = stage(&counter);
     first_call(&gateway, &counter);
@@ -123,12 +125,13 @@
 fn connections_that_fall_silent_take_no_other_calls_along() {
     const LOST: u32 = 40;
     let lost: Vec<String> = (0..LOST).map(tag).collect();
-    let counter = Counter::new(
-        move |_, line| match lost.iter().any(|tag| line.contains(tag)) {
-            true => Some((LONG, "ok 15".into())),
-            false => Some((Duration::ZERO, "ok 15".into())),
-        },
-    );
+    let counter = Counter::new(move |_, line| {
+        if lost.iter().any(|tag| line.contains(tag)) {
+            Some((LONG, "ok 15".into()))
+        } else {
+            Some((Duration::ZERO, "ok 15".into()))
+        }
+    });
     let (_server, gateway) = stage(&counter);
     first_call(&gateway, &counter);
     let ask = |customer| gateway.ask(&shared(customer)).status();
--- a/crates/frosthatch/tests/late_bytes.rs
+++ b/crates/frosthatch/tests/late_bytes.rs
@@ -1,6 +1,5 @@
 //! Requests whose last byte leaves long after the first: what was decided before the first byte still has to hold then.
 //! A server begins a request when its last byte has come, and so do repeats, deadlines and clients' leaving count.
-#![expect(clippy::match_bool)]
 
 mod common;
 use common::*;
@@ -223,12 +222,13 @@
 /// The same head with an id of its own.
 fn replace_id(head: &str) -> String {
     let own = ClientRequest::check();
-    let lines = head
-        .split("\r\n")
-        .map(|line| match line.starts_with("X-Trace-Id") {
-            true => format!("X-Trace-Id: {}", own.header("X-Trace-Id")),
-            false => line.to_string(),
-        });
+    let lines = head.split("\r\n").map(|line| {
+        if line.starts_with("X-Trace-Id") {
+            format!("X-Trace-Id: {}", own.header("X-Trace-Id"))
+        } else {
+            line.to_string()
+        }
+    });
     lines.collect::<Vec<_>>().join("\r\n")
 }
 
--- a/crates/frosthatch/tests/outcomes.rs
+++ b/crates/frosthatch/tests/outcomes.rs
@@ -1,5 +1,4 @@
 //! Each way in which an attempt can end, and what may follow from it.
-#![expect(clippy::match_bool)]
 
 mod common;
 use common::*;
@@ -215,20 +214,24 @@
         let text = format!("HTTP/1.1 200 OK\r\n{says}\r\nall of it");
         for resets in [false, true] {
             let text = text.clone();
-            let server = Server::new(move |_| match resets {
-                true => Reply::Reset(text.clone()),
-                false => Reply::Last(text.clone()),
+            let server = Server::new(move |_| {
+                if resets {
+                    Reply::Reset(text.clone())
+                } else {
+                    Reply::Last(text.clone())
+                }
             });
             let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
             let answer = Gateway::alone(&discovery)
                 .ask(&ClientRequest::top_up().with("X-Expires-In", "2.0"));
-            match resets {
-                true => assert!(failed(&answer), "{says:?}: {answer:?}"),
-                false => assert_eq!(
+            if resets {
+                assert!(failed(&answer), "{says:?}: {answer:?}");
+            } else {
+                assert_eq!(
                     (answer.status(), answer.body.as_str()),
                     (200, "all of it"),
                     "{says:?}"
-                ),
+                );
             }
         }
     }
--- a/crates/frosthatch/tests/plain.rs
+++ b/crates/frosthatch/tests/plain.rs
@@ -1,5 +1,4 @@
 //! The plain path, the pool, and what a gateway does at its start.
-#![expect(clippy::match_bool)]
 
 mod common;
 use common::*;
@@ -33,13 +32,16 @@
 #[test]
 fn long_answers_come_back_whole() {
     let body = |n: usize| format!("{n}-").repeat(500_000);
-    let server = Server::new(move |m| match m.line.contains("chunks") {
-        true => Reply::Bytes(format!(
-            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{}\r\n0\r\n\r\n",
-            body(2).len(),
-            body(2)
-        )),
-        false => ok(&body(1)),
+    let server = Server::new(move |m| {
+        if m.line.contains("chunks") {
+            Reply::Bytes(format!(
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{}\r\n0\r\n\r\n",
+                body(2).len(),
+                body(2)
+            ))
+        } else {
+            ok(&body(1))
+        }
     });
     let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
     let gateway = Gateway::alone(&discovery);
@@ -55,9 +57,12 @@
 
 #[test]
 fn a_connection_to_a_server_is_used_again_and_one_that_it_closed_is_not() {
-    let server = Server::new(|m| match m.line.contains("last") {
-        true => Reply::Last("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".into()),
-        false => ok(""),
+    let server = Server::new(|m| {
+        if m.line.contains("last") {
+            Reply::Last("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".into())
+        } else {
+            ok("")
+        }
     });
     let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
     let gateway = Gateway::alone(&discovery);
