--- a/crates/engine/src/attempt_permit.rs
+++ b/crates/engine/src/attempt_permit.rs
@@ -12,11 +12,13 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The longest time that the process may be delayed; the latest start of an attempt allows for it.
+/// The maximum delay of the process between reading its clock and writing. Traffic control deducts it from the window
+/// in which an attempt may begin, so a write that is late by no more is not a violation.
 const MAX_PROCESS_DELAY: Duration = Duration::from_micros(MAX_GATEWAY_DELAY_US);
 /// The protocol's tolerance on each of its time limits.
 const TIME_LIMIT_SLACK: Duration = Duration::from_millis(50);
-/// How long after its client has gone an attempt may still begin; traffic control allows for the same time.
+/// The maximum time from the moment when the client stops waiting until an attempt begins. Traffic control uses the
+/// same limit.
 const CLIENT_GONE_SLACK: Duration = Duration::from_micros(CLIENT_GONE_SLACK_US);
 /// How far the deadline forwarded to a server may lie after the client's own.
 const FORWARDED_DEADLINE_SLACK: Duration = Duration::from_millis(150);
@@ -38,7 +40,7 @@
     ForwardedDeadlineStale,
 }
 
-/// Whether the client of a request still waits, and since when it does not: it has received its response, or has gone.
+/// Records when the client of a request stopped waiting, because the client received the response or disconnected.
 ///
 /// All clones share one state.
 #[derive(Clone, Debug, Default)]
@@ -53,7 +55,7 @@
     }
 
     /// Returns when the client stopped waiting; `None` while it waits.
-    pub fn gone_at(&self) -> Option<Instant> {
+    pub fn stopped_waiting_at(&self) -> Option<Instant> {
         self.0.get()
     }
 }
@@ -94,7 +96,7 @@
     /// # Errors
     /// Returns the reason why the attempt must not be written.
     pub fn check(&self) -> Result<(), WriteDenied> {
-        if self.client.gone_at().is_some() {
+        if self.client.stopped_waiting_at().is_some() {
             return Err(WriteDenied::ClientGone);
         }
         if Instant::now() >= self.latest_start {
@@ -103,21 +105,22 @@
         Ok(())
     }
 
-    /// Records that the last byte of the attempt was written, and counts the rules that this violates.
-    /// `forwarded_deadline`: the end of the remaining time that the request states to the server, if it states one.
+    /// Records that the last byte of the attempt was written, and counts a violation of each rule that forbids writing
+    /// it now. `forwarded_deadline`: the end of the remaining time that the request states to the server, if it states
+    /// one.
     pub fn record_written(&self, forwarded_deadline: Option<Instant>) {
         let now = Instant::now();
         let record_violation = |rule| self.violations.record(rule, Some(self.request));
         if now > self.latest_start + MAX_PROCESS_DELAY + TIME_LIMIT_SLACK {
             record_violation(Rule::LatestStart);
         }
-        let client_gone_at = self
+        let client_stopped_waiting_at = self
             .client
-            .gone_at()
-            .map_or(self.client_leaves_at, |gone_at| {
-                gone_at.min(self.client_leaves_at)
+            .stopped_waiting_at()
+            .map_or(self.client_leaves_at, |stopped_waiting_at| {
+                stopped_waiting_at.min(self.client_leaves_at)
             });
-        if now > client_gone_at + CLIENT_GONE_SLACK {
+        if now > client_stopped_waiting_at + CLIENT_GONE_SLACK {
             record_violation(Rule::ClientWaiting);
         }
         let latest_deadline = self.client_leaves_at + FORWARDED_DEADLINE_SLACK;
--- a/crates/engine/src/attempt_permit/tests.rs
+++ b/crates/engine/src/attempt_permit/tests.rs
@@ -42,6 +42,7 @@
     permit.record_written(Some(forwarded.deadline()));
     assert!(Rule::ALL.iter().all(|rule| violations.count(*rule) == 0));
     client.record_gone();
+    // Later than the latest start, the maximum process delay (150 ms) and the slack (50 ms) together.
     tokio::time::advance(Duration::from_millis(1_210)).await;
     permit.record_written(Some(forwarded.deadline()));
     for rule in [
--- a/crates/engine/src/clock.rs
+++ b/crates/engine/src/clock.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// A monotonic clock that starts at the value that the wall clock has when it is created, at process start.
+/// A monotonic clock whose initial value is the wall-clock time at which this `Clock` is created, at process start.
 ///
 /// Deadlines, windows, waits and ages are measured with the monotonic clock, so steps of the wall clock do not affect
 /// them.
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -49,7 +49,7 @@
     /// Wakes the timer loop when a timer is set that is due before all others.
     earlier_timer_set: Notify,
     clock: Rc<Clock>,
-    /// The answer deadline of all requests; set when the process is about to end.
+    /// The latest answer deadline of any request; set when the process is about to end.
     answer_all_by: Cell<Option<Instant>>,
     start_times: RefCell<StartTimes>,
     /// How far the wall clock was ahead of the monotonic clock when traffic control was last notified of it.
--- a/crates/engine/src/engine/actions.rs
+++ b/crates/engine/src/engine/actions.rs
@@ -66,17 +66,19 @@
                 }
             }
             Action::Log(line) => log_line!("{line}"),
-            // Discovery always watches the endpoint list, and gateways exchange use through the usage reporter.
+            // Nothing to do: discovery always watches the endpoint list, and gateways exchange use through the usage
+            // reporter.
             Action::Subscribe | Action::SendToPeer { .. } => {}
         }
     }
 
-    /// Queues a call to the shared counter; rejects the call if the queue is full.
+    /// Queues a call to the shared counter; rejects the call if the queue is full or closed.
     fn call_counter(&self, state: &mut State, call: CounterCall) {
         let Err(error) = self.counter_calls.try_send(call) else {
             return;
         };
-        // The queue is full. The call was not sent, so traffic control can treat it like one that the counter rejected.
+        // The queue is full or closed. The call was not sent, so traffic control can treat it like one that the counter
+        // rejected.
         state.events.push_back(Event::CounterReply {
             name: error.into_inner().name,
             status: CompletionStatus::Rejected,
--- a/crates/engine/src/engine/attempts.rs
+++ b/crates/engine/src/engine/attempts.rs
@@ -14,9 +14,9 @@
 
 /// The time limits of an attempt, in microseconds from its start.
 pub(super) struct AttemptTimeLimits {
-    /// The time within which the attempt ends.
+    /// The time within which the attempt has to end.
     pub timeout_us: Micros,
-    /// The time within which the attempt may be written.
+    /// The time within which the last byte of the attempt has to be written.
     pub begin_within_us: Micros,
 }
 
@@ -109,14 +109,14 @@
             let Some(running) = request.take_attempt(attempt) else {
                 return;
             };
-            self.record_result(request, id, attempt, running, result)
+            self.apply_result(request, id, attempt, running, result)
         };
         self.feed(Event::Outcome(outcome));
         self.remove_if_finished(id);
     }
 
-    /// Sends the response to the client if the attempt has one, and returns the outcome for traffic control.
-    fn record_result(
+    /// Sends the response to the client if the attempt was served, and returns the outcome for traffic control.
+    fn apply_result(
         &self,
         request: &mut PendingRequest,
         id: RequestId,
--- a/crates/engine/src/engine/gateways.rs
+++ b/crates/engine/src/engine/gateways.rs
@@ -8,8 +8,8 @@
     /// Processes the admitted use that other gateways report.
     ///
     /// `complete_gateways`: the numbers of the gateways whose use is completely known. `new_uses`: the number of the
-    /// gateway, the tag of the customer and the units admitted. `earlier_uses`: the tag of the customer and the units
-    /// admitted before their gateway was known.
+    /// gateway, the tag of the customer and the units admitted. `earlier_uses`, for use whose gateway was not yet
+    /// known: the tag of the customer and the units admitted.
     pub fn record_peer_usage(
         self: &Rc<Self>,
         complete_gateways: Vec<u32>,
@@ -23,7 +23,7 @@
         });
     }
 
-    /// Sets the gateways, by number, that are known to admit no requests.
+    /// Sets the gateways, by number, that are known to admit no requests because they have left or have never joined.
     pub fn set_absent_gateways(self: &Rc<Self>, gateways: Vec<u32>) {
         self.feed(Event::GatewaysAbsent(gateways));
     }
--- a/crates/engine/src/engine/requests.rs
+++ b/crates/engine/src/engine/requests.rs
@@ -13,10 +13,10 @@
 use tokio::time::Instant;
 use tracing::debug;
 
-/// The time before the client leaves that traffic control may not use. It covers the transmission of the response to
-/// the client and a timer that fires late.
+/// The part at the end of the client's wait that is withheld from traffic control. It covers the transmission of the
+/// response to the client and a timer that fires late.
 const DECISION_MARGIN: Duration = Duration::from_millis(12);
-/// How long before the client leaves the response is sent, whatever happens.
+/// The minimum time between the final response and the moment when the client stops waiting.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(6);
 
 impl Engine {
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Sends the final response to request `id`, if none was sent. `make_response` receives whether the attempt of the
-    /// request that ended last timed out.
+    /// Sends the final response to request `id`, if none was sent. `make_response` is called with `true` if the attempt
+    /// that ended last timed out.
     pub(super) fn respond(
         &self,
         state: &mut State,
--- a/crates/engine/src/engine/timer_loop.rs
+++ b/crates/engine/src/engine/timer_loop.rs
@@ -9,8 +9,9 @@
 
 /// How long the loop sleeps while no timer is set.
 const IDLE_SLEEP: Duration = Duration::from_secs(3_600);
-/// The largest change of the difference between the two clocks that counts as the gradual adjustment of the wall clock;
-/// a larger one is a step.
+/// The maximum change, in microseconds, of the difference between the wall clock and the monotonic clock since traffic
+/// control was last notified of the difference. The wall clock is adjusted gradually all the time; a larger change is
+/// reported as a step.
 const MAX_WALL_CLOCK_DRIFT_US: u64 = 20_000;
 
 impl Engine {
--- a/crates/engine/src/forwarded_deadline.rs
+++ b/crates/engine/src/forwarded_deadline.rs
@@ -8,9 +8,10 @@
 /// the protocol's tolerance is reserved for delays of the process.
 const MAX_STALENESS: Duration = Duration::from_millis(50);
 
-/// The remaining time that the head of a request states: how long the gateway waits for the response.
+/// The remaining time that the head of a request states: the time that the gateway waits for the response, less an
+/// allowance for writing a long body.
 ///
-/// The head is written before the body, so an allowance for writing a long body is deducted in advance.
+/// The head is written before the body, so the allowance is deducted in advance.
 #[derive(Clone, Copy, Debug)]
 pub struct ForwardedDeadline {
     created_at: Instant,
--- a/crates/engine/src/ports/attempt.rs
+++ b/crates/engine/src/ports/attempt.rs
@@ -18,7 +18,7 @@
 /// it is opaque to the engine.
 pub trait Payload {
     /// Makes one attempt on `server`, which ends by `deadline` in any case. A dropped attempt writes no further bytes.
-    /// An attempt that `permit` does not allow to be written ends as not sent.
+    /// If `permit` denies the write, the attempt ends as not sent.
     fn attempt(&self, server: &ServerId, deadline: Instant, permit: AttemptPermit) -> Attempt;
 }
 
--- a/crates/engine/src/ports/peers.rs
+++ b/crates/engine/src/ports/peers.rs
@@ -11,9 +11,9 @@
 
 /// Determines under which policy requests may be admitted, if gateways agree on a common policy.
 pub trait PolicyLease {
-    /// Appends the events that traffic control has to process at the time `now` before any other event.
-    fn collect_events(&self, now: Micros, events: &mut VecDeque<Event>);
-    /// Records that a request was admitted under the policy of the events last collected.
+    /// Appends the events that traffic control has to process at the time `now_us` before any other event.
+    fn collect_events(&self, now_us: Micros, events: &mut VecDeque<Event>);
+    /// Records that a request was admitted under the policy that the last call of `collect_events` determined.
     fn record_admitted(&self, request: RequestId);
 }
 
--- a/crates/engine/src/request_table.rs
+++ b/crates/engine/src/request_table.rs
@@ -32,11 +32,12 @@
     pub class_index: usize,
     /// The sender of the final response; `None` once the response is sent or the client has gone.
     pub response_sender: Option<oneshot::Sender<Response>>,
-    /// Whether the client still waits; shared with the permits of the attempts, which deny writes once it does not.
+    /// Whether the client still waits; shared with the permits of the attempts, which deny writes once the client has
+    /// stopped waiting.
     pub client: ClientPresence,
     /// The latest moment for the final response.
     pub answer_deadline: Instant,
-    /// When the client stops waiting for the response.
+    /// When the client stops waiting for the response, or the last answer deadline of the process if that is earlier.
     pub client_leaves_at: Instant,
     /// The part of the request that each attempt sends to a server.
     pub payload: Box<dyn Payload>,
@@ -108,8 +109,8 @@
             .map(|(id, _)| *id)
     }
 
-    /// Moves the answer deadlines of open requests that are later than `latest` to `latest`; returns the ids of the
-    /// requests that changed.
+    /// Sets the answer deadline of each open request to `latest` if it is later; returns the ids of the changed
+    /// requests.
     pub fn limit_answer_deadlines(&mut self, latest: Instant) -> Vec<RequestId> {
         let mut changed = Vec::new();
         for (id, request) in &mut self.0 {
--- a/crates/engine/src/start_times.rs
+++ b/crates/engine/src/start_times.rs
@@ -27,17 +27,17 @@
     last_listed_us: Micros,
 }
 
-/// The position of an endpoint list among those that this process receives.
+/// Whether discovery has delivered a list to this process before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListOrder {
-    /// The first list: the servers may have been running for any time.
+    /// The list is the persisted one or the first from discovery: its servers may have been running for any time.
     First,
-    /// A later list: a server that is new in it has started since the previous list.
+    /// The list is a later one: a server that is new in it has started since the previous list.
     Later,
 }
 
-/// The clock values and the kind of list for which start times are resolved.
-struct Context {
+/// The clock values and the list order for which start times are resolved.
+struct ResolutionContext {
     now_us: Micros,
     wall_clock_us: Micros,
     order: ListOrder,
@@ -54,8 +54,8 @@
 
 impl StartTimes {
     /// Returns the start time of each server on the monotonic clock, in the order of `endpoints`; [`LONG_AGO_US`] for a
-    /// server that states no start time, or none that can be converted. `wall_clock_us`: the current time of the wall
-    /// clock, in microseconds since the Unix epoch.
+    /// server that states no start time, or a future one while the wall clock is behind. `wall_clock_us`: the current
+    /// time of the wall clock, in microseconds since the Unix epoch.
     pub fn resolve(
         &mut self,
         now_us: Micros,
@@ -63,7 +63,7 @@
         order: ListOrder,
         endpoints: &[Endpoint],
     ) -> Vec<Micros> {
-        let context = Context {
+        let context = ResolutionContext {
             now_us,
             wall_clock_us,
             order,
@@ -88,7 +88,7 @@
     }
 
     /// Returns the known start time of a server, or converts the listed one if it is new.
-    fn resolve_endpoint(&self, context: &Context, endpoint: &Endpoint) -> Micros {
+    fn resolve_endpoint(&self, context: &ResolutionContext, endpoint: &Endpoint) -> Micros {
         match self.servers.get(&endpoint.uid) {
             Some(known) if known.listed_start_ms == endpoint.started_ms => known.started_us,
             known => self.convert_listed_start(context, known, endpoint),
@@ -98,7 +98,7 @@
     /// Converts a listed start time that is seen for the first time. `known`: the server's previous start.
     fn convert_listed_start(
         &self,
-        context: &Context,
+        context: &ResolutionContext,
         known: Option<&KnownStart>,
         endpoint: &Endpoint,
     ) -> Micros {
@@ -107,15 +107,17 @@
         }
         let listed_start_us = endpoint.started_ms.saturating_mul(1_000);
         let Some(age_us) = context.wall_clock_us.checked_sub(listed_start_us) else {
-            // A start time in the future: the wall clocks of gateway and server differ by an unknown amount.
+            // The start time is in the future, so the wall clocks of gateway and server differ by an unknown amount and
+            // no age can be computed. The server counts as warm if the gateway's clock is behind, and as just started
+            // otherwise.
             return if context.is_wall_clock_behind {
                 LONG_AGO_US
             } else {
                 context.now_us
             };
         };
-        // The server cannot have started before the last list that stated another start time or did not name the
-        // server, but for the delay of discovery.
+        // The server started after the last list that stated another start time for it or did not name it; a list may
+        // lag by up to `MAX_DISCOVERY_DELAY_US`. The result is at least 1, as 0 is `LONG_AGO_US`.
         let earliest_us = match (known, context.order) {
             (Some(known), _) => known.last_listed_us,
             (None, ListOrder::Later) => self.last_list_us,
--- a/crates/engine/src/start_times/tests.rs
+++ b/crates/engine/src/start_times/tests.rs
@@ -6,7 +6,7 @@
 
 const SECOND_US: Micros = 1_000_000;
 const HOUR_US: Micros = 3_600 * SECOND_US;
-/// The initial time of the wall clock, in microseconds; the monotonic clock starts near 0.
+/// The initial time of the wall clock, in microseconds; the monotonic clock has small values in these tests.
 const WALL_CLOCK_US: Micros = 1_000 * HOUR_US;
 
 fn endpoint(uid: &str, started_us: Micros) -> Endpoint {
--- a/crates/engine/src/violations.rs
+++ b/crates/engine/src/violations.rs
@@ -7,12 +7,12 @@
 /// A rule that is checked when an attempt is written or when the process ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// An attempt begins within the window that its request's previous idempotent attempt opens, and early enough for
-    /// its response to be of use.
+    /// The last byte of an attempt is written by the latest start that traffic control set: within the window in which
+    /// the request may be repeated, and while the response is of use.
     LatestStart,
-    /// No attempt begins for a client that has received its response or has gone.
+    /// No attempt begins for a client that has received its response or has gone, apart from a short tolerance.
     ClientWaiting,
-    /// The deadline forwarded to a server is no later than the client's own.
+    /// The deadline forwarded to a server is no later than the client's own, apart from a short tolerance.
     ForwardedDeadline,
     /// A request that was read completely receives a response, unless its client has gone.
     Answered,
@@ -43,7 +43,7 @@
 pub struct Violations([Cell<u64>; Rule::ALL.len()]);
 
 impl Violations {
-    /// Counts and logs a violation of `rule`, by `request` if it concerns one.
+    /// Counts and logs a violation of `rule`; `request` is the request that it concerns, if there is one.
     pub fn record(&self, rule: Rule, request: Option<RequestId>) {
         let count = &self.0[rule as usize];
         count.set(count.get() + 1);
--- a/crates/load-balancing/src/lib.rs
+++ b/crates/load-balancing/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod rotating_lease;
 pub mod subset;
 
-/// Returns the hash of a name, which is the same at every gateway and in every version.
+/// Returns the hash of a name. The hash is the same at every gateway and in every version of the gateway.
 pub fn key(name: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes())
 }
--- a/crates/load-balancing/src/outlier_signals.rs
+++ b/crates/load-balancing/src/outlier_signals.rs
@@ -3,28 +3,28 @@
 //!
 //! | rule | reason |
 //! | --- | --- |
-//! | a gateway's later reports replace its earlier ones; order and repetition do not matter | reports are disseminated by gossip |
+//! | the reports last received from a gateway replace its previous ones; the order among gateways and repetition have no effect | reports are disseminated by gossip |
 //! | a report expires [`REPORT_TTL_US`] after its observation, or when the server restarts | it is too old, or about another process |
-//! | the reports of a gateway that reports more than half of the servers that it uses as unhealthy are ignored | its own network is at fault |
+//! | the reports of a gateway are ignored while it reports as unhealthy more than half of the servers that it uses | its own network is at fault |
 //! | a server is ejected once [`required_votes`] gateways report it as unhealthy, and more gateways than report it as healthy | one faulty gateway cannot eject a server |
 //! | while a server is ejected, the latest report on it decides | the holder of the lease to probe the server reports for all gateways |
-//! | a server is readmitted as soon as the latest report is a healthy one, or there is no report | reports expire |
+//! | a server is readmitted as soon as the latest report is not an unhealthy one, or there is no report | reports expire |
 //!
 //! Times are in microseconds on the clock of the gateway that receives the reports.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The time from the observation until a report expires, in microseconds. It is longer than two epochs of the lease to
-/// probe a server, so that a server that stays unhealthy need not be detected again.
+/// probe a server (4 s each), so that a server that stays unhealthy need not be detected again.
 pub const REPORT_TTL_US: u64 = 10_000_000;
 /// The recent failure ratio above which a gateway reports a server as unhealthy; one failure among the last five
 /// attempts exceeds it. A gateway rarely observes more failures, as it uses other servers after the first one.
 pub const UNHEALTHY_FAILURE_RATIO: f64 = 0.15;
 /// The recent failure ratio below which a gateway reports as healthy a server that other gateways report as unhealthy.
 pub const HEALTHY_FAILURE_RATIO: f64 = 0.1;
-/// The maximum number of reports that are accepted from one gateway.
+/// The maximum number of current reports of one gateway; further ones are ignored.
 pub const MAX_REPORTS: usize = 24;
-/// The number of users of a server per report that the ejection of the server requires.
+/// Ejecting a server requires one unhealthy report per this many gateways that use the server.
 const USERS_PER_VOTE: usize = 4;
 /// The minimum number of reports that the ejection of a server requires.
 const MIN_VOTES: usize = 2;
@@ -97,13 +97,14 @@
 pub struct OutlierSignals {
     by_gateway: BTreeMap<u64, GatewayReports>,
     ejected: BTreeSet<u64>,
-    /// The observation time of the report that readmitted each server; earlier reports no longer count.
+    /// The observation time of the report that readmitted each server; reports observed at or before it no longer
+    /// count.
     readmitted_at_us: BTreeMap<u64, u64>,
 }
 
 impl OutlierSignals {
-    /// Replaces the reports of the gateway `from` with these, given by server. `servers_used`: the number of servers
-    /// that the gateway uses.
+    /// Replaces the reports of the gateway `from` with `reports`, pairs of a server's key and a report; reports whose
+    /// failure ratio is not finite are ignored. `servers_used`: the number of servers that the gateway uses.
     pub fn replace_reports(
         &mut self,
         from: u64,
@@ -138,7 +139,8 @@
         self.count_votes(server, 0, now_us).unhealthy > 0
     }
 
-    /// Counts the valid reports on a server that were observed at `since_us` or later.
+    /// Counts the unexpired reports on a server that were observed at `since_us` or later, of gateways that are not at
+    /// fault.
     fn count_votes(&self, server: u64, since_us: u64, now_us: u64) -> Votes {
         let reports = self
             .by_gateway
@@ -158,12 +160,12 @@
         votes
     }
 
-    /// Recomputes which servers are ejected. `start_and_users` returns when a server started, in microseconds, and how
-    /// many gateways use it; `None` for an unknown server.
+    /// Recomputes which servers are ejected. `start_time_and_users` returns when a server started, in microseconds, and
+    /// how many gateways use it; `None` for an unknown server.
     pub fn update_ejections(
         &mut self,
         now_us: u64,
-        start_and_users: impl Fn(u64) -> Option<(u64, usize)>,
+        start_time_and_users: impl Fn(u64) -> Option<(u64, usize)>,
     ) {
         let reported: BTreeSet<u64> = self
             .by_gateway
@@ -172,7 +174,7 @@
             .collect();
         let mut ejected = BTreeSet::new();
         for server in reported {
-            let Some((started_at_us, users)) = start_and_users(server) else {
+            let Some((started_at_us, users)) = start_time_and_users(server) else {
                 continue;
             };
             if self.decide_ejection(server, started_at_us, users, now_us) {
--- a/crates/load-balancing/src/outlier_signals/tests.rs
+++ b/crates/load-balancing/src/outlier_signals/tests.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_gateway_that_reports_most_of_its_servers_is_ignored() {
+fn a_gateway_that_reports_most_of_its_servers_as_unhealthy_is_ignored() {
     let mut signals = OutlierSignals::default();
     for from in [1, 2] {
         let most_servers: Vec<(u64, f64)> = (0..6).map(|server| (server, 1.0)).collect();
--- a/crates/load-balancing/src/rotating_lease.rs
+++ b/crates/load-balancing/src/rotating_lease.rs
@@ -2,8 +2,9 @@
 //!
 //! The holder of a lease is computed from the candidates and the time alone, without messages, and the lease of a
 //! holder that is gone passes to another candidate in the next epoch. Two candidates may both hold a lease for as long
-//! as their clocks, or the sets of candidates that they know, differ. Leases granted by messages would be exact, but
-//! would need messages for each unhealthy server; the only cost of two holders is one more request per epoch.
+//! as their clocks, or the sets of candidates that they know, differ. To probe unhealthy servers, leases granted by
+//! messages would be exact but would need messages for each server, whereas a second holder costs only one more probe
+//! per epoch.
 
 use crate::hash_rank;
 
--- a/crates/load-balancing/src/rotating_lease/tests.rs
+++ b/crates/load-balancing/src/rotating_lease/tests.rs
@@ -27,7 +27,7 @@
     assert_eq!(holder(7, std::iter::empty(), 3), None);
 }
 
-/// Without a departed candidate, its leases are held by other candidates, and all other leases keep their holders.
+/// When a candidate departs, other candidates hold its leases, and all other leases keep their holders.
 #[test]
 fn only_the_leases_of_a_departed_candidate_move() {
     let candidates: Vec<u64> = (1..=9).collect();
@@ -49,9 +49,10 @@
     }
 }
 
-/// Two candidates with different clocks hold a lease at the same time for at most the difference of their clocks.
+/// Two candidates with different clocks both hold a lease for at most the difference of their clocks at each change of
+/// holder.
 #[test]
-fn two_candidates_hold_a_lease_no_longer_than_their_clocks_differ() {
+fn a_lease_has_two_holders_for_at_most_the_clock_difference() {
     let candidates = [1, 2, 3];
     let clock_difference_us = 150_000;
     let mut both_hold_us = 0;
@@ -61,10 +62,11 @@
         let second = holds(2, 5, candidates.into_iter(), delayed_us, SECOND_US);
         both_hold_us += u64::from(first && second) * 10_000;
     }
-    // In a ninth of the 200 epochs, on average, the lease passes from the second candidate to the first; the bound is
-    // twice the time that both hold it then.
+    // The clock of the first candidate is ahead, so both hold the lease only when it passes from the second to the
+    // first: on average in a ninth of the 200 epochs, each time for the clock difference. The bound is twice this
+    // expected total.
     assert!(
         both_hold_us > 0 && both_hold_us <= 200 * clock_difference_us / 9 * 2,
-        "{both_hold_us}"
+        "both candidates held the lease for {both_hold_us} us in all"
     );
 }
--- a/crates/load-balancing/src/subset.rs
+++ b/crates/load-balancing/src/subset.rs
@@ -5,9 +5,9 @@
 //! All gateways compute the same assignment of all servers to all gateways, and each uses its own subset. Every pair of
 //! a gateway and a server has a rendezvous score, a hash of both. Pairs are visited in order of their scores, best
 //! first, and a pair is assigned if the gateway still needs servers, the server still has capacity and the gateway may
-//! have more servers of that zone. This is a stable matching in which both sides rank by the same score, so a gateway
-//! or server that joins or leaves changes a few pairs along a chain, whatever the number of gateways and servers. The
-//! last few gateways, which cannot be given enough servers in this way, receive them by exchanges.
+//! have more servers of the server's zone. This is a stable matching in which both sides rank by the same score, so a
+//! gateway or server that joins or leaves changes a few pairs along a chain, whatever the number of gateways and
+//! servers. The last few gateways, which cannot be given enough servers in this way, receive them by exchanges.
 
 mod assignment;
 mod capacity;
@@ -44,8 +44,8 @@
     }
 }
 
-/// Returns the subset of each gateway, as indices into `servers`: `size` servers, or all if there are no more. The
-/// order of gateways and servers does not affect the result.
+/// Returns the subset of each gateway, as indices into `servers`: `size` servers, or all servers if there are at most
+/// `size`. The order of gateways and servers does not affect which servers a gateway gets.
 pub fn assign(gateways: &[u64], servers: &[Server], size: usize) -> Vec<Vec<u32>> {
     let size = size.min(servers.len());
     if size == servers.len() {
--- a/crates/load-balancing/src/subset/assignment.rs
+++ b/crates/load-balancing/src/subset/assignment.rs
@@ -5,8 +5,8 @@
 use crate::hash_rank;
 use std::collections::BTreeMap;
 
-/// The expected number of pairs with good scores for each server that a gateway needs; hardly any gateway needs more
-/// pairs.
+/// For each server that a gateway needs, the expected number of the gateway's pairs that the first pass visits (see
+/// `assign_best_scores`); hardly any gateway needs more pairs.
 const BEST_PAIRS_PER_NEEDED_SERVER: f64 = 2.5;
 
 /// A gateway and a server, by their indices, and the score of the pair; a smaller score is better.
@@ -29,7 +29,7 @@
     pub(super) zones: Vec<usize>,
     /// The maximum number of servers of each zone in one subset.
     max_per_zone: Vec<usize>,
-    /// The number of servers of each zone in each subset, at the index that `zone_index` returns.
+    /// The number of servers of each zone in each subset, at the index that `zone_count_index` returns.
     zone_counts: Vec<usize>,
     /// The servers assigned to each gateway.
     pub(super) assigned: Vec<Vec<u32>>,
@@ -83,13 +83,13 @@
     }
 
     /// Returns the index into `zone_counts` for the gateway and the server's zone.
-    fn zone_index(&self, gateway: usize, server: usize) -> usize {
+    fn zone_count_index(&self, gateway: usize, server: usize) -> usize {
         gateway * self.max_per_zone.len() + self.zones[server]
     }
 
     /// Returns whether the gateway may have more servers of this server's zone.
     pub(super) fn has_zone_allowance(&self, gateway: usize, server: usize) -> bool {
-        let count = self.zone_counts[self.zone_index(gateway, server)];
+        let count = self.zone_counts[self.zone_count_index(gateway, server)];
         count < self.max_per_zone[self.zones[server]]
     }
 
@@ -97,14 +97,14 @@
         self.assigned[gateway].push(server as u32);
         self.demand[gateway] -= 1;
         self.capacity[server] = self.capacity[server].saturating_sub(1);
-        let zone_index = self.zone_index(gateway, server);
-        self.zone_counts[zone_index] += 1;
+        let zone_count_index = self.zone_count_index(gateway, server);
+        self.zone_counts[zone_count_index] += 1;
     }
 
     pub(super) fn unassign(&mut self, gateway: usize, server: usize) {
         self.assigned[gateway].retain(|assigned| *assigned != server as u32);
-        let zone_index = self.zone_index(gateway, server);
-        self.zone_counts[zone_index] -= 1;
+        let zone_count_index = self.zone_count_index(gateway, server);
+        self.zone_counts[zone_count_index] -= 1;
         self.demand[gateway] += 1;
         self.capacity[server] += 1;
     }
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Assigns each of these pairs that can be assigned, in order of their scores, best first.
+    /// Assigns each of `pairs` that can be assigned, in order of their scores, best first.
     fn assign_in_order(&mut self, mut pairs: Vec<ScoredPair>) {
         let gateways = self.gateways;
         let servers = self.servers;
@@ -168,8 +168,8 @@
 
     /// Assigns only pairs with good scores, which are few and usually sufficient.
     pub(super) fn assign_best_scores(&mut self, size: usize) {
-        // For each server that a gateway needs, the expected number of its scores below this is
-        // `BEST_PAIRS_PER_NEEDED_SERVER`.
+        // `max_score` is chosen so that a gateway has on average `BEST_PAIRS_PER_NEEDED_SERVER` scores below it for
+        // each server that it needs.
         let max_score = BEST_PAIRS_PER_NEEDED_SERVER * size as f64 * (u64::MAX as f64)
             / self.weights.iter().sum::<f64>();
         let mut pairs = Vec::new();
@@ -198,8 +198,8 @@
         self.assign_in_order(pairs);
     }
 
-    /// Assigns to each gateway that still needs servers those with the smallest hash rank, preferring servers with
-    /// capacity and exceeding the capacity of others if necessary.
+    /// Fills the subsets that are still too small: first with servers that have capacity, then with servers beyond
+    /// their capacity, each in order of hash rank.
     pub(super) fn assign_beyond_capacity(&mut self) {
         for gateway in self.gateways_with_demand() {
             let mut candidates: Vec<usize> = (0..self.servers.len())
--- a/crates/load-balancing/tests/subset.rs
+++ b/crates/load-balancing/tests/subset.rs
@@ -73,7 +73,7 @@
         let max = loads.iter().max().copied();
         prop_assert!(
             max <= min.map(|load| load + 1),
-            "servers are in {:?} to {:?} subsets",
+            "servers are in {:?} to {:?} subsets, limit: a difference of 1",
             min,
             max
         );
@@ -98,7 +98,7 @@
             let share = (gateway_count * size) as f64 * server.weight / total_weight;
             prop_assert!(
                 (load as f64 - share).abs() <= 1.0,
-                "a server is in {} subsets, its share is {}",
+                "a server is in {} subsets, its share is {}, limit: a difference of 1",
                 load,
                 share
             );
@@ -130,11 +130,11 @@
                 .filter(|(zone, count)| **count > zone_shares[zone].ceil() + 1.0)
                 .count();
         }
-        // Rounding the sums of the zones may add one server. A greater excess comes from exchanges that ignore zone
-        // limits because no other exchange was possible.
+        // Rounding the capacities of a zone's servers may add one server to the maximum of the zone. A greater excess
+        // comes from exchanges that ignore zone limits because no other exchange was possible.
         prop_assert!(
             excesses * 100 <= gateway_count,
-            "{} zone excesses in the subsets of {} gateways",
+            "{} zone excesses in the subsets of {} gateways, limit: one per 100 gateways",
             excesses,
             gateway_count
         );
@@ -159,7 +159,8 @@
     }
 }
 
-/// The sizes include those on either side of one where the average number of users of a server is a whole number.
+/// The numbers of gateways and servers include the neighbours of those for which the average number of users of a
+/// server is a whole number, as the rounding of capacities changes there.
 #[test]
 fn a_server_or_gateway_that_joins_changes_few_pairs() {
     for n in [24, 60, 99, 100, 101, 199, 200, 201] {
@@ -176,12 +177,13 @@
                 let sum: usize = added.iter().sum();
                 assert!(
                     max_added <= 5,
-                    "{joined} joins {g} gateways and {n} servers: one gateway has {max_added} new servers"
+                    "{joined} joins {g} gateways and {n} servers: one gateway has {max_added} new servers, limit 5"
                 );
-                // The pairs of the server or gateway that joined, and the chain of changes that follows from each.
+                // A server that joins has `users` pairs and a gateway 10. The bound allows nine changes per pair, as a
+                // chain of changes follows from each.
                 assert!(
                     sum <= 9 * users.max(10),
-                    "{joined} joins {g} gateways and {n} servers: {sum} pairs added, {users} users per server"
+                    "{joined} joins {g} gateways and {n} servers: {sum} pairs added, limit: 9 * max({users}, 10)"
                 );
             }
         }
@@ -199,12 +201,12 @@
         .max();
     assert!(
         max_common <= Some(8),
-        "{max_common:?} of 20 servers in common"
+        "{max_common:?} of 20 servers in common, limit 8"
     );
 }
 
 #[test]
-fn subset_sizes_give_each_server_its_minimum_users_and_few_servers_are_all_used() {
+fn subsets_are_large_enough_for_the_minimum_users_or_contain_all_servers() {
     let size = SubsetSize {
         least: 10,
         users: 3,
@@ -217,7 +219,7 @@
         ),
         (None, Some(10), None)
     );
-    // Few gateways have larger subsets, so that each server has three users.
+    // If there are few gateways, their subsets are larger than `least`, so that each server has three users.
     assert_eq!(
         (
             size.size_for(64, 5_000),
@@ -249,7 +251,7 @@
     assert_eq!(loads[2], 40);
     assert!(
         loads[0].abs_diff(loads[3]) <= 1 && loads[1].abs_diff(loads[3]) <= 1,
-        "{loads:?}"
+        "subsets per server, 0 and 1 with an invalid weight and 3 with weight 1: {loads:?}"
     );
     assert!(subsets.iter().all(|subset| subset.len() == 6));
 }
--- a/crates/load-balancing/tests/ways.rs
+++ b/crates/load-balancing/tests/ways.rs
@@ -1,8 +1,8 @@
 //! Compares algorithms that assign servers to gateways by their balance and their churn.
 //!
 //! `cargo test --release -p frosthatch-load-balancing --test ways -- --ignored --nocapture` prints the table of
-//! `docs/choices.md`; the test that is not ignored checks that the algorithm in use compares to the others as
-//! documented.
+//! `docs/choices.md`; the test that is not ignored checks that of these algorithms only `assign` is both even and
+//! stable.
 
 use frosthatch_load_balancing::key;
 use frosthatch_load_balancing::subset::{assign, Server, SubsetSize};
@@ -69,7 +69,7 @@
     subsets
 }
 
-/// The former algorithm, deterministic subsetting: gateways are divided into rounds by number; each round has its own
+/// Deterministic subsetting: gateways are divided into rounds by number; each round has its own
 /// order of the servers, of which each gateway uses a slice.
 fn rounds(gateways: &[u64], servers: &[Server], size: usize) -> Vec<Vec<u32>> {
     let gateways_per_round = servers.len() / size;
@@ -137,13 +137,13 @@
     let before = algorithm(&gateways, &servers[..s], size);
     let size_with_server = SUBSET_SIZE
         .size_for(g, s + 1)
-        .expect("subsets of at most half of the servers");
+        .expect("the fleet has at least twice as many servers as a subset");
     let with_server = algorithm(&gateways, &servers, size_with_server);
     let mut remaining_gateways = gateways.clone();
     remaining_gateways.remove(g / 2);
     let size_without_gateway = SUBSET_SIZE
         .size_for(g - 1, s)
-        .expect("subsets of at most half of the servers");
+        .expect("the fleet has at least twice as many servers as a subset");
     let without_gateway = algorithm(&remaining_gateways, &servers[..s], size_without_gateway);
     let mut before_of_remaining = before.clone();
     before_of_remaining.remove(g / 2);
@@ -204,7 +204,7 @@
     for (g, s) in [(64, 200), (300, 199), (300, 200)] {
         let size = SUBSET_SIZE
             .size_for(g, s)
-            .expect("subsets of at most half of the servers");
+            .expect("the fleet has at least twice as many servers as a subset");
         let measure_algorithm = |algorithm| measure(algorithm, g, s, size);
         let by_score = measure_algorithm(assign);
         let rounds = measure_algorithm(rounds);
@@ -214,19 +214,19 @@
         assert!(
             by_score.balance.max <= 1.0 + single_user_load
                 && by_score.balance.min >= 1.0 - single_user_load,
-            "greatest load / mean load: {}, smallest: {}",
+            "maximum and minimum load / mean load: {} and {}, limit: 1 plus and minus the load of one user",
             by_score.balance.max,
             by_score.balance.min
         );
         assert!(rendezvous.balance.max > 1.0 + 2.0 * single_user_load);
         assert!(
             by_score.server_joins.mean <= 0.6 && by_score.server_joins.max <= 5,
-            "when a server joins: {:?}",
+            "servers added per gateway when a server joins, limits: mean 0.6, max 5: {:?}",
             by_score.server_joins
         );
         assert!(
             by_score.gateway_leaves.mean <= 0.6 && by_score.gateway_leaves.max <= 5,
-            "when a gateway leaves: {:?}",
+            "servers added per gateway when a gateway leaves, limits: mean 0.6, max 5: {:?}",
             by_score.gateway_leaves
         );
         assert!(
@@ -234,6 +234,6 @@
                 && ring.gateway_leaves.mean > by_score.gateway_leaves.mean
         );
     }
-    // With the former algorithm, 200 servers in place of 199 changed the slices of all gateways.
+    // With deterministic subsetting, a change from 199 to 200 servers changes the slices of all gateways.
     assert!(measure(rounds, 300, 199, 10).server_joins.mean > 4.0);
 }
