--- a/crates/traffic-control/src/counter/calls.rs
+++ b/crates/traffic-control/src/counter/calls.rs
@@ -1,45 +1,48 @@
-//! Calls to the counter that are in flight, matched with their replies.
+//! Matches replies of the shared counter with the calls in flight.
 
 use super::window::CounterWindow;
 use crate::interface::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
-/// A call to the counter.
+/// A call that adds an amount to a count of the shared counter.
 #[derive(Clone, Copy)]
 pub(crate) struct CounterCall {
-    /// Tag of the customer.
+    /// Tag of the customer whose count the call adds to.
     pub customer: u32,
     pub amount: f64,
-    /// The part of the amount that is for requests that wait for the reply.
+    /// Part of `amount` that is reserved for the requests waiting for the reply, prefetched units included.
     pub wanted_units: f64,
     pub sent_at: Micros,
-    /// The window of its count when it was sent.
+    /// Window of the count at the time of the call.
     pub window: CounterWindow,
 }
 
-/// A call's reply.
+/// The reply to a call, with the call itself.
 #[derive(Clone, Copy)]
 pub(crate) struct CounterReply {
     pub call: CounterCall,
+    /// Total of the count after the call.
     pub total: f64,
-    /// What later calls of the same name add that are still in flight.
+    /// Sum of the amounts of later calls to the same count that are still in flight.
     pub in_flight_amount: f64,
 }
 
-/// Calls in flight by name; replies come in the order of the calls.
+/// Calls in flight by the name of their count. The counter replies to the calls to one count in order.
 #[derive(Default)]
 pub(crate) struct CallsInFlight(BTreeMap<String, VecDeque<CounterCall>>);
 
 impl CallsInFlight {
+    /// Records a call that was sent to the count `name`.
     pub fn record_sent(&mut self, name: &str, call: CounterCall) {
         self.0.entry(name.to_string()).or_default().push_back(call);
     }
 
-    /// Takes the first call of this name, which is replied with `total`; `None` where none is in flight.
+    /// Removes the oldest call in flight to the count `name` and pairs it with `total`; `None` where no call is in
+    /// flight.
     pub fn match_reply(&mut self, name: &str, total: f64) -> Option<CounterReply> {
         let calls = self.0.get_mut(name)?;
         let call = calls.pop_front()?;
-        let in_flight_amount = calls.iter().map(|c| c.amount).sum();
+        let in_flight_amount = calls.iter().map(|call| call.amount).sum();
         if calls.is_empty() {
             self.0.remove(name);
         }
--- a/crates/traffic-control/src/counter/meter_history.rs
+++ b/crates/traffic-control/src/counter/meter_history.rs
@@ -1,66 +1,73 @@
-//! What the servers' meter reported of one customer's use, beside what the counter and this gateway itself counted.
+//! Compares the usage of one customer that the servers' meter reports with the usage that the counter and this
+//! gateway counted.
 
 use crate::decaying_sum::DecayingSum;
 use crate::interface::Micros;
 
-/// A reading of the meter counts for so long: a period, its lateness, and one that was missed.
+/// Maximum age of a meter reading that is used: one meter period, its reporting delay, and one missed period.
 pub(super) const METER_TIMEOUT_US: Micros = 3_500_000;
-/// Rates are taken over at least this: longer than the meter's delay, so that both cover about the same time...
+/// Minimum time constant of the usage rates. It exceeds the meter's delay, so that the rates of meter and counter
+/// cover about the same time.
 const MIN_TAU_US: f64 = 2_000_000.0;
-/// ...at most this...
+/// Maximum time constant of the usage rates.
 const MAX_TAU_US: f64 = 8_000_000.0;
-/// ...and in between over as long as so many units come in, as few units vary most.
+/// Units that arrive at the quota's rate within one time constant, between the two bounds: rates over few units
+/// vary most.
 const TAU_UNITS: f64 = 40.0;
-/// The highest rate that the counter reported recently halves in this.
+/// Half-life of the highest recent rate by the counter.
 const PEAK_HALF_LIFE_US: f64 = 2_000_000.0;
-/// That a customer uses too much is half forgotten after this: most do so for some seconds...
+/// Half-life of a customer's overuse by the last meter reading: most customers exceed their quota for some seconds.
 const OVERUSE_HALF_LIFE_US: f64 = 5_000_000.0;
-/// ...or in the time of so many of its requests, as nothing newer is known of a customer that is rarely seen.
+/// Minimum half-life of the overuse, in mean intervals between the customer's requests, as nothing newer is known
+/// of a customer whose requests are rare.
 const OVERUSE_HALF_LIFE_REQUESTS: f64 = 2.0;
-/// Weight of the meter's last reading in the average.
-const METER_WEIGHT: f64 = 0.5;
-/// A difference of a unit a second is noise.
+/// Weight of the newest reading in the average of the readings.
+const READING_WEIGHT: f64 = 0.5;
+/// Difference between the rates of meter and counter that is noise: one unit a second.
 const METER_NOISE_PER_S: f64 = 1.0;
-/// The meter exceeds the counter by this factor...
-const METER_TOLERANCE: f64 = 1.1;
-/// ...for so many periods in a row before the counter is doubted...
+/// Factor by which the meter has to exceed the counter for a period to count as underreported.
+const METER_TOLERANCE_FACTOR: f64 = 1.1;
+/// Underreported periods in a row after which the counter is doubted.
 const PERIODS_TO_DOUBT: u8 = 2;
-/// ...and agrees for so many more before it is trusted.
+/// Additional periods of agreement before the counter is trusted again, if it underreports once more while in
+/// doubt.
 const PERIODS_TO_RECOVER: u8 = 3;
 
-/// What a reading of the meter says of the counter's totals.
+/// Result of comparing a meter reading with the counter's totals.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum MeterComparison {
-    /// Nothing that was not known.
+    /// The reading repeats the previous one or confirms the present state.
     Unchanged,
-    /// The counter has reported less for some periods, and is doubted from now on.
+    /// The counter has underreported for `PERIODS_TO_DOUBT` periods in a row, and is doubted from now on.
     NewlyUnderreported,
-    /// The counter was in doubt, and agreed in this period.
+    /// The counter was in doubt and agreed with the meter in this period.
     Recovering,
 }
 
-/// Rates of one customer's use: by the meter, by the counter, and by this gateway's own requests.
+/// Usage rates of one customer: by the meter, by the counter, and by this gateway's own requests.
 #[derive(Default)]
 pub(super) struct MeterHistory {
-    /// Time constant of the rates.
+    /// Time constant of the usage rates.
     tau_us: f64,
+    /// Units that this gateway admitted.
     own_usage: DecayingSum,
-    /// Own use, and that of the others as the counter reported it.
+    /// Units that this gateway admitted, and units of the other gateways by the counter's totals.
     counter_usage: DecayingSum,
-    /// The highest rate of it, and when that was.
+    /// Highest recent rate of `counter_usage` in units a second, and the time it was reached.
     counter_usage_peak: (f64, Micros),
-    /// The meter's last reading, in units a second.
+    /// Time and value of the last meter reading, in units a second.
     reading: Option<(Micros, f64)>,
-    /// Mean of the last few readings.
+    /// Moving average of the meter readings.
     average_per_s: f64,
-    /// The meter's last reading as a share of the quota.
+    /// Time and value of the last meter reading as a share of the quota.
     quota_share: Option<(Micros, f64)>,
-    /// Periods in a row in which the meter reported more than the counter.
+    /// Number of underreported periods in a row. While the counter is in doubt, each period of agreement lowers it
+    /// by 1.
     underreported_periods: u8,
 }
 
 impl MeterHistory {
-    /// A history for a quota that fills at this rate.
+    /// Creates the history of a customer whose quota fills at `rate_per_s`.
     pub fn new(rate_per_s: f64) -> Self {
         let tau_us = (TAU_UNITS / rate_per_s.max(1e-9) * 1e6).clamp(MIN_TAU_US, MAX_TAU_US);
         MeterHistory {
@@ -75,37 +82,41 @@
         self.record_counter_usage(now, units);
     }
 
-    /// Records units of any gateway that the counter knows of.
+    /// Records units of any gateway that the counter has counted, or will once they are reported.
     pub fn record_counter_usage(&mut self, now: Micros, units: f64) {
         self.counter_usage.add(now, self.tau_us, units);
         let rate_per_s = self.counter_usage.per_s(now, self.tau_us);
         self.counter_usage_peak = (rate_per_s.max(self.decayed_peak(now)), now);
     }
 
+    /// Returns the highest recent rate by the counter, decayed to `now`.
     fn decayed_peak(&self, now: Micros) -> f64 {
         let (peak, at) = self.counter_usage_peak;
         peak * 0.5f64.powf(now.saturating_sub(at) as f64 / PEAK_HALF_LIFE_US)
     }
 
-    /// Records a reading: units a second that all gateways used in a period that is over.
+    /// Records a meter reading: the units a second that all gateways used in the meter's last complete period.
     pub fn record_reading(&mut self, now: Micros, units_per_s: f64) -> MeterComparison {
-        // Every response repeats the reading until there is another.
+        // Every response carries the latest reading, so an unchanged value is a repetition.
         let previous = self.reading.replace((now, units_per_s));
-        if previous.is_some_and(|(_, was)| was == units_per_s) {
+        if previous.is_some_and(|(_, previous_per_s)| previous_per_s == units_per_s) {
             return MeterComparison::Unchanged;
         }
-        self.average_per_s += METER_WEIGHT * (units_per_s - self.average_per_s);
-        // Once in doubt, the counter has to report all use again, and for longer; before that its recent peak will do.
+        self.average_per_s += READING_WEIGHT * (units_per_s - self.average_per_s);
+        // A counter in doubt has to report the full current rate, and for more periods; otherwise its recent peak
+        // suffices.
         let was_doubted = self.underreported_periods >= PERIODS_TO_DOUBT;
         let counted_per_s = if was_doubted {
             self.counter_usage.per_s(now, self.tau_us)
         } else {
             self.decayed_peak(now)
         };
-        let underreports = self.average_per_s > counted_per_s * METER_TOLERANCE + METER_NOISE_PER_S;
+        let underreports =
+            self.average_per_s > counted_per_s * METER_TOLERANCE_FACTOR + METER_NOISE_PER_S;
         self.count_period(underreports, was_doubted)
     }
 
+    /// Updates the number of underreported periods by the comparison of one reading.
     fn count_period(&mut self, underreports: bool, was_doubted: bool) -> MeterComparison {
         if was_doubted && underreports {
             self.underreported_periods = PERIODS_TO_DOUBT + PERIODS_TO_RECOVER;
@@ -127,13 +138,13 @@
         }
     }
 
-    /// Records the meter's reading as a share of the quota.
+    /// Records a meter reading as a share of the quota.
     pub fn record_quota_share(&mut self, now: Micros, share: f64) {
         self.quota_share = Some((now, share));
     }
 
-    /// How many times its quota the customer uses by the last reading, at least 1. It fades with age, and more slowly for
-    /// customers whose requests are `gap_us` apart.
+    /// Returns how many times its quota the customer uses by the last reading, at least 1. The excess decays with
+    /// the reading's age, more slowly for a customer whose requests are `gap_us` apart.
     pub fn overuse_factor(&self, now: Micros, gap_us: f64) -> f64 {
         let half_life_us = OVERUSE_HALF_LIFE_US.max(OVERUSE_HALF_LIFE_REQUESTS * gap_us);
         let excess = |(at, share): (Micros, f64)| {
@@ -142,24 +153,25 @@
         1.0 + self.quota_share.map_or(0.0, excess)
     }
 
-    /// Whether the counter leaves out use of the other gateways.
+    /// Whether the counter's totals omit usage of other gateways, by a meter whose readings are recent.
     pub fn counter_underreports(&self, now: Micros) -> bool {
         self.underreported_periods >= PERIODS_TO_DOUBT && self.usage_per_s(now).is_some()
     }
 
-    /// What all gateways use by the meter; `None` if it is silent.
+    /// Returns the usage of all gateways by the meter, in units a second; `None` if the last reading is too old.
     pub fn usage_per_s(&self, now: Micros) -> Option<f64> {
         self.reading
             .filter(|(at, _)| now.saturating_sub(*at) <= METER_TIMEOUT_US)
             .map(|_| self.average_per_s)
     }
 
-    /// What the other gateways use by the meter; `None` if it is silent.
+    /// Returns the usage of the other gateways by the meter, in units a second; `None` if the last reading is too
+    /// old.
     pub fn others_usage_per_s(&self, now: Micros) -> Option<f64> {
         Some((self.usage_per_s(now)? - self.own_usage_per_s(now)).max(0.0))
     }
 
-    /// What this gateway uses.
+    /// Returns the usage of this gateway in units a second.
     pub fn own_usage_per_s(&self, now: Micros) -> f64 {
         self.own_usage.per_s(now, self.tau_us)
     }
--- a/crates/traffic-control/src/counter/mod.rs
+++ b/crates/traffic-control/src/counter/mod.rs
@@ -1,5 +1,5 @@
-//! The shared counter as one gateway sees it: which calls are in flight, how many it bears, which window its counts are
-//! in, and whether its totals can be true. No I/O and no decisions on requests.
+//! The shared counter as one gateway sees it: the calls in flight, the rate of calls that it can take, the time
+//! windows of its counts, and the plausibility of its totals. No I/O and no decisions on requests.
 
 mod calls;
 mod meter_history;
--- a/crates/traffic-control/src/counter/monitor.rs
+++ b/crates/traffic-control/src/counter/monitor.rs
@@ -1,24 +1,29 @@
-//! Log lines on the state of the counter: each change once, and not too often.
+//! Log lines about the state of the counter: one for each change, at a limited rate.
 
 use super::usage_ledger::CounterEvidence;
 use crate::interface::Micros;
 
-/// The counter is lost after so long without a reply, though there were calls.
+/// Time without a reply, although calls were made, after which the counter is lost.
 const COUNTER_LOST_TIMEOUT_US: Micros = 1_500_000;
-/// Without new evidence for so long the counter is trusted again; also the least time between two such log lines.
+/// Time without new evidence after which a doubted counter is trusted again; also the minimum interval between two
+/// log lines that report a loss or a doubt.
 const COUNTER_RECOVERED_TIMEOUT_US: Micros = 10_000_000;
 
-/// What was last logged of the counter.
+/// State of the counter as it was last logged.
 #[derive(Default)]
 pub(crate) struct CounterMonitor {
+    /// Time of the last reply, or of the first call while there was none.
     replied_at: Option<Micros>,
     is_lost: bool,
+    /// Time of the latest evidence against the totals; `None` while they are trusted.
     doubted_at: Option<Micros>,
+    /// Time of the last log line that reported a loss or a doubt.
     logged_at: Option<Micros>,
 }
 
 impl CounterMonitor {
-    /// Records the end of a call. Returns a log line when the counter is lost or replies again.
+    /// Records the end of a call. Returns a log line when the counter is lost, and when it replies again after a
+    /// loss.
     pub fn record_call(&mut self, now: Micros, replied: bool) -> Option<String> {
         let silent_us = now.saturating_sub(*self.replied_at.get_or_insert(now));
         if replied {
@@ -30,37 +35,38 @@
         newly_lost.then(|| format!("counter lost: no answer for {} ms", silent_us / 1_000))
     }
 
-    /// Records evidence that totals are not true, at a name or in what a server's meter reported. Returns a log line for
-    /// the first of a series.
+    /// Records evidence that a total cannot be true. `source` is the name of the count, or the server that reported
+    /// the meter reading. Returns a log line for the first evidence of a doubt.
     pub fn record_evidence(
         &mut self,
         now: Micros,
         evidence: CounterEvidence,
-        place: &str,
+        source: &str,
     ) -> Option<String> {
         let is_new = self.doubted_at.replace(now).is_none() && self.may_log(now);
-        is_new.then(|| format!("counter doubtful: {} ({place})", evidence.text()))
+        is_new.then(|| format!("counter doubtful: {} ({source})", evidence.description()))
     }
 
-    /// Ends a doubt for which no evidence came for a while. Returns a log line if it did.
+    /// Ends the doubt if no evidence came for `COUNTER_RECOVERED_TIMEOUT_US`. Returns a log line if it ended.
     pub fn clear_expired_doubt(&mut self, now: Micros) -> Option<String> {
-        let is_over = self
+        let has_expired = self
             .doubted_at
             .is_some_and(|at| now.saturating_sub(at) >= COUNTER_RECOVERED_TIMEOUT_US);
-        if !is_over {
+        if !has_expired {
             return None;
         }
         self.doubted_at = None;
-        Some("counter whole again".into())
+        Some("counter trusted again".into())
     }
 
+    /// Whether a line may be logged now; if so, the interval to the next line starts.
     fn may_log(&mut self, now: Micros) -> bool {
-        let may = self
+        let is_allowed = self
             .logged_at
             .is_none_or(|at| now.saturating_sub(at) >= COUNTER_RECOVERED_TIMEOUT_US);
-        if may {
+        if is_allowed {
             self.logged_at = Some(now);
         }
-        may
+        is_allowed
     }
 }
--- a/crates/traffic-control/src/counter/rate_limit.rs
+++ b/crates/traffic-control/src/counter/rate_limit.rs
@@ -1,57 +1,61 @@
-//! How many calls the shared counter bears.
+//! Limits the calls to the shared counter to the rate at which it replies quickly.
 
 use crate::interface::Micros;
 
-/// Calls a second of all gateways, until the replies tell more; also the most that one gateway makes.
+/// Calls a second of all gateways together before any reply is known; also the maximum rate of one gateway.
 const INITIAL_CALLS_PER_S: f64 = 1500.0;
-/// Calls saved up at the start: a query and what follows from it, which may be less urgent.
+/// Tokens at the start: enough for a query and the less urgent calls that follow from it.
 const INITIAL_TOKENS: f64 = 3.0;
-/// Calls a second that are always tried, to notice a recovery.
+/// Minimum rate, so that a recovery of the counter is noticed.
 const MIN_CALLS_PER_S: f64 = 0.2;
-/// Calls that are saved up at least...
+/// Minimum burst in calls.
 const MIN_BURST_CALLS: f64 = 4.0;
-/// ...or as many as come in this time, as one reply is awaited.
+/// Burst as seconds of the rate, where that is more than `MIN_BURST_CALLS`: about as long as one reply is awaited.
 const BURST_S: f64 = 0.05;
-/// Calls a second that a second of quick replies wins back, however few they were...
+/// Calls a second that one second of quick replies adds to a gateway's rate, however low that is.
 const MAX_RECOVERY_PER_S: f64 = 20.0;
-/// ...and for all gateways together.
+/// Calls a second that one second of quick replies adds to the rates of all gateways together.
 const MAX_FLEET_RECOVERY_PER_S: f64 = 80.0;
-/// A reply later than this may say that calls wait in line...
+/// Minimum time of a slow reply, which indicates that calls queue at the counter.
 const MIN_SLOW_REPLY_US: Micros = 30_000;
-/// ...if it is also later than so many times the lowest reply time.
+/// Minimum time of a slow reply as a multiple of the lowest reply time.
 const SLOW_REPLY_MULTIPLE: f64 = 2.0;
-/// Weight of one reply in the mean reply time: about the last twenty.
+/// Weight of one reply in the mean reply time, which covers about the last twenty.
 const MEAN_REPLY_WEIGHT: f64 = 0.05;
-/// Growth of the rate at a quick reply, and before any reply was slow.
+/// Growth of the rate at a quick reply.
 const GROWTH_FACTOR: f64 = 1.05;
+/// Growth of the rate at a quick reply while no reply has been slow yet.
 const STARTUP_GROWTH_FACTOR: f64 = 2.0;
-/// The rate falls by this factor at a slow reply.
+/// Factor on the rate at a slow reply.
 const BACKOFF_FACTOR: f64 = 0.8;
 
-/// Of more gateways each can make few calls, and sees little of any customer or server.
+/// Number of gateways up to which a fleet is small. In a larger one each gateway can make few calls, and sees
+/// little of any one customer or server.
 pub(crate) const MAX_SMALL_FLEET_GATEWAYS: u32 = 8;
 
-/// A token bucket of calls to the counter: as many a second as it replies to quickly. The fleet shares the counter, so each
-/// gateway backs off.
+/// A token bucket of calls to the counter. Quick replies raise its rate; slow and missing ones lower it. All
+/// gateways share the counter, so each of them backs off.
 pub(crate) struct CounterRateLimiter {
     rate_per_s: f64,
     tokens: f64,
     refilled_at: Micros,
     adjusted_at: Micros,
-    /// Lowest reply time in this interval, and in the previous one.
+    /// Lowest reply times of the current control interval and of the previous one.
     lowest_us: [f64; 2],
+    /// Mean reply time.
     mean_us: f64,
-    /// Calls a second that are won back in a second of quick replies.
+    /// Calls a second that one second of quick replies adds to the rate.
     recovery_per_s: f64,
-    /// Whether no reply was slow yet, so that it is unknown what the counter bears.
+    /// Whether the rate still doubles at each quick reply: in a large fleet, until the first slow one shows what
+    /// the counter can take.
     in_startup: bool,
 }
 
 impl CounterRateLimiter {
-    /// A limiter for one of so many gateways. `has_only_counter`: the gateways have nothing but the counter to report to
-    /// each other by.
+    /// Creates the limiter of one of `gateways` gateways. `has_only_counter`: the gateways learn of each other's
+    /// usage from the counter alone.
     pub fn new(gateways: u32, has_only_counter: bool) -> Self {
-        // Each of many learns by fewer calls, and begins with as much less.
+        // In a large fleet each gateway learns from fewer calls, so it starts at a proportionally lower rate.
         let startup_share = if has_only_counter {
             (f64::from(MAX_SMALL_FLEET_GATEWAYS) / f64::from(gateways)).min(1.0)
         } else {
@@ -74,24 +78,24 @@
         self.lowest_us = [f64::MAX, self.lowest_us[0]];
     }
 
-    /// Calls that are saved up at most.
+    /// Returns the maximum number of calls saved up.
     fn burst(&self) -> f64 {
         (self.rate_per_s * BURST_S).max(MIN_BURST_CALLS)
     }
 
-    /// How long it takes to save up a call.
+    /// Returns the time in which one call is saved up.
     pub fn refill_us(&self) -> f64 {
         1e6 / self.rate_per_s
     }
 
-    /// How long a reply takes on average.
+    /// Returns the mean reply time.
     pub fn mean_reply_us(&self) -> f64 {
         self.mean_us
     }
 
-    /// Takes a call if there is one. `kept_share` of the burst is left for calls that matter more.
+    /// Takes a call if one is saved up. `kept_share` of the burst is left for more important calls.
     pub fn try_take(&mut self, now: Micros, kept_share: f64) -> bool {
-        // Where many gateways start, nothing was saved up before the first call.
+        // At the start of a large fleet nothing is saved up before the first call.
         if self.in_startup && self.refilled_at == 0 {
             self.refilled_at = now;
         }
@@ -106,9 +110,10 @@
         is_allowed
     }
 
-    /// Slow, rejected and unanswered calls lower the rate, quick ones raise it where it binds, in steps and by time. Only
-    /// calls made since the last adjustment say something of the present rate: those in flight together adjust it once, so
-    /// that a pause that delays many calls at once does little. Where a counter loses most of its capacity, the rate falls
+    /// Adjusts the rate by the end of a call: slow, rejected and unanswered calls lower it; quick ones raise it
+    /// where it is the limit, by a factor and by the time since the last adjustment. Only calls sent since the last
+    /// adjustment say something of the present rate: calls in flight together adjust it once, so a pause that
+    /// delays many calls at once has little effect. Where a counter loses most of its capacity, the rate falls
     /// slowly.
     pub fn record_reply(&mut self, now: Micros, sent_at: Micros, is_served: bool) {
         let reply_us = (now - sent_at) as f64;
@@ -117,16 +122,17 @@
             self.lowest_us[0] = self.lowest_us[0].min(reply_us);
         }
         self.mean_us += MEAN_REPLY_WEIGHT * (reply_us - self.mean_us);
-        // The lowest time is of the last seconds: a counter that has become slow by itself is still worth querying.
+        // The lowest time is that of the last seconds only: a counter that has become slow under any load is still
+        // worth querying.
         let lowest_us = self.lowest_us[0].min(self.lowest_us[1]);
         let slow_us = (SLOW_REPLY_MULTIPLE * lowest_us).max(MIN_SLOW_REPLY_US as f64);
         let is_quick = is_served && reply_us <= slow_us;
-        let does_not_bind = is_quick && self.tokens > 1.0 + self.burst() / 2.0;
-        if sent_at < self.adjusted_at || does_not_bind {
+        let does_not_limit = is_quick && self.tokens > 1.0 + self.burst() / 2.0;
+        if sent_at < self.adjusted_at || does_not_limit {
             return;
         }
-        // A fleet that starts, or restarts, does not begin with all that it could call: its rate doubles until the first
-        // slow reply.
+        // A fleet that starts or restarts does not begin at its full rate: the rate doubles until the first slow
+        // reply.
         self.in_startup &= is_quick;
         let growth = if self.in_startup {
             STARTUP_GROWTH_FACTOR
--- a/crates/traffic-control/src/counter/usage_ledger.rs
+++ b/crates/traffic-control/src/counter/usage_ledger.rs
@@ -1,68 +1,69 @@
-//! What this gateway knows of one customer's use besides the counter's totals, and so whether these can be true. It keeps
-//! evidence only; what follows from it is decided elsewhere.
+//! Evidence about one customer's usage beside the counter's totals, and so whether these totals can be true.
+//! Decisions that follow from it are made elsewhere.
 
 use super::meter_history::{MeterComparison, MeterHistory};
 use crate::interface::Micros;
 
-/// Calls in a row without a reply before the counter is lost: one may be late at any time...
-const UNANSWERED_CALLS_TO_LOSE: u8 = 3;
-/// ...and the time for which there was none: calls on one connection are lost with it all at once.
-const UNANSWERED_US_TO_LOSE: Micros = 500_000;
-/// Share of a total whose loss shows that the count was replaced: less may be corrections of other gateways.
-const REPLACED_COUNT_LOSS: f64 = 0.5;
-/// Totals are taken by their changes for so long after the last that could not be true.
+/// Minimum number of unanswered calls in a row for the counter to be lost: a single reply may be late at any time.
+const MIN_UNANSWERED_CALLS: u8 = 3;
+/// Minimum time that these calls span for the counter to be lost: a broken connection loses all its calls at once.
+const MIN_UNANSWERED_US: Micros = 500_000;
+/// Share of a total whose loss shows that the count was replaced: a smaller loss may be corrections by other
+/// gateways.
+const MIN_REPLACED_COUNT_LOSS: f64 = 0.5;
+/// Time after the last implausible total during which only the changes of totals are used.
 const DOUBT_TIMEOUT_US: Micros = 5_000_000;
 
-/// Why a total cannot be true.
+/// Why a total of the counter cannot be true.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CounterEvidence {
-    /// It decreased by more than can have been given back.
+    /// The total decreased by more than can have been returned.
     TotalDecreased,
-    /// It is negative.
+    /// The total is negative.
     TotalNegative,
-    /// It grew by more than the other gateways can have used.
+    /// The total grew by more than the other gateways can have used.
     TotalJumped,
-    /// The meter reported more use than the total holds.
+    /// The meter reported more usage than the total contains.
     Underreported,
 }
 
 impl CounterEvidence {
-    /// The text of log lines.
-    pub fn text(self) -> &'static str {
+    /// Returns the description for log lines.
+    pub fn description(self) -> &'static str {
         match self {
             CounterEvidence::TotalDecreased => "a total went back",
-            CounterEvidence::TotalNegative => "a total is below nothing",
+            CounterEvidence::TotalNegative => "a total is negative",
             CounterEvidence::TotalJumped => "a total grew by more than can be used",
             CounterEvidence::Underreported => "the meter tells of use that a total leaves out",
         }
     }
 }
 
-/// A total as the counter replied it, with what bounds it.
+/// A total that the counter replied, with the bounds on it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReportedTotal {
-    /// Number of the counter's window.
+    /// Number of the counter's time window.
     pub window: u64,
-    /// What the call itself added.
+    /// Amount that the call itself added.
     pub amount: f64,
-    /// The total after the call.
+    /// Total after the call.
     pub total: f64,
-    /// The most that all gateways can have used in the window.
+    /// Maximum units that all gateways can have used in the window.
     pub max_usage: f64,
-    /// What may be given back at any time, as it was requested and not used.
+    /// Maximum units that may be returned at any time because they were reserved and not used.
     pub slack: f64,
 }
 
-/// What a total of the counter says.
+/// What a total says of the usage and of the counter.
 #[derive(Debug, PartialEq)]
 pub(crate) struct TotalAssessment {
-    /// Use of the other gateways since the previous total.
+    /// Units that the other gateways used since the previous total.
     pub others_units: f64,
-    /// Units that this gateway had added and that are lost: they have to be added again.
+    /// Units of this gateway that the counter lost and that have to be added again.
     pub units_to_add_again: f64,
-    /// Why the total cannot be true, if so.
+    /// Why the total cannot be true; `None` if it is plausible.
     pub evidence: Option<CounterEvidence>,
-    /// Whether it is the first total of another window.
+    /// Whether this is the first total of a new window.
     pub begins_window: bool,
 }
 
@@ -84,30 +85,34 @@
     }
 }
 
-/// One customer's totals, the calls without a reply, and the meter beside them.
+/// One customer's last total, its unanswered calls, and its meter readings.
 #[derive(Default)]
 pub(crate) struct UsageLedger {
-    /// Number of the counter's window, and the last total in it.
+    /// Number of the counter's last known window, and the last total in it.
     last_total: Option<(u64, f64)>,
-    /// What this gateway added in that window and expects to be in the total.
+    /// Units that this gateway added in that window and expects in the total.
     added_units: f64,
-    /// Amounts of calls without a reply since the last total: they may or may not have been added.
+    /// Sum of the amounts of calls since the last total that were not answered and may or may not have been added.
     uncertain_units: f64,
-    /// Such calls in a row.
+    /// Number of unanswered calls in a row.
     unanswered_calls: u8,
+    /// Time at which the first of the unanswered calls was recorded.
     unanswered_since: Option<Micros>,
-    /// There were so many, and for so long, that the counter is lost.
+    /// Whether the counter is lost: enough calls in a row were unanswered, over a long enough time.
     is_lost: bool,
-    /// Sum of the changes that were not believed: if the total takes them back, nothing was lost.
+    /// Sum of the changes of the total that were rejected as implausible. If the total reverts them, nothing was
+    /// lost.
     rejected_change: f64,
+    /// Time of the latest reason to doubt the totals; `None` while they are trusted.
     doubted_at: Option<Micros>,
-    /// When the counter last replied again after it was lost.
+    /// Time of the first reply after the counter was last lost.
     recovered_at: Option<Micros>,
+    /// Usage rates by the meter, beside those by the counter.
     meter: MeterHistory,
 }
 
 impl UsageLedger {
-    /// A ledger for a quota that fills at this rate.
+    /// Creates the ledger of a customer whose quota fills at `rate_per_s`.
     pub fn new(rate_per_s: f64) -> UsageLedger {
         UsageLedger {
             meter: MeterHistory::new(rate_per_s),
@@ -120,37 +125,37 @@
         self.meter.record_own_usage(now, units);
     }
 
-    /// Records a call without a reply: its amount may or may not have been added.
+    /// Records an unanswered call, whose `amount` may or may not have been added.
     pub fn record_unanswered_call(&mut self, now: Micros, amount: f64) {
         self.uncertain_units += amount;
         self.unanswered_calls = self.unanswered_calls.saturating_add(1);
         let since = *self.unanswered_since.get_or_insert(now);
-        self.is_lost |= self.unanswered_calls >= UNANSWERED_CALLS_TO_LOSE
-            && now.saturating_sub(since) >= UNANSWERED_US_TO_LOSE;
+        self.is_lost |= self.unanswered_calls >= MIN_UNANSWERED_CALLS
+            && now.saturating_sub(since) >= MIN_UNANSWERED_US;
     }
 
-    /// Whether the counter replied again after a loss, not long ago.
+    /// Whether the counter recovered from a loss within the last `2 * DOUBT_TIMEOUT_US`.
     pub fn has_recently_recovered(&self, now: Micros) -> bool {
         self.recovered_at
             .is_some_and(|at| now.saturating_sub(at) < 2 * DOUBT_TIMEOUT_US)
     }
 
-    /// Whether the meter has to do in place of the totals: the counter is lost, or leaves out what others use, or has just
-    /// recovered and lacks what others have not reported yet.
-    pub fn is_unreliable(&self, now: Micros) -> bool {
+    /// Whether the meter has to replace the totals: the counter is lost, omits usage of other gateways, or has just
+    /// recovered and lacks what the others have not reported yet.
+    pub fn totals_are_unreliable(&self, now: Micros) -> bool {
         let is_recovering = self
             .recovered_at
             .is_some_and(|at| now.saturating_sub(at) < DOUBT_TIMEOUT_US);
         self.is_lost || is_recovering || self.counter_underreports(now)
     }
 
-    /// Settles the calls without a reply by the units that the total `lacks`. Returns what was not added and has to be
-    /// added again.
-    pub fn resolve_uncertain(&mut self, now: Micros, lacks: f64, slack: f64) -> f64 {
+    /// Resolves the unanswered calls, given the `missing_units` of the total. Returns the units that were not added
+    /// and have to be added again.
+    pub fn resolve_uncertain(&mut self, now: Micros, missing_units: f64, slack: f64) -> f64 {
         let uncertain = std::mem::take(&mut self.uncertain_units).max(0.0);
-        // A single lost call shows in nothing: it may as well have been added.
-        if self.recovered_at == Some(now) && lacks > slack {
-            uncertain.min(lacks)
+        // A single lost call cannot be detected: it may just as well have been added.
+        if self.recovered_at == Some(now) && missing_units > slack {
+            uncertain.min(missing_units)
         } else {
             0.0
         }
@@ -171,7 +176,7 @@
         let change = reported.total - reported.amount - last;
         let added_before = self.added_units;
         self.added_units += reported.amount;
-        if self.takes_back_rejected_change(change) {
+        if self.reverts_rejected_change(change) {
             self.rejected_change = 0.0;
             return TotalAssessment::plausible(0.0, false);
         }
@@ -192,7 +197,7 @@
         TotalAssessment::plausible(change.max(0.0), begins_window)
     }
 
-    /// Ends a series of calls without a reply.
+    /// Ends a series of unanswered calls, and records the recovery of a lost counter.
     fn record_reply(&mut self, now: Micros) {
         self.unanswered_calls = 0;
         self.unanswered_since = None;
@@ -202,11 +207,13 @@
         }
     }
 
-    fn takes_back_rejected_change(&self, change: f64) -> bool {
+    /// Whether `change` reverts the changes that were rejected before.
+    fn reverts_rejected_change(&self, change: f64) -> bool {
         self.rejected_change != 0.0
             && (change + self.rejected_change).abs() <= self.rejected_change.abs() / 2.0
     }
 
+    /// Assesses a total that decreased by more than the slack.
     fn assess_decrease(
         &mut self,
         reported: &ReportedTotal,
@@ -218,10 +225,11 @@
             self.rejected_change += change;
             return TotalAssessment::implausible(CounterEvidence::TotalNegative, false);
         }
-        // Where most of the total is gone, the count was replaced. Each gateway adds again its own share of the loss: all
-        // shares together are no more than that, whoever comes first, so nothing is counted twice.
+        // A loss of most of the total shows that the count was replaced. Each gateway adds its own share of the
+        // loss again: all shares together are no more than the loss, in whatever order they come, so nothing is
+        // counted twice.
         let lost_share = (-change / last.max(1e-9)).min(1.0);
-        let units_to_add_again = if lost_share >= REPLACED_COUNT_LOSS {
+        let units_to_add_again = if lost_share >= MIN_REPLACED_COUNT_LOSS {
             (added_before * lost_share).max(0.0)
         } else {
             0.0
@@ -233,63 +241,67 @@
         }
     }
 
-    /// Whether totals are taken by their changes only: for a time after one that could not be true, and then for as long
-    /// as they are `off` what is known.
-    pub fn update_doubt(&mut self, now: Micros, off: bool) -> bool {
+    /// Updates the doubt about the totals. Returns whether only the changes of totals are used: for
+    /// `DOUBT_TIMEOUT_US` after an implausible total, and then for as long as totals are inconsistent with what is
+    /// known.
+    pub fn update_doubt(&mut self, now: Micros, is_inconsistent: bool) -> bool {
         let has_expired = self
             .doubted_at
             .is_some_and(|at| now.saturating_sub(at) >= DOUBT_TIMEOUT_US);
-        if has_expired && !off {
+        if has_expired && !is_inconsistent {
             self.doubted_at = None;
         }
         self.doubted_at.is_some()
     }
 
-    /// Records a reading of the meter: units a second that all gateways used in a period that is over. True once the
-    /// counter has reported less for some periods, and is to be doubted.
+    /// Records a meter reading: the units a second that all gateways used in the meter's last complete period.
+    /// Returns true once the counter has underreported for some periods, so that it becomes doubted.
     pub fn record_meter_reading(&mut self, now: Micros, units_per_s: f64) -> bool {
         match self.meter.record_reading(now, units_per_s) {
             MeterComparison::Unchanged => false,
             MeterComparison::NewlyUnderreported => true,
             MeterComparison::Recovering => {
-                // From now on its totals have to agree with what is known.
+                // From now on the counter's totals have to be consistent with what is known.
                 self.doubted_at = Some(now);
                 false
             }
         }
     }
 
-    /// Records the meter's reading as a share of the quota.
+    /// Records a meter reading as a share of the quota.
     pub fn record_metered_quota_share(&mut self, now: Micros, share: f64) {
         self.meter.record_quota_share(now, share);
     }
 
-    /// How many times its quota the customer uses by the meter's last reading, at least 1; it fades with age.
+    /// Returns how many times its quota the customer uses by the last meter reading, at least 1. The excess decays
+    /// with the reading's age.
     pub fn overuse_factor(&self, now: Micros) -> f64 {
-        self.overuse_factor_after(now, 0.0)
+        self.overuse_factor_for_gap(now, 0.0)
     }
 
-    /// The same where the reading has to last for requests that are `gap_us` apart.
-    pub fn overuse_factor_after(&self, now: Micros, gap_us: f64) -> f64 {
+    /// Returns the overuse factor of a customer whose requests are `gap_us` apart, for which the excess decays more
+    /// slowly.
+    pub fn overuse_factor_for_gap(&self, now: Micros, gap_us: f64) -> f64 {
         self.meter.overuse_factor(now, gap_us)
     }
 
-    /// Whether the counter leaves out use of the other gateways.
+    /// Whether the counter's totals omit usage of other gateways, by the meter.
     pub fn counter_underreports(&self, now: Micros) -> bool {
         self.meter.counter_underreports(now)
     }
 
-    /// Units a second that all gateways use by the meter; `None` if it is silent.
+    /// Returns the usage of all gateways by the meter, in units a second; `None` if the last reading is too old.
     pub fn metered_usage_per_s(&self, now: Micros) -> Option<f64> {
         self.meter.usage_per_s(now)
     }
 
-    /// Units a second that the other gateways use by the meter; `None` if it is silent.
+    /// Returns the usage of the other gateways by the meter, in units a second; `None` if the last reading is too
+    /// old.
     pub fn metered_others_usage_per_s(&self, now: Micros) -> Option<f64> {
         self.meter.others_usage_per_s(now)
     }
 
-    /// Units a second that this gateway uses.
+    /// Returns the usage of this gateway in units a second.
     pub fn own_usage_per_s(&self, now: Micros) -> f64 {
         self.meter.own_usage_per_s(now)
     }
--- a/crates/traffic-control/src/counter/window.rs
+++ b/crates/traffic-control/src/counter/window.rs
@@ -1,46 +1,47 @@
-//! The time windows of counts: which one it is by the wall clock, as all gateways have to agree on names, and for how long
-//! it has lasted by the monotonic clock, as what fills in meanwhile must not change when the wall clock is stepped.
+//! Time windows of counts. The wall clock determines a window's number, as all gateways have to agree on the names
+//! of counts; the monotonic clock measures its elapsed time, as a step of the wall clock must not change what has
+//! filled in meanwhile.
 
 use crate::interface::Micros;
 
-/// How long a count and its name are used: the longest time that the counter retains one.
+/// Length of a window, for which a count and its name are used: the longest time that the counter retains a count.
 pub(crate) const COUNTER_WINDOW_US: Micros = 60_000_000;
 
-/// One window of all counts.
+/// A time window, the same for all counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct CounterWindow {
-    /// The same at all gateways.
+    /// Number of the window, the same at all gateways.
     pub number: u64,
-    /// Time since it began.
+    /// Time since the window began.
     pub elapsed_us: Micros,
 }
 
-/// Windows whose beginnings are remembered: a wall clock may be stepped back into the previous one.
+/// Maximum number of windows whose start is remembered: a wall clock may be stepped back into the previous one.
 const MAX_REMEMBERED_WINDOWS: usize = 4;
 
-/// The wall clock, and when the latest windows began.
+/// The wall clock, and the starts of the latest windows.
 #[derive(Debug, Default)]
 pub(crate) struct CounterClock {
-    /// How far the wall clock is ahead of the gateway's own.
+    /// Offset of the wall clock from the gateway's own, monotonic clock.
     ahead_us: i64,
-    /// Numbers of the latest windows, and when they began by the gateway's own clock.
+    /// Numbers of the latest windows, and their starts by the gateway's own clock.
     window_starts: Vec<(u64, Micros)>,
 }
 
 impl CounterClock {
-    /// Sets how far the wall clock is ahead of the gateway's own from now on.
+    /// Sets the offset of the wall clock from the gateway's own clock from `now` on.
     pub fn set_wall_offset(&mut self, now: Micros, ahead_us: i64) {
-        // The window that the step ends is remembered with its own beginning.
+        // Remembers the true start of the window that the step ends.
         self.window_at(now);
         self.ahead_us = ahead_us;
     }
 
-    /// The wall clock.
+    /// Returns the time of the wall clock at `now`.
     pub fn wall_clock(&self, now: Micros) -> Micros {
         now.saturating_add_signed(self.ahead_us)
     }
 
-    /// The window that counts are in now.
+    /// Returns the window of counts at `now`.
     pub fn window_at(&mut self, now: Micros) -> CounterWindow {
         let wall = self.wall_clock(now);
         let number = wall / COUNTER_WINDOW_US;
--- a/crates/traffic-control/src/counter/window/tests.rs
+++ b/crates/traffic-control/src/counter/window/tests.rs
@@ -35,13 +35,13 @@
                 number: 10,
                 elapsed_us: 12 * SECOND
             },
-            "{ahead_s}"
+            "wall clock stepped by {ahead_s} s"
         );
     }
 }
 
 #[test]
-fn after_a_step_windows_are_those_of_a_process_that_starts_by_the_new_clock() {
+fn after_a_step_windows_equal_those_of_a_process_started_on_the_new_clock() {
     let ahead = -3_600 * SECOND as i64;
     let mut running = CounterClock::default();
     let mut started = CounterClock::default();
--- a/crates/traffic-control/src/customer/concurrency.rs
+++ b/crates/traffic-control/src/customer/concurrency.rs
@@ -1,29 +1,33 @@
-//! A customer's concurrency permits: how its open attempts are counted here, in the counter, and by its owner.
+//! Concurrency permits of a customer: how its open attempts are counted at this gateway, in the counter, and by its
+//! owner.
 
 use super::Customer;
 use crate::counter::{CounterWindow, COUNTER_WINDOW_US};
 use crate::interface::Micros;
 use crate::quota::Quota;
 
-/// Many attempts, and short beside how long a gateway's death should be felt.
+/// Length of an epoch: many attempts long, and short beside the time for which a gateway's death may be felt.
 const PERMIT_EPOCH_US: Micros = 3_000_000;
 
-/// What happens to an attempt.
+/// A change in a customer's open attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptChange {
+    /// An attempt is sent.
     Begins,
+    /// An attempt has ended.
     Ends,
 }
 
-/// The name of a count, and how long the counter retains it.
+/// Name of a customer's count, and how long the counter retains it.
 pub(crate) struct CountName {
     pub name: String,
     pub ttl_us: Micros,
 }
 
 impl Customer {
-    /// Records that an attempt begins or ends. Returns how many spare permits the count would then hold for this gateway;
-    /// `None` where the customer is not counted by permits.
+    /// Records that an attempt begins or ends. Returns the number of spare permits that the count then holds for
+    /// this gateway; `None` where the counter does not count this gateway's permits: the quota limits no
+    /// concurrency, this gateway is the owner, or nothing was reported in this epoch yet.
     pub fn record_attempt(
         &mut self,
         quota: &Quota,
@@ -55,20 +59,22 @@
         }
     }
 
-    /// Permits that the count holds for this gateway, not in use, and for which there is capacity.
+    /// Returns the permits that the count holds for this gateway, that are not in use, and for which there is
+    /// capacity.
     fn unused_permits(&self) -> f64 {
         self.permit_digits
             .map_or(0.0, |_| self.level.min(-self.unreported).max(0.0))
     }
 
-    /// Holds so many permits for this gateway's next requests, as far as the count has them for it and there is capacity
-    /// for all. True: a review is due a while from now.
+    /// Keeps up to `wanted` spare permits for this gateway's next requests, at most those that the count holds for
+    /// it and for which there is capacity. Returns true if a review becomes due.
     pub fn set_spare_permits(&mut self, wanted: u32) -> bool {
         let available = self.unused_permits() as u32;
         self.permits.set_spare(wanted.min(available))
     }
 
-    /// Reviews the spare permits: those that nobody needed are not held any more. True: another review is due.
+    /// Reviews the spare permits, and releases those that no request needed. Returns true if another review becomes
+    /// due.
     pub fn release_unneeded_permits(&mut self) -> bool {
         let Some(unneeded) = self.permits.take_unneeded() else {
             return false;
@@ -77,7 +83,7 @@
             .set_spare(self.permits.spare.saturating_sub(unneeded))
     }
 
-    /// As owner: records permits that other gateways took until `lapses_at`, or gave back if `taken` is negative.
+    /// As owner, records permits that other gateways took until `lapses_at`, or returned if `taken` is negative.
     pub fn update_granted_permits(&mut self, quota: &Quota, taken: f64, lapses_at: Micros) {
         let returned = (-taken).clamp(0.0, self.granted_permits.len() as f64) as usize;
         self.granted_permits.drain(..returned);
@@ -86,13 +92,14 @@
             .extend(std::iter::repeat_n(lapses_at, granted));
     }
 
-    /// Whether its gateways are so many that digits do not hold their permits. Then the sum starts again in each epoch: it
-    /// forgets by itself what a gateway that died, or has no call left, does not take back.
+    /// Whether the customer's gateways are too many for permit digits, so that the counter keeps one sum that
+    /// starts at zero in each epoch. The new sum omits permits that a gateway did not return because it died or had
+    /// no call left.
     pub fn counts_in_epochs(&self, quota: &Quota) -> bool {
         quota.limits_concurrency && self.permit_digits.is_none() && quota.is_counter_only
     }
 
-    /// The name of its count now.
+    /// Returns the name and the lifetime of the customer's present count.
     pub fn count_name(&self, quota: &Quota, wall: Micros, window: CounterWindow) -> CountName {
         let (number, ttl_us) = if self.counts_in_epochs(quota) {
             (self.epoch(wall), 2 * PERMIT_EPOCH_US)
@@ -105,12 +112,12 @@
         }
     }
 
-    /// The number of the epoch, which begins at another time for each customer.
+    /// Returns the number of the present epoch. Epochs of different customers begin at different times.
     fn epoch(&self, wall: Micros) -> u64 {
         (wall + Micros::from(self.tag) % PERMIT_EPOCH_US) / PERMIT_EPOCH_US
     }
 
-    /// In a new epoch no open attempt is reported yet.
+    /// Begins a new epoch if one is due: all open attempts are unreported in it.
     pub fn begin_epoch_if_due(&mut self, quota: &Quota, wall: Micros) {
         let epoch = self.epoch(wall);
         if !self.counts_in_epochs(quota) {
--- a/crates/traffic-control/src/customer/counter_sync.rs
+++ b/crates/traffic-control/src/customer/counter_sync.rs
@@ -1,4 +1,5 @@
-//! What a total of the counter says of a customer's store, and what of it this gateway corrects. Arithmetic only.
+//! Applies the counter's totals to a customer's level, and determines which corrections of the count this gateway
+//! makes. Arithmetic only.
 
 use super::Customer;
 use crate::counter::{CounterEvidence, CounterReply, ReportedTotal};
@@ -6,44 +7,45 @@
 use crate::interface::Micros;
 use crate::quota::Quota;
 
-/// A count out of step for so long is not being corrected by the gateway that caused it.
-const PERSISTENT_LOW_US: Micros = 300_000;
-/// One in so many calls that find a count out of step corrects it.
-const GATEWAYS_PER_CORRECTION: f64 = 4.0;
-/// Bound on a single correction, in units.
-const MAX_CORRECTION: f64 = 1e6;
+/// Time after which a count that is still too high is taken not to be corrected by the gateway that caused it.
+const MIN_OVERCOUNT_US: Micros = 300_000;
+/// Number of calls that find a count inconsistent, for each one that corrects it.
+const CALLS_PER_CORRECTION: f64 = 4.0;
+/// Maximum size of a single correction, in units.
+const MAX_CORRECTION_UNITS: f64 = 1e6;
 
-/// What a total of units said.
+/// Result of applying a total of units.
 pub(crate) struct UnitSync {
-    /// Why the total cannot be true, if so.
+    /// Why the total cannot be true; `None` if it is plausible.
     pub evidence: Option<CounterEvidence>,
     /// Units of the store that the count holds for this gateway.
     pub reserved_units: f64,
 }
 
-/// The store's level as a total is taken in, beside what is known without the count.
+/// The store's level by a total, and what is known of it without the count.
 struct LevelSync {
-    /// By the total.
+    /// Level computed from the total.
     level: f64,
-    /// At most so much is there...
+    /// Maximum level: that of the last sync, and what has filled in since.
     expected: f64,
-    /// ...and so much of it the others have left, as far as is known.
+    /// Part of `expected` that the other gateways have left, as far as is known.
     remaining: f64,
+    /// Time since the last sync; 0 before the first one.
     unsynced_s: f64,
-    /// What a new window's count has to carry on from the previous one.
-    carried: f64,
+    /// Units by which a new window's count has to be raised to carry on from the previous one.
+    carried_over_units: f64,
 }
 
-/// Who corrects a count that is out of step.
+/// Whether this gateway corrects an inconsistent count.
 struct CorrectionRule {
-    /// Whether few gateways see the customer, so that each may correct the count.
+    /// Whether so few gateways see the customer that each of them may correct the count.
     has_few_correctors: bool,
-    /// Whether this gateway corrects it now.
-    corrects: bool,
+    /// Whether this gateway may correct the count on this reply.
+    may_correct_now: bool,
 }
 
 impl Customer {
-    /// Takes in a total of permits, by digits or as a sum that starts again in each epoch.
+    /// Applies a total of permits, which is either encoded in digits or a sum that starts at zero in each epoch.
     pub fn sync_permits(&mut self, quota: &Quota, reply: &CounterReply, now: Micros) {
         let capacity = quota.capacity;
         let in_flight = reply.in_flight_amount;
@@ -68,9 +70,10 @@
         self.permits.record_use_by_others(now, used_by_others);
     }
 
-    /// Takes in a total of units. What all gateways used in the window, beside what filled in since, is the store's level;
-    /// what overflowed while it was full is corrected in the count. `rate_share`: this gateway's share of what fills in;
-    /// `random` is drawn only where it decides who corrects the count.
+    /// Applies a total of units. The store's level is its capacity and what has filled in since the window began,
+    /// less what all gateways used in the window; units that overflowed while the store was full are corrected in
+    /// the count. `rate_share` is this gateway's share of what fills in. `random` is called only where it decides
+    /// whether this gateway corrects the count.
     pub fn sync_units(
         &mut self,
         quota: &Quota,
@@ -100,28 +103,29 @@
             slack,
         };
         let assessment = self.ledger.assess_total(now, &reported);
-        let lacks = sync.level - sync.remaining;
-        let not_added = self.ledger.resolve_uncertain(now, lacks, slack);
+        let missing_units = sync.level - sync.remaining;
+        let not_added = self.ledger.resolve_uncertain(now, missing_units, slack);
         self.unreported += assessment.units_to_add_again + not_added;
         sync.level -= (not_added * gateways).min((sync.level - sync.remaining).max(0.0));
-        // Without this every customer would have a second burst when a window begins: the new count carries on from the
-        // level that was known, and what the others have not used since.
+        // The new count carries on from the last known level, less what the others have used since. Otherwise every
+        // customer would have a second burst when a window begins.
         if assessment.begins_window && !quota.limits_concurrency {
-            sync.carried = (sync.level - sync.remaining).max(0.0);
+            sync.carried_over_units = (sync.level - sync.remaining).max(0.0);
         }
-        sync.level -= sync.carried;
-        let is_off = (sync.level - sync.expected).abs() > gateways + quota.capacity / 8.0;
-        let is_doubted = self.ledger.update_doubt(now, is_off);
+        sync.level -= sync.carried_over_units;
+        let is_inconsistent = (sync.level - sync.expected).abs() > gateways + quota.capacity / 8.0;
+        let is_doubted = self.ledger.update_doubt(now, is_inconsistent);
         if is_doubted {
-            let is_fresh = assessment.evidence.is_some() || !self.is_synced(now);
-            sync.take_change_only(quota, assessment.others_units, is_fresh);
-            sync.carried /= gateways;
+            let ignores_change = assessment.evidence.is_some() || !self.is_synced(now);
+            sync.apply_change_only(quota, assessment.others_units, ignores_change);
+            sync.carried_over_units /= gateways;
         }
         let rule = self.correction_rule(quota, reply, random);
         self.undo_doubled_correction(&mut sync, assessment.others_units);
         self.correct_count(quota, &sync, &rule, is_doubted, now);
         let reserved_units = self.apply_level(quota, &sync, assessment.others_units, now);
-        // A doubted total reserves nothing for anyone: otherwise it would create as much as a ceiling holds.
+        // A doubted total reserves nothing for any gateway: otherwise it would create up to a whole ceiling of
+        // units.
         let is_certain = !is_doubted && reply.in_flight_amount == 0.0;
         UnitSync {
             evidence: assessment.evidence,
@@ -129,6 +133,7 @@
         }
     }
 
+    /// Computes the level from a total, and the estimates that do not use the count.
     fn begin_level_sync(
         &self,
         quota: &Quota,
@@ -137,7 +142,7 @@
         reply: &CounterReply,
         now: Micros,
     ) -> LevelSync {
-        // What this gateway wanted and has not used yet is unreported, below nothing.
+        // `unreported` includes, as a negative amount, the units that this gateway reserved and has not used yet.
         let level =
             quota.capacity + filled - reply.total - self.unreported - reply.in_flight_amount;
         let unsynced_s = self
@@ -145,7 +150,8 @@
             .map_or(0.0, |at| now.saturating_sub(at) as f64 / 1e6);
         let expected = self.level + quota.rate_per_s * (1.0 - rate_share) * unsynced_s;
         let remaining = if !self.is_synced(now) && self.ledger.has_recently_recovered(now) {
-            // Each gateway kept its share of the store: that is certain to be there.
+            // Each gateway kept its share of the store while the counter was lost: that much is certain to be
+            // there.
             self.level
         } else {
             let others_per_s = self.ledger.metered_others_usage_per_s(now).unwrap_or(0.0);
@@ -156,11 +162,12 @@
             expected,
             remaining,
             unsynced_s,
-            carried: 0.0,
+            carried_over_units: 0.0,
         }
     }
 
-    /// Of many gateways the one that begins a count corrects it, later only a few do, so that they do not all overshoot.
+    /// Determines whether this gateway may correct the count. In a large fleet, the gateway that begins a count
+    /// corrects it, and later a random few do, so that they do not all overshoot.
     fn correction_rule(
         &self,
         quota: &Quota,
@@ -168,17 +175,17 @@
         random: impl FnOnce() -> f64,
     ) -> CorrectionRule {
         let has_few_correctors = self.has_separate_ceiling(quota)
-            || !self.is_undersized(quota) && !self.is_sparse(quota);
+            || !self.has_undersized_slice(quota) && !self.is_sparse(quota);
         let begins_count = reply.total == reply.call.amount;
         CorrectionRule {
             has_few_correctors,
-            corrects: has_few_correctors
+            may_correct_now: has_few_correctors
                 || begins_count
-                || random() < 1.0 / GATEWAYS_PER_CORRECTION,
+                || random() < 1.0 / CALLS_PER_CORRECTION,
         }
     }
 
-    /// Takes the last correction back where another gateway corrected the same.
+    /// Reverts this gateway's last correction where another gateway made the same one.
     fn undo_doubled_correction(&mut self, sync: &mut LevelSync, others_units: f64) {
         let correction = std::mem::take(&mut self.count_correction);
         if correction > 0.0 && others_units >= correction / 2.0 {
@@ -188,7 +195,8 @@
         }
     }
 
-    /// Corrects a count that overflowed while the store was full, or that has been below nothing for a while.
+    /// Raises a count that is too low because the store overflowed, and lowers one that has been too high for
+    /// `MIN_OVERCOUNT_US`.
     fn correct_count(
         &mut self,
         quota: &Quota,
@@ -198,27 +206,27 @@
         now: Micros,
     ) {
         let capacity = quota.capacity;
-        self.low_since = self
-            .low_since
+        self.overcounted_since = self
+            .overcounted_since
             .or(Some(now))
             .filter(|_| sync.level < -capacity);
-        let stays_low = self
-            .low_since
-            .is_some_and(|since| now - since >= PERSISTENT_LOW_US);
+        let is_persistently_overcounted = self
+            .overcounted_since
+            .is_some_and(|since| now - since >= MIN_OVERCOUNT_US);
         let tolerance = if rule.has_few_correctors { 1.1 } else { 1.5 };
-        let may_correct = !is_doubted && rule.corrects;
-        if sync.carried > 0.0 || may_correct && sync.level > tolerance * capacity {
+        let may_correct = !is_doubted && rule.may_correct_now;
+        if sync.carried_over_units > 0.0 || may_correct && sync.level > tolerance * capacity {
             let overflow = (sync.level - capacity).max(0.0);
-            self.count_correction = (sync.carried + overflow).min(MAX_CORRECTION);
+            self.count_correction = (sync.carried_over_units + overflow).min(MAX_CORRECTION_UNITS);
             self.unreported += self.count_correction;
-        } else if may_correct && stays_low && !self.has_separate_ceiling(quota) {
-            self.unreported += sync.level.max(-MAX_CORRECTION);
-            self.low_since = None;
+        } else if may_correct && is_persistently_overcounted && !self.has_separate_ceiling(quota) {
+            self.unreported += sync.level.max(-MAX_CORRECTION_UNITS);
+            self.overcounted_since = None;
         }
     }
 
-    /// Takes the level over, unless the other gateways' own reports or the meter are more reliable. Returns what the count
-    /// then holds for this gateway.
+    /// Sets the customer's level, unless the other gateways' own reports or the meter are more reliable. Returns
+    /// the units that the count then holds for this gateway.
     fn apply_level(
         &mut self,
         quota: &Quota,
@@ -226,7 +234,7 @@
         others_units: f64,
         now: Micros,
     ) -> Option<f64> {
-        let is_trusted = self.is_sparse(quota) || !self.ledger.is_unreliable(now);
+        let is_trusted = self.is_sparse(quota) || !self.ledger.totals_are_unreliable(now);
         if self.follows_peer_reports(now) || !is_trusted {
             return None;
         }
@@ -237,7 +245,7 @@
         Some((-self.unreported).min(self.level).max(0.0))
     }
 
-    /// Records a call that brought no total. `never_ran`: its amount was surely not added.
+    /// Records a call that returned no total. `never_ran`: its amount was certainly not added.
     pub fn record_missing_total(
         &mut self,
         quota: &Quota,
@@ -249,7 +257,7 @@
             self.unreported += amount;
             return;
         }
-        // Were it added, it would look like another gateway's at the next reply.
+        // If the correction was added after all, the next reply would show it as usage of another gateway.
         self.count_correction = 0.0;
         if !quota.limits_concurrency {
             self.ledger.record_unanswered_call(now, amount);
@@ -258,10 +266,12 @@
 }
 
 impl LevelSync {
-    /// A total that cannot be true, or could not a moment ago, is taken by its change, as far as that is use.
-    fn take_change_only(&mut self, quota: &Quota, others_units: f64, is_fresh: bool) {
+    /// Replaces the level by an estimate that uses the change of the total only, as far as that change is possible
+    /// usage; none of it if `ignores_change`. This applies to totals that cannot be true, or could not shortly
+    /// before.
+    fn apply_change_only(&mut self, quota: &Quota, others_units: f64, ignores_change: bool) {
         let used = others_units.min(quota.rate_per_s * self.unsynced_s + 1.0);
-        self.level = if is_fresh {
+        self.level = if ignores_change {
             self.remaining
         } else {
             self.expected - used
--- a/crates/traffic-control/src/customer/estimate.rs
+++ b/crates/traffic-control/src/customer/estimate.rs
@@ -1,15 +1,17 @@
-//! How much of a customer's quota may pass at this gateway, as far as is known without another query.
+//! Estimates how much of a customer's quota may pass at this gateway without another query.
 
 use super::Customer;
 use crate::interface::Micros;
 use crate::quota::Quota;
 
-/// Units that other gateways reserved in vain are soon returned: a level that is older than this may be higher by now.
+/// Maximum age of a level that rejects requests in a large fleet: an older one may be too low, as units that other
+/// gateways reserved and did not use are soon returned.
 const MAX_SPARSE_STALENESS_US: Micros = 100_000;
-/// A guess that a permit is free has to earn so many times its cost, as many gateways guess alike.
+/// Factor by which the gain from a permit that is only guessed to be free has to exceed its cost, as many gateways
+/// guess alike.
 pub(crate) const GUESS_COST_FACTOR: f64 = 2.0;
 
-/// What a quota says of one request.
+/// Decision of a quota on one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum QuotaDecision {
     /// The quota covers the request.
@@ -21,8 +23,8 @@
 }
 
 impl QuotaDecision {
-    /// The decision for a quota that surely covers a request, or surely does not.
-    pub fn covers(is_covered: bool) -> Self {
+    /// Returns `Admit` if the quota certainly covers the request, `Reject` if it certainly does not.
+    pub fn from_coverage(is_covered: bool) -> Self {
         if is_covered {
             QuotaDecision::Admit
         } else {
@@ -31,20 +33,20 @@
     }
 }
 
-/// How many units may pass here, as far as is known now.
+/// Units or permits that may pass at this gateway, as far as is known now.
 pub(crate) struct QuotaEstimate {
-    /// Surely so many.
+    /// Units that certainly may pass.
     pub certain_units: f64,
-    /// Surely not more.
+    /// Maximum units that may pass.
     pub possible_units: f64,
-    /// So many where nobody is left to query.
+    /// Units that may pass where no query is possible any more.
     pub likely_units: f64,
-    /// Whether the level was synced not too long ago.
+    /// Whether the level was synced recently.
     pub is_synced: bool,
 }
 
 impl QuotaEstimate {
-    /// Whether the estimate alone decides a request of `units`; `Undecided` where the counter or the owner has to be
+    /// Decides a request of `units` by the estimate alone; `Undecided` where the counter or the owner has to be
     /// queried.
     pub fn decide(&self, units: f64) -> QuotaDecision {
         if self.certain_units >= units {
@@ -56,21 +58,22 @@
         }
     }
 
-    /// The decision where nobody is left to query.
+    /// Decides a request of `units` where no query is possible any more.
     pub fn decide_by_likelihood(&self, units: f64) -> QuotaDecision {
-        QuotaDecision::covers(self.likely_units >= units)
+        QuotaDecision::from_coverage(self.likely_units >= units)
     }
 }
 
-/// The least and the most that the store can hold for this gateway.
+/// Bounds on what the store can hold for this gateway.
 struct LevelBounds {
     certain: f64,
     possible: f64,
 }
 
 impl Customer {
-    /// What may pass here of its quota. `overrun_cost`: what passing on beyond it costs, beside what it earns within;
-    /// `attempt_s`: how long a mean attempt takes.
+    /// Estimates what may pass of the customer's quota at this gateway. `overrun_cost` is the cost of passing a
+    /// request beyond the quota, relative to the gain from one within it; `attempt_s` is the mean duration of an
+    /// attempt.
     pub fn estimate(
         &self,
         quota: &Quota,
@@ -98,18 +101,20 @@
         }
     }
 
-    /// Until the others report again, each gateway keeps to its share of what is there, as all see the same store.
+    /// Returns the level by the other gateways' reports. Until they report again, each gateway keeps to its share
+    /// of the store, as all of them see the same one.
     fn level_by_peer_reports(&self, now: Micros) -> f64 {
         if self.used_since_reports == 0.0 {
             return self.level;
         }
         let even_share = 1.0 / f64::from(self.gateway_count);
         let share = self.demand_share(now).max(even_share);
-        let own_part = share * (self.level + self.used_since_reports) - self.used_since_reports;
-        self.level.min(own_part)
+        let own_units = share * (self.level + self.used_since_reports) - self.used_since_reports;
+        self.level.min(own_units)
     }
 
-    /// The probability that a permit is free, where that is a guess: permits that were not synced just now.
+    /// Returns the probability that a permit is free; `None` where no guess is needed because the permits were
+    /// synced just now, or are not counted.
     fn permit_probability(&self, quota: &Quota, now: Micros, attempt_s: f64) -> Option<f64> {
         let counts_permits = self.permit_digits.is_some() || self.counts_in_epochs(quota);
         if !counts_permits || self.is_synced_now(now) {
@@ -120,11 +125,11 @@
             .availability_probability(now, attempt_s * 1e6, free)
     }
 
-    /// What the store surely holds for this gateway, and what it can hold at most: since the last sync the others used
-    /// the whole rate, or nothing.
+    /// Returns the bounds on what the store holds for this gateway: since the last sync, the other gateways used
+    /// between nothing and the whole fill rate.
     fn level_bounds(&self, quota: &Quota, now: Micros) -> LevelBounds {
         let is_sparse = self.is_sparse(quota);
-        if self.is_owner || !is_sparse && self.ledger.is_unreliable(now) {
+        if self.is_owner || !is_sparse && self.ledger.totals_are_unreliable(now) {
             return LevelBounds {
                 certain: self.level,
                 possible: self.level,
@@ -162,7 +167,7 @@
     }
 }
 
-/// A permit that is free with this probability is used if that earns more than it costs.
+/// Returns one permit if using a permit that is free with this probability earns more than it costs, else none.
 fn guessed_permits(free_probability: f64, overrun_cost: f64) -> f64 {
     if free_probability > (1.0 - free_probability) * overrun_cost * GUESS_COST_FACTOR {
         1.0
--- a/crates/traffic-control/src/customer/mod.rs
+++ b/crates/traffic-control/src/customer/mod.rs
@@ -1,5 +1,5 @@
-//! What this gateway knows of one customer's use and of what is left of its quota. State and the arithmetic of its
-//! stores; what follows for a request is decided in `policy`.
+//! State of one customer at this gateway: its usage, and what is left of its quota. The quota is a token bucket,
+//! the store, that all gateways share. State and its arithmetic only; decisions on requests are in `policy`.
 
 mod concurrency;
 mod counter_sync;
@@ -11,7 +11,7 @@
 
 pub(crate) use concurrency::AttemptChange;
 pub(crate) use estimate::{QuotaDecision, GUESS_COST_FACTOR};
-pub(crate) use reports::RESERVATION_US;
+pub(crate) use reports::RESERVATION_TIMEOUT_US;
 
 use crate::concurrency_permits::ConcurrencyPermits;
 use crate::counter::{PermitDigits, UsageLedger};
@@ -21,92 +21,101 @@
 use crate::shares::StoreShares;
 use std::collections::VecDeque;
 
-/// A ceiling at least this many times the quota is held as two parts: the quota, and what is above it.
+/// Ratio of ceiling to quota from which the ceiling is held as two parts: the quota, and what is above it.
 const SEPARATE_CEILING_FACTOR: f64 = 1.5;
-/// Weight of the last time between two requests in their mean.
+/// Weight of the newest interval between two requests in the mean interval.
 const MEAN_GAP_WEIGHT: f64 = 0.5;
-/// A level that was synced counts this long; after that the even slice holds.
+/// Time for which a synced level is used; after that the gateway keeps to its even slice.
 const SYNC_TIMEOUT_US: Micros = 1_500_000;
 
-/// Where a customer's requests arrive, and who adds up its use.
+/// The gateways at which a customer's requests arrive, and the one that adds up its usage.
 #[derive(Clone, Copy)]
 pub(crate) struct CustomerPlacement {
+    /// Hash of the customer's name.
     pub tag: u32,
-    /// Index of its plan.
+    /// Index of the customer's plan.
     pub plan: usize,
-    /// Gateways of its set.
+    /// Number of gateways in the customer's set.
     pub gateway_count: u32,
-    /// The gateway that adds up its use, where there is no counter.
+    /// Gateway that adds up the customer's usage where there is no counter.
     pub owner: u32,
-    /// Where this gateway stands in the set; at or past `gateway_count`: not of the set.
+    /// Position of this gateway in the set; at or above `gateway_count`, it is not in the set.
     pub position: u32,
 }
 
 /// One customer's state at this gateway.
 #[derive(Default)]
 pub(crate) struct Customer {
+    /// Hash of the customer's name.
     pub tag: u32,
-    /// Index of its plan.
+    /// Index of the customer's plan.
     pub plan: usize,
-    /// Gateways of its set.
+    /// Number of gateways in the customer's set.
     pub gateway_count: u32,
-    /// The first gateway of its set; the others follow, counted round.
+    /// First gateway of the set; the others follow it in index order, wrapping around.
     pub first_gateway: u32,
+    /// Gateway that adds up the customer's usage where there is no counter.
     pub owner: u32,
-    /// Whether this gateway adds up the customer's use: as its owner, or the only one that sees it.
+    /// Whether this gateway adds up the customer's usage: as its owner, or as the only gateway of the set.
     pub is_owner: bool,
 
-    /// Units or permits in this gateway's bucket.
+    /// Units or permits left for this gateway: the store's level while synced, else the level of the gateway's
+    /// slice.
     pub level: f64,
     /// Units in this gateway's slice of the ceiling.
     pub ceiling_level: f64,
+    /// Time of the last refill of the level and of the ceiling slice.
     pub refilled_at: Micros,
-    /// When the level was last taken from the counter or the owner.
+    /// Time at which the level was last taken from the counter or the owner.
     pub synced_at: Option<Micros>,
-    /// Used and not yet reported; negative: reported and not used.
+    /// Units or permits used and not yet reported; negative: reported and not used.
     pub unreported: f64,
-    /// Units that the counter holds for this gateway, and that were there.
+    /// Units that the counter holds for this gateway, and that were available.
     pub reserved_units: f64,
-    /// What the call in flight corrects in the count.
+    /// Units by which the call in flight corrects the count.
     pub count_correction: f64,
-    /// Since when the count has been out of step, below nothing.
-    pub low_since: Option<Micros>,
-    /// What else is known of its use.
+    /// Time since when the count has been so high that the level is below minus the capacity.
+    pub overcounted_since: Option<Micros>,
+    /// Evidence about the customer's usage beside the counter's totals.
     pub ledger: UsageLedger,
 
-    /// When its last request came.
+    /// Time of the customer's last request.
     pub active_at: Micros,
-    /// Mean time between its requests here.
+    /// Mean interval between the customer's requests at this gateway.
     pub mean_gap_us: f64,
+    /// Recent demand at this gateway, in units.
     pub demand: DecayingSum,
+    /// Recent demand at the other gateways, as far as it was reported, in units.
     pub others_demand: DecayingSum,
 
-    /// Attempts of the query that is in flight for this customer; 0: none.
+    /// Number of attempts of the query in flight; 0: none is in flight.
     pub query_attempts: u8,
-    /// Requests that wait for its reply.
+    /// Requests that wait for the reply to the query.
     pub waiting_requests: Vec<RequestId>,
-    /// Whether a timer will report what is unreported.
+    /// Whether a timer is set that reports unreported usage.
     pub report_scheduled: bool,
 
-    /// Until when the other gateways' reports of their use count.
+    /// Time until which the other gateways' usage reports are valid.
     pub peer_reports_until: Micros,
-    /// Units used since these reports.
+    /// Units used at this gateway since these reports.
     pub used_since_reports: f64,
-    /// Whose the store is while some gateways are silent.
+    /// Shares of the store while some gateways of the set are silent.
     pub shares: StoreShares,
 
+    /// Number of the customer's attempts in flight at this gateway.
     pub open_attempts: u32,
+    /// Spare permits, and the use of permits by the other gateways.
     pub permits: ConcurrencyPermits,
-    /// How permits are written in the count; `None`: as one sum.
+    /// Encoding of the permits in the count; `None`: they are counted as one sum.
     pub permit_digits: Option<PermitDigits>,
-    /// The epoch in which its permits were last reported to the count.
+    /// Epoch in which the open attempts were last reported to the count.
     pub reported_epoch: u64,
-    /// As owner: permits granted to other gateways, by when they lapse.
+    /// As owner, the times at which the permits granted to other gateways lapse.
     pub granted_permits: VecDeque<Micros>,
 }
 
 impl Customer {
-    /// A customer that was not known yet, with an empty bucket that fills since `at`.
+    /// Creates the state of a customer that was not known yet, with an empty bucket that fills since `at`.
     pub fn new(
         placement: &CustomerPlacement,
         quota: &Quota,
@@ -130,40 +139,40 @@
         }
     }
 
-    /// Whether its level goes by what all gateways used, and not by this one's slice.
+    /// Whether the level accounts for the usage of all gateways; otherwise it is that of this gateway's slice.
     pub fn is_synced(&self, now: Micros) -> bool {
         let is_recent = self
             .synced_at
             .is_some_and(|at| now.saturating_sub(at) <= SYNC_TIMEOUT_US);
         self.is_owner
             || self.follows_peer_reports(now)
-            || is_recent && !self.ledger.is_unreliable(now)
+            || is_recent && !self.ledger.totals_are_unreliable(now)
     }
 
-    /// Whether its level was synced just now, not only recently.
+    /// Whether the level was synced at `now`, not only recently.
     pub fn is_synced_now(&self, now: Micros) -> bool {
         self.synced_at == Some(now)
     }
 
-    /// Takes a level that the counter or the owner reported.
+    /// Sets the level to one that the counter or the owner reported.
     pub fn sync_level(&mut self, level: f64, now: Micros) {
         self.level = level;
         self.synced_at = Some(now);
         self.refilled_at = now;
     }
 
-    /// Whether the even slice of the store is under one request.
-    pub fn is_undersized(&self, quota: &Quota) -> bool {
+    /// Whether an even slice of the store is less than the largest request.
+    pub fn has_undersized_slice(&self, quota: &Quota) -> bool {
         quota.capacity < quota.max_request_units * f64::from(self.gateway_count)
     }
 
-    /// Whether its gateways are so many that each sees hardly any of its use, with at most the counter or the meter to
-    /// report what the others use.
+    /// Whether the customer's gateways are so many that each sees hardly any of its usage, and has at most the
+    /// counter or the meter to learn what the others use.
     pub fn is_sparse(&self, quota: &Quota) -> bool {
         quota.is_counter_only && (quota.limits_concurrency || self.gateway_count > 1)
     }
 
-    /// Whether the ceiling is so far above the quota that the part above it is held separately.
+    /// Whether the ceiling is so far above the quota that the part above the quota is held separately.
     pub fn has_separate_ceiling(&self, quota: &Quota) -> bool {
         let is_far_above = |ceiling: Ceiling| {
             ceiling.depth >= SEPARATE_CEILING_FACTOR * quota.capacity
@@ -172,7 +181,7 @@
         quota.has_counter && self.is_sparse(quota) && quota.ceiling.is_some_and(is_far_above)
     }
 
-    /// This gateway's share of what all gateways were recently asked for.
+    /// Returns this gateway's share of the recent demand at all gateways; 0 without any demand.
     pub fn demand_share(&self, now: Micros) -> f64 {
         let own = self.demand.at(now, DEMAND_TAU_US);
         let others = self.others_demand.at(now, DEMAND_TAU_US);
@@ -183,13 +192,14 @@
         }
     }
 
-    /// Whether the reachable gateways of the set report each use: what they do not report may be used here, less what is
-    /// set aside for the silent ones.
+    /// Whether all reachable gateways of the set report their usage, and the level follows these reports: what they
+    /// do not report may be used here, less what is set aside for the silent ones.
     pub fn follows_peer_reports(&self, now: Micros) -> bool {
         now < self.peer_reports_until
     }
 
-    /// The other gateways have reported all their use; that counts until then.
+    /// Records that the other gateways have reported all their usage, and that these reports are valid until
+    /// `until`.
     pub fn extend_peer_reports(&mut self, until: Micros) {
         if until > self.peer_reports_until {
             self.peer_reports_until = until;
@@ -197,17 +207,18 @@
         }
     }
 
-    /// How many times its quota it uses, by the meter. Without a counter there is nothing else to go by.
+    /// Returns how many times its quota the customer uses, by the meter. Without a counter nothing else shows that,
+    /// so a reading is used for longer if requests are rare.
     pub fn overuse_factor(&self, quota: &Quota, now: Micros) -> f64 {
         let gap_us = if quota.has_counter {
             0.0
         } else {
             self.mean_gap_us
         };
-        self.ledger.overuse_factor_after(now, gap_us)
+        self.ledger.overuse_factor_for_gap(now, gap_us)
     }
 
-    /// Records that a request came.
+    /// Records a new request of `units`.
     pub fn record_demand(&mut self, now: Micros, units: f64) {
         if self.active_at > 0 {
             let gap_us = now.saturating_sub(self.active_at) as f64;
@@ -217,7 +228,7 @@
         self.active_at = now;
     }
 
-    /// Records units that are used here, within the store or beyond it.
+    /// Records units used at this gateway, within the quota or beyond it.
     pub fn record_usage(&mut self, now: Micros, units: f64, is_within_quota: bool) {
         if is_within_quota {
             self.level -= units;
@@ -228,7 +239,7 @@
         self.ledger.record_own_usage(now, units);
     }
 
-    /// Corrects an estimate of units that turned out to be too low by `excess_units`.
+    /// Charges the `excess_units` by which a request's units exceeded their estimate; negative if they were fewer.
     pub fn settle_units(&mut self, excess_units: f64) {
         self.level -= excess_units;
         self.unreported += excess_units;
--- a/crates/traffic-control/src/customer/reports.rs
+++ b/crates/traffic-control/src/customer/reports.rs
@@ -1,20 +1,21 @@
-//! What this gateway reports of a customer's use, and what it reserves ahead in the counter.
+//! What this gateway reports of a customer's usage, and what it reserves in the counter in advance.
 
 use super::Customer;
 use crate::decaying_sum::DEMAND_TAU_US;
 use crate::interface::Micros;
 use crate::quota::Quota;
 
-/// Units that were reserved ahead are held this long.
-pub(crate) const RESERVATION_US: Micros = 1_500_000;
+/// Time for which units that were reserved in advance are held.
+pub(crate) const RESERVATION_TIMEOUT_US: Micros = 1_500_000;
 
 impl Customer {
-    /// All that the counter holds for this gateway beside what is in use.
+    /// Returns what the counter holds for this gateway beyond what is in use.
     pub fn reserved(&self) -> f64 {
         f64::from(self.permits.spare) + self.reserved_units
     }
 
-    /// Begins a call for `wanted_units` beside what is unreported. Returns the amount to add to the counter.
+    /// Begins a call that reports what is unreported and reserves `wanted_units`. Returns the amount to add to the
+    /// count.
     pub fn take_report_amount(&mut self, wanted_units: f64) -> f64 {
         let reserved = self.reserved();
         let amount = self.unreported + reserved + wanted_units;
@@ -23,8 +24,8 @@
         amount
     }
 
-    /// Units worth reserving beside a request's, for those that come soon: at most an even slice of the store, and none
-    /// of one that is not well filled or whose customer uses too much.
+    /// Returns the units worth reserving in addition to a request's, for requests expected soon: at most an even
+    /// slice of the store, and none if the store is less than half full or the customer exceeds its quota.
     pub fn prefetch_units(&self, quota: &Quota, now: Micros) -> f64 {
         let is_well_filled = self.ledger.overuse_factor(now) <= 1.0
             && self.synced_at.is_some()
@@ -32,15 +33,16 @@
         if !self.has_separate_ceiling(quota) || !is_well_filled {
             return 0.0;
         }
-        let expected_units = self.demand.per_s(now, DEMAND_TAU_US) * RESERVATION_US as f64 / 1e6;
+        let expected_units =
+            self.demand.per_s(now, DEMAND_TAU_US) * RESERVATION_TIMEOUT_US as f64 / 1e6;
         expected_units.min(quota.capacity / f64::from(self.gateway_count))
     }
 
-    /// Gives back units that were reserved ahead and not used in time.
+    /// Releases units that were reserved in advance and not used in time.
     pub fn release_expired_reservation(&mut self, now: Micros) {
         let is_fresh = self
             .synced_at
-            .is_some_and(|at| now.saturating_sub(at) < RESERVATION_US);
+            .is_some_and(|at| now.saturating_sub(at) < RESERVATION_TIMEOUT_US);
         if !is_fresh {
             self.reserved_units = 0.0;
         }
--- a/crates/traffic-control/src/customer/store.rs
+++ b/crates/traffic-control/src/customer/store.rs
@@ -1,15 +1,16 @@
-//! How a customer's bucket and its slice of the ceiling fill at this gateway.
+//! Fills a customer's bucket and this gateway's slice of its ceiling.
 
 use super::Customer;
 use crate::decaying_sum::DEMAND_TAU_US;
 use crate::interface::{Ceiling, Micros};
 use crate::quota::Quota;
 
-/// Times the quota that a count may let pass: it is corrected from a tenth above it.
+/// Factor on the quota that a count may let pass: a count is corrected only from a tenth above it.
 const COUNT_TOLERANCE: f64 = 1.1;
 
-/// A gateway's share of the rate by the meter alone: what it used, and an even share of what all left unused; where all
-/// used too much, as much less as they did. If all gateways go by the same reading, the shares sum up to the rate.
+/// Returns a gateway's share of the rate by the meter alone: its own usage and an even share of what all gateways
+/// left unused; if they used more than the rate, in proportion less. If all gateways follow the same reading, the
+/// shares sum up to the whole rate.
 pub(super) fn rate_share_by_meter(
     own_per_s: f64,
     all_per_s: f64,
@@ -21,8 +22,8 @@
 }
 
 impl Customer {
-    /// This gateway's share of the quota: of recent demand, or without a sync what the meter leaves to it; at least the
-    /// even slice.
+    /// Returns this gateway's share of the quota: its share of recent demand, or without a sync what the meter
+    /// leaves to it; at least the even slice.
     pub fn rate_share(&self, quota: &Quota, now: Micros) -> f64 {
         if self.is_owner {
             return 1.0;
@@ -45,6 +46,7 @@
         metered_share.max(even_share)
     }
 
+    /// Returns this gateway's share of the rate by the meter; 0 without a recent reading.
     fn metered_rate_share(&self, quota: &Quota, now: Micros) -> f64 {
         let own_per_s = self.ledger.own_usage_per_s(now);
         let gateways = f64::from(self.gateway_count);
@@ -70,18 +72,21 @@
 
     fn refill_level(&mut self, quota: &Quota, elapsed_s: f64, now: Micros) {
         let share = self.rate_share(quota, now);
-        // Without a sync the slice of one of many gateways is less than one request: it is saved up to the largest.
+        // Without a sync, the slice of a gateway in a large fleet is less than one request, so it may save up the
+        // largest request.
         let slice = (quota.capacity * share)
             .max(quota.max_request_units)
             .min(quota.capacity);
         let is_synced = self.is_synced(now);
-        // Peers already count these units as used, so a slice under one request restarts at zero.
-        let restarts = !is_synced && self.is_undersized(quota) && self.synced_at.take().is_some();
+        // The other gateways already count these units as used, so a slice smaller than one request restarts at
+        // zero.
+        let restarts =
+            !is_synced && self.has_undersized_slice(quota) && self.synced_at.take().is_some();
         self.level = self.level.min(if restarts { 0.0 } else { quota.capacity });
         let fill_per_s = if is_synced && quota.limits_concurrency {
             0.0
         } else if is_synced && self.is_sparse(quota) {
-            // All see the same store, and the others use it meanwhile.
+            // All gateways see the same store, and the others use it meanwhile.
             quota.rate_per_s - self.others_demand.per_s(now, DEMAND_TAU_US)
         } else {
             quota.rate_per_s * share
@@ -94,7 +99,8 @@
         self.level = (self.level + fill_per_s * elapsed_s).min(max_level);
     }
 
-    /// A restarted gateway begins with nothing of the ceiling, so that no restart creates a second burst.
+    /// Fills this gateway's slice of the ceiling. A restarted gateway begins with an empty slice, so that no
+    /// restart creates a second burst.
     fn refill_ceiling(&mut self, quota: &Quota, elapsed_s: f64) {
         let ceiling = quota.ceiling.unwrap_or(Ceiling {
             rate: 0.0,
@@ -113,7 +119,7 @@
             .min(available.depth / gateways);
     }
 
-    /// Whether the part of the ceiling above the quota does not hold these units here.
+    /// Whether this gateway's slice of the part of the ceiling above the quota holds less than `units`.
     pub fn is_short_of_ceiling(&self, quota: &Quota, units: f64) -> bool {
         self.has_separate_ceiling(quota) && self.ceiling_level < units
     }
--- a/crates/traffic-control/src/policy/admission.rs
+++ b/crates/traffic-control/src/policy/admission.rs
@@ -1,7 +1,8 @@
-//! Whether a request is admitted: its customer's quota first, then the admission fraction of its cell.
+//! Decides whether a request is admitted: by its customer's quota first, then by the admission fraction of its
+//! cell.
 
 use super::limits::REPLY_MARGIN_US;
-use super::quota_charges::excess_pays;
+use super::quota_charges::excess_is_profitable;
 use crate::customer::{CustomerPlacement, QuotaDecision};
 use crate::gateway::Gateway;
 use crate::gossip;
@@ -12,49 +13,49 @@
 use crate::quota::Quota;
 use crate::random::random_unit;
 
-/// Where no policy is known to hold, nothing passes for about a lease.
+/// Retry-after while no policy is known to be in force: nothing is admitted for about the duration of a lease.
 const NO_LEASE_RETRY_AFTER_US: f64 = 1_000_000.0;
-/// Share of a request's time for which it may wait for a server. An answer after half of its time costs more where
-/// nothing was sent, as its client cannot try elsewhere any more.
+/// Percentage of a request's remaining time for which it may wait for a server. An answer after half of that time
+/// costs more if nothing was sent, as the client can no longer try another gateway.
 const MAX_WAIT_PERCENT: Micros = 45;
 
 /// Whether the counter or the owner may still be queried for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum QueryPhase {
-    /// It may.
+    /// A query is possible.
     Open,
-    /// The query is over, by its reply or by silence.
+    /// The query has ended, by a reply or by a timeout.
     Over,
 }
 
-/// What the decision on a request goes by.
+/// Properties of a request that its admission depends on.
 #[derive(Clone, Copy)]
-struct Candidate {
+struct AdmissionInputs {
     class: usize,
     plan: usize,
     customer: u32,
     quota_units: f64,
-    /// Admission fraction of its cell.
+    /// Admission fraction of the request's cell.
     fraction: f64,
     low_priority: bool,
 }
 
-/// What the quota says of a candidate.
+/// Assessment of a request by its customer's quota.
 struct QuotaAssessment {
     decision: QuotaDecision,
-    /// Whether the quota probably covers the request, where nobody is left to query.
+    /// Whether the quota probably covers the request; decides where no query is possible any more.
     is_likely_covered: bool,
-    /// Whether nothing is known that could cover a single request.
+    /// Whether too little is known of the quota to cover even a single request.
     is_unknown: bool,
     is_sparse: bool,
     overuse_factor: f64,
     overrun_cost: f64,
-    /// Until the bucket holds the request.
+    /// Time until the bucket holds the request's units.
     wait_us: f64,
 }
 
 impl Gateway {
-    /// Takes a new request in and decides on it.
+    /// Records a new request and decides on it.
     pub(super) fn on_request(&mut self, request: Request, actions: &mut Vec<Action>) {
         if self.requests.contains_key(&request.id) {
             return;
@@ -67,23 +68,24 @@
             .position(|c| c.name == request.class);
         let plan = settings.plans.iter().position(|p| p.name == request.plan);
         let (Some(class), Some(plan)) = (class, plan) else {
-            return self.reject_unseen(request.id, UnservedReason::UnknownClass, actions);
+            return self.reject_untracked(request.id, UnservedReason::UnknownClass, actions);
         };
         let id = request.id;
         let placement = self.customer_placement(&request, plan);
-        let pending = self.pending_request(request, class, plan, placement.tag);
+        let pending = self.new_pending_request(request, class, plan, placement.tag);
         self.cells[pending.cell].arrivals += 1.0;
         self.server_latency.classes[class].record_request(pending.units);
         let now = self.now;
-        let Some(customer) = self.customer_state(&placement) else {
-            return self.reject_unseen(id, UnservedReason::TooManyCustomers, actions);
+        let Some(customer) = self.get_or_create_customer(&placement) else {
+            return self.reject_untracked(id, UnservedReason::TooManyCustomers, actions);
         };
         customer.record_demand(now, pending.units);
         self.requests.insert(id, pending);
-        self.decide(id, QueryPhase::Open, actions);
+        self.decide_request(id, QueryPhase::Open, actions);
     }
 
-    fn reject_unseen(&self, id: RequestId, reason: UnservedReason, actions: &mut Vec<Action>) {
+    /// Rejects a request that is not tracked.
+    fn reject_untracked(&self, id: RequestId, reason: UnservedReason, actions: &mut Vec<Action>) {
         actions.push(Action::Reject {
             request: id,
             retry_after_us: self.settings.max_retry_after_us,
@@ -91,7 +93,7 @@
         });
     }
 
-    /// Which gateways the customer uses, and which of them adds up its use.
+    /// Returns which gateways the customer uses, and which of them adds up its usage.
     fn customer_placement(&self, request: &Request, plan: usize) -> CustomerPlacement {
         let settings = &self.settings;
         let tag = gossip::customer_tag(&request.customer.0);
@@ -106,7 +108,8 @@
         }
     }
 
-    fn pending_request(
+    /// Creates the state of a new request, with its deadlines.
+    fn new_pending_request(
         &self,
         request: Request,
         class: usize,
@@ -146,12 +149,17 @@
         }
     }
 
-    /// Decides whether the request is sent, waits for a reply of the counter, or is rejected.
-    pub(super) fn decide(&mut self, id: RequestId, phase: QueryPhase, actions: &mut Vec<Action>) {
+    /// Decides whether a request is sent, waits for a reply of the counter or the owner, or is rejected.
+    pub(super) fn decide_request(
+        &mut self,
+        id: RequestId,
+        phase: QueryPhase,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(request) = self.requests.get(&id).filter(|r| !r.is_closed) else {
             return;
         };
-        let candidate = Candidate {
+        let inputs = AdmissionInputs {
             class: request.class,
             plan: request.cell % self.settings.plans.len(),
             customer: request.customer,
@@ -161,33 +169,34 @@
         };
         if self.lease_state == LeaseState::Missing {
             let reason = UnservedReason::NoLease;
-            return self.finish(id, NO_LEASE_RETRY_AFTER_US, reason, actions);
+            return self.reject_or_fail(id, NO_LEASE_RETRY_AFTER_US, reason, actions);
         }
-        let Some(quota) = self.assess_quota(&candidate, phase) else {
-            return self.finish(id, 0.0, UnservedReason::TooManyCustomers, actions);
+        let Some(quota) = self.assess_quota(&inputs, phase) else {
+            return self.reject_or_fail(id, 0.0, UnservedReason::TooManyCustomers, actions);
         };
         if quota.decision != QuotaDecision::Reject && phase == QueryPhase::Open {
-            if self.sheds(&candidate) {
-                let retry_after_us = self.latency_bound_us(candidate.class);
-                return self.finish(id, retry_after_us, UnservedReason::Pressure, actions);
+            if self.should_shed(&inputs) {
+                let retry_after_us = self.latency_bound_us(inputs.class);
+                return self.reject_or_fail(id, retry_after_us, UnservedReason::Pressure, actions);
             }
             if quota.decision == QuotaDecision::Undecided && self.query_quota(id, actions) {
                 return;
             }
         }
-        if self.admits(&candidate, &quota) {
+        if self.should_admit(&inputs, &quota) {
             return self.dispatch(id, actions);
         }
-        // What could not be reported yet may be why the quota looks used up.
-        self.report_usage(candidate.customer, actions);
-        self.finish(id, quota.wait_us, UnservedReason::Quota, actions);
+        // The quota may look used up because of usage that could not be reported yet.
+        self.report_usage(inputs.customer, actions);
+        self.reject_or_fail(id, quota.wait_us, UnservedReason::Quota, actions);
     }
 
-    /// The decision where nobody is queried any more. A random number is drawn for each request of an unknown quota.
-    fn admits(&mut self, candidate: &Candidate, quota: &QuotaAssessment) -> bool {
+    /// Whether a request is admitted where no query is possible any more. Draws a random number for each request of
+    /// an unknown quota.
+    fn should_admit(&mut self, inputs: &AdmissionInputs, quota: &QuotaAssessment) -> bool {
         let is_guessed = quota.is_unknown
-            && self.admits_blindly(
-                candidate.plan,
+            && self.should_admit_without_query(
+                inputs.plan,
                 quota.is_sparse,
                 quota.overrun_cost,
                 quota.overuse_factor,
@@ -199,33 +208,34 @@
         }
     }
 
-    /// What the customer's quota says; `None` where the customer is not tracked any more.
+    /// Assesses a request by its customer's quota; `None` where the customer is not tracked any more.
     fn assess_quota(
         &mut self,
-        candidate: &Candidate,
+        inputs: &AdmissionInputs,
         phase: QueryPhase,
     ) -> Option<QuotaAssessment> {
         let now = self.now;
-        let quota = self.quotas[candidate.plan];
-        let units = candidate.quota_units;
+        let quota = self.quotas[inputs.plan];
+        let units = inputs.quota_units;
         let attempt_s = self.server_latency.attempt_s;
-        let servers_are_at_ease = self.servers_are_at_ease(candidate);
-        let plan = &self.settings.plans[candidate.plan];
-        let customer = self.customers.get_mut(&candidate.customer)?;
+        let servers_are_unloaded = self.servers_are_unloaded(inputs);
+        let plan = &self.settings.plans[inputs.plan];
+        let customer = self.customers.get_mut(&inputs.customer)?;
         self.peer_reports
             .update_customer(now, &self.settings, &quota, customer);
         customer.refill(&quota, now);
         let is_sparse = customer.is_sparse(&quota);
         let estimate = customer.estimate(&quota, plan.overrun_cost, now, attempt_s);
         let is_unknown = !estimate.is_synced
-            && (is_sparse || !quota.limits_concurrency && customer.is_undersized(&quota));
-        // After a query without a reply a slice under one request says nothing, but the results of other queries do.
-        let was_queried_in_vain = is_unknown && is_sparse && !customer.is_synced_now(now);
-        // One of many gateways cannot see whether servers are at ease.
-        let passes_excess = !is_sparse && servers_are_at_ease && excess_pays(plan);
-        let decision = if passes_excess {
+            && (is_sparse || !quota.limits_concurrency && customer.has_undersized_slice(&quota));
+        // After an unanswered query, a slice smaller than one request says nothing of the quota, but the results of
+        // other queries do.
+        let query_was_unanswered = is_unknown && is_sparse && !customer.is_synced_now(now);
+        // A gateway of a large fleet cannot see whether the servers are unloaded.
+        let admits_excess = !is_sparse && servers_are_unloaded && excess_is_profitable(plan);
+        let decision = if admits_excess {
             QuotaDecision::Admit
-        } else if phase == QueryPhase::Over && !was_queried_in_vain {
+        } else if phase == QueryPhase::Over && !query_was_unanswered {
             estimate.decide_by_likelihood(units)
         } else {
             estimate.decide(units)
@@ -246,9 +256,9 @@
         })
     }
 
-    /// Whether nothing is shed and no class takes much longer than at idle servers.
-    fn servers_are_at_ease(&self, candidate: &Candidate) -> bool {
-        candidate.fraction >= 1.0
+    /// Whether no request of the cell is shed and every class takes at most twice its lowest latency.
+    fn servers_are_unloaded(&self, inputs: &AdmissionInputs) -> bool {
+        inputs.fraction >= 1.0
             && self
                 .server_latency
                 .classes
@@ -256,19 +266,19 @@
                 .all(|class| class.mean_us <= 2.0 * class.lowest_us)
     }
 
-    /// Whether the request is shed as servers are over capacity.
-    fn sheds(&mut self, candidate: &Candidate) -> bool {
-        let fraction = if candidate.low_priority {
-            candidate.fraction * candidate.fraction
+    /// Whether the request is shed because servers are over capacity.
+    fn should_shed(&mut self, inputs: &AdmissionInputs) -> bool {
+        let fraction = if inputs.low_priority {
+            inputs.fraction * inputs.fraction
         } else {
-            candidate.fraction
+            inputs.fraction
         };
         let is_admitted = fraction >= 1.0 || random_unit(&mut self.rng) < fraction;
-        !is_admitted || self.is_over_capacity(candidate.class, candidate.plan)
+        !is_admitted || self.is_over_capacity(inputs.class, inputs.plan)
     }
 }
 
-/// How long an answer is of use: where a late one has no value the latency objective ends it.
+/// Returns how long an answer has a value: up to the latency objective where a late answer has none.
 fn useful_time_us(class: &RequestClass) -> Micros {
     if class.late_weight > 0.0 {
         Micros::MAX
@@ -277,7 +287,7 @@
     }
 }
 
-/// How long the bucket takes to hold `units`.
+/// Returns the time until the bucket holds `units`; 0 if it does not fill with time.
 fn refill_wait_us(quota: &Quota, rate_share: f64, level: f64, units: f64) -> f64 {
     let fill_per_s = if quota.limits_concurrency {
         0.0
--- a/crates/traffic-control/src/policy/admission_fractions.rs
+++ b/crates/traffic-control/src/policy/admission_fractions.rs
@@ -1,55 +1,57 @@
-//! Which requests are shed while servers are over capacity: the admission fractions of the paper, once an interval, from
-//! latencies and arrivals; between two intervals, what is in flight or how long attempts take. Queues stay within the
-//! latency objectives, and what has the least value for its work is shed first.
+//! Sheds requests while servers are over capacity. The admission fractions of the paper change once a control
+//! interval, by latencies and arrivals; within an interval, requests are shed by the number in flight or by how
+//! long attempts take. Queues stay within the latency objectives, and requests with the least value for their work
+//! are shed first.
 
 use super::limits::INTERVAL_S;
 use crate::counter::MAX_SMALL_FLEET_GATEWAYS;
 use crate::gateway::Gateway;
 use crate::random::random_unit;
 
-/// Grid of the fractions, as in the paper.
+/// Step of the grid of fractions, as in the paper.
 const FRACTION_STEP: f64 = 0.1;
-/// The same, as the number of steps to a fraction of one.
+/// Number of grid steps in a fraction of 1.
 const FRACTION_STEPS: i32 = 10;
-/// Bound on a mean latency, as a share of the objective: with a mean at the objective half of the answers are late.
+/// Bound on a class's mean latency, as a share of its objective: with a mean at the objective half of the answers
+/// are late.
 const LATENCY_BOUND_SHARE: f64 = 0.5;
-/// Attempts a server, of all gateways, that mean no queue: some cores are busy.
+/// Attempts in flight per server, by all gateways, up to which there is no queue: some cores are busy.
 const UNQUEUED_ATTEMPTS_PER_SERVER: f64 = 4.0;
-/// Requests are shed gradually as latency exceeds its bound by up to this share.
+/// Range above the latency bound, as a share of the bound, over which the share of shed requests rises from 0 to 1.
 const SHEDDING_RANGE: f64 = 0.5;
-/// At most this share is shed: some requests must show when overload is over.
+/// Maximum share of requests that is shed by latency: some requests must show when the overload is over.
 const MAX_SHED_SHARE: f64 = 0.9;
-/// Share of the bound that a class without any value for its work may fill.
+/// Share of the latency bound up to which even a class without any value for its work is admitted.
 const MIN_BOUND_SHARE: f64 = 0.5;
-/// Tolerance of rounding to the grid.
+/// Rounding tolerance on the grid.
 const GRID_TOLERANCE: f64 = 1e-9;
 
-/// What the delay model takes of one cell, for one server.
+/// Load of one cell on one server, an input of the delay model.
 struct CellLoad {
     arrivals_per_s: f64,
     service_s: f64,
 }
 
 impl Gateway {
-    /// The mean latency of a class that its requests may reach.
+    /// Returns the bound on the mean latency of a class.
     pub(super) fn latency_bound_us(&self, class: usize) -> f64 {
         self.settings.classes[class].latency_objective_us as f64 * LATENCY_BOUND_SHARE
     }
 
-    /// Value of a class for its work, before the plan's price.
+    /// Returns the value of a class per microsecond of work, before the plan's price.
     fn value_per_us(&self, class: usize) -> f64 {
         let latency = &self.server_latency.classes[class];
         self.settings.classes[class].priority_weight * latency.mean_units
             / latency.lowest_us.max(1.0)
     }
 
-    /// This class, and those that were measured.
+    /// Returns the given class and all classes with a measured latency.
     fn measured_classes(&self, class: usize) -> impl Iterator<Item = usize> + '_ {
         let classes = &self.server_latency.classes;
         (0..classes.len()).filter(move |&c| c == class || classes[c].lowest_us > 0.0)
     }
 
-    /// Value of a class for its work, relative to the class where that is highest.
+    /// Returns the value of a class for its work, relative to the class with the highest value.
     fn relative_value(&self, class: usize) -> f64 {
         let highest = self
             .measured_classes(class)
@@ -58,7 +60,7 @@
         self.value_per_us(class) / highest
     }
 
-    /// Ends a control interval: moves the fractions. Returns a log line when shedding begins or ends.
+    /// Ends a control interval and moves the fractions. Returns a log line when shedding begins or ends.
     pub(super) fn update_fractions(&mut self) -> Option<String> {
         let slow_start = &self.settings.slow_start;
         let ready_size = self.fleet.compute_totals(slow_start, self.now).ready_size;
@@ -89,6 +91,7 @@
         }
     }
 
+    /// Whether the fraction of any cell is below 1.
     fn is_shedding(&self) -> bool {
         self.cells.iter().any(|cell| cell.fraction < 1.0)
     }
@@ -114,19 +117,20 @@
         }
     }
 
-    /// Whether a new request would take too long, which is an exception to the paper: by Little's law that is what is in
-    /// flight over the throughput. Past the bound a request is shed at once, since retries fill queues before a fraction
-    /// moves. Where recent throughput is far below what servers can do this sheds too much, so a few attempts a server are
-    /// always free.
+    /// Whether a new request would take too long, which is an exception to the paper. By Little's law its latency
+    /// is the number of requests in flight over the throughput. Above the bound a request is shed at once, since
+    /// retries fill queues before a fraction moves. Where the recent throughput is far below the capacity of the
+    /// servers this sheds too much, so a few attempts per server are always admitted.
     pub(super) fn is_over_capacity(&mut self, class: usize, plan: usize) -> bool {
         let gateways = self.settings.gateways;
         if gateways > MAX_SMALL_FLEET_GATEWAYS {
-            return self.sheds_by_latency(class, plan);
+            return self.should_shed_by_latency(class, plan);
         }
         let totals = self.fleet.totals(&self.settings.slow_start, self.now);
         let free = totals.ready_servers * UNQUEUED_ATTEMPTS_PER_SERVER / f64::from(gateways);
         let rate_per_s = self.server_latency.throughput * totals.ready_size;
-        // One queue holds every class: the tightest bound holds for all, and the cheapest work is shed first.
+        // All classes share one queue: the tightest bound applies to all of them, and the class with the least
+        // value for its work is shed first.
         let tightest_us = self
             .measured_classes(class)
             .map(|c| self.latency_bound_us(c))
@@ -138,10 +142,11 @@
             && totals.in_flight / rate_per_s > bound_us / 1e6
     }
 
-    /// The same at one of many gateways, which has too few attempts in flight to go by. How many times their idle time
-    /// attempts recently took says how long a new one takes. Past its bound, which is higher the more the request is
-    /// worth, more are shed the longer it is, so that the gateways do not all change at once.
-    fn sheds_by_latency(&mut self, class: usize, plan: usize) -> bool {
+    /// Whether a new request is shed at a gateway of a large fleet, which has too few attempts in flight to apply
+    /// Little's law. The expected latency is the lowest one, times the recent ratio of attempt times to idle times.
+    /// Above a bound that rises with the value of the request, the probability of shedding grows with the expected
+    /// latency, so that the gateways do not all change at once.
+    fn should_shed_by_latency(&mut self, class: usize, plan: usize) -> bool {
         let highest_price = self
             .settings
             .plans
@@ -159,8 +164,8 @@
         shed_share > 0.0 && random_unit(&mut self.rng) < shed_share
     }
 
-    /// The fractions of all cells that maximise value under each class's bound by M/G/1 delay; 1 where the model finds
-    /// no fit.
+    /// Returns the fractions of all cells that maximise the value while each class stays within its bound by M/G/1
+    /// delay; 1 for all cells where the model finds no solution.
     fn target_fractions(&self) -> Vec<f64> {
         let loads = self.cell_loads();
         let mut fractions = vec![1.0; loads.len()];
@@ -168,7 +173,8 @@
         if offered_load >= 1.0 || self.meets_bounds(&loads, &fractions) {
             return fractions;
         }
-        // Greedy: by value for a second of work, each cell as far as the bounds allow.
+        // Greedy: in the order of value per second of work, each cell gets the highest fraction that the bounds
+        // allow.
         fractions.fill(0.0);
         for cell in self.cells_by_value() {
             for step in (0..=FRACTION_STEPS).rev() {
@@ -184,7 +190,7 @@
         fractions
     }
 
-    /// The load that all gateways together put on each ready server, by cell.
+    /// Returns the load of each cell on a ready server, by all gateways together.
     fn cell_loads(&self) -> Vec<CellLoad> {
         let plans = self.settings.plans.len();
         let ready_servers = self.fleet.ready_servers().count().max(1) as f64;
@@ -223,7 +229,7 @@
         rate_per_s <= 0.0 || !(0..fractions.len()).any(is_over_bound)
     }
 
-    /// The cells, those of the highest value for a second of work first.
+    /// Returns the cells in descending order of value per second of work.
     fn cells_by_value(&self) -> Vec<usize> {
         let plans = &self.settings.plans;
         let value =
@@ -234,7 +240,7 @@
     }
 }
 
-/// Halfway to the target, on the grid, rounded towards the target so that it is reached.
+/// Returns the point of the grid halfway to the target, rounded towards the target so that it is reached.
 fn halfway_on_grid(fraction: f64, target: f64) -> f64 {
     let steps = (fraction + target) / 2.0 / FRACTION_STEP;
     if target > fraction {
--- a/crates/traffic-control/src/policy/attempts.rs
+++ b/crates/traffic-control/src/policy/attempts.rs
@@ -1,5 +1,5 @@
-//! How attempts go out: to which server, for how long, and within the retry budget, so that further attempts stay a small
-//! share of the load.
+//! Sends attempts: determines the server and the timeout, and keeps to the retry budget, so that further attempts
+//! stay a small share of the load.
 
 use super::limits::REPLY_MARGIN_US;
 use super::server_choice::ServerChoice;
@@ -8,24 +8,26 @@
 use crate::interface::{Action, Effect, LeaseState, Micros, RequestId, Timer, UnservedReason};
 use crate::pending_request::{Attempt, AttemptState, PendingRequest};
 
-/// An attempt may take so many times the usual time while another could follow...
+/// Timeout of an attempt, while another one could follow, as a multiple of the usual time.
 const ATTEMPT_TIMEOUT_MULTIPLE: f64 = 4.0;
-/// ...and at least this share of the remaining time: most late answers are slow work, not silence.
+/// Minimum timeout of such an attempt as a share of the remaining time: most late answers are slow work, not
+/// silence.
 const MIN_ATTEMPT_TIMEOUT_SHARE: f64 = 0.4;
 
-/// How an attempt counts in the retry budget.
+/// How an attempt counts against the retry budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AttemptKind {
-    /// The first one, which earns a part of a further attempt.
+    /// The first attempt, which earns a fraction of a further one.
     First,
-    /// Nothing was sent of any earlier one: it is free.
+    /// An attempt after earlier ones of which nothing was sent. It costs nothing.
     Replacement,
-    /// A further one, which costs one.
+    /// Any further attempt, which costs one token of the budget.
     Retry,
 }
 
 impl AttemptKind {
-    fn next_of(request: &PendingRequest) -> Self {
+    /// Returns the kind of the request's next attempt.
+    fn for_next_attempt(request: &PendingRequest) -> Self {
         if request.attempts.is_empty() {
             AttemptKind::First
         } else if request.attempts.iter().any(|a| !a.not_sent) {
@@ -44,27 +46,28 @@
 }
 
 impl Gateway {
-    /// Sends the request to a server if one may have it; else its first attempt waits, or the request is answered.
+    /// Sends the request to a server if the rules allow one. Otherwise a request without any attempt waits for a
+    /// server until its send deadline, and any other one gets its final answer.
     pub(super) fn dispatch(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
         let class = request.class;
         let send_deadline = request.send_deadline;
-        let kind = AttemptKind::next_of(request);
+        let kind = AttemptKind::for_next_attempt(request);
         let choice = if self.may_attempt(request, kind) {
             self.choose_server(id)
         } else {
             None
         };
-        let given_up = match &choice {
+        let failure_reason = match &choice {
             None if kind != AttemptKind::First => Some(UnservedReason::AttemptsFailed),
             None => (self.now >= send_deadline).then_some(UnservedReason::NoServer),
             Some(_) => (kind == AttemptKind::First && !self.charge_quota(id, actions))
                 .then_some(UnservedReason::Ceiling),
         };
-        if let Some(reason) = given_up {
-            return self.finish(id, self.latency_bound_us(class), reason, actions);
+        if let Some(reason) = failure_reason {
+            return self.reject_or_fail(id, self.latency_bound_us(class), reason, actions);
         }
         match choice {
             Some(choice) => self.send_attempt(id, kind, choice, actions),
@@ -72,6 +75,7 @@
         }
     }
 
+    /// Whether an attempt of this kind may be sent now.
     fn may_attempt(&self, request: &PendingRequest, kind: AttemptKind) -> bool {
         if kind == AttemptKind::First {
             return self.lease_state == LeaseState::Held;
@@ -82,7 +86,8 @@
         !is_exhausted && !exceeds_budget && remaining_us > REPLY_MARGIN_US
     }
 
-    /// The request waits until the server list changes. It is answered while its client can still try elsewhere.
+    /// Lets the request wait until the server list changes, at most until `send_deadline`: it is answered while its
+    /// client can still try another gateway.
     fn wait_for_server(&mut self, id: RequestId, send_deadline: Micros, actions: &mut Vec<Action>) {
         if self.waiting_requests.insert(id) {
             actions.push(Action::SetTimer {
@@ -152,8 +157,9 @@
         self.retry_tokens = (self.retry_tokens + earned - kind.retry_cost()).min(budget.max_saved);
     }
 
-    /// A timeout against silent servers: an attempt that takes much longer than is usual for its units ends while there
-    /// is time for another one, if that may go elsewhere. `None`: it has all the remaining time.
+    /// Returns the timeout that protects against silent servers: an attempt that takes much longer than is usual
+    /// for its units ends while there is time for another one, if that may go to another server. `None`: the
+    /// attempt may take all the remaining time.
     fn attempt_timeout_us(&self, request: &PendingRequest, remaining_us: Micros) -> Option<Micros> {
         let latency = &self.server_latency.classes[request.class];
         let relative_units = (request.units / latency.mean_units.max(1e-9)).max(1.0);
@@ -175,7 +181,7 @@
             .then_some(timeout_us)
     }
 
-    /// Records that an attempt begins or ends, with the permit of its customer that it takes or returns.
+    /// Records that an attempt begins or ends, with the permit that it takes from its customer or returns.
     pub(super) fn record_attempt(
         &mut self,
         customer: u32,
--- a/crates/traffic-control/src/policy/completion.rs
+++ b/crates/traffic-control/src/policy/completion.rs
@@ -1,15 +1,16 @@
-//! How a request ends for its client, exactly once.
+//! Ends a request for its client, with exactly one final answer.
 
 use crate::gateway::Gateway;
 use crate::interface::{Action, Micros, RequestId, UnservedReason};
 use crate::pending_request::AttemptState;
 
-/// The shortest retry-after: less relieves nobody.
+/// Minimum retry-after: a shorter one does not relieve the servers.
 const MIN_RETRY_AFTER_US: f64 = 100_000.0;
 
 impl Gateway {
-    /// Gives the final answer: rejected with a retry-after where the effect rule allows it, else failed.
-    pub(super) fn finish(
+    /// Gives the final answer: rejects the request with a retry-after where the effect rule allows that, else fails
+    /// it.
+    pub(super) fn reject_or_fail(
         &mut self,
         id: RequestId,
         retry_after_us: f64,
@@ -33,11 +34,12 @@
                 reason,
             });
         }
-        self.close(id, actions);
+        self.close_request(id, actions);
     }
 
-    /// The request is answered: nothing more is sent for it, and attempts in flight are cancelled.
-    pub(super) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    /// Marks a request as answered. Nothing more is sent for it, and attempts in flight are cancelled, if the
+    /// settings allow that and no answer is being streamed.
+    pub(super) fn close_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         self.waiting_requests.remove(&id);
         let Some(request) = self.requests.get_mut(&id) else {
             return;
--- a/crates/traffic-control/src/policy/counter_queries.rs
+++ b/crates/traffic-control/src/policy/counter_queries.rs
@@ -1,5 +1,5 @@
-//! Queries of a customer's quota on behalf of requests that wait: to the counter within the calls that it bears, or to the
-//! gateway that adds up the customer's use. What decides a request goes before what only reports.
+//! Queries a customer's quota for waiting requests: at the counter, within the calls that it can take, or at the
+//! gateway that owns the customer. Calls that decide a request take precedence over those that only report usage.
 
 use super::admission::QueryPhase;
 use super::limits::REPLY_MARGIN_US;
@@ -12,16 +12,16 @@
 use crate::quota::Quota;
 use crate::random::random_unit;
 
-/// A reply is awaited this long, from an owner twice: short beside any latency objective.
+/// Time for which a reply is awaited, twice in the case of an owner: short beside any latency objective.
 const QUERY_TIMEOUT_US: Micros = 100_000;
-/// Of a customer that uses more than this many times its quota a rejection is more likely than not.
+/// Overuse factor above which a query only reads: beyond it a rejection is more likely than not.
 const READ_ONLY_OVERUSE: f64 = 1.4;
-/// An owner is queried so often for a request.
+/// Maximum number of queries to an owner for a request.
 const MAX_QUERY_ATTEMPTS: u8 = 2;
 
 impl Gateway {
-    /// Lets a request wait for the counter or the owner, as one of many gateways may know nothing of its customer. False:
-    /// nobody can be queried now.
+    /// Lets a request wait for the counter or the owner, as a gateway of a large fleet may know nothing of its
+    /// customer. Returns false if no query is possible now.
     pub(super) fn query_quota(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(request) = self.requests.get(&id) else {
             return false;
@@ -57,8 +57,8 @@
         true
     }
 
-    /// The units to reserve with a query. Where a rejection is likely it only reads: what is not added need not be taken
-    /// back.
+    /// Returns the units to reserve with a query; 0, so that it only reads, where a rejection is likely: what is
+    /// not added need not be returned.
     fn units_to_query(&self, customer: &Customer, quota: &Quota, units: f64) -> f64 {
         let overuses = customer.is_sparse(quota)
             && !customer.is_short_of_ceiling(quota, units)
@@ -71,21 +71,22 @@
         }
     }
 
-    /// Takes a call to the counter; of many gateways each leaves the last ones to plans where a wrong guess costs more.
+    /// Takes a call to the counter if the rate limiter allows one. In a large fleet each gateway leaves the last
+    /// saved calls to plans where a wrong guess costs more.
     fn take_query_call(&mut self, tag: u32, quota: &Quota) -> bool {
         let is_sparse = self
             .customers
             .get(&tag)
             .is_some_and(|customer| customer.is_sparse(quota));
-        let kept_calls = if is_sparse {
+        let kept_share = if is_sparse {
             1.0 - quota.relative_cost
         } else {
             0.0
         };
-        kept_calls < 1.0 && self.counter_limiter.try_take(self.now, kept_calls)
+        kept_share < 1.0 && self.counter_limiter.try_take(self.now, kept_share)
     }
 
-    /// Reports a customer's use to the counter or its owner, and queries it for `wanted_units`.
+    /// Reports a customer's usage to the counter or the owner, and requests `wanted_units`.
     pub(super) fn send_quota_query(
         &mut self,
         tag: u32,
@@ -142,7 +143,8 @@
         });
     }
 
-    /// A waiting request's time for a reply is over: it is decided without one, or the owner is queried once more.
+    /// Handles the timeout of a waiting request's query: queries the owner once more, or decides the request
+    /// without a reply.
     pub(super) fn on_query_timeout(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -162,7 +164,7 @@
             && customer.query_attempts <= MAX_QUERY_ATTEMPTS
             && remaining_us > 2 * REPLY_MARGIN_US;
         if !may_query_again {
-            return self.decide_waiting(tag, true, actions);
+            return self.decide_waiting_requests(tag, true, actions);
         }
         self.send_quota_query(tag, wanted_units, actions);
         actions.push(Action::SetTimer {
@@ -171,13 +173,19 @@
         });
     }
 
-    /// Decides the waiting requests of a customer. `may_report`: whether what is unreported may go out at once; a call
-    /// that just failed would fail again.
-    pub(super) fn decide_waiting(&mut self, tag: u32, may_report: bool, actions: &mut Vec<Action>) {
+    /// Decides the waiting requests of a customer. `may_report`: unreported usage may be sent at once. After a
+    /// failed call it may not, as another one would fail too.
+    pub(super) fn decide_waiting_requests(
+        &mut self,
+        tag: u32,
+        may_report: bool,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(customer) = self.customers.get_mut(&tag) else {
             return;
         };
-        // Nothing is reported until all are decided: what was reserved in vain for one may do for the next.
+        // Nothing is reported until all are decided: units that one request reserved and did not use may serve the
+        // next.
         customer.query_attempts = 1;
         let waiting = std::mem::take(&mut customer.waiting_requests);
         if customer.is_synced_now(self.now) && !waiting.is_empty() {
@@ -186,7 +194,7 @@
             self.record_query_result(plan, has_capacity);
         }
         for id in waiting {
-            self.decide(id, QueryPhase::Over, actions);
+            self.decide_request(id, QueryPhase::Over, actions);
         }
         if let Some(customer) = self.customers.get_mut(&tag) {
             customer.query_attempts = 0;
@@ -203,7 +211,7 @@
         }
     }
 
-    /// Takes in the end of a call to the counter, and decides the requests that wait for it.
+    /// Handles the end of a call to the counter, and decides the requests that wait for it.
     pub(super) fn on_counter_reply(
         &mut self,
         name: &str,
@@ -227,17 +235,18 @@
         } else {
             self.sync_with_counter(name, &reply, actions)
         };
-        // Without this two gateways could see the same permit free, or a request be rejected for want of units that nobody
-        // queried: all that wait are in the count before they are decided.
+        // All waiting requests are added to the count before they are decided. Otherwise two gateways could see the
+        // same permit free, or a request could be rejected for lack of units that no query asked for.
         if let Some(units) = missing_units {
             if self.counter_limiter.try_take(self.now, 0.0) {
                 return self.send_quota_query(tag, units, actions);
             }
         }
-        self.decide_waiting(tag, !status.never_ran(), actions);
+        self.decide_waiting_requests(tag, !status.never_ran(), actions);
     }
 
-    /// No connection, or one that broke, says nothing of how busy the counter is; a reply without a number does.
+    /// Records the reply time of a call. A connection that failed or broke says nothing of how busy the counter is;
+    /// a reply without a number does.
     fn record_reply_time(&mut self, status: CompletionStatus, reply: &CounterReply) {
         let is_connection_fault = matches!(
             status,
@@ -257,7 +266,7 @@
         }
     }
 
-    /// Takes in a total. Returns the units that the waiting requests still need in the count, if any.
+    /// Applies a total. Returns the units or permits that the waiting requests still need in the count, if any.
     fn sync_with_counter(
         &mut self,
         name: &str,
--- a/crates/traffic-control/src/policy/effect_rule.rs
+++ b/crates/traffic-control/src/policy/effect_rule.rs
@@ -1,4 +1,4 @@
-//! The effect rule: which further attempts of a request may go out, so that no effect happens twice.
+//! The effect rule: decides which further attempts of a request may be sent, so that no effect happens twice.
 
 use crate::interface::{
     Effect, Micros, Scope, Settings, CLIENT_GONE_SLACK_US, MAX_GATEWAY_DELAY_US,
@@ -6,13 +6,13 @@
 use crate::pending_request::{Attempt, AttemptState, PendingRequest};
 use crate::server::Server;
 
-/// Until when a repeat of this attempt may be written: its last byte comes while servers remember the key, also where the
-/// gateway is held up on the way.
+/// Returns the time until which a repeat of this attempt may be written: its last byte has to arrive while servers
+/// remember the key, even if the gateway delays it.
 fn remembered_until(attempt: &Attempt, window_us: Micros) -> Micros {
     attempt.sent_at + window_us.saturating_sub(MAX_GATEWAY_DELAY_US)
 }
 
-/// Whether a server shares the keys that it has seen with the server of an attempt.
+/// Whether a server knows the idempotency keys that the server of an attempt has seen.
 fn shares_keys(scope: Scope, attempt: &Attempt, server: &Server) -> bool {
     match scope {
         Scope::All => true,
@@ -22,17 +22,17 @@
 }
 
 impl PendingRequest {
-    /// Attempts that may have run, or may yet.
+    /// Returns the attempts that may have run or may still run.
     fn possibly_run_attempts(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts
             .iter()
             .filter(|a| a.state != AttemptState::NeverRan)
     }
 
-    /// Whether a further attempt may go to this server now.
+    /// Whether a further attempt may be sent to this server now.
     pub(super) fn may_send(&self, settings: &Settings, server: &Server, now: Micros) -> bool {
-        let is_over = self.is_closed || self.is_streaming;
-        if is_over || !settings.parallel_attempts && self.has_attempt_in_flight() {
+        let is_finished = self.is_closed || self.is_streaming;
+        if is_finished || !settings.parallel_attempts && self.has_attempt_in_flight() {
             return false;
         }
         match settings.classes[self.class].effect {
@@ -44,8 +44,8 @@
         }
     }
 
-    /// How long from now an attempt may begin: while its answer is of use, and while servers remember an earlier attempt
-    /// that may have run.
+    /// Returns the time from now within which an attempt may begin: while its answer has a value, and while servers
+    /// remember each earlier attempt that may have run.
     pub(super) fn begin_within_us(&self, settings: &Settings, now: Micros) -> Micros {
         let remaining_us = self.deadline.saturating_sub(now);
         let useful_us =
@@ -58,7 +58,7 @@
             .fold(useful_us, Micros::min)
     }
 
-    /// Whether the answer may say that trying again is harmless.
+    /// Whether the final answer may say that a repeat is harmless.
     pub(super) fn may_reject(&self, settings: &Settings) -> bool {
         let repeats_are_harmless = matches!(
             settings.classes[self.class].effect,
--- a/crates/traffic-control/src/policy/mod.rs
+++ b/crates/traffic-control/src/policy/mod.rs
@@ -1,5 +1,5 @@
-//! Every decision of a gateway, one file each. This one takes events in and gives actions out; state and its arithmetic
-//! are in the modules beside this folder.
+//! Every decision of a gateway, with one file for each kind. This module dispatches events to them and collects the
+//! resulting actions; state and its arithmetic are in the modules beside this folder.
 
 mod admission;
 mod admission_fractions;
@@ -25,7 +25,7 @@
 use crate::random::random_unit;
 
 impl Gateway {
-    /// Takes one event at clock `now` and appends what to do to `actions`.
+    /// Handles one event at time `now` and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         self.start_if_first(actions);
@@ -37,7 +37,7 @@
             Event::Request(request) => self.on_request(request, actions),
             Event::Streaming(id) => self.on_streaming(id),
             Event::Outcome(outcome) => self.on_outcome(&outcome, actions),
-            Event::ClientGone(id) => self.close(id, actions),
+            Event::ClientGone(id) => self.close_request(id, actions),
             Event::Timer(timer) => self.on_timer(timer, actions),
             Event::Peer { from, bytes } => self.on_peer_message(from, &bytes, actions),
             Event::Gateways(gateways) => {
@@ -62,6 +62,7 @@
         }
     }
 
+    /// Sets the interval timer at the first event, and subscribes to the server list if it is sent only on request.
     fn start_if_first(&mut self, actions: &mut Vec<Action>) {
         if self.started_at.is_some() {
             return;
@@ -84,7 +85,7 @@
         self.fleet
             .apply_list(kind, entries, self.now, || random_unit(rng));
         self.assign_servers();
-        self.retry_waiting(actions);
+        self.dispatch_requests_waiting_for_server(actions);
     }
 
     fn on_streaming(&mut self, id: RequestId) {
@@ -98,12 +99,13 @@
             Timer::Interval => self.on_interval(actions),
             Timer::Customer(tag) => self.on_customer_timer(tag, actions),
             Timer::Request(id) if self.waiting_requests.contains(&id) => {
-                self.finish(id, 0.0, UnservedReason::NoServer, actions);
+                self.reject_or_fail(id, 0.0, UnservedReason::NoServer, actions);
             }
             Timer::Request(id) => self.on_query_timeout(id, actions),
         }
     }
 
+    /// Ends a control interval.
     fn on_interval(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         self.counter_limiter.end_interval();
@@ -118,7 +120,7 @@
             .forget_unknown_customers(now, CUSTOMER_IDLE_TIMEOUT_US);
         let log = self.counter_monitor.clear_expired_doubt(now);
         actions.extend(log.map(Action::Log));
-        self.retry_waiting(actions);
+        self.dispatch_requests_waiting_for_server(actions);
         self.send_cell_reports(actions);
         actions.push(Action::SetTimer {
             after_us: INTERVAL_US,
@@ -127,16 +129,16 @@
     }
 
     /// Tries again to send the requests that wait for a server.
-    fn retry_waiting(&mut self, actions: &mut Vec<Action>) {
+    fn dispatch_requests_waiting_for_server(&mut self, actions: &mut Vec<Action>) {
         for id in self.waiting_requests.clone() {
             self.dispatch(id, actions);
         }
     }
 
     /// Decides again on the requests that wait for a server.
-    fn decide_again(&mut self, actions: &mut Vec<Action>) {
+    fn decide_requests_waiting_for_server(&mut self, actions: &mut Vec<Action>) {
         for id in self.waiting_requests.clone() {
-            self.decide(id, QueryPhase::Open, actions);
+            self.decide_request(id, QueryPhase::Open, actions);
         }
     }
 }
--- a/crates/traffic-control/src/policy/outcomes.rs
+++ b/crates/traffic-control/src/policy/outcomes.rs
@@ -1,13 +1,14 @@
-//! What the end of an attempt teaches, and what follows for its request: a final answer or another attempt.
+//! Handles the end of an attempt: records what it shows of the server and the customer, and answers the request or
+//! sends another attempt.
 
-use super::quota_charges::excess_pays;
+use super::quota_charges::excess_is_profitable;
 use crate::counter::CounterEvidence;
 use crate::customer::AttemptChange;
 use crate::gateway::Gateway;
 use crate::interface::{Action, AttemptOutcome, CompletionStatus, ServerId};
 use crate::pending_request::AttemptState;
 
-/// The request of an attempt that has ended.
+/// An attempt that has ended, with the properties of its request.
 struct EndedAttempt {
     class: usize,
     customer: u32,
@@ -16,16 +17,17 @@
 }
 
 impl Gateway {
+    /// Handles the outcome of an attempt.
     pub(super) fn on_outcome(&mut self, outcome: &AttemptOutcome, actions: &mut Vec<Action>) {
         let Some(ended) = self.end_attempt(outcome) else {
             return;
         };
         self.record_attempt_end(outcome, ended.class, ended.units, &ended.server);
         self.record_attempt(ended.customer, AttemptChange::Ends, actions);
-        self.record_reported_use(outcome, &ended, actions);
+        self.record_reported_usage(outcome, &ended, actions);
         match self.requests.get(&outcome.request) {
             Some(request) if outcome.closed || request.is_closed => {
-                self.close(outcome.request, actions);
+                self.close_request(outcome.request, actions);
             }
             Some(request) if !request.has_attempt_in_flight() => {
                 self.dispatch(outcome.request, actions);
@@ -35,7 +37,7 @@
         self.report_usage(ended.customer, actions);
     }
 
-    /// Marks the attempt as ended, and gives back what it cost of the retry budget if nothing of it was sent. `None` where
+    /// Marks an attempt as ended, and refunds its cost to the retry budget if nothing of it was sent. `None` where
     /// no such attempt is in flight.
     fn end_attempt(&mut self, outcome: &AttemptOutcome) -> Option<EndedAttempt> {
         let request = self.requests.get_mut(&outcome.request)?;
@@ -64,8 +66,8 @@
         })
     }
 
-    /// Takes in what the server reported of the customer's use.
-    fn record_reported_use(
+    /// Records what the server reported of the customer's usage: the settled units and the meter reading.
+    fn record_reported_usage(
         &mut self,
         outcome: &AttemptOutcome,
         ended: &EndedAttempt,
@@ -90,9 +92,9 @@
         }
         let used_per_s = quota_share * quota.rate_per_s;
         let is_underreported = customer.ledger.record_meter_reading(now, used_per_s);
-        // What is admitted beyond a quota is not expected in the counter.
+        // Units admitted beyond a quota are not expected in the counter.
         let is_counted =
-            self.settings.has_counter && !excess_pays(&self.settings.plans[customer.plan]);
+            self.settings.has_counter && !excess_is_profitable(&self.settings.plans[customer.plan]);
         if is_underreported && is_counted {
             let evidence = CounterEvidence::Underreported;
             let log = self
--- a/crates/traffic-control/src/policy/peer_messages.rs
+++ b/crates/traffic-control/src/policy/peer_messages.rs
@@ -1,5 +1,5 @@
-//! Messages between gateways: admission fractions and rates, and a customer's quota at its owner. A message that does not
-//! parse is dropped as a whole; nothing that a message says ever touches a ceiling slice.
+//! Messages between gateways: admission fractions and rates, and quota requests to a customer's owner. A message
+//! that does not parse is dropped as a whole; no message ever changes a ceiling slice.
 
 use crate::customer::CustomerPlacement;
 use crate::decaying_sum::{DecayingSum, DEMAND_TAU_US};
@@ -8,15 +8,15 @@
 use crate::interface::{Action, Micros};
 use rand_pcg::rand_core::RngCore;
 
-/// Peers that get the fractions and rates each interval: a sample, whatever the fleet's size.
+/// Number of peers that get the fractions and rates in each interval: a sample, whatever the fleet's size.
 const PEERS_PER_CELL_REPORT: u32 = 2;
-/// A granted permit lapses after so many mean attempts, in case its return is lost.
+/// Lifetime of a granted permit, in mean attempt times; it lapses in case its return is lost.
 const PERMIT_GRANT_ATTEMPTS: f64 = 3.0;
-/// The longest peer message.
+/// Maximum length of a peer message.
 pub(super) const MAX_MESSAGE_BYTES: usize = 256;
 
 impl Gateway {
-    /// Sends this gateway's admission fractions and rates to a few peers.
+    /// Sends this gateway's admission fractions and rates to a few random peers.
     pub(super) fn send_cell_reports(&mut self, actions: &mut Vec<Action>) {
         let reports = self
             .cells
@@ -32,7 +32,7 @@
         } else {
             0
         };
-        // Drawn without peers as well: the sequence of random numbers does not depend on the settings.
+        // Drawn without peers as well, so that the sequence of random numbers does not depend on the settings.
         let first = self.rng.next_u32() % peers.max(1);
         for offset in 0..PEERS_PER_CELL_REPORT.min(peers) {
             let distance = 1 + (first + offset) % peers;
@@ -43,6 +43,7 @@
         }
     }
 
+    /// Handles a message of the gateway with index `from`; one that is not from a peer is dropped.
     pub(super) fn on_peer_message(&mut self, from: u32, bytes: &[u8], actions: &mut Vec<Action>) {
         let is_peer = from != self.settings.gateway_index && from < self.settings.gateways;
         match gossip::decode(bytes).filter(|_| is_peer) {
@@ -57,10 +58,11 @@
         }
     }
 
-    /// As owner of a customer: takes in its use at a peer, and grants what the peer wants if the store holds it.
+    /// As owner of a customer, charges the usage that a peer reports, and grants the units that it wants if the
+    /// store holds them.
     fn on_quota_request(&mut self, from: u32, request: &QuotaRequest, actions: &mut Vec<Action>) {
         let now = self.now;
-        let me = self.settings.gateway_index;
+        let own_index = self.settings.gateway_index;
         let plan = usize::from(request.plan);
         if self.settings.has_counter || plan >= self.quotas.len() {
             return;
@@ -71,12 +73,15 @@
             tag: request.tag,
             plan,
             gateway_count,
-            owner: me,
+            owner: own_index,
             position: 0,
         };
         let grant_us = PERMIT_GRANT_ATTEMPTS * self.server_latency.attempt_s * 1e6;
         let lapses_at = now + grant_us as Micros;
-        let Some(customer) = self.customer_state(&placement).filter(|c| c.owner == me) else {
+        let Some(customer) = self
+            .get_or_create_customer(&placement)
+            .filter(|c| c.owner == own_index)
+        else {
             return;
         };
         let wanted = request.wanted_units.max(0.0);
@@ -116,7 +121,7 @@
         }
     }
 
-    /// Takes in what a customer's owner granted, and decides the requests that wait for it.
+    /// Applies a grant of a customer's owner, and decides the requests that wait for it.
     fn on_quota_grant(&mut self, from: u32, grant: &QuotaGrant, actions: &mut Vec<Action>) {
         let now = self.now;
         let Some(customer) = self
@@ -132,6 +137,6 @@
         let own_demand = customer.demand.at(now, DEMAND_TAU_US);
         let all_demand = grant.demand_per_s * DEMAND_TAU_US / 1e6;
         customer.others_demand = DecayingSum::new(now, (all_demand - own_demand).max(0.0));
-        self.decide_waiting(grant.tag, true, actions);
+        self.decide_waiting_requests(grant.tag, true, actions);
     }
 }
--- a/crates/traffic-control/src/policy/policy_terms.rs
+++ b/crates/traffic-control/src/policy/policy_terms.rs
@@ -1,16 +1,17 @@
-//! Under which terms a gateway admits requests, where all of them agree on a policy. While terms change, no gateway passes
-//! on more than the smaller of both allows, and none admits a request while it is not known which terms hold.
+//! Applies the policy terms under which a gateway admits requests, where all gateways agree on a policy. While
+//! terms change, no gateway passes on more than the smaller of both allows, and none admits a request while it is
+//! not known which terms are in force.
 
 use crate::counter::MAX_SMALL_FLEET_GATEWAYS;
 use crate::gateway::Gateway;
 use crate::interface::{Action, LeaseState, Micros, PolicyTerms};
 use crate::quota::Quota;
 
-/// For so long other gateways may still, or already, serve under the other terms.
+/// Time for which other gateways may still serve under the previous terms, or already under the new ones.
 const TRANSITION_US: Micros = 250_000;
 
 impl Gateway {
-    /// Puts other terms in force. Stores stay as they are, less what no longer fits.
+    /// Puts new terms in force. Levels of stores stay, up to the new capacities.
     pub(super) fn on_policy_changed(&mut self, terms: PolicyTerms) {
         self.settings.plans = terms.plans;
         self.settings.classes = terms.classes;
@@ -19,12 +20,12 @@
         for (quota, new_quota) in self.quotas.iter_mut().zip(new_quotas) {
             *quota = quota.stricter(new_quota);
         }
-        // What fills until now fills by the smaller of both.
+        // Up to now, stores fill by the smaller of both terms.
         self.refill_customers();
         self.transition_until = Some(self.now + TRANSITION_US);
     }
 
-    /// Ends a change of terms once the previous ones hold nowhere any more.
+    /// Ends the transition to new terms once the previous ones are in force at no gateway any more.
     pub(super) fn end_transition_if_due(&mut self) {
         let is_due = self.transition_until.is_some_and(|until| self.now >= until);
         if !is_due {
@@ -41,7 +42,7 @@
         }
     }
 
-    /// The quotas of the plans as attempts take now.
+    /// Returns the quotas of all plans at the present mean attempt time.
     pub(super) fn quotas_of_plans(&self) -> Vec<Quota> {
         Quota::for_plans(
             &self.settings,
@@ -50,11 +51,11 @@
         )
     }
 
-    /// Records whether requests may be admitted. Those that wait are decided again, under what holds now.
+    /// Records whether requests may be admitted, and decides the waiting ones again once that is known.
     pub(super) fn on_lease_state(&mut self, state: LeaseState, actions: &mut Vec<Action>) {
         self.lease_state = state;
         if state != LeaseState::Pending {
-            self.decide_again(actions);
+            self.decide_requests_waiting_for_server(actions);
         }
     }
 }
--- a/crates/traffic-control/src/policy/quota_charges.rs
+++ b/crates/traffic-control/src/policy/quota_charges.rs
@@ -1,5 +1,6 @@
-//! How a customer's quota and ceiling are charged, here and by the reports of other gateways. No gateway, nor all of them
-//! together, passes on more than the quota pays for, and none draws past its slice of a ceiling.
+//! Charges a customer's quota and ceiling, by requests sent here and by usage that other gateways report. No
+//! gateway, nor all of them together, passes on more than the quota pays for, and none draws past its slice of a
+//! ceiling.
 
 use super::limits::{CUSTOMER_IDLE_TIMEOUT_US, MAX_CUSTOMERS};
 use crate::customer::{Customer, CustomerPlacement, GUESS_COST_FACTOR};
@@ -9,21 +10,22 @@
 use crate::peer_reports::UsageAge;
 use crate::random::random_unit;
 
-/// Memory for how many queries found capacity.
+/// Time constant of the numbers of queries that found capacity or did not.
 const QUERY_RESULTS_TAU_US: f64 = 20_000_000.0;
-/// Queries that count as successful before any was made.
+/// Number of successful queries assumed before any was made.
 const PRIOR_SUCCESSES: f64 = 1.0;
-/// A request beyond the quota has to earn this share of its value: the queues that it fills cost more than less.
+/// Share of its value that a request beyond the quota has to earn: the queues that it fills cost more than less.
 const MIN_EXCESS_VALUE: f64 = 0.5;
 
-/// Whether a request beyond its quota earns enough, less what that costs.
-pub(super) fn excess_pays(plan: &Plan) -> bool {
+/// Whether passing on a request beyond its quota earns enough, less what that costs.
+pub(super) fn excess_is_profitable(plan: &Plan) -> bool {
     plan.excess_weight - plan.overrun_cost > MIN_EXCESS_VALUE
 }
 
 impl Gateway {
-    /// The state of a customer, which begins where it was not known; `None` where too many customers are.
-    pub(super) fn customer_state(
+    /// Returns the state of a customer, and creates it if the customer is not known yet; `None` where too many
+    /// customers are tracked.
+    pub(super) fn get_or_create_customer(
         &mut self,
         placement: &CustomerPlacement,
     ) -> Option<&mut Customer> {
@@ -35,7 +37,7 @@
             self.customers.insert(placement.tag, customer);
         }
         let customer = self.customers.get_mut(&placement.tag)?;
-        // A customer that was moved to another plan keeps what it has left.
+        // A customer that was moved to another plan keeps its level.
         customer.plan = placement.plan;
         Some(customer)
     }
@@ -48,21 +50,22 @@
             .started_at
             .unwrap_or(now)
             .max(now.saturating_sub(CUSTOMER_IDLE_TIMEOUT_US));
-        // What others reported of a customer that was not known here is used all the same.
+        // Usage that others reported of a customer that was not known here counts as well.
         let reported = self
             .peer_reports
             .take_unknown_customer(placement.tag)
             .filter(|_| !quota.limits_concurrency);
-        let known_level =
+        let reported_level =
             reported.map_or(quota.capacity, |usage| usage.remaining_units(quota, now));
         let mut customer = Customer::new(placement, quota, settings, fills_since);
-        // Where gateways report their use, the shares of silent ones are set aside; else the even slice is all there is.
+        // Where gateways report their usage, the shares of silent ones are set aside; otherwise the even slice is
+        // the maximum.
         let max_level = if settings.usage_report_ttl_us > 0 && !quota.limits_concurrency {
             quota.capacity
         } else {
             quota.capacity / f64::from(placement.gateway_count)
         };
-        customer.level = known_level.clamp(-quota.capacity, max_level);
+        customer.level = reported_level.clamp(-quota.capacity, max_level);
         self.peer_reports
             .update_customer(now, settings, quota, &mut customer);
         let owns_by_messages = placement.owner == settings.gateway_index
@@ -73,16 +76,17 @@
         customer
     }
 
-    /// Whether a request of an unknown quota passes for want of a call, beyond the even slice: where recent queries found
-    /// that this pays, and of customers that use too much as many as leave the quota used in sum.
-    pub(super) fn admits_blindly(
+    /// Whether a request of an unknown quota passes without a query, beyond the even slice: if recent queries found
+    /// that this pays, and, of a customer that exceeds its quota, with a probability that leaves its total usage at
+    /// the quota.
+    pub(super) fn should_admit_without_query(
         &mut self,
         plan: usize,
         is_sparse: bool,
         overrun_cost: f64,
         overuse_factor: f64,
     ) -> bool {
-        // A permit beyond the limit is held for as long as one within, and in the way of the next.
+        // A permit beyond the limit is held for as long as one within it, and blocks the next one.
         let cost_factor = if self.quotas[plan].limits_concurrency {
             GUESS_COST_FACTOR
         } else {
@@ -93,8 +97,10 @@
         let successes = results.with_capacity.at(self.now, QUERY_RESULTS_TAU_US);
         let prior = if is_sparse { PRIOR_SUCCESSES } else { 0.0 };
         let has_evidence = failures + successes + prior >= 1.0;
-        let pays = successes + prior > failures * (overrun_cost + 1.0) * cost_factor;
-        has_evidence && pays && random_unit(&mut self.rng) * overuse_factor * overuse_factor < 1.0
+        let is_profitable = successes + prior > failures * (overrun_cost + 1.0) * cost_factor;
+        has_evidence
+            && is_profitable
+            && random_unit(&mut self.rng) * overuse_factor * overuse_factor < 1.0
     }
 
     /// Records whether a query found capacity.
@@ -108,7 +114,7 @@
         result.add(self.now, QUERY_RESULTS_TAU_US, 1.0);
     }
 
-    /// Charges a request that is about to be sent. False: the ceiling forbids it.
+    /// Charges a request that is about to be sent. Returns false if the ceiling forbids it.
     pub(super) fn charge_quota(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(request) = self.requests.get(&id) else {
             return false;
@@ -120,7 +126,8 @@
         };
         let quota = self.quotas[customer.plan];
         customer.refill(&quota, self.now);
-        // What the counter holds for this gateway already is taken from the quota, all else from the ceiling.
+        // Units that the counter already holds for this gateway are charged to the quota only, all others to the
+        // ceiling too.
         let is_reserved = customer.reserved_units > 0.0
             && customer.reserved_units >= units
             && customer.level >= units;
@@ -141,29 +148,31 @@
         true
     }
 
-    /// Takes in what other gateways let through. The use of a restarted gateway counts on. `past`: use of customers from
-    /// before a gateway first reported.
+    /// Records usage that other gateways reported; that of a restarted gateway still counts. `reporting_gateways`
+    /// have reported all their usage until now. `past_usage` is usage of customers from before a gateway first
+    /// reported.
     pub(super) fn on_usage_reported(
         &mut self,
-        heard: &[u32],
-        uses: &[(u32, u32, f64)],
-        past: &[(u32, f64)],
+        reporting_gateways: &[u32],
+        usage: &[(u32, u32, f64)],
+        past_usage: &[(u32, f64)],
     ) {
-        for &(from, tag, units) in uses {
-            self.charge_reported_use(from, tag, units, heard.contains(&from));
+        for &(from, tag, units) in usage {
+            self.charge_reported_usage(from, tag, units, reporting_gateways.contains(&from));
         }
-        for &(tag, units) in past {
-            self.charge_past_use(tag, units);
+        for &(tag, units) in past_usage {
+            self.charge_past_usage(tag, units);
         }
-        for &gateway in heard {
+        for &gateway in reporting_gateways {
             if gateway < self.settings.gateways {
                 self.peer_reports.record_usage_report(self.now, gateway);
             }
         }
     }
 
-    /// What was used while a gateway was silent comes out of what was set aside for it.
-    fn charge_reported_use(&mut self, from: u32, tag: u32, units: f64, is_heard: bool) {
+    /// Charges usage that the gateway `from` reported. Units used while that gateway was silent are charged to the
+    /// share that was set aside for it.
+    fn charge_reported_usage(&mut self, from: u32, tag: u32, units: f64, reports_again: bool) {
         let now = self.now;
         let Some(customer) = self.customers.get_mut(&tag) else {
             self.record_unknown_customer(tag, units, UsageAge::Current);
@@ -174,8 +183,8 @@
             .update_customer(now, &self.settings, &quota, customer);
         let common_units = customer
             .shares
-            .charge_reported(now, &quota, from, units, is_heard);
-        // What the counter reported already is not charged twice.
+            .charge_reported(now, &quota, from, units, reports_again);
+        // Usage that the counter reported already is not charged twice.
         let counts_reports = customer.follows_peer_reports(now) || !customer.is_synced(now);
         if common_units > 0.0 && counts_reports {
             customer.refill(&quota, now);
@@ -184,8 +193,9 @@
         }
     }
 
-    /// Past use may be older than what the store has been filled with since: it empties the store and no more.
-    fn charge_past_use(&mut self, tag: u32, units: f64) {
+    /// Charges past usage. It may be older than what the store has been filled with since, so it empties the store
+    /// and no more.
+    fn charge_past_usage(&mut self, tag: u32, units: f64) {
         let Some(customer) = self.customers.get_mut(&tag) else {
             self.record_unknown_customer(tag, units, UsageAge::PossiblyStale);
             return;
@@ -193,6 +203,7 @@
         customer.level = (customer.level - units).max(customer.level.min(0.0));
     }
 
+    /// Records reported usage of a customer that is not known here.
     fn record_unknown_customer(&mut self, tag: u32, units: f64, age: UsageAge) {
         self.peer_reports
             .record_unknown_customer(self.now, MAX_CUSTOMERS, tag, units, age);
--- a/crates/traffic-control/src/policy/server_choice.rs
+++ b/crates/traffic-control/src/policy/server_choice.rs
@@ -1,6 +1,6 @@
-//! Which server a request goes to: the cheapest by its load, its warmth and its recent outcomes, among those that the
-//! rules allow. A server in slow start is not overloaded, a failing one is left alone until it may have recovered, nothing
-//! goes to one that drains, and many gateways do not begin with the same.
+//! Chooses the server of an attempt: the cheapest by its load, its warmth and its recent outcomes, among those that
+//! the rules allow. A server in slow start is not overloaded, a failing one is avoided until it may have recovered,
+//! a draining one gets no requests, and the gateways of a large fleet do not begin with the same server.
 
 use crate::counter::MAX_SMALL_FLEET_GATEWAYS;
 use crate::fleet::ServerFleet;
@@ -13,35 +13,36 @@
 use rand_pcg::rand_core::RngCore;
 use std::sync::Arc;
 
-/// Slowness up to this is noise: work differs more than servers do.
-const NOISE_SLOWNESS: f64 = 1.5;
-/// The least part of one request's load that is random, so that gateways begin with different servers.
+/// Slowness ratio up to which differences are noise: work differs more than servers do.
+const MAX_NOISE_SLOWNESS_RATIO: f64 = 1.5;
+/// Minimum part of one request's load that is random, so that gateways begin with different servers.
 const MIN_RANDOM_LOAD: f64 = 0.3;
-/// A server that fails everything is so many times dearer.
-const ERROR_COST: f64 = 10.0;
+/// Weight of the error rate in a server's cost: a server that fails every attempt costs this many times more.
+const ERROR_COST_WEIGHT: f64 = 10.0;
 /// Share of the slow-start budget that all gateways use: half as much again is saved up.
 const SLOW_START_BUDGET_SHARE: f64 = 0.5;
-/// Servers that one of many gateways uses: each is met again within about a second, and each is used by a few gateways.
+/// Number of servers that a gateway of a large fleet uses: it sends to each of them again within about a second,
+/// and each server is used by a few gateways.
 const SUBSET_SIZE: SubsetSize = SubsetSize { least: 7, users: 3 };
-/// In each interval one of its users tries an ejected server: shorter than health reports last.
+/// Interval in which one of its gateways tries an ejected server: shorter than health reports last.
 const EJECTED_RETRY_INTERVAL_US: Micros = 4_000_000;
-/// Servers compared for a request: of more, so many drawn at random are as good as all.
+/// Maximum number of servers compared for a request: of more servers, this many drawn at random are as good as all.
 const MAX_COMPARED_SERVERS: usize = 64;
 
-/// The server that an attempt goes to.
+/// The server chosen for an attempt.
 pub(super) struct ServerChoice {
     pub server: ServerId,
-    /// Sends that are saved up for it, this one included.
+    /// Sends that are saved up for the server, this one included.
     pub available_sends: f64,
 }
 
-/// What the costs of all servers have in common for one request.
+/// Inputs to the cost that are the same for all servers, for one request.
 struct CostContext<'a> {
     zones: ZoneErrors<'a>,
     assessment_half_life_us: f64,
-    /// A server of unit size is due for a request in such intervals.
+    /// Interval between the requests of a server of unit size, if load is spread evenly.
     even_interval_us: f64,
-    /// The part of one request's load that is random: more the less of the load is seen from here.
+    /// Part of one request's load that is random: the larger, the less of the servers' load this gateway sees.
     random_load: f64,
 }
 
@@ -59,9 +60,9 @@
     }
 }
 
-/// The cheapest server so far.
+/// A server compared for a request.
 struct Candidate<'a> {
-    /// Whether this request tried it before: only where nothing else is left.
+    /// Whether the request has tried the server before: it is then chosen only where no other is left.
     is_last_resort: bool,
     cost: f64,
     server: &'a ServerId,
@@ -69,14 +70,14 @@
 }
 
 impl Candidate<'_> {
-    fn is_better_than(&self, other: &Candidate) -> bool {
+    fn is_cheaper_than(&self, other: &Candidate) -> bool {
         (self.is_last_resort, self.cost) < (other.is_last_resort, other.cost)
     }
 }
 
 impl Gateway {
-    /// Assigns the ready servers that this gateway uses. One of many meets each of a few often enough to know it, and
-    /// keeps its connections.
+    /// Assigns the ready servers that this gateway uses. A gateway of a large fleet uses only a few, so that it
+    /// sends to each of them often enough to assess it, and keeps its connections.
     pub(super) fn assign_servers(&mut self) {
         let slow_start = &self.settings.slow_start;
         let subset_size = |gateways, ready| {
@@ -106,14 +107,14 @@
         }
         let candidates = self.fleet.candidates.clone();
         if self.fleet.subset_share < 1.0 {
-            // A repeat may find only servers there that had it before, any request only failing ones: then others are
-            // better.
+            // In a subset, a repeat may find only servers that already had the request, and any request only
+            // failing ones: then servers outside of it are better.
             let choice = self.cheapest_server(id, Some(&candidates));
             if choice.as_ref().is_some_and(|c| self.is_good_choice(id, c)) {
                 return choice;
             }
         } else if !candidates.is_empty() {
-            // None of these may be allowed, for a request that may only go to a few.
+            // It may be that no server of the sample is allowed, for a request that may only go to a few.
             let sample = self.sample_servers(&candidates);
             let choice = self.cheapest_server(id, Some(&sample));
             if choice.is_some() {
@@ -123,6 +124,7 @@
         self.cheapest_server(id, None)
     }
 
+    /// Draws `MAX_COMPARED_SERVERS` servers at random, with repetition.
     fn sample_servers(&mut self, candidates: &Arc<[ServerId]>) -> Vec<ServerId> {
         let count = candidates.len() as u64;
         let mut draw = || {
@@ -132,7 +134,7 @@
         (0..MAX_COMPARED_SERVERS).map(|_| draw()).collect()
     }
 
-    /// Whether the request has not tried this server yet, and the server does not mostly fail.
+    /// Whether the request has not tried the chosen server yet, and that server does not mostly fail.
     fn is_good_choice(&self, id: RequestId, choice: &ServerChoice) -> bool {
         let is_new = self
             .requests
@@ -149,7 +151,7 @@
                 .is_some_and(is_avoided)
     }
 
-    /// Whether it is this gateway's turn to try an ejected server, and it has not yet.
+    /// Whether it is this gateway's turn to try an ejected server, and it has not done so in this turn yet.
     fn may_retry_ejected(&self, server: &Server) -> bool {
         let subset = &self.fleet.subset;
         let has_turn = rotating_lease::holds(
@@ -163,7 +165,7 @@
         has_turn && server.in_flight == 0 && server.assessed_at < turn_began
     }
 
-    /// The cheapest of `among`, or of all servers.
+    /// Returns the cheapest allowed server of `among`, or of all servers if that is `None`.
     fn cheapest_server(
         &mut self,
         id: RequestId,
@@ -174,12 +176,12 @@
         let context = CostContext::new(&self.fleet, &self.settings, now);
         let servers = &self.fleet.servers;
         let all = among.is_none().then_some(servers).into_iter().flatten();
-        let some = among
+        let listed = among
             .unwrap_or_default()
             .iter()
             .filter_map(|name| servers.get_key_value(name));
         let mut best: Option<Candidate> = None;
-        for (name, server) in all.chain(some) {
+        for (name, server) in all.chain(listed) {
             let warmth = server.warmth(&self.settings.slow_start, now);
             let available_sends = self.available_sends(name, server, warmth);
             let is_allowed = server.health == Health::Ready
@@ -195,7 +197,7 @@
                 server: name,
                 available_sends,
             };
-            if best.as_ref().is_none_or(|b| candidate.is_better_than(b)) {
+            if best.as_ref().is_none_or(|b| candidate.is_cheaper_than(b)) {
                 best = Some(candidate);
             }
         }
@@ -205,7 +207,8 @@
         })
     }
 
-    /// Sends that this gateway may make to a server now; a warm one takes any number.
+    /// Returns the sends that this gateway may make to a server now; a warm one takes any number, for which this
+    /// returns 1.
     fn available_sends(&self, name: &ServerId, server: &Server, warmth: f64) -> f64 {
         if warmth < 1.0 {
             self.slow_start_sends(name, server, warmth)
@@ -214,20 +217,21 @@
         }
     }
 
-    /// Sends left in this gateway's part of the budget of a server in slow start, saved up from a random part so that many
-    /// gateways take turns: a multiple of what servers were seen to do, or a share of one core's work. Both go by idle
-    /// servers: a fleet that grows slow must not give less to its cold ones.
+    /// Returns the sends left in this gateway's part of the budget of a server in slow start. They are saved up
+    /// from a random part, so that many gateways take turns. The budget is a multiple of the throughput that
+    /// servers have shown, or of a share of one core's work. Both are those of idle servers: a fleet that becomes
+    /// slow must not give less to its cold servers.
     fn slow_start_sends(&self, name: &ServerId, server: &Server, warmth: f64) -> f64 {
         let slow_start = &self.settings.slow_start;
         let fleet = &self.fleet;
-        // Gateways that have no warm server left in their subset do not turn to the cold ones of others.
+        // Gateways without a warm server in their subset do not turn to cold ones outside of it.
         if fleet.subset_share < 1.0 && !fleet.candidates.contains(name) {
             return 0.0;
         }
         let core_per_s =
             1.0 / self.server_latency.idle_attempt_s / f64::from(self.settings.gateways);
         let warm_per_s = core_per_s.max(self.server_latency.throughput * server.share);
-        // Only gateways that have it in their subset send to it.
+        // Only the gateways that have the server in their subset send to it.
         let sends_per_s =
             slow_start.overload_multiple * SLOW_START_BUDGET_SHARE * warmth * warm_per_s
                 / fleet.subset_share;
@@ -238,10 +242,12 @@
         saved.min((sends_per_s * window_s / 2.0).max(1.0))
     }
 
-    /// The load of a server for its size, times what is known of its latency, its errors and its zone.
+    /// Returns the cost of a server: its load relative to its size, times factors for its latency, its errors and
+    /// its zone.
     fn server_cost(&self, server: &Server, warmth: f64, context: &CostContext, random: f64) -> f64 {
         let assessment = self.assess_server(server, context);
-        // A server in slow start looks dear as long as any other is idle: it has its even share all the same, and warms up.
+        // A server in slow start looks expensive as long as any other is idle. It gets its even share all the same,
+        // and so warms up.
         let even_interval_us = context.even_interval_us / (server.share * warmth);
         let unused_us = self.now.saturating_sub(server.slow_start_credit.as_of) as f64;
         let is_due = warmth < 1.0 && unused_us >= even_interval_us;
@@ -256,11 +262,13 @@
             1.0 + self.settings.cross_zone_cost
         };
         load / (server.share * warmth)
-            * (assessment.slowness_ratio / NOISE_SLOWNESS).max(1.0)
-            * (1.0 + ERROR_COST * assessment.error_rate)
+            * (assessment.slowness_ratio / MAX_NOISE_SLOWNESS_RATIO).max(1.0)
+            * (1.0 + ERROR_COST_WEIGHT * assessment.error_rate)
             * zone_cost
     }
 
+    /// Returns the assessment of a server. An ejected one counts as failing, unless it is this gateway's turn to
+    /// try it.
     fn assess_server(&self, server: &Server, context: &CostContext) -> Assessment {
         if !self.fleet.outlier_signals.is_ejected(server.hash_key) {
             let zone_error_rate = context.zones.error_rate(&server.group.0);
@@ -277,7 +285,7 @@
             };
         }
         Assessment {
-            slowness_ratio: NOISE_SLOWNESS,
+            slowness_ratio: MAX_NOISE_SLOWNESS_RATIO,
             error_rate: 1.0,
         }
     }
--- a/crates/traffic-control/src/policy/usage_reports.rs
+++ b/crates/traffic-control/src/policy/usage_reports.rs
@@ -1,21 +1,24 @@
-//! When use that the counter or the owner does not know of yet is reported, so that none stays unreported.
+//! Reports usage that the counter or the owner does not know of yet, so that none stays unreported.
 
-use crate::customer::{Customer, RESERVATION_US};
+use crate::customer::{Customer, RESERVATION_TIMEOUT_US};
 use crate::gateway::Gateway;
 use crate::interface::{Action, Micros, Timer};
 use crate::random::random_unit;
 
-/// Use is reported in lumps of this share of the burst slice while the store is half full.
-const REPORT_LUMP_SHARE: f64 = 0.25;
-/// Less than this is not worth a report.
+/// Size of a usage report as a share of the gateway's even slice of the store, while the store is at least half
+/// full.
+const REPORT_BATCH_SHARE: f64 = 0.25;
+/// Minimum size of a usage report, in units.
 const MIN_REPORT_UNITS: f64 = 0.01;
-/// Share of the saved calls that reports of use leave to queries and permits.
-const BURST_KEPT_FROM_REPORTS: f64 = 0.5;
-/// Spare permits are held for so many mean replies: returning and requesting one again takes two.
+/// Share of the saved calls to the counter that usage reports leave to queries and permits.
+const KEPT_SHARE_FOR_QUERIES: f64 = 0.5;
+/// Time for which spare permits are held, in mean reply times: returning a permit and requesting one again takes
+/// two.
 const SPARE_PERMIT_REPLIES: f64 = 3.0;
 
 impl Gateway {
-    /// Reports what was used without a query or reserved in vain: in lumps while the store is full, else at once.
+    /// Reports units that were used without a query, or reserved and not used: in batches while the store is at
+    /// least half full, else at once.
     pub(super) fn report_usage(&mut self, tag: u32, actions: &mut Vec<Action>) {
         let wall = self.counter_clock.wall_clock(self.now);
         let Some(customer) = self.customers.get_mut(&tag) else {
@@ -24,38 +27,38 @@
         let quota = &self.quotas[customer.plan];
         customer.begin_epoch_if_due(quota, wall);
         let is_sparse = customer.is_sparse(quota);
-        // What one of many gateways reserved and did not use is missed by the others.
+        // Units that a gateway of a large fleet reserved and did not use are missing at the others.
         let is_urgent = quota.limits_concurrency || is_sparse && customer.unreported < 0.0;
         let relative_cost = if is_sparse {
             (1.5 - quota.relative_cost).min(1.0)
         } else {
             1.0
         };
-        let kept_calls = if is_urgent {
+        let kept_share = if is_urgent {
             0.0
         } else {
-            BURST_KEPT_FROM_REPORTS * relative_cost
+            KEPT_SHARE_FOR_QUERIES * relative_cost
         };
-        let lump = (REPORT_LUMP_SHARE * quota.capacity / f64::from(customer.gateway_count))
+        let batch_units = (REPORT_BATCH_SHARE * quota.capacity / f64::from(customer.gateway_count))
             .max(MIN_REPORT_UNITS);
         let min_units = if customer.level < quota.capacity / 2.0 {
             MIN_REPORT_UNITS
         } else {
-            lump
+            batch_units
         };
         let is_negligible = (customer.unreported + customer.reserved()).abs() < min_units;
         if is_negligible || customer.is_owner || customer.query_attempts != 0 {
             return;
         }
-        if !self.settings.has_counter || self.counter_limiter.try_take(self.now, kept_calls) {
+        if !self.settings.has_counter || self.counter_limiter.try_take(self.now, kept_share) {
             self.send_quota_query(tag, 0.0, actions);
         } else {
             self.schedule_usage_report(tag, actions);
         }
     }
 
-    /// Schedules a report of what stays unreported where a customer's requests come rarely: of many gateways each would
-    /// keep some.
+    /// Schedules a report of what stays unreported where a customer's requests are rare: in a large fleet each
+    /// gateway would keep some.
     pub(super) fn schedule_usage_report(&mut self, tag: u32, actions: &mut Vec<Action>) {
         let needs_timer = |customer: &&mut Customer| {
             !customer.report_scheduled && customer.is_sparse(&self.quotas[customer.plan])
@@ -64,19 +67,19 @@
             return;
         };
         customer.report_scheduled = true;
-        let pause_us = if customer.reserved_units > 0.0 {
-            RESERVATION_US as f64
+        let base_delay_us = if customer.reserved_units > 0.0 {
+            RESERVATION_TIMEOUT_US as f64
         } else {
             self.counter_limiter.refill_us()
         };
-        let after_us = ((1.0 + random_unit(&mut self.rng)) * pause_us) as Micros;
+        let after_us = ((1.0 + random_unit(&mut self.rng)) * base_delay_us) as Micros;
         actions.push(Action::SetTimer {
             after_us,
             timer: Timer::Customer(tag),
         });
     }
 
-    /// Schedules a review of the spare permits of a customer: those that nobody needs are returned.
+    /// Schedules a review of a customer's spare permits, which returns those that no request needs.
     pub(super) fn schedule_permit_review(&self, tag: u32, actions: &mut Vec<Action>) {
         let after_us = self.counter_limiter.mean_reply_us() * SPARE_PERMIT_REPLIES;
         actions.push(Action::SetTimer {
@@ -85,6 +88,7 @@
         });
     }
 
+    /// Handles a customer's timer: releases expired reservations and unneeded permits, and reports usage.
     pub(super) fn on_customer_timer(&mut self, tag: u32, actions: &mut Vec<Action>) {
         let Some(customer) = self.customers.get_mut(&tag) else {
             return;
