--- a/crates/traffic-control/src/counter/calls.rs
+++ b/crates/traffic-control/src/counter/calls.rs
@@ -10,7 +10,7 @@
     /// Tag of the customer whose count the call adds to.
     pub customer: u32,
     pub amount: f64,
-    /// Part of `amount` that is reserved for the requests waiting for the reply, prefetched units included.
+    /// Part of `amount` that the call reserves: the units of the waiting requests, and prefetched units.
     pub wanted_units: f64,
     pub sent_at: Micros,
     /// Window of the count at the time of the call.
--- a/crates/traffic-control/src/counter/meter_history.rs
+++ b/crates/traffic-control/src/counter/meter_history.rs
@@ -11,8 +11,8 @@
 const MIN_TAU_US: f64 = 2_000_000.0;
 /// Maximum time constant of the usage rates.
 const MAX_TAU_US: f64 = 8_000_000.0;
-/// Units that arrive at the quota's rate within one time constant, between the two bounds: rates over few units
-/// vary most.
+/// Units by which the quota fills within one time constant, between the two bounds above: a rate over fewer units
+/// is too noisy.
 const TAU_UNITS: f64 = 40.0;
 /// Half-life of the highest recent rate by the counter.
 const PEAK_HALF_LIFE_US: f64 = 2_000_000.0;
@@ -29,14 +29,14 @@
 const METER_TOLERANCE_FACTOR: f64 = 1.1;
 /// Underreported periods in a row after which the counter is doubted.
 const PERIODS_TO_DOUBT: u8 = 2;
-/// Additional periods of agreement before the counter is trusted again, if it underreports once more while in
-/// doubt.
+/// Periods for which the counter has to agree with the meter, beyond the one that otherwise ends a doubt, once it
+/// has underreported again during the doubt.
 const PERIODS_TO_RECOVER: u8 = 3;
 
 /// Result of comparing a meter reading with the counter's totals.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum MeterComparison {
-    /// The reading repeats the previous one or confirms the present state.
+    /// The reading is a repetition, or neither begins a doubt nor agrees during one.
     Unchanged,
     /// The counter has underreported for `PERIODS_TO_DOUBT` periods in a row, and is doubted from now on.
     NewlyUnderreported,
@@ -61,8 +61,8 @@
     average_per_s: f64,
     /// Time and value of the last meter reading as a share of the quota.
     quota_share: Option<(Micros, f64)>,
-    /// Number of underreported periods in a row. While the counter is in doubt, each period of agreement lowers it
-    /// by 1.
+    /// Number of underreported periods in a row. During a doubt, a further one raises it to `PERIODS_TO_DOUBT +
+    /// PERIODS_TO_RECOVER`, and each period of agreement lowers it by 1.
     underreported_periods: u8,
 }
 
@@ -153,7 +153,8 @@
         1.0 + self.quota_share.map_or(0.0, excess)
     }
 
-    /// Whether the counter's totals omit usage of other gateways, by a meter whose readings are recent.
+    /// Whether the counter's totals omit usage of other gateways, by a meter reading not older than
+    /// `METER_TIMEOUT_US`.
     pub fn counter_underreports(&self, now: Micros) -> bool {
         self.underreported_periods >= PERIODS_TO_DOUBT && self.usage_per_s(now).is_some()
     }
--- a/crates/traffic-control/src/counter/permit_digits.rs
+++ b/crates/traffic-control/src/counter/permit_digits.rs
@@ -1,11 +1,10 @@
 //! Encodes the concurrency permits of several gateways in one count: each gateway owns one digit of the total.
 
-/// Largest magnitude of a total that the counter returns exactly: it keeps seven digits.
+/// Maximum number of distinct totals, of either sign, that the counter returns exactly: it keeps seven digits.
 const MAX_EXACT_TOTAL: f64 = 5e6;
 
 /// The digits of a customer's count. Each gateway of the customer's set keeps its open attempts in a digit of its
-/// own, so that it sees what the count holds for it: the next reply corrects a call that may or may not have been
-/// added.
+/// own, so that each total shows the permits counted for it, and with them whether an unanswered call was added.
 #[derive(Clone, Copy)]
 pub(crate) struct PermitDigits {
     /// Number of values of a digit, about half of which are negative.
--- a/crates/traffic-control/src/counter/rate_limit.rs
+++ b/crates/traffic-control/src/counter/rate_limit.rs
@@ -2,7 +2,8 @@
 
 use crate::interface::Micros;
 
-/// Calls a second of all gateways together before any reply is known; also the maximum rate of one gateway.
+/// Initial rate of all gateways together, in calls a second, less in a large fleet that has only the counter; also
+/// the maximum rate of one gateway.
 const INITIAL_CALLS_PER_S: f64 = 1500.0;
 /// Tokens at the start: enough for a query and the less urgent calls that follow from it.
 const INITIAL_TOKENS: f64 = 3.0;
@@ -10,21 +11,23 @@
 const MIN_CALLS_PER_S: f64 = 0.2;
 /// Minimum burst in calls.
 const MIN_BURST_CALLS: f64 = 4.0;
-/// Burst as seconds of the rate, where that is more than `MIN_BURST_CALLS`: about as long as one reply is awaited.
+/// Burst as seconds of the rate, where that is more than `MIN_BURST_CALLS`: the calls that come while one reply is
+/// awaited.
 const BURST_S: f64 = 0.05;
 /// Calls a second that one second of quick replies adds to a gateway's rate, however low that is.
 const MAX_RECOVERY_PER_S: f64 = 20.0;
 /// Calls a second that one second of quick replies adds to the rates of all gateways together.
 const MAX_FLEET_RECOVERY_PER_S: f64 = 80.0;
-/// Minimum time of a slow reply, which indicates that calls queue at the counter.
+/// Reply time above which a reply is slow, if it also exceeds `SLOW_REPLY_MULTIPLE` times the lowest one: calls
+/// then queue at the counter.
 const MIN_SLOW_REPLY_US: Micros = 30_000;
-/// Minimum time of a slow reply as a multiple of the lowest reply time.
+/// Multiple of the lowest reply time above which a reply is slow, if it also exceeds `MIN_SLOW_REPLY_US`.
 const SLOW_REPLY_MULTIPLE: f64 = 2.0;
 /// Weight of one reply in the mean reply time, which covers about the last twenty.
 const MEAN_REPLY_WEIGHT: f64 = 0.05;
 /// Growth of the rate at a quick reply.
 const GROWTH_FACTOR: f64 = 1.05;
-/// Growth of the rate at a quick reply while no reply has been slow yet.
+/// Growth of the rate at a quick reply during the startup of a large fleet that has only the counter.
 const STARTUP_GROWTH_FACTOR: f64 = 2.0;
 /// Factor on the rate at a slow reply.
 const BACKOFF_FACTOR: f64 = 0.8;
@@ -95,7 +98,7 @@
 
     /// Takes a call if one is saved up. `kept_share` of the burst is left for more important calls.
     pub fn try_take(&mut self, now: Micros, kept_share: f64) -> bool {
-        // At the start of a large fleet nothing is saved up before the first call.
+        // In a large fleet the time before the first call earns no tokens beyond `INITIAL_TOKENS`.
         if self.in_startup && self.refilled_at == 0 {
             self.refilled_at = now;
         }
@@ -110,29 +113,29 @@
         is_allowed
     }
 
-    /// Adjusts the rate by the end of a call: slow, rejected and unanswered calls lower it; quick ones raise it
-    /// where it is the limit, by a factor and by the time since the last adjustment. Only calls sent since the last
-    /// adjustment say something of the present rate: calls in flight together adjust it once, so a pause that
-    /// delays many calls at once has little effect. Where a counter loses most of its capacity, the rate falls
-    /// slowly.
-    pub fn record_reply(&mut self, now: Micros, sent_at: Micros, is_served: bool) {
+    /// Adjusts the rate after a call. Slow, rejected and unanswered calls lower it; quick ones raise it unless more
+    /// than half of the burst is saved up, by a factor and by the time since the last adjustment. Only calls sent
+    /// since the last adjustment count, as only they reflect the present rate: calls in flight together adjust it
+    /// once, so a pause that delays many calls at once has little effect. Where a counter loses most of its
+    /// capacity, the rate falls slowly.
+    pub fn record_reply(&mut self, now: Micros, sent_at: Micros, has_reply: bool) {
         let reply_us = (now - sent_at) as f64;
         let since_adjusted_s = (now - self.adjusted_at).min(1_000_000) as f64 / 1e6;
-        if is_served {
+        if has_reply {
             self.lowest_us[0] = self.lowest_us[0].min(reply_us);
         }
         self.mean_us += MEAN_REPLY_WEIGHT * (reply_us - self.mean_us);
-        // The lowest time is that of the last seconds only: a counter that has become slow under any load is still
+        // The lowest time covers only the last seconds: a counter that has become slow under any load is still
         // worth querying.
         let lowest_us = self.lowest_us[0].min(self.lowest_us[1]);
         let slow_us = (SLOW_REPLY_MULTIPLE * lowest_us).max(MIN_SLOW_REPLY_US as f64);
-        let is_quick = is_served && reply_us <= slow_us;
+        let is_quick = has_reply && reply_us <= slow_us;
         let does_not_limit = is_quick && self.tokens > 1.0 + self.burst() / 2.0;
         if sent_at < self.adjusted_at || does_not_limit {
             return;
         }
-        // A fleet that starts or restarts does not begin at its full rate: the rate doubles until the first slow
-        // reply.
+        // A large fleet that starts or restarts does not begin at its full rate: the rate doubles until the first
+        // slow reply.
         self.in_startup &= is_quick;
         let growth = if self.in_startup {
             STARTUP_GROWTH_FACTOR
--- a/crates/traffic-control/src/counter/usage_ledger.rs
+++ b/crates/traffic-control/src/counter/usage_ledger.rs
@@ -11,7 +11,8 @@
 /// Share of a total whose loss shows that the count was replaced: a smaller loss may be corrections by other
 /// gateways.
 const MIN_REPLACED_COUNT_LOSS: f64 = 0.5;
-/// Time after the last implausible total during which only the changes of totals are used.
+/// Minimum duration of a doubt, from its latest reason: an implausible total, or the recovery of a counter that was
+/// lost or underreported. During a doubt only the changes of totals are used.
 const DOUBT_TIMEOUT_US: Micros = 5_000_000;
 
 /// Why a total of the counter cannot be true.
@@ -149,11 +150,12 @@
         self.is_lost || is_recovering || self.counter_underreports(now)
     }
 
-    /// Resolves the unanswered calls, given the `missing_units` of the total. Returns the units that were not added
-    /// and have to be added again.
+    /// Resolves the unanswered calls, given the `missing_units` of the total. Returns how many of their units the
+    /// counter did not add, so that they have to be added again.
     pub fn resolve_uncertain(&mut self, now: Micros, missing_units: f64, slack: f64) -> f64 {
         let uncertain = std::mem::take(&mut self.uncertain_units).max(0.0);
-        // A single lost call cannot be detected: it may just as well have been added.
+        // Without a preceding loss of the counter, unanswered calls count as added: the total does not show whether
+        // they were.
         if self.recovered_at == Some(now) && missing_units > slack {
             uncertain.min(missing_units)
         } else {
@@ -241,9 +243,8 @@
         }
     }
 
-    /// Updates the doubt about the totals. Returns whether only the changes of totals are used: for
-    /// `DOUBT_TIMEOUT_US` after an implausible total, and then for as long as totals are inconsistent with what is
-    /// known.
+    /// Updates the doubt about the totals, and returns whether it lasts: for `DOUBT_TIMEOUT_US` after its latest
+    /// reason, and then for as long as a level by the totals `is_inconsistent` with what is known otherwise.
     pub fn update_doubt(&mut self, now: Micros, is_inconsistent: bool) -> bool {
         let has_expired = self
             .doubted_at
--- a/crates/traffic-control/src/counter/usage_ledger/tests.rs
+++ b/crates/traffic-control/src/counter/usage_ledger/tests.rs
@@ -49,8 +49,8 @@
     (0..50).for_each(|_| simulation.round());
     simulation.total = 0.0;
     (0..5).for_each(|_| simulation.round());
-    // All gateways added 220 units in 55 rounds of 4. Each adds its share of the loss it sees again, never more
-    // than that.
+    // All gateways added 220 units in 55 rounds of 4. Each gateway adds again its share of the loss that it sees,
+    // and never more.
     assert!(
         simulation.total <= 220.0,
         "total {} exceeds the 220 units added",
@@ -59,7 +59,7 @@
     // Gateways whose calls come later see a smaller loss.
     assert!(
         simulation.total >= 100.0,
-        "total {} is below 100 units",
+        "total {} is below 100: too few of the 200 lost units were added again",
         simulation.total
     );
     let now = simulation.now;
@@ -151,7 +151,7 @@
 }
 
 proptest! {
-    /// In no order of replies is more added again than was lost, or anything added for a negative total.
+    /// In no order of replies is more added again than was lost.
     #[test]
     fn never_more_is_added_again_than_was_lost(steps in prop::collection::vec((0usize..4, 0.0..5.0f64, prop::option::weighted(0.1, 0.0..300.0f64)), 1..200)) {
         let mut simulation = CounterSimulation::new(4);
@@ -170,7 +170,7 @@
                 simulation.ledgers[gateway].assess_total(simulation.now, &reported);
             }
             lost -= units_to_add_again;
-            prop_assert!(lost >= -1e-6, "{} more than was lost", -lost);
+            prop_assert!(lost >= -1e-6, "{} units more than were lost were added again", -lost);
         }
     }
 }
--- a/crates/traffic-control/src/counter/window.rs
+++ b/crates/traffic-control/src/counter/window.rs
@@ -22,14 +22,14 @@
 /// The wall clock, and the starts of the latest windows.
 #[derive(Debug, Default)]
 pub(crate) struct CounterClock {
-    /// Offset of the wall clock from the gateway's own, monotonic clock.
+    /// Time by which the wall clock is ahead of the gateway's own, monotonic clock; negative if it is behind.
     ahead_us: i64,
     /// Numbers of the latest windows, and their starts by the gateway's own clock.
     window_starts: Vec<(u64, Micros)>,
 }
 
 impl CounterClock {
-    /// Sets the offset of the wall clock from the gateway's own clock from `now` on.
+    /// Sets the time by which the wall clock is ahead of the gateway's own clock from `now` on.
     pub fn set_wall_offset(&mut self, now: Micros, ahead_us: i64) {
         // Remembers the true start of the window that the step ends.
         self.window_at(now);
--- a/crates/traffic-control/src/customer/concurrency.rs
+++ b/crates/traffic-control/src/customer/concurrency.rs
@@ -6,7 +6,8 @@
 use crate::interface::Micros;
 use crate::quota::Quota;
 
-/// Length of an epoch: many attempts long, and short beside the time for which a gateway's death may be felt.
+/// Length of an epoch: many attempts long, and short enough for permits of a gateway that died, which stay counted
+/// until the epoch ends.
 const PERMIT_EPOCH_US: Micros = 3_000_000;
 
 /// A change in a customer's open attempts.
@@ -67,14 +68,15 @@
     }
 
     /// Keeps up to `wanted` spare permits for this gateway's next requests, at most those that the count holds for
-    /// it and for which there is capacity. Returns true if a review becomes due.
+    /// it and for which there is capacity. Returns true if the caller has to schedule a review of the spare
+    /// permits.
     pub fn set_spare_permits(&mut self, wanted: u32) -> bool {
         let available = self.unused_permits() as u32;
         self.permits.set_spare(wanted.min(available))
     }
 
-    /// Reviews the spare permits, and releases those that no request needed. Returns true if another review becomes
-    /// due.
+    /// Reviews the spare permits, and releases those that no request needed. Returns true if the caller has to
+    /// schedule another review.
     pub fn release_unneeded_permits(&mut self) -> bool {
         let Some(unneeded) = self.permits.take_unneeded() else {
             return false;
--- a/crates/traffic-control/src/customer/counter_sync.rs
+++ b/crates/traffic-control/src/customer/counter_sync.rs
@@ -7,7 +7,8 @@
 use crate::interface::Micros;
 use crate::quota::Quota;
 
-/// Time after which a count that is still too high is taken not to be corrected by the gateway that caused it.
+/// Time for which a count has to be too high before another gateway lowers it: the gateway that caused the excess
+/// would have corrected it within this time.
 const MIN_OVERCOUNT_US: Micros = 300_000;
 /// Number of calls that find a count inconsistent, for each one that corrects it.
 const CALLS_PER_CORRECTION: f64 = 4.0;
@@ -26,9 +27,11 @@
 struct LevelSync {
     /// Level computed from the total.
     level: f64,
-    /// Maximum level: that of the last sync, and what has filled in since.
-    expected: f64,
-    /// Part of `expected` that the other gateways have left, as far as is known.
+    /// The present level, and the other gateways' share of what has filled in since the last sync: the level if
+    /// they used nothing.
+    max_level: f64,
+    /// `max_level` less the other gateways' usage by the meter; the present level shortly after the counter
+    /// recovered.
     remaining: f64,
     /// Time since the last sync; 0 before the first one.
     unsynced_s: f64,
@@ -36,10 +39,11 @@
     carried_over_units: f64,
 }
 
-/// Whether this gateway corrects an inconsistent count.
+/// Permission of this gateway to correct an inconsistent count.
 struct CorrectionRule {
-    /// Whether so few gateways see the customer that each of them may correct the count.
-    has_few_correctors: bool,
+    /// Whether every gateway may correct the count: either the ceiling is held separately, or the customer has
+    /// usage reports and an even slice holds the largest request.
+    every_gateway_may_correct: bool,
     /// Whether this gateway may correct the count on this reply.
     may_correct_now: bool,
 }
@@ -113,7 +117,7 @@
             sync.carried_over_units = (sync.level - sync.remaining).max(0.0);
         }
         sync.level -= sync.carried_over_units;
-        let is_inconsistent = (sync.level - sync.expected).abs() > gateways + quota.capacity / 8.0;
+        let is_inconsistent = (sync.level - sync.max_level).abs() > gateways + quota.capacity / 8.0;
         let is_doubted = self.ledger.update_doubt(now, is_inconsistent);
         if is_doubted {
             let ignores_change = assessment.evidence.is_some() || !self.is_synced(now);
@@ -148,18 +152,18 @@
         let unsynced_s = self
             .synced_at
             .map_or(0.0, |at| now.saturating_sub(at) as f64 / 1e6);
-        let expected = self.level + quota.rate_per_s * (1.0 - rate_share) * unsynced_s;
+        let max_level = self.level + quota.rate_per_s * (1.0 - rate_share) * unsynced_s;
         let remaining = if !self.is_synced(now) && self.ledger.has_recently_recovered(now) {
             // Each gateway kept its share of the store while the counter was lost: that much is certain to be
             // there.
             self.level
         } else {
             let others_per_s = self.ledger.metered_others_usage_per_s(now).unwrap_or(0.0);
-            expected - others_per_s * unsynced_s
+            max_level - others_per_s * unsynced_s
         };
         LevelSync {
             level,
-            expected,
+            max_level,
             remaining,
             unsynced_s,
             carried_over_units: 0.0,
@@ -174,12 +178,12 @@
         reply: &CounterReply,
         random: impl FnOnce() -> f64,
     ) -> CorrectionRule {
-        let has_few_correctors = self.has_separate_ceiling(quota)
-            || !self.has_undersized_slice(quota) && !self.is_sparse(quota);
+        let every_gateway_may_correct = self.has_separate_ceiling(quota)
+            || !self.has_undersized_slice(quota) && !self.lacks_usage_reports(quota);
         let begins_count = reply.total == reply.call.amount;
         CorrectionRule {
-            has_few_correctors,
-            may_correct_now: has_few_correctors
+            every_gateway_may_correct,
+            may_correct_now: every_gateway_may_correct
                 || begins_count
                 || random() < 1.0 / CALLS_PER_CORRECTION,
         }
@@ -213,7 +217,11 @@
         let is_persistently_overcounted = self
             .overcounted_since
             .is_some_and(|since| now - since >= MIN_OVERCOUNT_US);
-        let tolerance = if rule.has_few_correctors { 1.1 } else { 1.5 };
+        let tolerance = if rule.every_gateway_may_correct {
+            1.1
+        } else {
+            1.5
+        };
         let may_correct = !is_doubted && rule.may_correct_now;
         if sync.carried_over_units > 0.0 || may_correct && sync.level > tolerance * capacity {
             let overflow = (sync.level - capacity).max(0.0);
@@ -234,7 +242,7 @@
         others_units: f64,
         now: Micros,
     ) -> Option<f64> {
-        let is_trusted = self.is_sparse(quota) || !self.ledger.totals_are_unreliable(now);
+        let is_trusted = self.lacks_usage_reports(quota) || !self.ledger.totals_are_unreliable(now);
         if self.follows_peer_reports(now) || !is_trusted {
             return None;
         }
@@ -257,7 +265,8 @@
             self.unreported += amount;
             return;
         }
-        // If the correction was added after all, the next reply would show it as usage of another gateway.
+        // If the counter did add the correction, the next total would look as if another gateway had made the same
+        // one, and `undo_doubled_correction` would revert it.
         self.count_correction = 0.0;
         if !quota.limits_concurrency {
             self.ledger.record_unanswered_call(now, amount);
@@ -266,15 +275,14 @@
 }
 
 impl LevelSync {
-    /// Replaces the level by an estimate that uses the change of the total only, as far as that change is possible
-    /// usage; none of it if `ignores_change`. This applies to totals that cannot be true, or could not shortly
-    /// before.
+    /// Replaces the level of a doubted total by `max_level` less the change of the total, as far as that can be
+    /// usage since the last sync, or by `remaining` if `ignores_change`.
     fn apply_change_only(&mut self, quota: &Quota, others_units: f64, ignores_change: bool) {
         let used = others_units.min(quota.rate_per_s * self.unsynced_s + 1.0);
         self.level = if ignores_change {
             self.remaining
         } else {
-            self.expected - used
+            self.max_level - used
         };
     }
 }
--- a/crates/traffic-control/src/customer/estimate.rs
+++ b/crates/traffic-control/src/customer/estimate.rs
@@ -4,14 +4,14 @@
 use crate::interface::Micros;
 use crate::quota::Quota;
 
-/// Maximum age of a level that rejects requests in a large fleet: an older one may be too low, as units that other
-/// gateways reserved and did not use are soon returned.
-const MAX_SPARSE_STALENESS_US: Micros = 100_000;
+/// Maximum age of a level by which requests are rejected in a large fleet without usage reports: an older one may
+/// be too low, as units that other gateways reserved and did not use are soon returned.
+const MAX_REJECTING_LEVEL_AGE_US: Micros = 100_000;
 /// Factor by which the gain from a permit that is only guessed to be free has to exceed its cost, as many gateways
 /// guess alike.
 pub(crate) const GUESS_COST_FACTOR: f64 = 2.0;
 
-/// Decision of a quota on one request.
+/// Whether a customer's quota covers one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum QuotaDecision {
     /// The quota covers the request.
@@ -23,7 +23,7 @@
 }
 
 impl QuotaDecision {
-    /// Returns `Admit` if the quota certainly covers the request, `Reject` if it certainly does not.
+    /// Returns `Admit` if `is_covered`, else `Reject`.
     pub fn from_coverage(is_covered: bool) -> Self {
         if is_covered {
             QuotaDecision::Admit
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Decides a request of `units` where no query is possible any more.
+    /// Decides a request of `units` by the likely units, where no query is possible any more.
     pub fn decide_by_likelihood(&self, units: f64) -> QuotaDecision {
         QuotaDecision::from_coverage(self.likely_units >= units)
     }
@@ -126,31 +126,32 @@
     }
 
     /// Returns the bounds on what the store holds for this gateway: since the last sync, the other gateways used
-    /// between nothing and the whole fill rate.
+    /// between nothing and the fill rate times the overuse factor. `possible` is unbounded where the level is not
+    /// usable, and without usage reports in a large fleet for a level older than `MAX_REJECTING_LEVEL_AGE_US`.
     fn level_bounds(&self, quota: &Quota, now: Micros) -> LevelBounds {
-        let is_sparse = self.is_sparse(quota);
-        if self.is_owner || !is_sparse && self.ledger.totals_are_unreliable(now) {
+        let lacks_usage_reports = self.lacks_usage_reports(quota);
+        if self.is_owner || !lacks_usage_reports && self.ledger.totals_are_unreliable(now) {
             return LevelBounds {
                 certain: self.level,
                 possible: self.level,
             };
         }
         let reserved = f64::from(self.permits.spare).max(self.reserved_units);
-        let count_is_in_step = !quota.limits_concurrency && self.level > -quota.capacity;
-        let Some(synced_at) = self.synced_at.filter(|_| count_is_in_step) else {
+        let level_is_usable = !quota.limits_concurrency && self.level > -quota.capacity;
+        let Some(synced_at) = self.synced_at.filter(|_| level_is_usable) else {
             return LevelBounds {
                 certain: reserved,
                 possible: f64::MAX,
             };
         };
-        let overuse_factor = if is_sparse {
+        let overuse_factor = if lacks_usage_reports {
             self.ledger.overuse_factor(now)
         } else {
             1.0
         };
         let age_us = now.saturating_sub(synced_at);
         let filled = age_us as f64 / 1e6 * quota.rate_per_s * overuse_factor;
-        let possible = if is_sparse && age_us > MAX_SPARSE_STALENESS_US {
+        let possible = if lacks_usage_reports && age_us > MAX_REJECTING_LEVEL_AGE_US {
             f64::MAX
         } else {
             self.level + filled * (1.0 - self.rate_share(quota, now))
--- a/crates/traffic-control/src/customer/mod.rs
+++ b/crates/traffic-control/src/customer/mod.rs
@@ -25,7 +25,8 @@
 const SEPARATE_CEILING_FACTOR: f64 = 1.5;
 /// Weight of the newest interval between two requests in the mean interval.
 const MEAN_GAP_WEIGHT: f64 = 0.5;
-/// Time for which a synced level is used; after that the gateway keeps to its even slice.
+/// Time for which a synced level is used; after that the gateway uses its share by the meter, at least the even
+/// slice.
 const SYNC_TIMEOUT_US: Micros = 1_500_000;
 
 /// The gateways at which a customer's requests arrive, and the one that adds up its usage.
@@ -70,11 +71,12 @@
     pub synced_at: Option<Micros>,
     /// Units or permits used and not yet reported; negative: reported and not used.
     pub unreported: f64,
-    /// Units that the counter holds for this gateway, and that were available.
+    /// Units that the count contains for this gateway's next requests, as far as the store held them at the last
+    /// sync.
     pub reserved_units: f64,
     /// Units by which the call in flight corrects the count.
     pub count_correction: f64,
-    /// Time since when the count has been so high that the level is below minus the capacity.
+    /// Time since which the level by the count has been below minus the capacity; `None` while it is not.
     pub overcounted_since: Option<Micros>,
     /// Evidence about the customer's usage beside the counter's totals.
     pub ledger: UsageLedger,
@@ -88,7 +90,8 @@
     /// Recent demand at the other gateways, as far as it was reported, in units.
     pub others_demand: DecayingSum,
 
-    /// Number of attempts of the query in flight; 0: none is in flight.
+    /// Number of times that the present call to the counter or the owner was sent; 0 if none is in flight. It is 1
+    /// while the waiting requests are decided, so that nothing is reported meanwhile.
     pub query_attempts: u8,
     /// Requests that wait for the reply to the query.
     pub waiting_requests: Vec<RequestId>,
@@ -166,9 +169,9 @@
         quota.capacity < quota.max_request_units * f64::from(self.gateway_count)
     }
 
-    /// Whether the customer's gateways are so many that each sees hardly any of its usage, and has at most the
-    /// counter or the meter to learn what the others use.
-    pub fn is_sparse(&self, quota: &Quota) -> bool {
+    /// Whether the fleet is large and its gateways learn each other's usage from at most the counter or the meter,
+    /// where the customer uses more than one gateway or its quota limits concurrency.
+    pub fn lacks_usage_reports(&self, quota: &Quota) -> bool {
         quota.is_counter_only && (quota.limits_concurrency || self.gateway_count > 1)
     }
 
@@ -178,7 +181,9 @@
             ceiling.depth >= SEPARATE_CEILING_FACTOR * quota.capacity
                 && ceiling.rate >= SEPARATE_CEILING_FACTOR * quota.rate_per_s
         };
-        quota.has_counter && self.is_sparse(quota) && quota.ceiling.is_some_and(is_far_above)
+        quota.has_counter
+            && self.lacks_usage_reports(quota)
+            && quota.ceiling.is_some_and(is_far_above)
     }
 
     /// Returns this gateway's share of the recent demand at all gateways; 0 without any demand.
--- a/crates/traffic-control/src/customer/reports.rs
+++ b/crates/traffic-control/src/customer/reports.rs
@@ -24,8 +24,9 @@
         amount
     }
 
-    /// Returns the units worth reserving in addition to a request's, for requests expected soon: at most an even
-    /// slice of the store, and none if the store is less than half full or the customer exceeds its quota.
+    /// Returns the units to reserve in addition to a request's, for requests expected soon: at most an even slice
+    /// of the store. It is 0 unless the ceiling is held separately, the level was synced and is at least half the
+    /// capacity, and the customer is within its quota.
     pub fn prefetch_units(&self, quota: &Quota, now: Micros) -> f64 {
         let is_well_filled = self.ledger.overuse_factor(now) <= 1.0
             && self.synced_at.is_some()
--- a/crates/traffic-control/src/customer/store.rs
+++ b/crates/traffic-control/src/customer/store.rs
@@ -5,25 +5,28 @@
 use crate::interface::{Ceiling, Micros};
 use crate::quota::Quota;
 
-/// Factor on the quota that a count may let pass: a count is corrected only from a tenth above it.
+/// Multiple of the quota that a count may let pass: a count is corrected only where the level exceeds the capacity
+/// by more than a tenth.
 const COUNT_TOLERANCE: f64 = 1.1;
 
-/// Returns a gateway's share of the rate by the meter alone: its own usage and an even share of what all gateways
-/// left unused; if they used more than the rate, in proportion less. If all gateways follow the same reading, the
-/// shares sum up to the whole rate.
+/// Returns a gateway's share of the rate, from 0 to 1, by the meter alone: its own usage and an even part of what
+/// all gateways left unused, and a proportionally smaller share where they used more than the rate. If all gateways
+/// follow the same reading, the shares sum up to 1.
 pub(super) fn rate_share_by_meter(
     own_per_s: f64,
     all_per_s: f64,
     rate_per_s: f64,
     gateways: f64,
 ) -> f64 {
-    let unused_share = (rate_per_s - all_per_s).max(0.0) / gateways;
-    ((own_per_s + unused_share) / rate_per_s.max(all_per_s).max(1e-9)).min(1.0)
+    let unused_per_s = (rate_per_s - all_per_s).max(0.0) / gateways;
+    ((own_per_s + unused_per_s) / rate_per_s.max(all_per_s).max(1e-9)).min(1.0)
 }
 
 impl Customer {
-    /// Returns this gateway's share of the quota: its share of recent demand, or without a sync what the meter
-    /// leaves to it; at least the even slice.
+    /// Returns this gateway's share of the quota's rate, from 0 to 1. The owner has all of it. While the gateways
+    /// report their usage, the reachable ones have a common share. While synced, the share is that of recent
+    /// demand, at least the even one. Otherwise it is the share by the meter, at least the even one, or the common
+    /// share of the reachable gateways while others are silent.
     pub fn rate_share(&self, quota: &Quota, now: Micros) -> f64 {
         if self.is_owner {
             return 1.0;
@@ -78,14 +81,14 @@
             .max(quota.max_request_units)
             .min(quota.capacity);
         let is_synced = self.is_synced(now);
-        // The other gateways already count these units as used, so a slice smaller than one request restarts at
-        // zero.
+        // The other gateways already count the units of the synced level as used, so a slice smaller than one
+        // request restarts at no more than zero when the sync expires.
         let restarts =
             !is_synced && self.has_undersized_slice(quota) && self.synced_at.take().is_some();
         self.level = self.level.min(if restarts { 0.0 } else { quota.capacity });
         let fill_per_s = if is_synced && quota.limits_concurrency {
             0.0
-        } else if is_synced && self.is_sparse(quota) {
+        } else if is_synced && self.lacks_usage_reports(quota) {
             // All gateways see the same store, and the others use it meanwhile.
             quota.rate_per_s - self.others_demand.per_s(now, DEMAND_TAU_US)
         } else {
--- a/crates/traffic-control/src/policy/admission.rs
+++ b/crates/traffic-control/src/policy/admission.rs
@@ -45,9 +45,10 @@
     decision: QuotaDecision,
     /// Whether the quota probably covers the request; decides where no query is possible any more.
     is_likely_covered: bool,
-    /// Whether too little is known of the quota to cover even a single request.
+    /// Whether the level is not synced and says too little to decide a request: without usage reports in a large
+    /// fleet, or where an even slice of a rate quota is less than the largest request.
     is_unknown: bool,
-    is_sparse: bool,
+    lacks_usage_reports: bool,
     overuse_factor: f64,
     overrun_cost: f64,
     /// Time until the bucket holds the request's units.
@@ -191,13 +192,13 @@
         self.reject_or_fail(id, quota.wait_us, UnservedReason::Quota, actions);
     }
 
-    /// Whether a request is admitted where no query is possible any more. Draws a random number for each request of
-    /// an unknown quota.
+    /// Whether a request is admitted where no query is possible any more. Draws a random number only where recent
+    /// queries make a guess profitable.
     fn should_admit(&mut self, inputs: &AdmissionInputs, quota: &QuotaAssessment) -> bool {
         let is_guessed = quota.is_unknown
             && self.should_admit_without_query(
                 inputs.plan,
-                quota.is_sparse,
+                quota.lacks_usage_reports,
                 quota.overrun_cost,
                 quota.overuse_factor,
             );
@@ -224,15 +225,18 @@
         self.peer_reports
             .update_customer(now, &self.settings, &quota, customer);
         customer.refill(&quota, now);
-        let is_sparse = customer.is_sparse(&quota);
+        let lacks_usage_reports = customer.lacks_usage_reports(&quota);
         let estimate = customer.estimate(&quota, plan.overrun_cost, now, attempt_s);
         let is_unknown = !estimate.is_synced
-            && (is_sparse || !quota.limits_concurrency && customer.has_undersized_slice(&quota));
-        // After an unanswered query, a slice smaller than one request says nothing of the quota, but the results of
-        // other queries do.
-        let query_was_unanswered = is_unknown && is_sparse && !customer.is_synced_now(now);
-        // A gateway of a large fleet cannot see whether the servers are unloaded.
-        let admits_excess = !is_sparse && servers_are_unloaded && excess_is_profitable(plan);
+            && (lacks_usage_reports
+                || !quota.limits_concurrency && customer.has_undersized_slice(&quota));
+        // After an unanswered query, the level of a slice smaller than one request decides nothing, but the results
+        // of recent queries do.
+        let query_was_unanswered =
+            is_unknown && lacks_usage_reports && !customer.is_synced_now(now);
+        // A gateway without usage reports in a large fleet cannot see whether the servers are unloaded.
+        let admits_excess =
+            !lacks_usage_reports && servers_are_unloaded && excess_is_profitable(plan);
         let decision = if admits_excess {
             QuotaDecision::Admit
         } else if phase == QueryPhase::Over && !query_was_unanswered {
@@ -244,7 +248,7 @@
             decision,
             is_likely_covered: estimate.likely_units >= units,
             is_unknown,
-            is_sparse,
+            lacks_usage_reports,
             overuse_factor: customer.overuse_factor(&quota, now),
             overrun_cost: plan.overrun_cost,
             wait_us: refill_wait_us(
@@ -256,7 +260,8 @@
         })
     }
 
-    /// Whether no request of the cell is shed and every class takes at most twice its lowest latency.
+    /// Whether the admission fraction of the request's cell is 1 and the mean latency of every class is at most
+    /// twice its lowest latency.
     fn servers_are_unloaded(&self, inputs: &AdmissionInputs) -> bool {
         inputs.fraction >= 1.0
             && self
--- a/crates/traffic-control/src/policy/admission_fractions.rs
+++ b/crates/traffic-control/src/policy/admission_fractions.rs
@@ -1,5 +1,5 @@
-//! Sheds requests while servers are over capacity. The admission fractions of the paper change once a control
-//! interval, by latencies and arrivals; within an interval, requests are shed by the number in flight or by how
+//! Sheds requests while servers are over capacity. Once a control interval, the admission fractions move as in the
+//! paper, by latencies and arrivals; within an interval, requests are also shed by the number in flight or by how
 //! long attempts take. Queues stay within the latency objectives, and requests with the least value for their work
 //! are shed first.
 
@@ -15,9 +15,10 @@
 /// Bound on a class's mean latency, as a share of its objective: with a mean at the objective half of the answers
 /// are late.
 const LATENCY_BOUND_SHARE: f64 = 0.5;
-/// Attempts in flight per server, by all gateways, up to which there is no queue: some cores are busy.
+/// Attempts in flight per server, by all gateways, up to which no request waits: they only keep some cores busy.
 const UNQUEUED_ATTEMPTS_PER_SERVER: f64 = 4.0;
-/// Range above the latency bound, as a share of the bound, over which the share of shed requests rises from 0 to 1.
+/// Excess of the expected latency over its bound, as a share of the bound, at which all requests would be shed but
+/// for `MAX_SHED_SHARE`.
 const SHEDDING_RANGE: f64 = 0.5;
 /// Maximum share of requests that is shed by latency: some requests must show when the overload is over.
 const MAX_SHED_SHARE: f64 = 0.9;
@@ -117,8 +118,8 @@
         }
     }
 
-    /// Whether a new request would take too long, which is an exception to the paper. By Little's law its latency
-    /// is the number of requests in flight over the throughput. Above the bound a request is shed at once, since
+    /// Whether a new request would take too long. This rule is not in the paper. By Little's law the latency of a
+    /// request is the number in flight over the throughput. Above the bound a request is shed at once, since
     /// retries fill queues before a fraction moves. Where the recent throughput is far below the capacity of the
     /// servers this sheds too much, so a few attempts per server are always admitted.
     pub(super) fn is_over_capacity(&mut self, class: usize, plan: usize) -> bool {
@@ -127,7 +128,8 @@
             return self.should_shed_by_latency(class, plan);
         }
         let totals = self.fleet.totals(&self.settings.slow_start, self.now);
-        let free = totals.ready_servers * UNQUEUED_ATTEMPTS_PER_SERVER / f64::from(gateways);
+        let unqueued_attempts =
+            totals.ready_servers * UNQUEUED_ATTEMPTS_PER_SERVER / f64::from(gateways);
         let rate_per_s = self.server_latency.throughput * totals.ready_size;
         // All classes share one queue: the tightest bound applies to all of them, and the class with the least
         // value for its work is shed first.
@@ -137,7 +139,7 @@
             .fold(f64::MAX, f64::min);
         let bound_share = MIN_BOUND_SHARE + (1.0 - MIN_BOUND_SHARE) * self.relative_value(class);
         let bound_us = tightest_us * bound_share;
-        totals.in_flight > free
+        totals.in_flight > unqueued_attempts
             && rate_per_s > 0.0
             && totals.in_flight / rate_per_s > bound_us / 1e6
     }
--- a/crates/traffic-control/src/policy/counter_queries.rs
+++ b/crates/traffic-control/src/policy/counter_queries.rs
@@ -20,8 +20,8 @@
 const MAX_QUERY_ATTEMPTS: u8 = 2;
 
 impl Gateway {
-    /// Lets a request wait for the counter or the owner, as a gateway of a large fleet may know nothing of its
-    /// customer. Returns false if no query is possible now.
+    /// Queries the counter or the owner unless a call is in flight, and lets the request wait for the reply, as
+    /// this gateway may know nothing of a customer. Returns false if no query is possible now.
     pub(super) fn query_quota(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(request) = self.requests.get(&id) else {
             return false;
@@ -60,7 +60,7 @@
     /// Returns the units to reserve with a query; 0, so that it only reads, where a rejection is likely: what is
     /// not added need not be returned.
     fn units_to_query(&self, customer: &Customer, quota: &Quota, units: f64) -> f64 {
-        let overuses = customer.is_sparse(quota)
+        let overuses = customer.lacks_usage_reports(quota)
             && !customer.is_short_of_ceiling(quota, units)
             && customer.ledger.overuse_factor(self.now) > READ_ONLY_OVERUSE;
         let is_empty = customer.is_synced(self.now) && customer.level < units;
@@ -74,11 +74,11 @@
     /// Takes a call to the counter if the rate limiter allows one. In a large fleet each gateway leaves the last
     /// saved calls to plans where a wrong guess costs more.
     fn take_query_call(&mut self, tag: u32, quota: &Quota) -> bool {
-        let is_sparse = self
+        let lacks_usage_reports = self
             .customers
             .get(&tag)
-            .is_some_and(|customer| customer.is_sparse(quota));
-        let kept_share = if is_sparse {
+            .is_some_and(|customer| customer.lacks_usage_reports(quota));
+        let kept_share = if lacks_usage_reports {
             1.0 - quota.relative_cost
         } else {
             0.0
--- a/crates/traffic-control/src/policy/limits.rs
+++ b/crates/traffic-control/src/policy/limits.rs
@@ -11,5 +11,5 @@
 pub(super) const CUSTOMER_IDLE_TIMEOUT_US: Micros = 30_000_000;
 /// Maximum number of tracked customers, about 10 MB; requests of others are rejected until some are forgotten.
 pub(super) const MAX_CUSTOMERS: usize = 24_576;
-/// Margin before its client leaves by which a waiting request is answered.
+/// Minimum time before its client's deadline at which a waiting request is answered.
 pub(super) const REPLY_MARGIN_US: Micros = 20_000;
--- a/crates/traffic-control/src/policy/outcomes.rs
+++ b/crates/traffic-control/src/policy/outcomes.rs
@@ -87,12 +87,13 @@
         };
         customer.ledger.record_metered_quota_share(now, quota_share);
         let quota = self.quotas[customer.plan];
-        if quota.limits_concurrency || customer.is_sparse(&quota) {
+        if quota.limits_concurrency || customer.lacks_usage_reports(&quota) {
             return;
         }
         let used_per_s = quota_share * quota.rate_per_s;
         let is_underreported = customer.ledger.record_meter_reading(now, used_per_s);
-        // Units admitted beyond a quota are not expected in the counter.
+        // Where a plan admits requests beyond its quota, their units are not added to the counter, so a higher
+        // meter reading is no evidence against it.
         let is_counted =
             self.settings.has_counter && !excess_is_profitable(&self.settings.plans[customer.plan]);
         if is_underreported && is_counted {
--- a/crates/traffic-control/src/policy/policy_terms.rs
+++ b/crates/traffic-control/src/policy/policy_terms.rs
@@ -1,6 +1,6 @@
 //! Applies the policy terms under which a gateway admits requests, where all gateways agree on a policy. While
-//! terms change, no gateway passes on more than the smaller of both allows, and none admits a request while it is
-//! not known which terms are in force.
+//! terms change, no gateway passes on more than the stricter of the previous and the new quotas allows, and none
+//! admits a request while it is not known which terms are in force.
 
 use crate::counter::MAX_SMALL_FLEET_GATEWAYS;
 use crate::gateway::Gateway;
@@ -11,7 +11,8 @@
 const TRANSITION_US: Micros = 250_000;
 
 impl Gateway {
-    /// Puts new terms in force. Levels of stores stay, up to the new capacities.
+    /// Begins the transition to new terms, during which the stricter of the previous and the new quotas apply.
+    /// Levels of stores stay, up to the stricter capacities.
     pub(super) fn on_policy_changed(&mut self, terms: PolicyTerms) {
         self.settings.plans = terms.plans;
         self.settings.classes = terms.classes;
@@ -20,7 +21,7 @@
         for (quota, new_quota) in self.quotas.iter_mut().zip(new_quotas) {
             *quota = quota.stricter(new_quota);
         }
-        // Up to now, stores fill by the smaller of both terms.
+        // The time since the last refill also counts by the stricter quotas.
         self.refill_customers();
         self.transition_until = Some(self.now + TRANSITION_US);
     }
--- a/crates/traffic-control/src/policy/quota_charges.rs
+++ b/crates/traffic-control/src/policy/quota_charges.rs
@@ -1,6 +1,6 @@
-//! Charges a customer's quota and ceiling, by requests sent here and by usage that other gateways report. No
-//! gateway, nor all of them together, passes on more than the quota pays for, and none draws past its slice of a
-//! ceiling.
+//! Charges a customer's quota and ceiling, by requests sent here and by usage that other gateways report. Beyond
+//! the quota, the gateways together pass on only requests that are profitable by the plan's terms, and none draws
+//! past its slice of a ceiling.
 
 use super::limits::{CUSTOMER_IDLE_TIMEOUT_US, MAX_CUSTOMERS};
 use crate::customer::{Customer, CustomerPlacement, GUESS_COST_FACTOR};
@@ -14,10 +14,11 @@
 const QUERY_RESULTS_TAU_US: f64 = 20_000_000.0;
 /// Number of successful queries assumed before any was made.
 const PRIOR_SUCCESSES: f64 = 1.0;
-/// Share of its value that a request beyond the quota has to earn: the queues that it fills cost more than less.
+/// Minimum net value of a request beyond the quota (its excess weight less its overrun cost), as a share of its
+/// full value: below it, the queues that the request fills cost more than it earns.
 const MIN_EXCESS_VALUE: f64 = 0.5;
 
-/// Whether passing on a request beyond its quota earns enough, less what that costs.
+/// Whether the net value of a request beyond its quota exceeds `MIN_EXCESS_VALUE`.
 pub(super) fn excess_is_profitable(plan: &Plan) -> bool {
     plan.excess_weight - plan.overrun_cost > MIN_EXCESS_VALUE
 }
@@ -50,7 +51,7 @@
             .started_at
             .unwrap_or(now)
             .max(now.saturating_sub(CUSTOMER_IDLE_TIMEOUT_US));
-        // Usage that others reported of a customer that was not known here counts as well.
+        // Usage that other gateways reported before the customer was known here is charged as well.
         let reported = self
             .peer_reports
             .take_unknown_customer(placement.tag)
@@ -76,13 +77,12 @@
         customer
     }
 
-    /// Whether a request of an unknown quota passes without a query, beyond the even slice: if recent queries found
-    /// that this pays, and, of a customer that exceeds its quota, with a probability that leaves its total usage at
-    /// the quota.
+    /// Whether a request whose quota is unknown is admitted without a query: only if recent queries show that this
+    /// is profitable, and then with probability 1/`overuse_factor`², which leaves the quota as a whole used.
     pub(super) fn should_admit_without_query(
         &mut self,
         plan: usize,
-        is_sparse: bool,
+        lacks_usage_reports: bool,
         overrun_cost: f64,
         overuse_factor: f64,
     ) -> bool {
@@ -95,7 +95,11 @@
         let results = &self.query_results[plan];
         let failures = results.without_capacity.at(self.now, QUERY_RESULTS_TAU_US);
         let successes = results.with_capacity.at(self.now, QUERY_RESULTS_TAU_US);
-        let prior = if is_sparse { PRIOR_SUCCESSES } else { 0.0 };
+        let prior = if lacks_usage_reports {
+            PRIOR_SUCCESSES
+        } else {
+            0.0
+        };
         let has_evidence = failures + successes + prior >= 1.0;
         let is_profitable = successes + prior > failures * (overrun_cost + 1.0) * cost_factor;
         has_evidence
@@ -149,8 +153,8 @@
     }
 
     /// Records usage that other gateways reported; that of a restarted gateway still counts. `reporting_gateways`
-    /// have reported all their usage until now. `past_usage` is usage of customers from before a gateway first
-    /// reported.
+    /// have reported all their usage until now. `usage` holds the reporting gateway, the customer's tag and the
+    /// units; `past_usage` the tag and the units used before a gateway's first report.
     pub(super) fn on_usage_reported(
         &mut self,
         reporting_gateways: &[u32],
@@ -171,8 +175,9 @@
     }
 
     /// Charges usage that the gateway `from` reported. Units used while that gateway was silent are charged to the
-    /// share that was set aside for it.
-    fn charge_reported_usage(&mut self, from: u32, tag: u32, units: f64, reports_again: bool) {
+    /// share that was set aside for it. `has_reported_all`: the gateway itself has reported all its usage until
+    /// now.
+    fn charge_reported_usage(&mut self, from: u32, tag: u32, units: f64, has_reported_all: bool) {
         let now = self.now;
         let Some(customer) = self.customers.get_mut(&tag) else {
             self.record_unknown_customer(tag, units, UsageAge::Current);
@@ -181,9 +186,10 @@
         let quota = self.quotas[customer.plan];
         self.peer_reports
             .update_customer(now, &self.settings, &quota, customer);
-        let common_units = customer
-            .shares
-            .charge_reported(now, &quota, from, units, reports_again);
+        let common_units =
+            customer
+                .shares
+                .charge_reported(now, &quota, from, units, has_reported_all);
         // Usage that the counter reported already is not charged twice.
         let counts_reports = customer.follows_peer_reports(now) || !customer.is_synced(now);
         if common_units > 0.0 && counts_reports {
--- a/crates/traffic-control/src/policy/server_choice.rs
+++ b/crates/traffic-control/src/policy/server_choice.rs
@@ -19,12 +19,13 @@
 const MIN_RANDOM_LOAD: f64 = 0.3;
 /// Weight of the error rate in a server's cost: a server that fails every attempt costs this many times more.
 const ERROR_COST_WEIGHT: f64 = 10.0;
-/// Share of the slow-start budget that all gateways use: half as much again is saved up.
+/// Share of a server's slow-start budget that all gateways together spend steadily. In addition each may save up
+/// half a window of its part, half as much again.
 const SLOW_START_BUDGET_SHARE: f64 = 0.5;
-/// Number of servers that a gateway of a large fleet uses: it sends to each of them again within about a second,
-/// and each server is used by a few gateways.
+/// Size of the subset of servers that a gateway of a large fleet uses: at least 7 servers, and so few that it sends
+/// to each of them again within about a second, with at least 3 gateways for each server.
 const SUBSET_SIZE: SubsetSize = SubsetSize { least: 7, users: 3 };
-/// Interval in which one of its gateways tries an ejected server: shorter than health reports last.
+/// Interval in which one of the gateways that use an ejected server tries it: shorter than health reports last.
 const EJECTED_RETRY_INTERVAL_US: Micros = 4_000_000;
 /// Maximum number of servers compared for a request: of more servers, this many drawn at random are as good as all.
 const MAX_COMPARED_SERVERS: usize = 64;
@@ -217,10 +218,11 @@
         }
     }
 
-    /// Returns the sends left in this gateway's part of the budget of a server in slow start. They are saved up
-    /// from a random part, so that many gateways take turns. The budget is a multiple of the throughput that
-    /// servers have shown, or of a share of one core's work. Both are those of idle servers: a fleet that becomes
-    /// slow must not give less to its cold servers.
+    /// Returns the sends left in this gateway's part of the budget of a server in slow start. The credit starts at
+    /// a random part of one send when a server is new or has restarted, so that many gateways take turns. The
+    /// budget follows the larger of the server's part of the best recent throughput and this gateway's part of one
+    /// core's throughput. Both are those of idle servers: a fleet that becomes slow must not give less to its cold
+    /// servers.
     fn slow_start_sends(&self, name: &ServerId, server: &Server, warmth: f64) -> f64 {
         let slow_start = &self.settings.slow_start;
         let fleet = &self.fleet;
--- a/crates/traffic-control/src/policy/usage_reports.rs
+++ b/crates/traffic-control/src/policy/usage_reports.rs
@@ -5,10 +5,10 @@
 use crate::interface::{Action, Micros, Timer};
 use crate::random::random_unit;
 
-/// Size of a usage report as a share of the gateway's even slice of the store, while the store is at least half
-/// full.
+/// Minimum size of a usage report while the store is at least half full, as a share of the gateway's even slice of
+/// the store.
 const REPORT_BATCH_SHARE: f64 = 0.25;
-/// Minimum size of a usage report, in units.
+/// Minimum size of any usage report, in units.
 const MIN_REPORT_UNITS: f64 = 0.01;
 /// Share of the saved calls to the counter that usage reports leave to queries and permits.
 const KEPT_SHARE_FOR_QUERIES: f64 = 0.5;
@@ -26,10 +26,12 @@
         };
         let quota = &self.quotas[customer.plan];
         customer.begin_epoch_if_due(quota, wall);
-        let is_sparse = customer.is_sparse(quota);
-        // Units that a gateway of a large fleet reserved and did not use are missing at the others.
-        let is_urgent = quota.limits_concurrency || is_sparse && customer.unreported < 0.0;
-        let relative_cost = if is_sparse {
+        let lacks_usage_reports = customer.lacks_usage_reports(quota);
+        // Units that one gateway of a large fleet reserved and did not use cannot be used by the others until they
+        // are returned.
+        let is_urgent =
+            quota.limits_concurrency || lacks_usage_reports && customer.unreported < 0.0;
+        let relative_cost = if lacks_usage_reports {
             (1.5 - quota.relative_cost).min(1.0)
         } else {
             1.0
@@ -57,11 +59,11 @@
         }
     }
 
-    /// Schedules a report of what stays unreported where a customer's requests are rare: in a large fleet each
-    /// gateway would keep some.
+    /// Schedules a report of what stays unreported in a large fleet without usage reports between gateways, as each
+    /// gateway would keep some units.
     pub(super) fn schedule_usage_report(&mut self, tag: u32, actions: &mut Vec<Action>) {
         let needs_timer = |customer: &&mut Customer| {
-            !customer.report_scheduled && customer.is_sparse(&self.quotas[customer.plan])
+            !customer.report_scheduled && customer.lacks_usage_reports(&self.quotas[customer.plan])
         };
         let Some(customer) = self.customers.get_mut(&tag).filter(needs_timer) else {
             return;
