--- a/crates/policy-consensus/src/acceptor.rs
+++ b/crates/policy-consensus/src/acceptor.rs
@@ -1,31 +1,34 @@
-//! An acceptor: one of the members that hold the register (the acceptor of Paxos, for a register that is changed again and again as in
-//! CASPaxos, Rystsov 2018) and that grant leases on its value.
+//! An acceptor: one of the members that replicate the register and grant leases on its value. It is the acceptor of Paxos for a
+//! register that is changed repeatedly, as in CASPaxos (Rystsov 2018).
 //!
-//! An acceptor that has accepted another policy goes on granting the previous one until a time that is fixed then, a lease's duration
-//! later, and grants the new one from that time on. So every lease on the previous policy that it ever granted has ended when one on
-//! the new policy begins. As any two majorities share an acceptor, no two gateways admit requests under both.
+//! After accepting a new policy, an acceptor keeps granting leases on the previous policy for one lease duration and grants leases
+//! on the new policy from then on. The switching time is fixed when the new policy is accepted, so every lease that the acceptor
+//! ever granted on the previous policy has ended when a lease on the new one begins. As any two majorities share an acceptor, no
+//! two gateways admit requests under the two policies at the same time.
 
 use crate::{Ballot, LeaseConfig, Policy, PolicyId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What has to be on disk before a reply that rests on it is sent.
+/// The durable state of an acceptor: it has to be on disk before a reply that depends on it is sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AcceptorState {
-    /// No ballot below this one is accepted.
+    /// The highest promised ballot; requests with a lower ballot are rejected.
     pub promised: Ballot,
-    /// The policy that was accepted last, and by which ballot.
+    /// The last accepted policy and the ballot by which it was accepted.
     pub accepted: Option<(Ballot, Policy)>,
-    /// The number of the ballot by which it joined in place of an earlier acceptor; 0 for the first one at its index.
+    /// The number of the ballot by which this acceptor joined to replace an earlier acceptor at its index; 0 for the first
+    /// acceptor at its index.
     pub incarnation: u64,
-    /// The latest known incarnations of the other acceptors, by index. What an earlier incarnation said does not count any more.
+    /// The highest known incarnations of the other acceptors, by index. Replies of earlier incarnations are void.
     pub incarnations: BTreeMap<u64, u64>,
-    /// It is joining in place of an earlier acceptor and has not heard from enough of the others yet, so it must not answer.
+    /// Whether this acceptor is joining to replace an earlier one and lacks promises from a majority of the acceptors. Until it has
+    /// them it must not answer requests.
     pub joining: bool,
 }
 
 impl AcceptorState {
-    /// The state of a new acceptor: version 0, which is what each gateway's own files say, is accepted.
+    /// Returns the state of a new acceptor, which has accepted version 0: the policy in each gateway's own files.
     pub fn initial() -> AcceptorState {
         AcceptorState {
             accepted: Some((Ballot::default(), Policy::default())),
@@ -34,75 +37,77 @@
     }
 }
 
-/// One incarnation of an acceptor.
+/// An acceptor's index together with its incarnation.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct AcceptorIncarnation {
     /// The acceptor's index.
     pub acceptor: u64,
-    /// As in [`AcceptorState::incarnation`].
+    /// The acceptor's [`AcceptorState::incarnation`].
     pub incarnation: u64,
 }
 
 /// A request to an acceptor.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum AcceptorRequest {
-    /// Asks for the promise to accept no ballot below this one.
+    /// Requests the promise to accept no ballot below this one.
     Prepare(Ballot),
-    /// The same; and one acceptor is a new one from now on, with the ballot's number as its incarnation.
+    /// Requests the same promise as [`AcceptorRequest::Prepare`], and announces that an acceptor was replaced by a new one whose
+    /// incarnation is the ballot's number.
     Join {
         /// The ballot to promise.
         ballot: Ballot,
-        /// The index of the acceptor that joins.
+        /// The index of the joining acceptor.
         acceptor: u64,
     },
-    /// Asks to accept a policy.
+    /// Requests that a policy be accepted.
     Accept {
-        /// The ballot by which it is accepted.
+        /// The ballot by which the policy is accepted.
         ballot: Ballot,
-        /// The policy itself.
+        /// The policy to accept.
         policy: Policy,
-        /// The acceptors that gave the promises on which it rests.
+        /// The acceptors that promised the ballot.
         promised_by: Vec<AcceptorIncarnation>,
     },
-    /// Asks for a lease.
+    /// Requests leases on the register's value.
     Lease,
 }
 
 /// An acceptor's reply.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum AcceptorReply {
-    /// The ballot is promised; with it what was accepted so far.
+    /// The ballot is promised. The second field is the last accepted policy with its ballot.
     Promised(Ballot, Option<(Ballot, Policy)>),
     /// The policy is accepted by this ballot.
     Accepted(Ballot),
-    /// Not done: this higher ballot was promised.
+    /// The request is rejected: its ballot is too low, or it depends on a replaced acceptor. The field is the highest promised ballot.
     Preempted(Ballot),
-    /// Not done: the previous policy is granted for so many more microseconds, and no other is accepted meanwhile.
+    /// The policy is rejected for now: leases on the previous policy are granted for this many more microseconds, and no third
+    /// policy is accepted until then.
     Busy(u64),
-    /// The leases that this acceptor grants.
+    /// The leases that the acceptor grants.
     Lease(LeaseGrant),
 }
 
-/// The leases that an acceptor grants, with durations from the time at which it sent them. Each names the ballot by which the policy
-/// was accepted there: a policy is chosen only where a majority accepted it by the same ballot.
+/// The leases that an acceptor grants. Durations count from the time at which the acceptor sent the grant. Each lease names the
+/// ballot by which the acceptor accepted the policy: a policy is chosen only if a majority accepted it by the same ballot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// On the previous policy, while it is still granted.
+    /// The lease on the previous policy, until the accepted policy takes effect.
     pub previous: Option<PreviousPolicyLease>,
-    /// On the policy that is accepted.
+    /// The lease on the accepted policy; `None` if no policy has been accepted.
     pub current: Option<CurrentPolicyLease>,
 }
 
-/// A lease on the policy before the accepted one.
+/// A lease on the policy that preceded the accepted one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PreviousPolicyLease {
     /// The previous policy.
     pub id: PolicyId,
-    /// The ballot by which it was accepted.
+    /// The ballot by which the previous policy was accepted.
     pub ballot: Ballot,
-    /// It ends after this.
+    /// Time until the lease ends, in microseconds.
     pub remaining_us: u64,
 }
 
@@ -111,18 +116,18 @@
 pub struct CurrentPolicyLease {
     /// The accepted policy.
     pub policy: Policy,
-    /// The ballot by which it was accepted.
+    /// The ballot by which the policy was accepted.
     pub ballot: Ballot,
-    /// It begins after this.
+    /// Time until the lease begins, in microseconds; 0 if it has begun.
     pub starts_in_us: u64,
-    /// How long it lasts once it has begun.
+    /// Duration of the lease from its beginning, in microseconds.
     pub duration_us: u64,
 }
 
-/// How an acceptor handled a request.
+/// The result of handling an [`AcceptorRequest`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AcceptorResponse {
-    /// The reply to be sent.
+    /// The reply to send.
     pub reply: AcceptorReply,
     /// Whether the acceptor's state has to be on disk before the reply is sent.
     pub requires_sync: bool,
@@ -141,18 +146,20 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Acceptor {
     config: LeaseConfig,
-    /// Its index among the acceptors.
+    /// This acceptor's index among the acceptors.
     index: u64,
     state: AcceptorState,
-    /// The policy accepted before, and its ballot. Not on disk, as after a restart it is not known whether it may still be granted.
+    /// The previously accepted policy and its ballot. It is not durable, because after a restart it is unknown whether leases on it
+    /// may still be granted.
     previous: Option<(PolicyId, Ballot)>,
-    /// The previous policy is granted until then, and the accepted one from then on.
+    /// When the accepted policy takes effect: leases are granted on the previous policy until then and on the accepted one from
+    /// then on.
     takes_effect_at: u64,
 }
 
 impl Acceptor {
-    /// Starts an acceptor at time `now` with the state from its disk. What it granted before a restart is not known any more: all of
-    /// it will have ended a lease's duration from now.
+    /// Creates an acceptor at time `now` with the state from its disk. The leases granted before a restart are unknown, but all of
+    /// them end within one lease duration, so the accepted policy takes effect that much later.
     pub fn new(config: LeaseConfig, index: u64, state: AcceptorState, now: u64) -> Acceptor {
         Acceptor {
             config,
@@ -163,28 +170,28 @@
         }
     }
 
-    /// What has to be on disk.
+    /// Returns the durable state.
     pub fn state(&self) -> &AcceptorState {
         &self.state
     }
 
-    /// Handles a request.
+    /// Handles a request received at time `now`.
     pub fn handle(&mut self, now: u64, request: AcceptorRequest) -> AcceptorResponse {
         match request {
             AcceptorRequest::Prepare(ballot) if ballot >= self.state.promised => {
                 self.prepare(ballot)
             }
-            // The number becomes an incarnation, so it has to be above all others whoever the proposer is.
+            // The ballot's number becomes an incarnation, so it has to exceed the promised number whatever the proposer's id is.
             AcceptorRequest::Join { ballot, acceptor }
                 if ballot.number > self.state.promised.number && acceptor != self.index =>
             {
-                self.admit_joining(ballot, acceptor)
+                self.promise_joining_acceptor(ballot, acceptor)
             }
             AcceptorRequest::Accept {
                 ballot,
                 policy,
                 promised_by,
-            } if ballot >= self.state.promised && !self.any_superseded(&promised_by) => {
+            } if ballot >= self.state.promised && !self.any_replaced(&promised_by) => {
                 self.accept(now, ballot, policy)
             }
             AcceptorRequest::Prepare(_)
@@ -198,17 +205,18 @@
         }
     }
 
-    /// Promises a ballot; again if it is promised already, as the first reply may have been lost.
+    /// Promises a ballot. A ballot that is promised already is promised again, because the first reply may have been lost.
     fn prepare(&mut self, ballot: Ballot) -> AcceptorResponse {
-        let is_new = ballot > self.state.promised;
+        let is_new_promise = ballot > self.state.promised;
         self.state.promised = ballot;
         AcceptorResponse {
             reply: AcceptorReply::Promised(ballot, self.state.accepted),
-            requires_sync: is_new,
+            requires_sync: is_new_promise,
         }
     }
 
-    fn admit_joining(&mut self, ballot: Ballot, joining: u64) -> AcceptorResponse {
+    /// Promises the ballot of a joining acceptor and records its new incarnation.
+    fn promise_joining_acceptor(&mut self, ballot: Ballot, joining: u64) -> AcceptorResponse {
         self.state.promised = ballot;
         self.state.incarnations.insert(joining, ballot.number);
         AcceptorResponse {
@@ -217,18 +225,20 @@
         }
     }
 
+    /// Accepts a policy, unless leases on two policies may be outstanding already.
     fn accept(&mut self, now: u64, ballot: Ballot, policy: Policy) -> AcceptorResponse {
         let accepted = self.state.accepted;
-        let is_other_policy = accepted.map(|(_, policy)| policy.id()) != Some(policy.id());
-        // Leases on both the previous and the accepted policy may exist: with a third policy no single time would end them all.
-        if is_other_policy && accepted.is_some() && now < self.takes_effect_at {
+        let changes_policy = accepted.map(|(_, policy)| policy.id()) != Some(policy.id());
+        // Leases on both the previous and the accepted policy may be outstanding: with a third policy there would be no single time
+        // at which all of them have ended.
+        if changes_policy && accepted.is_some() && now < self.takes_effect_at {
             let remaining_us = self.takes_effect_at - now;
             return AcceptorResponse::without_sync(AcceptorReply::Busy(remaining_us));
         }
         let changes_state = self.state.promised != ballot || accepted != Some((ballot, policy));
         self.state.promised = ballot;
         self.state.accepted = Some((ballot, policy));
-        if is_other_policy {
+        if changes_policy {
             self.previous = accepted.map(|(ballot, policy)| (policy.id(), ballot));
             self.takes_effect_at = now + self.config.lease_us;
         }
@@ -238,8 +248,8 @@
         }
     }
 
-    /// Whether one of these incarnations is known to have been superseded by a later one.
-    fn any_superseded(&self, incarnations: &[AcceptorIncarnation]) -> bool {
+    /// Returns whether any of these incarnations is known to have been replaced by a later one.
+    fn any_replaced(&self, incarnations: &[AcceptorIncarnation]) -> bool {
         incarnations.iter().any(|claimed| {
             if claimed.acceptor == self.index {
                 claimed.incarnation != self.state.incarnation
@@ -250,6 +260,7 @@
         })
     }
 
+    /// Returns the leases that are granted at `now`.
     fn grant(&self, now: u64) -> LeaseGrant {
         let remaining_us = self.takes_effect_at.saturating_sub(now);
         let previous = self.previous.filter(|_| remaining_us > 0);
--- a/crates/policy-consensus/src/acceptor/tests.rs
+++ b/crates/policy-consensus/src/acceptor/tests.rs
@@ -35,7 +35,7 @@
             reply: AcceptorReply::Lease(grant),
             requires_sync: false,
         } => grant,
-        other => panic!("{other:?}"),
+        other => panic!("expected a lease reply that needs no sync, got {other:?}"),
     }
 }
 
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_lower_ballot_is_preempted_and_a_promise_reports_what_was_accepted() {
+fn a_lower_ballot_is_preempted_and_a_promise_reports_the_accepted_policy() {
     let mut acceptor = new_acceptor();
     assert_eq!(
         acceptor.handle(0, AcceptorRequest::Prepare(ballot(2))),
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn the_previous_policy_is_granted_until_the_accepted_one_takes_effect() {
+fn leases_on_the_previous_policy_are_granted_until_the_accepted_one_takes_effect() {
     let mut acceptor = new_acceptor();
     acceptor.handle(0, accept_request(1, 1));
     assert_eq!(
@@ -112,7 +112,8 @@
         }
     );
     assert_eq!(request_lease(&mut acceptor, 6_000).previous, None);
-    // Accepted again by another ballot, as when a proposer finishes another's change: the time at which it takes effect stays.
+    // Accepting the same policy by another ballot, as when a proposer completes a change left by another one, does not change the
+    // time at which the policy takes effect.
     acceptor.handle(6_000, accept_request(3, 2));
     assert_eq!(
         request_lease(&mut acceptor, 6_100).current,
@@ -140,7 +141,7 @@
 }
 
 #[test]
-fn what_rests_on_a_promise_of_a_superseded_acceptor_is_not_accepted() {
+fn a_policy_promised_by_a_replaced_acceptor_is_not_accepted() {
     let mut acceptor = Acceptor::new(CONFIG, 0, AcceptorState::initial(), 0);
     assert!(matches!(
         acceptor
@@ -160,11 +161,12 @@
             .reply,
         AcceptorReply::Promised(ballot(6), Some((Ballot::default(), Policy::default())))
     );
-    let accept = |incarnations: [(u64, u64); 2]| {
-        let promised_by = incarnations.map(|(acceptor, incarnation)| AcceptorIncarnation {
-            acceptor,
-            incarnation,
-        });
+    let accept = |promising_incarnations: [(u64, u64); 2]| {
+        let promised_by =
+            promising_incarnations.map(|(acceptor, incarnation)| AcceptorIncarnation {
+                acceptor,
+                incarnation,
+            });
         AcceptorRequest::Accept {
             ballot: ballot(6),
             policy: policy(1),
@@ -178,7 +180,7 @@
     assert_eq!(
         acceptor.handle(5_000, accept([(0, 3), (1, 0)])).reply,
         AcceptorReply::Preempted(ballot(6)),
-        "of another life of its own"
+        "a promise by another incarnation of this acceptor is void"
     );
     assert_eq!(
         acceptor.handle(5_000, accept([(0, 0), (2, 5)])).reply,
@@ -197,12 +199,12 @@
                 .reply,
             AcceptorReply::Preempted(_)
         ),
-        "it has to be above all"
+        "a join ballot must exceed the promised ballot's number"
     );
 }
 
 #[test]
-fn a_restarted_acceptor_waits_a_lease_before_it_grants_what_it_accepted() {
+fn a_restarted_acceptor_grants_the_accepted_policy_after_one_lease_duration() {
     let mut acceptor = new_acceptor();
     acceptor.handle(0, accept_request(1, 1));
     acceptor.handle(5_000, accept_request(2, 2));
@@ -214,6 +216,6 @@
     assert_eq!(
         request_lease(&mut restarted, 5_100).previous,
         None,
-        "its turn may be over long since"
+        "leases on the previous policy are not granted after a restart"
     );
 }
--- a/crates/policy-consensus/src/digest.rs
+++ b/crates/policy-consensus/src/digest.rs
@@ -5,19 +5,19 @@
 /// A SHA-256 digest.
 pub type Digest = [u8; 32];
 
-/// The SHA-256 digest of `data`.
+/// Computes the SHA-256 digest of `data`.
 pub fn sha256(data: impl AsRef<[u8]>) -> Digest {
     let mut bytes = [0; 32];
     bytes.copy_from_slice(digest(&SHA256, data.as_ref()).as_ref());
     bytes
 }
 
-/// `bytes` as lower-case hexadecimal digits.
+/// Formats `bytes` as lower-case hexadecimal digits.
 pub fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Reads a digest from 64 hexadecimal digits.
+/// Parses a digest from 64 hexadecimal digits.
 pub(crate) fn parse_digest(text: &str) -> Option<Digest> {
     let mut bytes = [0; 32];
     if text.len() != 64 || !text.is_ascii() {
--- a/crates/policy-consensus/src/document.rs
+++ b/crates/policy-consensus/src/document.rs
@@ -1,5 +1,5 @@
-//! A policy document: TOML, checked as a whole. Every mistake is reported with its line and column; a document with a mistake is no
-//! policy.
+//! Policy documents, written in TOML. Parsing reports every mistake with its line and column, and a document with a mistake is
+//! rejected as a whole.
 
 mod parse;
 mod types;
@@ -11,19 +11,19 @@
 use crate::Policy;
 use frosthatch_config_reader::ConfigError;
 
-/// The longest document that is read.
+/// Maximum length of a document, in bytes.
 pub const MAX_DOCUMENT_BYTES: usize = 64 << 10;
 
 impl Document {
-    /// Reads a document. `file` is the name under which mistakes are reported.
+    /// Parses a document. `file` is the file name in the reported errors.
     ///
     /// # Errors
-    /// All mistakes in it.
+    /// Returns all mistakes in the document.
     pub fn read(file: &str, text: &str) -> Result<Document, Vec<ConfigError>> {
         parse::parse_document(file, text, MAX_DOCUMENT_BYTES)
     }
 
-    /// The policy whose document this is; `text` is what the document was read from.
+    /// Returns the policy that this document describes; `text` is the text from which the document was parsed.
     pub fn policy(&self, text: &str) -> Policy {
         Policy {
             version: self.version,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The JSON schema of a document.
+    /// Returns the JSON schema of a policy document.
     pub fn schema() -> String {
         serde_json::to_string_pretty(&schemars::schema_for!(Document)).unwrap_or_default()
     }
--- a/crates/policy-consensus/src/document/parse.rs
+++ b/crates/policy-consensus/src/document/parse.rs
@@ -1,4 +1,4 @@
-//! Reads a policy document from TOML, with all mistakes at once.
+//! Parser of policy documents, which reports all mistakes of a document at once.
 
 use super::types::{Class, Document, Plan, Plugin, Retries};
 use crate::digest::{hex, parse_digest, Digest};
@@ -6,22 +6,23 @@
 use std::collections::BTreeMap;
 use toml::de::DeTable;
 
-/// Plans, classes and plug-ins that one document may name, of each.
-const MAX_NAMES: usize = 256;
-/// Upper bound of rates in units a second, and of bursts in units.
-const MAX_UNITS: f64 = 1e9;
-/// Upper bound of the worth of a request.
+/// Maximum number of plans, of classes and of plug-ins in one document.
+const MAX_NAMED_TABLES: usize = 256;
+/// Maximum of rates, in units per second, and of bursts, in units.
+const MAX_QUOTA: f64 = 1e9;
+/// Maximum worth of a request.
 const MAX_WORTH: f64 = 1e9;
-/// Upper bound of shares.
+/// Maximum of shares, where 1 is the whole.
 const MAX_SHARE: f64 = 1.0;
-/// Upper bound of retries that are saved up.
-const MAX_SAVED_RETRIES: f64 = 1e6;
+/// Maximum number of retries in the retry budget.
+const MAX_RETRY_BUDGET: f64 = 1e6;
 
-const VERSION_HINT: &str = "write a whole number, one above the policy before; the first is 1";
+const VERSION_HINT: &str =
+    "write a whole number, one above the version of the previous policy; the first version is 1";
 const PARENT_HINT: &str =
-    "write the SHA-256 of the document before, 64 digits, as `policy status` tells it";
+    "write the SHA-256 of the previous document, 64 hexadecimal digits, as `policy status` shows it";
 
-/// Reads a document. `file` is the name under which mistakes are reported.
+/// Parses a document of up to `max_bytes` bytes. `file` is the file name in the reported errors.
 pub(super) fn parse_document(
     file: &str,
     text: &str,
@@ -31,8 +32,8 @@
     if text.len() > max_bytes {
         reader.report(
             0..0,
-            format!("it has {} bytes", text.len()),
-            format!("write {max_bytes} at most"),
+            format!("the document has {} bytes", text.len()),
+            format!("write {max_bytes} bytes at most"),
         );
         return Err(reader.errors);
     }
@@ -49,7 +50,7 @@
     }
 }
 
-/// The document, as far as it can be read; mistakes are in the reader.
+/// Parses the root table and reports mistakes to `reader`. Returns `None` if the version is missing or wrong.
 fn read_root(reader: &mut ConfigReader, mut root: TableReader) -> Option<Document> {
     let version = root.required(reader, "version", VERSION_HINT, |value| {
         integer(value).filter(|n| *n > 0).map(i64::unsigned_abs)
@@ -75,7 +76,7 @@
     })
 }
 
-/// Reports a first policy with a parent, and a later one without.
+/// Reports a parent in the first policy, and a missing parent in a later one.
 fn check_parent(
     reader: &mut ConfigReader,
     root: &TableReader,
@@ -85,7 +86,11 @@
     match version {
         Some(1) if parent.is_some_and(|digest| digest != [0; 32]) => {
             let span = root.span_of("parent");
-            reader.report(span, "the first policy has no parent", "leave it out");
+            reader.report(
+                span,
+                "the policy of version 1 has no parent",
+                "remove the key parent",
+            );
         }
         Some(2..) if parent.is_none() => {
             let span = root.span_of("version");
@@ -95,71 +100,71 @@
     }
 }
 
-/// Reads the tables `[key.name]`, by name.
+/// Reads the tables `[key.name]` and returns their values by name.
 fn read_named_tables<T>(
     reader: &mut ConfigReader,
     root: &mut TableReader,
     key: &'static str,
     is_required: bool,
-    read_one: impl Fn(&mut ConfigReader, &mut TableReader) -> Option<T>,
+    read_value: impl Fn(&mut ConfigReader, &mut TableReader) -> Option<T>,
 ) -> BTreeMap<String, T> {
-    let hint = format!("write a table for each, as [{key}.name]");
+    let hint = format!("write one table per entry, as [{key}.name]");
     if is_required {
         root.require_key(reader, key, &hint);
     }
     let mut by_name = BTreeMap::new();
     for (name, mut table) in root.tables(reader, key, &hint) {
-        if by_name.len() >= MAX_NAMES {
-            let what = format!("{key} names more than {MAX_NAMES}");
-            reader.report(name.span(), what, "name fewer");
+        if by_name.len() >= MAX_NAMED_TABLES {
+            let what = format!("{key} has more than {MAX_NAMED_TABLES} tables");
+            reader.report(name.span(), what, "write fewer tables");
             break;
         }
-        let value = read_one(reader, &mut table);
+        let value = read_value(reader, &mut table);
         table.finish(reader);
         by_name.extend(value.map(|value| (name.get_ref().to_string(), value)));
     }
     by_name
 }
 
-/// Reads a number from 0 to `max`.
-fn read_amount(
+/// Reads an optional number from 0 to `max`.
+fn read_bounded_number(
     reader: &mut ConfigReader,
     table: &mut TableReader,
     key: &'static str,
     max: f64,
 ) -> Option<f64> {
-    table.read(reader, key, amount_hint(max), |value| {
+    table.read(reader, key, number_hint(max), |value| {
         number_value(value).filter(|n| (0.0..=max).contains(n))
     })
 }
 
-/// The same for a key that must not be left out.
-fn read_required_amount(
+/// Reads a number from 0 to `max`, and reports the key if it is missing.
+fn read_required_number(
     reader: &mut ConfigReader,
     table: &mut TableReader,
     key: &'static str,
     max: f64,
 ) -> Option<f64> {
-    table.require_key(reader, key, &amount_hint(max));
-    read_amount(reader, table, key, max)
+    table.require_key(reader, key, &number_hint(max));
+    read_bounded_number(reader, table, key, max)
 }
 
-fn amount_hint(max: f64) -> String {
+fn number_hint(max: f64) -> String {
     format!("write a number from 0 to {max}")
 }
 
 fn read_plan(reader: &mut ConfigReader, table: &mut TableReader) -> Option<Plan> {
-    let rate = read_required_amount(reader, table, "rate", MAX_UNITS);
-    let burst = read_amount(reader, table, "burst", MAX_UNITS);
+    let rate = read_required_number(reader, table, "rate", MAX_QUOTA);
+    let burst = read_bounded_number(reader, table, "burst", MAX_QUOTA);
     if rate.is_some_and(|rate| rate > 0.0) {
-        table.require_key(reader, "burst", "write the units that its store holds");
+        table.require_key(reader, "burst", "write the units that may be saved up");
     }
     let max_open = table.number(reader, "max_open", 0..=1_000_000, 0) as u32;
-    let ceiling_rate = read_amount(reader, table, "ceiling_rate", MAX_UNITS);
-    let ceiling_depth = read_amount(reader, table, "ceiling_depth", MAX_UNITS);
+    let ceiling_rate = read_bounded_number(reader, table, "ceiling_rate", MAX_QUOTA);
+    let ceiling_depth = read_bounded_number(reader, table, "ceiling_depth", MAX_QUOTA);
     if table.has("ceiling_rate") != table.has("ceiling_depth") {
-        let what = format!("{} has half of a ceiling", table.qualified_name(""));
-        let hint = "write ceiling_rate and ceiling_depth, or neither";
+        let what = format!("{} has an incomplete ceiling", table.qualified_name(""));
+        let hint = "write both ceiling_rate and ceiling_depth, or neither";
         reader.report(table.span.clone(), what, hint);
     }
     check_ceiling(reader, table, "ceiling_rate", ceiling_rate, "rate", rate);
@@ -180,7 +185,7 @@
     })
 }
 
-/// Reports a ceiling that is lower than its quota.
+/// Reports a ceiling that is below the corresponding quota.
 fn check_ceiling(
     reader: &mut ConfigReader,
     table: &TableReader,
@@ -195,7 +200,7 @@
     if is_below {
         let what = format!("{} is below {quota_key}", table.qualified_name(ceiling_key));
         let span = table.span_of(ceiling_key);
-        reader.report(span, what, "a ceiling is no lower than its quota");
+        reader.report(span, what, "write a ceiling that is not below the quota");
     }
 }
 
@@ -206,8 +211,8 @@
             .filter(|n| (1..=3_600_000).contains(n))
             .map(i64::unsigned_abs)
     });
-    let worth = read_required_amount(reader, table, "worth", MAX_WORTH);
-    let late_worth = read_required_amount(reader, table, "late_worth", MAX_SHARE);
+    let worth = read_required_number(reader, table, "worth", MAX_WORTH);
+    let late_worth = read_required_number(reader, table, "late_worth", MAX_SHARE);
     Some(Class {
         aim_ms: aim_ms?,
         worth: worth?,
@@ -216,7 +221,7 @@
 }
 
 fn read_plugin(reader: &mut ConfigReader, table: &mut TableReader) -> Option<Plugin> {
-    let hint = "write the SHA-256 of its file, 64 digits";
+    let hint = "write the SHA-256 of the plug-in's file, 64 hexadecimal digits";
     let sha256 = table.required(reader, "sha256", hint, |value| {
         parse_digest(value.as_str()?)
     })?;
@@ -226,8 +231,8 @@
 }
 
 fn read_retries(reader: &mut ConfigReader, mut table: TableReader) -> Retries {
-    let share = read_amount(reader, &mut table, "share", MAX_SHARE);
-    let most = read_amount(reader, &mut table, "most", MAX_SAVED_RETRIES);
+    let share = read_bounded_number(reader, &mut table, "share", MAX_SHARE);
+    let most = read_bounded_number(reader, &mut table, "most", MAX_RETRY_BUDGET);
     table.finish(reader);
     Retries { share, most }
 }
--- a/crates/policy-consensus/src/document/tests.rs
+++ b/crates/policy-consensus/src/document/tests.rs
@@ -16,7 +16,7 @@
 
 #[test]
 fn a_valid_document_is_read() {
-    let document = Document::read("p.toml", VALID).expect("in order");
+    let document = Document::read("p.toml", VALID).expect("the document is valid");
     assert_eq!(document.plans["stor"].ceiling_rate, Some(85.0));
     assert_eq!(
         (
@@ -27,7 +27,7 @@
     );
     assert_eq!(
         document.plans["antal"].burst, 10.5,
-        "digits may be set apart"
+        "underscores between digits are ignored"
     );
     assert_eq!(
         (document.classes["topup"].aim_ms, document.retries),
@@ -40,7 +40,7 @@
         &format!("version = 2\nparent = \"{}\"", hex(&first.digest)),
     );
     let second = Document::read("p.toml", &next)
-        .expect("in order")
+        .expect("the document is valid")
         .policy(&next);
     assert!(second.follows(Some(&first)) && !second.follows(Some(&Policy::default())));
 }
@@ -53,7 +53,7 @@
         ("line 1, column 11", "parent is missing"),
         ("line 3, column 8", "plans.stor.rate is -1"),
         ("line 4, column 1", "plans.stor.bust is not known"),
-        ("line 2, column 1", "half of a ceiling"),
+        ("line 2, column 1", "an incomplete ceiling"),
         ("line 9, column 10", "classes.topup.aim_ms is 0"),
         ("line 8, column 1", "classes.topup.worth is missing"),
     ] {
@@ -66,15 +66,19 @@
     }
     assert!(mistakes_in("version = 1\nplans = 3")[0].contains("plans is 3"));
     assert!(
-        mistakes_in(&format!("{VALID}#{}", "x".repeat(MAX_DOCUMENT_BYTES)))[0].contains("bytes")
+        mistakes_in(&format!("{VALID}#{}", "x".repeat(MAX_DOCUMENT_BYTES)))[0]
+            .contains("the document has")
     );
 }
 
 #[test]
 fn the_schema_has_the_keys_that_are_read() {
-    let schema: serde_json::Value = serde_json::from_str(&Document::schema()).expect("JSON");
+    let schema: serde_json::Value =
+        serde_json::from_str(&Document::schema()).expect("the schema is JSON");
     let published_keys = |v: &serde_json::Value| {
-        let all = v["properties"].as_object().expect("properties");
+        let all = v["properties"]
+            .as_object()
+            .expect("the schema of each type lists its properties");
         all.keys().cloned().collect::<Vec<_>>().join(", ")
     };
     let readable_keys = |text: &str| {
@@ -82,7 +86,7 @@
         let unknown_key = mistakes
             .iter()
             .find(|s| s.contains("nonsense is not known"))
-            .expect("it is told");
+            .expect("an unknown key is reported");
         let mut keys: Vec<String> = unknown_key
             .split("the keys here are ")
             .nth(1)
--- a/crates/policy-consensus/src/document_store.rs
+++ b/crates/policy-consensus/src/document_store.rs
@@ -1,5 +1,5 @@
-//! Policy documents by their digest. They are transferred between members in parts that fit a datagram; a receiver requests parts
-//! until it has all of them.
+//! A bounded store of policy documents by digest. Documents are transferred between members in parts that fit a datagram; the
+//! receiver requests the missing parts until the document is complete.
 
 use crate::digest::sha256;
 use crate::document::MAX_DOCUMENT_BYTES;
@@ -7,13 +7,13 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Length of each part but the last.
+/// Length of each part except the last, in bytes.
 pub const PART_BYTES: usize = 800;
-/// Parts that are requested, and sent, at once.
+/// Maximum number of parts that are requested in one message and sent in reply to it.
 pub const MAX_PARTS_PER_REQUEST: usize = 8;
-/// Complete documents that are stored.
+/// Maximum number of complete documents in the store.
 const MAX_DOCUMENTS: usize = 64;
-/// Documents of which only some parts are here.
+/// Maximum number of partial documents in the store.
 const MAX_PARTIAL_DOCUMENTS: usize = 8;
 
 /// A part of a document. The order of fields is the wire format.
@@ -21,17 +21,17 @@
 pub struct DocumentPart {
     /// The document's digest.
     pub digest: Digest,
-    /// Where the part begins, in bytes.
+    /// Offset of the part in the document, in bytes.
     pub offset: u32,
-    /// Length of the document.
+    /// Length of the document, in bytes.
     pub total_bytes: u32,
-    /// The part itself.
+    /// The bytes of the part.
     pub bytes: Vec<u8>,
 }
 
 impl DocumentPart {
-    /// Whether a document of this length has a part of this length at this offset.
-    fn is_well_formed(&self) -> bool {
+    /// Returns whether the offset and the length fit the division of a document of `total_bytes` into parts.
+    fn has_valid_bounds(&self) -> bool {
         let offset = self.offset as usize;
         let total_bytes = self.total_bytes as usize;
         offset.is_multiple_of(PART_BYTES)
@@ -41,32 +41,35 @@
     }
 }
 
-/// A document of which some parts are missing.
+/// A document whose parts have not all been received.
 #[derive(Default)]
 struct PartialDocument {
-    /// By their offset in bytes.
+    /// The received parts, by offset in bytes.
     parts: BTreeMap<u32, Vec<u8>>,
-    /// Length of the whole document; 0 until the first part is here.
+    /// Length of the complete document, in bytes; 0 until the first part is received.
     total_bytes: usize,
+    /// The value of [`DocumentStore::uses`] when the transfer started; orders the partial documents by age.
     started_at_use: u64,
 }
 
+/// A complete document.
 struct StoredDocument {
+    /// The value of [`DocumentStore::uses`] at the last use of the document.
     last_use: u64,
     text: String,
 }
 
-/// The documents that a member has, complete or in part.
+/// The complete and partial documents of a member.
 #[derive(Default)]
 pub struct DocumentStore {
     complete: BTreeMap<Digest, StoredDocument>,
     partial: BTreeMap<Digest, PartialDocument>,
-    /// Counts uses; the document that was not used for the longest time is evicted first.
+    /// Number of uses so far, as a logical clock by which the least recently used document is evicted.
     uses: u64,
 }
 
 impl DocumentStore {
-    /// The complete document with this digest.
+    /// Returns the complete document with this digest, and marks it as used.
     pub fn get(&mut self, digest: &Digest) -> Option<&str> {
         self.uses += 1;
         let document = self.complete.get_mut(digest)?;
@@ -74,12 +77,13 @@
         Some(&document.text)
     }
 
-    /// Whether the complete document is here. The zero digest is that of version 0, which has no document to wait for.
+    /// Returns whether the complete document is stored. The zero digest belongs to version 0, which has no document, so it always
+    /// counts as stored.
     pub fn contains(&self, digest: &Digest) -> bool {
         *digest == [0; 32] || self.complete.contains_key(digest)
     }
 
-    /// Stores a complete document and returns its digest; evicts others beyond the limit.
+    /// Stores a complete document and returns its digest. Evicts the least recently used documents beyond the limit.
     pub fn insert(&mut self, text: &str) -> Digest {
         let digest = sha256(text);
         self.uses += 1;
@@ -95,21 +99,21 @@
         digest
     }
 
-    /// The offsets of the missing parts that are to be requested next; none if the document is complete.
+    /// Returns the offsets of the missing parts to request next; empty if the document is complete.
     pub fn missing_offsets(&mut self, digest: &Digest) -> Vec<u32> {
         if self.contains(digest) {
             return Vec::new();
         }
         self.uses += 1;
-        let is_known = self.partial.contains_key(digest);
-        if !is_known && self.partial.len() >= MAX_PARTIAL_DOCUMENTS {
+        let is_started = self.partial.contains_key(digest);
+        if !is_started && self.partial.len() >= MAX_PARTIAL_DOCUMENTS {
             remove_min_by(&mut self.partial, |partial| partial.started_at_use);
         }
         let partial = self.partial.entry(*digest).or_insert(PartialDocument {
             started_at_use: self.uses,
             ..PartialDocument::default()
         });
-        // How long the document is shows in any part of it, so the first one is requested alone.
+        // Each part states the length of the document, so the first part is requested alone to learn the length.
         let total_bytes = if partial.parts.is_empty() {
             1
         } else {
@@ -122,7 +126,7 @@
             .collect()
     }
 
-    /// The part of a complete document that begins at `offset`.
+    /// Returns the part at `offset` of a complete document; `None` if the document is not stored or is shorter.
     pub fn read_part(&mut self, digest: &Digest, offset: u32) -> Option<DocumentPart> {
         let document = self.get(digest)?.as_bytes();
         let start = offset as usize;
@@ -135,15 +139,16 @@
         })
     }
 
-    /// Takes a part of a document that was requested. Returns whether the document is complete with it and matches its digest; where
-    /// it does not match, all of its parts are dropped.
+    /// Adds a part to a partial document, and ignores parts of documents that were not requested. Returns whether this part completed
+    /// the document and the document matches its digest. If it does not match, all of its parts are dropped.
     pub fn add_part(&mut self, part: DocumentPart) -> bool {
         let Some(partial) = self.partial.get_mut(&part.digest) else {
             return false;
         };
         let total_bytes = part.total_bytes as usize;
-        let fits_other_parts = partial.total_bytes == 0 || partial.total_bytes == total_bytes;
-        if !part.is_well_formed() || !fits_other_parts {
+        let length_matches_other_parts =
+            partial.total_bytes == 0 || partial.total_bytes == total_bytes;
+        if !part.has_valid_bounds() || !length_matches_other_parts {
             return false;
         }
         partial.total_bytes = total_bytes;
@@ -166,8 +171,8 @@
 
 /// Removes the entry with the smallest key.
 fn remove_min_by<T>(entries: &mut BTreeMap<Digest, T>, key: impl Fn(&T) -> u64) {
-    let oldest = entries.iter().min_by_key(|(_, entry)| key(entry));
-    if let Some(digest) = oldest.map(|(digest, _)| *digest) {
+    let smallest = entries.iter().min_by_key(|(_, entry)| key(entry));
+    if let Some(digest) = smallest.map(|(digest, _)| *digest) {
         entries.remove(&digest);
     }
 }
--- a/crates/policy-consensus/src/document_store/tests.rs
+++ b/crates/policy-consensus/src/document_store/tests.rs
@@ -14,7 +14,9 @@
         let mut offsets = receiver.missing_offsets(&digest);
         offsets.reverse();
         for offset in offsets {
-            let part = sender.read_part(&digest, offset).expect("it is there");
+            let part = sender
+                .read_part(&digest, offset)
+                .expect("the sender stores the complete document");
             is_complete |= receiver.add_part(part);
         }
     }
@@ -55,14 +57,17 @@
 }
 
 #[test]
-fn the_number_of_documents_is_bounded() {
+fn the_number_of_stored_documents_is_bounded() {
     let mut store = DocumentStore::default();
-    let used = store.insert("first");
+    let recently_used = store.insert("first");
     for n in 0..MAX_DOCUMENTS {
-        store.get(&used);
+        store.get(&recently_used);
         store.insert(&n.to_string());
         store.missing_offsets(&[n as u8 + 1; 32]);
     }
-    assert!(store.contains(&used), "it is used");
+    assert!(
+        store.contains(&recently_used),
+        "the most recently used document is not evicted"
+    );
     assert!(store.complete.len() <= MAX_DOCUMENTS && store.partial.len() <= MAX_PARTIAL_DOCUMENTS);
 }
--- a/crates/policy-consensus/src/lease_config.rs
+++ b/crates/policy-consensus/src/lease_config.rs
@@ -1,21 +1,23 @@
-//! Duration of leases, and allowance for clocks that drift.
+//! Lease duration and the allowance for clock drift.
 
-/// How long leases last, and by how much each clock may be fast or slow.
+/// The duration of leases and the bound on the drift of each clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseConfig {
-    /// Duration of a lease by the acceptor's clock.
+    /// Duration of a lease by the acceptor's clock, in microseconds.
     pub lease_us: u64,
-    /// Bound on clock drift, in thousandths; below 1000.
+    /// Maximum drift of each clock against true time, in thousandths; below 1000.
     pub drift: u64,
 }
 
 impl LeaseConfig {
-    /// How long a lease holder may rely on a lease of `us` microseconds, if its clock is slow and the acceptor's is fast.
+    /// Returns the time for which a lease holder may rely on a lease of `us` microseconds, in microseconds of its own clock. Assumes
+    /// the worst case: the holder's clock is slow and the acceptor's clock is fast.
     pub fn shrink_for_drift(&self, us: u64) -> u64 {
         us * (1_000 - self.drift) / (1_000 + self.drift)
     }
 
-    /// How long a lease holder has to wait by its own clock to be sure that `us` microseconds have passed at an acceptor.
+    /// Returns the time that a lease holder has to wait by its own clock, in microseconds, until `us` microseconds have certainly
+    /// passed at an acceptor.
     pub fn stretch_for_drift(&self, us: u64) -> u64 {
         (us * (1_000 + self.drift)).div_ceil(1_000 - self.drift)
     }
--- a/crates/policy-consensus/src/lease_holder.rs
+++ b/crates/policy-consensus/src/lease_holder.rs
@@ -1,18 +1,20 @@
-//! A lease holder: a gateway admits requests only under a policy that is chosen, and on which a majority of the acceptors has granted
-//! it a lease.
+//! A lease holder: a gateway admits requests only under a policy that is chosen and on which a majority of the acceptors has granted
+//! it leases.
 //!
-//! The durations in a grant run from when the acceptor sent it. So an end is counted from when the gateway sent its request, and a
-//! beginning from when the grant was received: then the time that messages take cannot make a lease longer. To allow for clocks that
-//! drift, leases are taken for a little shorter and waits for a little longer than granted.
+//! The durations in a grant count from the time at which the acceptor sent it, which the gateway does not know. The gateway counts
+//! the end of a lease from the time at which it sent its request, and the beginning from the time at which it received the grant, so
+//! message delay cannot lengthen a lease. To allow for clock drift, it shortens each lease and lengthens each wait by the bound in
+//! [`LeaseConfig`].
 
 use crate::acceptor::LeaseGrant;
 use crate::{majority, Ballot, LeaseConfig, Policy, PolicyId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A lease by one acceptor, on a policy that it accepted by a ballot.
+/// A lease granted by one acceptor, with times of the gateway's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Lease {
     id: PolicyId,
+    /// The ballot by which the acceptor accepted the policy.
     ballot: Ballot,
     starts_at: u64,
     ends_at: u64,
@@ -28,18 +30,21 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseHolder {
     config: LeaseConfig,
+    /// The number of acceptors.
     acceptors: usize,
-    /// By acceptor index: the lease on the previous policy, if any, then that on the accepted one.
+    /// Leases by acceptor index: the lease on the previous policy, if any, then the lease on the accepted one.
     leases: BTreeMap<u64, Vec<Lease>>,
+    /// The policies that acceptors reported as accepted.
     policies: BTreeMap<PolicyId, Policy>,
-    /// The policies that a majority accepted by the same ballot, and that ballot. They stay chosen, whatever ballots acceptors report
-    /// for them later.
+    /// The policies that a majority accepted by the same ballot, with that ballot. They stay chosen when acceptors report other
+    /// ballots for them later.
     chosen: BTreeMap<PolicyId, Ballot>,
+    /// The highest version that was ever held; earlier versions are not held again.
     highest_held_version: u64,
 }
 
 impl LeaseHolder {
-    /// A lease holder that has no leases yet from any of the `acceptors`.
+    /// Creates a lease holder without leases; `acceptors` is the number of acceptors.
     pub fn new(config: LeaseConfig, acceptors: usize) -> LeaseHolder {
         LeaseHolder {
             config,
@@ -51,13 +56,13 @@
         }
     }
 
-    /// How often leases are to be requested, so that two answers in a row may be lost.
+    /// Returns the interval between lease requests, in microseconds. It is short enough that two consecutive replies may be lost.
     pub fn renewal_interval_us(&self) -> u64 {
         self.config.lease_us / 4
     }
 
-    /// Takes an acceptor's grant, received at `now` in answer to a request sent at `requested_at`. It replaces that acceptor's
-    /// earlier grants.
+    /// Records an acceptor's grant, which was received at `now` in reply to a request sent at `requested_at`. It replaces the earlier
+    /// grants of that acceptor.
     pub fn record_grant(&mut self, requested_at: u64, now: u64, acceptor: u64, grant: LeaseGrant) {
         let mut leases = Vec::new();
         if let Some(previous) = grant.previous {
@@ -86,11 +91,11 @@
         }
         self.leases.insert(acceptor, leases);
         self.update_chosen();
-        self.forget_unused_policies();
+        self.evict_unused_policies();
     }
 
-    /// Finds policies that a majority has accepted by the same ballot. Leases that have ended count as well: what an acceptor said
-    /// that it accepted it did accept.
+    /// Adds the policies that a majority has accepted by the same ballot to the chosen ones. Expired leases count too, because the
+    /// acceptor did accept the policy that it reported.
     fn update_chosen(&mut self) {
         let mut votes: BTreeMap<(PolicyId, Ballot), usize> = BTreeMap::new();
         for lease in self.leases.values().flatten() {
@@ -104,7 +109,8 @@
         self.chosen.extend(chosen);
     }
 
-    fn forget_unused_policies(&mut self) {
+    /// Drops the policies without a lease, except the one that was held last, and the chosen ones below the version held last.
+    fn evict_unused_policies(&mut self) {
         let leases = self.leases.values().flatten();
         let leased: BTreeSet<PolicyId> = leases.map(|lease| lease.id).collect();
         let highest_held_version = self.highest_held_version;
@@ -114,14 +120,14 @@
             .retain(|id, _| id.version >= highest_held_version);
     }
 
-    /// The policy under which requests may be admitted at `now`. From then on no earlier version is held any more.
+    /// Returns the policy under which requests may be admitted at `now`, and never holds an earlier version again.
     pub fn advance_to_held_policy(&mut self, now: u64) -> Option<PolicyId> {
         let id = self.held_policy_at(now)?;
         self.highest_held_version = id.version;
         Some(id)
     }
 
-    /// The policy that will be held at `time`, as far as is known now.
+    /// Returns the policy that is held at `time` by the leases granted so far.
     pub fn held_policy_at(&self, time: u64) -> Option<PolicyId> {
         let mut votes: BTreeMap<PolicyId, usize> = BTreeMap::new();
         for lease in self.leases.values().flatten() {
@@ -139,13 +145,13 @@
             .max()
     }
 
-    /// The next time at which another policy or none may be held, if nothing is received until then.
-    pub fn next_change(&self, now: u64) -> Option<u64> {
+    /// Returns the earliest time after `now` at which the held policy may change if no grant is received until then.
+    pub fn next_change_at(&self, now: u64) -> Option<u64> {
         self.lease_bounds().filter(|time| *time > now).min()
     }
 
-    /// The time from which on a policy will be held by the leases that are already granted.
-    pub fn pending_until(&self, now: u64) -> Option<u64> {
+    /// Returns the earliest time after `now` from which a policy is held by the leases granted so far.
+    pub fn next_held_at(&self, now: u64) -> Option<u64> {
         let mut bounds: Vec<u64> = self.lease_bounds().filter(|time| *time > now).collect();
         bounds.sort_unstable();
         bounds
@@ -153,6 +159,7 @@
             .find(|time| self.held_policy_at(*time).is_some())
     }
 
+    /// Returns the start and end times of all leases.
     fn lease_bounds(&self) -> impl Iterator<Item = u64> + '_ {
         self.leases
             .values()
@@ -160,18 +167,18 @@
             .flat_map(|lease| [lease.starts_at, lease.ends_at])
     }
 
-    /// Drops the leases of an acceptor after a new one has taken its place. What the old one accepted still counts as accepted.
-    pub fn forget_acceptor(&mut self, acceptor: u64) {
+    /// Drops the leases of an acceptor that was replaced by a new one. The policies that the old one helped to choose stay chosen.
+    pub fn discard_acceptor(&mut self, acceptor: u64) {
         self.leases.remove(&acceptor);
     }
 
-    /// The latest policy that is known to be chosen, and the ballot by which any acceptor may accept it.
+    /// Returns the highest known chosen policy, with the ballot by which any acceptor may accept it.
     pub fn latest_chosen(&self) -> Option<(Ballot, Policy)> {
         let (id, ballot) = self.chosen.last_key_value()?;
         Some((*ballot, *self.policies.get(id)?))
     }
 
-    /// The highest ballot number in any lease; 0 without one.
+    /// Returns the highest ballot number in any lease; 0 without leases.
     pub fn highest_ballot_number(&self) -> u64 {
         self.leases
             .values()
@@ -181,8 +188,8 @@
             .unwrap_or(0)
     }
 
-    /// Whether the acceptors that were heard of late have accepted different policies, or one that is not chosen: then a proposer
-    /// left a change incomplete.
+    /// Returns whether the acceptors with unexpired leases have accepted different policies, or one that is not chosen. In both cases
+    /// a proposer left a change incomplete.
     pub fn acceptors_diverge(&self, now: u64) -> bool {
         let accepted: Vec<&Lease> = self
             .leases
@@ -198,17 +205,17 @@
             .any(|lease| lease.id != first.id || !self.chosen.contains_key(&lease.id))
     }
 
-    /// The highest version that was ever held.
+    /// Returns the highest version that was ever held.
     pub fn highest_held_version(&self) -> u64 {
         self.highest_held_version
     }
 
-    /// All policies that acceptors reported.
+    /// Returns the policies that acceptors reported.
     pub fn known_policies(&self) -> impl Iterator<Item = &Policy> {
         self.policies.values()
     }
 
-    /// A policy that acceptors reported.
+    /// Returns the policy with this id if an acceptor reported it.
     pub fn policy(&self, id: &PolicyId) -> Option<&Policy> {
         self.policies.get(id)
     }
--- a/crates/policy-consensus/src/lease_holder/tests.rs
+++ b/crates/policy-consensus/src/lease_holder/tests.rs
@@ -12,7 +12,7 @@
     LeaseHolder::new(CONFIG, 3)
 }
 
-/// A grant of the version that was accepted by the ballot, from now on.
+/// Returns a grant of a lease, beginning now, on a version that was accepted by the ballot.
 fn grant_by(ballot_number: u64, version: u64) -> LeaseGrant {
     LeaseGrant {
         previous: None,
@@ -25,7 +25,7 @@
     }
 }
 
-/// A grant of version 1 for the remaining time, and of version 2 from then on.
+/// Returns a grant of leases on version 1 for the remaining time and on version 2 from then on.
 fn grant_of_change(remaining_us: u64) -> LeaseGrant {
     LeaseGrant {
         previous: Some(PreviousPolicyLease {
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_lease_needs_a_majority_and_ends() {
+fn a_policy_is_held_only_by_unexpired_leases_of_a_majority() {
     let mut holder = new_lease_holder();
     holder.record_grant(0, 1_000, 1, grant_by(1, 4));
     assert_eq!(holder.advance_to_held_policy(2_000), None);
@@ -53,13 +53,13 @@
     assert_eq!(
         holder.advance_to_held_policy(981_000),
         None,
-        "a little less than was said, from when it was asked"
+        "the lease is shortened for drift and counts from the request"
     );
     assert!(holder.policy(&policy(4).id()).is_some());
 }
 
 #[test]
-fn grants_of_different_policies_make_no_majority() {
+fn leases_on_different_policies_are_not_a_majority() {
     let mut holder = new_lease_holder();
     holder.record_grant(0, 0, 1, grant_by(1, 4));
     holder.record_grant(0, 0, 2, grant_by(2, 5));
@@ -79,13 +79,13 @@
     assert_eq!(holder.advance_to_held_policy(1), None);
     holder.record_grant(0, 0, 3, grant_by(3, 4));
     assert_eq!(holder.advance_to_held_policy(1), Some(policy(4).id()));
-    // It stays chosen while a later proposer has it accepted by another ballot.
+    // The policy stays chosen while a later proposer gets it accepted by another ballot.
     holder.record_grant(0, 0, 3, grant_by(5, 4));
     assert_eq!(holder.advance_to_held_policy(1), Some(policy(4).id()));
 }
 
 #[test]
-fn a_change_leaves_hardly_a_gap_between_the_leases() {
+fn the_gap_between_leases_at_a_change_is_at_most_40_ms() {
     let mut holder = new_lease_holder();
     let mut gap_ms = 0;
     for at in (0..1_500_000u64).step_by(1_000) {
@@ -103,5 +103,8 @@
         let held = holder.advance_to_held_policy(at + 2_000);
         gap_ms += u64::from(held.is_none());
     }
-    assert!(gap_ms <= 40, "{gap_ms} ms in a turn of a second");
+    assert!(
+        gap_ms <= 40,
+        "{gap_ms} ms without a held policy during a change"
+    );
 }
--- a/crates/policy-consensus/src/message.rs
+++ b/crates/policy-consensus/src/message.rs
@@ -1,11 +1,11 @@
-//! The messages that members exchange, encoded by postcard. Each fits a datagram; documents are transferred in parts.
+//! The messages that members exchange, encoded with postcard. Each message fits a datagram; documents are transferred in parts.
 
 use crate::acceptor::{AcceptorIncarnation, AcceptorReply, AcceptorRequest};
 use crate::document_store::DocumentPart;
 use crate::{Digest, Policy};
 use serde::{Deserialize, Serialize};
 
-/// A reason in a [`Message::CheckReply`] is cut to this.
+/// Maximum length of the reason in a [`Message::CheckReply`], in bytes; longer ones are truncated.
 const MAX_REASON_BYTES: usize = 600;
 
 /// A message between two members. The order of variants and fields is the wire format.
@@ -13,16 +13,16 @@
 pub enum Message {
     /// A request to an acceptor.
     Request {
-        /// Chosen by the sender; the answer repeats it.
+        /// The request's number, chosen by the sender and repeated in the answer.
         number: u64,
-        /// What this acceptor last reported of itself to the sender.
+        /// The highest state that the acceptor has reported to the sender.
         last_reported: ReportedState,
-        /// The request itself.
+        /// The request to the acceptor.
         request: AcceptorRequest,
     },
     /// An acceptor's answer.
     Answer(AcceptorAnswer),
-    /// Asks a member whether it can serve under a policy.
+    /// Requests a member's check whether it can serve under a policy.
     CheckRequest {
         /// The number of the proposal.
         number: u64,
@@ -36,11 +36,11 @@
         /// Why the member cannot serve under the policy; empty if it can.
         reason: String,
     },
-    /// Asks for parts of a document.
+    /// Requests parts of a document.
     PartsRequest {
         /// The document's digest.
         digest: Digest,
-        /// Where the parts begin, in bytes.
+        /// Offsets of the parts in the document, in bytes.
         offsets: Vec<u32>,
     },
     /// A part of a document.
@@ -52,41 +52,42 @@
 pub struct AcceptorAnswer {
     /// The number of the request.
     pub number: u64,
-    /// The number of the acceptor's state on disk.
+    /// The number of the acceptor's durable state.
     pub state: u64,
     /// The acceptor's own incarnation.
     pub incarnation: u64,
-    /// The incarnations of other acceptors that it knows of.
+    /// The incarnations of other acceptors that this acceptor knows.
     pub other_incarnations: Vec<AcceptorIncarnation>,
-    /// The reply itself.
+    /// The reply to the request.
     pub reply: AcceptorReply,
 }
 
-/// What an acceptor reported of itself. An acceptor that is behind its own report was restored from an old copy.
+/// The incarnation and state that an acceptor reported. An acceptor whose state is behind its own report was restored from an old
+/// copy. The order compares incarnations first.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct ReportedState {
     /// The acceptor's incarnation.
     pub incarnation: u64,
-    /// The number of its state on disk.
+    /// The number of the acceptor's durable state.
     pub state: u64,
 }
 
 impl Message {
     /// Encodes the message.
     pub fn write(&self) -> Vec<u8> {
-        // Plain values into memory: postcard has no way to fail.
+        // Encoding plain values into memory cannot fail.
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// Decodes a message; `None` if the bytes are not exactly one message.
+    /// Decodes a message; returns `None` if the bytes are not exactly one message.
     pub fn read(bytes: &[u8]) -> Option<Message> {
         let (message, rest) = postcard::take_from_bytes(bytes).ok()?;
         rest.is_empty().then_some(message)
     }
 
-    /// The name of the message's kind, by which tests name the points at which a process crashes.
+    /// Returns the name of the message's kind, by which tests select the points at which a process crashes.
     pub fn name(&self) -> &'static str {
         match self {
             Message::Request { request, .. } => match request {
@@ -109,15 +110,15 @@
         }
     }
 
-    /// The answer to a [`Message::CheckRequest`]; a long reason is cut at a character boundary.
+    /// Creates the reply to a [`Message::CheckRequest`]. A long reason is truncated at a character boundary.
     pub fn check_reply(number: u64, result: Result<(), String>) -> Message {
         let mut reason = result.err().unwrap_or_default();
         let max_bytes = MAX_REASON_BYTES.min(reason.len());
-        let cut_at = (0..=max_bytes)
+        let truncated_bytes = (0..=max_bytes)
             .rev()
             .find(|position| reason.is_char_boundary(*position))
             .unwrap_or(0);
-        reason.truncate(cut_at);
+        reason.truncate(truncated_bytes);
         Message::CheckReply { number, reason }
     }
 }
--- a/crates/policy-consensus/src/message/tests.rs
+++ b/crates/policy-consensus/src/message/tests.rs
@@ -18,7 +18,7 @@
     parent: [9; 32],
 };
 
-/// The longest list of incarnations, of seven acceptors.
+/// Returns the longest list of incarnations, which has seven acceptors.
 fn longest_incarnations() -> Vec<AcceptorIncarnation> {
     let longest = AcceptorIncarnation {
         acceptor: u64::MAX,
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn the_longest_messages_fit_a_datagram_and_are_decoded_again() {
+fn the_longest_messages_fit_a_datagram_and_survive_a_round_trip() {
     let accepted = Some((LONGEST_BALLOT, LONGEST_POLICY));
     for message in [
         Message::Request {
@@ -84,14 +84,18 @@
         }),
     ] {
         let bytes = message.write();
-        assert!(bytes.len() <= 860, "{} bytes", bytes.len());
+        assert!(
+            bytes.len() <= 860,
+            "{} bytes exceed the limit of 860: {message:?}",
+            bytes.len()
+        );
         assert_eq!(Message::read(&bytes), Some(message));
     }
 }
 
 proptest! {
     #[test]
-    fn arbitrary_bytes_are_a_message_or_none(bytes in prop::collection::vec(any::<u8>(), 0..1_200)) {
+    fn decoding_arbitrary_bytes_never_panics(bytes in prop::collection::vec(any::<u8>(), 0..1_200)) {
         if let Some(message) = Message::read(&bytes) {
             prop_assert!(message.write().len() <= 2 * bytes.len() + 16);
         }
--- a/crates/policy-consensus/src/node/acceptor_requests.rs
+++ b/crates/policy-consensus/src/node/acceptor_requests.rs
@@ -1,4 +1,4 @@
-//! Requests to the member's own acceptor. Replies wait until the state they rest on is on disk.
+//! Requests to the member's own acceptor, and the writes of its state. A reply is sent once the state on which it depends is on disk.
 
 use super::interface::NodeOutput;
 use super::local_acceptor::{JoinAttempt, LocalAcceptor, PendingReply, PendingWrite};
@@ -10,12 +10,11 @@
 use rand_pcg::rand_core::RngCore;
 use std::collections::BTreeMap;
 
-/// A write that failed is retried after this.
+/// Interval after which a failed write is retried.
 const WRITE_RETRY_INTERVAL_US: u64 = 1_000_000;
 
 impl ConsensusNode {
-    /// Starts this member's acceptor with the record that was read from its disk. Where it could not be read, the acceptor stays
-    /// disabled.
+    /// Starts this member's acceptor from the record on its disk. If the record could not be read, the acceptor stays disabled.
     pub fn load_acceptor(&mut self, now: u64, read: Result<AcceptorRecord, String>) {
         let (durable, state, disabled_reason) = match read {
             Ok(record) => {
@@ -50,7 +49,8 @@
         });
     }
 
-    /// The state that this member's acceptor has on disk, or why it does not answer requests; `None` if the member is no acceptor.
+    /// Returns the number of the durable state of this member's acceptor, or the reason why the acceptor does not answer requests;
+    /// `None` if the member is not an acceptor.
     pub fn acceptor_status(&self) -> Option<Result<u64, String>> {
         let local = self.local_acceptor.as_ref()?;
         if let Some(reason) = &local.disabled_reason {
@@ -58,19 +58,19 @@
         }
         if local.write_retry_at.is_some() {
             return Some(Err(
-                "what it promised cannot be put on disk; it is tried again".into(),
+                "the state cannot be written to disk; the write is retried".into(),
             ));
         }
         if local.join.is_some() {
             return Some(Err(
-                "it joins in the place of an earlier one, and waits for a majority of the others"
+                "joining to replace an earlier keeper: waiting for promises from a majority of the keepers"
                     .into(),
             ));
         }
         Some(Ok(local.state))
     }
 
-    /// Handles a request to this member's acceptor. The answer waits until the state it rests on is on disk.
+    /// Handles a request to this member's acceptor. The answer is sent once the state on which it depends is on disk.
     pub(super) fn handle_acceptor_request(
         &mut self,
         now: u64,
@@ -94,17 +94,17 @@
             state: local.state,
         };
         if last_reported > current {
-            let why = format!(
-                "its folder is at the state {}, and it told of {}: it was put back from a copy",
+            let reason = format!(
+                "the folder holds state {}, but state {} was reported before: it was put back from a copy",
                 local.state, last_reported.state
             );
             out.push(NodeOutput::Log(format!(
-                "policy: keeper-silent why={why:?}"
+                "policy: keeper-silent why={reason:?}"
             )));
-            local.disabled_reason = Some(why);
+            local.disabled_reason = Some(reason);
             return;
         }
-        // What is promised must not be reported before it is on disk; the sender will retry.
+        // No state may be reported before it is on disk; the sender retries the request.
         if local.pending_write.is_some() {
             return;
         }
@@ -127,7 +127,7 @@
         out.push(NodeOutput::Store(record));
     }
 
-    /// Has to be called with the result of each [`NodeOutput::Store`].
+    /// Reports the result of a [`NodeOutput::Store`]. The caller has to call this for each of them.
     pub fn record_stored(
         &mut self,
         now: u64,
@@ -140,6 +140,7 @@
         }
     }
 
+    /// Completes a successful write: sends the pending reply, or activates the acceptor if the write ended its join.
     fn finish_write(&mut self, now: u64, out: &mut Vec<NodeOutput>) {
         let Some(local) = &mut self.local_acceptor else {
             return;
@@ -167,20 +168,21 @@
         self.process_inbox(now, out);
     }
 
-    /// Keeps the write pending: whether the record is on disk is not known, so nothing may be answered yet.
-    fn schedule_write_retry(&mut self, now: u64, why: &str, out: &mut Vec<NodeOutput>) {
+    /// Schedules a retry of a failed write. The write stays pending: it is unknown whether the record is on disk, so no request may be
+    /// answered before the retry succeeds.
+    fn schedule_write_retry(&mut self, now: u64, reason: &str, out: &mut Vec<NodeOutput>) {
         let Some(local) = &mut self.local_acceptor else {
             return;
         };
         let retry_at = now + WRITE_RETRY_INTERVAL_US;
         if local.write_retry_at.replace(retry_at).is_none() {
             out.push(NodeOutput::Log(format!(
-                "policy: keeper-cannot-write why={why:?}"
+                "policy: keeper-cannot-write why={reason:?}"
             )));
         }
     }
 
-    /// Repeats a failed write when it is due.
+    /// Retries a failed write when the retry is due.
     pub(super) fn retry_write(&mut self, now: u64, out: &mut Vec<NodeOutput>) {
         let Some(local) = &mut self.local_acceptor else {
             return;
--- a/crates/policy-consensus/src/node/dispatch.rs
+++ b/crates/policy-consensus/src/node/dispatch.rs
@@ -1,4 +1,4 @@
-//! Decoding, routing and sending of messages.
+//! Decoding, routing and sending of the messages between members.
 
 use super::interface::NodeOutput;
 use super::join::JOIN_REQUEST_NUMBER;
@@ -7,7 +7,7 @@
 use crate::message::{AcceptorAnswer, Message, ReportedState};
 
 impl ConsensusNode {
-    /// Handles a message from the member `from`. What cannot be decoded is ignored.
+    /// Handles a message from the member `from`. Bytes that cannot be decoded are ignored.
     pub fn handle_message(
         &mut self,
         now: u64,
@@ -21,15 +21,15 @@
         }
     }
 
-    /// Handles the messages of this member to itself, and those that they cause.
+    /// Handles the messages of this member to itself, including those that are sent in the process.
     pub(super) fn process_inbox(&mut self, now: u64, out: &mut Vec<NodeOutput>) {
         while let Some(message) = self.inbox.pop_front() {
-            let me = self.config.name.clone();
-            self.dispatch(now, &me, message, out);
+            let own_name = self.config.name.clone();
+            self.dispatch(now, &own_name, message, out);
         }
     }
 
-    /// Sends a message to a member, which may be this one.
+    /// Sends a message to the member `to`, which may be this member.
     pub(super) fn send(&mut self, to: &str, message: Message, out: &mut Vec<NodeOutput>) {
         if to == self.config.name {
             self.inbox.push_back(message);
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Sends a request to all acceptors.
+    /// Sends a request to all acceptors, under the number that their answers repeat.
     pub(super) fn send_to_acceptors(
         &mut self,
         number: u64,
@@ -59,6 +59,7 @@
         }
     }
 
+    /// Routes a message to its handler.
     fn dispatch(&mut self, now: u64, from: &str, message: Message, out: &mut Vec<NodeOutput>) {
         match message {
             Message::Request {
@@ -84,6 +85,8 @@
         }
     }
 
+    /// Records what an answer says of the acceptor's incarnation and state, and routes the reply. Answers of replaced acceptors and of
+    /// members that are no acceptors are ignored.
     fn handle_acceptor_answer(
         &mut self,
         now: u64,
@@ -123,6 +126,7 @@
         }
     }
 
+    /// Passes a member's check result to the proposer.
     fn handle_check_reply(
         &mut self,
         now: u64,
--- a/crates/policy-consensus/src/node/documents.rs
+++ b/crates/policy-consensus/src/node/documents.rs
@@ -1,4 +1,4 @@
-//! Documents: checks whether this member can serve under one, and their transfer in parts.
+//! Transfer of documents in parts, and the checks whether this member can serve under a document.
 
 use super::fetches::MAX_FETCHES;
 use super::interface::NodeOutput;
@@ -8,7 +8,7 @@
 use crate::{Digest, Policy};
 
 impl ConsensusNode {
-    /// Requests parts of the documents that are being fetched.
+    /// Requests the missing parts of the documents whose fetch is due.
     pub(super) fn request_missing_parts(&mut self, now: u64, out: &mut Vec<NodeOutput>) {
         for (source, digest) in self.fetches.take_due(now) {
             let offsets = self.documents.missing_offsets(&digest);
@@ -16,7 +16,7 @@
         }
     }
 
-    /// Answers whether this member can serve under a policy; if its document is not here, once it is.
+    /// Replies whether this member can serve under a policy. If the document is missing, fetches it and replies once it is complete.
     pub(super) fn handle_check_request(
         &mut self,
         now: u64,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Sends the requested parts of a document to a member, as far as they are here.
+    /// Sends the requested parts of a document to a member. Parts of documents that are not stored here are skipped.
     pub(super) fn send_parts(
         &mut self,
         to: &str,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Takes a part of a document. Once the document is complete, the checks that waited for one are handled again.
+    /// Stores a part of a document. Once the document is complete, the pending checks are handled again.
     pub(super) fn handle_part(&mut self, now: u64, part: DocumentPart, out: &mut Vec<NodeOutput>) {
         let digest = part.digest;
         if !self.documents.add_part(part) {
--- a/crates/policy-consensus/src/node/fetches.rs
+++ b/crates/policy-consensus/src/node/fetches.rs
@@ -1,31 +1,31 @@
-//! Documents that are being fetched from other members.
+//! Bookkeeping of the documents that are being fetched from other members.
 
 use crate::Digest;
 use std::collections::BTreeMap;
 
-/// Missing parts of a document are requested again after this.
+/// Interval between requests for the missing parts of a document.
 const RETRY_INTERVAL_US: u64 = 30_000;
-/// A document that nobody sends is given up after this.
+/// Time after which the fetch of an incomplete document is abandoned.
 const FETCH_TIMEOUT_US: u64 = 30_000_000;
-/// Documents that are fetched at once, and checks that wait for one.
+/// Maximum number of documents fetched at the same time, and of checks that wait for a document.
 pub(super) const MAX_FETCHES: usize = 8;
 
-/// One document that is being fetched.
+/// The fetch of one document.
 struct Fetch {
-    /// Members that should have it; the next one to ask moves to the front.
+    /// The members that should have the document. Each request rotates the list and goes to the member then at the front.
     sources: Vec<String>,
     started_at: u64,
     retry_at: u64,
 }
 
-/// The documents that are being fetched, by digest.
+/// The fetches in progress, by document digest.
 #[derive(Default)]
 pub(super) struct DocumentFetches {
     by_digest: BTreeMap<Digest, Fetch>,
 }
 
 impl DocumentFetches {
-    /// Starts to fetch a document, or adds `source` to the members that should have it. Does nothing beyond [`MAX_FETCHES`].
+    /// Starts the fetch of a document, or adds `source` to its sources. Ignores new documents beyond [`MAX_FETCHES`].
     pub(super) fn start(&mut self, now: u64, digest: Digest, source: &str) {
         if self.by_digest.len() >= MAX_FETCHES && !self.by_digest.contains_key(&digest) {
             return;
@@ -40,12 +40,13 @@
         }
     }
 
-    /// Stops to fetch a document.
+    /// Ends the fetch of a document.
     pub(super) fn remove(&mut self, digest: &Digest) {
         self.by_digest.remove(digest);
     }
 
-    /// Drops what has timed out, and returns what has to be requested now and from whom. Each retry asks another member.
+    /// Drops the fetches that have timed out, and returns the documents to request now, each with the member to request it from. Each
+    /// retry goes to the next source.
     pub(super) fn take_due(&mut self, now: u64) -> Vec<(String, Digest)> {
         self.by_digest
             .retain(|_, fetch| now < fetch.started_at + FETCH_TIMEOUT_US);
--- a/crates/policy-consensus/src/node/interface.rs
+++ b/crates/policy-consensus/src/node/interface.rs
@@ -1,24 +1,25 @@
-//! Configuration of a [`ConsensusNode`](super::ConsensusNode), what it wants done, and its serving state.
+//! Configuration, outputs and serving state of a [`ConsensusNode`](super::ConsensusNode).
 
 use crate::document::Document;
 use crate::record::AcceptorRecord;
 use crate::{LeaseConfig, PolicyId};
 
-/// What a gateway does when its lease ended because no majority of the acceptors was heard.
+/// What a gateway does once its leases have ended and no majority of the acceptors renews them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LeaseLossPolicy {
-    /// It rejects requests.
+    /// The gateway rejects requests.
     Reject,
-    /// If it knows of a policy that may have replaced its own, it serves under the stricter of both; otherwise it rejects requests.
+    /// The gateway serves under the stricter of its own policy and a known policy that may have replaced it. If no such policy is
+    /// known, the gateway rejects requests.
     ServeStricter,
-    /// It goes on serving for a limited time.
+    /// The gateway keeps serving for a limited time.
     ServeDuringGrace {
-        /// How long, counted from the end of the lease.
+        /// Duration of the grace period from the end of the lease, in microseconds.
         grace_us: u64,
     },
 }
 
-/// What is configured about a member.
+/// The configuration of a member.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
     /// The member's own name.
@@ -27,17 +28,17 @@
     pub acceptors: Vec<String>,
     /// Duration of leases and bound on clock drift.
     pub lease_config: LeaseConfig,
-    /// How long a proposal may take.
+    /// Maximum duration of a proposal, in microseconds.
     pub proposal_timeout_us: u64,
-    /// After how long without a majority a phase of a proposal is retried.
+    /// Interval after which a phase of a proposal without a majority is retried, in microseconds.
     pub retry_interval_us: u64,
-    /// What to do when a lease cannot be renewed.
+    /// What the member does when its leases cannot be renewed.
     pub lease_loss_policy: LeaseLossPolicy,
-    /// Seed of the random numbers; has to differ between members and between starts of one member.
+    /// Seed of the random numbers. It has to differ between members and between starts of one member.
     pub seed: u64,
 }
 
-/// What the caller has to do for the node.
+/// An action that the caller has to carry out for the node.
 #[derive(Debug, PartialEq)]
 pub enum NodeOutput {
     /// Send a message to another member.
@@ -54,16 +55,17 @@
     Log(String),
 }
 
-/// Whether this member can serve under a document; the error says why not.
+/// Checks whether this member can serve under a document; the error is the reason why it cannot.
 pub type PolicyValidator = Box<dyn Fn(&Document) -> Result<(), String>>;
 
-/// Whether requests may be admitted now.
+/// Whether and under which policies a member may admit requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServingState {
-    /// Under this policy; where there is a second one that may be in force as well, under the stricter of both.
+    /// Requests may be admitted under the first policy. If a second policy is given, it may be in force too, and requests have to be
+    /// admitted under the stricter of the two.
     Serving(PolicyId, Option<PolicyId>),
-    /// From this time on, by the leases that are already granted.
+    /// No policy is held now; one will be held from this time on, by the leases granted so far.
     Pending(u64),
-    /// Not: there is no lease, or this member cannot serve under the policy.
+    /// No requests may be admitted: the member holds no policy, or it cannot serve under the policy that it holds.
     NotServing,
 }
--- a/crates/policy-consensus/src/node/join.rs
+++ b/crates/policy-consensus/src/node/join.rs
@@ -1,15 +1,15 @@
-//! How the member's own acceptor joins in place of one whose state was lost.
+//! The join of the member's own acceptor, which replaces an acceptor whose state was lost.
 
 use super::interface::NodeOutput;
 use super::member::ConsensusNode;
 use crate::acceptor::{AcceptorReply, AcceptorRequest, AcceptorState};
 use crate::majority;
 
-/// The number of join requests; numbers of proposals are odd, so it is none of theirs.
+/// The number of all join requests. The numbers of proposals are odd, so they never equal it.
 pub(super) const JOIN_REQUEST_NUMBER: u64 = 2;
 
 impl ConsensusNode {
-    /// While this acceptor joins: asks the others again when it is due.
+    /// While this acceptor is joining, sends the join request to all acceptors whenever a retry is due.
     pub(super) fn retry_join(&mut self, now: u64, out: &mut Vec<NodeOutput>) {
         let highest_ballot = self.lease_holder.highest_ballot_number();
         let Some(local) = &mut self.local_acceptor else {
@@ -29,9 +29,10 @@
         self.send_to_acceptors(JOIN_REQUEST_NUMBER, &request, out);
     }
 
-    /// While this acceptor joins: takes another's reply. Once a majority of all acceptors, this one not counted, has promised the
-    /// ballot, this one knows at least what its predecessor accepted, and nothing that rests on a promise of the predecessor can be
-    /// accepted any more.
+    /// Handles another acceptor's reply while this acceptor is joining, and writes the joined state once a majority has promised.
+    ///
+    /// The majority is one of all acceptors and does not include this one. Once it has promised the ballot, this acceptor knows at
+    /// least the policy that its predecessor accepted, and no policy that depends on a promise of the predecessor can be accepted.
     pub(super) fn handle_join_reply(
         &mut self,
         now: u64,
--- a/crates/policy-consensus/src/node/leases.rs
+++ b/crates/policy-consensus/src/node/leases.rs
@@ -1,5 +1,4 @@
-//! Lease upkeep: requests to the acceptors, their grants and incarnations, and recovery where the grants show that a change was left
-//! incomplete.
+//! Lease renewal, the acceptors' grants and incarnations, and recovery of changes that the grants show to be incomplete.
 
 use super::interface::{NodeOutput, ServingState};
 use super::member::{ConsensusNode, LeaseRequest};
@@ -7,14 +6,14 @@
 use crate::message::{Message, ReportedState};
 use rand_pcg::rand_core::RngCore;
 
-/// Lease requests whose answers are still awaited.
+/// Maximum number of lease requests whose answers are still accepted.
 const MAX_LEASE_REQUESTS: usize = 16;
-/// An acceptor finishes an incomplete change once it has lasted for this and a random time of up to as much again, so that seldom
-/// two do so at once.
+/// Minimum time for which a change has to be incomplete before an acceptor recovers it. Each acceptor adds a random time of up to
+/// the same length, so that two acceptors rarely recover a change at the same time.
 const MIN_RECOVERY_DELAY_US: u64 = 500_000;
 
 impl ConsensusNode {
-    /// Requests leases from all acceptors when it is due; twice as often while there is none.
+    /// Requests leases from all acceptors when the renewal is due; twice as often while the member is not serving.
     pub(super) fn renew_leases(&mut self, now: u64, out: &mut Vec<NodeOutput>) {
         if now < self.next_lease_request_at {
             return;
@@ -37,7 +36,7 @@
         self.send_to_acceptors(number, &AcceptorRequest::Lease, out);
     }
 
-    /// Takes an acceptor's grant in answer to the lease request `number`.
+    /// Records an acceptor's grant in reply to the lease request `number`. Grants in reply to unknown requests are ignored.
     pub(super) fn record_grant(
         &mut self,
         now: u64,
@@ -62,7 +61,7 @@
         self.accept_chosen_policy();
     }
 
-    /// Has the local acceptor accept the latest chosen policy if it missed the proposal.
+    /// Sends the latest chosen policy to the local acceptor if the acceptor missed the proposal.
     fn accept_chosen_policy(&mut self) {
         let local = self.local_acceptor.as_ref();
         let Some(local) = local.filter(|local| local.is_active()) else {
@@ -86,7 +85,7 @@
         }
     }
 
-    /// Takes note of an acceptor's incarnation. Once it is a later one, nothing that an earlier one said counts any more.
+    /// Records an acceptor's incarnation. A higher incarnation than the known one voids the leases and replies of the earlier one.
     pub(super) fn record_incarnation(&mut self, acceptor: u64, incarnation: u64) {
         if acceptor >= self.config.acceptors.len() as u64 {
             return;
@@ -96,14 +95,15 @@
             return;
         }
         *known = incarnation;
-        self.lease_holder.forget_acceptor(acceptor);
+        self.lease_holder.discard_acceptor(acceptor);
         for proposal in self.proposals.values_mut() {
-            proposal.proposer.forget_acceptor(acceptor);
+            proposal.proposer.discard_acceptor(acceptor);
         }
         self.invalidate_serving_state();
     }
 
-    /// As an active acceptor: starts a proposal without a policy of its own once the acceptors have diverged for long enough.
+    /// Starts a proposal without a policy of its own, which completes an interrupted change, once the acceptors have diverged for long
+    /// enough. Only members with an active acceptor do so.
     pub(super) fn recover_interrupted_change(&mut self, now: u64, out: &mut Vec<NodeOutput>) {
         let local = self.local_acceptor.as_ref();
         let is_active = local.is_some_and(|local| local.is_active());
@@ -111,7 +111,7 @@
             self.recovery_at = None;
             return;
         }
-        // Drawn in each step, although only the first draw counts.
+        // A number is drawn in each tick, although only the first one is used.
         let delay_us = MIN_RECOVERY_DELAY_US + self.rng.next_u64() % MIN_RECOVERY_DELAY_US;
         let recovery_at = *self.recovery_at.get_or_insert(now + delay_us);
         if now < recovery_at {
--- a/crates/policy-consensus/src/node/local_acceptor.rs
+++ b/crates/policy-consensus/src/node/local_acceptor.rs
@@ -1,4 +1,4 @@
-//! The state of the member's own acceptor.
+//! The member's own acceptor with its pending write and its join.
 
 use crate::acceptor::{Acceptor, AcceptorIncarnation, AcceptorReply, AcceptorState};
 use crate::message::{AcceptorAnswer, Message};
@@ -6,50 +6,53 @@
 use crate::{Ballot, Policy};
 use std::collections::BTreeMap;
 
-/// The acceptor of this member, and what is on its disk.
+/// The acceptor of this member and the status of its durable state.
 pub(super) struct LocalAcceptor {
-    /// Its index among the acceptors.
+    /// The acceptor's index among the acceptors.
     pub(super) index: u64,
     pub(super) acceptor: Acceptor,
-    /// The number of the state that is on disk.
+    /// The number of the state on disk.
     pub(super) state: u64,
+    /// The write in progress; no request is handled before it ends.
     pub(super) pending_write: Option<PendingWrite>,
+    /// The join in progress; `None` once the acceptor has joined.
     pub(super) join: Option<JoinAttempt>,
-    /// When a failed write is retried; `u64::MAX` while it is being retried.
+    /// When the failed write is retried; `u64::MAX` while the retry is in progress, `None` if the last write did not fail.
     pub(super) write_retry_at: Option<u64>,
-    /// Why it does not answer as an acceptor any more.
+    /// Why the acceptor no longer answers requests; `None` while it does.
     pub(super) disabled_reason: Option<String>,
 }
 
 /// A record that is being written.
 pub(super) struct PendingWrite {
     pub(super) record: AcceptorRecord,
-    /// What may be sent once the record is on disk.
+    /// The reply to send once the record is on disk.
     pub(super) reply: Option<PendingReply>,
 }
 
-/// A reply that waits for a write.
+/// A reply that is sent once a write has completed.
 pub(super) struct PendingReply {
+    /// The name of the receiving member.
     pub(super) to: String,
     pub(super) message: Message,
 }
 
-/// The attempt of a new acceptor to join in place of a lost one.
+/// The attempt of a new acceptor to replace a lost one.
 pub(super) struct JoinAttempt {
     pub(super) ballot: Ballot,
-    /// What each acceptor that promised the ballot had accepted, by acceptor index.
+    /// The last accepted policy of each acceptor that promised the ballot, by acceptor index.
     pub(super) promises: BTreeMap<u64, Option<(Ballot, Policy)>>,
     pub(super) retry_at: u64,
 }
 
 impl JoinAttempt {
-    /// Starts over with a higher ballot.
+    /// Restarts the attempt with this higher ballot number.
     pub(super) fn restart(&mut self, ballot_number: u64) {
         self.ballot.number = ballot_number;
         self.promises.clear();
     }
 
-    /// Takes another acceptor's reply.
+    /// Records another acceptor's reply to the join request.
     pub(super) fn handle_reply(&mut self, from: u64, reply: AcceptorReply) {
         match reply {
             AcceptorReply::Preempted(higher) if higher.number >= self.ballot.number => {
@@ -62,7 +65,7 @@
         }
     }
 
-    /// What was accepted by the highest ballot among the promises.
+    /// Returns the accepted policy with the highest ballot among the promises.
     pub(super) fn latest_accepted(&self) -> Option<(Ballot, Policy)> {
         self.promises
             .values()
@@ -73,12 +76,12 @@
 }
 
 impl LocalAcceptor {
-    /// Whether it answers requests: it has a valid state and has joined.
+    /// Returns whether the acceptor answers requests: it has a valid state and has joined.
     pub(super) fn is_active(&self) -> bool {
         self.disabled_reason.is_none() && self.join.is_none()
     }
 
-    /// Takes note of the next record, and returns it to be written.
+    /// Marks the next record as being written, and returns it for the caller to write.
     pub(super) fn start_write(
         &mut self,
         name: &str,
@@ -99,7 +102,7 @@
         record
     }
 
-    /// The answer to the request `number`, as it may be sent once `state` is on disk.
+    /// Creates the answer to the request `number`, which may be sent once the state numbered `state` is on disk.
     pub(super) fn answer(&self, number: u64, state: u64, reply: AcceptorReply) -> Message {
         let durable = self.acceptor.state();
         let others = durable.incarnations.iter();
--- a/crates/policy-consensus/src/node/member.rs
+++ b/crates/policy-consensus/src/node/member.rs
@@ -1,4 +1,4 @@
-//! The state of one member of the consensus.
+//! The state of one member of the consensus, its creation and its tick.
 
 use super::fetches::DocumentFetches;
 use super::interface::{NodeConfig, NodeOutput, PolicyValidator, ServingState};
@@ -13,18 +13,19 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Policies in the history, and validation results, that are remembered.
+/// Maximum number of policies in the history, and of cached validation results.
 pub(super) const MAX_REMEMBERED_POLICIES: usize = 64;
 
-/// A request for leases that went to all acceptors.
+/// A lease request that was sent to all acceptors.
 pub(super) struct LeaseRequest {
     pub(super) number: u64,
     pub(super) sent_at: u64,
 }
 
-/// Where a request to check a policy came from.
+/// The origin of a request to check a policy.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct CheckSource {
+    /// The name of the member that sent the request.
     pub(super) member: String,
     /// The number of the proposal.
     pub(super) number: u64,
@@ -38,34 +39,36 @@
     pub(super) lease_holder: LeaseHolder,
     pub(super) local_acceptor: Option<LocalAcceptor>,
     pub(super) documents: DocumentStore,
+    /// Cached validation results, by document digest.
     pub(super) validations: BTreeMap<Digest, Result<(), String>>,
-    /// The latest lease requests, the oldest first.
+    /// The latest lease requests, oldest first.
     pub(super) lease_requests: VecDeque<LeaseRequest>,
     pub(super) next_lease_request_at: u64,
-    /// The latest incarnation and state that each acceptor reported of itself, by acceptor index.
+    /// The highest incarnation and state that each acceptor reported to this member, by acceptor index.
     pub(super) reported_states: BTreeMap<u64, ReportedState>,
-    /// The highest incarnation that anybody reported, by acceptor index.
+    /// The highest incarnation of each acceptor that any member reported, by acceptor index.
     pub(super) incarnations: BTreeMap<u64, u64>,
+    /// The proposals started at this member, by number.
     pub(super) proposals: BTreeMap<u64, Proposal>,
     pub(super) fetches: DocumentFetches,
-    /// Checks that wait for their document.
+    /// Checks that wait for the document of their policy.
     pub(super) pending_checks: BTreeMap<CheckSource, Policy>,
-    /// Messages of this member to itself.
+    /// Messages from this member to itself that are not handled yet.
     pub(super) inbox: VecDeque<Message>,
-    /// When this acceptor finishes a change that somebody left incomplete.
+    /// When this member's acceptor recovers the incomplete change; `None` if no change is known to be incomplete.
     pub(super) recovery_at: Option<u64>,
     pub(super) serving_state: ServingState,
-    /// Until when `serving_state` holds if nothing is received before.
+    /// Until when `serving_state` is valid if no message is received before.
     pub(super) serving_state_valid_until: u64,
-    /// The last policy that was held, and the end of the last lease on it.
+    /// The last policy under which this member served, and the end of the last lease on it.
     pub(super) last_lease: Option<(PolicyId, u64)>,
-    /// Policies that were held here and since when, the latest last.
+    /// The policies that were held at this member with the times since when, oldest first.
     pub(super) history: VecDeque<(PolicyId, u64)>,
 }
 
 impl ConsensusNode {
-    /// Creates a member at time `now`. `local_record` is what the member's acceptor has on disk, or why it cannot be read; `None` if
-    /// the member is not an acceptor.
+    /// Creates a member at time `now`. `local_record` is the record that the member's acceptor has on disk or the reason why it cannot
+    /// be read; `None` if the member is not an acceptor.
     pub fn new(
         now: u64,
         config: NodeConfig,
@@ -100,8 +103,8 @@
         node
     }
 
-    /// Does what is due at `now`. `other_members` are all members that are reachable, without this one; they are looked at only while
-    /// a proposal is in progress.
+    /// Does the work that is due at `now`: retries, lease renewal, proposals and fetches. `other_members` are the reachable members
+    /// other than this one; they are used only while a proposal is in progress.
     pub fn tick(&mut self, now: u64, other_members: &[String], out: &mut Vec<NodeOutput>) {
         self.retry_write(now, out);
         self.retry_join(now, out);
@@ -112,17 +115,17 @@
         self.process_inbox(now, out);
     }
 
-    /// The document of a policy, if it is here.
+    /// Returns the document of a policy if it is stored at this member.
     pub fn document(&mut self, id: &PolicyId) -> Option<&str> {
         self.documents.get(&id.digest)
     }
 
-    /// The last policy that was held, and the end of the last lease on it.
+    /// Returns the last policy under which this member served, and the end of the last lease on it.
     pub fn last_lease(&self) -> Option<(PolicyId, u64)> {
         self.last_lease
     }
 
-    /// The policies that were held here and since when, the latest last.
+    /// Returns the policies that were held at this member with the times since when, oldest first.
     pub fn history(&self) -> impl Iterator<Item = &(PolicyId, u64)> {
         self.history.iter()
     }
--- a/crates/policy-consensus/src/node/proposals.rs
+++ b/crates/policy-consensus/src/node/proposals.rs
@@ -1,4 +1,4 @@
-//! The proposals that were started at this member.
+//! The set of proposals that were started at this member.
 
 use super::interface::NodeOutput;
 use super::member::ConsensusNode;
@@ -11,13 +11,14 @@
 use rand_pcg::rand_core::RngCore;
 use std::collections::BTreeSet;
 
-/// Proposals that are remembered.
+/// Maximum number of proposals in the set, in progress or finished.
 const MAX_PROPOSALS: usize = 32;
-/// Proposals that may be in progress at once.
+/// Maximum number of proposals in progress at the same time.
 const MAX_ACTIVE_PROPOSALS: usize = 4;
 
 impl ConsensusNode {
-    /// The proposals that were started here and are still remembered.
+    /// Returns the status of the proposals that were started at this member, except of those that were evicted and of those that only
+    /// complete an interrupted change.
     pub fn proposals(&self) -> impl Iterator<Item = ProposalStatus> + '_ {
         let own_name = &self.config.name;
         self.proposals
@@ -25,16 +26,16 @@
             .filter_map(move |(number, proposal)| proposal.status(*number, own_name))
     }
 
-    /// Whether a proposal is in progress here.
+    /// Returns whether a proposal that was started at this member is in progress.
     pub fn has_active_proposal(&self) -> bool {
         self.proposals.values().any(Proposal::is_active)
     }
 
-    /// Proposes the policy document `text`. `other_members` are all reachable members but this one; all of them have to be able to
-    /// serve under it. Returns the proposal's number, by which it is found among [`ConsensusNode::proposals`].
+    /// Proposes the policy document `text`. `other_members` are the reachable members other than this one; all of them have to be able
+    /// to serve under the policy. Returns the proposal's number, which identifies it in [`ConsensusNode::proposals`].
     ///
     /// # Errors
-    /// The document is wrong, this member cannot serve under it, or too many proposals are in progress.
+    /// Returns an error if the document is invalid, this member cannot serve under it, or too many proposals are in progress.
     pub fn propose(
         &mut self,
         now: u64,
@@ -58,15 +59,15 @@
         Ok(number)
     }
 
-    /// Aborts a proposal. Returns `false` where that is not possible: it is not known, it is finished, or acceptors may have accepted
-    /// it already.
+    /// Aborts a proposal. Returns `false` if that is impossible: the proposal is unknown or finished, or acceptors may have accepted its
+    /// policy.
     pub fn abort(&mut self, now: u64, number: u64, out: &mut Vec<NodeOutput>) -> bool {
         self.with_proposal(now, number, out, |proposal, outputs| {
             proposal.proposer.abort(outputs)
         })
     }
 
-    /// Starts a proposal, of `policy` or, without one, only to finish an interrupted change; returns its number.
+    /// Starts a proposal and returns its number. Without a `policy`, the proposal only completes an interrupted change.
     pub(super) fn start_proposal(
         &mut self,
         now: u64,
@@ -76,11 +77,11 @@
         let active = self.proposals.values().filter(|p| p.is_active()).count();
         if active >= MAX_ACTIVE_PROPOSALS {
             return Err(format!(
-                "{active} proposals are under way here; wait for their end"
+                "{active} proposals are in progress at this member, the maximum is {MAX_ACTIVE_PROPOSALS}; wait until one has ended"
             ));
         }
         self.evict_finished_proposals();
-        // Odd, so that it differs from the numbers of join requests.
+        // Odd, so that the number differs from that of join requests.
         let number = self.rng.next_u64() >> 1 | 1;
         let members = other_members.to_vec();
         let member_numbers: BTreeSet<u64> = (1..=members.len() as u64).collect();
@@ -106,19 +107,19 @@
         Ok(number)
     }
 
-    /// Makes room for one more proposal.
+    /// Evicts the oldest finished proposals to make room for another one.
     fn evict_finished_proposals(&mut self) {
         while self.proposals.len() >= MAX_PROPOSALS {
             let finished = self.proposals.iter().filter(|(_, p)| !p.is_active());
             let oldest = finished.min_by_key(|(_, p)| p.finished_at);
-            // There is one, as MAX_ACTIVE_PROPOSALS is lower.
+            // A finished proposal exists, as MAX_ACTIVE_PROPOSALS is lower than MAX_PROPOSALS.
             if let Some(number) = oldest.map(|(number, _)| *number) {
                 self.proposals.remove(&number);
             }
         }
     }
 
-    /// Tells the proposals which members are not reachable any more, and has them do what is due.
+    /// Drops the members that are no longer reachable from each proposal, then does the work that is due for it.
     pub(super) fn tick_proposals(
         &mut self,
         now: u64,
@@ -138,8 +139,8 @@
         }
     }
 
-    /// Has a proposal do something, then carries out what its proposer wants done. Returns the default where there is no such
-    /// proposal.
+    /// Applies `action` to a proposal and carries out the outputs of its proposer. Returns the result of `action`, or the default value
+    /// if the proposal is unknown.
     pub(super) fn with_proposal<T: Default>(
         &mut self,
         now: u64,
@@ -167,7 +168,7 @@
         result
     }
 
-    /// Asks the members that have not confirmed yet whether they can serve under the policy.
+    /// Sends a check request to each member that has not confirmed yet that it can serve under the policy.
     fn check_members(&mut self, number: u64, policy: Policy, out: &mut Vec<NodeOutput>) {
         let Some(proposal) = self.proposals.get(&number) else {
             return;
@@ -185,7 +186,7 @@
         }
     }
 
-    /// Logs the phase that a request begins; not its retries.
+    /// Logs the phase that a request begins. Retries within the same phase are not logged.
     fn log_phase(&mut self, number: u64, request: &AcceptorRequest, out: &mut Vec<NodeOutput>) {
         let phase = match request {
             AcceptorRequest::Prepare(_) => "prepare",
@@ -200,6 +201,7 @@
         }
     }
 
+    /// Records and logs the outcome of a proposal. A proposal that only completed an interrupted change is removed.
     fn finish_proposal(
         &mut self,
         now: u64,
@@ -211,12 +213,14 @@
             return;
         };
         proposal.finished_at = now;
-        let result = if let Some(policy) = proposal.policy {
+        let summary = if let Some(policy) = proposal.policy {
             describe_outcome(outcome, &policy)
         } else {
             self.proposals.remove(&number);
             "finished".to_string()
         };
-        out.push(NodeOutput::Log(format!("policy: {result} number={number}")));
+        out.push(NodeOutput::Log(format!(
+            "policy: {summary} number={number}"
+        )));
     }
 }
--- a/crates/policy-consensus/src/node/serving.rs
+++ b/crates/policy-consensus/src/node/serving.rs
@@ -1,4 +1,4 @@
-//! Whether, and under which policy, this member may admit requests.
+//! The serving state: whether and under which policies this member may admit requests.
 
 use super::interface::{LeaseLossPolicy, ServingState};
 use super::member::{ConsensusNode, MAX_REMEMBERED_POLICIES};
@@ -7,7 +7,7 @@
 use frosthatch_config_reader::join_errors;
 
 impl ConsensusNode {
-    /// Under which policy requests may be admitted at `now`.
+    /// Returns whether and under which policies requests may be admitted at `now`.
     pub fn serving_state(&mut self, now: u64) -> ServingState {
         if now >= self.serving_state_valid_until {
             let (state, valid_until) = self.compute_serving_state(now);
@@ -17,37 +17,40 @@
         self.serving_state
     }
 
-    /// Has the serving state computed anew, after something it depends on has changed.
+    /// Invalidates the cached serving state after one of its inputs has changed.
     pub(super) fn invalidate_serving_state(&mut self) {
         self.serving_state_valid_until = 0;
     }
 
-    /// Drops all validation results, after what this member can serve under may have changed.
+    /// Drops all cached validation results. The caller calls this when the results of the validator may have changed.
     pub fn revalidate(&mut self) {
         self.validations.clear();
         self.invalidate_serving_state();
     }
 
-    /// The serving state, and until when it holds if nothing is received before.
+    /// Computes the serving state and the time until which it is valid if no message is received before.
     fn compute_serving_state(&mut self, now: u64) -> (ServingState, u64) {
-        let next_change = self.lease_holder.next_change(now).unwrap_or(u64::MAX);
+        let next_change = self.lease_holder.next_change_at(now).unwrap_or(u64::MAX);
         if let Some(id) = self.lease_holder.advance_to_held_policy(now) {
-            return (self.serving_state_under(now, id, next_change), next_change);
+            return (
+                self.serving_state_with_lease(now, id, next_change),
+                next_change,
+            );
         }
-        if let Some(starts_at) = self.lease_holder.pending_until(now) {
+        if let Some(starts_at) = self.lease_holder.next_held_at(now) {
             return (ServingState::Pending(starts_at), next_change);
         }
         self.serving_state_without_lease(now, next_change)
     }
 
-    /// The serving state while there is a lease on `id` until `lease_end`.
-    fn serving_state_under(&mut self, now: u64, id: PolicyId, lease_end: u64) -> ServingState {
+    /// Computes the serving state while the policy `id` is held, until `lease_end`. Adds a newly held policy to the history.
+    fn serving_state_with_lease(&mut self, now: u64, id: PolicyId, lease_end: u64) -> ServingState {
         let can_serve = self.can_serve_under(&id);
         if can_serve {
             self.last_lease = Some((id, lease_end));
         }
-        let is_new = self.history.back().is_none_or(|(last, _)| *last != id);
-        if is_new {
+        let is_newly_held = self.history.back().is_none_or(|(last, _)| *last != id);
+        if is_newly_held {
             self.history.push_back((id, now));
             let excess = self.history.len().saturating_sub(MAX_REMEMBERED_POLICIES);
             self.history.drain(..excess);
@@ -59,9 +62,9 @@
         }
     }
 
-    /// The serving state after the last lease ended without a next one, as [`LeaseLossPolicy`] says.
+    /// Computes the serving state without a held policy, according to the configured [`LeaseLossPolicy`].
     fn serving_state_without_lease(&mut self, now: u64, next_change: u64) -> (ServingState, u64) {
-        // After a policy under which this member could not serve was in force, an earlier one must not be used again.
+        // If a later policy was held under which this member could not serve, it must not serve under an earlier one again.
         let highest_held_version = self.lease_holder.highest_held_version();
         let last_lease = self
             .last_lease
@@ -88,12 +91,12 @@
         }
     }
 
-    /// Whether this member can serve under a policy. Version 0 needs no document.
+    /// Returns whether this member can serve under a policy. Version 0 needs no document.
     fn can_serve_under(&mut self, id: &PolicyId) -> bool {
         id.version == 0 || self.validation_of(id).is_some_and(|result| result.is_ok())
     }
 
-    /// Whether this member can serve under a policy, or why not; `None` while its document is not here.
+    /// Returns whether this member can serve under a policy, with the reason if it cannot; `None` while the document is missing.
     pub(super) fn validation_of(&mut self, id: &PolicyId) -> Option<Result<(), String>> {
         if let Some(result) = self.validations.get(&id.digest) {
             return Some(result.clone());
@@ -102,7 +105,7 @@
         let result = match Document::read("policy", text) {
             Ok(document) if document.version == id.version => (self.validator)(&document),
             Ok(document) => Err(format!(
-                "its document says that it is version {}",
+                "the document states another version than the policy: {}",
                 document.version
             )),
             Err(mistakes) => Err(join_errors(&mistakes)),
--- a/crates/policy-consensus/src/policy.rs
+++ b/crates/policy-consensus/src/policy.rs
@@ -1,24 +1,24 @@
-//! The value of the register: a policy by its version and digests.
+//! The value of the register: a policy, given by its version and digests.
 
 use crate::digest::{hex, Digest};
 use serde::{Deserialize, Serialize};
 
-/// A policy as the register holds it; its document is transferred separately, by its digest. Versions grow by one. Version 0 is what each
-/// gateway's own files say, and the parent of version 1.
+/// A policy as the register holds it. Its document is transferred separately and identified by its digest. Each version is one above
+/// its parent's. Version 0 is the policy in each gateway's own files; it is the parent of version 1 and has no document.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Policy {
-    /// One above the version of the parent.
+    /// The policy's version: one above the version of the parent.
     pub version: u64,
-    /// SHA-256 of the document.
+    /// SHA-256 of the policy's document.
     pub digest: Digest,
-    /// SHA-256 of the parent's document; zeros in version 1.
+    /// SHA-256 of the parent's document; zeros in versions 0 and 1.
     pub parent: Digest,
 }
 
 impl Policy {
-    /// Whether this policy is a direct successor of `predecessor`; without one, whether it can be the first.
+    /// Returns whether this policy is a direct successor of `predecessor`; without a predecessor, whether it is a valid first policy.
     pub fn follows(&self, predecessor: Option<&Policy>) -> bool {
         match predecessor {
             Some(predecessor) => {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// What identifies this policy.
+    /// Returns the identifier of this policy.
     pub fn id(&self) -> PolicyId {
         PolicyId {
             version: self.version,
@@ -37,7 +37,7 @@
     }
 }
 
-/// Identifies a policy: two proposals of the same version differ in their digest.
+/// The identifier of a policy. Two proposed policies of the same version differ in their digest.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -49,7 +49,7 @@
 }
 
 impl PolicyId {
-    /// The version and the first 12 digits of the digest, for logs and operators.
+    /// Formats the version and the first 12 hexadecimal digits of the digest, for logs and operators.
     pub fn short(&self) -> String {
         format!("{} ({})", self.version, &hex(&self.digest)[..12])
     }
--- a/crates/policy-consensus/src/proposer.rs
+++ b/crates/policy-consensus/src/proposer.rs
@@ -1,10 +1,11 @@
-//! A proposer: it changes the register. First all reachable members check the policy, then a majority of the acceptors promises a
-//! ballot, then a majority accepts the policy. Where an earlier proposer left a change incomplete, that one is finished first.
+//! A proposer: the state machine of one change of the register. First all reachable members check the policy, then a majority of the
+//! acceptors promises a ballot, then a majority accepts the policy. A change that an earlier proposer left incomplete is completed
+//! first.
 //!
 //! ```text
 //! Checking -> Preparing -> Accepting -> Done
 //!                 ^            |
-//!                 +------------+  preempted, or another policy had to be finished first
+//!                 +------------+  preempted, or another change had to be completed first
 //! ```
 
 mod outcome;
@@ -18,41 +19,43 @@
 /// The fixed parameters of a proposer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ProposerConfig {
-    /// Differs between all proposers; part of their ballots.
+    /// The proposer's id, which is unique among all proposers and part of their ballots.
     pub id: u64,
     /// The number of acceptors.
     pub acceptors: usize,
-    /// How long the proposal may take; members have half of it to check the policy.
+    /// Maximum duration of the proposal, in microseconds. The members have half of it to check the policy.
     pub timeout_us: u64,
-    /// After how long without a majority a request is repeated.
+    /// Interval after which a request without a majority is repeated, in microseconds.
     pub retry_interval_us: u64,
 }
 
-/// An acceptor's promise.
+/// An acceptor's promise of the proposer's ballot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Promise {
-    /// The incarnation of the acceptor that gave it.
+    /// The incarnation of the acceptor that made the promise.
     incarnation: u64,
+    /// The acceptor's last accepted policy, with its ballot.
     accepted: Option<(Ballot, Policy)>,
 }
 
+/// The phase of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
-    /// Members check the policy.
+    /// Before the first attempt: members check whether they can serve under the policy, by member number.
     Checking {
         confirmed: BTreeSet<u64>,
         required: BTreeSet<u64>,
     },
-    /// Acceptors promise the ballot; by acceptor index.
-    Preparing {
-        promises: BTreeMap<u64, Promise>,
-    },
-    /// Acceptors accept a policy, which is not the proposed one where another has to be finished first.
+    /// After a prepare request: acceptors promise the ballot, by acceptor index.
+    Preparing { promises: BTreeMap<u64, Promise> },
+    /// After a majority of promises: acceptors accept `policy`. It is not the proposed policy if another change has to be completed
+    /// first.
     Accepting {
         accepted_by: BTreeSet<u64>,
         policy: Policy,
         promised_by: Vec<AcceptorIncarnation>,
     },
+    /// The proposal has ended.
     Done,
 }
 
@@ -60,27 +63,27 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Proposer {
     config: ProposerConfig,
-    /// `None` where it only finishes an interrupted change.
+    /// The proposed policy; `None` if the proposer only completes an interrupted change.
     proposed: Option<Policy>,
     ballot: Ballot,
     phase: Phase,
-    /// When it stops waiting for members.
+    /// When the proposer stops waiting for the members' checks.
     check_deadline: u64,
-    /// When it stops waiting for acceptors.
+    /// When the proposer stops waiting for the acceptors.
     deadline: u64,
     next_retry_at: u64,
-    /// A higher ballot was promised, so this one cannot get a majority any more; or none was tried yet.
-    is_preempted: bool,
-    /// Ballots that were tried.
+    /// Whether the next attempt needs a new ballot: either an acceptor promised a higher one, or no ballot was tried yet.
+    needs_new_ballot: bool,
+    /// Number of ballots that were tried.
     attempts: u32,
-    /// Some acceptor may have accepted the proposed policy.
+    /// Whether an acceptor may have accepted the proposed policy.
     may_be_accepted: bool,
     outcome: Option<ProposalOutcome>,
 }
 
 impl Proposer {
-    /// Starts a proposal at time `now`. `highest_ballot` is the highest ballot number that was heard of; `members` are the numbers of
-    /// those that have to confirm that they can serve under the policy.
+    /// Creates the proposer of a proposal that starts at `now`. `highest_ballot` is the highest known ballot number; `members` are the
+    /// numbers of the members that have to confirm that they can serve under the policy.
     pub fn new(
         now: u64,
         config: ProposerConfig,
@@ -101,7 +104,7 @@
             check_deadline: now + config.timeout_us / 2,
             deadline: now + config.timeout_us,
             next_retry_at: now,
-            is_preempted: true,
+            needs_new_ballot: true,
             attempts: 0,
             may_be_accepted: false,
             outcome: None,
@@ -109,17 +112,17 @@
         }
     }
 
-    /// How it ended; `None` while it is in progress.
+    /// Returns how the proposal ended; `None` while it is in progress.
     pub fn outcome(&self) -> Option<&ProposalOutcome> {
         self.outcome.as_ref()
     }
 
-    /// The proposed policy; `None` where it only finishes an interrupted change.
+    /// Returns the proposed policy; `None` if the proposer only completes an interrupted change.
     pub fn proposed_policy(&self) -> Option<&Policy> {
         self.proposed.as_ref()
     }
 
-    /// The members that confirmed that they can serve under the policy; `None` once the acceptors have been asked.
+    /// Returns the members that confirmed that they can serve under the policy; `None` after the checking phase.
     pub fn confirmed_members(&self) -> Option<&BTreeSet<u64>> {
         match &self.phase {
             Phase::Checking { confirmed, .. } => Some(confirmed),
@@ -127,7 +130,7 @@
         }
     }
 
-    /// Takes a member's answer whether it can serve under the policy.
+    /// Records whether a member can serve under the policy. The proposal ends if it cannot.
     pub fn record_check(
         &mut self,
         member: u64,
@@ -141,19 +144,19 @@
             Ok(()) => {
                 confirmed.insert(member);
             }
-            Err(why) => self.finish(ProposalOutcome::Rejected(vec![(member, why)]), out),
+            Err(reason) => self.finish(ProposalOutcome::Rejected(vec![(member, reason)]), out),
         }
     }
 
-    /// Drops a member that is not reachable any more: its lease ends before the change takes effect.
+    /// Stops waiting for the check of a member that is no longer reachable: its lease ends before the change takes effect.
     pub fn remove_member(&mut self, member: u64) {
         if let Phase::Checking { required, .. } = &mut self.phase {
             required.remove(&member);
         }
     }
 
-    /// Forgets what an acceptor said, after a new one has taken its place.
-    pub fn forget_acceptor(&mut self, acceptor: u64) {
+    /// Discards the replies of an acceptor that was replaced by a new one.
+    pub fn discard_acceptor(&mut self, acceptor: u64) {
         match &mut self.phase {
             Phase::Preparing { promises } => {
                 promises.remove(&acceptor);
@@ -165,16 +168,16 @@
         }
     }
 
-    /// Ends the proposal if it is certain that no acceptor has accepted the policy; returns whether it did.
+    /// Ends the proposal if no acceptor can have accepted the policy. Returns whether the proposal was ended.
     pub fn abort(&mut self, out: &mut Vec<ProposerOutput>) -> bool {
         let can_abort = !self.may_be_accepted && self.outcome.is_none();
         if can_abort {
-            self.refuse("it was called off", out);
+            self.reject("the proposal was aborted", out);
         }
         can_abort
     }
 
-    /// Takes an acceptor's reply; `incarnation` is the incarnation of that acceptor.
+    /// Handles a reply of the acceptor with this index and incarnation.
     pub fn handle_reply(
         &mut self,
         now: u64,
@@ -209,19 +212,19 @@
         }
     }
 
-    /// Has the next attempt made with a ballot above `higher`, after a backoff that differs between proposers and grows with each
-    /// attempt, so that two of them do not preempt each other for ever.
+    /// Schedules the next attempt, with a ballot above `higher`. The backoff differs between proposers and grows with each attempt, so
+    /// that two proposers do not preempt each other forever.
     fn back_off(&mut self, now: u64, higher: Ballot) {
         self.ballot.number = higher.number;
         let base_us = self.config.retry_interval_us / 16 * (1 + self.ballot.proposer % 7);
         let backoff_us = base_us << self.attempts.min(4);
-        if !self.is_preempted {
-            self.is_preempted = true;
+        if !self.needs_new_ballot {
+            self.needs_new_ballot = true;
             self.next_retry_at = now + backoff_us;
         }
     }
 
-    /// Once a majority has promised the ballot, asks the acceptors to accept a policy.
+    /// Records a promise. Once a majority has promised the ballot, sends the request to accept a policy.
     fn handle_promise(&mut self, acceptor: u64, promise: Promise, out: &mut Vec<ProposerOutput>) {
         let Phase::Preparing { promises } = &mut self.phase else {
             return;
@@ -245,9 +248,12 @@
         let successor = self
             .proposed
             .filter(|proposed| proposed.follows(current.as_ref()));
-        // Where the proposed policy is no successor of the current one, the current one is finished first.
+        // If the proposed policy is not a successor of the current one, the current one is completed first.
         let Some(policy) = successor.or(current) else {
-            return self.refuse("no policy is there yet: the first has the version 1", out);
+            return self.reject(
+                "no policy has been accepted yet: the first one must have version 1",
+                out,
+            );
         };
         self.may_be_accepted |= Some(policy) == self.proposed;
         self.phase = Phase::Accepting {
@@ -262,7 +268,7 @@
         }));
     }
 
-    /// Once a majority has accepted a policy by the ballot, that policy is chosen.
+    /// Records that an acceptor accepted the policy. Once a majority has accepted it by the ballot, the policy is chosen.
     fn handle_accepted(&mut self, now: u64, acceptor: u64, out: &mut Vec<ProposerOutput>) {
         let Phase::Accepting {
             accepted_by,
@@ -281,14 +287,14 @@
             return self.finish(ProposalOutcome::InForce, out);
         };
         if proposed != chosen && proposed.follows(Some(&chosen)) {
-            // Another policy had to be finished first; now comes the proposed one.
+            // Another change had to be completed first; the proposed policy follows.
             return self.prepare(now, out);
         }
-        let outcome = ProposalOutcome::of(&proposed, &chosen, self.may_be_accepted);
+        let outcome = ProposalOutcome::from_chosen(&proposed, &chosen, self.may_be_accepted);
         self.finish(outcome, out);
     }
 
-    /// Does what is due at `now`: the first request of each phase, retries and timeouts.
+    /// Does the work that is due at `now`: the first request of each phase, retries and timeouts.
     pub fn tick(&mut self, now: u64, out: &mut Vec<ProposerOutput>) {
         match &self.phase {
             Phase::Done => {}
@@ -296,21 +302,23 @@
                 confirmed,
                 required,
             } => {
-                let missing: Vec<u64> = required.difference(confirmed).copied().collect();
-                self.tick_checking(now, missing, out);
+                let unconfirmed: Vec<u64> = required.difference(confirmed).copied().collect();
+                self.tick_checking(now, unconfirmed, out);
             }
             Phase::Preparing { .. } | Phase::Accepting { .. } => self.tick_acceptors(now, out),
         }
     }
 
-    /// While members check: `missing` are those that have not confirmed yet.
-    fn tick_checking(&mut self, now: u64, missing: Vec<u64>, out: &mut Vec<ProposerOutput>) {
-        if self.proposed.is_none() || missing.is_empty() {
+    /// Does the work that is due in the checking phase; `unconfirmed` are the members that have not confirmed yet.
+    fn tick_checking(&mut self, now: u64, unconfirmed: Vec<u64>, out: &mut Vec<ProposerOutput>) {
+        if self.proposed.is_none() || unconfirmed.is_empty() {
             return self.prepare(now, out);
         }
         if now >= self.check_deadline {
-            let why = "it did not say in time whether it can take it";
-            let reasons = missing.into_iter().map(|member| (member, why.to_string()));
+            let reason = "no answer in time whether the member can serve under the policy";
+            let reasons = unconfirmed
+                .into_iter()
+                .map(|member| (member, reason.to_string()));
             return self.finish(ProposalOutcome::Rejected(reasons.collect()), out);
         }
         if now >= self.next_retry_at {
@@ -319,13 +327,16 @@
         }
     }
 
-    /// While acceptors are asked.
+    /// Does the work that is due in the preparing and accepting phases.
     fn tick_acceptors(&mut self, now: u64, out: &mut Vec<ProposerOutput>) {
         if now >= self.deadline {
             if self.may_be_accepted {
                 self.finish(ProposalOutcome::Unknown, out);
             } else {
-                self.refuse("no majority of the keepers was heard", out);
+                self.reject(
+                    "no majority of the keepers replied within the proposal timeout",
+                    out,
+                );
             }
             return;
         }
@@ -333,12 +344,14 @@
             return;
         }
         let request = match &self.phase {
-            Phase::Preparing { .. } if !self.is_preempted => AcceptorRequest::Prepare(self.ballot),
+            Phase::Preparing { .. } if !self.needs_new_ballot => {
+                AcceptorRequest::Prepare(self.ballot)
+            }
             Phase::Accepting {
                 policy,
                 promised_by,
                 ..
-            } if !self.is_preempted => AcceptorRequest::Accept {
+            } if !self.needs_new_ballot => AcceptorRequest::Accept {
                 ballot: self.ballot,
                 policy: *policy,
                 promised_by: promised_by.clone(),
@@ -349,10 +362,10 @@
         out.push(ProposerOutput::SendToAcceptors(request));
     }
 
-    /// Makes an attempt with the next ballot.
+    /// Starts an attempt with the next ballot.
     fn prepare(&mut self, now: u64, out: &mut Vec<ProposerOutput>) {
         self.ballot.number += 1;
-        self.is_preempted = false;
+        self.needs_new_ballot = false;
         self.attempts += 1;
         self.phase = Phase::Preparing {
             promises: BTreeMap::new(),
@@ -363,11 +376,15 @@
         )));
     }
 
-    /// Ends the proposal with nothing changed, for a reason of this member's own.
-    fn refuse(&mut self, why: &str, out: &mut Vec<ProposerOutput>) {
-        self.finish(ProposalOutcome::Rejected(vec![(0, why.to_string())]), out);
+    /// Ends the proposal without a change, for a reason of this member.
+    fn reject(&mut self, reason: &str, out: &mut Vec<ProposerOutput>) {
+        self.finish(
+            ProposalOutcome::Rejected(vec![(0, reason.to_string())]),
+            out,
+        );
     }
 
+    /// Ends the proposal with this outcome.
     fn finish(&mut self, outcome: ProposalOutcome, out: &mut Vec<ProposerOutput>) {
         self.phase = Phase::Done;
         self.outcome = Some(outcome.clone());
--- a/crates/policy-consensus/src/proposer/outcome.rs
+++ b/crates/policy-consensus/src/proposer/outcome.rs
@@ -1,4 +1,4 @@
-//! How a proposal ends, and what its proposer wants done until then.
+//! The outcomes of proposals and the outputs of proposers.
 
 use crate::acceptor::AcceptorRequest;
 use crate::Policy;
@@ -6,20 +6,25 @@
 /// How a proposal ended, as far as its proposer knows.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ProposalOutcome {
-    /// The policy is in force.
+    /// The proposed policy is in force.
     InForce,
-    /// Nothing has changed. With each reason the number of the member that gave it; 0 is the proposer's own member.
+    /// The proposal was refused and the register is unchanged. Each reason comes with the number of the member that gave it; 0 is the
+    /// proposer's own member.
     Rejected(Vec<(u64, String)>),
-    /// This other policy is in force in its place; the proposed one will never be.
+    /// This other policy is in force instead; the proposed one will never be in force.
     Superseded(Policy),
-    /// Not known: acceptors that may have accepted it were not heard.
+    /// The outcome is unknown: acceptors that may have accepted the policy did not reply.
     Unknown,
 }
 
 impl ProposalOutcome {
-    /// What has become of the `proposed` policy, as far as it shows in the one that was `chosen` last. The proposed one may have been
-    /// accepted although no reply said so, and others may have followed on it; `may_be_accepted` says whether that is possible.
-    pub(super) fn of(proposed: &Policy, chosen: &Policy, may_be_accepted: bool) -> ProposalOutcome {
+    /// Derives the outcome for the `proposed` policy from the policy that was `chosen` last. If `may_be_accepted`, the proposed policy
+    /// may have been accepted although no reply confirmed it, and later policies may have succeeded it.
+    pub(super) fn from_chosen(
+        proposed: &Policy,
+        chosen: &Policy,
+        may_be_accepted: bool,
+    ) -> ProposalOutcome {
         if proposed == chosen {
             return ProposalOutcome::InForce;
         }
@@ -34,13 +39,13 @@
     }
 }
 
-/// What a proposer wants done.
+/// An action that the caller has to carry out for a proposer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ProposerOutput {
-    /// Ask the members that have not confirmed yet whether they can serve under the policy.
+    /// Send a check request for the policy to the members that have not confirmed yet.
     CheckMembers(Policy),
-    /// Send a request to all acceptors.
+    /// Send this request to all acceptors.
     SendToAcceptors(AcceptorRequest),
-    /// The proposal has ended.
+    /// Record the outcome of the proposal, which has ended.
     Finished(ProposalOutcome),
 }
--- a/crates/policy-consensus/src/record.rs
+++ b/crates/policy-consensus/src/record.rs
@@ -1,6 +1,7 @@
-//! What an acceptor has on disk: one file a state, the last two of them kept, named by the state's number. A state is written to
-//! another name, synced, and only then renamed. So a file that was being written when the power failed does not exist under its name,
-//! and one that exists but cannot be read was damaged later. Then the acceptor must not start, as what it promised is not known.
+//! The records of an acceptor's durable state on disk. Each state has its own file, named by the state's number, and the last two
+//! files are kept. A record is written to a temporary file, synced and then renamed, so a write that a power failure interrupts leaves
+//! no file under the state's name. A file under that name that cannot be read was damaged later, and the acceptor must not start from
+//! it, because its promises are unknown.
 //!
 //! ```text
 //! "FHKEEPER" | major u8 | minor u8 | body (postcard) | SHA-256 of all before it
@@ -13,84 +14,84 @@
 const MAGIC: &[u8; 8] = b"FHKEEPER";
 const MAJOR: u8 = 1;
 const MINOR: u8 = 0;
-/// Magic bytes, major and minor.
+/// Length of the magic bytes, the major and the minor version, in bytes.
 const HEADER_BYTES: usize = MAGIC.len() + 2;
 const CHECKSUM_BYTES: usize = 32;
-/// Longest file that is read: a document and what is around it.
+/// Maximum length of a record file, in bytes: the longest document and 1024 bytes for the rest of the record.
 pub const MAX_FILE_BYTES: usize = crate::document::MAX_DOCUMENT_BYTES + 1_024;
-/// States that are kept on disk.
+/// Number of the latest states that are kept on disk.
 pub const MAX_KEPT_STATES: u64 = 2;
 
-/// Why an acceptor cannot start from what it has on disk.
+/// Why an acceptor cannot start from its files on disk.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RecordError {
     /// The file is too short, or does not begin with the magic bytes.
-    #[error("it is no keeper's state, or not whole")]
+    #[error("not a keeper state, or incomplete")]
     NotARecord,
     /// The checksum does not match.
-    #[error("it was damaged: its checksum is another")]
+    #[error("damaged: the checksum does not match")]
     WrongChecksum,
-    /// A format that this program cannot read.
-    #[error("its form is {major}, and this program knows {MAJOR}")]
+    /// The major version of the format is not the one that this program reads.
+    #[error("the format version is {major}, this program reads version {MAJOR}")]
     UnknownMajor {
         /// The major version of the format.
         major: u8,
     },
     /// The checksum matches, but the body cannot be decoded.
-    #[error("it makes no sense: {cause}")]
+    #[error("the body cannot be decoded: {cause}")]
     Undecodable {
-        /// What the decoder found.
+        /// The decoder's error.
         cause: postcard::Error,
     },
-    /// The digest of the document is not that of the accepted policy.
-    #[error("its document is not the one that was accepted")]
+    /// The document's digest differs from that of the accepted policy.
+    #[error("the document is not that of the accepted policy")]
     WrongDocument,
-    /// There is no file.
+    /// The directory holds no record file.
     #[error(
-        "there is no state; if it is a new keeper, make its first state by `frosthatch policy init`; if its folder was lost, see the page"
+        "no state file; create the first state of a new keeper with `frosthatch policy init`; to replace a keeper whose folder was lost, see the documentation"
     )]
     NoState,
-    /// The latest file is wrong in itself.
+    /// The latest file cannot be read as a record.
     #[error("{}: {cause}", file_name(*.state))]
     InFile {
-        /// The state in the file's name.
+        /// The number of the state in the file's name.
         state: u64,
-        /// What is wrong with it.
+        /// Why the file cannot be read.
         cause: Box<RecordError>,
     },
-    /// The latest file holds another state than its name says.
-    #[error("{}: it is the state {found} under another name", file_name(*.state))]
+    /// The latest file holds another state than its name states.
+    #[error("{}: the file holds state {found}", file_name(*.state))]
     Renamed {
-        /// The state in the file's name.
+        /// The number of the state in the file's name.
         state: u64,
-        /// The state in the file.
+        /// The number of the state in the record.
         found: u64,
     },
     /// The latest file was written by another acceptor.
-    #[error("it is the folder of {found}, and this one is {expected}")]
+    #[error("the folder belongs to keeper {found}, not to {expected}")]
     OtherAcceptor {
-        /// The acceptor that wrote the file.
+        /// The name of the acceptor that wrote the file.
         found: String,
-        /// The acceptor that reads it.
+        /// The name of the acceptor that reads the file.
         expected: String,
     },
 }
 
-/// One state of an acceptor, as it is on disk.
+/// The record of one durable state of an acceptor.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AcceptorRecord {
-    /// The acceptor's name, so that a folder copied from another acceptor is noticed.
+    /// The acceptor's name, by which a directory copied from another acceptor is detected.
     pub acceptor: String,
-    /// The number of the state; grows by one with each.
+    /// The number of the state, which increases by one with each record.
     pub state: u64,
-    /// The state itself.
+    /// The durable state.
     pub durable: AcceptorState,
     /// The document of the accepted policy; empty for version 0.
     pub document: String,
 }
 
 impl AcceptorRecord {
-    /// The first record of a new acceptor.
+    /// Returns the first record of a new acceptor.
     pub fn initial(acceptor: &str) -> AcceptorRecord {
         AcceptorRecord {
             acceptor: acceptor.into(),
@@ -100,8 +101,8 @@
         }
     }
 
-    /// The first record of an acceptor that joins in place of one whose state was lost; it has to learn from the others what that one
-    /// may have promised.
+    /// Returns the first record of an acceptor that joins to replace one whose state was lost. The new acceptor has to learn from the
+    /// others what the lost one may have promised.
     pub fn joining(acceptor: &str) -> AcceptorRecord {
         let durable = AcceptorState {
             joining: true,
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Encodes the record as the content of its file.
+    /// Encodes the record as the contents of its file.
     pub fn write(&self) -> Vec<u8> {
         let mut bytes = [&MAGIC[..], &[MAJOR, MINOR]].concat();
         bytes.extend(postcard::to_allocvec(self).unwrap_or_default());
@@ -123,10 +124,10 @@
         bytes
     }
 
-    /// Decodes the content of a file.
+    /// Decodes the contents of a record file.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// Returns an error if the contents are not a valid record that this program can read.
     pub fn read(bytes: &[u8]) -> Result<AcceptorRecord, RecordError> {
         if bytes.len() < HEADER_BYTES + CHECKSUM_BYTES || !bytes.starts_with(MAGIC) {
             return Err(RecordError::NotARecord);
@@ -139,7 +140,7 @@
         if major != MAJOR {
             return Err(RecordError::UnknownMajor { major });
         }
-        // A newer minor version may have more fields behind those known here.
+        // A newer minor version may append fields to the known ones.
         let body = &content[HEADER_BYTES..];
         let (record, _) = postcard::take_from_bytes::<AcceptorRecord>(body)
             .map_err(|cause| RecordError::Undecodable { cause })?;
@@ -149,7 +150,7 @@
         Ok(record)
     }
 
-    /// Whether the document is that of the accepted policy.
+    /// Returns whether the document is that of the accepted policy.
     fn has_accepted_document(&self) -> bool {
         let accepted = self.durable.accepted.map(|(_, policy)| policy);
         let digest = if self.document.is_empty() {
@@ -161,29 +162,29 @@
     }
 }
 
-/// The name of the file that holds a state.
+/// Returns the name of the file that holds the state with this number.
 pub fn file_name(state: u64) -> String {
     format!("keeper-{state:020}")
 }
 
-/// The state in a file's name; `None` for files that hold no state.
+/// Parses the number of the state in a file's name; returns `None` for files that hold no state.
 pub fn parse_file_name(name: &str) -> Option<u64> {
     let digits = name.strip_prefix("keeper-").filter(|d| d.len() == 20)?;
     digits.parse().ok()
 }
 
-/// A file of an acceptor's directory.
+/// A record file in an acceptor's directory.
 pub struct RecordFile {
-    /// The state in the file's name.
+    /// The number of the state in the file's name.
     pub state: u64,
-    /// Its content.
+    /// The contents of the file.
     pub bytes: Vec<u8>,
 }
 
-/// Reads the latest record of an acceptor. Earlier ones are no substitute for it, as it is not known what was promised since.
+/// Decodes the latest record of an acceptor. An earlier record is no substitute for it, because the promises since then are unknown.
 ///
 /// # Errors
-/// Why the acceptor cannot start.
+/// Returns an error if there is no record, or if the latest one is invalid or belongs to another acceptor.
 pub fn read_latest(acceptor: &str, files: &[RecordFile]) -> Result<AcceptorRecord, RecordError> {
     let Some(file) = files.iter().max_by_key(|file| file.state) else {
         return Err(RecordError::NoState);
--- a/crates/policy-consensus/src/record/tests.rs
+++ b/crates/policy-consensus/src/record/tests.rs
@@ -33,7 +33,7 @@
     RecordFile { state, bytes }
 }
 
-/// Whether the text of an error, as operators see it, contains `part`.
+/// Returns whether the result is an error whose message contains `part`.
 fn fails_with(result: Result<AcceptorRecord, RecordError>, part: &str) -> bool {
     result.is_err_and(|e| e.to_string().contains(part))
 }
@@ -51,20 +51,26 @@
 }
 
 #[test]
-fn a_record_that_is_not_as_it_was_written_is_rejected() {
+fn a_damaged_or_foreign_record_is_rejected() {
     let valid = record(8).write();
     for n in 0..valid.len() {
-        let mut flipped = valid.clone();
-        flipped[n] ^= 1 << (n % 8);
-        // The earlier state beside it is no substitute: what was promised since is not known.
-        let files = [file(7, record(7).write()), file(8, flipped)];
-        assert!(read_latest("n1", &files).is_err(), "byte {n}");
-        assert!(AcceptorRecord::read(&valid[..n]).is_err(), "cut at {n}");
+        let mut corrupted = valid.clone();
+        corrupted[n] ^= 1 << (n % 8);
+        // The earlier state is no substitute: the promises since then are unknown.
+        let files = [file(7, record(7).write()), file(8, corrupted)];
+        assert!(
+            read_latest("n1", &files).is_err(),
+            "a bit flip in byte {n} is detected"
+        );
+        assert!(
+            AcceptorRecord::read(&valid[..n]).is_err(),
+            "truncation to {n} bytes is detected"
+        );
     }
-    let as_other_acceptor = read_latest("n2", &[file(8, valid.clone())]);
-    assert!(fails_with(as_other_acceptor, "folder of n1"));
-    let as_other_state = read_latest("n1", &[file(9, valid)]);
-    assert!(fails_with(as_other_state, "another name"));
+    let read_by_other_acceptor = read_latest("n2", &[file(8, valid.clone())]);
+    assert!(fails_with(read_by_other_acceptor, "belongs to keeper n1"));
+    let read_under_other_state = read_latest("n1", &[file(9, valid)]);
+    assert!(fails_with(read_under_other_state, "holds state 8"));
     assert!(fails_with(read_latest("n1", &[]), "policy init"));
     let with_other_document = AcceptorRecord {
         document: "other".into(),
@@ -75,15 +81,18 @@
 }
 
 #[test]
-fn a_newer_major_version_is_rejected_and_a_newer_minor_version_read() {
-    let sealed = |major: u8, minor: u8, more: &[u8]| {
+fn a_newer_major_version_is_rejected_and_a_newer_minor_version_is_read() {
+    let encode_as_version = |major: u8, minor: u8, appended_fields: &[u8]| {
         let written = record(8).write();
         let body = &written[HEADER_BYTES..written.len() - CHECKSUM_BYTES];
-        let mut bytes = [&MAGIC[..], &[major, minor], body, more].concat();
+        let mut bytes = [&MAGIC[..], &[major, minor], body, appended_fields].concat();
         bytes.extend(sha256(&bytes));
         bytes
     };
-    let newer_major = AcceptorRecord::read(&sealed(2, 0, &[]));
-    assert!(fails_with(newer_major, "form is 2"));
-    assert_eq!(AcceptorRecord::read(&sealed(1, 9, b"more")), Ok(record(8)));
+    let newer_major = AcceptorRecord::read(&encode_as_version(2, 0, &[]));
+    assert!(fails_with(newer_major, "format version is 2"));
+    assert_eq!(
+        AcceptorRecord::read(&encode_as_version(1, 9, b"more")),
+        Ok(record(8))
+    );
 }
--- a/crates/policy-consensus/src/state_directory.rs
+++ b/crates/policy-consensus/src/state_directory.rs
@@ -1,4 +1,4 @@
-//! The directory of an acceptor's records on disk. It does the I/O only; the format of the files and the choice of the valid one are in
+//! I/O on the directory of an acceptor's record files. The format of the files and the choice of the valid one are in
 //! [`record`](crate::record).
 
 use crate::record::{
@@ -10,11 +10,11 @@
 use std::io::{Read, Result as IoResult, Write};
 use std::path::{Path, PathBuf};
 
-/// An acceptor's directory, locked against other processes.
+/// An acceptor's directory, which is locked against use by other processes.
 pub struct StateDirectory {
     path: PathBuf,
-    /// Locked as long as the directory is used, so that no two processes write to it; `None` where another handle of this process
-    /// holds the lock.
+    /// The lock file, locked while the handle exists, so that no two processes write to the directory; `None` if another handle of this
+    /// process holds the lock.
     _lock: Option<File>,
 }
 
@@ -22,7 +22,7 @@
     /// Opens and locks a directory.
     ///
     /// # Errors
-    /// It cannot be written, or another process uses it.
+    /// Returns an error if the directory is not writable or another process holds the lock.
     pub fn open(path: &Path) -> Result<StateDirectory, String> {
         let lock = File::create(path.join("lock")).map_err(|e| error_at(path, e))?;
         match lock.try_lock() {
@@ -30,14 +30,15 @@
                 path: path.into(),
                 _lock: Some(lock),
             }),
-            Err(TryLockError::WouldBlock) => {
-                Err(format!("{}: another process uses it", path.display()))
-            }
+            Err(TryLockError::WouldBlock) => Err(format!(
+                "{}: the folder is in use by another process",
+                path.display()
+            )),
             Err(TryLockError::Error(e)) => Err(error_at(path, e)),
         }
     }
 
-    /// Another handle of the same directory, for a thread of the process that holds the lock.
+    /// Returns another handle of the same directory, for a thread of the process that holds the lock. The handle itself holds no lock.
     pub fn another_handle(&self) -> StateDirectory {
         StateDirectory {
             path: self.path.clone(),
@@ -48,16 +49,16 @@
     /// Reads the acceptor's latest record.
     ///
     /// # Errors
-    /// The files cannot be read, or the acceptor cannot start from what they hold.
+    /// Returns an error if the files cannot be read or the acceptor cannot start from them.
     pub fn read(&self, acceptor: &str) -> Result<AcceptorRecord, String> {
         let files = self.read_files().map_err(|e| error_at(&self.path, e))?;
         read_latest(acceptor, &files).map_err(|e| error_at(&self.path, e))
     }
 
-    /// Writes the first record of a new acceptor; with `replaces` that of one that joins in place of a lost one.
+    /// Writes the first record of a new acceptor; with `replaces`, of an acceptor that joins to replace a lost one.
     ///
     /// # Errors
-    /// There is a record already, or it cannot be written.
+    /// Returns an error if the directory holds a record already or the record cannot be written.
     pub fn init(&self, acceptor: &str, replaces: bool) -> Result<(), String> {
         let states = self.states().map_err(|e| error_at(&self.path, e))?;
         if !states.is_empty() {
@@ -72,32 +73,33 @@
         self.write(&first).map_err(|e| error_at(&self.path, e))
     }
 
-    /// Writes a record durably, and removes those that are too old to be kept.
+    /// Writes a record durably, and removes the records beyond the last [`MAX_KEPT_STATES`].
     ///
     /// # Errors
-    /// Writing failed; the record may be on disk or not.
+    /// Returns an error if writing failed; it is then unknown whether the record is on disk.
     pub fn write(&self, record: &AcceptorRecord) -> Result<(), String> {
         self.write_and_sync(record).map_err(|e| e.to_string())?;
         for state in self.states().unwrap_or_default() {
             if state + MAX_KEPT_STATES <= record.state {
-                // A file that stays does no harm, as the latest one counts.
+                // A failure is ignored: an old file does no harm, because only the latest one is read.
                 let _ = fs::remove_file(self.path.join(file_name(state)));
             }
         }
         Ok(())
     }
 
+    /// Writes a record to a temporary file, syncs it, renames it to its final name and syncs the directory.
     fn write_and_sync(&self, record: &AcceptorRecord) -> IoResult<()> {
-        let new_path = self.path.join("new");
+        let temporary_path = self.path.join("new");
         let final_path = self.path.join(file_name(record.state));
-        let mut file = File::create(&new_path)?;
+        let mut file = File::create(&temporary_path)?;
         file.write_all(&record.write())?;
         file.sync_all()?;
-        fs::rename(&new_path, &final_path)?;
+        fs::rename(&temporary_path, &final_path)?;
         File::open(&self.path)?.sync_all()
     }
 
-    /// The states of which there are files, in ascending order.
+    /// Lists the numbers of the states that have a file, in ascending order.
     fn states(&self) -> IoResult<Vec<u64>> {
         let mut states = Vec::new();
         for entry in fs::read_dir(&self.path)? {
@@ -120,7 +122,7 @@
     }
 }
 
-/// What is wrong in a directory, as operators see it.
+/// Formats an error in the directory `path` for operators.
 fn error_at(path: &Path, what: impl Display) -> String {
     format!("{}: {what}", path.display())
 }
--- a/crates/policy-consensus/src/state_directory/tests.rs
+++ b/crates/policy-consensus/src/state_directory/tests.rs
@@ -9,7 +9,7 @@
     fn new(name: &str) -> TempDirectory {
         let path =
             std::env::temp_dir().join(format!("frosthatch-folder-{}-{name}", std::process::id()));
-        fs::create_dir_all(&path).expect("a folder");
+        fs::create_dir_all(&path).expect("the temporary directory is writable");
         TempDirectory(path)
     }
 }
@@ -21,11 +21,13 @@
 }
 
 #[test]
-fn the_last_states_are_kept_and_only_one_process_may_open_them() {
+fn the_last_two_states_are_kept_and_the_directory_is_locked() {
     let directory = TempDirectory::new("kept");
-    let states = StateDirectory::open(&directory.0).expect("it opens");
+    let states = StateDirectory::open(&directory.0).expect("the directory is not locked");
     assert!(states.read("n1").is_err_and(|e| e.contains("policy init")));
-    states.init("n1", false).expect("it is made");
+    states
+        .init("n1", false)
+        .expect("the directory holds no record");
     assert!(states
         .init("n1", false)
         .is_err_and(|e| e.contains("already")));
@@ -35,26 +37,26 @@
                 state,
                 ..AcceptorRecord::initial("n1")
             })
-            .expect("it is written");
+            .expect("the directory is writable");
     }
     assert_eq!(states.read("n1").map(|r| r.state), Ok(5));
-    assert_eq!(states.states().expect("it is read"), [4, 5]);
+    assert_eq!(states.states().expect("the directory is readable"), [4, 5]);
     assert!(StateDirectory::open(&directory.0).is_err_and(|e| e.contains("another process")));
     drop(states);
-    // An unfinished write is ignored; a damaged record is an error.
-    fs::write(directory.0.join("new"), b"half").expect("it is written");
-    let states = StateDirectory::open(&directory.0).expect("it opens");
+    // The temporary file of an unfinished write is ignored; a damaged record is an error.
+    fs::write(directory.0.join("new"), b"half").expect("the directory is writable");
+    let states = StateDirectory::open(&directory.0).expect("the directory is not locked");
     assert_eq!(states.read("n1").map(|r| r.state), Ok(5));
-    fs::write(directory.0.join(file_name(5)), b"half").expect("it is written");
-    assert!(states.read("n1").is_err_and(|e| e.contains("not whole")));
+    fs::write(directory.0.join(file_name(5)), b"half").expect("the directory is writable");
+    assert!(states.read("n1").is_err_and(|e| e.contains("incomplete")));
 }
 
 #[test]
 fn a_failed_write_is_an_error() {
     let directory = TempDirectory::new("full");
-    let states = StateDirectory::open(&directory.0).expect("it opens");
-    // A directory in place of the file makes writing fail, as a full disk does.
-    fs::create_dir(directory.0.join("new")).expect("a folder");
+    let states = StateDirectory::open(&directory.0).expect("the directory is not locked");
+    // A directory in place of the temporary file makes writing fail, as a full disk would.
+    fs::create_dir(directory.0.join("new")).expect("the directory is writable");
     assert!(states.write(&AcceptorRecord::initial("n1")).is_err());
     assert!(StateDirectory::open(&directory.0.join("nowhere")).is_err());
 }
--- a/crates/policy-consensus/src/test_values.rs
+++ b/crates/policy-consensus/src/test_values.rs
@@ -1,8 +1,8 @@
-//! Values that the unit tests of several modules use.
+//! Policies and ballots for the unit tests of several modules.
 
 use crate::{Ballot, Policy};
 
-/// A policy of this version without a parent.
+/// Returns a policy of this version without a parent.
 pub fn policy(version: u64) -> Policy {
     Policy {
         version,
@@ -11,7 +11,7 @@
     }
 }
 
-/// The ballot of this number by the proposer 1.
+/// Returns the ballot with this number of the proposer with id 1.
 pub fn ballot(number: u64) -> Ballot {
     Ballot {
         number,
--- a/crates/policy-consensus/tests/common/mod.rs
+++ b/crates/policy-consensus/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! What the tests with random schedules share: random numbers by a seed, and clocks that drift apart.
+//! Seeded random numbers and drifting clocks for the tests with random schedules.
 
-/// Random numbers that depend on the seed alone.
+/// A random number generator whose numbers depend on the seed alone.
 pub struct SeededRandom(u64);
 
 impl SeededRandom {
@@ -8,7 +8,7 @@
         SeededRandom(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1)
     }
 
-    /// A number from 0 to `bound` - 1.
+    /// Returns a random number from 0 to `bound` - 1.
     pub fn below(&mut self, bound: u64) -> u64 {
         self.0 = self
             .0
@@ -17,13 +17,13 @@
         (self.0 >> 33) % bound.max(1)
     }
 
-    /// A seed for another generator.
+    /// Returns a seed for another generator.
     #[allow(dead_code)]
     pub fn seed(&self) -> u64 {
         self.0
     }
 
-    /// A clock that is fast or slow by up to 1%.
+    /// Returns a clock with a random start that is fast or slow by up to 1%.
     pub fn clock(&mut self) -> Clock {
         Clock {
             start: self.below(1_000_000_000),
@@ -32,17 +32,17 @@
     }
 }
 
-/// A clock that drifts.
+/// A clock that drifts against true time.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    /// What it shows at the true time 0.
+    /// The clock's time at the true time 0, in microseconds.
     start: u64,
-    /// How fast it runs, in thousandths.
+    /// The clock's rate relative to true time, in thousandths.
     rate: u64,
 }
 
 impl Clock {
-    /// What the clock shows at a true time.
+    /// Returns the clock's time at the true time `now`, in microseconds.
     pub fn at(self, now: u64) -> u64 {
         self.start + now * self.rate / 1_000
     }
--- a/crates/policy-consensus/tests/explore.rs
+++ b/crates/policy-consensus/tests/explore.rs
@@ -1,6 +1,7 @@
-//! Every interleaving to a bounded depth, beside the random schedules: proposers, three acceptors and gateways. Messages arrive in any
-//! order, late or never; acceptors stop and start from disk; time passes. The state machines are those of the program. A paused
-//! gateway is one that receives nothing for a while: what it holds is looked at in every state.
+//! Model checking of the policy guarantees: explores the interleavings of proposers, three acceptors and gateways up to a bounded
+//! number of states, and complements the tests with random schedules. The state machines are those of the program. Messages arrive
+//! in any order, late or never; acceptors stop and restart from disk; time passes. A paused gateway is one that receives no messages
+//! for a while; the policies that gateways hold are checked in every state.
 
 #[path = "explore/model.rs"]
 mod model;
@@ -11,9 +12,9 @@
 use state::ACCEPTORS;
 use stateright::{Checker, Model};
 
-/// Explores breadth first, then depth first, up to a number of states each.
+/// Explores breadth first, then depth first, up to `max_states` states each.
 fn explore(simulation: Simulation, max_states: usize) {
-    let what = format!(
+    let summary = format!(
         "{} proposers, {} gateways, {} kills, {} ticks",
         simulation.proposers, simulation.gateways, simulation.max_kills, simulation.max_ticks
     );
@@ -24,9 +25,9 @@
         .target_state_count(max_states)
         .spawn_bfs()
         .join();
-    breadth_first.assert_no_discovery("the promise");
+    breadth_first.assert_no_discovery("the guarantees hold");
     println!(
-        "{what}: all of {} states to depth {}",
+        "{summary}: {} states breadth first, to depth {}",
         breadth_first.unique_state_count(),
         breadth_first.max_depth()
     );
@@ -37,15 +38,15 @@
         .target_max_depth(70)
         .spawn_dfs()
         .join();
-    depth_first.assert_no_discovery("the promise");
+    depth_first.assert_no_discovery("the guarantees hold");
     println!(
-        "{what}: {} states down to depth {}",
+        "{summary}: {} states depth first, to depth {}",
         depth_first.unique_state_count(),
         depth_first.max_depth()
     );
 }
 
-/// `EXPLORE_STATES` sets how many states are explored at most.
+/// The environment variable `EXPLORE_STATES` sets the maximum number of states that each search explores.
 #[test]
 fn no_interleaving_breaks_the_guarantees() {
     let max_states = std::env::var("EXPLORE_STATES")
@@ -81,9 +82,9 @@
     );
 }
 
-/// The explored transitions lead where they should: a change comes into force, and a gateway holds it.
+/// Guards against transitions that never complete a change: a change comes into force, and a gateway holds its policy.
 #[test]
-fn a_change_comes_into_force() {
+fn a_change_comes_into_force_and_is_held_by_a_gateway() {
     let simulation = Simulation {
         proposers: 1,
         gateways: 1,
@@ -98,17 +99,19 @@
             };
             state = simulation
                 .next_state(&state, Action::Deliver(message))
-                .expect("it goes on");
+                .expect("the delivery changes the state");
         }
         state = simulation
             .next_state(&state, Action::Tick)
-            .expect("time passes");
+            .expect("a tick changes the state");
         for acceptor in 0..ACCEPTORS {
             let request = Action::RequestLease {
                 gateway: 0,
                 acceptor,
             };
-            state = simulation.next_state(&state, request).expect("it is asked");
+            state = simulation
+                .next_state(&state, request)
+                .expect("a lease request changes the state");
         }
     }
     assert!(
--- a/crates/policy-consensus/tests/explore/model.rs
+++ b/crates/policy-consensus/tests/explore/model.rs
@@ -1,4 +1,4 @@
-//! The transitions between states, for the model checker.
+//! The model that the checker explores: its initial states, its actions and the transitions between states.
 
 use crate::state::{Message, State, ACCEPTORS};
 use frosthatch_policy_consensus::acceptor::{
@@ -10,23 +10,29 @@
 use stateright::{Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A step of time; a lease lasts for two of them.
+/// Duration of a tick, in microseconds; a lease lasts for two ticks.
 const TICK_US: u64 = 1_000;
 const LEASE_CONFIG: LeaseConfig = LeaseConfig {
     lease_us: 2 * TICK_US,
     drift: 0,
 };
 
+/// A transition of the model.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
+    /// A message in flight is delivered.
     Deliver(Message),
+    /// A gateway requests leases from an acceptor.
     RequestLease { gateway: usize, acceptor: usize },
+    /// An acceptor's process ends; its disk is kept.
     Kill { acceptor: usize },
+    /// An acceptor's process starts from its disk.
     Start { acceptor: usize },
+    /// Time advances by [`TICK_US`].
     Tick,
 }
 
-/// What is simulated, and the bounds of the exploration.
+/// The number of simulated processes and the bounds of the exploration.
 #[derive(Clone)]
 pub struct Simulation {
     pub proposers: usize,
@@ -55,7 +61,7 @@
 }
 
 impl Simulation {
-    /// All gateways hold version 0 by leases of all acceptors, and all proposers have begun.
+    /// Returns the state in which all gateways hold version 0 by leases of all acceptors and all proposers have started.
     pub fn initial_state(&self) -> State {
         let now = 10 * TICK_US;
         let disk = AcceptorState::initial();
@@ -88,26 +94,29 @@
         state
     }
 
+    /// Returns all pairs of a gateway and an acceptor.
     fn gateways_and_acceptors(&self) -> impl Iterator<Item = (usize, usize)> {
         (0..self.gateways)
             .flat_map(|gateway| (0..ACCEPTORS).map(move |acceptor| (gateway, acceptor)))
     }
 
-    /// The state after some steps of what a change takes while nothing goes wrong.
-    fn state_along_a_change(&self, initial: &State, steps: usize) -> State {
+    /// Returns the state after this many steps of a change without faults.
+    fn state_during_change(&self, initial: &State, steps: usize) -> State {
         let mut state = initial.clone();
-        let messages = messages_of_a_change();
+        let messages = messages_of_change();
         let ticks = steps.saturating_sub(messages.len());
         let deliveries = messages.into_iter().take(steps).map(Action::Deliver);
         for action in deliveries.chain((0..ticks).map(|_| Action::Tick)) {
-            state = self.next_state(&state, action).expect("it goes on");
+            state = self
+                .next_state(&state, action)
+                .expect("each step of a change changes the state");
         }
         state
     }
 }
 
-/// The messages by which two acceptors promise and accept the first proposer's policy.
-fn messages_of_a_change() -> [Message; 6] {
+/// Returns the messages by which two acceptors promise the first proposer's ballot and accept its policy.
+fn messages_of_change() -> [Message; 6] {
     let ballot = Ballot {
         number: 1,
         proposer: 1,
@@ -143,7 +152,7 @@
     ]
 }
 
-/// Delivers a message. Returns `None` if the receiver does not run.
+/// Delivers a message. Returns `None` if the receiver is not running.
 fn deliver(state: &mut State, message: Message) -> Option<()> {
     match message {
         Message::Request {
@@ -197,13 +206,13 @@
     type State = State;
     type Action = Action;
 
-    /// From the beginning, and from some steps along a change: when promises are given, when the first acceptors have accepted, and
-    /// just before the change takes effect.
+    /// Returns the initial state and the states after some steps of a change: after the promises, after the first acceptors have
+    /// accepted, and just before the change takes effect. Each of the latter is returned with and without lease requests.
     fn init_states(&self) -> Vec<State> {
         let initial = self.initial_state();
         let mut states = vec![initial.clone()];
         for steps in [4, 5, 6, 7, 8] {
-            let state = self.state_along_a_change(&initial, steps);
+            let state = self.state_during_change(&initial, steps);
             let mut with_lease_requests = state.clone();
             for (gateway, acceptor) in self.gateways_and_acceptors() {
                 with_lease_requests = self
@@ -211,7 +220,7 @@
                         &with_lease_requests,
                         Action::RequestLease { gateway, acceptor },
                     )
-                    .expect("it is asked");
+                    .expect("a lease request changes the state");
             }
             states.extend([state, with_lease_requests]);
         }
@@ -249,7 +258,7 @@
                 state.in_flight.remove(&message);
                 deliver(&mut state, message)?;
             }
-            // That the acceptor answers at once loses nothing: if it got the request later, the lease would only be shorter.
+            // The acceptor replies at once. This covers later replies too: they would only make the lease shorter.
             Action::RequestLease { gateway, acceptor } => {
                 state.lease_requests.insert((gateway, acceptor));
                 let message = state.request_lease(gateway, acceptor)?;
@@ -276,8 +285,10 @@
 
     fn properties(&self) -> Vec<Property<Simulation>> {
         vec![
-            Property::always("the promise", |_, state: &State| state.violation.is_none()),
-            // Never so: otherwise the search would end with the first such state.
+            Property::always("the guarantees hold", |_, state: &State| {
+                state.violation.is_none()
+            }),
+            // Never satisfied: the search would end at the first state that satisfies it.
             Property::sometimes("version 9 is held", |_, state: &State| {
                 state.highest_version == 9
             }),
--- a/crates/policy-consensus/tests/explore/state.rs
+++ b/crates/policy-consensus/tests/explore/state.rs
@@ -1,4 +1,4 @@
-//! One state of the simulation, and the guarantees that have to hold in it.
+//! A state of the model, and the guarantees of `docs/policy-changes.md` (I1 to I5) that have to hold in each state.
 
 use frosthatch_policy_consensus::acceptor::{
     Acceptor, AcceptorReply, AcceptorRequest, AcceptorState, LeaseGrant,
@@ -31,6 +31,7 @@
     },
 }
 
+/// A state of the model: the processes, their disks, the network, and what was observed so far.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
     pub now: u64,
@@ -39,26 +40,30 @@
     pub lease_holders: Vec<LeaseHolder>,
     pub proposers: Vec<Proposer>,
     pub in_flight: BTreeSet<Message>,
-    /// Which gateway requested a lease from which acceptor since the last step of time: once is enough.
+    /// The pairs of gateway and acceptor between which leases were requested since the last tick; one request per tick is enough.
     pub lease_requests: BTreeSet<(usize, usize)>,
     pub kills: u8,
+    /// The highest version that any gateway held.
     pub highest_version: u64,
+    /// The policies that any gateway held.
     pub held: BTreeSet<PolicyId>,
+    /// Policies that were reported to their proposers as in force, by version.
     pub in_force: BTreeMap<u64, PolicyId>,
-    /// Policies that were reported to their proposers as never to be in force.
+    /// Policies that were reported to their proposers as rejected or superseded.
     pub rejected: BTreeSet<PolicyId>,
-    /// The first guarantee that was broken.
+    /// The first violation of a guarantee.
     pub violation: Option<&'static str>,
 }
 
 impl State {
+    /// Records the violation unless `holds`.
     fn check(&mut self, holds: bool, violation: &'static str) {
         if !holds {
             self.violation.get_or_insert(violation);
         }
     }
 
-    /// Carries out what a proposer wants done.
+    /// Carries out the outputs of a proposer.
     pub fn carry_out(&mut self, proposer: usize, outputs: Vec<ProposerOutput>) {
         for output in outputs {
             match output {
@@ -81,19 +86,19 @@
         }
     }
 
-    /// I3, I4, I5: the outcome that was reported to a proposer.
+    /// Checks I3, I4 and I5 for an outcome that was reported to a proposer.
     fn check_outcome(&mut self, id: PolicyId, outcome: &ProposalOutcome) {
         match outcome {
             ProposalOutcome::InForce => {
                 let other = self.in_force.insert(id.version, id);
                 self.check(
                     other.is_none_or(|other| other == id),
-                    "I5: two of one version in force",
+                    "I5: two policies of the same version are in force",
                 );
                 let is_rejected = self.rejected.contains(&id);
                 self.check(
                     !is_rejected,
-                    "I3: one that was told to be nowhere is in force",
+                    "I3: a policy reported as rejected is in force",
                 );
             }
             ProposalOutcome::Rejected(_) | ProposalOutcome::Superseded(_) => {
@@ -101,7 +106,7 @@
                 let is_held = self.held.contains(&id);
                 self.check(
                     !is_held && !is_in_force,
-                    "I3, I4: one that holds was told to be nowhere",
+                    "I3, I4: a policy that is held or in force is reported as rejected",
                 );
                 self.rejected.insert(id);
             }
@@ -109,7 +114,7 @@
         }
     }
 
-    /// An acceptor's answer to a lease request that a gateway sends now.
+    /// Returns an acceptor's reply to a lease request that a gateway sends now; `None` if the acceptor is not running.
     pub fn request_lease(&mut self, gateway: usize, acceptor: usize) -> Option<Message> {
         let running = self.acceptors[acceptor].as_mut()?;
         let reply = running.handle(self.now, AcceptorRequest::Lease).reply;
@@ -124,7 +129,7 @@
         }
     }
 
-    /// I1 to I5: what the gateways hold.
+    /// Checks I1 to I5 for the policies that the gateways hold.
     pub fn check_held_policies(&mut self) {
         let now = self.now;
         let held: Vec<PolicyId> = self
@@ -141,17 +146,20 @@
 
     fn check_held_policy(&mut self, id: PolicyId) {
         let is_latest = id.version >= self.highest_version;
-        self.check(is_latest, "I1, I2: let in under an earlier version");
+        self.check(is_latest, "I1, I2: an earlier version is held");
         let is_rejected = self.rejected.contains(&id);
-        self.check(!is_rejected, "I3: one that was told to be nowhere holds");
+        self.check(!is_rejected, "I3: a policy reported as rejected is held");
         let is_fork = self
             .held
             .iter()
             .any(|held| held.version == id.version && *held != id);
-        self.check(!is_fork, "I5: two of one version hold");
+        self.check(!is_fork, "I5: two policies of the same version are held");
         let reported_in_force = self.in_force.get(&id.version);
         let is_other = reported_in_force.is_some_and(|in_force| *in_force != id);
-        self.check(!is_other, "I4: another holds than was told as in force");
+        self.check(
+            !is_other,
+            "I4: the held policy is not the one reported as in force",
+        );
         self.held.insert(id);
     }
 }
--- a/crates/policy-consensus/tests/golden_forms.rs
+++ b/crates/policy-consensus/tests/golden_forms.rs
@@ -1,5 +1,5 @@
-//! Recorded bytes of the messages between members and of the records on disk, which other versions of the program have to be able
-//! to read. `RECORD=1 cargo test --test golden_forms` records them anew.
+//! Compares the encoded messages between members and the encoded records on disk with recorded bytes, which other versions of the
+//! program have to be able to read. `RECORD=1 cargo test --test golden_forms` rewrites the recorded files.
 
 use frosthatch_policy_consensus::acceptor::{
     AcceptorIncarnation, AcceptorReply, AcceptorRequest, AcceptorState, CurrentPolicyLease,
@@ -12,17 +12,18 @@
 use frosthatch_policy_consensus::{Ballot, Policy};
 use std::fmt::Write;
 
-fn compare_with_recorded(file: &str, now: &str) {
+/// Asserts that `encoded` equals the contents of the recorded file; rewrites the file if `RECORD` is set.
+fn compare_with_recorded(file: &str, encoded: &str) {
     let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
         .join(file);
     if std::env::var_os("RECORD").is_some() {
-        return std::fs::write(path, now).expect("written");
+        return std::fs::write(path, encoded).expect("the recorded file is writable");
     }
     assert_eq!(
-        std::fs::read_to_string(path).expect("a recorded file"),
-        now,
-        "recorded on the left"
+        std::fs::read_to_string(path).expect("the recorded file is readable"),
+        encoded,
+        "the encoded bytes (right) equal the recorded ones (left)"
     );
 }
 
@@ -131,10 +132,11 @@
 }
 
 #[test]
-fn the_bytes_of_messages_are_those_that_were_recorded() {
+fn encoded_messages_equal_the_recorded_bytes() {
     let mut text = String::new();
     for message in messages() {
-        writeln!(text, "{} {}", message.name(), hex(&message.write())).expect("to memory");
+        writeln!(text, "{} {}", message.name(), hex(&message.write()))
+            .expect("writing to a string cannot fail");
         assert_eq!(Message::read(&message.write()), Some(message));
     }
     compare_with_recorded("messages.txt", &text);
@@ -165,10 +167,11 @@
 }
 
 #[test]
-fn the_bytes_on_disk_are_those_that_were_recorded() {
+fn encoded_records_equal_the_recorded_bytes() {
     let mut text = String::new();
     for record in records() {
-        writeln!(text, "{} {}", file_name(record.state), hex(&record.write())).expect("to memory");
+        writeln!(text, "{} {}", file_name(record.state), hex(&record.write()))
+            .expect("writing to a string cannot fail");
         assert_eq!(AcceptorRecord::read(&record.write()), Ok(record));
     }
     compare_with_recorded("records.txt", &text);
--- a/crates/policy-consensus/tests/nodes/cluster.rs
+++ b/crates/policy-consensus/tests/nodes/cluster.rs
@@ -1,4 +1,4 @@
-//! A simulated cluster: its members with their disks and clocks, and the network between them.
+//! A simulated cluster: members with their disks and clocks, and the network between them.
 
 use crate::common::{Clock, SeededRandom};
 use crate::invariants::Observed;
@@ -18,39 +18,42 @@
 pub const STEP_US: u64 = 10_000;
 pub const PROPOSAL_TIMEOUT_US: u64 = 6_000_000;
 
-/// No member can serve under a document with this worth.
+/// The worth in documents that every member refuses.
 pub const REFUSED_BY_ALL: &str = "13.0";
-/// The last member cannot serve under a document with this worth.
+/// The worth in documents that only the last member refuses.
 pub const REFUSED_BY_LAST: &str = "7.0";
 
-/// One member: its process, and what is on its disk.
+/// A member: its process and its disk.
 pub struct Member {
+    /// The member's process; `None` while it is stopped.
     pub node: Option<ConsensusNode>,
+    /// The record on disk; `None` if the member is not an acceptor.
     pub disk: Option<AcceptorRecord>,
     pub pending_write: Option<PendingWrite>,
     pub clock: Clock,
     pub is_paused: bool,
-    /// How often its process was started.
+    /// Number of starts of the process.
     pub starts: u64,
-    /// The record from before its directory was lost.
+    /// The record from before the directory was lost, until it is restored.
     pub backup: Option<AcceptorRecord>,
-    /// Messages that arrived while it is paused.
-    pub backlog: Vec<Received>,
+    /// Messages that arrived while the member is paused.
+    pub backlog: Vec<BufferedMessage>,
 }
 
-/// A record that will be on disk at the time `done_at`.
+/// A write in progress: the record is on disk from the true time `done_at` on.
 pub struct PendingWrite {
     pub done_at: u64,
     pub record: AcceptorRecord,
 }
 
-pub struct Received {
+/// A message that waits in the backlog of a paused member.
+pub struct BufferedMessage {
     pub from: usize,
     pub bytes: Vec<u8>,
 }
 
 /// A message in flight.
-struct Packet {
+struct MessageInFlight {
     arrives_at: u64,
     from: usize,
     to: usize,
@@ -61,34 +64,35 @@
     pub now: u64,
     pub random: SeededRandom,
     pub members: Vec<Member>,
-    in_flight: Vec<Packet>,
-    /// The side of a network partition on which each member is.
+    in_flight: Vec<MessageInFlight>,
+    /// The network partition of each member; messages between different partitions are lost.
     pub partitions: [usize; MEMBERS],
     pub loss_percent: u64,
-    /// Whether messages are duplicated and delayed for long.
+    /// Whether messages are duplicated and strongly delayed.
     pub has_faults: bool,
     lease_loss_policy: LeaseLossPolicy,
     pub observed: Observed,
-    /// The acceptor whose directory may be lost, and restored from a copy.
-    pub fragile: usize,
-    /// The larger, the less often a directory is lost.
-    pub directory_durability: u64,
+    /// The acceptor whose directory may be lost and restored from a copy.
+    pub faulty_acceptor: usize,
+    /// One in this many chances to lose or restore the directory is taken.
+    pub directory_fault_odds: u64,
     pub directories_lost: usize,
     pub directories_restored: usize,
 }
 
-/// Whether the tests print what happens.
+/// Returns whether the tests print faults and log lines.
 pub fn is_verbose() -> bool {
     std::env::var_os("SHOW").is_some()
 }
 
+/// Returns the text of a policy document with one plan and one class.
 pub fn document(version: u64, parent: [u8; 32], worth: &str, rate: u64) -> String {
     let parent = if version > 1 {
         format!("parent = \"{}\"\n", hex(&parent))
     } else {
         String::new()
     };
-    // Long enough for several parts.
+    // Makes the document long enough for several parts.
     let padding = "# some words\n".repeat(130);
     format!("version = {version}\n{parent}{padding}[plans.p]\nrate = {rate}\nburst = 9\n[classes.c]\naim_ms = 5\nworth = {worth}\nlate_worth = 0\n")
 }
@@ -97,11 +101,11 @@
     format!("n{n}")
 }
 
-/// What the member `n` can serve under.
+/// Checks whether the member `n` can serve under a document.
 fn validate(n: usize, document: &Document) -> Result<(), String> {
     match document.classes["c"].worth {
-        13.0 => Err("nobody takes it".to_string()),
-        7.0 if n == MEMBERS - 1 => Err("I do not take it".to_string()),
+        13.0 => Err("every member refuses this worth".to_string()),
+        7.0 if n == MEMBERS - 1 => Err("the last member refuses this worth".to_string()),
         _ => Ok(()),
     }
 }
@@ -118,8 +122,8 @@
             has_faults: true,
             lease_loss_policy,
             observed: Observed::default(),
-            fragile: seed as usize % ACCEPTORS,
-            directory_durability: 3,
+            faulty_acceptor: seed as usize % ACCEPTORS,
+            directory_fault_odds: 3,
             directories_lost: 0,
             directories_restored: 0,
         };
@@ -140,11 +144,12 @@
         cluster
     }
 
-    /// What the member's clock shows.
+    /// Returns the time of the member's clock.
     pub fn local_time(&self, n: usize) -> u64 {
         self.members[n].clock.at(self.now)
     }
 
+    /// Starts a member's process from its disk.
     pub fn start(&mut self, n: usize) {
         let now = self.local_time(n);
         let config = NodeConfig {
@@ -163,7 +168,7 @@
         member.node = Some(ConsensusNode::new(now, config, record, validator));
     }
 
-    /// Kills a member's process; what was being written is on disk or not.
+    /// Kills a member's process. A write in progress reaches the disk or is lost, at random.
     pub fn kill(&mut self, n: usize) {
         let is_written = self.random.below(2) == 0;
         let member = &mut self.members[n];
@@ -175,7 +180,7 @@
         member.backlog = Vec::new();
     }
 
-    /// Carries out what a member's node wants done.
+    /// Carries out the outputs of a member's node.
     pub fn carry_out(&mut self, n: usize, outputs: Vec<NodeOutput>) {
         for output in outputs {
             match output {
@@ -195,22 +200,25 @@
         self.observed.check_outcomes(n, member);
     }
 
+    /// Sends a message, which may be lost, duplicated or delayed.
     fn send(&mut self, from: usize, to: &str, bytes: &[u8]) {
-        let to: usize = to[1..].parse().expect("a number");
-        let fate = self.random.below(100);
-        let delay_kind = self.random.below(100);
-        let copies = match fate {
-            fate if fate < self.loss_percent => 0,
-            fate if self.has_faults && fate > 95 => 2,
+        let to: usize = to[1..]
+            .parse()
+            .expect("a member name is the letter n and a number");
+        let loss_draw = self.random.below(100);
+        let delay_draw = self.random.below(100);
+        let copies = match loss_draw {
+            loss_draw if loss_draw < self.loss_percent => 0,
+            loss_draw if self.has_faults && loss_draw > 95 => 2,
             _ => 1,
         };
         for _ in 0..copies {
-            let delay_us = if self.has_faults && delay_kind < 5 {
+            let delay_us = if self.has_faults && delay_draw < 5 {
                 self.random.below(2_000_000)
             } else {
                 self.random.below(15_000)
             };
-            self.in_flight.push(Packet {
+            self.in_flight.push(MessageInFlight {
                 arrives_at: self.now + delay_us,
                 from,
                 to,
@@ -219,14 +227,14 @@
         }
     }
 
-    /// Prints a fault, if the test is verbose.
-    pub fn print_fault(&self, n: usize, what: &str) {
+    /// Prints a fault if the tests are verbose.
+    pub fn print_fault(&self, n: usize, fault: &str) {
         if is_verbose() {
-            eprintln!("{:.2} n{n} {what}", self.now as f64 / 1e6);
+            eprintln!("{:.2} n{n} {fault}", self.now as f64 / 1e6);
         }
     }
 
-    /// The other members that are reachable from the member `n`, as its membership protocol would find out.
+    /// Returns the other members that are reachable from the member `n`, as its membership protocol would report them.
     pub fn reachable_members(&self, n: usize) -> Vec<String> {
         let is_reachable = |other: &usize| {
             let member = &self.members[*other];
@@ -238,8 +246,8 @@
         (0..MEMBERS).filter(is_reachable).map(member_name).collect()
     }
 
-    /// Looks at the member's serving state, as a request would.
-    pub fn look_at_serving_state(&mut self, n: usize) {
+    /// Observes and checks the serving state of a member, as a request to it would.
+    pub fn observe_serving_state(&mut self, n: usize) {
         let now = self.local_time(n);
         if let Some(node) = &mut self.members[n].node {
             let state = node.serving_state(now);
@@ -247,6 +255,7 @@
         }
     }
 
+    /// Advances time by [`STEP_US`], delivers the due messages and ticks the running members.
     pub fn step(&mut self) {
         self.now += STEP_US;
         self.deliver_due_messages();
@@ -260,11 +269,11 @@
     fn deliver_due_messages(&mut self) {
         let now = self.now;
         let in_flight = std::mem::take(&mut self.in_flight);
-        let (due, later): (Vec<Packet>, Vec<Packet>) = in_flight
+        let (due, later): (Vec<MessageInFlight>, Vec<MessageInFlight>) = in_flight
             .into_iter()
             .partition(|packet| packet.arrives_at <= now);
         self.in_flight = later;
-        for Packet {
+        for MessageInFlight {
             from, to, bytes, ..
         } in due
         {
@@ -273,7 +282,7 @@
             }
             let member = &mut self.members[to];
             if member.is_paused {
-                member.backlog.push(Received { from, bytes });
+                member.backlog.push(BufferedMessage { from, bytes });
             } else {
                 self.deliver(from, to, &bytes);
             }
@@ -281,8 +290,8 @@
     }
 
     fn tick_member(&mut self, n: usize) {
-        // A request may come before anything else.
-        self.look_at_serving_state(n);
+        // A request may arrive before the tick.
+        self.observe_serving_state(n);
         let now = self.local_time(n);
         let reachable = self.reachable_members(n);
         let mut outputs = Vec::new();
@@ -300,9 +309,10 @@
             node.tick(now, &reachable, &mut outputs);
         }
         self.carry_out(n, outputs);
-        self.look_at_serving_state(n);
+        self.observe_serving_state(n);
     }
 
+    /// Delivers a message to a member; a member that is not running ignores it.
     pub fn deliver(&mut self, from: usize, to: usize, bytes: &[u8]) {
         let now = self.local_time(to);
         let mut outputs = Vec::new();
@@ -319,7 +329,7 @@
         }
     }
 
-    /// The serving states of all members whose process runs.
+    /// Returns the serving states of all running members.
     pub fn serving_states(&mut self) -> Vec<ServingState> {
         let times: Vec<u64> = (0..MEMBERS).map(|n| self.local_time(n)).collect();
         let mut states = Vec::new();
@@ -331,8 +341,12 @@
         states
     }
 
-    /// The state on disk of the fragile acceptor, or why it does not answer; `None` if its process does not run.
-    pub fn fragile_acceptor_state(&self) -> Option<Result<u64, String>> {
-        self.members[self.fragile].node.as_ref()?.acceptor_status()
+    /// Returns the number of the durable state of the faulty acceptor, or why the acceptor does not answer requests; `None` if the
+    /// process is not running.
+    pub fn faulty_acceptor_status(&self) -> Option<Result<u64, String>> {
+        self.members[self.faulty_acceptor]
+            .node
+            .as_ref()?
+            .acceptor_status()
     }
 }
--- a/crates/policy-consensus/tests/nodes/faults.rs
+++ b/crates/policy-consensus/tests/nodes/faults.rs
@@ -1,4 +1,4 @@
-//! Random faults and proposals.
+//! Injection of random faults and proposals, and the end of all faults.
 
 use crate::cluster::{
     document, is_verbose, member_name, Cluster, MEMBERS, REFUSED_BY_ALL, REFUSED_BY_LAST,
@@ -8,11 +8,11 @@
 use frosthatch_policy_consensus::record::AcceptorRecord;
 use frosthatch_policy_consensus::PolicyId;
 
-/// How often each member proposes until a change comes into force.
+/// Maximum number of proposals by each member until a change comes into force.
 const MAX_PROPOSALS_PER_MEMBER: usize = 3;
 
 impl Cluster {
-    /// Now and then a fault or its end, or a proposal.
+    /// Injects a random fault, the end of one, a proposal, or nothing.
     pub fn inject_random_fault(&mut self) {
         let n = self.random.below(MEMBERS as u64) as usize;
         match self.random.below(130) {
@@ -24,9 +24,9 @@
             14 => self.partitions = std::array::from_fn(|_| self.random.below(2) as usize),
             15 | 16 => self.partitions = [0; MEMBERS],
             17 => self.loss_percent = [0, 10, 30][self.random.below(3) as usize],
-            21 if self.random.below(self.directory_durability) == 0 => self.lose_directory(),
-            22 if self.random.below(self.directory_durability) == 0 => self.restore_directory(),
-            23..30 if self.directory_durability == 1 && !self.members[n].is_paused => {
+            21 if self.random.below(self.directory_fault_odds) == 0 => self.lose_directory(),
+            22 if self.random.below(self.directory_fault_odds) == 0 => self.restore_directory(),
+            23..30 if self.directory_fault_odds == 1 && !self.members[n].is_paused => {
                 self.propose(n);
             }
             18..21 if !self.members[n].is_paused => self.propose(n),
@@ -40,10 +40,10 @@
         }
     }
 
-    /// The directory of the fragile acceptor is lost for good, and a new acceptor joins in its place.
+    /// Loses the directory of the faulty acceptor, and starts a new acceptor that joins to replace it.
     pub fn lose_directory(&mut self) {
-        let n = self.fragile;
-        self.print_fault(n, "its folder is lost");
+        let n = self.faulty_acceptor;
+        self.print_fault(n, "directory lost");
         self.kill(n);
         let member = &mut self.members[n];
         let is_joining = member
@@ -58,9 +58,9 @@
         self.start(n);
     }
 
-    /// An old copy of the lost directory is put back, before a new acceptor has joined in its place or long after.
+    /// Restores an old copy of the lost directory, either before the new acceptor has joined or after it has.
     fn restore_directory(&mut self) {
-        let n = self.fragile;
+        let n = self.faulty_acceptor;
         let member = &self.members[n];
         let Some(backup) = member.backup.clone() else {
             return;
@@ -68,10 +68,10 @@
         let Some(disk) = member.disk.clone() else {
             return;
         };
-        // An old copy of the same incarnation would be noticed only by members that remember what it reported.
+        // An old copy of the same incarnation would be detected only by members that remember its reported state.
         let is_superseded = disk.durable.incarnation > backup.durable.incarnation;
         if disk.durable.joining || is_superseded {
-            self.print_fault(n, "its folder is put back");
+            self.print_fault(n, "directory restored");
             self.kill(n);
             let member = &mut self.members[n];
             member.disk = Some(backup);
@@ -81,18 +81,18 @@
         }
     }
 
-    /// Resumes a paused member. Its next request comes before the messages that wait for it.
+    /// Resumes a paused member. Its next request arrives before the messages in its backlog.
     fn resume(&mut self, n: usize) {
         if !std::mem::take(&mut self.members[n].is_paused) {
             return;
         }
-        self.look_at_serving_state(n);
+        self.observe_serving_state(n);
         for received in std::mem::take(&mut self.members[n].backlog) {
             self.deliver(received.from, n, &received.bytes);
         }
     }
 
-    /// Ends all faults.
+    /// Ends all faults: restores the network, and resumes or starts all members.
     pub fn heal(&mut self) {
         self.has_faults = false;
         self.loss_percent = 0;
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Proposes a successor of the policy that the member held last, which now and then is not the latest.
+    /// Proposes a successor of the policy that the member held last, which is not always the latest one.
     pub fn propose(&mut self, n: usize) {
         let worths = ["1.0", "2.0", "3.0", REFUSED_BY_LAST, REFUSED_BY_ALL];
         let worth = worths[self.random.below(5) as usize];
@@ -134,9 +134,12 @@
                 let worth = worth.into();
                 self.observed.proposed.insert(key, Proposed { id, worth });
             }
-            Err(why) => {
+            Err(reason) => {
                 if is_verbose() {
-                    eprintln!("{:.2} n{n} not begun: {why}", self.now as f64 / 1e6);
+                    eprintln!(
+                        "{:.2} n{n} proposal not started: {reason}",
+                        self.now as f64 / 1e6
+                    );
                 }
                 self.observed.rejected.insert(id);
             }
@@ -144,9 +147,9 @@
         self.carry_out(n, outputs);
     }
 
-    /// Proposes at one member after the other, up to three times each, so that some document is one that all can serve under. Returns
+    /// Proposes at one member after the other, up to three times each, so that some document is acceptable to all members. Returns
     /// whether a change came into force.
-    pub fn can_be_changed(&mut self) -> bool {
+    pub fn completes_change(&mut self) -> bool {
         let before = self.observed.in_force.len();
         for n in 0..MEMBERS {
             for _ in 0..MAX_PROPOSALS_PER_MEMBER {
--- a/crates/policy-consensus/tests/nodes/invariants.rs
+++ b/crates/policy-consensus/tests/nodes/invariants.rs
@@ -1,4 +1,4 @@
-//! What was observed at all members, and the guarantees of `docs/policy-changes.md` by their numbers.
+//! Observations at all members, checked against the guarantees of `docs/policy-changes.md` by their numbers (I1 to I5).
 
 use crate::cluster::{Member, MEMBERS, REFUSED_BY_LAST};
 use frosthatch_policy_consensus::node::ServingState;
@@ -6,36 +6,41 @@
 use frosthatch_policy_consensus::PolicyId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Identifies a proposal.
+/// The identifier of a proposal.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ProposalKey {
     pub member: usize,
-    /// Which start of the member's process.
+    /// The number of starts of the member's process when the proposal was started.
     pub start: u64,
     pub number: u64,
 }
 
+/// A policy that was proposed, with the worth in its document.
 pub struct Proposed {
     pub id: PolicyId,
     pub worth: String,
 }
 
+/// The observations at all members.
 #[derive(Default)]
 pub struct Observed {
     pub proposed: BTreeMap<ProposalKey, Proposed>,
+    /// Proposals whose outcome was checked.
     finished: BTreeSet<ProposalKey>,
     /// Policies that were reported to their proposers as in force, by version.
     pub in_force: BTreeMap<u64, PolicyId>,
-    /// Policies that were reported to their proposers as never to be in force.
+    /// Policies that were reported to their proposers as rejected or superseded.
     pub rejected: BTreeSet<PolicyId>,
+    /// Policies under which any member served.
     held: BTreeSet<PolicyId>,
+    /// The highest version under which any member served.
     pub highest_version: u64,
-    /// How often a running member held no policy when it was looked at.
-    pub looks_without_lease: usize,
+    /// Number of observations of a running member that was not serving.
+    pub observations_without_lease: usize,
 }
 
 impl Observed {
-    /// I3, I4, I5: the outcomes of the proposals that were started at a member.
+    /// Checks I3, I4 and I5 for the finished proposals that were started at a member.
     pub fn check_outcomes(&mut self, n: usize, member: &Member) {
         let Some(node) = &member.node else {
             return;
@@ -64,21 +69,21 @@
                 let other = self.in_force.insert(id.version, id);
                 assert!(
                     other.is_none_or(|other| other == id),
-                    "I5: two of one version in force"
+                    "I5: two policies of the same version are in force"
                 );
                 assert!(
                     !self.rejected.contains(&id),
-                    "I3: one that was told to be nowhere is in force"
+                    "I3: a policy reported as rejected is in force"
                 );
             }
             ProposalOutcome::Rejected(_) | ProposalOutcome::Superseded(_) => {
                 assert!(
                     !self.held.contains(&id),
-                    "I3: one that holds was told to be nowhere"
+                    "I3: a policy that is held is reported as rejected"
                 );
                 assert!(
                     !self.in_force.values().any(|in_force| *in_force == id),
-                    "I4: one in force was told to be nowhere"
+                    "I4: a policy in force is reported as rejected"
                 );
                 self.rejected.insert(id);
             }
@@ -86,36 +91,36 @@
         }
     }
 
-    /// I1, I2, I3, I5: under what a request would be admitted now.
+    /// Checks I1, I2, I3 and I5 for the policy under which a member would admit a request now.
     pub fn check_serving_state(&mut self, n: usize, state: ServingState) {
         let ServingState::Serving(id, stricter_with) = state else {
-            self.looks_without_lease += 1;
+            self.observations_without_lease += 1;
             return;
         };
         assert!(
             id.version >= self.highest_version || stricter_with.is_some(),
-            "I1, I2: n{n} under {} after {}",
+            "I1, I2: n{n} serves under version {} after version {} was served",
             id.version,
             self.highest_version
         );
         assert!(
             !self.rejected.contains(&id),
-            "I3: one that was told to be nowhere holds"
+            "I3: a policy reported as rejected is held"
         );
         assert!(
             !(self.is_refused_by_last(&id) && n == MEMBERS - 1),
-            "it serves under what it cannot take"
+            "the last member serves under a policy that it refuses"
         );
         let is_fork = self
             .held
             .iter()
             .any(|held| held.version == id.version && *held != id);
-        assert!(!is_fork, "I5: two of one version hold");
+        assert!(!is_fork, "I5: two policies of the same version are held");
         self.highest_version = self.highest_version.max(id.version);
         self.held.insert(id);
     }
 
-    /// Whether the last member cannot serve under a policy.
+    /// Returns whether the last member refuses this policy.
     pub fn is_refused_by_last(&self, id: &PolicyId) -> bool {
         self.proposed
             .values()
