--- a/crates/policy-consensus/tests/promise.rs
+++ b/crates/policy-consensus/tests/promise.rs
@@ -1,6 +1,6 @@
-//! The guarantees under random schedules: acceptors, lease holders and proposers alone. Messages are delayed, lost, duplicated and
-//! reordered; acceptors stop and start from disk; gateways pause or start anew; clocks drift apart by 1%. What is checked after each
-//! step are the guarantees of `docs/policy-changes.md`, by their numbers.
+//! Random schedules of faults with acceptors, lease holders and proposers, without complete members. Messages are delayed, lost,
+//! duplicated and reordered; acceptors stop and restart from disk; gateways pause or restart; clocks are fast or slow by up to 1%.
+//! Each step checks the guarantees of `docs/policy-changes.md` by their numbers (I1 to I5).
 
 mod common;
 
@@ -15,7 +15,8 @@
 
 use simulation::{policy, Simulation, GATEWAYS};
 
-/// Runs one schedule with faults, then ends them and checks that the gateways agree. Returns the simulation as it ended.
+/// Runs one schedule with faults, then ends the faults and checks that all gateways hold the same policy. Returns the simulation in
+/// its final state.
 fn run_schedule(seed: u64) -> Simulation {
     let mut simulation = Simulation::new(seed, true);
     simulation.propose(Some(policy(1, 0, [0; 32])));
@@ -33,15 +34,19 @@
     let first = held[0];
     assert!(
         held.iter().all(|other| *other == first),
-        "seed {seed}: {held:?}"
+        "seed {seed}: all gateways hold the same policy: {held:?}"
     );
     assert!(
         first.map_or(0, |id| id.version) >= latest,
-        "seed {seed}: I4: {latest} was in force, {first:?} is held"
+        "seed {seed}: I4: version {latest} was reported as in force, {first:?} is held"
     );
     let reported_in_force = first.and_then(|id| in_force.get(&id.version));
     if let (Some(id), Some(policy)) = (first, reported_in_force) {
-        assert_eq!(id, policy.id(), "seed {seed}: I4");
+        assert_eq!(
+            id,
+            policy.id(),
+            "seed {seed}: I4: the held policy is the one reported as in force"
+        );
     }
     simulation
 }
@@ -49,22 +54,23 @@
 #[test]
 fn no_schedule_breaks_the_guarantees() {
     let mut changes = 0;
-    let mut refused = 0;
+    let mut rejected = 0;
     for seed in 0..1_500 {
         let simulation = run_schedule(seed);
         changes += simulation.observed.in_force.len();
-        refused += simulation.observed.rejected.len();
+        rejected += simulation.observed.rejected.len();
     }
-    println!("{changes} changes in force, {refused} nowhere");
+    println!("changes: {changes} in force, {rejected} rejected or superseded");
     assert!(
-        changes > 3_000 && refused > 300,
-        "{changes} {refused}: the schedules show both"
+        changes > 3_000 && rejected > 300,
+        "both outcomes occur: {changes} in force, {rejected} rejected or superseded"
     );
 }
 
-/// With one acceptor down no request has to wait, and a change lets a gateway without a lease wait for some milliseconds only.
+/// Guards against lost availability while one of three acceptors is down: no gateway is without a lease, except for some milliseconds
+/// at each change.
 #[test]
-fn a_minority_of_acceptors_that_is_down_costs_nothing() {
+fn gateways_keep_their_leases_while_a_minority_of_acceptors_is_down() {
     let mut simulation = Simulation::new(7, false);
     simulation.propose(Some(policy(1, 0, [0; 32])));
     simulation.run(3_000_000);
@@ -73,7 +79,7 @@
     simulation.run(10_000_000);
     assert_eq!(
         simulation.observed.steps_without_lease, 0,
-        "steps of 20 ms in which a gateway had no lease"
+        "every gateway has a lease in each step of 20 ms"
     );
     for version in 2..12 {
         let digest = policy(version - 1, 0, [0; 32]).digest;
@@ -82,11 +88,12 @@
         assert_eq!(simulation.observed.highest_version, version);
     }
     let steps_without_lease = simulation.observed.steps_without_lease;
-    println!("{steps_without_lease} steps in ten turns");
-    // In each of ten changes each gateway may miss a few steps: 2% of a lease for drift, twice, and the way of a message.
+    println!("{steps_without_lease} steps without a lease in ten changes");
+    // In each of ten changes each gateway may be without a lease for a few steps: 2% of a lease for drift, twice, and the delay of a
+    // message.
     assert!(
         steps_without_lease <= 10 * GATEWAYS * 5,
-        "{steps_without_lease}"
+        "{steps_without_lease} steps without a lease"
     );
     simulation.start_acceptor(1);
     simulation.run(3_000_000);
--- a/crates/policy-consensus/tests/promise/faults.rs
+++ b/crates/policy-consensus/tests/promise/faults.rs
@@ -1,10 +1,10 @@
-//! Random faults and proposals.
+//! Injection of random faults and proposals, and the end of all faults.
 
 use crate::simulation::{policy, Simulation, ACCEPTORS, GATEWAYS};
 use frosthatch_policy_consensus::Policy;
 
 impl Simulation {
-    /// Now and then a fault or its end, or a proposal.
+    /// Injects a random fault, the end of one, a proposal, or nothing.
     pub fn inject_random_fault(&mut self) {
         match self.random.below(60) {
             0 => {
@@ -43,7 +43,7 @@
         self.random.below(GATEWAYS as u64) as usize
     }
 
-    /// Proposes a successor of a policy that some acceptor has accepted, which now and then is not the latest.
+    /// Proposes a successor of a policy that some acceptor has accepted, which is not always the latest one.
     fn propose_successor(&mut self) {
         let accepted: Vec<Policy> = self
             .disks
@@ -53,12 +53,12 @@
             .collect();
         let choice = self.random.below(accepted.len() as u64) as usize;
         let parent = accepted.get(choice).copied().unwrap_or_default();
-        // No two proposers propose the same policy.
+        // The salt differs between proposers, so that no two of them propose the same policy.
         let salt = self.proposers.len() as u8;
         self.propose(Some(policy(parent.version + 1, salt, parent.digest)));
     }
 
-    /// Ends all faults.
+    /// Ends all faults: starts all acceptors and resumes all gateways.
     pub fn heal(&mut self) {
         self.has_faults = false;
         for index in 0..ACCEPTORS {
--- a/crates/policy-consensus/tests/promise/network.rs
+++ b/crates/policy-consensus/tests/promise/network.rs
@@ -1,4 +1,4 @@
-//! Messages between proposers, acceptors and gateways, and their delivery.
+//! The simulated network: messages between proposers, acceptors and gateways, and their delivery.
 
 use crate::simulation::Simulation;
 use frosthatch_policy_consensus::acceptor::{AcceptorReply, AcceptorRequest, LeaseGrant};
@@ -30,23 +30,24 @@
     },
 }
 
+/// A message in flight.
 pub struct InFlight {
     arrives_at: u64,
     message: Message,
 }
 
 impl Simulation {
-    /// Sends a message; with faults it may be lost, duplicated or delayed for long.
+    /// Sends a message. With faults it may be lost, duplicated or strongly delayed.
     pub fn send(&mut self, message: &Message) {
-        let fate = self.random.below(100);
-        let delay_kind = self.random.below(100);
-        let copies = match fate {
+        let loss_draw = self.random.below(100);
+        let delay_draw = self.random.below(100);
+        let copies = match loss_draw {
             0..10 if self.has_faults => 0,
             10..15 if self.has_faults => 2,
             _ => 1,
         };
         for _ in 0..copies {
-            let delay_us = if self.has_faults && delay_kind < 5 {
+            let delay_us = if self.has_faults && delay_draw < 5 {
                 self.random.below(3_000_000)
             } else {
                 self.random.below(30_000)
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Delivers what is due, and the answers to it that are due at once.
+    /// Delivers the due messages, including replies to them that are due at once.
     pub fn deliver_due_messages(&mut self) {
         loop {
             let now = self.now;
@@ -119,7 +120,7 @@
         let response = acceptor.handle(now, request);
         if response.requires_sync {
             self.disks[index] = acceptor.state().clone();
-            // It may stop before the reply is sent.
+            // The acceptor may stop after the write and before the reply is sent.
             if self.has_faults && self.random.below(60) == 0 {
                 self.acceptors[index] = None;
                 return;
--- a/crates/policy-consensus/tests/promise/simulation.rs
+++ b/crates/policy-consensus/tests/promise/simulation.rs
@@ -1,4 +1,4 @@
-//! Acceptors, gateways and proposers with their clocks and disks, stepped together.
+//! The simulation: acceptors, gateways and proposers with their clocks and disks, advanced step by step.
 
 use crate::common::{Clock, SeededRandom};
 use crate::invariants::Observed;
@@ -20,9 +20,10 @@
 /// A gateway, of which only the lease holder is simulated.
 pub struct Gateway {
     pub lease_holder: LeaseHolder,
-    /// Grows with each start; a new process ignores answers to an earlier one.
+    /// Number of restarts so far; a process ignores replies to requests of an earlier one.
     pub start: u64,
     pub is_paused: bool,
+    /// When leases were last requested, by the gateway's clock.
     requested_at: u64,
 }
 
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Starts the process anew, without any lease.
+    /// Restarts the process, without any leases.
     pub fn restart(&mut self) {
         self.lease_holder = LeaseHolder::new(LEASE_CONFIG, ACCEPTORS);
         self.start += 1;
@@ -51,12 +52,13 @@
     pub gateways: Vec<Gateway>,
     pub proposers: Vec<Proposer>,
     pub in_flight: Vec<InFlight>,
-    /// Of the acceptors, then of the gateways.
+    /// The clocks of the acceptors, then those of the gateways.
     clocks: Vec<Clock>,
     pub observed: Observed,
     pub has_faults: bool,
 }
 
+/// Returns a policy; those of the same version differ by their salt.
 pub fn policy(version: u64, salt: u8, parent: [u8; 32]) -> Policy {
     let mut digest = [version as u8; 32];
     digest[0] = salt;
@@ -107,6 +109,7 @@
         self.acceptors[index] = Some(acceptor);
     }
 
+    /// Starts a proposer; without a policy it only completes an interrupted change.
     pub fn propose(&mut self, policy: Option<Policy>) {
         let config = ProposerConfig {
             id: self.proposers.len() as u64 + 1,
@@ -118,6 +121,7 @@
         self.proposers.push(proposer);
     }
 
+    /// Advances time by [`STEP_US`], delivers the due messages, requests leases, ticks the proposers and checks the held policies.
     pub fn step(&mut self) {
         self.now += STEP_US;
         self.deliver_due_messages();
@@ -129,7 +133,7 @@
             self.proposers[index].tick(self.now, &mut outputs);
             self.carry_out(index, outputs);
         }
-        self.look_at_held_policies();
+        self.observe_held_policies();
     }
 
     pub fn run(&mut self, us: u64) {
@@ -157,7 +161,7 @@
         }
     }
 
-    /// Carries out what a proposer wants done.
+    /// Carries out the outputs of a proposer.
     pub fn carry_out(&mut self, proposer: usize, outputs: Vec<ProposerOutput>) {
         for output in outputs {
             match output {
@@ -181,8 +185,8 @@
         }
     }
 
-    /// Looks at what each gateway holds, as a request would.
-    fn look_at_held_policies(&mut self) {
+    /// Observes and checks the policy that each running gateway holds, as a request to it would.
+    fn observe_held_policies(&mut self) {
         let running_acceptors = self.acceptors.iter().flatten().count();
         let has_majority = running_acceptors * 2 > ACCEPTORS;
         for index in 0..GATEWAYS {
@@ -199,7 +203,7 @@
         }
     }
 
-    /// What each gateway holds now.
+    /// Returns the policy that each gateway holds now.
     pub fn held_policies(&mut self) -> Vec<Option<PolicyId>> {
         let mut held = Vec::new();
         for index in 0..GATEWAYS {
