--- a/crates/cluster-membership/src/driver.rs
+++ b/crates/cluster-membership/src/driver.rs
@@ -1,4 +1,5 @@
-//! Connects the state machine to a UDP socket, a periodic tick, and the engine. It decides nothing itself.
+//! Connects the [`Membership`] state machine to a UDP socket, a periodic tick and the engine. The driver itself makes no
+//! decisions.
 
 use crate::membership::{Membership, Output};
 use crate::record::LifecyclePhase;
@@ -13,16 +14,16 @@
 use tokio::net::UdpSocket;
 use tokio::time::{interval, MissedTickBehavior};
 
-/// Datagrams read in one go, so that other tasks get to run in between.
-const MAX_READS: usize = 64;
+/// Upper bound of the datagrams read per wake-up of the task, so that other tasks get to run in between.
+const MAX_DATAGRAMS_PER_READ: usize = 64;
 
-/// Takes the messages of another subsystem that other members sent.
+/// Receives the messages that other members sent for another subsystem.
 pub trait MessageHandler {
-    /// A message arrived. `from`: name of the member that sent it.
+    /// Handles a message from the member named `from`.
     fn handle_message(&self, from: &str, bytes: &[u8]);
 }
 
-/// This process as a member of the cluster.
+/// This process as a member of the cluster: the state machine with its socket, engine and message handler.
 pub struct MembershipHandle {
     membership: RefCell<Membership>,
     message_handler: RefCell<Option<Rc<dyn MessageHandler>>>,
@@ -31,7 +32,7 @@
 }
 
 impl MembershipHandle {
-    /// A member that is idle until [`MembershipHandle::run`].
+    /// Creates a member that is idle until [`MembershipHandle::run`] is polled.
     pub fn new(membership: Membership, socket: UdpSocket) -> Rc<MembershipHandle> {
         Rc::new(MembershipHandle {
             membership: RefCell::new(membership),
@@ -41,31 +42,31 @@
         })
     }
 
-    /// Reads the state of the membership.
+    /// Calls `read` with the state machine and returns its result.
     pub fn read<T>(&self, read: impl FnOnce(&Membership) -> T) -> T {
         read(&self.membership.borrow())
     }
 
-    /// Sets who takes messages from other members.
+    /// Sets the handler of messages from other members.
     pub fn set_message_handler(&self, message_handler: Rc<dyn MessageHandler>) {
         self.message_handler.replace(Some(message_handler));
     }
 
-    /// Sends a message to a member: once, as a datagram that may be lost.
+    /// Sends a message once to the member named `to`, as a datagram that may be lost.
     pub fn send_message(&self, to: &str, bytes: Vec<u8>) {
         let mut outputs = Vec::new();
         self.membership
             .borrow_mut()
             .send_message(self.now_us(), to, bytes, &mut outputs);
-        self.carry_out(&mut outputs);
+        self.execute_outputs(&mut outputs);
     }
 
-    /// Sets one of this member's gauges, measured now.
+    /// Sets one of this member's gauges to a value measured now.
     pub fn set_gauge(&self, name: &str, value: f64) {
         self.set_gauge_measured_at(self.now_us(), name, value);
     }
 
-    /// Sets one of this member's gauges, measured at a time of the engine's clock in microseconds.
+    /// Sets one of this member's gauges to a value measured at `measured_at_us`, in microseconds of the engine's clock.
     pub fn set_gauge_measured_at(&self, measured_at_us: u64, name: &str, value: f64) {
         self.membership
             .borrow_mut()
@@ -77,26 +78,26 @@
         self.membership.borrow_mut().clear_gauge(name);
     }
 
-    /// Publishes this member's phase.
+    /// Publishes this member's lifecycle phase.
     pub fn set_phase(&self, phase: LifecyclePhase) {
         self.membership.borrow_mut().set_phase(self.now_us(), phase);
     }
 
-    /// Replaces the cluster's keys.
+    /// Replaces the keys that seal and open datagrams.
     pub fn set_keys(&self, keys: Keys) {
         self.membership.borrow_mut().set_keys(keys);
     }
 
-    /// Notifies the other members that this one leaves. From then on it sends no usage.
+    /// Notifies the other members that this one leaves. Afterwards this member sends no usage.
     pub fn leave(&self) {
         let mut outputs = Vec::new();
         self.membership
             .borrow_mut()
             .leave(self.now_us(), &mut outputs);
-        self.carry_out(&mut outputs);
+        self.execute_outputs(&mut outputs);
     }
 
-    /// Runs until it is dropped, with a tick at each interval of `tick`.
+    /// Receives datagrams and ticks the state machine once per `tick` interval, until the future is dropped.
     pub async fn run(self: Rc<Self>, tick: Duration, engine: Rc<Engine>) {
         self.engine.replace(Some(engine.clone()));
         let mut ticks = interval(tick);
@@ -110,11 +111,11 @@
                 }
                 _ = ticks.tick() => self.membership.borrow_mut().tick(engine.now_us(), &mut outputs),
             }
-            self.carry_out(&mut outputs);
+            self.execute_outputs(&mut outputs);
         }
     }
 
-    /// Reads the datagrams that wait at the socket, and handles them if the socket is sound.
+    /// Reads the datagrams queued at the socket. They are handled if `is_socket_sound` and discarded otherwise.
     fn receive(
         &self,
         engine: &Engine,
@@ -122,8 +123,8 @@
         buffer: &mut [u8],
         outputs: &mut Vec<Output>,
     ) {
-        for _ in 0..MAX_READS {
-            // An error may also say that some member's port is closed.
+        for _ in 0..MAX_DATAGRAMS_PER_READ {
+            // An error can also report that the port of some other member is closed.
             let received: std::io::Result<(usize, SocketAddr)> =
                 uninterrupted(|| self.socket.try_recv_from(buffer));
             let Ok((length, from)) = received else {
@@ -140,16 +141,20 @@
         }
     }
 
-    fn carry_out(&self, outputs: &mut Vec<Output>) {
+    fn execute_outputs(&self, outputs: &mut Vec<Output>) {
         for output in outputs.drain(..) {
             match output {
                 Output::Send { to, bytes } => {
-                    // What cannot be sent now is lost and made up for by the next datagram.
+                    // A datagram that cannot be sent now is dropped; the next one to this member makes up for it.
                     drop(uninterrupted(|| self.socket.try_send_to(&bytes, to)));
                 }
-                Output::UsageReported { heard, uses, past } => {
+                Output::UsageReported {
+                    complete_gateways,
+                    uses,
+                    earlier_uses,
+                } => {
                     let engine = self.engine.borrow().clone();
-                    engine.inspect(|e| e.record_peer_usage(heard, uses, past));
+                    engine.inspect(|e| e.record_peer_usage(complete_gateways, uses, earlier_uses));
                 }
                 Output::GatewaysAbsent(gateways) => {
                     let engine = self.engine.borrow().clone();
--- a/crates/cluster-membership/src/failure_detector.rs
+++ b/crates/cluster-membership/src/failure_detector.rs
@@ -1,9 +1,9 @@
-//! Failure detection: SWIM (Das, Gupta, Motivala, DSN 2002) with the extensions of Lifeguard (Dadgar, Phillips, Currey, 2017):
-//! a score of the local health, and suspicion timeouts that shrink with each member that suspects. A member that was heard
-//! directly of late is not probed.
+//! Failure detection by SWIM (Das, Gupta, Motivala, DSN 2002) with the extensions of Lifeguard (Dadgar, Phillips, Currey, 2017):
+//! a local health score, and suspicion timeouts that shrink with each member that confirms the suspicion. A member from which
+//! a datagram was received recently is not probed.
 //!
-//! Times are in microseconds of a clock that stands still while this process does not run, so that silence during a stop is no
-//! evidence against others.
+//! Times are in microseconds of a clock that stands still while this process does not run, so that a pause of this process is
+//! no evidence that other members failed.
 
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -12,51 +12,52 @@
 #[cfg(test)]
 mod tests;
 
-/// Members beside the first one that suspect, after which a suspicion has its shortest timeout.
+/// Number of members that have to suspect a member, in addition to the first one, for the shortest suspicion timeout.
 pub const MAX_CONFIRMATIONS: usize = 3;
 
-/// Upper bound of the local health score; 0 is healthy.
+/// Upper bound of the local health score; a score of 0 is healthy.
 const MAX_HEALTH_SCORE: u32 = 8;
-/// Times that a probe is repeated, one a tick: acknowledgements are lost as well.
+/// Number of retries of a direct probe, one per tick, since a probe or its acknowledgement may be lost.
 const PING_RETRIES: u32 = 2;
-/// A member heard within this many probe intervals is not probed in any case.
+/// Upper bound, in probe intervals, of the time without a datagram from a member after which it may be probed.
 const MAX_QUIET_INTERVALS: u64 = 3;
-/// Members that are asked to probe a target that does not answer.
+/// Number of other members that are requested to probe a target that does not answer.
 const INDIRECT_PINGS: usize = 3;
-/// Shortest suspicion timeout, in probe intervals for each power of ten of members.
+/// Shortest suspicion timeout in probe intervals, per decimal logarithm of the number of members.
 const MIN_SUSPICION_INTERVALS: f64 = 4.0;
-/// Longest suspicion timeout as a multiple of the shortest one.
+/// Longest suspicion timeout, as a multiple of the shortest one.
 const MAX_SUSPICION_FACTOR: f64 = 6.0;
-/// Members drawn for every second probe, which goes to the one of them that was not heard for longest.
+/// Number of random candidates for every second probe; the one from which nothing was received for longest is probed.
 const PROBE_CANDIDATES: usize = 8;
 
-/// What the caller has to do.
+/// An action that the caller has to execute.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DetectorAction {
-    /// Probe a member.
+    /// Send a probe to a member.
     Ping {
         /// Name of the member.
         target: String,
         /// Number of the probe, to be passed to [`FailureDetector::acknowledge`].
         ping: u32,
     },
-    /// Ask other members to probe one.
+    /// Request other members to probe the target on behalf of this one.
     IndirectPing {
-        /// Names of the members to ask.
+        /// Names of the members that receive the request.
         via: Vec<String>,
         /// Name of the member to probe.
         target: String,
-        /// Number of the probe.
+        /// Number of the probe, the same as in the preceding [`DetectorAction::Ping`].
         ping: u32,
     },
-    /// Suspect a member, which did not answer.
+    /// Mark a member as suspect, since it did not answer a probe.
     Suspect(String),
-    /// Confirm that a suspected member is dead.
+    /// Declare a suspected member dead, since its suspicion timed out.
     ConfirmDead(String),
-    /// Notify a member that it is suspected although it is heard, so that it refutes.
+    /// Notify a member that it is suspected although datagrams from it arrive, so that it refutes the suspicion.
     NotifySuspect(String),
 }
 
+/// The probe in flight.
 struct Probe {
     target: String,
     ping: u32,
@@ -65,22 +66,23 @@
     is_indirect: bool,
 }
 
+/// A suspicion of one incarnation of a member that has neither been refuted nor timed out.
 struct Suspicion {
     incarnation: u64,
     since_us: u64,
     suspectors: usize,
 }
 
-/// State of the failure detector of one member.
+/// The failure detector of one member.
 pub struct FailureDetector {
     probe_interval_us: u64,
     rng: Pcg64Mcg,
-    /// Lifeguard's local health multiplier: each failed probe while nobody is heard and each refutation adds one, each
-    /// acknowledgement takes one away.
+    /// Lifeguard's local health multiplier. Each refutation, and each probe that fails while no datagrams arrive from any other
+    /// member, adds one; each acknowledgement subtracts one.
     health_score: u32,
-    /// The rest of the current round of probes, in random order; the next one last.
+    /// Remaining targets of the current round of probes in random order; the last element is probed next.
     probe_order: Vec<String>,
-    prefers_longest_unheard: bool,
+    prefers_longest_silent: bool,
     probe: Option<Probe>,
     next_probe_at_us: u64,
     last_ping: u32,
@@ -88,14 +90,14 @@
 }
 
 impl FailureDetector {
-    /// A detector without suspicions. `seed` determines whom it probes and asks.
+    /// Creates a detector without suspicions. `seed` determines the random choice of probe targets and helpers.
     pub fn new(probe_interval_us: u64, seed: u64) -> FailureDetector {
         FailureDetector {
             probe_interval_us,
             rng: Pcg64Mcg::seed_from_u64(seed),
             health_score: 0,
             probe_order: Vec::new(),
-            prefers_longest_unheard: false,
+            prefers_longest_silent: false,
             probe: None,
             next_probe_at_us: 0,
             last_ping: 0,
@@ -103,25 +105,25 @@
         }
     }
 
-    /// Raises the score of the local health: this process rather than others seems to be slow.
+    /// Raises the local health score by one, since this process rather than other members seems to be slow.
     pub fn worsen_health(&mut self) {
         self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
     }
 
-    /// This process did not run for a while: abandons the probe in flight and suspects nobody for one interval.
+    /// Abandons the probe in flight and suspends probing for one interval, after a pause during which this process did not run.
     pub fn resume_after_pause(&mut self, now_us: u64) {
         self.probe = None;
         self.health_score = MAX_HEALTH_SCORE;
         self.next_probe_at_us = now_us + self.scaled_interval_us();
     }
 
-    /// A new number for a probe, also for those made on behalf of other members. Never 0.
+    /// Returns a new probe number, which is never 0. Probes sent on behalf of other members take their numbers here as well.
     pub fn next_ping(&mut self) -> u32 {
         self.last_ping = self.last_ping.wrapping_add(1).max(1);
         self.last_ping
     }
 
-    /// Records the acknowledgement of a probe.
+    /// Records the acknowledgement of the probe numbered `ping`.
     pub fn acknowledge(&mut self, ping: u32) {
         if self.probe.as_ref().is_some_and(|p| p.ping == ping) {
             self.probe = None;
@@ -129,7 +131,8 @@
         }
     }
 
-    /// Records that `suspectors` members, this one included if it does, suspect a member in an incarnation.
+    /// Records that `suspectors` members suspect the given incarnation of a member. The count includes this member if it suspects
+    /// the member itself.
     pub fn record_suspicion(
         &mut self,
         now_us: u64,
@@ -149,7 +152,7 @@
         suspicion.suspectors = suspicion.suspectors.max(suspectors);
     }
 
-    /// Ends the suspicion and the probe of a member that is known to run or to be gone.
+    /// Removes the suspicion and abandons the probe of a member that is known to be running or gone.
     pub fn clear_suspicion(&mut self, name: &str) {
         self.suspicions.remove(name);
         if self.probe.as_ref().is_some_and(|p| p.target == name) {
@@ -157,26 +160,29 @@
         }
     }
 
-    /// Does what is due and appends it to `actions`.
+    /// Expires suspicions, advances the probe in flight, starts a probe if one is due, and appends the resulting actions to
+    /// `actions`.
     ///
-    /// `others`: names of all other members that are present, sorted; `heard_at`: when a member was last heard itself, 0 for
-    /// never; `update_interval_us`: how often each other member is sent a datagram in any case.
+    /// `others`: names of all other present members, sorted; `last_received_at`: when a datagram was last received directly from
+    /// a member, in microseconds, or 0 for never; `update_interval_us`: interval at which members send each other updates.
     pub fn tick(
         &mut self,
         now_us: u64,
         update_interval_us: u64,
         others: &[&str],
-        heard_at: impl Fn(&str) -> u64,
+        last_received_at: impl Fn(&str) -> u64,
         actions: &mut Vec<DetectorAction>,
     ) {
-        self.expire_suspicions(now_us, others.len() + 1, &heard_at, actions);
-        self.continue_probe(now_us, others, &heard_at, actions);
+        self.expire_suspicions(now_us, others.len() + 1, &last_received_at, actions);
+        self.continue_probe(now_us, others, &last_received_at, actions);
         if now_us < self.next_probe_at_us {
             return;
         }
         self.next_probe_at_us = now_us + self.scaled_interval_us();
-        self.fail_probe(others, &heard_at, actions);
-        if let Some(target) = self.choose_target(now_us, update_interval_us, others, &heard_at) {
+        self.fail_probe(others, &last_received_at, actions);
+        if let Some(target) =
+            self.choose_target(now_us, update_interval_us, others, &last_received_at)
+        {
             let ping = self.next_ping();
             self.probe = Some(Probe {
                 target: target.clone(),
@@ -189,16 +195,17 @@
         }
     }
 
-    /// How long a suspicion lasts in a cluster of this size before it is confirmed.
+    /// Returns how long a member may remain suspect before it is declared dead, in microseconds, in a cluster of `members` of
+    /// which `suspectors` suspect the member.
     fn suspicion_timeout_us(&self, members: usize, suspectors: usize) -> u64 {
         let size_factor = (members.max(10) as f64).log10();
         let shortest = MIN_SUSPICION_INTERVALS * size_factor * self.probe_interval_us as f64;
-        let most_confirmations = MAX_CONFIRMATIONS.min(members.saturating_sub(2));
-        let confirmed_share = if most_confirmations == 0 {
+        let max_confirmations = MAX_CONFIRMATIONS.min(members.saturating_sub(2));
+        let confirmed_share = if max_confirmations == 0 {
             1.0
         } else {
             let confirmed = (suspectors.max(1) as f64).ln();
-            (confirmed / (most_confirmations as f64 + 1.0).ln()).min(1.0)
+            (confirmed / (max_confirmations as f64 + 1.0).ln()).min(1.0)
         };
         let health_factor = 1.0 + f64::from(self.health_score) / 4.0;
         let unconfirmed_share = 1.0 - confirmed_share;
@@ -206,11 +213,13 @@
         (timeout * health_factor) as u64
     }
 
+    /// Ends suspicions that have timed out: notifies the suspects from which datagrams arrived since, and declares the others
+    /// dead.
     fn expire_suspicions(
         &mut self,
         now_us: u64,
         members: usize,
-        heard_at: &impl Fn(&str) -> u64,
+        last_received_at: &impl Fn(&str) -> u64,
         actions: &mut Vec<DetectorAction>,
     ) {
         let is_expired = |s: &Suspicion| {
@@ -227,8 +236,8 @@
             let Some(suspicion) = self.suspicions.get_mut(&name) else {
                 continue;
             };
-            if heard_at(&name) > suspicion.since_us {
-                // It was heard since it was suspected, so it runs.
+            if last_received_at(&name) > suspicion.since_us {
+                // A datagram arrived from the suspect after it was suspected, so it is running.
                 suspicion.since_us = now_us;
                 actions.push(DetectorAction::NotifySuspect(name));
             } else {
@@ -238,20 +247,20 @@
         }
     }
 
-    /// Ends the probe if its target was heard, else repeats it or asks others to probe.
+    /// Ends the probe in flight if a datagram arrived from its target; otherwise retries it or requests indirect probes.
     fn continue_probe(
         &mut self,
         now_us: u64,
         others: &[&str],
-        heard_at: &impl Fn(&str) -> u64,
+        last_received_at: &impl Fn(&str) -> u64,
         actions: &mut Vec<DetectorAction>,
     ) {
         let indirect_after_us = (self.probe_interval_us / 2) * u64::from(1 + self.health_score);
         let Some(probe) = &mut self.probe else {
             return;
         };
-        // Any datagram of the target is as good as an acknowledgement.
-        if heard_at(&probe.target) >= probe.sent_at_us {
+        // Any datagram from the target counts as an acknowledgement.
+        if last_received_at(&probe.target) >= probe.sent_at_us {
             self.probe = None;
             self.improve_health();
         } else if probe.retries < PING_RETRIES {
@@ -269,45 +278,47 @@
         }
     }
 
-    /// Suspects the target of the probe that was not acknowledged, if there is one.
+    /// Suspects the target of the probe in flight, if there is one, since it was not acknowledged in time.
     fn fail_probe(
         &mut self,
         others: &[&str],
-        heard_at: &impl Fn(&str) -> u64,
+        last_received_at: &impl Fn(&str) -> u64,
         actions: &mut Vec<DetectorAction>,
     ) {
         let Some(probe) = self.probe.take() else {
             return;
         };
-        // Lifeguard: where nobody else is heard either, it is as likely that this process is slow.
-        let is_any_heard = others.iter().any(|name| heard_at(name) >= probe.sent_at_us);
-        if others.len() > 1 && !is_any_heard {
+        // Lifeguard: if no datagrams arrive from the other members either, this process is as likely to be the slow one.
+        let has_received_any = others
+            .iter()
+            .any(|name| last_received_at(name) >= probe.sent_at_us);
+        if others.len() > 1 && !has_received_any {
             self.worsen_health();
         }
         actions.push(DetectorAction::Suspect(probe.target));
     }
 
-    /// A member that was not heard for a while: alternately the one of a few drawn ones that was not heard for longest, and the
-    /// next one of a round in random order.
+    /// Returns the next probe target, among the members from which nothing was received for a while. The choice alternates
+    /// between the longest silent one of a few random candidates and the next one of a round in random order.
     fn choose_target(
         &mut self,
         now_us: u64,
         update_interval_us: u64,
         others: &[&str],
-        heard_at: &impl Fn(&str) -> u64,
+        last_received_at: &impl Fn(&str) -> u64,
     ) -> Option<String> {
-        // Where updates are rare, the loss of a single one must not cause a probe.
+        // At long update intervals, the loss of a single update must not cause a probe.
         let max_quiet_us = MAX_QUIET_INTERVALS * self.probe_interval_us;
         let quiet_us = (2 * update_interval_us).clamp(self.probe_interval_us, max_quiet_us);
-        let is_quiet = |name: &str| now_us.saturating_sub(heard_at(name)) >= quiet_us;
-        self.prefers_longest_unheard = !self.prefers_longest_unheard;
-        if self.prefers_longest_unheard {
+        let is_quiet = |name: &str| now_us.saturating_sub(last_received_at(name)) >= quiet_us;
+        self.prefers_longest_silent = !self.prefers_longest_silent;
+        if self.prefers_longest_silent {
             let candidates = self.draw(others, PROBE_CANDIDATES, "");
-            let longest_unheard = candidates
+            let longest_silent = candidates
                 .into_iter()
                 .filter(|name| !self.suspicions.contains_key(name))
-                .min_by_key(|name| heard_at(name));
-            if let Some(name) = longest_unheard.filter(|name| is_quiet(name)) {
+                .min_by_key(|name| last_received_at(name));
+            if let Some(name) = longest_silent.filter(|name| is_quiet(name)) {
                 return Some(name);
             }
         }
@@ -323,7 +334,7 @@
         None
     }
 
-    /// Up to `count` different names but `excluded`, in random order.
+    /// Returns up to `count` distinct names other than `excluded`, in random order.
     fn draw(&mut self, names: &[&str], count: usize, excluded: &str) -> Vec<String> {
         let mut pool: Vec<&str> = names.iter().copied().filter(|n| *n != excluded).collect();
         let count = count.min(pool.len());
@@ -334,6 +345,7 @@
         pool[..count].iter().map(ToString::to_string).collect()
     }
 
+    /// Returns the probe interval in microseconds, stretched by the local health score.
     fn scaled_interval_us(&self) -> u64 {
         self.probe_interval_us * u64::from(1 + self.health_score)
     }
--- a/crates/cluster-membership/src/gauges.rs
+++ b/crates/cluster-membership/src/gauges.rs
@@ -1,5 +1,5 @@
-//! A small set of named gauges that each member publishes to the others, with the age of each value. A set is sent whole under
-//! a version number; receivers keep the latest version only.
+//! Named gauges that each member publishes to the others, with the age of each value. The set of a member is sent whole under a
+//! version number; receivers keep only the latest version.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -7,48 +7,49 @@
 #[cfg(test)]
 mod tests;
 
-/// Upper bound of gauges that one member publishes.
+/// Upper bound of the gauges that one member publishes.
 pub const MAX_GAUGES: usize = 32;
-/// Upper bound of a gauge's name, in bytes.
+/// Upper bound of the length of a gauge's name, in bytes.
 pub const MAX_NAME_BYTES: usize = 24;
 
-/// A gauge as it is sent to other members.
+/// A gauge in the form in which it is sent to other members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Gauge {
-    /// Name, at most [`MOST_NAME`] bytes.
+    /// Name of at most [`MAX_NAME_BYTES`] bytes.
     pub name: String,
-    /// Finite value.
+    /// Value; a receiver discards the gauge unless it is finite.
     pub value: f64,
     /// Milliseconds since the value was measured.
     pub age_ms: u32,
 }
 
-/// All gauges of a member as they are sent.
+/// All gauges of a member in the form in which they are sent.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct GaugeSnapshot {
-    /// Version of the set; 0 if the datagram carries none.
+    /// Version of the set; 0 if the datagram carries no gauges.
     pub version: u64,
-    /// The whole set.
+    /// All gauges of the sender.
     pub gauges: Vec<Gauge>,
 }
 
+/// The value of a gauge and when it was measured, in microseconds of the local clock.
 #[derive(Clone, Copy, Debug)]
 struct Measurement {
     value: f64,
     measured_at_us: u64,
 }
 
-/// The gauges of one member, with the time at which each was measured, by the local clock in microseconds.
+/// The gauges of one member, with the time at which each was measured, in microseconds of the local clock.
 #[derive(Clone, Debug, Default)]
 pub struct Gauges {
-    /// Grows with each change; 0 as long as nothing was set.
+    /// Version of the set, incremented by each change; 0 before the first one.
     pub version: u64,
     measurements: BTreeMap<String, Measurement>,
 }
 
 impl Gauges {
-    /// Sets a gauge. Returns false, and changes nothing, if the value is not finite, the name is empty or too long, or the set
-    /// already holds [`MAX_GAUGES`] others.
+    /// Sets a gauge. Returns false and changes nothing if the value is not finite, the name is empty or longer than
+    /// [`MAX_NAME_BYTES`], or the set already holds [`MAX_GAUGES`] others.
     pub fn set(&mut self, now_us: u64, name: &str, value: f64) -> bool {
         let has_capacity =
             self.measurements.len() < MAX_GAUGES || self.measurements.contains_key(name);
@@ -71,20 +72,20 @@
         }
     }
 
-    /// The value of a gauge and when it was measured, in microseconds.
+    /// Returns the value of a gauge and when it was measured, in microseconds.
     pub fn get(&self, name: &str) -> Option<(f64, u64)> {
         let measurement = self.measurements.get(name)?;
         Some((measurement.value, measurement.measured_at_us))
     }
 
-    /// All gauges in the order of their names: name, value, and when it was measured, in microseconds.
+    /// Iterates over all gauges in the order of their names, as name, value and time of measurement in microseconds.
     pub fn all(&self) -> impl Iterator<Item = (&str, f64, u64)> + '_ {
         self.measurements
             .iter()
             .map(|(name, m)| (name.as_str(), m.value, m.measured_at_us))
     }
 
-    /// The whole set, with ages instead of times, as it is sent to other members.
+    /// Returns all gauges in the form in which they are sent, with ages in place of times of measurement.
     pub fn snapshot(&self, now_us: u64) -> GaugeSnapshot {
         let gauges = self
             .all()
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Replaces the set by that of another member if its version is later. Gauges out of bounds are left out.
+    /// Replaces the set by `snapshot` if that has a later version. Gauges out of bounds are dropped.
     pub fn replace_if_later(&mut self, now_us: u64, snapshot: GaugeSnapshot) {
         if snapshot.version <= self.version {
             return;
--- a/crates/cluster-membership/src/gauges/tests.rs
+++ b/crates/cluster-membership/src/gauges/tests.rs
@@ -1,7 +1,7 @@
 use super::{Gauge, GaugeSnapshot, Gauges, MAX_GAUGES};
 
 #[test]
-fn latest_version_counts_and_ages_are_carried() {
+fn only_the_latest_version_is_kept_and_ages_are_preserved() {
     let mut local = Gauges::default();
     let mut remote = Gauges::default();
     assert!(local.set(1_000_000, "strain", 0.5));
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn count_and_values_are_bounded() {
+fn the_number_of_gauges_is_bounded_and_non_finite_values_are_rejected() {
     let mut gauges = Gauges::default();
     let accepted = (0..100)
         .filter(|n| gauges.set(1, &format!("f{n}"), 1.0))
--- a/crates/cluster-membership/src/member_table.rs
+++ b/crates/cluster-membership/src/member_table.rs
@@ -1,5 +1,5 @@
-//! All members as this one knows them: what is disseminated, what differs from another member's table, the view that follows,
-//! and when members that are gone are forgotten. Times are in microseconds.
+//! The table of all members known to this one. It queues changes for dissemination, finds differences from another member's
+//! table, derives the view of ready members, and forgets members that have been gone for long. Times are in microseconds.
 
 use crate::record::{stable_hash, LifecyclePhase, Liveness, MemberRecord};
 use std::collections::{BTreeMap, VecDeque};
@@ -7,43 +7,45 @@
 #[cfg(test)]
 mod tests;
 
-/// Buckets into which a table is divided for anti-entropy: tables are compared, and differences sent, by the bucket.
+/// Number of buckets into which a table is divided for anti-entropy: tables are compared, and differences sent, per bucket.
 pub const BUCKETS: usize = 16;
-/// Each change is disseminated this many times the binary logarithm of the number of members (SWIM, section 4.1 of Das et al.,
-/// DSN 2002).
+/// How often each change is disseminated, as a multiple of the binary logarithm of the number of members (SWIM, section 4.1 of
+/// Das et al., DSN 2002).
 const DISSEMINATION_FACTOR: u32 = 4;
 
 /// A member in the table.
 #[derive(Clone, Debug)]
 pub struct MemberEntry {
-    /// Its latest record.
+    /// Latest record of the member.
     pub record: MemberRecord,
-    /// When it died or left, by what other members said of its age; for a member that is present, when its record came.
+    /// When a member that is gone died or left, derived from the age reported by other members; for a present member, when its
+    /// record was received.
     pub since_us: u64,
-    /// While it is suspected, short hashes of the names of the members that suspect it.
+    /// Short hashes of the names of the members that suspect this one; empty unless it is a suspect.
     pub suspectors: Vec<u32>,
 }
 
-/// The set of ready members. Any two members that have received the same updates have the same set.
+/// A summary of the set of ready members. Members that have received the same updates have the same set.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct View {
     /// Digest of the ready members.
     pub digest: u64,
-    /// How many are ready.
+    /// Number of ready members.
     pub ready_count: usize,
-    /// When the digest last changed, in microseconds.
+    /// Time of the last change of the digest, in microseconds.
     pub changed_at_us: u64,
 }
 
-/// What an update changed.
+/// A change of a member's record by an update.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberChange {
-    /// The record before; `None` if the member was not known.
-    pub before: Option<MemberRecord>,
-    /// The record now.
-    pub now: MemberRecord,
+    /// The record before the update; `None` if the member was not known.
+    pub previous: Option<MemberRecord>,
+    /// The record after the update.
+    pub current: MemberRecord,
 }
 
+/// A member whose change is being disseminated, and how often that was sent.
 struct Dissemination {
     name: String,
     sent_count: u32,
@@ -55,14 +57,14 @@
     max_members: usize,
     forget_us: u64,
     entries: BTreeMap<String, MemberEntry>,
-    /// Members with changes that are disseminated, the next one first.
+    /// Members whose changes are to be disseminated; the first one is sent next.
     dissemination_queue: VecDeque<Dissemination>,
     view: View,
     bucket_digests: Vec<u32>,
 }
 
 impl MemberTable {
-    /// A table that holds only this member. `forget_us`: how long members that are gone are remembered.
+    /// Creates a table that holds only this member. `forget_us`: how long dead members and those that have left are remembered.
     pub fn new(own: MemberRecord, max_members: usize, forget_us: u64) -> MemberTable {
         let mut table = MemberTable {
             own_name: own.name.clone(),
@@ -73,52 +75,52 @@
             view: View::default(),
             bucket_digests: vec![0; BUCKETS],
         };
-        table.put(0, own, 0);
+        table.insert_record(0, own, 0);
         table
     }
 
-    /// The record of this member.
+    /// Returns the record of this member.
     pub fn own_record(&self) -> &MemberRecord {
         &self.entries[&self.own_name].record
     }
 
-    /// The record of a member.
+    /// Returns the record of a member.
     pub fn record(&self, name: &str) -> Option<&MemberRecord> {
         self.entries.get(name).map(|entry| &entry.record)
     }
 
-    /// The entry of a member.
+    /// Returns the entry of a member.
     pub fn entry(&self, name: &str) -> Option<&MemberEntry> {
         self.entries.get(name)
     }
 
-    /// All records in the order of names.
+    /// Iterates over all records in the order of names.
     pub fn records(&self) -> impl Iterator<Item = &MemberRecord> {
         self.entries.values().map(|entry| &entry.record)
     }
 
-    /// Number of members, those that are gone included.
+    /// Returns the number of members, including those that are gone.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are no members. Never, since this member is one.
+    /// Returns whether the table is empty, which never happens, since it holds this member.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Records of all other members that are present, in the order of names.
+    /// Iterates over the records of all other present members in the order of names.
     pub fn present_others(&self) -> impl Iterator<Item = &MemberRecord> {
         self.records()
             .filter(|record| record.is_present() && record.name != self.own_name)
     }
 
-    /// The ready members.
+    /// Returns the summary of the ready members.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// Region, zone and name of the ready members, sorted in this order.
+    /// Returns region, zone and name of each ready member, sorted by these three.
     pub fn ready_members(&self) -> Vec<(&str, &str, &str)> {
         let mut ready: Vec<_> = self
             .records()
@@ -129,7 +131,8 @@
         ready
     }
 
-    /// Merges what another member said. `age_us`: for how long the member has been gone, if it is. Returns what changed.
+    /// Merges a record received from another member and returns the change, if any. `age_us`: how long the record's member has
+    /// been gone; 0 if it is present.
     pub fn merge(
         &mut self,
         now_us: u64,
@@ -145,21 +148,21 @@
                 return None;
             }
         } else {
-            // A member that all are about to forget must not come back.
+            // A member that all tables are about to forget must not be added again.
             let is_outdated = !received.is_present() && age_us >= self.forget_us;
-            if is_outdated || !self.make_room() {
+            if is_outdated || !self.ensure_capacity() {
                 return None;
             }
         }
-        self.put(now_us, received.clone(), now_us.saturating_sub(age_us));
+        self.insert_record(now_us, received.clone(), now_us.saturating_sub(age_us));
         Some(MemberChange {
-            before,
-            now: received.clone(),
+            previous: before,
+            current: received.clone(),
         })
     }
 
-    /// Publishes a phase of this member under an incarnation above its last one and above `min_incarnation`. This also refutes
-    /// what other members say of it.
+    /// Publishes a phase of this member under an incarnation above both its last one and `min_incarnation`. The new record also
+    /// refutes records of lower incarnations in which this member is suspect, dead or gone.
     pub fn publish_own(&mut self, now_us: u64, phase: LifecyclePhase, min_incarnation: u64) {
         let own = self.own_record().clone();
         let record = MemberRecord {
@@ -168,10 +171,11 @@
             liveness: Liveness::Alive,
             ..own
         };
-        self.put(now_us, record, now_us);
+        self.insert_record(now_us, record, now_us);
     }
 
-    /// Sets the liveness of a member in its current incarnation. Returns what changed: nothing if it is not worse than before.
+    /// Sets the liveness of a member in its current incarnation and returns the change: `None` unless the liveness is worse than
+    /// the known one.
     pub fn set_liveness(
         &mut self,
         now_us: u64,
@@ -185,8 +189,8 @@
         self.merge(now_us, &record, 0)
     }
 
-    /// Adds a member that suspects another one. Returns whether it was added: the other one is a suspect, fewer than
-    /// `max_suspectors` are known and this is none of them.
+    /// Adds a suspector (the short hash of its name) to the member `name`. Returns false and adds nothing if the member is no
+    /// suspect, already has `max_suspectors` suspectors, or has this one.
     pub fn add_suspector(&mut self, name: &str, suspector: u32, max_suspectors: usize) -> bool {
         let Some(entry) = self.entries.get_mut(name) else {
             return false;
@@ -201,12 +205,12 @@
         is_new
     }
 
-    /// How many members suspect a member.
+    /// Returns the number of known members that suspect the member `name`.
     pub fn suspector_count(&self, name: &str) -> usize {
         self.entry(name).map_or(0, |entry| entry.suspectors.len())
     }
 
-    /// Offers the changes to disseminate one by one, the least often sent ones first, until `accept` returns false.
+    /// Passes the changes to disseminate to `accept` one by one, the least often sent ones first, until it returns false.
     pub fn drain_disseminations(&mut self, mut accept: impl FnMut(&MemberEntry) -> bool) {
         let members_log2 = usize::BITS - self.entries.len().leading_zeros();
         let max_sent = DISSEMINATION_FACTOR * members_log2;
@@ -228,12 +232,12 @@
         }
     }
 
-    /// A digest of each bucket.
+    /// Returns the digests of all buckets.
     pub fn bucket_digests(&self) -> Vec<u32> {
         self.bucket_digests.clone()
     }
 
-    /// All members in the buckets whose digests differ from another member's.
+    /// Returns all members in the buckets whose digests differ from `other_digests`, those of another member.
     pub fn entries_in_differing_buckets(&self, other_digests: &[u32]) -> Vec<&MemberEntry> {
         let differs: Vec<bool> = self
             .bucket_digests
@@ -249,7 +253,7 @@
             .collect()
     }
 
-    /// Forgets the members that have been gone for long enough and returns their records.
+    /// Removes the members that have been gone for the configured time and returns their records.
     pub fn forget_gone(&mut self, now_us: u64) -> Vec<MemberRecord> {
         let is_due = |entry: &MemberEntry| {
             let gone_us = now_us.saturating_sub(entry.since_us);
@@ -264,8 +268,8 @@
         names.iter().filter_map(|name| self.remove(name)).collect()
     }
 
-    /// Whether another member fits; the one that has been gone for longest is dropped for it.
-    fn make_room(&mut self) -> bool {
+    /// Returns whether the table has room for another member. A full table first drops the member that has been gone for longest.
+    fn ensure_capacity(&mut self) -> bool {
         if self.entries.len() < self.max_members {
             return true;
         }
@@ -278,7 +282,8 @@
         longest_gone.is_some_and(|name| self.remove(&name).is_some())
     }
 
-    fn put(&mut self, now_us: u64, record: MemberRecord, since_us: u64) {
+    /// Inserts a record, or replaces that of the same name, and queues it for dissemination.
+    fn insert_record(&mut self, now_us: u64, record: MemberRecord, since_us: u64) {
         let name = record.name.clone();
         let digest_before = self.view.digest;
         self.remove(&name);
@@ -307,7 +312,7 @@
         Some(record)
     }
 
-    /// Adds a record to the digests, or takes it out of them: exclusive or does both.
+    /// Adds a record to the digests or removes it from them; exclusive or does either.
     fn toggle_in_digests(&mut self, record: &MemberRecord) {
         self.bucket_digests[bucket_of(&record.name)] ^= record.digest() as u32;
         if record.is_ready() {
@@ -321,7 +326,7 @@
         }
     }
 
-    /// Puts a member first in the queue, as never sent.
+    /// Puts a member at the front of the dissemination queue, with a send count of 0.
     fn disseminate(&mut self, name: &str) {
         self.dissemination_queue.retain(|d| d.name != name);
         self.dissemination_queue.push_front(Dissemination {
--- a/crates/cluster-membership/src/membership/anti_entropy.rs
+++ b/crates/cluster-membership/src/membership/anti_entropy.rs
@@ -1,5 +1,5 @@
-//! Anti-entropy: periodic comparison of the whole table with that of a random other member, which makes up for disseminations
-//! that were lost.
+//! Anti-entropy: periodic comparison of the whole member table with that of a random other member, which repairs the effect of
+//! lost disseminations.
 
 use super::output::Output;
 use super::send::DatagramContent;
@@ -7,18 +7,18 @@
 use crate::wire::MemberUpdate;
 use rand_pcg::rand_core::RngCore;
 
-/// Interval between comparisons.
-const SYNC_INTERVAL_US: u64 = 500_000;
-/// Upper bound of the datagrams that answer a comparison.
-const MAX_SYNC_DATAGRAMS: usize = 8;
+/// Interval between table comparisons started by this member.
+const COMPARISON_INTERVAL_US: u64 = 500_000;
+/// Upper bound of the datagrams in reply to one table comparison.
+const MAX_COMPARISON_REPLY_DATAGRAMS: usize = 8;
 
 impl Membership {
-    /// Sends the digests of the table to a random other member, if it is time to.
-    pub(super) fn start_sync(&mut self, now_us: u64, outputs: &mut Vec<Output>) {
-        if now_us < self.next_sync_at_us {
+    /// Sends the digests of the table to a random other member, if a comparison is due.
+    pub(super) fn start_table_comparison(&mut self, now_us: u64, outputs: &mut Vec<Output>) {
+        if now_us < self.next_comparison_at_us {
             return;
         }
-        self.next_sync_at_us = now_us + SYNC_INTERVAL_US;
+        self.next_comparison_at_us = now_us + COMPARISON_INTERVAL_US;
         let others = self.table.present_others().count();
         if others == 0 {
             return;
@@ -37,7 +37,8 @@
         self.send(now_us, &name, content, outputs);
     }
 
-    /// Sends the members that differ, beginning with a random one: of a large table, each comparison gets another part.
+    /// Sends the differing members, starting with a random one, so that successive comparisons of a large table cover different
+    /// members. The first datagram also carries this member's digests if `includes_digests`.
     pub(super) fn send_differing(
         &mut self,
         now_us: u64,
@@ -52,7 +53,7 @@
         let first = self.rng.next_u32() as usize % differing.len();
         differing.rotate_left(first);
         let mut remaining = differing.into_iter().peekable();
-        for n in 0..MAX_SYNC_DATAGRAMS {
+        for n in 0..MAX_COMPARISON_REPLY_DATAGRAMS {
             if remaining.peek().is_none() {
                 return;
             }
--- a/crates/cluster-membership/src/membership/invalid_seal_limiter.rs
+++ b/crates/cluster-membership/src/membership/invalid_seal_limiter.rs
@@ -1,15 +1,15 @@
-//! Protection of the processor against floods of datagrams with an invalid seal: their sender has no key or is misconfigured.
+//! Rate limit of the processor time spent on datagrams with an invalid seal, whose senders have no key or a wrong one.
 
 use crate::token_bucket::TokenBucket;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Invalid datagrams that are examined per second from one source, and from all sources that are not counted separately.
+/// Invalid datagrams examined per second from one source, and together from all sources that are not counted separately.
 const MAX_INVALID_PER_S: f64 = 50.0;
-/// Sources that are counted separately.
+/// Upper bound of the sources that are counted separately.
 const MAX_SOURCES: usize = 256;
 
-/// Counts invalid datagrams by source.
+/// Counts invalid datagrams by source and decides whether further ones are examined.
 pub(super) struct InvalidSealLimiter {
     by_source: BTreeMap<SocketAddr, TokenBucket>,
     other_sources: TokenBucket,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Whether a datagram from this source is to be examined; if not, it is part of a flood.
+    /// Returns whether to examine a datagram from `source`. A datagram that is not admitted counts as part of a flood.
     pub fn admit(&mut self, now_us: u64, source: SocketAddr) -> bool {
         let is_admitted = match self.by_source.get_mut(&source) {
             Some(invalid) => invalid.has_tokens(now_us),
@@ -39,7 +39,7 @@
         is_admitted
     }
 
-    /// Counts an invalid datagram from this source.
+    /// Counts an invalid datagram from `source`.
     pub fn record_invalid(&mut self, now_us: u64, source: SocketAddr) {
         if self.by_source.len() < MAX_SOURCES {
             self.by_source
@@ -52,7 +52,7 @@
             .spend(now_us, 1.0);
     }
 
-    /// Whether a flood began that was not reported; true once at most.
+    /// Returns whether a flood was detected since the last call and none has been reported before; true at most once.
     pub fn take_unreported_flood(&mut self) -> bool {
         let is_flooded = std::mem::take(&mut self.has_new_flood);
         is_flooded && !std::mem::replace(&mut self.is_flood_reported, true)
--- a/crates/cluster-membership/src/membership/log_limiter.rs
+++ b/crates/cluster-membership/src/membership/log_limiter.rs
@@ -2,9 +2,10 @@
 
 use crate::token_bucket::TokenBucket;
 
+/// Log lines admitted per second.
 const MAX_LINES_PER_S: f64 = 200.0;
 
-/// Admits lines up to a rate and counts those that it suppresses.
+/// Admits log lines up to a rate limit and counts the suppressed ones.
 pub(super) struct LogLimiter {
     lines: TokenBucket,
     suppressed: u64,
@@ -18,7 +19,7 @@
         }
     }
 
-    /// Whether a line may be written now.
+    /// Returns whether a line may be written now, and counts it as suppressed if not.
     pub fn admit(&mut self, now_us: u64) -> bool {
         let is_admitted = self.lines.try_take(now_us, 1.0);
         if !is_admitted {
@@ -27,7 +28,7 @@
         is_admitted
     }
 
-    /// How many lines were suppressed, once lines are admitted again.
+    /// Returns the number of suppressed lines once lines are admitted again, and resets it; `None` if there are none.
     pub fn take_suppressed(&mut self, now_us: u64) -> Option<u64> {
         if self.suppressed == 0 || !self.lines.has_tokens(now_us) {
             return None;
--- a/crates/cluster-membership/src/membership/member_updates.rs
+++ b/crates/cluster-membership/src/membership/member_updates.rs
@@ -1,29 +1,33 @@
-//! Disseminated members: merging them into the table, refuting what is said of this one, and claims to its name.
+//! Handling of received member updates: merges them into the member table, refutes those in which this member is suspect, dead
+//! or gone, and resolves conflicts with another process under the same name.
 
 use super::output::Output;
-use super::peer::heard_at_us;
+use super::peer::last_received_at_us;
 use super::state::Membership;
 use crate::failure_detector::MAX_CONFIRMATIONS;
 use crate::member_table::MemberChange;
 use crate::record::{stable_hash, LifecyclePhase, Liveness, MemberRecord};
 use crate::wire::MemberUpdate;
 
-/// A process takes its name over from another one within this time of its start; after that the other one has the name.
+/// Time after the start within which a process takes its name over from another process; after it, a later process takes the
+/// name over from this one.
 const NAME_CLAIM_WINDOW_US: u64 = 3_000_000;
-/// A suspect that was not heard for this many update intervals is suspected by this member as well.
+/// Upper bound, in update intervals, of the time without a datagram from a suspect, after which this member suspects it too.
 const MAX_MISSED_UPDATES: u64 = 4;
 
-/// Another process that runs, or ran, under this member's name.
+/// Another process that is or was running under this member's name.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct NameClaim {
+    /// Incarnation that the process published last.
     pub incarnation: u64,
+    /// Instance id of the process.
     pub instance_id: u64,
-    /// Whether it may still run.
+    /// Whether the process may still be running.
     pub is_present: bool,
 }
 
 impl Membership {
-    /// Merges what another member says of one.
+    /// Handles a received member update, which concerns either another member, this process, or a process under the same name.
     pub(super) fn apply_member_update(
         &mut self,
         now_us: u64,
@@ -45,18 +49,19 @@
         }
     }
 
-    /// Refutes a record that says that this process is suspected, dead, or has left.
+    /// Refutes a record in which this process is suspect, dead, or has left.
     fn refute(&mut self, now_us: u64, record: &MemberRecord) {
         let is_adverse = record.liveness != Liveness::Alive || record.phase == LifecyclePhase::Left;
         let own = self.table.own_record();
         let phase = own.phase;
         if record.incarnation >= own.incarnation && is_adverse && !self.has_left {
-            // Lifeguard: that it is suspected shows that this process may be slow.
+            // Lifeguard: a suspicion of this process is a sign that it may be slow.
             self.detector.worsen_health();
             self.table.publish_own(now_us, phase, record.incarnation);
         }
     }
 
+    /// Merges an update of another member, and records its suspectors if the member is a suspect.
     fn apply_update_of_other(
         &mut self,
         now_us: u64,
@@ -76,32 +81,34 @@
         }
     }
 
-    /// Adds the members that suspect a suspect, this one included if it misses the suspect's updates.
+    /// Records the suspectors of a suspect from an update, and adds this member to them if it misses the suspect's updates.
     fn confirm_suspicion(&mut self, update: &MemberUpdate) {
         let name = &update.record.name;
         for suspector in &update.suspectors {
             self.table
                 .add_suspector(name, *suspector, MAX_CONFIRMATIONS + 1);
         }
-        let update_interval_us = self.config.interval_for_members_us(self.table.len());
+        let update_interval_us = self.config.scaled_update_interval_us(self.table.len());
         let missed_us = update_interval_us * MAX_MISSED_UPDATES;
         let max_silence_us = missed_us.max(2 * self.config.probe_interval_us);
-        let heard_at_us = heard_at_us(&self.peers, name);
+        let last_received_at_us = last_received_at_us(&self.peers, name);
         let running_us = self.clock.running_us();
-        if heard_at_us > 0 && running_us.saturating_sub(heard_at_us) > max_silence_us {
+        if last_received_at_us > 0
+            && running_us.saturating_sub(last_received_at_us) > max_silence_us
+        {
             self.add_own_suspicion(name);
         }
         self.record_suspicion(name, update.record.incarnation);
     }
 
-    /// Adds this member to those that suspect another one.
+    /// Adds this member to the suspectors of the member `name`.
     pub(super) fn add_own_suspicion(&mut self, name: &str) {
         let own_hash = stable_hash(&self.config.name) as u32;
         self.table
             .add_suspector(name, own_hash, MAX_CONFIRMATIONS + 1);
     }
 
-    /// Passes a suspicion on to the failure detector, with the number of members that have it.
+    /// Passes a suspicion to the failure detector, with the number of its suspectors.
     pub(super) fn record_suspicion(&mut self, name: &str, incarnation: u64) {
         let suspectors = self.table.suspector_count(name);
         let running_us = self.clock.running_us();
@@ -109,7 +116,7 @@
             .record_suspicion(running_us, name, incarnation, suspectors);
     }
 
-    /// Takes the name over from another process, or gives it up to a later one.
+    /// Takes this member's name over from another process, or marks this process as superseded by a later one.
     pub(super) fn handle_name_claim(
         &mut self,
         now_us: u64,
@@ -129,27 +136,28 @@
         self.superseded = true;
         let name = &self.config.name;
         outputs.push(Output::Log(format!(
-            "fleet: a later process runs as {name}; this one talks to nobody any more"
+            "fleet: a later process runs as {name}; this process no longer sends or handles datagrams"
         )));
     }
 
-    /// Ends a suspicion that a change settles, and logs the change.
+    /// Ends the suspicion of a member whose record no longer says suspect, and logs the change.
     pub(super) fn handle_change(
         &mut self,
         now_us: u64,
         change: &MemberChange,
         outputs: &mut Vec<Output>,
     ) {
-        if change.now.liveness != Liveness::Suspect {
-            self.detector.clear_suspicion(&change.now.name);
+        if change.current.liveness != Liveness::Suspect {
+            self.detector.clear_suspicion(&change.current.name);
             self.log_change(now_us, change, outputs);
         }
-        self.log_number_clash(now_us, &change.now, outputs);
+        self.log_number_conflict(now_us, &change.current, outputs);
     }
 
+    /// Logs the new state of a member, unless instance and state are unchanged.
     fn log_change(&mut self, now_us: u64, change: &MemberChange, outputs: &mut Vec<Output>) {
-        let record = &change.now;
-        let before = change.before.as_ref();
+        let record = &change.current;
+        let before = change.previous.as_ref();
         let is_same_state = before.is_some_and(|before| {
             before.instance_id == record.instance_id && before.state() == record.state()
         });
@@ -158,26 +166,31 @@
         }
         let was_dead = before.is_some_and(|before| before.liveness == Liveness::Dead);
         let state = if was_dead && record.is_present() {
-            format!("{}, is back", record.state())
+            format!("{}, returned after it was dead", record.state())
         } else {
             record.state().to_string()
         };
-        let unheard = self
+        let silence = self
             .peers
             .get(&record.name)
             .filter(|_| record.liveness == Liveness::Dead)
             .map_or(String::new(), |peer| {
-                let heard_at_us = peer.session.heard_at_us;
-                let unheard_us = self.clock.running_us().saturating_sub(heard_at_us);
-                format!(", unheard for {:.1} s", unheard_us as f64 / 1e6)
+                let last_received_at_us = peer.session.last_received_at_us;
+                let silent_us = self.clock.running_us().saturating_sub(last_received_at_us);
+                format!(", no datagram received for {:.1} s", silent_us as f64 / 1e6)
             });
         let name = &record.name;
-        let line = format!("member {name}: {state}{unheard}");
+        let line = format!("member {name}: {state}{silence}");
         self.log(now_us, line, outputs);
     }
 
-    /// Logs that two present members have the same number.
-    fn log_number_clash(&mut self, now_us: u64, record: &MemberRecord, outputs: &mut Vec<Output>) {
+    /// Logs a conflict if another present member has the number of the member in `record`.
+    fn log_number_conflict(
+        &mut self,
+        now_us: u64,
+        record: &MemberRecord,
+        outputs: &mut Vec<Output>,
+    ) {
         if !record.is_present() {
             return;
         }
@@ -191,7 +204,7 @@
         let own_name = has_own_number.then_some(&self.config.name);
         if let Some(other) = other.or(own_name) {
             let line = format!(
-                "member {name}: has the number {} as {other} has; give each its own",
+                "member {name}: gateway number {} is already used by member {other}; configure a different number for each member",
                 record.number
             );
             self.log(now_us, line, outputs);
--- a/crates/cluster-membership/src/membership/output.rs
+++ b/crates/cluster-membership/src/membership/output.rs
@@ -1,33 +1,33 @@
-//! What the state machine asks its driver to do.
+//! Outputs of the state machine, which its driver executes.
 
 use std::net::SocketAddr;
 
-/// An effect to be carried out by the driver.
+/// An effect for the driver to execute.
 #[derive(Debug, PartialEq)]
 pub enum Output {
     /// Send a datagram.
     Send {
-        /// Its receiver.
+        /// Address of the receiver.
         to: SocketAddr,
         /// The sealed datagram.
         bytes: Vec<u8>,
     },
-    /// Usage of other gateways became known.
+    /// Usage reported by other gateways since the last tick.
     UsageReported {
         /// Numbers of the gateways that have reported all of their own usage since the last tick.
-        heard: Vec<u32>,
-        /// Gateway, customer, and units not known before.
+        complete_gateways: Vec<u32>,
+        /// Newly reported usage, as gateway number, customer and units.
         uses: Vec<(u32, u32, f64)>,
-        /// Customer, and units admitted before their gateway was first heard of.
-        past: Vec<(u32, f64)>,
+        /// Usage admitted before its gateway became known here, as customer and units.
+        earlier_uses: Vec<(u32, f64)>,
     },
-    /// All numbers that no gateway uses, so that nothing is admitted under them.
+    /// All gateway numbers that no member uses, so that no requests are admitted under them.
     GatewaysAbsent(Vec<u32>),
-    /// A message came from a member, as it was passed to [`Membership::send_message`](super::Membership::send_message) there.
+    /// A message from another member, which passed it to [`Membership::send_message`](super::Membership::send_message).
     MessageReceived {
         /// Name of the sender.
         from: String,
-        /// The message.
+        /// Contents of the message.
         bytes: Vec<u8>,
     },
     /// Write a line to the log.
--- a/crates/cluster-membership/src/membership/probing.rs
+++ b/crates/cluster-membership/src/membership/probing.rs
@@ -1,20 +1,21 @@
-//! Drives the failure detector, and probes on behalf of other members.
+//! Runs the failure detector, executes its actions, and relays probes on behalf of other members.
 
 use super::output::Output;
-use super::peer::heard_at_us;
+use super::peer::last_received_at_us;
 use super::send::DatagramContent;
 use super::state::{Membership, RelayedPing};
 use crate::failure_detector::DetectorAction;
 use crate::record::{Liveness, MemberRecord};
 use crate::wire::IndirectPing;
 
-/// How long a probe made on behalf of another member is remembered.
+/// How long a probe on behalf of another member waits for its acknowledgement.
 pub(super) const RELAYED_PING_TIMEOUT_US: u64 = 5_000_000;
-/// Upper bound of the probes in flight on behalf of others.
+/// Upper bound of the probes in flight on behalf of other members.
 const MAX_RELAYED_PINGS: usize = 1_024;
 
 impl Membership {
-    /// Lets the failure detector do what is due. It rests while datagrams may be older than a pause of this process.
+    /// Ticks the failure detector and executes its actions. Does nothing while received datagrams may date from the last pause of
+    /// this process.
     pub(super) fn run_failure_detector(&mut self, now_us: u64, outputs: &mut Vec<Output>) {
         if self.clock.is_catching_up() {
             return;
@@ -27,17 +28,18 @@
         let mut actions = Vec::new();
         self.detector.tick(
             self.clock.running_us(),
-            self.config.interval_for_members_us(others.len()),
+            self.config.scaled_update_interval_us(others.len()),
             &others,
-            |name| heard_at_us(&self.peers, name),
+            |name| last_received_at_us(&self.peers, name),
             &mut actions,
         );
         for action in actions {
-            self.carry_out_detector_action(now_us, action, outputs);
+            self.execute_detector_action(now_us, action, outputs);
         }
     }
 
-    fn carry_out_detector_action(
+    /// Executes one action of the failure detector.
+    fn execute_detector_action(
         &mut self,
         now_us: u64,
         action: DetectorAction,
@@ -68,6 +70,7 @@
         }
     }
 
+    /// Marks a present member as suspect and adds this member to its suspectors.
     fn suspect(&mut self, now_us: u64, name: &str, outputs: &mut Vec<Output>) {
         let present = self.table.record(name).filter(|r| r.is_present());
         let Some(incarnation) = present.map(|record| record.incarnation) else {
@@ -80,6 +83,7 @@
         self.record_suspicion(name, incarnation);
     }
 
+    /// Declares a member dead if it is a suspect.
     fn confirm_dead(&mut self, now_us: u64, name: &str, outputs: &mut Vec<Output>) {
         let is_suspect = self
             .table
@@ -90,12 +94,12 @@
         }
         if let Some(change) = self.table.set_liveness(now_us, name, Liveness::Dead) {
             self.handle_change(now_us, &change, outputs);
-            // If it runs after all, it refutes.
+            // A member that is running after all refutes this record.
             self.send(now_us, name, DatagramContent::receiver_record(), outputs);
         }
     }
 
-    /// Probes a member that another one asked to probe.
+    /// Probes a member on behalf of `requester`.
     pub(super) fn relay_ping(
         &mut self,
         now_us: u64,
@@ -123,7 +127,7 @@
         );
     }
 
-    /// Handles an acknowledgement, and forwards it if the probe was made on behalf of another member.
+    /// Handles the acknowledgement of the probe numbered `ping`, and forwards it if the probe was sent on behalf of another member.
     pub(super) fn handle_ack(&mut self, now_us: u64, ping: u32, outputs: &mut Vec<Output>) {
         self.detector.acknowledge(ping);
         if let Some(relayed) = self.relayed_pings.remove(&ping) {
--- a/crates/cluster-membership/src/membership/receive.rs
+++ b/crates/cluster-membership/src/membership/receive.rs
@@ -1,4 +1,4 @@
-//! Handling of datagrams: authentication, replay protection, and what they carry beside member updates.
+//! Handling of received datagrams: authentication, replay protection, and all contents other than member updates.
 
 use super::member_updates::NameClaim;
 use super::output::Output;
@@ -10,11 +10,12 @@
 use crate::wire::{DatagramBody, DatagramHeader, MemberUpdate, UsageGroup, MAX_PROBES};
 use std::net::SocketAddr;
 
-/// Peers that are remembered, as a multiple of the members: some are not in the table.
+/// Upper bound of the remembered peers, as a multiple of the maximum number of members, since some peers are not in the member
+/// table.
 const MAX_PEERS_PER_MEMBER: usize = 2;
 
 impl Membership {
-    /// Handles a datagram that came from an address.
+    /// Handles a datagram received from the address `from`.
     pub fn handle_datagram(
         &mut self,
         now_us: u64,
@@ -30,7 +31,7 @@
             return;
         };
         if body.header.from == self.config.name {
-            // Either an own datagram, or one of another process under the same name.
+            // Either this process's own datagram, or one from another process under the same name.
             if body.header.instance_id != self.instance_id {
                 let claim = NameClaim {
                     incarnation: body.header.incarnation,
@@ -41,7 +42,7 @@
             }
             return;
         }
-        let Some(verdict) = self.judge_datagram(now_us, &body.header) else {
+        let Some(verdict) = self.classify_datagram(now_us, &body.header) else {
             return;
         };
         match verdict {
@@ -53,7 +54,7 @@
                 return;
             }
             DatagramVerdict::Replaced => {
-                // Addressed to the replaced instance, so that this one hears of it.
+                // Addressed to the replaced instance, so that it learns that it has been replaced.
                 let replaced = Some(body.header.instance_id);
                 self.reply_to_unproven(now_us, &body.header, from, replaced, outputs);
                 return;
@@ -63,6 +64,8 @@
         self.handle_body(now_us, body, outputs);
     }
 
+    /// Opens and decodes a datagram; returns `None` if its seal or body is invalid, or if its source exceeds the limit of invalid
+    /// datagrams.
     fn open(&mut self, now_us: u64, from: SocketAddr, bytes: &[u8]) -> Option<DatagramBody> {
         if !self.invalid_seals.admit(now_us, from) {
             return None;
@@ -74,14 +77,19 @@
         body
     }
 
-    /// Records a datagram in the session of its sender; `None` if there are too many peers, or too many datagrams of this one.
-    fn judge_datagram(&mut self, now_us: u64, header: &DatagramHeader) -> Option<DatagramVerdict> {
+    /// Records a datagram in the session of its sender and returns the verdict; `None` if there are too many peers, or if this
+    /// sender exceeds its rate limit.
+    fn classify_datagram(
+        &mut self,
+        now_us: u64,
+        header: &DatagramHeader,
+    ) -> Option<DatagramVerdict> {
         let max_peers = self.config.max_members * MAX_PEERS_PER_MEMBER;
         if !self.peers.contains_key(&header.from) && self.peers.len() >= max_peers {
             return None;
         }
         let running_us = self.clock.running_us();
-        let local_instance_id = self.instance_id;
+        let own_instance_id = self.instance_id;
         let peer = self.peer_mut(now_us, &header.from);
         peer.last_datagram_at_us = running_us;
         if !peer.received.try_take(now_us, 1.0) {
@@ -93,9 +101,10 @@
             incarnation: header.incarnation,
             sequence: header.sequence,
         };
-        Some(peer.session.receive(local_instance_id, identity))
+        Some(peer.session.receive(own_instance_id, identity))
     }
 
+    /// Resets the exchange with a sender whose new instance was accepted, and records when this instance became known.
     fn record_new_instance(&mut self, now_us: u64, body: &DatagramBody) {
         let sender = &body.header.from;
         if let Some(peer) = self.peers.get_mut(sender) {
@@ -114,7 +123,7 @@
         }
     }
 
-    /// Replies with the current instance of this member, so that the sender can name it.
+    /// Sends this member's record to the sender of an unproven datagram, so that the sender learns the current instance.
     fn reply_to_unproven(
         &mut self,
         now_us: u64,
@@ -132,9 +141,9 @@
         }
     }
 
-    /// Handles what a proven member sent.
+    /// Handles the contents of a datagram from a proven instance.
     fn handle_body(&mut self, now_us: u64, body: DatagramBody, outputs: &mut Vec<Output>) {
-        // Compared before this datagram's updates change the table.
+        // The tables are compared before this datagram's updates change the local one.
         let differing = self.differing_members(now_us, &body.header.bucket_digests);
         for update in body.members {
             self.apply_member_update(now_us, update, outputs);
@@ -144,7 +153,7 @@
             return;
         }
         self.record_exchange(now_us, &header, body.gauges, body.usage);
-        self.answer(now_us, &header, differing, outputs);
+        self.reply_to_requests(now_us, &header, differing, outputs);
         if !body.message.is_empty() {
             outputs.push(Output::MessageReceived {
                 from: header.from,
@@ -153,7 +162,7 @@
         }
     }
 
-    /// Records that a member was heard, what it has of ours, and its gauges and usage.
+    /// Records the time of receipt, what the sender has received from this member, and the sender's gauges and usage.
     fn record_exchange(
         &mut self,
         now_us: u64,
@@ -164,7 +173,7 @@
         let Some(peer) = self.peers.get_mut(&header.from) else {
             return;
         };
-        peer.session.heard_at_us = self.clock.running_us().max(1);
+        peer.session.last_received_at_us = self.clock.running_us().max(1);
         peer.usage
             .wanted_gateways
             .clone_from(&header.wanted_gateways);
@@ -179,7 +188,7 @@
         }
         self.usage.merge(now_us, usage);
         if header.usage_after > peer.usage.received {
-            // A datagram with earlier changes is missing.
+            // A datagram with earlier changes was lost or is late.
             return;
         }
         peer.usage.received = peer.usage.received.max(header.usage_up_to);
@@ -193,8 +202,8 @@
         }
     }
 
-    /// Answers the probes and the table comparison of a datagram.
-    fn answer(
+    /// Handles the acknowledgements, probe requests, probe and table comparison in a datagram's header.
+    fn reply_to_requests(
         &mut self,
         now_us: u64,
         header: &DatagramHeader,
@@ -221,7 +230,7 @@
         }
     }
 
-    /// Updates for all members in the buckets that differ from the sender's; none without digests.
+    /// Returns updates of all members in the buckets that differ from the sender's; none if `digests` is empty.
     fn differing_members(&self, now_us: u64, digests: &[u32]) -> Vec<MemberUpdate> {
         if digests.is_empty() {
             return Vec::new();
--- a/crates/cluster-membership/src/membership/run_clock.rs
+++ b/crates/cluster-membership/src/membership/run_clock.rs
@@ -1,16 +1,16 @@
-//! Time during which this process ran, without pauses in which it was stopped or starved.
+//! A clock of the time during which this process was running, without pauses in which it was stopped or starved.
 
 use super::config::MembershipConfig;
 
-/// A tick this many intervals late shows that the process did not run.
-const PAUSE_TICKS: u64 = 6;
+/// Longest gap between two ticks, in update intervals; a longer one counts as a pause of the process.
+const MAX_TICK_GAP_INTERVALS: u64 = 6;
 
-/// A clock that advances with ticks and stands still during pauses. All times are in microseconds.
+/// A clock that advances by ticks and stands still during pauses. All times are in microseconds.
 pub(super) struct RunClock {
     max_gap_us: u64,
     report_ttl_us: u64,
     started_at_us: Option<u64>,
-    ticked_at_us: u64,
+    last_tick_at_us: u64,
     running_us: u64,
     catching_up_until_us: u64,
 }
@@ -18,45 +18,46 @@
 impl RunClock {
     pub fn new(config: &MembershipConfig) -> RunClock {
         RunClock {
-            max_gap_us: config.update_interval_us * PAUSE_TICKS,
+            max_gap_us: config.update_interval_us * MAX_TICK_GAP_INTERVALS,
             report_ttl_us: config.usage_report_ttl_us(),
             started_at_us: None,
-            ticked_at_us: 0,
+            last_tick_at_us: 0,
             running_us: 0,
             catching_up_until_us: 0,
         }
     }
 
-    /// The time during which this process ran, as of the last tick.
+    /// Returns the time during which this process was running, as of the last tick.
     pub fn running_us(&self) -> u64 {
         self.running_us
     }
 
-    /// Time since the first tick, pauses included; 0 before.
+    /// Returns the time since the first tick, including pauses; 0 before the first tick.
     pub fn uptime_us(&self, now_us: u64) -> u64 {
         now_us.saturating_sub(self.started_at_us.unwrap_or(now_us))
     }
 
-    /// Whether datagrams may still be as old as the last pause, so that they do not show who runs now.
+    /// Returns whether received datagrams may still date from the last pause, so that they do not prove that their senders are
+    /// running now.
     pub fn is_catching_up(&self) -> bool {
         self.running_us < self.catching_up_until_us
     }
 
-    /// Notices a pause when a datagram is handled before the tick that is late.
+    /// Detects a pause when a datagram is handled before the late tick.
     pub fn observe_datagram(&mut self, now_us: u64) {
-        let has_ticked = self.ticked_at_us > 0;
-        if has_ticked && now_us.saturating_sub(self.ticked_at_us) > self.max_gap_us {
+        let has_ticked = self.last_tick_at_us > 0;
+        if has_ticked && now_us.saturating_sub(self.last_tick_at_us) > self.max_gap_us {
             let until_us = self.running_us + self.report_ttl_us;
             self.catching_up_until_us = self.catching_up_until_us.max(until_us);
         }
     }
 
-    /// Advances the clock. Returns whether the process was paused since the last tick.
+    /// Advances the clock to `now_us`. Returns whether the process was paused since the last tick.
     pub fn tick(&mut self, now_us: u64) -> bool {
         self.started_at_us.get_or_insert(now_us);
-        let gap_us = now_us.saturating_sub(self.ticked_at_us);
-        let is_first = self.ticked_at_us == 0;
-        self.ticked_at_us = now_us;
+        let gap_us = now_us.saturating_sub(self.last_tick_at_us);
+        let is_first = self.last_tick_at_us == 0;
+        self.last_tick_at_us = now_us;
         if is_first {
             self.running_us += 1;
             return false;
--- a/crates/cluster-membership/src/membership/seeds.rs
+++ b/crates/cluster-membership/src/membership/seeds.rs
@@ -1,4 +1,4 @@
-//! Finding other members: by the configured seeds, and by trying those that are considered dead.
+//! Discovery of other members through the configured seeds, and of returned members by contacting dead ones.
 
 use super::output::Output;
 use super::send::{member_update, DatagramContent};
@@ -8,18 +8,18 @@
 use rand_pcg::rand_core::RngCore;
 use std::net::SocketAddr;
 
-/// Interval between attempts while no other member is known, for some time after the start.
+/// Interval between contacts during the join phase, while no other member is present.
 const JOIN_INTERVAL_US: u64 = 250_000;
-/// How long after the start that interval holds.
+/// Duration of the join phase, counted from the start of the process.
 const JOIN_PHASE_US: u64 = 30_000_000;
-/// Interval between attempts otherwise.
+/// Interval between contacts outside the join phase.
 const SEED_INTERVAL_US: u64 = 1_000_000;
-/// Upper bound of the seeds contacted at once.
+/// Upper bound of the seeds contacted at one time.
 const MAX_SEEDS_AT_ONCE: usize = 64;
 
 impl Membership {
-    /// Contacts all seeds while no other member is present, otherwise one at which none is; and one member that is considered dead,
-    /// since a partition may have healed.
+    /// Contacts seeds at whose addresses no member is present: all of them while no other member is present, otherwise a random
+    /// one. Also contacts a random dead member, since a partition may have healed.
     pub(super) fn contact_seeds(&mut self, now_us: u64, outputs: &mut Vec<Output>) {
         if now_us < self.next_seed_contact_at_us {
             return;
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Seeds but this process, at whose address no present member is.
+    /// Returns the seeds, other than this process, at whose addresses no member is present.
     fn vacant_seeds(&self) -> Vec<SocketAddr> {
         let occupied: Vec<SocketAddr> = self.table.present_others().map(|r| r.address).collect();
         let is_vacant =
@@ -56,7 +56,7 @@
         seeds.filter(is_vacant).copied().collect()
     }
 
-    /// Names of the members that are considered dead and have not left.
+    /// Returns the names of the dead members that have not left.
     fn dead_members(&self) -> Vec<String> {
         self.table
             .records()
@@ -65,7 +65,7 @@
             .collect()
     }
 
-    /// Sends this member's record to an address whose member is not known.
+    /// Sends this member's record to the address of an unknown member.
     fn contact_seed(&mut self, now_us: u64, address: SocketAddr, outputs: &mut Vec<Output>) {
         let header = self.header(0, 0);
         let mut writer = DatagramWriter::new(&header);
--- a/crates/cluster-membership/src/membership/send.rs
+++ b/crates/cluster-membership/src/membership/send.rs
@@ -11,35 +11,43 @@
 use std::iter::Peekable;
 use std::net::SocketAddr;
 
-/// Longest message of another subsystem.
+/// Upper bound of the length of a message of another subsystem, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 880;
 
-/// Bytes of a datagram that disseminated members leave free for usage.
+/// Bytes of a datagram that disseminated members leave free for usage counters.
 const USAGE_RESERVE_BYTES: usize = 400;
-/// Datagrams to a proven instance that carry this member's record.
+/// Number of the first datagrams to a proven instance that carry this member's record.
 const MIN_OWN_RECORD_SENDS: u8 = 3;
-/// Upper bound of the members that are notified at once that this one leaves.
+/// Upper bound of the members notified per call or tick that this one leaves.
 const MAX_LEAVE_NOTICES: usize = 64;
 
-/// What a datagram carries beside what every datagram does.
+/// The contents of one datagram in addition to what every datagram carries.
 #[derive(Default)]
 pub(super) struct DatagramContent<'a> {
+    /// Number of a probe for the receiver to acknowledge; 0 for none.
     pub ping: u32,
+    /// Numbers of the acknowledged probes.
     pub acks: Vec<u32>,
+    /// Members for the receiver to probe.
     pub indirect_pings: Vec<IndirectPing>,
+    /// Digests of this member's table, for the receiver to compare; empty for no comparison.
     pub bucket_digests: Vec<u32>,
+    /// Whether the receiver is to reply with its digests.
     pub wants_digests: bool,
+    /// Whether the datagram carries this member's record.
     pub has_own_record: bool,
+    /// Whether the datagram carries the receiver's record.
     pub has_receiver_record: bool,
-    /// Addresses this earlier instance of the receiver.
+    /// The replaced instance of the receiver to address in place of the current one.
     pub replaced_instance_id: Option<u64>,
+    /// Message of another subsystem; empty for none.
     pub message: Vec<u8>,
-    /// Sent in place of the members to disseminate.
+    /// Members to send in place of those to disseminate.
     pub members: Option<&'a mut Peekable<std::vec::IntoIter<MemberUpdate>>>,
 }
 
 impl DatagramContent<'_> {
-    /// A probe.
+    /// Creates the content of a probe.
     pub fn ping(ping: u32) -> Self {
         DatagramContent {
             ping,
@@ -47,7 +55,7 @@
         }
     }
 
-    /// The record of this member.
+    /// Creates content with the record of this member.
     pub fn own_record() -> Self {
         DatagramContent {
             has_own_record: true,
@@ -55,7 +63,7 @@
         }
     }
 
-    /// The receiver's own record, so that it refutes what is wrong with it.
+    /// Creates content with the receiver's own record, so that the receiver refutes it if it is wrong.
     pub fn receiver_record() -> Self {
         DatagramContent {
             has_receiver_record: true,
@@ -64,26 +72,28 @@
     }
 }
 
-/// The receiver of a datagram.
+/// The receiver of one datagram, and this member's state of the exchange with it.
 struct Receiver {
+    /// Gateway number and instance that the datagram is addressed to.
     instance: InstanceKey,
     /// Sequence number of the datagram.
     sequence: u64,
-    /// Whether this instance has proven itself. Otherwise it gets neither messages nor gossip.
+    /// Whether this instance is proven: it has named ours. An unproven instance is sent neither messages nor gossip.
     is_proven: bool,
-    /// Whether the table says that it is gone, or that another instance has its name.
+    /// Whether the receiver is gone according to the member table, or another instance has its name.
     is_outdated: bool,
+    /// Whether the receiver may still lack this member's record.
     needs_own_record: bool,
-    /// Last of its changes of usage that this member has.
+    /// Number of the last usage change of the receiver that this member has.
     usage_received: u64,
-    /// Version of its gauges that this member has.
+    /// Version of the receiver's gauges that this member has.
     gauges_received: u64,
-    /// Numbers of its probes to acknowledge.
+    /// Numbers of the receiver's probes to acknowledge.
     pending_acks: Vec<u32>,
 }
 
 impl Membership {
-    /// Notifies the others that this member leaves, and with each further call or tick repeats that.
+    /// Notifies the other members that this one leaves. Each further call and each tick repeats the notice.
     pub fn leave(&mut self, now_us: u64, outputs: &mut Vec<Output>) {
         if self.superseded {
             return;
@@ -100,8 +110,8 @@
         }
     }
 
-    /// Sends a message of at most [`MAX_MESSAGE_BYTES`] bytes to a member: once, and not at all to one that has not proven that it
-    /// is not replayed.
+    /// Sends a message of at most [`MAX_MESSAGE_BYTES`] bytes to a member once. The message is dropped if the member's instance
+    /// is not proven, since the datagrams that named it may have been replayed.
     pub fn send_message(
         &mut self,
         now_us: u64,
@@ -142,13 +152,13 @@
         outputs: &mut Vec<Output>,
     ) {
         let mut receiver = self.address_receiver(now_us, name, content.replaced_instance_id);
-        // A member that compares tables may have forgotten this one.
+        // The receiver of a table comparison may have forgotten this member.
         content.has_own_record |= content.wants_digests || receiver.needs_own_record;
         content.has_receiver_record |= receiver.is_outdated;
         let mut header = self.header_to(&mut receiver, &mut content);
         let mut writer = DatagramWriter::new(&header);
         self.write_addressed_records(now_us, name, &content, &mut writer);
-        // Messages are not delayed by the budget, but once it is spent they are sent without gossip.
+        // The byte budget does not delay messages, but once it is spent they are sent without gossip.
         let has_message = !content.message.is_empty();
         let is_only_message = has_message && !self.byte_budget.has_tokens(now_us);
         if receiver.is_proven {
@@ -163,7 +173,7 @@
         self.transmit(now_us, address, writer, header, outputs);
     }
 
-    /// Counts a datagram to a member, takes its pending acknowledgements, and determines which instance of it is meant.
+    /// Counts a datagram to a member, takes its pending acknowledgements, and determines the instance to address.
     fn address_receiver(
         &mut self,
         now_us: u64,
@@ -171,7 +181,7 @@
         replaced_instance_id: Option<u64>,
     ) -> Receiver {
         let others = self.table.len().saturating_sub(1);
-        let update_interval_us = self.config.interval_for_members_us(others);
+        let update_interval_us = self.config.scaled_update_interval_us(others);
         let known = self.table.record(name);
         let known_instance_id = known.map(|record| record.instance_id);
         let is_known_present = known.is_some_and(|record| record.is_present());
@@ -210,7 +220,7 @@
         }
     }
 
-    /// The header of a datagram, with the small parts of its content.
+    /// Returns the header of a datagram, with those contents that the header carries.
     fn header_to(&self, receiver: &mut Receiver, content: &mut DatagramContent) -> DatagramHeader {
         let mut acks = std::mem::take(&mut receiver.pending_acks);
         acks.append(&mut content.acks);
@@ -227,7 +237,7 @@
         }
     }
 
-    /// A header with sender and receiver.
+    /// Returns a header that carries only sender and receiver.
     pub(super) fn header(&self, to_instance_id: u64, sequence: u64) -> DatagramHeader {
         let own = self.table.own_record();
         DatagramHeader {
@@ -236,12 +246,12 @@
             incarnation: own.incarnation,
             to_instance_id,
             sequence,
-            wanted_gateways: self.unheard_gateways.clone(),
+            wanted_gateways: self.silent_gateways.clone(),
             ..DatagramHeader::default()
         }
     }
 
-    /// Adds the records that the receiver needs about sender and receiver themselves.
+    /// Adds the records of the sender and of the receiver, as requested by `content`.
     fn write_addressed_records(
         &self,
         now_us: u64,
@@ -280,6 +290,7 @@
         }
     }
 
+    /// Adds the usage that the receiver lacks, and the gauges if the receiver has an earlier version.
     fn write_usage_and_gauges(
         &mut self,
         now_us: u64,
@@ -300,7 +311,7 @@
         }
     }
 
-    /// Seals a datagram and charges it to the budgets.
+    /// Seals a datagram, outputs it, and charges it to the budgets.
     pub(super) fn transmit(
         &mut self,
         now_us: u64,
@@ -316,11 +327,12 @@
         outputs.push(Output::Send { to, bytes });
     }
 
-    /// The state of the exchange with a member; a new one if there is none.
+    /// Returns the state of the exchange with a member, and creates it if there is none.
     pub(super) fn peer_mut(&mut self, now_us: u64, name: &str) -> &mut Peer {
-        let update_interval_us = self.config.interval_for_members_us(self.table.len());
+        let update_interval_us = self.config.scaled_update_interval_us(self.table.len());
         let updates_per_s = 1e6 / update_interval_us as f64;
-        // Above all sequence numbers sent before the member was forgotten: no more than one datagram a millisecond goes to it.
+        // At most one datagram per millisecond is sent to a member, so this is above all sequence numbers that were sent before the
+        // member was forgotten.
         let last_sent_sequence = self.clock.uptime_us(now_us) / 1_000;
         self.peers
             .entry(name.into())
@@ -328,7 +340,7 @@
     }
 }
 
-/// A member as it is sent to others.
+/// Returns the update of a member in the form in which it is sent to others.
 pub(super) fn member_update(entry: &MemberEntry, now_us: u64) -> MemberUpdate {
     let age_s = if entry.record.is_present() {
         0
--- a/crates/cluster-membership/src/membership/state.rs
+++ b/crates/cluster-membership/src/membership/state.rs
@@ -1,10 +1,10 @@
-//! The data of a member, and what is read and set from outside.
+//! The data of the state machine, with its constructor, accessors and setters.
 
 use super::config::MembershipConfig;
 use super::invalid_seal_limiter::InvalidSealLimiter;
 use super::log_limiter::LogLimiter;
 use super::output::Output;
-use super::peer::{heard_at_us, Peer};
+use super::peer::{last_received_at_us, Peer};
 use super::run_clock::RunClock;
 use crate::failure_detector::FailureDetector;
 use crate::gauges::Gauges;
@@ -18,29 +18,29 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Replies per second to senders that have not proven that they are not replayed.
+/// Replies per second to unproven datagrams, which may be replayed.
 const MAX_UNPROVEN_REPLIES_PER_S: f64 = 100.0;
 
-/// One member, as operators see it.
+/// The status of one member, for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberStatus {
-    /// Its record.
+    /// Latest record of the member.
     pub record: MemberRecord,
-    /// Microseconds since it was last heard itself; `None`: never.
+    /// Microseconds of running time since a datagram was last received directly from the member; `None` if never.
     pub heard_us: Option<u64>,
 }
 
-/// A probe made on behalf of another member.
+/// A probe in flight on behalf of another member.
 pub(super) struct RelayedPing {
-    /// Name of the member that asked for it.
+    /// Name of the member that requested the probe.
     pub requester: String,
-    /// The number under which that member expects the acknowledgement.
+    /// The requester's number of the probe, to be acknowledged to it.
     pub requester_ping: u32,
-    /// When it is given up, in microseconds of running time.
+    /// When the probe is abandoned, in microseconds of running time.
     pub expires_at_us: u64,
 }
 
-/// This process as a member of the cluster.
+/// The state machine of this process as a member of the cluster.
 pub struct Membership {
     pub(super) config: MembershipConfig,
     pub(super) keys: Keys,
@@ -52,13 +52,13 @@
     pub(super) usage: UsageGossip,
     pub(super) gauges: Gauges,
     pub(super) peers: BTreeMap<String, Peer>,
-    /// Probes made on behalf of others, by our number for them.
+    /// Probes in flight on behalf of other members, by this member's number of the probe.
     pub(super) relayed_pings: BTreeMap<u32, RelayedPing>,
     /// Numbers of the gateways that have reported all of their own usage since the last tick.
     pub(super) fully_reported: BTreeSet<u32>,
-    /// Numbers of the members that are not heard directly.
-    pub(super) unheard_gateways: Vec<u16>,
-    /// Numbers that no gateway uses, as last reported.
+    /// Gateway numbers of the present members from which no datagrams arrive directly.
+    pub(super) silent_gateways: Vec<u16>,
+    /// Gateway numbers that no member uses, as of the last [`Output::GatewaysAbsent`].
     pub(super) absent_gateways: Vec<u32>,
     pub(super) invalid_seals: InvalidSealLimiter,
     pub(super) byte_budget: TokenBucket,
@@ -66,16 +66,17 @@
     pub(super) unproven_replies: TokenBucket,
     pub(super) log_limiter: LogLimiter,
     pub(super) next_seed_contact_at_us: u64,
-    pub(super) next_sync_at_us: u64,
-    /// Whether the table is of use: another member was heard, or there are no seeds.
+    pub(super) next_comparison_at_us: u64,
+    /// Whether the member table can be relied on: a datagram of another member was accepted, or there is no seed but this member.
     pub(super) has_joined: bool,
-    /// Whether a later process runs under this name. This one then neither sends nor receives.
+    /// Whether a later process is running under this member's name. This process then neither sends nor handles datagrams.
     pub superseded: bool,
+    /// Whether [`Membership::leave`] was called.
     pub(super) has_left: bool,
 }
 
 impl Membership {
-    /// A member that is joining. It does nothing before the first tick.
+    /// Creates a member in the phase [`LifecyclePhase::Joining`]. It sends nothing before the first tick.
     pub fn new(config: MembershipConfig, keys: Keys) -> Membership {
         let mut rng = Pcg64Mcg::seed_from_u64(config.seed);
         let instance_id = rng.next_u64() | 1;
@@ -96,7 +97,7 @@
             peers: BTreeMap::new(),
             relayed_pings: BTreeMap::new(),
             fully_reported: BTreeSet::new(),
-            unheard_gateways: Vec::new(),
+            silent_gateways: Vec::new(),
             absent_gateways: Vec::new(),
             invalid_seals: InvalidSealLimiter::new(),
             byte_budget: TokenBucket::new(config.bytes_per_s as f64),
@@ -104,7 +105,7 @@
             unproven_replies: TokenBucket::new(MAX_UNPROVEN_REPLIES_PER_S),
             log_limiter: LogLimiter::new(),
             next_seed_contact_at_us: 0,
-            next_sync_at_us: 0,
+            next_comparison_at_us: 0,
             has_joined: config.seeds.iter().all(|seed| *seed == config.advertise),
             superseded: false,
             has_left: false,
@@ -112,47 +113,47 @@
         }
     }
 
-    /// The record of this member.
+    /// Returns the record of this member.
     pub fn own_record(&self) -> &MemberRecord {
         self.table.own_record()
     }
 
-    /// The set of ready members.
+    /// Returns the summary of the set of ready members.
     pub fn view(&self) -> &View {
         self.table.view()
     }
 
-    /// Region, zone and name of the ready members, sorted in this order.
+    /// Returns region, zone and name of each ready member, sorted by these three.
     pub fn ready_members(&self) -> Vec<(&str, &str, &str)> {
         self.table.ready_members()
     }
 
-    /// All known members, this one included.
+    /// Iterates over all known members, including this one.
     pub fn members(&self) -> impl Iterator<Item = MemberStatus> + '_ {
         self.table.records().map(|record| MemberStatus {
             record: record.clone(),
-            heard_us: self.unheard_for_us(&record.name),
+            heard_us: self.time_since_received_us(&record.name),
         })
     }
 
-    /// Names of all other members that are present.
+    /// Iterates over the names of all other present members.
     pub fn present_members(&self) -> impl Iterator<Item = &str> {
         self.table
             .present_others()
             .map(|record| record.name.as_str())
     }
 
-    /// The usage of all gateways.
+    /// Returns the usage of all gateways.
     pub fn usage(&self) -> &UsageGossip {
         &self.usage
     }
 
-    /// All gauges of another member; `None` if nothing was exchanged with it.
+    /// Returns all gauges of another member; `None` if nothing was exchanged with the member.
     pub fn gauges(&self, member: &str) -> Option<&Gauges> {
         self.peers.get(member).map(|peer| &peer.gauges)
     }
 
-    /// A gauge of a member, and when it was measured by this member's clock.
+    /// Returns a gauge of a member, and when it was measured, in microseconds of this member's clock.
     pub fn gauge(&self, member: &str, name: &str) -> Option<(f64, u64)> {
         if member == self.config.name {
             self.gauges.get(name)
@@ -161,12 +162,13 @@
         }
     }
 
-    /// Records that this gateway admitted units of a customer.
+    /// Records that this gateway admitted `units` of the customer `tag`.
     pub fn record_usage(&mut self, tag: u32, units: f64) {
         self.usage.record_own(tag, units);
     }
 
-    /// Sets one of this member's gauges, measured at `now_us`. Returns whether it is in bounds (see [`Gauges::set`]).
+    /// Sets one of this member's gauges to a value measured at `now_us`. Returns whether the gauge is in bounds (see
+    /// [`Gauges::set`]).
     pub fn set_gauge(&mut self, now_us: u64, name: &str, value: f64) -> bool {
         self.gauges.set(now_us, name, value)
     }
@@ -176,25 +178,26 @@
         self.gauges.clear(name);
     }
 
-    /// Replaces the cluster's keys.
+    /// Replaces the keys that seal and open datagrams.
     pub fn set_keys(&mut self, keys: Keys) {
         self.keys = keys;
     }
 
-    /// Publishes the phase of this member, unless it has left.
+    /// Publishes a new lifecycle phase of this member, unless the member has left.
     pub fn set_phase(&mut self, now_us: u64, phase: LifecyclePhase) {
         if self.own_record().phase != phase && !self.has_left {
             self.table.publish_own(now_us, phase, 0);
         }
     }
 
-    /// Microseconds of running time since a member was last heard itself; `None`: never.
-    fn unheard_for_us(&self, name: &str) -> Option<u64> {
-        let heard_at_us = heard_at_us(&self.peers, name);
-        (heard_at_us > 0).then(|| self.clock.running_us().saturating_sub(heard_at_us))
+    /// Returns the running time since a datagram was last received directly from a member, in microseconds; `None` if never.
+    fn time_since_received_us(&self, name: &str) -> Option<u64> {
+        let last_received_at_us = last_received_at_us(&self.peers, name);
+        (last_received_at_us > 0)
+            .then(|| self.clock.running_us().saturating_sub(last_received_at_us))
     }
 
-    /// Outputs a log line, unless there are too many.
+    /// Outputs a log line, unless the rate limit of log lines is exceeded.
     pub(super) fn log(&mut self, now_us: u64, line: String, outputs: &mut Vec<Output>) {
         if self.log_limiter.admit(now_us) {
             outputs.push(Output::Log(line));
@@ -202,6 +205,7 @@
     }
 }
 
+/// Returns the first record of this member.
 fn own_record(config: &MembershipConfig, instance_id: u64) -> MemberRecord {
     MemberRecord {
         name: config.name.clone(),
--- a/crates/cluster-membership/src/membership/tick.rs
+++ b/crates/cluster-membership/src/membership/tick.rs
@@ -1,20 +1,20 @@
-//! What is done at every tick.
+//! The periodic work of a member.
 
 use super::output::Output;
-use super::peer::heard_at_us;
+use super::peer::last_received_at_us;
 use super::probing::RELAYED_PING_TIMEOUT_US;
 use super::send::DatagramContent;
 use super::state::Membership;
 use crate::record::LifecyclePhase;
 use crate::wire::MAX_WANTED_GATEWAYS;
 
-/// A member that was not heard for this long is asked for at the others.
-const UNHEARD_TIMEOUT_US: u64 = 1_000_000;
-/// Updates that may be sent at a tick in any case.
+/// Time without a datagram from a member after which the other members are requested to relay its usage.
+const SILENCE_TIMEOUT_US: u64 = 1_000_000;
+/// Lower bound of the number of updates that may be sent per tick.
 const MIN_UPDATES_PER_TICK: u64 = 8;
 
 impl Membership {
-    /// Does what is due. To be called at every tick.
+    /// Does the periodic work that is due. The driver calls this at every tick.
     pub fn tick(&mut self, now_us: u64, outputs: &mut Vec<Output>) {
         if self.clock.tick(now_us) {
             self.detector.resume_after_pause(self.clock.running_us());
@@ -29,14 +29,15 @@
             self.leave(now_us, outputs);
             return;
         }
-        self.update_unheard_gateways();
+        self.update_silent_gateways();
         self.contact_seeds(now_us, outputs);
         self.run_failure_detector(now_us, outputs);
-        self.start_sync(now_us, outputs);
+        self.start_table_comparison(now_us, outputs);
         self.send_updates(now_us, outputs);
         self.log_suppressed(now_us, outputs);
     }
 
+    /// Removes members that have been gone for long, expired relayed probes, and the peers that are no longer needed.
     fn forget_gone(&mut self, now_us: u64, outputs: &mut Vec<Output>) {
         for record in self.table.forget_gone(now_us) {
             self.log(
@@ -55,7 +56,7 @@
         });
     }
 
-    /// Reports the numbers that no member has, if they have changed.
+    /// Reports the gateway numbers that no member uses, if they have changed.
     fn report_absent_gateways(&mut self, outputs: &mut Vec<Output>) {
         if !self.has_joined {
             return;
@@ -80,37 +81,39 @@
         }
     }
 
+    /// Reports the usage received since the last tick, if there is any.
     fn report_usage(&mut self, now_us: u64, outputs: &mut Vec<Output>) {
         let changes = self.usage.tick(now_us);
         if changes.is_empty() && self.fully_reported.is_empty() {
             return;
         }
-        let heard = std::mem::take(&mut self.fully_reported);
+        let complete_gateways = std::mem::take(&mut self.fully_reported);
         outputs.push(Output::UsageReported {
-            heard: heard.into_iter().collect(),
+            complete_gateways: complete_gateways.into_iter().collect(),
             uses: changes.uses,
-            past: changes.past,
+            earlier_uses: changes.earlier_uses,
         });
     }
 
-    /// Determines whose usage the other members are to relay.
-    fn update_unheard_gateways(&mut self) {
+    /// Determines the gateways whose usage the other members are requested to relay.
+    fn update_silent_gateways(&mut self) {
         let running_us = self.clock.running_us();
-        let is_unheard = |name: &str| {
-            let heard_at_us = heard_at_us(&self.peers, name);
-            heard_at_us == 0 || running_us.saturating_sub(heard_at_us) >= UNHEARD_TIMEOUT_US
+        let is_silent = |name: &str| {
+            let last_received_at_us = last_received_at_us(&self.peers, name);
+            last_received_at_us == 0
+                || running_us.saturating_sub(last_received_at_us) >= SILENCE_TIMEOUT_US
         };
-        self.unheard_gateways = self
+        self.silent_gateways = self
             .table
             .present_others()
-            .filter(|record| is_unheard(&record.name))
+            .filter(|record| is_silent(&record.name))
             .map(|record| record.number)
             .take(MAX_WANTED_GATEWAYS)
             .collect();
     }
 
-    /// Sends updates to the members that are due, the one that has waited longest first, so that a budget that is too small is
-    /// shared by all.
+    /// Sends updates to the members for which one is due, in the order of the due times, so that all members share an insufficient
+    /// budget.
     fn send_updates(&mut self, now_us: u64, outputs: &mut Vec<Output>) {
         let due_at_us = |name: &str| self.peers.get(name).map_or(0, |p| p.next_update_at_us);
         let mut due: Vec<(u64, String)> = self
@@ -129,23 +132,27 @@
         }
     }
 
-    /// Updates are spread over the ticks of an interval, with a quarter to spare: each takes some 20 us, during which requests
-    /// wait.
+    /// Returns the limit of updates per tick. Updates are spread over the ticks of an interval, with a quarter to spare, since each
+    /// takes some 20 us, during which requests wait.
     fn max_updates_per_tick(&self) -> usize {
         let others = self.table.len().saturating_sub(1);
-        let interval_us = self.config.interval_for_members_us(others);
+        let interval_us = self.config.scaled_update_interval_us(others);
         let per_tick = others as u64 * self.config.update_interval_us / interval_us;
         (per_tick + per_tick / 4).max(MIN_UPDATES_PER_TICK) as usize
     }
 
-    /// Logs a flood of invalid datagrams, and how many lines were suppressed.
+    /// Logs a flood of invalid datagrams, and the number of suppressed log lines.
     fn log_suppressed(&mut self, now_us: u64, outputs: &mut Vec<Output>) {
         if self.invalid_seals.take_unreported_flood() {
-            let text = "fleet: a flood of datagrams with a wrong seal; more are dropped unread";
+            let text = "fleet: flood of datagrams with an invalid seal; those above the rate limit are dropped unread";
             outputs.push(Output::Log(text.into()));
         }
         if let Some(suppressed) = self.log_limiter.take_suppressed(now_us) {
-            self.log(now_us, format!("fleet: {suppressed} lines more"), outputs);
+            self.log(
+                now_us,
+                format!("fleet: {suppressed} log lines suppressed by the rate limit"),
+                outputs,
+            );
         }
     }
 }
--- a/crates/cluster-membership/src/record.rs
+++ b/crates/cluster-membership/src/record.rs
@@ -1,4 +1,4 @@
-//! What is disseminated about one member, and which of two records about it takes precedence.
+//! The disseminated state of one member, and the precedence between two records of it.
 
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
@@ -8,31 +8,31 @@
 #[cfg(test)]
 pub(crate) mod tests;
 
-/// Upper bound of a name, zone, region or program version, in bytes.
+/// Upper bound of the length of a name, zone, region or program version, in bytes.
 pub const MAX_TEXT_BYTES: usize = 64;
 
-/// What a member says of itself. Each change comes with a higher incarnation.
+/// The lifecycle phase that a member publishes of itself. Each change has a higher incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum LifecyclePhase {
-    /// Not ready yet.
+    /// The member has started and is not ready yet.
     Joining,
-    /// Takes requests.
+    /// The member takes requests.
     Ready,
-    /// Finishes the requests it has and takes no new ones.
+    /// The member completes its requests and takes no new ones.
     Draining,
-    /// Shut down gracefully.
+    /// The member has notified the others that it shuts down.
     Left,
 }
 
-/// What the other members hold of a member. Within one incarnation the worse state takes precedence; the member itself refutes
-/// it by a higher incarnation.
+/// The state of a member according to the failure detectors of the others. Within one incarnation the worse state takes
+/// precedence; the member itself refutes it by a higher incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Liveness {
-    /// Believed to run.
+    /// The member is considered running.
     Alive,
-    /// Did not answer a probe; confirmed dead unless it refutes in time.
+    /// The member did not answer a probe. It is declared dead unless it refutes the suspicion in time.
     Suspect,
-    /// Confirmed dead.
+    /// The member was declared dead after a suspicion timed out.
     Dead,
 }
 
@@ -41,60 +41,61 @@
 pub struct MemberRecord {
     /// Name, unique in the cluster and stable across restarts.
     pub name: String,
-    /// Its position in the sets of gateways that requests name.
+    /// Gateway number: the member's position in the sets of gateways that requests name.
     pub number: u16,
     /// Availability zone.
     pub zone: String,
     /// Region.
     pub region: String,
-    /// Address at which the other members reach it.
+    /// Address at which the other members reach this one.
     pub address: SocketAddr,
-    /// Random id chosen by the process at its start: a restarted process has another.
+    /// Random id that the process chooses at its start; a restarted process has a different one.
     pub instance_id: u64,
-    /// Begins with the time of its start in milliseconds since 1970, and grows with each change and each refutation.
+    /// Incarnation: starts as the process's start time in milliseconds since 1970 and grows with each change and refutation.
     pub incarnation: u64,
-    /// What the member says of itself.
+    /// Lifecycle phase, as published by the member.
     pub phase: LifecyclePhase,
-    /// What the others hold of it.
+    /// Liveness according to the other members.
     pub liveness: Liveness,
-    /// Version of the program that it runs.
+    /// Version of the program that the member runs.
     pub program: String,
 }
 
 impl MemberRecord {
-    /// Whether this record takes precedence over the other one.
+    /// Returns whether this record takes precedence over `other`.
     pub fn supersedes(&self, other: &MemberRecord) -> bool {
         self.precedence() > other.precedence()
     }
 
+    /// Returns the key by which records of one member are ordered; the greatest one takes precedence.
     fn precedence(&self) -> (u64, u64, Liveness) {
         (self.incarnation, self.instance_id, self.liveness)
     }
 
-    /// Whether all texts are in bounds and plain (see [`MemberRecord::is_plain`]), and the name is not empty.
+    /// Returns whether all texts are plain (see [`MemberRecord::is_plain`]) and the name is not empty.
     pub fn is_valid(&self) -> bool {
         let texts = [&self.name, &self.zone, &self.region, &self.program];
         let all_plain = texts.iter().all(|text| MemberRecord::is_plain(text));
         !self.name.is_empty() && all_plain
     }
 
-    /// Whether a text has at most [`MAX_TEXT_BYTES`] and only characters that are safe in a line of the log.
+    /// Returns whether a text has at most [`MAX_TEXT_BYTES`] bytes and only characters that are safe in a log line.
     pub fn is_plain(text: &str) -> bool {
         let is_safe = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '.' | '_');
         text.len() <= MAX_TEXT_BYTES && text.chars().all(is_safe)
     }
 
-    /// Whether it takes part in the cluster: it is neither dead nor has it left.
+    /// Returns whether the member takes part in the cluster: it is neither dead nor has it left.
     pub fn is_present(&self) -> bool {
         self.phase != LifecyclePhase::Left && self.liveness != Liveness::Dead
     }
 
-    /// Whether it is present and takes requests.
+    /// Returns whether the member is present and takes requests.
     pub fn is_ready(&self) -> bool {
         self.is_present() && self.phase == LifecyclePhase::Ready
     }
 
-    /// Phase and liveness as one term for operators.
+    /// Returns phase and liveness as one term for operators.
     pub fn state(&self) -> &'static str {
         match (self.phase, self.liveness) {
             (LifecyclePhase::Left, _) => "left",
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Digest of what all members converge on. A suspicion is left out, since it is settled soon either way.
+    /// Returns the digest of the state on which all members converge. Suspicion is left out, since it soon ends either way.
     pub fn digest(&self) -> u64 {
         stable_hash((
             &self.name,
@@ -118,7 +119,7 @@
     }
 }
 
-/// A hash that is the same in every process, so that digests can be compared between members.
+/// Returns a hash that is the same in every process, so that members can compare digests.
 pub fn stable_hash(value: impl Hash) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(0x6672_6f73_7468, 0x6174_6368);
     value.hash(&mut hasher);
--- a/crates/cluster-membership/src/record/tests.rs
+++ b/crates/cluster-membership/src/record/tests.rs
@@ -1,6 +1,6 @@
 use super::{LifecyclePhase, Liveness, MemberRecord, MAX_TEXT_BYTES};
 
-/// A ready member; `n5` has the number 5.
+/// Returns the record of a ready member; the member named `n5` has the number 5.
 pub fn record(name: &str, incarnation: u64) -> MemberRecord {
     MemberRecord {
         name: name.into(),
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn later_incarnation_takes_precedence_and_within_one_the_worse_liveness() {
+fn higher_incarnation_takes_precedence_and_within_one_incarnation_the_worse_liveness() {
     let alive = record("n1", 5);
     let dead = MemberRecord {
         liveness: Liveness::Dead,
--- a/crates/cluster-membership/src/seal.rs
+++ b/crates/cluster-membership/src/seal.rs
@@ -1,8 +1,8 @@
-//! Authentication of datagrams by the cluster's shared keys: HMAC-SHA-256 (RFC 2104), truncated to its first 16 bytes (section 5
-//! there: at least half of the hash). Two keys are accepted while one replaces the other.
+//! Authentication of datagrams by the cluster's shared keys with HMAC-SHA-256 (RFC 2104), truncated to its first 16 bytes (RFC
+//! 2104 section 5 requires at least half of the hash). During a key rotation, two keys are accepted.
 //!
 //! ```text
-//! "FH" | version 3 | key id u8 | body | HMAC of all before it
+//! "FH" | version 3 | key id u8 | body | HMAC of all preceding bytes
 //! ```
 
 use ring::hmac;
@@ -10,42 +10,45 @@
 #[cfg(test)]
 mod tests;
 
-/// Largest datagram: below the MTU of any usual path, so that it is not fragmented.
+/// Upper bound of the length of a datagram, in bytes: below the MTU of usual paths, so that datagrams are not fragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
-/// Bytes that sealing adds to a body.
+/// Number of bytes that sealing adds to a body.
 pub const SEAL_OVERHEAD_BYTES: usize = PREFIX.len() + 1 + TAG_BYTES;
-/// Keys that are accepted at once.
+/// Upper bound of the keys accepted at one time.
 pub const MAX_KEYS: usize = 2;
 
+/// First bytes of each datagram: a magic number and the version of the format.
 const PREFIX: [u8; 3] = [b'F', b'H', 3];
+/// Length of the truncated HMAC, in bytes.
 const TAG_BYTES: usize = 16;
 
-/// What is wrong with the text of a key file.
+/// An error in the text of a key file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyFileError {
-    /// The file as a whole is one secret, and that is too short.
-    #[error("it holds fewer than 32 bytes")]
+    /// The file holds a single secret without an id, which is too short.
+    #[error("the secret holds fewer than 32 bytes")]
     FileTooShort,
-    /// A secret is too short.
-    #[error("key {id} holds fewer than 32 bytes")]
+    /// A secret with an id is too short.
+    #[error("the secret of key {id} holds fewer than 32 bytes")]
     SecretTooShort {
         /// Id of the key.
         id: u8,
     },
-    /// Two lines have the same id.
-    #[error("key {id} is there twice")]
+    /// Two lines of the file have the same id.
+    #[error("key id {id} occurs twice")]
     DuplicateId {
-        /// The id.
+        /// Id of both keys.
         id: u8,
     },
-    /// The file holds more keys than are accepted at once.
-    #[error("it holds {count} keys, and {MAX_KEYS} at most are accepted at once")]
+    /// The file holds more than [`MAX_KEYS`] keys.
+    #[error("the file holds {count} keys, more than the limit of {MAX_KEYS}")]
     TooManyKeys {
-        /// Keys that the file holds.
+        /// Number of keys in the file.
         count: usize,
     },
 }
 
+/// One key of the cluster.
 struct Key {
     id: u8,
     hmac: hmac::Key,
@@ -60,18 +63,18 @@
     }
 }
 
-/// The cluster's keys: the first one seals, all of them open.
+/// The cluster's keys. The first one seals datagrams; all of them open datagrams.
 pub struct Keys(Vec<Key>);
 
 impl Keys {
-    /// Fewest bytes of a secret: as many as the hash has (RFC 2104 section 3).
+    /// Minimum length of a secret in bytes: that of the hash (RFC 2104 section 3).
     pub const MIN_SECRET_BYTES: usize = 32;
 
-    /// Parses the text of a key file: lines of an id (0 to 255) and a secret of at least 32 bytes without spaces, the one that
-    /// seals first; or, as a whole, one secret, which has the id 0.
+    /// Parses the text of a key file. The file holds either one line per key, with an id (0 to 255) and a secret of at least 32
+    /// bytes without spaces, the sealing key first; or a single secret, which gets the id 0.
     ///
     /// # Errors
-    /// Too many keys, a secret that is too short, or an id that stands twice.
+    /// The file holds too many keys, a secret that is too short, or two keys with the same id.
     pub fn parse(text: &[u8]) -> Result<Keys, KeyFileError> {
         let Some(lines) = split_key_lines(text) else {
             return Keys::from_secret(0, text.trim_ascii()).ok_or(KeyFileError::FileTooShort);
@@ -92,18 +95,18 @@
         Ok(Keys(keys))
     }
 
-    /// A single key, or `None` if the secret is shorter than [`Keys::MIN_SECRET_BYTES`].
+    /// Creates a single key; returns `None` if the secret is shorter than [`Keys::MIN_SECRET_BYTES`].
     pub fn from_secret(id: u8, secret: &[u8]) -> Option<Keys> {
         let is_long_enough = secret.len() >= Keys::MIN_SECRET_BYTES;
         is_long_enough.then(|| Keys(vec![Key::new(id, secret)]))
     }
 
-    /// Ids of all keys, the sealing one first.
+    /// Iterates over the ids of all keys, starting with the sealing one.
     pub fn ids(&self) -> impl Iterator<Item = u8> + '_ {
         self.0.iter().map(|key| key.id)
     }
 
-    /// The sealed datagram of a body.
+    /// Returns the sealed datagram with the given body.
     pub fn seal(&self, body: &[u8]) -> Vec<u8> {
         let key = &self.0[0];
         let mut bytes = Vec::with_capacity(body.len() + SEAL_OVERHEAD_BYTES);
@@ -115,7 +118,7 @@
         bytes
     }
 
-    /// The body of a datagram, if it was sealed by one of the keys.
+    /// Returns the body of a datagram, or `None` if it was not sealed by one of the keys.
     pub fn open<'a>(&self, bytes: &'a [u8]) -> Option<&'a [u8]> {
         let has_valid_length = (SEAL_OVERHEAD_BYTES..=MAX_DATAGRAM_BYTES).contains(&bytes.len());
         if !has_valid_length || !bytes.starts_with(&PREFIX) {
@@ -124,7 +127,7 @@
         let key = self.0.iter().find(|key| key.id == bytes[PREFIX.len()])?;
         let (sealed, tag) = bytes.split_at(bytes.len() - TAG_BYTES);
         let expected = hmac::sign(&key.hmac, sealed);
-        // In constant time: the time must not show at which byte the tags differ.
+        // The comparison takes constant time, so that its duration does not reveal at which byte the tags differ.
         let difference = tag
             .iter()
             .zip(expected.as_ref())
@@ -133,7 +136,7 @@
     }
 }
 
-/// Ids and secrets of a file whose lines all have both; `None` if it has any other form.
+/// Returns ids and secrets of a file in which every line has both; `None` if the file has any other form.
 fn split_key_lines(text: &[u8]) -> Option<Vec<(u8, &str)>> {
     let text = std::str::from_utf8(text).ok()?;
     let mut keys = Vec::new();
--- a/crates/cluster-membership/src/seal/tests.rs
+++ b/crates/cluster-membership/src/seal/tests.rs
@@ -1,19 +1,19 @@
 use super::{Keys, MAX_DATAGRAM_BYTES};
 
-const A: &str = "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa";
-const B: &str = "bbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbb";
+const SECRET_A: &str = "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa";
+const SECRET_B: &str = "bbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbb";
 
 fn keys(text: &str) -> Keys {
-    Keys::parse(text.as_bytes()).expect("keys")
+    Keys::parse(text.as_bytes()).expect("the key file is valid")
 }
 
 #[test]
-fn members_open_each_other_throughout_the_three_steps_of_a_key_rotation() {
+fn members_open_each_others_datagrams_throughout_the_three_steps_of_a_key_rotation() {
     let steps = [
-        format!("1 {A}"),
-        format!("1 {A}\n2 {B}\n"),
-        format!("2 {B}\n1 {A}"),
-        format!("2 {B}"),
+        format!("1 {SECRET_A}"),
+        format!("1 {SECRET_A}\n2 {SECRET_B}\n"),
+        format!("2 {SECRET_B}\n1 {SECRET_A}"),
+        format!("2 {SECRET_B}"),
     ];
     for step in steps.windows(2) {
         let old = keys(&step[0]);
@@ -26,22 +26,24 @@
 }
 
 #[test]
-fn a_file_of_one_secret_has_the_id_0_and_errors_name_the_key() {
+fn a_single_secret_gets_the_id_0_and_errors_name_the_key() {
     let plain = keys("a key of the lab's own, long enough for all\n");
     assert_eq!(plain.ids().collect::<Vec<_>>(), [0]);
     let error = |text: &str| {
-        let error = Keys::parse(text.as_bytes()).err().expect("it is wrong");
+        let error = Keys::parse(text.as_bytes())
+            .err()
+            .expect("the key file is invalid");
         error.to_string()
     };
     assert!(error("short").contains("32"));
-    assert!(error(&format!("1 {A}\n2 short")).contains("key 2"));
-    assert!(error(&format!("1 {A}\n1 {B}")).contains("twice"));
-    assert!(error(&format!("1 {A}\n2 {B}\n3 {A}")).contains("3 keys"));
+    assert!(error(&format!("1 {SECRET_A}\n2 short")).contains("key 2"));
+    assert!(error(&format!("1 {SECRET_A}\n1 {SECRET_B}")).contains("twice"));
+    assert!(error(&format!("1 {SECRET_A}\n2 {SECRET_B}\n3 {SECRET_A}")).contains("3 keys"));
 }
 
 #[test]
 fn a_datagram_changed_at_any_byte_does_not_open() {
-    let key = keys(&format!("7 {A}"));
+    let key = keys(&format!("7 {SECRET_A}"));
     let sealed = key.seal(b"some text");
     for n in 0..sealed.len() {
         let mut changed = sealed.clone();
--- a/crates/cluster-membership/src/session.rs
+++ b/crates/cluster-membership/src/session.rs
@@ -1,62 +1,66 @@
 //! Replay protection for the datagrams of one sender.
 //!
-//! Each datagram names the process instance that it is meant for. One that names the local instance was made after the local
-//! start, so datagrams recorded earlier prove nothing. Within one instance of the sender each sequence number counts once, and
-//! an instance that a later one has replaced is not accepted again.
+//! Each datagram names the process instance of its receiver. A datagram that names this instance was created after this process
+//! started, which proves that it is no replay from before the start. Within one instance of the sender each sequence number is
+//! accepted once, and an instance that a later one has replaced is not accepted again.
 
 #[cfg(test)]
 mod tests;
 
-/// Width of the replay window: sequence numbers this far below the highest are rejected.
+/// Width of the replay window: sequence numbers this far or further below the highest one are rejected.
 const REPLAY_WINDOW: u64 = 64;
 
-/// What is known of the datagrams exchanged with one member name.
+/// State of the datagrams exchanged with the processes under one member name.
 #[derive(Clone, Debug, Default)]
 pub struct Session {
-    /// Instance that has proven itself by naming ours; 0: none has.
+    /// Instance that is proven, since it has named ours; 0 for none.
     pub proven_instance_id: u64,
-    /// Instance named in the last datagram, proven or not, so that replies can name it.
+    /// Sender's instance in the last datagram, whether or not it is proven, so that replies can name it.
     pub claimed_instance_id: u64,
-    /// Sequence number of the last datagram sent.
+    /// Sequence number of the last datagram sent to the member.
     pub last_sent_sequence: u64,
-    /// When the member was last heard itself, in microseconds of running time; 0: never.
-    pub heard_at_us: u64,
+    /// When a datagram was last accepted from the member, in microseconds of running time; 0 for never.
+    pub last_received_at_us: u64,
+    /// Highest incarnation received from the proven instance.
     incarnation: u64,
+    /// Highest sequence number received from the proven instance.
     highest_sequence: u64,
-    /// Bit `n` is set if the sequence number `highest_sequence - n` has been received.
+    /// Replay window: bit `n` is set if the sequence number `highest_sequence - n` has been received.
     received_window: u64,
 }
 
-/// What a datagram says of its sender and receiver.
+/// The fields of a datagram that identify its sender, its receiver and the datagram itself.
 #[derive(Clone, Copy, Debug)]
 pub struct DatagramIdentity {
-    /// Instance of the receiver that the datagram is meant for; 0: the sender knows none.
+    /// Instance of the receiver that the datagram is addressed to; 0 if the sender knows none.
     pub to_instance_id: u64,
     /// Instance of the sender.
     pub instance_id: u64,
     /// Incarnation of the sender.
     pub incarnation: u64,
-    /// Sequence number, growing with each datagram from the sender to this receiver.
+    /// Sequence number, which grows with each datagram from the sender to this receiver.
     pub sequence: u64,
 }
 
-/// How a datagram is to be treated.
+/// How the receiver has to treat a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatagramVerdict {
-    /// It counts.
+    /// The datagram is accepted.
     Accepted,
-    /// It counts, as the first of a new instance.
+    /// The datagram is accepted as the first one of a new instance of the sender.
     AcceptedNewInstance,
-    /// It was received before, or is too old to tell.
+    /// The datagram was received before, or its sequence number is below the replay window.
     Duplicate,
-    /// It names another instance of the receiver, or none, and may be a replay. The sender has to learn the current instance.
+    /// The datagram names another instance of the receiver, or none, and may be a replay. The receiver replies, so that the sender
+    /// learns the current instance.
     Unproven,
-    /// It comes from an instance that another one has replaced. The sender has to learn of that.
+    /// The datagram comes from an instance that another one has replaced. The receiver replies, so that the sender learns of
+    /// that.
     Replaced,
 }
 
 impl Session {
-    /// A session without any datagram received. The first one sent has the number after `last_sent_sequence`.
+    /// Creates a session without any received datagrams. The first one sent has the sequence number after `last_sent_sequence`.
     pub fn starting_after(last_sent_sequence: u64) -> Session {
         Session {
             last_sent_sequence,
@@ -64,12 +68,8 @@
         }
     }
 
-    /// Judges a datagram and records it as received. `local_instance_id`: the instance of this process.
-    pub fn receive(
-        &mut self,
-        local_instance_id: u64,
-        datagram: DatagramIdentity,
-    ) -> DatagramVerdict {
+    /// Returns the verdict on a datagram and records the datagram as received. `own_instance_id`: the instance of this process.
+    pub fn receive(&mut self, own_instance_id: u64, datagram: DatagramIdentity) -> DatagramVerdict {
         let instance_id = datagram.instance_id;
         let is_new_instance = instance_id != self.proven_instance_id;
         let has_proven_instance = self.proven_instance_id != 0;
@@ -77,7 +77,7 @@
             return DatagramVerdict::Replaced;
         }
         self.claimed_instance_id = instance_id;
-        if datagram.to_instance_id != local_instance_id {
+        if datagram.to_instance_id != own_instance_id {
             return DatagramVerdict::Unproven;
         }
         if is_new_instance {
@@ -95,7 +95,8 @@
         }
     }
 
-    /// Returns whether the number was not received before (the sliding window of RFC 4303 section 3.4.3).
+    /// Records a sequence number in the sliding window (RFC 4303 section 3.4.3). Returns false if it was received before or is
+    /// below the window.
     fn record_sequence(&mut self, sequence: u64) -> bool {
         if sequence > self.highest_sequence {
             let advance = sequence - self.highest_sequence;
--- a/crates/cluster-membership/src/session/tests.rs
+++ b/crates/cluster-membership/src/session/tests.rs
@@ -1,16 +1,16 @@
 use super::{DatagramIdentity, DatagramVerdict, Session};
 
-/// Receives a datagram at the instance `local`.
+/// Receives a datagram at a process with the instance id `own_instance_id`.
 fn receive(
     session: &mut Session,
-    local: u64,
+    own_instance_id: u64,
     to_instance_id: u64,
     instance_id: u64,
     incarnation: u64,
     sequence: u64,
 ) -> DatagramVerdict {
     session.receive(
-        local,
+        own_instance_id,
         DatagramIdentity {
             to_instance_id,
             instance_id,
@@ -21,13 +21,13 @@
 }
 
 #[test]
-fn only_datagrams_for_the_local_instance_count_and_only_once() {
+fn only_datagrams_for_the_local_instance_are_accepted_and_only_once() {
     let mut s = Session::default();
     assert_eq!(receive(&mut s, 7, 0, 1, 10, 1), DatagramVerdict::Unproven);
     assert_eq!(
         receive(&mut s, 7, 6, 1, 10, 2),
         DatagramVerdict::Unproven,
-        "of before our start"
+        "the datagram names an instance from before the local start"
     );
     assert_eq!(
         receive(&mut s, 7, 7, 1, 10, 3),
@@ -38,13 +38,13 @@
     assert_eq!(
         receive(&mut s, 7, 7, 1, 10, 60),
         DatagramVerdict::Accepted,
-        "late, for the first time"
+        "a late datagram within the replay window is accepted once"
     );
     assert_eq!(receive(&mut s, 7, 7, 1, 10, 60), DatagramVerdict::Duplicate);
     assert_eq!(
         receive(&mut s, 7, 7, 1, 10, 36),
         DatagramVerdict::Duplicate,
-        "too old to be told"
+        "a sequence number below the replay window is rejected"
     );
 }
 
--- a/crates/cluster-membership/src/token_bucket.rs
+++ b/crates/cluster-membership/src/token_bucket.rs
@@ -1,6 +1,6 @@
-//! A token bucket (rate limiter) whose burst is a tenth of a second of its rate. Times are in microseconds.
+//! A token bucket (rate limiter) that holds the tokens of a tenth of a second. Times are in microseconds.
 
-/// Refills at a constant rate and may be overdrawn: a debt delays the next admission.
+/// A bucket that refills at a constant rate and may be overdrawn; a debt delays the next admission.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     rate_per_s: f64,
@@ -9,7 +9,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket. Its capacity is a tenth of `rate_per_s`, but at least one token.
+    /// Creates a full bucket. Its capacity is a tenth of `rate_per_s`, but at least one token.
     pub fn new(rate_per_s: f64) -> TokenBucket {
         TokenBucket {
             rate_per_s,
@@ -18,13 +18,13 @@
         }
     }
 
-    /// Whether any token is left.
+    /// Returns whether any token is left.
     pub fn has_tokens(&mut self, now_us: u64) -> bool {
         self.refill(now_us);
         self.tokens > 0.0
     }
 
-    /// Takes `amount` if any token is left, even if fewer than `amount` are. Returns whether it was taken.
+    /// Takes `amount` tokens if any token is left, even if fewer than `amount` are. Returns whether they were taken.
     pub fn try_take(&mut self, now_us: u64, amount: f64) -> bool {
         let is_admitted = self.has_tokens(now_us);
         if is_admitted {
@@ -33,7 +33,7 @@
         is_admitted
     }
 
-    /// Takes `amount` whether or not tokens are left.
+    /// Takes `amount` tokens whether or not any are left.
     pub fn spend(&mut self, now_us: u64, amount: f64) {
         self.refill(now_us);
         self.tokens -= amount;
--- a/crates/cluster-membership/src/usage_counters.rs
+++ b/crates/cluster-membership/src/usage_counters.rs
@@ -1,31 +1,33 @@
-//! What each gateway admitted: counters that only grow, by gateway, process instance, window and customer. Two states are merged
-//! by the larger value of each counter, so order, loss and repetition make no difference (a state-based CRDT, a G-counter;
-//! Shapiro et al., INRIA RR-7506, section 3.1.1). Times are in microseconds, totals in thousandths of a unit.
+//! Counters of the usage that each gateway admitted, by gateway, process instance, window and customer. Counters only grow, and
+//! two states are merged by the larger value of each counter, so that the order, loss and repetition of updates do not affect the
+//! result (a state-based CRDT, the G-counter; Shapiro et al., INRIA RR-7506, section 3.1.1). Times are in microseconds, totals in
+//! thousandths of a unit.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Length of a window on its gateway's own monotonic clock.
+/// Length of a window in microseconds of its gateway's monotonic clock.
 pub const WINDOW_US: u64 = 10_000_000;
-/// Windows of one instance that are retained: 20 to 30 s of usage, about what a quota's burst can hold.
+/// Number of retained windows per instance: 20 to 30 s of usage, about as much as a quota's burst can hold.
 pub const WINDOWS: u32 = 3;
-/// Instances of one gateway that are remembered, if only by how far their windows were dropped.
+/// Upper bound of the remembered instances of one gateway, including those of which only the number of dropped windows is left.
 pub const MAX_INSTANCES: usize = 8;
-/// The windows of an instance that reports nothing new for this long are dropped.
+/// Time without growth after which all windows of an instance are dropped.
 const SILENT_INSTANCE_TIMEOUT_US: u64 = 40_000_000;
 
-/// Where usage belongs.
+/// The gateway, process instance and window to which usage belongs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct UsageKey {
-    /// Number of the gateway that admitted it.
+    /// Number of the gateway that admitted the usage.
     pub gateway: u16,
     /// Process instance of the gateway.
     pub instance_id: u64,
-    /// Window, counted from the start of the instance.
+    /// Index of the window, counted from the start of the instance.
     pub window: u32,
 }
 
 impl UsageKey {
+    /// Returns the instance of this key.
     fn instance(self) -> InstanceKey {
         InstanceKey {
             gateway: self.gateway,
@@ -39,11 +41,12 @@
 pub struct InstanceKey {
     /// Number of the gateway.
     pub gateway: u16,
-    /// Random id of the process.
+    /// Instance id of the process.
     pub instance_id: u64,
 }
 
 impl InstanceKey {
+    /// Returns the key of one window of this instance.
     fn window(self, window: u32) -> UsageKey {
         UsageKey {
             gateway: self.gateway,
@@ -53,42 +56,46 @@
     }
 }
 
-/// A counter and the change that brought it to its total.
+/// A counter with the number of its last change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UsageChange {
-    /// Number of the change, in the order of all changes here.
+    /// Number of the change in the local order of all changes.
     pub change: u64,
     /// Gateway, instance and window.
     pub key: UsageKey,
-    /// The customer.
+    /// Customer.
     pub tag: u32,
-    /// Thousandths of a unit.
+    /// Total in thousandths of a unit.
     pub total: u64,
 }
 
+/// The total of one counter, in thousandths of a unit, and the number of its last change.
 #[derive(Clone, Copy)]
 struct Counter {
     total: u64,
     last_change: u64,
 }
 
+/// The retained state of one instance.
 struct InstanceState {
-    /// Windows below are dropped for good, and updates of them ignored.
+    /// First window that is not dropped. Updates of earlier windows are ignored.
     first_window: u32,
+    /// When a counter of the instance last grew.
     grew_at_us: u64,
 }
 
-/// All counters, with the order in which they changed here.
+/// The counters of all gateways, with the local order of their changes.
 pub struct UsageCounters {
     max_entries: usize,
     windows: BTreeMap<UsageKey, BTreeMap<u32, Counter>>,
     instances: BTreeMap<InstanceKey, InstanceState>,
+    /// Window and customer of each counter, by the number of its last change.
     changes: BTreeMap<u64, (UsageKey, u32)>,
     last_change: u64,
 }
 
 impl UsageCounters {
-    /// No counters. At most `max_entries` are retained.
+    /// Creates an empty set of counters, of which at most `max_entries` are retained.
     pub fn new(max_entries: usize) -> UsageCounters {
         UsageCounters {
             max_entries,
@@ -99,22 +106,22 @@
         }
     }
 
-    /// Number of counters.
+    /// Returns the number of counters.
     pub fn len(&self) -> usize {
         self.changes.len()
     }
 
-    /// Whether there are no counters.
+    /// Returns whether there are no counters.
     pub fn is_empty(&self) -> bool {
         self.changes.is_empty()
     }
 
-    /// Number of the last change; 0: none yet.
+    /// Returns the number of the last change; 0 if there was none.
     pub fn last_change(&self) -> u64 {
         self.last_change
     }
 
-    /// All counters by key and customer, for comparison.
+    /// Returns the totals of all counters by key and customer.
     pub fn totals(&self) -> BTreeMap<(UsageKey, u32), u64> {
         self.windows
             .iter()
@@ -126,7 +133,7 @@
             .collect()
     }
 
-    /// Total of one counter; 0 if there is none.
+    /// Returns the total of one counter; 0 if there is no such counter.
     pub fn total(&self, key: UsageKey, tag: u32) -> u64 {
         self.windows
             .get(&key)
@@ -134,7 +141,7 @@
             .map_or(0, |counter| counter.total)
     }
 
-    /// The counters that changed after a change, in the order of their changes.
+    /// Iterates over the counters that changed after the change numbered `change`, in the order of their changes.
     pub fn changes_after(&self, change: u64) -> impl Iterator<Item = UsageChange> + '_ {
         self.changes
             .range(change + 1..)
@@ -146,8 +153,8 @@
             })
     }
 
-    /// Merges one counter and returns by how much it grew: 0 if the total is not above the known one, the window was dropped, or
-    /// there is no room.
+    /// Merges the total of one counter and returns its growth: 0 if the total is not above the known one, the window was dropped,
+    /// or the limit of counters is reached and no window can be evicted.
     pub fn merge(&mut self, now_us: u64, key: UsageKey, tag: u32, total: u64) -> u64 {
         let instance_key = key.instance();
         let is_dropped = self
@@ -161,7 +168,10 @@
         if total <= known_total {
             return 0;
         }
-        if known_total == 0 && self.len() >= self.max_entries && !self.make_room(instance_key) {
+        if known_total == 0
+            && self.len() >= self.max_entries
+            && !self.evict_oldest_window(instance_key)
+        {
             return 0;
         }
         self.record_growth(now_us, key);
@@ -169,7 +179,8 @@
         total - known_total
     }
 
-    /// Drops the windows of instances that have been silent for long. How far they had come is remembered.
+    /// Drops the windows of instances that have not grown for long. The first window not dropped is remembered, so that late updates
+    /// are still ignored.
     pub fn drop_silent_instances(&mut self, now_us: u64) {
         let is_silent = |instance: &InstanceState| {
             now_us.saturating_sub(instance.grew_at_us) >= SILENT_INSTANCE_TIMEOUT_US
@@ -193,11 +204,11 @@
         }
     }
 
-    /// Notes that an instance reported growth, and drops those of its windows that are too old by now.
+    /// Records the growth of an instance in `key.window`, and drops the windows of the instance that are now too old.
     fn record_growth(&mut self, now_us: u64, key: UsageKey) {
         let instance_key = key.instance();
         if !self.instances.contains_key(&instance_key) {
-            self.make_room_for_instance(key.gateway);
+            self.evict_instance_if_full(key.gateway);
         }
         let instance = self.instances.entry(instance_key).or_insert(InstanceState {
             first_window: 0,
@@ -211,6 +222,7 @@
         }
     }
 
+    /// Sets the total of one counter as the latest change.
     fn set_total(&mut self, key: UsageKey, tag: u32, total: u64) {
         self.last_change += 1;
         let counter = Counter {
@@ -224,6 +236,7 @@
         self.changes.insert(self.last_change, (key, tag));
     }
 
+    /// Drops the windows of an instance before `first_window`.
     fn drop_windows_below(&mut self, instance_key: InstanceKey, first_window: u32) {
         let dropped: Vec<UsageKey> = self
             .windows
@@ -235,14 +248,16 @@
         }
     }
 
+    /// Drops one window with its counters.
     fn drop_window(&mut self, key: UsageKey) {
         for (_, counter) in self.windows.remove(&key).into_iter().flatten() {
             self.changes.remove(&counter.last_change);
         }
     }
 
-    /// Drops the window of the counter that changed longest ago, but none of `protected`. Returns whether there was one.
-    fn make_room(&mut self, protected: InstanceKey) -> bool {
+    /// Drops the window of the counter that changed longest ago, among all instances but `protected`. Returns whether there was
+    /// such a window.
+    fn evict_oldest_window(&mut self, protected: InstanceKey) -> bool {
         let oldest = self
             .changes
             .values()
@@ -258,8 +273,8 @@
         true
     }
 
-    /// Forgets the instance of a gateway that has been silent for longest, if there are too many of them.
-    fn make_room_for_instance(&mut self, gateway: u16) {
+    /// Forgets the instance that has not grown for longest, if the gateway already has [`MAX_INSTANCES`] instances.
+    fn evict_instance_if_full(&mut self, gateway: u16) {
         let first = InstanceKey {
             gateway,
             instance_id: 0,
@@ -268,11 +283,11 @@
             gateway,
             instance_id: u64::MAX,
         };
-        let of_gateway = || self.instances.range(first..=last);
-        if of_gateway().count() < MAX_INSTANCES {
+        let instances_of_gateway = || self.instances.range(first..=last);
+        if instances_of_gateway().count() < MAX_INSTANCES {
             return;
         }
-        let longest_silent = of_gateway()
+        let longest_silent = instances_of_gateway()
             .min_by_key(|(_, instance)| instance.grew_at_us)
             .map(|(key, _)| *key);
         if let Some(key) = longest_silent {
--- a/crates/cluster-membership/src/usage_gossip.rs
+++ b/crates/cluster-membership/src/usage_gossip.rs
@@ -1,74 +1,75 @@
-//! Dissemination of the usage that gateways admitted. Each member sends its own counters to all others until they have them.
-//! Either side says which of the other's changes it has and is sent those after that: a lost datagram is made up for by the next
-//! one, and one that comes twice or late changes nothing, since counters only grow. Times are in microseconds.
+//! Dissemination of the usage that gateways admitted. Each member sends its own counters to every other member until that member
+//! has acknowledged them. Each datagram acknowledges the receiver's changes up to a number, and the receiver sends those after it:
+//! the next datagram makes up for a lost one, and a duplicate or late one has no effect, since counters only grow. Times are in
+//! microseconds.
 
 use crate::usage_counters::{InstanceKey, UsageCounters, UsageKey, WINDOW_US};
 use crate::wire::{DatagramWriter, UsageGroup};
 use std::collections::{BTreeMap, HashMap};
 
-/// Counters are in thousandths of a unit.
-const PARTS_PER_UNIT: f64 = 1_000.0;
-/// Usage received this soon after its instance was first heard of is counted as usage before that.
-const CATCH_UP_US: u64 = 300_000;
-/// Upper bound of the instances that are remembered as known.
+/// Resolution of the counters: one count is a thousandth of a unit.
+const MILLIUNITS_PER_UNIT: f64 = 1_000.0;
+/// Period after an instance became known here in which its reported usage counts as admitted before that.
+const CATCH_UP_PERIOD_US: u64 = 300_000;
+/// Upper bound of the instances whose time of becoming known is remembered.
 const MAX_KNOWN_INSTANCES: usize = 8_192;
 
-/// How far one other member and this one have sent each other their usage.
+/// Progress of the exchange of usage with one other member.
 #[derive(Clone, Debug, Default)]
 pub struct UsageProgress {
-    /// The other one has our changes up to and including this one.
+    /// Number of our last change that the other member has acknowledged.
     pub acked: u64,
-    /// We have its changes up to and including this one.
+    /// Number of the other member's last change that we have received.
     pub received: u64,
-    /// Numbers of gateways that it does not hear directly.
+    /// Numbers of the gateways from which the other member receives no datagrams directly.
     pub wanted_gateways: Vec<u16>,
-    /// Our changes up to and including this one were relayed to it in the current round.
+    /// Number of our last change that was relayed to the other member in the current round.
     relayed: u64,
 }
 
-/// Usage of other gateways that was not known before, in units.
+/// Usage of other gateways that became known since the last tick, in units.
 #[derive(Debug, Default, PartialEq)]
 pub struct UsageChanges {
-    /// Gateway, customer, and units.
+    /// Newly reported usage, as gateway number, customer and units.
     pub uses: Vec<(u32, u32, f64)>,
-    /// Customer, and units admitted before their gateway was first heard of.
-    pub past: Vec<(u32, f64)>,
+    /// Usage admitted before its gateway became known here, as customer and units.
+    pub earlier_uses: Vec<(u32, f64)>,
 }
 
 impl UsageChanges {
-    /// Whether nothing is new.
+    /// Returns whether there is no new usage.
     pub fn is_empty(&self) -> bool {
-        self.uses.is_empty() && self.past.is_empty()
+        self.uses.is_empty() && self.earlier_uses.is_empty()
     }
 }
 
-/// Which of a member's usage a datagram carries.
+/// The part of the sender's usage that a datagram carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UsageCoverage {
-    /// Number of the last change carried.
+    /// Number of the last change that the datagram covers.
     pub up_to: u64,
-    /// Whether these are all.
+    /// Whether the datagram covers all changes that the receiver lacks.
     pub is_complete: bool,
 }
 
-/// The usage of all gateways as this member knows it.
+/// The usage of all gateways, as known to this member.
 pub struct UsageGossip {
     local: InstanceKey,
     gateways: u16,
     counters: UsageCounters,
-    /// Own usage since the last tick, in units.
+    /// This gateway's own usage since the last tick, in units by customer.
     pending_own: HashMap<u32, f64>,
     started_at_us: Option<u64>,
-    /// Usage of others since the last tick, in thousandths of a unit, by gateway and customer.
-    grown: BTreeMap<(u16, u32), u64>,
-    /// The same, from before their gateway was first heard of, by customer.
-    past: BTreeMap<u32, u64>,
-    /// When each instance was first heard of.
+    /// Growth of the other gateways' usage since the last tick, in thousandths of a unit by gateway and customer.
+    growth: BTreeMap<(u16, u32), u64>,
+    /// Growth since the last tick of usage admitted before its gateway became known, in thousandths of a unit by customer.
+    earlier_growth: BTreeMap<u32, u64>,
+    /// When each instance became known to this member.
     known_since_us: BTreeMap<InstanceKey, u64>,
 }
 
 impl UsageGossip {
-    /// Nothing is known yet. `gateways`: how many there are; `max_entries`: upper bound of the counters retained.
+    /// Creates the state without any usage. `gateways`: number of gateways; `max_entries`: upper bound of the retained counters.
     pub fn new(local: InstanceKey, gateways: u16, max_entries: usize) -> UsageGossip {
         UsageGossip {
             local,
@@ -76,37 +77,37 @@
             counters: UsageCounters::new(max_entries),
             pending_own: HashMap::new(),
             started_at_us: None,
-            grown: BTreeMap::new(),
-            past: BTreeMap::new(),
+            growth: BTreeMap::new(),
+            earlier_growth: BTreeMap::new(),
             known_since_us: BTreeMap::new(),
         }
     }
 
-    /// All counters.
+    /// Returns the counters of all gateways.
     pub fn counters(&self) -> &UsageCounters {
         &self.counters
     }
 
-    /// Records that this gateway admitted units of a customer.
+    /// Records that this gateway admitted `units` of the customer `tag`.
     pub fn record_own(&mut self, tag: u32, units: f64) {
         if units.is_finite() && units > 0.0 {
             *self.pending_own.entry(tag).or_default() += units;
         }
     }
 
-    /// Records that an instance is heard for the first time.
+    /// Records that an instance became known, unless it was known before.
     pub fn record_instance(&mut self, now_us: u64, instance: InstanceKey) {
         self.known_since_us.entry(instance).or_insert(now_us);
     }
 
-    /// Merges what another member sent.
+    /// Merges the usage counters in a datagram from another member.
     pub fn merge(&mut self, now_us: u64, groups: Vec<UsageGroup>) {
         for UsageGroup { key, totals } in groups {
             let instance = InstanceKey {
                 gateway: key.gateway,
                 instance_id: key.instance_id,
             };
-            // Only this process knows its own usage.
+            // This process's own usage is not taken from others, since only this process knows it.
             if instance == self.local || key.gateway >= self.gateways {
                 continue;
             }
@@ -119,33 +120,36 @@
         }
     }
 
+    /// Adds the growth of a counter to the usage to report at the next tick.
     fn record_growth(&mut self, now_us: u64, instance: InstanceKey, tag: u32, growth: u64) {
         let known_since_us = *self.known_since_us.entry(instance).or_insert(now_us);
-        // The first report of an unknown instance covers up to three windows, not just the last moments.
-        if now_us.saturating_sub(known_since_us) < CATCH_UP_US {
-            *self.past.entry(tag).or_default() += growth;
+        // The first report of an unknown instance covers up to three windows, not only its latest usage.
+        if now_us.saturating_sub(known_since_us) < CATCH_UP_PERIOD_US {
+            *self.earlier_growth.entry(tag).or_default() += growth;
         } else {
-            *self.grown.entry((instance.gateway, tag)).or_default() += growth;
+            *self.growth.entry((instance.gateway, tag)).or_default() += growth;
         }
     }
 
-    /// Moves own usage into the counters, drops what is outdated, and returns the usage of others since the last tick.
+    /// Adds this gateway's pending usage to its counters, drops outdated counters, and returns the usage of other gateways that
+    /// became known since the last tick.
     pub fn tick(&mut self, now_us: u64) -> UsageChanges {
         self.count_own(now_us);
         self.counters.drop_silent_instances(now_us);
         self.forget_oldest_instances();
-        let to_units = |parts: u64| parts as f64 / PARTS_PER_UNIT;
-        let uses = std::mem::take(&mut self.grown)
+        let to_units = |milliunits: u64| milliunits as f64 / MILLIUNITS_PER_UNIT;
+        let uses = std::mem::take(&mut self.growth)
             .into_iter()
-            .map(|((gateway, tag), parts)| (u32::from(gateway), tag, to_units(parts)))
+            .map(|((gateway, tag), milliunits)| (u32::from(gateway), tag, to_units(milliunits)))
             .collect();
-        let past = std::mem::take(&mut self.past)
+        let earlier_uses = std::mem::take(&mut self.earlier_growth)
             .into_iter()
-            .map(|(tag, parts)| (tag, to_units(parts)))
+            .map(|(tag, milliunits)| (tag, to_units(milliunits)))
             .collect();
-        UsageChanges { uses, past }
+        UsageChanges { uses, earlier_uses }
     }
 
+    /// Adds this gateway's pending usage to its counters of the current window.
     fn count_own(&mut self, now_us: u64) {
         let started_at_us = *self.started_at_us.get_or_insert(now_us);
         let window = now_us.saturating_sub(started_at_us) / WINDOW_US;
@@ -155,12 +159,13 @@
             window: u32::try_from(window).unwrap_or(u32::MAX),
         };
         for (tag, units) in self.pending_own.drain() {
-            let parts = (units * PARTS_PER_UNIT).ceil() as u64;
-            let total = self.counters.total(key, tag).saturating_add(parts);
+            let milliunits = (units * MILLIUNITS_PER_UNIT).ceil() as u64;
+            let total = self.counters.total(key, tag).saturating_add(milliunits);
             self.counters.merge(now_us, key, tag, total);
         }
     }
 
+    /// Forgets the instances that became known longest ago, beyond [`MAX_KNOWN_INSTANCES`].
     fn forget_oldest_instances(&mut self) {
         while self.known_since_us.len() > MAX_KNOWN_INSTANCES {
             let oldest = self
@@ -174,8 +179,8 @@
         }
     }
 
-    /// Adds to a datagram what its receiver does not have yet: own usage, usage of the receiver's earlier instances, and, as far
-    /// as there is room, usage of the gateways that it does not hear directly.
+    /// Adds to a datagram the usage that its receiver lacks: this gateway's own, that of the receiver's earlier instances, and, as
+    /// far as there is room, that of the gateways from which the receiver gets no datagrams directly. Returns the coverage.
     pub fn write(
         &self,
         progress: &mut UsageProgress,
@@ -202,8 +207,8 @@
         coverage
     }
 
-    /// Adds usage of the gateways that the receiver does not hear directly: again and again from the first change, since it does
-    /// not acknowledge these.
+    /// Adds usage of the gateways from which the receiver gets no datagrams directly. The relay restarts from the first change after
+    /// each round, since the receiver does not acknowledge relayed changes.
     fn relay_wanted(&self, progress: &mut UsageProgress, writer: &mut DatagramWriter) {
         let relayed = std::mem::take(&mut progress.relayed);
         if progress.wanted_gateways.is_empty() {
--- a/crates/cluster-membership/src/wire.rs
+++ b/crates/cluster-membership/src/wire.rs
@@ -1,5 +1,5 @@
-//! The form of a datagram's body: postcard (postcard.jamesmunns.com/wire-format), in which integers take as many bytes as they
-//! need. Fields are not named on the wire, so their order must not change.
+//! The wire format of a datagram's body: postcard (postcard.jamesmunns.com/wire-format), in which integers have variable length.
+//! Fields are not named on the wire, so their order must not change.
 
 use crate::gauges::GaugeSnapshot;
 use crate::record::MemberRecord;
@@ -10,13 +10,13 @@
 #[cfg(test)]
 mod tests;
 
-/// Upper bound of [`DatagramHeader::wanted_gateways`].
+/// Upper bound of the length of [`DatagramHeader::wanted_gateways`].
 pub const MAX_WANTED_GATEWAYS: usize = 32;
-/// Upper bound of the acknowledgements, and of the requested probes, in one datagram.
+/// Upper bound of the acknowledgements in one datagram, and of the indirect ping requests.
 pub const MAX_PROBES: usize = 16;
-/// Bytes set aside for the lengths of lists.
+/// Bytes of a datagram reserved for the encoded lengths of lists.
 const LIST_LENGTH_BYTES: usize = 16;
-/// Upper bound of the customers in one [`UsageGroup`]: the length of its list fits into one byte.
+/// Upper bound of the customers in one [`UsageGroup`], so that the length of its list fits into one byte.
 const MAX_GROUP_TOTALS: usize = 127;
 
 /// A request to probe another member for the sender (SWIM's indirect ping).
@@ -24,11 +24,11 @@
 pub struct IndirectPing {
     /// Name of the member to probe.
     pub target: String,
-    /// Number by which the sender expects the acknowledgement.
+    /// The sender's number of the probe, to be acknowledged to it.
     pub ping: u32,
 }
 
-/// Sender, receiver, and everything that every datagram carries.
+/// The fields of every datagram: sender, receiver, and the state of their exchange.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DatagramHeader {
     /// Name of the sender.
@@ -37,52 +37,52 @@
     pub instance_id: u64,
     /// Incarnation of the sender.
     pub incarnation: u64,
-    /// Process instance that the datagram is meant for; 0: not known yet.
+    /// Process instance of the receiver; 0 if the sender does not know it yet.
     pub to_instance_id: u64,
-    /// Grows with each datagram from the sender to this receiver.
+    /// Sequence number, which grows with each datagram from the sender to this receiver.
     pub sequence: u64,
-    /// Number of a probe to acknowledge; 0: none.
+    /// Number of a probe that the receiver has to acknowledge; 0 for none.
     pub ping: u32,
-    /// Numbers of the probes that this acknowledges.
+    /// Numbers of the receiver's probes that the datagram acknowledges.
     pub acks: Vec<u32>,
     /// Members that the receiver is to probe for the sender.
     pub indirect_pings: Vec<IndirectPing>,
-    /// Digests of the buckets of the sender's table, for anti-entropy; empty: no comparison. The receiver replies with the
-    /// members of the buckets that differ.
+    /// Digests of the buckets of the sender's member table, for anti-entropy; empty for no comparison. The receiver replies with
+    /// the members of the buckets that differ.
     pub bucket_digests: Vec<u32>,
     /// Whether the receiver is to reply with its own bucket digests as well.
     pub wants_digests: bool,
-    /// This datagram carries the sender's changes of usage after this one ...
+    /// Number of the sender's usage change before the first one that the datagram covers.
     pub usage_after: u64,
-    /// ... up to and including this one.
+    /// Number of the sender's last usage change that the datagram covers.
     pub usage_up_to: u64,
-    /// Whether it carries all of the sender's own usage that the receiver does not have.
+    /// Whether the datagram carries all of the sender's own usage that the receiver lacks.
     pub is_usage_complete: bool,
-    /// The sender has all of the receiver's changes of usage up to and including this one.
+    /// Number of the receiver's last usage change up to which the sender has all of them.
     pub usage_received: u64,
-    /// Numbers of the gateways that the sender does not hear directly.
+    /// Numbers of the gateways from which the sender receives no datagrams directly, so that the receiver relays their usage.
     pub wanted_gateways: Vec<u16>,
     /// Version of the receiver's gauges that the sender has.
     pub gauges_received: u64,
 }
 
-/// A member as the sender knows it.
+/// The state of a member, as known to the sender.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberUpdate {
-    /// Its record.
+    /// Latest record of the member.
     pub record: MemberRecord,
-    /// Seconds since it died or left; 0 while it is present.
+    /// Seconds since the member died or left; 0 while it is present.
     pub age_s: u32,
-    /// Short hashes of the names of the members that suspect it.
+    /// Short hashes of the names of the members that suspect this one.
     pub suspectors: Vec<u32>,
 }
 
-/// What a gateway admitted of one customer in one window.
+/// The usage that a gateway admitted of one customer in one window.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CustomerTotal {
-    /// The customer.
+    /// Customer.
     pub tag: u32,
-    /// Thousandths of a unit.
+    /// Total in thousandths of a unit.
     pub total: u64,
 }
 
@@ -95,23 +95,23 @@
     pub totals: Vec<CustomerTotal>,
 }
 
-/// Everything that a datagram carries.
+/// The contents of one datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DatagramBody {
     /// Sender, receiver, probes and acknowledgements.
     pub header: DatagramHeader,
-    /// Disseminated members.
+    /// Updates of members.
     pub members: Vec<MemberUpdate>,
     /// Usage counters.
     pub usage: Vec<UsageGroup>,
     /// Gauges of the sender.
     pub gauges: GaugeSnapshot,
-    /// A message of another subsystem; empty: none.
+    /// A message of another subsystem; empty for none.
     pub message: Vec<u8>,
 }
 
 impl DatagramBody {
-    /// Decodes a body, or returns `None` if it is malformed or has trailing bytes or a list that is too long.
+    /// Decodes a body; returns `None` if it is malformed, or has trailing bytes or a list that is too long.
     pub fn decode(bytes: &[u8]) -> Option<DatagramBody> {
         let (body, rest) = postcard::take_from_bytes::<DatagramBody>(bytes).ok()?;
         let header = &body.header;
@@ -122,7 +122,7 @@
     }
 }
 
-/// Fills a datagram, the most important parts first, until it is full.
+/// Composes the body of a datagram within its size limit. The caller adds the most important contents first.
 pub struct DatagramWriter {
     free_bytes: usize,
     members: Vec<MemberUpdate>,
@@ -132,7 +132,8 @@
 }
 
 impl DatagramWriter {
-    /// An empty datagram. `header` is as it will be at the end, but for `usage_after`, `usage_up_to` and `is_usage_complete`.
+    /// Creates an empty datagram and reserves space for `header`, which may still change in `usage_after`, `usage_up_to` and
+    /// `is_usage_complete`.
     pub fn new(header: &DatagramHeader) -> DatagramWriter {
         let widest = DatagramHeader {
             usage_after: u64::MAX,
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Adds a member if it fits and leaves at least `reserve_bytes` free. Returns whether it was added.
+    /// Adds a member if that leaves at least `reserve_bytes` free. Returns whether it was added.
     pub fn add_member(&mut self, update: MemberUpdate, reserve_bytes: usize) -> bool {
         let bytes = encoded_bytes(&update);
         let is_added = bytes + reserve_bytes <= self.free_bytes && self.allocate(bytes);
@@ -205,7 +206,7 @@
         is_added
     }
 
-    /// The encoded body.
+    /// Returns the encoded body.
     pub fn finish(self, header: DatagramHeader) -> Vec<u8> {
         let body = DatagramBody {
             header,
@@ -214,10 +215,11 @@
             gauges: self.gauges,
             message: self.message,
         };
-        // Plain values always encode.
+        // Encoding to a vector cannot fail for these plain types.
         postcard::to_allocvec(&body).unwrap_or_default()
     }
 
+    /// Takes `bytes` from the free space if they fit. Returns whether they did.
     fn allocate(&mut self, bytes: usize) -> bool {
         let fits = bytes <= self.free_bytes;
         if fits {
@@ -227,11 +229,12 @@
     }
 }
 
+/// Returns the encoded length of a value in bytes.
 fn encoded_bytes(value: &impl Serialize) -> usize {
     postcard::to_allocvec(value).map_or(MAX_DATAGRAM_BYTES, |bytes| bytes.len())
 }
 
-/// Bytes of an integer in LEB128.
+/// Returns the length of an integer in LEB128, in bytes.
 fn varint_bytes(n: u64) -> usize {
     (64 - (n | 1).leading_zeros() as usize).div_ceil(7)
 }
--- a/crates/cluster-membership/src/wire/tests.rs
+++ b/crates/cluster-membership/src/wire/tests.rs
@@ -52,7 +52,7 @@
         let gauges_added = writer.add_gauges(snapshot.clone());
         let bytes = writer.finish(header.clone());
         prop_assert!(bytes.len() + SEAL_OVERHEAD_BYTES <= MAX_DATAGRAM_BYTES, "{}", bytes.len());
-        let body = DatagramBody::decode(&bytes).expect("it is read");
+        let body = DatagramBody::decode(&bytes).expect("a written body decodes");
         prop_assert_eq!((body.header, body.members), (header, added_members));
         prop_assert_eq!(body.message, if message_added { message } else { Vec::new() });
         let none = GaugeSnapshot { version: 0, gauges: Vec::new() };
--- a/crates/cluster-membership/tests/authentication.rs
+++ b/crates/cluster-membership/tests/authentication.rs
@@ -1,62 +1,65 @@
-//! Replayed and forged datagrams, and the rotation of keys, in virtual time.
+//! Tests of replayed and forged datagrams and of key rotation, in virtual time.
 
 mod world;
 
 use frosthatch_cluster_membership::seal::Keys;
 use frosthatch_cluster_membership::LifecyclePhase;
 use std::collections::BTreeMap;
-use world::{address_of, World, S, TICK};
+use world::{address_of, World, S, TICK_US};
 
-/// What a replay must not change: views and usage of all members, and how many lines they logged.
+/// The state that a replay must not change: view digests and usage of all members, and the number of their log lines.
 type Snapshot = (Vec<u64>, Vec<BTreeMap<u32, f64>>, usize);
 
 fn snapshot(world: &mut World) -> Snapshot {
     let mut digests = Vec::new();
     let mut usage = Vec::new();
-    let mut log_lines = 0;
+    let mut log_line_count = 0;
     for n in 0..4 {
         let node = world.node(n);
         digests.push(node.membership.view().digest);
         usage.push(node.peer_usage.clone());
-        usage.push(node.past_usage.clone());
-        log_lines += node.logs.len();
+        usage.push(node.earlier_usage.clone());
+        log_line_count += node.logs.len();
     }
-    (digests, usage, log_lines)
+    (digests, usage, log_line_count)
 }
 
 #[test]
 fn replayed_datagrams_change_nothing() {
     let mut world = World::settled(4, 14);
-    world.record = Some(Vec::new());
+    world.recorded_datagrams = Some(Vec::new());
     world.node(0).membership.record_usage(1, 3.0);
     world.run(S);
-    let recorded = world.record.take().expect("recorded");
-    let now = world.now;
+    let recorded = world
+        .recorded_datagrams
+        .take()
+        .expect("recording was started above");
+    let now_us = world.now;
     world
         .node(1)
         .membership
-        .set_phase(now, LifecyclePhase::Draining);
+        .set_phase(now_us, LifecyclePhase::Draining);
     world.run(60 * S);
-    // One member has restarted since, so that no recorded datagram names its instance.
+    // One member restarts, so that no recorded datagram names its instance.
     world.kill(2);
     world.run(S);
     world.start(2);
     world.run(3 * S);
-    let (digests, usage, log_lines) = snapshot(&mut world);
+    let (digests, usage, log_line_count) = snapshot(&mut world);
     for (from, to, bytes) in &recorded {
         world.deliver(*to, address_of(*from), bytes);
     }
     world.run(3 * S);
-    let (digests_after, usage_after, log_lines_after) = snapshot(&mut world);
+    let (digests_after, usage_after, log_line_count_after) = snapshot(&mut world);
     assert_eq!((digests, usage), (digests_after, usage_after));
-    assert_eq!(log_lines, log_lines_after);
+    assert_eq!(log_line_count, log_line_count_after);
 }
 
 #[test]
-fn a_flood_of_invalid_datagrams_is_logged_once_and_does_not_cut_members_off() {
+fn a_flood_of_invalid_datagrams_is_logged_once_and_no_member_is_declared_dead() {
     let mut world = World::settled(3, 15);
     let sealed_by_other_key = Keys::from_secret(0, &[8; 40])
-        .expect("a key")
+        .expect("the secret is long enough")
         .seal(&[1; 100]);
     for n in 0..40u32 {
         for k in 0..5_000u32 {
@@ -66,45 +69,45 @@
                 world.deliver(1, from, &vec![n as u8; 1_000 + k as usize % 500]);
             }
         }
-        world.run(TICK);
+        world.run(TICK_US);
     }
-    let lines = world
+    let flood_lines = world
         .node(1)
         .logs
         .iter()
         .filter(|(_, line)| line.contains("flood"))
         .count();
-    assert_eq!(lines, 1);
-    assert!(world.accusations().is_empty() && world.all_hold(1, "ready"));
+    assert_eq!(flood_lines, 1);
+    assert!(world.accusations().is_empty() && world.all_see(1, "ready"));
 }
 
 #[test]
 fn a_key_is_rotated_while_the_cluster_is_partitioned() {
     let mut world = World::settled(4, 16);
-    let a = "a".repeat(40);
-    let b = "b".repeat(40);
-    let parse = |text: &str| Keys::parse(text.as_bytes()).expect("keys");
+    let secret_a = "a".repeat(40);
+    let secret_b = "b".repeat(40);
+    let parse = |text: &str| Keys::parse(text.as_bytes()).expect("the key file is valid");
     let set_keys = |world: &mut World, members: std::ops::Range<usize>, text: String| {
         members.for_each(|n| world.node(n).membership.set_keys(parse(&text)));
     };
-    set_keys(&mut world, 0..4, format!("1 {a}"));
+    set_keys(&mut world, 0..4, format!("1 {secret_a}"));
     world.run(S);
-    world.cut = Box::new(|x, y| x / 2 != y / 2);
+    world.is_link_cut = Box::new(|x, y| x / 2 != y / 2);
     world.run(S);
-    // One half is a step ahead of the other when they meet.
-    set_keys(&mut world, 0..2, format!("1 {a}\n2 {b}"));
-    set_keys(&mut world, 2..4, format!("1 {a}\n2 {b}"));
+    // One half is a step ahead of the other in the rotation when the partition heals.
+    set_keys(&mut world, 0..2, format!("1 {secret_a}\n2 {secret_b}"));
+    set_keys(&mut world, 2..4, format!("1 {secret_a}\n2 {secret_b}"));
     world.run(S);
-    set_keys(&mut world, 0..2, format!("2 {b}\n1 {a}"));
-    world.cut = Box::new(|_, _| false);
+    set_keys(&mut world, 0..2, format!("2 {secret_b}\n1 {secret_a}"));
+    world.is_link_cut = Box::new(|_, _| false);
     world.run(4 * S);
     assert!(world.views_equal() && world.fleet(0).view().ready_count == 4);
-    set_keys(&mut world, 2..4, format!("2 {b}\n1 {a}"));
-    set_keys(&mut world, 0..4, format!("2 {b}"));
+    set_keys(&mut world, 2..4, format!("2 {secret_b}\n1 {secret_a}"));
+    set_keys(&mut world, 0..4, format!("2 {secret_b}"));
     world.run(4 * S);
     assert!(world.views_equal() && world.fleet(0).view().ready_count == 4);
-    // A member that still has the old key is heard by nobody.
-    set_keys(&mut world, 3..4, format!("1 {a}"));
+    // The other members reject the datagrams of a member that still has the old key.
+    set_keys(&mut world, 3..4, format!("1 {secret_a}"));
     world.run(10 * S);
     assert!((0..3).all(|n| world.state(3, n) == "dead"));
 }
--- a/crates/cluster-membership/tests/failure_detection.rs
+++ b/crates/cluster-membership/tests/failure_detection.rs
@@ -1,4 +1,5 @@
-//! Partitions, stopped and starved processes, and loss, in virtual time: members that run are not held dead for good.
+//! Tests of partitions, stopped and starved processes, and datagram loss, in virtual time: no running member is considered dead
+//! permanently.
 
 mod world;
 
@@ -8,13 +9,13 @@
 use world::{World, S};
 
 #[test]
-fn a_link_that_is_cut_one_way_makes_nobody_dead() {
+fn no_member_is_declared_dead_while_a_link_is_cut_one_way() {
     let mut world = World::settled(5, 7);
-    world.cut = Box::new(|from, to| (from, to) == (1, 3));
+    world.is_link_cut = Box::new(|from, to| (from, to) == (1, 3));
     world.run(20 * S);
     assert!(world.accusations().is_empty(), "{:?}", world.accusations());
-    // Also where only one other member receives anything from it.
-    world.cut = Box::new(|from, to| from == 1 && to != 0);
+    // The same holds if only one other member receives datagrams from the member.
+    world.is_link_cut = Box::new(|from, to| from == 1 && to != 0);
     world.run(20 * S);
     assert!(world.accusations().is_empty(), "{:?}", world.accusations());
     assert!(world.views_equal());
@@ -23,67 +24,68 @@
 #[test]
 fn three_partitions_that_heal_in_another_order_converge_on_one_view() {
     let mut world = World::settled(9, 8);
-    world.cut = Box::new(|a, b| a / 3 != b / 3);
-    let took = world.until(20 * S, |world| {
+    world.is_link_cut = Box::new(|a, b| a / 3 != b / 3);
+    let elapsed_us = world.until(20 * S, |world| {
         (0..9).all(|n| world.fleet(n).view().ready_count == 3)
     });
-    assert!(took.is_some_and(|us| us <= 6 * S), "{took:?}");
-    // The last two partitions heal first, then all.
-    world.cut = Box::new(|a, b| (a / 3 == 0) != (b / 3 == 0));
-    let took = world.until(20 * S, |world| {
+    assert!(elapsed_us.is_some_and(|us| us <= 6 * S), "{elapsed_us:?}");
+    // The second and third partition merge first, then all three.
+    world.is_link_cut = Box::new(|a, b| (a / 3 == 0) != (b / 3 == 0));
+    let elapsed_us = world.until(20 * S, |world| {
         (3..9).all(|n| world.fleet(n).view().ready_count == 6)
     });
-    assert!(took.is_some_and(|us| us <= 3 * S), "{took:?}");
-    world.cut = Box::new(|_, _| false);
-    let took = world.until(20 * S, |world| {
+    assert!(elapsed_us.is_some_and(|us| us <= 3 * S), "{elapsed_us:?}");
+    world.is_link_cut = Box::new(|_, _| false);
+    let elapsed_us = world.until(20 * S, |world| {
         world.views_equal() && world.fleet(0).view().ready_count == 9
     });
-    assert!(took.is_some_and(|us| us <= 3 * S), "{took:?}");
+    assert!(elapsed_us.is_some_and(|us| us <= 3 * S), "{elapsed_us:?}");
 }
 
-/// A link is cut one way for so long that one side has forgotten the other, but not vice versa.
+/// A one-way cut lasts so long that one side forgets the other, but not vice versa. The forgotten side must return at once when
+/// the link works again.
 #[test]
 fn a_member_forgotten_on_one_side_only_returns_at_once() {
     let mut world = World::settled(4, 19);
     world.run(30 * S);
-    // The member 3 hears all, and nobody hears it.
-    world.cut = Box::new(|from, _| from == 3);
-    let forgotten = world.until(90 * S, |world| {
+    // The member 3 receives all datagrams, and no other member receives any from it.
+    world.is_link_cut = Box::new(|from, _| from == 3);
+    let forgotten_after_us = world.until(90 * S, |world| {
         (0..3).all(|n| world.state(3, n) == "unknown")
     });
-    assert!(forgotten.is_some());
-    let accusations_before = world.accusations().len();
-    world.cut = Box::new(|_, _| false);
-    let took = world.until(10 * S, |world| {
+    assert!(forgotten_after_us.is_some());
+    let death_log_lines_before = world.accusations().len();
+    world.is_link_cut = Box::new(|_, _| false);
+    let elapsed_us = world.until(10 * S, |world| {
         world.views_equal() && world.fleet(0).view().ready_count == 4
     });
-    assert!(took.is_some_and(|us| us <= 3 * S), "{took:?}");
-    // A member that hears nobody suspects slowly.
+    assert!(elapsed_us.is_some_and(|us| us <= 3 * S), "{elapsed_us:?}");
+    // Suspicion timeouts are long at a member that received nothing, so a wrong suspicion by member 3 may time out only now.
     world.run(25 * S);
     assert!(world.views_equal() && world.fleet(3).view().ready_count == 4);
     assert_eq!(
         world.accusations().len(),
-        accusations_before,
+        death_log_lines_before,
         "{:?}",
         world.accusations()
     );
 }
 
 #[test]
-fn a_stopped_member_suspects_nobody_and_refutes_its_death() {
+fn a_stopped_member_declares_nobody_dead_when_it_resumes_and_refutes_its_own_death() {
     let mut world = World::settled(7, 9);
-    world.node(3).stopped = true;
+    world.node(3).is_stopped = true;
     world.run(10 * S);
-    assert!(world.all_hold(3, "dead"));
-    let accusations_before = world.accusations().len();
-    world.node(3).stopped = false;
-    let took = world.until(10 * S, |world| {
-        world.all_hold(3, "ready") && world.views_equal()
+    assert!(world.all_see(3, "dead"));
+    let death_log_lines_before = world.accusations().len();
+    world.node(3).is_stopped = false;
+    let elapsed_us = world.until(10 * S, |world| {
+        world.all_see(3, "ready") && world.views_equal()
     });
-    assert!(took.is_some_and(|us| us <= 3 * S), "{took:?}");
+    assert!(elapsed_us.is_some_and(|us| us <= 3 * S), "{elapsed_us:?}");
     assert_eq!(
         world.accusations().len(),
-        accusations_before,
+        death_log_lines_before,
         "{:?}",
         world.accusations()
     );
@@ -93,33 +95,36 @@
 }
 
 #[test]
-fn a_starved_member_suspects_nobody() {
+fn a_starved_member_declares_nobody_dead() {
     let mut world = World::settled(7, 10);
     for _ in 0..20 {
-        world.node(3).stopped = true;
+        world.node(3).is_stopped = true;
         world.run(600_000);
-        world.node(3).stopped = false;
+        world.node(3).is_stopped = false;
         world.run(200_000);
     }
-    let by_starved: Vec<_> = world
+    let death_log_lines_of_starved: Vec<_> = world
         .accusations()
         .into_iter()
-        .filter(|(by, ..)| *by == 3)
+        .filter(|(logger, ..)| *logger == 3)
         .collect();
-    assert!(by_starved.is_empty(), "{by_starved:?}");
+    assert!(
+        death_log_lines_of_starved.is_empty(),
+        "{death_log_lines_of_starved:?}"
+    );
 }
 
 #[test]
-fn loss_and_jitter_cause_few_suspicions_which_are_refuted() {
-    for (loss, max_accusations, seed) in [(0.05, 0, 11), (0.3, 4, 12)] {
+fn loss_and_jitter_cause_few_false_deaths_which_are_refuted() {
+    for (loss, max_death_log_lines, seed) in [(0.05, 0, 11), (0.3, 4, 12)] {
         let mut world = World::settled(16, seed);
         world.loss = loss;
         world.delay = (1_000, 200_000);
         world.run(30 * S);
-        let accusations = world.accusations();
+        let death_log_lines = world.accusations();
         assert!(
-            accusations.len() <= max_accusations * 15,
-            "{loss}: {accusations:?}"
+            death_log_lines.len() <= max_death_log_lines * 15,
+            "{loss}: {death_log_lines:?}"
         );
         world.loss = 0.0;
         world.run(3 * S);
@@ -130,29 +135,29 @@
     }
 }
 
-/// What happens to one of three members.
+/// An event that concerns one link or member of three, or the whole network.
 #[derive(Clone, Debug)]
 enum Event {
-    Cut(usize, usize),
-    Heal,
+    CutLink(usize, usize),
+    RestoreLinks,
     Kill(usize),
     Start(usize),
     Pause(usize),
     Resume(usize),
-    LoseDatagrams(bool),
+    SetLoss(bool),
 }
 
-/// Events, each with the time until the next one.
+/// Generates events, each with the time until the next one in microseconds.
 fn events() -> impl Strategy<Value = Vec<(Event, u64)>> {
     let member = 0usize..3;
     let event = prop_oneof![
-        (member.clone(), member.clone()).prop_map(|(a, b)| Event::Cut(a, b)),
-        Just(Event::Heal),
+        (member.clone(), member.clone()).prop_map(|(a, b)| Event::CutLink(a, b)),
+        Just(Event::RestoreLinks),
         member.clone().prop_map(Event::Kill),
         member.clone().prop_map(Event::Start),
         member.clone().prop_map(Event::Pause),
         member.prop_map(Event::Resume),
-        any::<bool>().prop_map(Event::LoseDatagrams),
+        any::<bool>().prop_map(Event::SetLoss),
     ];
     prop::collection::vec((event, 0u64..3_000_000), 1..12)
 }
@@ -160,39 +165,39 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 48, ..ProptestConfig::default() })]
 
-    /// Whatever happened: once all links work and all members run, none is held dead and all have equal views.
+    /// After any events: once all links work and all members run, every member sees all three as ready and all views are equal.
     #[test]
-    fn running_members_do_not_hold_each_other_dead_for_good(events in events(), seed in any::<u64>()) {
+    fn running_members_recover_equal_views_after_any_events(events in events(), seed in any::<u64>()) {
         let mut world = World::settled(3, seed);
         let mut cuts: Vec<(usize, usize)> = Vec::new();
-        for (event, pause) in events {
+        for (event, pause_us) in events {
             match event {
-                Event::Cut(a, b) => cuts.push((a, b)),
-                Event::Heal => cuts.clear(),
+                Event::CutLink(a, b) => cuts.push((a, b)),
+                Event::RestoreLinks => cuts.clear(),
                 Event::Kill(n) => world.kill(n),
                 Event::Start(n) if world.nodes[n].is_none() => world.start(n),
                 Event::Start(_) => {}
-                Event::Pause(n) => world.nodes[n].iter_mut().for_each(|node| node.stopped = true),
-                Event::Resume(n) => world.nodes[n].iter_mut().for_each(|node| node.stopped = false),
-                Event::LoseDatagrams(on) => world.loss = if on { 0.4 } else { 0.0 },
+                Event::Pause(n) => world.nodes[n].iter_mut().for_each(|node| node.is_stopped = true),
+                Event::Resume(n) => world.nodes[n].iter_mut().for_each(|node| node.is_stopped = false),
+                Event::SetLoss(is_lossy) => world.loss = if is_lossy { 0.4 } else { 0.0 },
             }
             let current_cuts = cuts.clone();
-            world.cut = Box::new(move |a, b| current_cuts.contains(&(a, b)));
-            world.run(pause);
+            world.is_link_cut = Box::new(move |a, b| current_cuts.contains(&(a, b)));
+            world.run(pause_us);
         }
         world.loss = 0.0;
-        world.cut = Box::new(|_, _| false);
+        world.is_link_cut = Box::new(|_, _| false);
         for n in 0..3 {
             if world.nodes[n].is_none() {
                 world.start(n);
             }
-            world.node(n).stopped = false;
+            world.node(n).is_stopped = false;
         }
-        let took = world.until(5 * S, |world| world.views_equal() && world.fleet(0).view().ready_count == 3);
+        let elapsed_us = world.until(5 * S, |world| world.views_equal() && world.fleet(0).view().ready_count == 3);
         let states: Vec<(bool, usize)> = (0..3)
             .map(|n| (world.fleet(n).superseded, world.fleet(n).view().ready_count))
             .collect();
-        prop_assert!(took.is_some(), "{:?}", states);
+        prop_assert!(elapsed_us.is_some(), "{:?}", states);
         prop_assert!((0..3).all(|n| !world.fleet(n).superseded));
     }
 }
--- a/crates/cluster-membership/tests/golden_forms.rs
+++ b/crates/cluster-membership/tests/golden_forms.rs
@@ -1,5 +1,5 @@
-//! Recorded bytes of everything that members send each other: other versions of the program have to read them.
-//! `RECORD=1 cargo test --test golden_forms` records them anew.
+//! Tests of the encoding of all that members send each other against recorded bytes, which other versions of the program have
+//! to be able to read. `RECORD=1 cargo test --test golden_forms` records them anew.
 
 mod world;
 
@@ -11,19 +11,19 @@
 };
 use frosthatch_cluster_membership::{LifecyclePhase, Liveness, MemberRecord, Output};
 use std::fmt::Write;
-use world::{address_of, config, keys, World, S, TICK};
+use world::{address_of, config, keys, World, S, TICK_US};
 
-fn compare_with_recorded(file: &str, now: &str) {
+fn compare_with_recorded(file: &str, actual: &str) {
     let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
         .join(file);
     if std::env::var_os("RECORD").is_some() {
-        return std::fs::write(path, now).expect("written");
+        return std::fs::write(path, actual).expect("the golden directory is writable");
     }
     assert_eq!(
-        std::fs::read_to_string(path).expect("a recorded file"),
-        now,
-        "recorded on the left"
+        std::fs::read_to_string(path).expect("the recorded file exists"),
+        actual,
+        "the recorded text is on the left"
     );
 }
 
@@ -70,7 +70,7 @@
     }
 }
 
-/// The body of a datagram with something in each field.
+/// Returns a datagram body in which no field is empty.
 fn full_body() -> Vec<u8> {
     let header = full_header();
     let mut writer = DatagramWriter::new(&header);
@@ -116,18 +116,19 @@
 #[test]
 fn encoded_datagrams_equal_the_recorded_ones() {
     let mut text = String::new();
-    writeln!(text, "full body {}", hex(&full_body())).expect("to memory");
-    let least = DatagramHeader {
+    writeln!(text, "full body {}", hex(&full_body())).expect("writing to a string cannot fail");
+    let minimal = DatagramHeader {
         from: "n0".into(),
         ..DatagramHeader::default()
     };
     writeln!(
         text,
         "least body {}",
-        hex(&DatagramWriter::new(&least).finish(least.clone()))
+        hex(&DatagramWriter::new(&minimal).finish(minimal.clone()))
     )
-    .expect("to memory");
-    writeln!(text, "sealed {}", hex(&keys().seal(b"some text"))).expect("to memory");
+    .expect("writing to a string cannot fail");
+    writeln!(text, "sealed {}", hex(&keys().seal(b"some text")))
+        .expect("writing to a string cannot fail");
     for phase in [
         LifecyclePhase::Joining,
         LifecyclePhase::Ready,
@@ -137,24 +138,24 @@
         for liveness in [Liveness::Alive, Liveness::Suspect, Liveness::Dead] {
             let record = record(phase, liveness);
             writeln!(text, "record {} {:016x}", record.state(), record.digest())
-                .expect("to memory");
+                .expect("writing to a string cannot fail");
         }
     }
-    writeln!(text, "hash {:016x}", stable_hash("n12")).expect("to memory");
+    writeln!(text, "hash {:016x}", stable_hash("n12")).expect("writing to a string cannot fail");
     compare_with_recorded("datagrams.txt", &text);
 }
 
 #[test]
 fn a_full_body_decodes_to_the_same_fields() {
-    let body = DatagramBody::decode(&full_body()).expect("a body");
+    let body = DatagramBody::decode(&full_body()).expect("a written body decodes");
     assert_eq!(body.header, full_header());
     assert_eq!(body.members.len(), 12);
     assert_eq!(body.message, b"a message");
 }
 
-/// How many datagrams were sent since the last call, and the FNV-1a hash (64 bits) of all of them.
+/// Returns the number of datagrams sent since the last call, and the FNV-1a hash (64 bits) of all of them.
 fn digest_of_sent(world: &mut World) -> String {
-    let sent = world.record.take().unwrap_or_default();
+    let sent = world.recorded_datagrams.take().unwrap_or_default();
     let step = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3);
     let line = |(from, to_instance_id, bytes): &(usize, usize, Vec<u8>)| {
         format!("{from} {to_instance_id} {}\n", hex(bytes))
@@ -163,11 +164,11 @@
         .iter()
         .flat_map(|s| line(s).into_bytes())
         .fold(0xcbf2_9ce4_8422_2325, step);
-    world.record = Some(Vec::new());
+    world.recorded_datagrams = Some(Vec::new());
     format!("{} {digest:016x}", sent.len())
 }
 
-/// Delivers the datagrams among these outputs at once.
+/// Delivers the datagrams in `outputs` at once.
 fn deliver_all(world: &mut World, from: usize, to: usize, outputs: Vec<Output>) {
     for output in outputs {
         if let Output::Send { bytes, .. } = output {
@@ -176,62 +177,62 @@
     }
 }
 
-/// Members join, report usage and gauges, die, restart, are partitioned, lose datagrams, and leave. Returns a digest of all
-/// datagrams after each step.
-fn play_all_events(seed: u64) -> String {
+/// Runs a cluster whose members join, report usage and gauges, die, restart, are partitioned, lose datagrams, and leave. Returns
+/// a digest of the datagrams of each step.
+fn run_all_events(seed: u64) -> String {
     let mut text = String::new();
     let mut world = World::new(6, seed);
-    world.record = Some(Vec::new());
-    let mut note = |step: &str, world: &mut World| {
+    world.recorded_datagrams = Some(Vec::new());
+    let mut record_step = |step: &str, world: &mut World| {
         let sent = digest_of_sent(world);
-        writeln!(text, "{seed} {step}: {sent}").expect("to memory");
+        writeln!(text, "{seed} {step}: {sent}").expect("writing to a string cannot fail");
     };
     (0..6).for_each(|n| world.start(n));
     world.run(3 * S);
-    note("join", &mut world);
+    record_step("join", &mut world);
     for n in 0..30 {
         world.node(n % 6).membership.record_usage(n as u32 % 4, 1.5);
-        world.run(TICK);
+        world.run(TICK_US);
     }
-    note("use", &mut world);
+    record_step("use", &mut world);
     send_gauge_and_message(&mut world);
-    note("figures", &mut world);
+    record_step("figures", &mut world);
     world.kill(4);
     world.run(8 * S);
-    note("death", &mut world);
+    record_step("death", &mut world);
     let restarted = config(4, 6, world.now / 1_000);
     world.start_with(4, restarted);
     world.run(2 * S);
-    note("return", &mut world);
-    world.cut = Box::new(|a, b| a / 3 != b / 3);
+    record_step("return", &mut world);
+    world.is_link_cut = Box::new(|a, b| a / 3 != b / 3);
     world.run(8 * S);
-    world.cut = Box::new(|_, _| false);
+    world.is_link_cut = Box::new(|_, _| false);
     world.run(8 * S);
-    note("cut and heal", &mut world);
+    record_step("cut and heal", &mut world);
     world.loss = 0.3;
     world.delay = (1_000, 150_000);
     world.run(5 * S);
     world.loss = 0.0;
     world.delay = (1_000, 1_000);
-    note("loss", &mut world);
-    let now = world.now;
+    record_step("loss", &mut world);
+    let now_us = world.now;
     let mut outputs = Vec::new();
-    world.node(5).membership.leave(now, &mut outputs);
+    world.node(5).membership.leave(now_us, &mut outputs);
     deliver_all(&mut world, 5, 0, outputs);
     world.kill(5);
     world.run(3 * S);
-    note("leave", &mut world);
+    record_step("leave", &mut world);
     text
 }
 
 fn send_gauge_and_message(world: &mut World) {
-    let now = world.now;
-    assert!(world.node(2).membership.set_gauge(now, "strain", 0.25));
+    let now_us = world.now;
+    assert!(world.node(2).membership.set_gauge(now_us, "strain", 0.25));
     let mut outputs = Vec::new();
     world
         .node(1)
         .membership
-        .send_message(now, "n3", b"a message".to_vec(), &mut outputs);
+        .send_message(now_us, "n3", b"a message".to_vec(), &mut outputs);
     deliver_all(world, 1, 3, outputs);
     world.run(S);
 }
@@ -240,7 +241,7 @@
 fn datagrams_of_a_cluster_equal_the_recorded_ones() {
     let mut text = String::from("# what happens: datagrams, digest\n");
     for seed in 1..4 {
-        text.push_str(&play_all_events(seed));
+        text.push_str(&run_all_events(seed));
     }
     compare_with_recorded("fleet.txt", &text);
 }
