--- a/crates/cluster-membership/tests/membership.rs
+++ b/crates/cluster-membership/tests/membership.rs
@@ -1,18 +1,18 @@
-//! Members that join, leave, die, drain and restart, in virtual time.
+//! Tests of members that join, leave, die, drain and restart, in virtual time.
 
 mod world;
 
 use frosthatch_cluster_membership::{LifecyclePhase, MembershipConfig};
-use world::{address_of, config, World, S, TICK};
+use world::{address_of, config, World, S, TICK_US};
 
 #[test]
 fn members_find_each_other_by_seeds_and_have_equal_views() {
     let mut world = World::new(9, 1);
     (0..9).for_each(|n| world.start(n));
-    let took = world.until(5 * S, |world| {
+    let elapsed_us = world.until(5 * S, |world| {
         world.views_equal() && world.fleet(0).view().ready_count == 9
     });
-    assert!(took.is_some_and(|us| us <= S), "{took:?}");
+    assert!(elapsed_us.is_some_and(|us| us <= S), "{elapsed_us:?}");
     assert!(world
         .fleet(0)
         .ready_members()
@@ -20,69 +20,73 @@
     world.run(2 * S);
     assert!(
         world.now - world.fleet(3).view().changed_at_us >= 2 * S,
-        "nothing has changed since"
+        "the view does not change after it has converged"
     );
 }
 
 #[test]
-fn a_killed_member_is_confirmed_dead_and_later_forgotten_by_all() {
+fn a_killed_member_is_declared_dead_and_later_forgotten_by_all() {
     let mut world = World::settled(9, 2);
     world.kill(4);
-    let took = world.until(10 * S, |world| world.all_hold(4, "dead"));
-    assert!(took.is_some_and(|us| us <= 4 * S), "{took:?}");
+    let elapsed_us = world.until(10 * S, |world| world.all_see(4, "dead"));
+    assert!(elapsed_us.is_some_and(|us| us <= 4 * S), "{elapsed_us:?}");
     assert!(world.views_equal());
-    let forgotten = world.until(60 * S, |world| world.all_hold(4, "unknown"));
+    let forgotten_after_us = world.until(60 * S, |world| world.all_see(4, "unknown"));
     assert!(
-        forgotten.is_some_and(|us| (25 * S..40 * S).contains(&us)),
-        "{forgotten:?}"
+        forgotten_after_us.is_some_and(|us| (25 * S..40 * S).contains(&us)),
+        "{forgotten_after_us:?}"
     );
     world.run(30 * S);
-    assert!(world.all_hold(4, "unknown"), "nobody learns of it again");
     assert!(
-        world.node(0).absent.contains(&4),
-        "nothing comes through it any more"
+        world.all_see(4, "unknown"),
+        "no member adds the forgotten member again"
+    );
+    assert!(
+        world.node(0).absent_gateways.contains(&4),
+        "the forgotten member's gateway number is reported absent"
     );
 }
 
 #[test]
-fn a_leaving_member_is_gone_at_once_and_nobody_is_suspected() {
+fn a_leaving_member_is_gone_at_once_and_no_member_is_declared_dead() {
     let mut world = World::settled(9, 3);
-    let now = world.now;
+    let now_us = world.now;
     let mut outputs = Vec::new();
-    world.node(4).membership.leave(now, &mut outputs);
-    world.run(3 * TICK);
+    world.node(4).membership.leave(now_us, &mut outputs);
+    world.run(3 * TICK_US);
     world.kill(4);
-    let took = world.until(5 * S, |world| world.all_hold(4, "left"));
-    assert!(took.is_some_and(|us| us <= S), "{took:?}");
+    let elapsed_us = world.until(5 * S, |world| world.all_see(4, "left"));
+    assert!(elapsed_us.is_some_and(|us| us <= S), "{elapsed_us:?}");
     world.run(S);
-    assert!(world
-        .running()
-        .iter()
-        .all(|n| world.nodes[*n].as_ref().expect("it runs").absent == [4]));
+    assert!(world.running().iter().all(|n| world.nodes[*n]
+        .as_ref()
+        .expect("a running member has a node")
+        .absent_gateways
+        == [4]));
     assert!(world.accusations().is_empty(), "{:?}", world.accusations());
 }
 
 #[test]
 fn a_draining_member_is_present_but_not_in_the_view_until_it_is_ready_again() {
     let mut world = World::settled(4, 4);
-    let now = world.now;
+    let now_us = world.now;
     world
         .node(1)
         .membership
-        .set_phase(now, LifecyclePhase::Draining);
+        .set_phase(now_us, LifecyclePhase::Draining);
     world.run(S);
     assert!(
-        world.all_hold(1, "draining")
+        world.all_see(1, "draining")
             && world.views_equal()
             && world.fleet(0).view().ready_count == 3
     );
-    let now = world.now;
+    let now_us = world.now;
     world
         .node(1)
         .membership
-        .set_phase(now, LifecyclePhase::Ready);
+        .set_phase(now_us, LifecyclePhase::Ready);
     world.run(S);
-    assert!(world.all_hold(1, "ready") && world.fleet(0).view().ready_count == 4);
+    assert!(world.all_see(1, "ready") && world.fleet(0).view().ready_count == 4);
 }
 
 #[test]
@@ -93,10 +97,10 @@
         world.run(2 * S);
         world.kill(2);
         world.run(200_000);
-        let started = world.now / 1_000 - clock_step_ms;
-        world.start_with(2, config(2, 5, started));
+        let started_ms = world.now / 1_000 - clock_step_ms;
+        world.start_with(2, config(2, 5, started_ms));
         let instance_id = world.fleet(2).own_record().instance_id;
-        let known = |world: &World| {
+        let is_known_to_all = |world: &World| {
             world.running().iter().all(|n| {
                 world
                     .fleet(*n)
@@ -104,77 +108,82 @@
                     .any(|m| m.record.instance_id == instance_id && m.record.is_ready())
             })
         };
-        let took = world.until(5 * S, known);
-        assert!(took.is_some_and(|us| us <= S), "{clock_step_ms}: {took:?}");
+        let elapsed_us = world.until(5 * S, is_known_to_all);
+        assert!(
+            elapsed_us.is_some_and(|us| us <= S),
+            "{clock_step_ms}: {elapsed_us:?}"
+        );
         world.run(10 * S);
         assert!(
-            known(&world) && world.views_equal() && !world.fleet(2).superseded,
+            is_known_to_all(&world) && world.views_equal() && !world.fleet(2).superseded,
             "{clock_step_ms}"
         );
     }
 }
 
 #[test]
-fn of_two_processes_with_one_name_the_older_one_falls_silent() {
-    // Also where the older one is not a seed, which others contact in any case.
-    for (count, twice) in [(4, 2), (17, 7)] {
-        check_two_processes_with_one_name(count, twice);
+fn of_two_processes_with_one_name_the_older_one_stops_sending() {
+    // In the second case the older process is not a seed; the other members contact seeds in any case.
+    for (count, duplicated) in [(4, 2), (17, 7)] {
+        check_two_processes_with_one_name(count, duplicated);
     }
 }
 
-/// The first `count - 1` members run, then a second process starts under the name of the member `twice`.
-fn check_two_processes_with_one_name(count: usize, twice: usize) {
+/// Starts the first `count - 1` members, and later a second process under the name of the member `duplicated`.
+fn check_two_processes_with_one_name(count: usize, duplicated: usize) {
     let mut world = World::new(count, 6);
     (0..count - 1).for_each(|n| world.start(n));
     world.run(10 * S);
-    let other = count - 1;
-    let twin = config(twice, count, world.now / 1_000);
+    let newer = count - 1;
+    let newer_config = config(duplicated, count, world.now / 1_000);
     world.start_with(
-        other,
+        newer,
         MembershipConfig {
-            advertise: address_of(other),
-            ..twin
+            advertise: address_of(newer),
+            ..newer_config
         },
     );
     world.run(3 * S);
     assert!(
-        world.fleet(twice).superseded && !world.fleet(other).superseded,
+        world.fleet(duplicated).superseded && !world.fleet(newer).superseded,
         "{count}"
     );
     assert!(world
-        .node(twice)
+        .node(duplicated)
         .logs
         .iter()
-        .any(|(_, line)| line.contains(&format!("a later process runs as n{twice}"))));
-    let instance_id = world.fleet(other).own_record().instance_id;
-    for n in (0..count).filter(|n| *n != twice) {
+        .any(|(_, line)| line.contains(&format!("a later process runs as n{duplicated}"))));
+    let instance_id = world.fleet(newer).own_record().instance_id;
+    for n in (0..count).filter(|n| *n != duplicated) {
         assert!(
-            world.fleet(n).members().any(
-                |m| m.record.name == format!("n{twice}") && m.record.instance_id == instance_id
-            ),
+            world
+                .fleet(n)
+                .members()
+                .any(|m| m.record.name == format!("n{duplicated}")
+                    && m.record.instance_id == instance_id),
             "{n}"
         );
     }
-    let before = world.node(twice).messages;
+    let sent_before = world.node(duplicated).messages;
     world.run(5 * S);
-    assert_eq!(world.node(twice).messages, before);
+    assert_eq!(world.node(duplicated).messages, sent_before);
     assert!(world
-        .fleet(other)
+        .fleet(newer)
         .members()
         .all(|m| m.record.state() == "ready"));
 }
 
 #[test]
-fn lost_seeds_matter_only_to_members_that_join() {
+fn a_cluster_survives_the_loss_of_its_seeds_and_one_running_seed_suffices_to_join() {
     let mut world = World::new(8, 13);
     (0..7).for_each(|n| world.start(n));
     world.run(3 * S);
     (0..3).for_each(|n| world.kill(n));
-    let took = world.until(20 * S, |world| {
+    let elapsed_us = world.until(20 * S, |world| {
         (3..7).all(|n| world.fleet(n).view().ready_count == 4)
     });
-    assert!(took.is_some_and(|us| us <= 8 * S), "{took:?}");
-    // A new member that has a running one among its seeds joins.
+    assert!(elapsed_us.is_some_and(|us| us <= 8 * S), "{elapsed_us:?}");
+    // A new member joins if one of its seeds is running.
     let newcomer = config(7, 8, world.now / 1_000);
     world.start_with(
         7,
@@ -190,13 +199,16 @@
 #[test]
 fn gauges_reach_other_members_with_their_age() {
     let mut world = World::settled(3, 17);
-    let now = world.now;
-    world.node(0).membership.set_gauge(now, "strain", 0.5);
+    let now_us = world.now;
+    world.node(0).membership.set_gauge(now_us, "strain", 0.5);
     world.run(S);
-    let (value, measured_at) = world.fleet(2).gauge("n0", "strain").expect("it is known");
-    assert!(value == 0.5 && measured_at.abs_diff(now) < 100_000);
-    let now = world.now;
-    world.node(0).membership.set_gauge(now, "strain", 0.75);
+    let (value, measured_at_us) = world
+        .fleet(2)
+        .gauge("n0", "strain")
+        .expect("the gauge has reached the member");
+    assert!(value == 0.5 && measured_at_us.abs_diff(now_us) < 100_000);
+    let now_us = world.now;
+    world.node(0).membership.set_gauge(now_us, "strain", 0.75);
     world.run(S);
     assert_eq!(
         world.fleet(1).gauge("n0", "strain").map(|(value, _)| value),
@@ -205,26 +217,26 @@
 }
 
 #[test]
-fn absent_gateways_are_known_while_the_cluster_grows_and_shrinks() {
+fn absent_gateways_are_reported_while_the_cluster_grows_and_shrinks() {
     let mut world = World::new(9, 18);
     (0..2).for_each(|n| world.start(n));
     world.run(2 * S);
-    assert_eq!(world.node(0).absent, (2..9).collect::<Vec<u32>>());
+    assert_eq!(world.node(0).absent_gateways, (2..9).collect::<Vec<u32>>());
     for n in 2..9 {
         world.start(n);
         world.run(500_000);
     }
     world.run(S);
-    assert!(world.node(0).absent.is_empty() && world.fleet(0).view().ready_count == 9);
+    assert!(world.node(0).absent_gateways.is_empty() && world.fleet(0).view().ready_count == 9);
     for n in 2..9 {
-        let now = world.now;
+        let now_us = world.now;
         let mut outputs = Vec::new();
-        world.node(n).membership.leave(now, &mut outputs);
-        world.run(2 * TICK);
+        world.node(n).membership.leave(now_us, &mut outputs);
+        world.run(2 * TICK_US);
         world.kill(n);
         world.run(300_000);
     }
     world.run(S);
-    assert_eq!(world.node(1).absent, (2..9).collect::<Vec<u32>>());
+    assert_eq!(world.node(1).absent_gateways, (2..9).collect::<Vec<u32>>());
     assert!(world.accusations().is_empty(), "{:?}", world.accusations());
 }
--- a/crates/cluster-membership/tests/quotas.rs
+++ b/crates/cluster-membership/tests/quotas.rs
@@ -1,5 +1,5 @@
-//! How well quotas hold by the usage that gateways report to each other, in virtual time, by the size of the cluster and by the
-//! share of datagrams lost. Figures and seeds are printed.
+//! Tests of how closely quotas are kept by the usage that gateways report to each other, in virtual time, for clusters of several
+//! sizes and fractions of lost datagrams. Results and seeds are printed.
 
 mod gateways;
 mod world;
@@ -17,35 +17,37 @@
     max_units: 6.0,
 };
 
-struct Figures {
-    /// Units beyond the quota, as a share of it, of the customer with most.
+/// The results of one run.
+struct RunResults {
+    /// Units admitted beyond the quota of the customer with the largest overrun, as a fraction of the units granted.
     overrun: f64,
-    /// Units that the customer with fewest was served, as a share of its quota.
-    least_served: f64,
-    /// Bytes that each gateway sent.
+    /// Units admitted for the customer with the fewest, as a fraction of its quota.
+    min_admitted_share: f64,
+    /// Bytes sent per second and gateway.
     bytes_per_s: f64,
 }
 
-/// Customers ask for four times their quota during ten seconds.
-fn overload(gateways: u16, loss: f64, seed: u64, quota: Quota, has_counter: bool) -> Figures {
+/// Runs a cluster in which each customer requests four times its quota during ten seconds.
+fn overload(gateways: u16, loss: f64, seed: u64, quota: Quota, has_counter: bool) -> RunResults {
     let mut cluster = Gateways::new(gateways, loss, seed, quota, has_counter);
-    // The gateways find each other first.
+    // The gateways join the cluster before the customers send requests.
     (0..200).for_each(|_| cluster.step(0.0));
-    let from = cluster.now;
+    let from_us = cluster.now_us;
     let bytes_before = cluster.sent_bytes;
     (0..1_000).for_each(|_| cluster.step(4.0 * quota.rate));
-    let seconds = (cluster.now - from) as f64 / 1e6;
+    let seconds = (cluster.now_us - from_us) as f64 / 1e6;
     let sent_bytes = cluster.sent_bytes - bytes_before;
-    Figures {
-        overrun: cluster.worst_overrun(from),
-        least_served: cluster.fewest_admitted() as f64 / (quota.rate * seconds + quota.burst),
+    RunResults {
+        overrun: cluster.worst_overrun(from_us),
+        min_admitted_share: cluster.fewest_admitted() as f64 / (quota.rate * seconds + quota.burst),
         bytes_per_s: sent_bytes as f64 / seconds / f64::from(gateways),
     }
 }
 
-/// Only what others admit until it is reported can exceed a quota, with a counter and without.
+/// A quota may be exceeded only by units that other gateways admitted and have not reported yet, with and without the shared
+/// counter.
 #[test]
-fn quotas_hold_by_reported_usage() {
+fn quotas_are_kept_by_reported_usage() {
     for (gateways, loss) in [(4, 0.0), (4, 0.3), (20, 0.3), (100, 0.3)] {
         for (quota, counter, seed) in [
             (LARGE, false, 1),
@@ -53,57 +55,66 @@
             (SMALL, true, 3),
             (LARGE, true, 4),
         ] {
-            // A hundred gateways take long, so they are run once.
+            // The run with a hundred gateways takes long, so there is only one.
             if gateways == 100 && seed != 1 {
                 continue;
             }
-            let Figures {
+            let RunResults {
                 overrun,
-                least_served,
+                min_admitted_share,
                 bytes_per_s,
             } = overload(gateways, loss, seed, quota, counter);
             let quota_text = (quota.rate, quota.burst, quota.max_units);
             let report = format!(
                 "gateways {gateways} loss {loss} quota {quota_text:?} counter {counter} seed {seed}: overrun {overrun:.3}, \
-                 least served {least_served:.3} of its quota, {bytes_per_s:.0} B/s each"
+                 fewest admitted units {min_admitted_share:.3} of the quota, {bytes_per_s:.0} B/s per gateway"
             );
             println!("{report}");
-            // A small quota depends most on chance: over a hundred seeds its overrun is 0.13 in the mean and 0.25 at worst.
+            // The overrun of a small quota varies most with the seed: over a hundred seeds it is 0.13 in the mean and 0.25 at worst.
             let max_overrun = if quota == LARGE { 0.08 } else { 0.3 };
-            assert!(overrun <= max_overrun && least_served >= 0.8, "{report}");
+            assert!(
+                overrun <= max_overrun && min_admitted_share >= 0.8,
+                "{report}"
+            );
         }
     }
 }
 
-/// A gateway is isolated for ten seconds: a customer that asks for less than its quota is served all the time, and one that asks
-/// for more gets the quota and little more, also after the gateway is back.
+/// One gateway is isolated for ten seconds. Customers that request less than their quota are served throughout, and those that
+/// request more get their quota and little more, also after the gateway has returned.
 #[test]
-fn an_isolated_gateway_costs_customers_within_their_quota_nothing_and_charges_nobody_twice() {
+fn an_isolated_gateway_neither_rejects_customers_within_their_quota_nor_charges_usage_twice() {
     for (isolated, seed) in [(0, 5), (3, 6)] {
         let mut cluster = Gateways::new(4, 0.0, seed, LARGE, false);
         cluster.division = Division::Skewed;
         let units_per_s = |customer: u32| LARGE.rate * if customer < 3 { 0.75 } else { 4.0 };
-        (0..600).for_each(|_| cluster.step_by(units_per_s));
-        for (phase, seconds) in [("cut", 10.0), ("healed", 2.0), ("later", 6.0)] {
-            cluster.isolated = (phase == "cut").then_some(isolated);
-            let from = cluster.now;
+        (0..600).for_each(|_| cluster.step_with_rates(units_per_s));
+        for (phase, seconds) in [("isolated", 10.0), ("returned", 2.0), ("later", 6.0)] {
+            cluster.isolated = (phase == "isolated").then_some(isolated);
+            let from_us = cluster.now_us;
             let first_request = cluster.next_request;
-            (0..(seconds * 100.0) as u32).for_each(|_| cluster.step_by(units_per_s));
-            let served = cluster.admitted_since(from);
+            (0..(seconds * 100.0) as u32).for_each(|_| cluster.step_with_rates(units_per_s));
+            let admitted = cluster.admitted_since(from_us);
             let quota = LARGE.rate * seconds;
             let requests = cluster.next_request - first_request;
-            let report = format!("{isolated} {phase}: {served:?} of {quota}; {requests} asks");
+            let report = format!("gateway {isolated} {phase}: admitted {admitted:?} of {quota} units; {requests} requests");
             println!("{report}");
-            let honest = cluster.requests_since(first_request, 3);
-            let honest_served = served[..3].iter().sum::<f64>();
-            assert!(honest_served >= 0.97 * honest, "{report}: {honest} honest");
-            let (min_share, max_share) = if phase == "healed" {
+            let requests_within_quota = cluster.requests_since(first_request, 3);
+            let admitted_within_quota = admitted[..3].iter().sum::<f64>();
+            assert!(
+                admitted_within_quota >= 0.97 * requests_within_quota,
+                "{report}: {requests_within_quota} requests within quota"
+            );
+            let (min_share, max_share) = if phase == "returned" {
                 (0.4, 2.0)
             } else {
                 (0.85, 1.25)
             };
             let allowed = min_share * quota..max_share * quota;
-            assert!(served[3..].iter().all(|n| allowed.contains(n)), "{report}");
+            assert!(
+                admitted[3..].iter().all(|n| allowed.contains(n)),
+                "{report}"
+            );
         }
     }
 }
--- a/crates/cluster-membership/tests/usage_counters.rs
+++ b/crates/cluster-membership/tests/usage_counters.rs
@@ -1,5 +1,5 @@
-//! Laws of the merge of usage counters: any order, loss that is made up for, and repetition give the same totals; what is dropped
-//! for its age is never counted again; memory is bounded.
+//! Tests of the merge of usage counters: updates give the same totals in any order and with repetitions, dropped windows are never
+//! counted again, and memory is bounded.
 
 use frosthatch_cluster_membership::usage_counters::{
     UsageCounters, UsageKey, MAX_INSTANCES, WINDOWS,
@@ -41,7 +41,7 @@
     counters
 }
 
-/// Merges all counters of `from` and returns by how much they grew together.
+/// Merges all counters of `from` into `to` and returns the total growth.
 fn merge_all(to: &mut UsageCounters, from: &UsageCounters) -> u64 {
     from.changes_after(0)
         .map(|entry| to.merge(2, entry.key, entry.tag, entry.total))
@@ -61,7 +61,7 @@
     }
 
     #[test]
-    fn two_states_merge_to_the_same_from_either_side_and_merging_again_adds_nothing(a in entries(), b in entries()) {
+    fn merging_is_commutative_and_idempotent(a in entries(), b in entries()) {
         let mut left = merged(&a);
         let mut right = merged(&b);
         let left_before = merged(&a);
@@ -90,13 +90,13 @@
     let mut counters = UsageCounters::new(100);
     assert_eq!(counters.merge(1, key(1, 7, 0), 5, 40), 40);
     assert_eq!(counters.merge(2, key(1, 7, WINDOWS), 5, 10), 10);
-    assert_eq!(counters.len(), 1, "the first window is past");
+    assert_eq!(counters.len(), 1, "the first window is dropped");
     assert_eq!(
         counters.merge(3, key(1, 7, 0), 5, 50),
         0,
-        "an old word from elsewhere"
+        "an update of a dropped window has no effect"
     );
-    // After a long silence all windows are dropped for good.
+    // After a long time without growth, all windows are dropped permanently.
     counters.drop_silent_instances(100_000_000);
     assert!(counters.is_empty());
     assert_eq!(counters.merge(100_000_001, key(1, 7, WINDOWS), 5, 10), 0);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn another_instance_of_a_gateway_counts_beside_the_first() {
+fn instances_of_one_gateway_are_counted_separately() {
     let mut counters = UsageCounters::new(100);
     assert_eq!(counters.merge(1, key(1, 7, 2), 5, 40), 40);
     assert_eq!(counters.merge(2, key(1, 8, 0), 5, 10), 10);
@@ -124,7 +124,7 @@
         .map(|(key, _)| (key.gateway, key.instance_id))
         .collect();
     assert!(instances.len() <= 5 * MAX_INSTANCES);
-    // A single instance cannot displace its own counters: further ones are rejected.
+    // An instance does not evict its own counters, so its further ones are rejected.
     let mut counters = UsageCounters::new(10);
     let growth: u64 = (0..20)
         .map(|tag| counters.merge(1, key(1, 1, 0), tag, 1))
--- a/crates/cluster-membership/tests/usage_dissemination.rs
+++ b/crates/cluster-membership/tests/usage_dissemination.rs
@@ -1,13 +1,13 @@
-//! Usage that members report to each other, in virtual time: each unit counts once, whatever is lost, late or repeated, and
-//! across partitions, restarts and pauses.
+//! Tests of the usage that members report to each other, in virtual time: each unit is counted exactly once, even if datagrams
+//! are lost, delayed or duplicated, and across partitions, restarts and pauses.
 
 mod world;
 
 use frosthatch_cluster_membership::usage_counters::WINDOW_US;
 use frosthatch_cluster_membership::{MembershipConfig, Output};
-use world::{address_of, config, World, S, TICK};
+use world::{address_of, config, World, S, TICK_US};
 
-/// Units of a customer that the `n`th member learned of from others.
+/// Returns the units of the customer `tag` that other members reported to the member `n`.
 fn peer_usage(world: &World, n: usize, tag: u32) -> f64 {
     world.nodes[n]
         .as_ref()
@@ -25,31 +25,34 @@
     let totals: Vec<f64> = (0..4).map(|n| peer_usage(&world, n, 9)).collect();
     assert_eq!(totals, [1.0, 2.5, 3.5, 3.5]);
     for n in 0..4 {
-        let now = world.now;
+        let now_us = world.now;
         let reported = world
             .node(n)
-            .reported_at
+            .last_complete_report_at_us
             .values()
-            .filter(|at| **at + 3 * TICK > now)
+            .filter(|at| **at + 3 * TICK_US > now_us)
             .count();
-        assert_eq!(reported, 3, "{n} hears all others in full");
+        assert_eq!(
+            reported, 3,
+            "member {n} has recent complete reports of all others"
+        );
     }
 }
 
 #[test]
-fn loss_disorder_and_repetition_change_no_total() {
+fn loss_reordering_and_duplication_change_no_total() {
     let mut world = World::settled(3, 2);
     world.loss = 0.3;
     world.delay = (1_000, 150_000);
-    world.record = Some(Vec::new());
-    let mut sum = 0.0;
+    world.recorded_datagrams = Some(Vec::new());
+    let mut expected_units = 0.0;
     for n in 0..200 {
         let units = 1.0 + f64::from(n % 3);
         world.node(0).membership.record_usage(5, units);
-        sum += units;
-        world.run(TICK);
+        expected_units += units;
+        world.run(TICK_US);
         let repeated = world
-            .record
+            .recorded_datagrams
             .as_ref()
             .and_then(|r| r.get(r.len().checked_sub(1 + n as usize % 40)?))
             .cloned();
@@ -60,42 +63,42 @@
     world.loss = 0.0;
     world.run(S);
     assert!(
-        (peer_usage(&world, 1, 5) - sum).abs() < 0.5
-            && (peer_usage(&world, 2, 5) - sum).abs() < 0.5,
-        "{sum}"
+        (peer_usage(&world, 1, 5) - expected_units).abs() < 0.5
+            && (peer_usage(&world, 2, 5) - expected_units).abs() < 0.5,
+        "expected {expected_units} units"
     );
 }
 
 #[test]
 fn a_healed_partition_counts_no_usage_twice() {
     let mut world = World::settled(4, 3);
-    world.cut = Box::new(|a, b| a / 2 != b / 2);
+    world.is_link_cut = Box::new(|a, b| a / 2 != b / 2);
     for _ in 0..100 {
         (0..4).for_each(|n| world.node(n).membership.record_usage(1, 1.0));
-        world.run(TICK);
+        world.run(TICK_US);
     }
     world.run(S / 2);
     assert!(
         (0..4).all(|n| (peer_usage(&world, n, 1) - 100.0).abs() < 0.1),
-        "only the neighbour's"
+        "only the usage of the other member in the same partition"
     );
-    world.cut = Box::new(|_, _| false);
+    world.is_link_cut = Box::new(|_, _| false);
     world.run(3 * S);
     assert!(
         (0..4).all(|n| (peer_usage(&world, n, 1) - 300.0).abs() < 0.1),
-        "all of all others'"
+        "all usage of the three other members"
     );
     world.run(S);
     assert!(
         (0..4).all(|n| (peer_usage(&world, n, 1) - 300.0).abs() < 0.1),
-        "once"
+        "no usage is counted twice"
     );
 }
 
 #[test]
 fn usage_is_relayed_by_a_third_member_where_a_link_is_cut() {
     let mut world = World::settled(3, 4);
-    world.cut = Box::new(|a, b| (a.min(b), a.max(b)) == (0, 1));
+    world.is_link_cut = Box::new(|a, b| (a.min(b), a.max(b)) == (0, 1));
     world.run(3 * S);
     world.node(0).membership.record_usage(3, 7.0);
     world.run(3 * S);
@@ -112,13 +115,16 @@
     world.node(0).membership.record_usage(4, 5.0);
     world.run(S);
     world.kill(0);
-    world.run(TICK);
+    world.run(TICK_US);
     world.start(0);
     world.run(2 * S);
     assert_eq!(
-        (peer_usage(&world, 0, 4), world.node(0).past_usage.get(&4)),
+        (
+            peer_usage(&world, 0, 4),
+            world.node(0).earlier_usage.get(&4)
+        ),
         (0.0, Some(&5.0)),
-        "its own, of before"
+        "usage of its earlier instance is reported as admitted before the gateway became known"
     );
     world.node(0).membership.record_usage(4, 2.0);
     world.run(S);
@@ -128,33 +134,37 @@
     );
 }
 
-/// Datagrams that waited at the socket count as usage, but do not show that their senders run now.
+/// Usage in datagrams that were queued at the socket during a pause is counted, but these datagrams do not prove that their senders
+/// are running now.
 #[test]
 fn datagrams_that_waited_during_a_pause_are_not_current_reports() {
     let mut world = World::settled(2, 6);
-    world.node(0).stopped = true;
+    world.node(0).is_stopped = true;
     world.run(S / 10);
     world.node(1).membership.record_usage(1, 3.0);
     world.run(10 * S);
-    let reported_before = world.node(0).reported_at[&1];
-    world.cut = Box::new(|_, _| true);
-    world.node(0).stopped = false;
-    world.run(4 * TICK);
+    let reported_before = world.node(0).last_complete_report_at_us[&1];
+    world.is_link_cut = Box::new(|_, _| true);
+    world.node(0).is_stopped = false;
+    world.run(4 * TICK_US);
     assert_eq!(
-        (peer_usage(&world, 0, 1), world.node(0).reported_at[&1]),
+        (
+            peer_usage(&world, 0, 1),
+            world.node(0).last_complete_report_at_us[&1]
+        ),
         (3.0, reported_before)
     );
-    world.cut = Box::new(|_, _| false);
+    world.is_link_cut = Box::new(|_, _| false);
     world.run(2 * S);
-    assert!(world.node(0).reported_at[&1] > reported_before);
+    assert!(world.node(0).last_complete_report_at_us[&1] > reported_before);
 }
 
 #[test]
-fn a_clock_step_of_an_hour_loses_no_usage_and_suspects_nobody() {
+fn a_clock_step_of_an_hour_loses_no_usage_and_causes_no_death() {
     let mut world = World::settled(2, 7);
     world.node(0).membership.record_usage(1, 3.0);
     world.run(S);
-    world.node(0).skew += 3_600 * S;
+    world.node(0).clock_skew_us += 3_600 * S;
     world.node(0).membership.record_usage(1, 2.0);
     world.run(S);
     world.node(1).membership.record_usage(1, 1.0);
@@ -167,7 +177,7 @@
 }
 
 #[test]
-fn a_budget_that_is_too_small_is_kept_and_shared_by_all_members() {
+fn an_insufficient_budget_is_kept_and_shared_by_all_members() {
     let mut world = World::new(4, 8);
     world.start_with(
         0,
@@ -179,18 +189,18 @@
     );
     (1..4).for_each(|n| world.start(n));
     world.run(3 * S);
-    let before = world.node(0).bytes;
+    let sent_before = world.node(0).bytes;
     for round in 0..200u32 {
         for n in 0..20 {
             let tag = round % 50 * 20 + n;
             world.node(0).membership.record_usage(tag, 1.0);
         }
-        world.run(TICK);
+        world.run(TICK_US);
     }
-    let bytes = (world.node(0).bytes - before) as f64 / 10.0;
+    let bytes_per_s = (world.node(0).bytes - sent_before) as f64 / 10.0;
     assert!(
-        (4_000.0..12_000.0).contains(&bytes),
-        "{bytes} bytes a second"
+        (4_000.0..12_000.0).contains(&bytes_per_s),
+        "sent {bytes_per_s} bytes per second"
     );
     let known_customers: Vec<usize> = (1..4).map(|n| world.node(n).peer_usage.len()).collect();
     assert!(
@@ -199,13 +209,13 @@
     );
     assert!(
         world.accusations().is_empty(),
-        "members come before use: {:?}",
+        "membership takes precedence over usage: {:?}",
         world.accusations()
     );
 }
 
 #[test]
-fn usage_of_ever_new_customers_stays_within_the_bound_of_entries() {
+fn usage_of_ever_new_customers_stays_within_the_limit_of_counters() {
     let mut world = World::new(2, 9);
     for n in 0..2 {
         world.start_with(
@@ -219,14 +229,14 @@
     for n in 0..20_000 {
         world.node(n as usize % 2).membership.record_usage(n, 1.0);
         if n % 20 == 0 {
-            world.run(TICK);
+            world.run(TICK_US);
         }
     }
     assert!((0..2).all(|n| world.fleet(n).usage().counters().len() <= 500));
     assert!(world.now > 2 * WINDOW_US);
 }
 
-/// Once the byte budget is spent, messages are sent without gossip, which waits.
+/// Once the byte budget is spent, messages are sent at once but without gossip, which is sent later.
 #[test]
 fn messages_are_not_delayed_by_a_spent_budget_and_carry_no_gossip_then() {
     let mut world = World::new(2, 6);
@@ -240,18 +250,18 @@
         );
     }
     world.run(3 * S);
-    // More usage than a datagram holds.
+    // This is more usage than a datagram holds.
     (0..400).for_each(|tag| world.node(0).membership.record_usage(tag, 1_000.0));
-    world.run(2 * TICK);
+    world.run(2 * TICK_US);
     let mut sent_bytes = 0;
     let mut received = 0;
     for n in 0..50u8 {
-        let now = world.now + u64::from(n) * S / 100;
+        let now_us = world.now + u64::from(n) * S / 100;
         let mut outputs = Vec::new();
         world
             .node(0)
             .membership
-            .send_message(now, "n1", vec![n; 60], &mut outputs);
+            .send_message(now_us, "n1", vec![n; 60], &mut outputs);
         for output in outputs {
             let Output::Send { bytes, .. } = output else {
                 continue;
@@ -259,7 +269,7 @@
             sent_bytes += bytes.len();
             let mut received_outputs = Vec::new();
             world.node(1).membership.handle_datagram(
-                now,
+                now_us,
                 address_of(0),
                 &bytes,
                 &mut received_outputs,
@@ -274,11 +284,11 @@
     assert_eq!(received, 50);
     assert!(
         sent_bytes < 50 * 200,
-        "{sent_bytes} bytes for fifty letters of 60"
+        "sent {sent_bytes} bytes for fifty messages of 60 bytes"
     );
     world.run(60 * S);
     assert!(
         (peer_usage(&world, 1, 399) - 1_000.0).abs() < 0.1,
-        "and all is told in the end"
+        "all usage arrives after the budget has recovered"
     );
 }
--- a/crates/counter/src/connection.rs
+++ b/crates/counter/src/connection.rs
@@ -1,4 +1,4 @@
-//! One pipelined connection to the counter.
+//! One pipelined connection to the shared counter.
 
 use crate::response_time::ResponseTime;
 use crate::wire::{may_begin_reply, parse_reply, write_call, Reply};
@@ -12,40 +12,46 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep_until, Instant};
 
-/// The calls that may be pending on one connection; further calls are rejected.
+/// Upper bound of the pending calls on one connection; further calls are rejected.
 pub const MAX_PENDING_CALLS: usize = 1_024;
-/// How much is read at a time.
+/// Size of the buffer of one read.
 const READ_CHUNK_BYTES: usize = 4096;
-/// How long a connection without calls sleeps.
-const IDLE_SLEEP: Duration = Duration::from_secs(3_600);
+/// Deadline passed to the disabled timer of a connection that waits for no timeout.
+const DISABLED_TIMER_DELAY: Duration = Duration::from_secs(3_600);
 
-/// A call without a reply.
+/// A call that has not been replied to.
 struct PendingCall {
-    /// `None` once the call has timed out. It stays in the queue, so that a late reply is not taken for the next call's.
+    /// Name of the counter to which the call adds; `None` once the call has timed out. The entry of such a call stays in the queue,
+    /// so that a late reply is not mistaken for that of the next call.
     name: Option<String>,
+    /// When the call was queued.
     started_at: Instant,
-    /// The position of its end in the stream of bytes written on this connection.
+    /// Offset of the end of the call in the bytes written on this connection.
     end_offset: u64,
 }
 
-/// One connection, its calls without replies, and its buffers.
+/// One connection with its pending calls and its buffers.
 ///
-/// A connection with calls pending that has delivered no data for the silence timeout is closed. This detects peers that
-/// stop replying without closing: a lost machine, a stuck proxy, a dropped path. Where the counter itself pauses for that
-/// long, the pending calls are lost and the next connection waits for the same counter.
+/// A connection with pending calls that receives no data for the silence timeout is closed. This detects peers that stop
+/// replying without closing the connection: a lost machine, a stuck proxy, a broken network path. If the counter itself pauses
+/// for that long, the pending calls are lost and the next connection waits for the same counter.
 pub struct Connection {
     stream: TcpStream,
     call_timeout: Duration,
     pending: VecDeque<PendingCall>,
+    /// Calls that are not written yet.
     outgoing: Vec<u8>,
+    /// Received data without a complete line.
     incoming: Vec<u8>,
+    /// Number of bytes written on this connection.
     written_bytes: u64,
+    /// When data was last received; `None` if never.
     last_read_at: Option<Instant>,
     response_time: Rc<ResponseTime>,
 }
 
 impl Connection {
-    /// A connection on a connected stream, without calls.
+    /// Creates a connection without calls on a connected stream.
     pub fn new(stream: TcpStream, call_timeout: Duration, response_time: Rc<ResponseTime>) -> Self {
         Connection {
             stream,
@@ -59,24 +65,24 @@
         }
     }
 
-    /// Whether any data was received.
+    /// Returns whether any data was received.
     pub fn has_received_data(&self) -> bool {
         self.last_read_at.is_some()
     }
 
-    /// The number of calls without a reply, including those that have timed out.
+    /// Returns the number of calls without a reply, including those that have timed out.
     pub fn pending_calls(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether a call for this name waits for its reply.
+    /// Returns whether a call for the counter `name` is pending and has not timed out.
     pub fn has_pending_call_for(&self, name: &str) -> bool {
         self.pending
             .iter()
             .any(|call| call.name.as_deref() == Some(name))
     }
 
-    /// Takes no new calls, but waits for the pending ones.
+    /// Waits for the replies to the pending calls and closes the connection.
     pub async fn drain(mut self, engine: Rc<Engine>) {
         while !self.pending.is_empty() && self.step(&engine).await.is_ok() {}
         self.abandon(&engine);
@@ -85,18 +91,18 @@
     /// Waits for the next event on the connection and handles it.
     ///
     /// # Errors
-    /// The connection is closed, broken or silent, or has delivered invalid data; it is to be abandoned.
+    /// The connection is closed, broken or silent, or has delivered invalid data. The caller has to abandon it.
     pub async fn step(&mut self, engine: &Rc<Engine>) -> io::Result<()> {
         let silent_at = self.silent_at();
         let due_at = self.next_timeout_at().into_iter().chain(silent_at).min();
-        let idle_until = Instant::now() + IDLE_SLEEP;
+        let disabled_until = Instant::now() + DISABLED_TIMER_DELAY;
         tokio::select! {
             ready = self.stream.readable() => {
                 ready?;
                 self.read(engine)?;
             }
             ready = self.stream.writable(), if !self.outgoing.is_empty() => ready?,
-            () = sleep_until(due_at.unwrap_or(idle_until)), if due_at.is_some() => {
+            () = sleep_until(due_at.unwrap_or(disabled_until)), if due_at.is_some() => {
                 self.expire_calls(engine);
                 if silent_at.is_some_and(|at| at <= Instant::now()) {
                     self.response_time.record_silence();
@@ -107,7 +113,7 @@
         self.write()
     }
 
-    /// When the first call that still waits times out.
+    /// Returns when the oldest call that has not timed out does so.
     fn next_timeout_at(&self) -> Option<Instant> {
         self.pending
             .iter()
@@ -115,8 +121,8 @@
             .map(|call| call.started_at + self.call_timeout)
     }
 
-    /// When the connection counts as silent unless data is received. Calls queued at a busy counter do not make it silent,
-    /// as replies to earlier calls keep coming.
+    /// Returns when the connection counts as silent unless data is received; `None` without pending calls. Calls queued at a busy
+    /// counter do not make the connection silent, since replies to earlier calls keep arriving.
     fn silent_at(&self) -> Option<Instant> {
         let oldest_started_at = self.pending.front()?.started_at;
         let active_at = self
@@ -125,7 +131,7 @@
         Some(active_at + self.response_time.silence_timeout())
     }
 
-    /// Queues a call to be written; rejects it if too many are pending.
+    /// Queues a call to be written, or rejects it if [`MAX_PENDING_CALLS`] calls are pending.
     pub fn enqueue(&mut self, call: CounterCall, engine: &Rc<Engine>) {
         if self.pending.len() >= MAX_PENDING_CALLS {
             engine.counter_replied(call.name, CompletionStatus::Rejected, 0.0);
@@ -139,7 +145,7 @@
         });
     }
 
-    /// Writes as much as the socket takes.
+    /// Writes as many of the queued bytes as the socket accepts.
     ///
     /// # Errors
     /// The connection is broken.
@@ -157,6 +163,7 @@
         Ok(())
     }
 
+    /// Reads all available data and handles the replies in it.
     fn read(&mut self, engine: &Rc<Engine>) -> io::Result<()> {
         let mut chunk = [0u8; READ_CHUNK_BYTES];
         loop {
@@ -170,13 +177,14 @@
                 Err(error) => return Err(error),
             }
             self.handle_complete_lines(engine)?;
-            // Invalid data without an end of line would leave the pending calls waiting in vain.
+            // Invalid data without an end of line would otherwise never be handled, and the pending calls would time out.
             if !may_begin_reply(&self.incoming) {
                 return Err(io::ErrorKind::InvalidData.into());
             }
         }
     }
 
+    /// Removes all complete lines from the received data and handles them as replies.
     fn handle_complete_lines(&mut self, engine: &Rc<Engine>) -> io::Result<()> {
         while let Some(end) = self.incoming.iter().position(|&byte| byte == b'\n') {
             let line: Vec<u8> = self.incoming.drain(..=end).collect();
@@ -185,7 +193,8 @@
         Ok(())
     }
 
-    /// One line replies to the oldest call. An invalid line ends the connection, as the order of replies is lost.
+    /// Handles one line as the reply to the oldest pending call. An invalid line ends the connection, since later replies could no
+    /// longer be matched to their calls.
     fn handle_reply(&mut self, line: &[u8], engine: &Rc<Engine>) -> io::Result<()> {
         let reply = parse_reply(line).ok_or(io::ErrorKind::InvalidData)?;
         let call = self.pending.pop_front().ok_or(io::ErrorKind::InvalidData)?;
@@ -201,7 +210,7 @@
         Ok(())
     }
 
-    /// Ends calls that have timed out without a reply: their amounts may have been added.
+    /// Reports the calls that have timed out without a reply as unanswered; the counter may have added their amounts.
     fn expire_calls(&mut self, engine: &Rc<Engine>) {
         let now = Instant::now();
         for call in &mut self.pending {
@@ -214,8 +223,8 @@
         }
     }
 
-    /// Ends all pending calls, as the connection is lost. A call that was not written completely has added nothing; of the
-    /// others nobody knows.
+    /// Ends all pending calls, since the connection is lost. A call that was not written completely has added nothing; for the
+    /// others it is unknown.
     pub fn abandon(&mut self, engine: &Rc<Engine>) {
         for call in self.pending.drain(..) {
             let status = if call.end_offset <= self.written_bytes {
--- a/crates/counter/src/pool.rs
+++ b/crates/counter/src/pool.rs
@@ -1,4 +1,4 @@
-//! The connections to the counter, and the choice among them for each call.
+//! The pool of connections to the shared counter, which chooses a connection for each call.
 
 use crate::connection::Connection;
 use crate::response_time::ResponseTime;
@@ -16,14 +16,17 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep_until, timeout, Instant};
 
+/// Timeout of establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Delay after the first failure to connect; it doubles with each further failure.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
+/// Upper bound of the delay after a failure to connect.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
-/// The counter accepts 32 connections of a gateway, and some of those may still be closing.
+/// Upper bound of the connections. The counter accepts 32 connections from a gateway, some of which may still be closing.
 const MAX_CONNECTIONS: usize = 8;
 
-/// Makes the calls that are received, at whatever address the counter has. Returns when nobody makes calls any more or the
-/// address can no longer change.
+/// Sends the received calls to the counter at its current address. Returns when the sender of `calls` or of `addresses` is
+/// dropped.
 ///
 /// `call_timeout`: how long a call waits for its reply.
 pub async fn run(
@@ -53,30 +56,30 @@
     }
 }
 
-/// A connection that is being established; its future yields `None` if that fails.
+/// A connection that is being established. Its future returns `None` if that fails.
 struct Connecting {
     started_at: Instant,
     stream: Pin<Box<dyn Future<Output = Option<TcpStream>>>>,
 }
 
-/// The connections to the counter.
+/// The pool of connections to the counter.
 ///
-/// A call goes to the connection with the fewest pending calls, as a rule none, so that a connection that falls silent or
-/// breaks loses few calls. A slow counter needs more connections, up to `MAX_CONNECTIONS`.
+/// A call goes to the connection with the fewest pending calls, usually none, so that few calls are lost if a connection becomes
+/// silent or breaks. A slow counter needs more connections, up to `MAX_CONNECTIONS`.
 struct ConnectionPool {
     engine: Rc<Engine>,
     call_timeout: Duration,
     response_time: Rc<ResponseTime>,
     connections: Vec<Connection>,
     connecting: Option<Connecting>,
-    /// The delay after the next failure to connect.
+    /// Delay after the next failure to connect.
     backoff: Duration,
-    /// No connection is started before this.
+    /// When the next connection may be started.
     backoff_until: Instant,
 }
 
 impl ConnectionPool {
-    /// Serves calls until nobody makes any more.
+    /// Sends calls to the counter at `address` until the sender of `calls` is dropped.
     async fn serve(
         &mut self,
         address: Option<SocketAddr>,
@@ -95,7 +98,7 @@
                     None => return,
                 },
                 () = sleep_until(wake_at), if wake_at > now => {}
-                stream = connected(&mut self.connecting) => self.finish_connecting(stream),
+                stream = wait_for_connecting(&mut self.connecting) => self.finish_connecting(stream),
                 (index, result) = step_any(&mut self.connections, &self.engine) => if result.is_err() {
                     self.close(index);
                 },
@@ -103,15 +106,15 @@
         }
     }
 
-    /// Until when calls wait for the first connection, which as a rule is established in no time.
+    /// Returns until when calls wait for the first connection, which is usually established quickly; `None` if they need not wait.
     fn calls_held_until(&self, now: Instant) -> Option<Instant> {
         let connecting = self.connecting.as_ref()?;
         let until = connecting.started_at + self.call_timeout / 2;
         (self.connections.is_empty() && until > now).then_some(until)
     }
 
-    /// Starts another connection where all have calls pending, unless one of them has received no data yet: connections must
-    /// not multiply where the counter itself is silent.
+    /// Starts another connection if all existing ones have pending calls and have received data. Without the latter condition,
+    /// connections would multiply while the counter itself is silent.
     fn connect_if_needed(&mut self, address: SocketAddr) {
         let is_needed = self
             .connections
@@ -129,6 +132,7 @@
         }
     }
 
+    /// Adds the established connection to the pool, or backs off if it failed.
     fn finish_connecting(&mut self, stream: Option<TcpStream>) {
         self.connecting = None;
         let Some(stream) = stream else {
@@ -140,6 +144,7 @@
             .push(Connection::new(stream, self.call_timeout, response_time));
     }
 
+    /// Sends a call on one of the connections, or reports that there is none.
     fn dispatch(&mut self, call: CounterCall) {
         let Some(index) = self.connection_for(&call.name) else {
             self.engine
@@ -153,20 +158,21 @@
         }
     }
 
-    /// The connection with a call for the same name pending, as only one connection keeps the order of replies; else that
-    /// with the fewest pending calls.
+    /// Returns the index of the connection for a call: one with a pending call for the same counter name, since replies keep their
+    /// order only within a connection; otherwise the one with the fewest pending calls.
     fn connection_for(&self, name: &str) -> Option<usize> {
-        let has_same_name = |connection: &Connection| connection.has_pending_call_for(name);
-        let least_pending = || {
+        let has_pending_call_for_name =
+            |connection: &Connection| connection.has_pending_call_for(name);
+        let with_fewest_pending = || {
             (0..self.connections.len()).min_by_key(|&index| self.connections[index].pending_calls())
         };
         self.connections
             .iter()
-            .position(has_same_name)
-            .or_else(least_pending)
+            .position(has_pending_call_for_name)
+            .or_else(with_fewest_pending)
     }
 
-    /// Closes a connection that broke or fell silent.
+    /// Closes a connection that broke or became silent.
     fn close(&mut self, index: usize) {
         let mut connection = self.connections.swap_remove(index);
         if connection.has_received_data() {
@@ -177,12 +183,13 @@
         connection.abandon(&self.engine);
     }
 
+    /// Delays the next connection and doubles the delay for the next failure.
     fn back_off(&mut self) {
         self.backoff_until = Instant::now() + self.backoff;
         self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
     }
 
-    /// Leaves the counter's former address: calls pending there may still end, new ones go to the new address.
+    /// Drains the connections to the counter's previous address in the background, so that new calls go to the new address.
     fn change_address(&mut self) {
         for connection in self.connections.drain(..) {
             tokio::task::spawn_local(connection.drain(self.engine.clone()));
@@ -193,15 +200,16 @@
     }
 }
 
-/// The stream of the connection that is being established, or `None` if that fails; waits forever if there is none.
-async fn connected(connecting: &mut Option<Connecting>) -> Option<TcpStream> {
+/// Waits for the connection that is being established and returns its stream, or `None` if it failed; waits forever if there is
+/// no such connection.
+async fn wait_for_connecting(connecting: &mut Option<Connecting>) -> Option<TcpStream> {
     match connecting {
         Some(connecting) => connecting.stream.as_mut().await,
         None => pending().await,
     }
 }
 
-/// Waits for the next step of any connection; returns its index and the result.
+/// Waits for the next step of any connection and returns the index of the connection and the result of the step.
 async fn step_any(connections: &mut [Connection], engine: &Rc<Engine>) -> (usize, io::Result<()>) {
     let mut steps: Vec<_> = connections
         .iter_mut()
--- a/crates/counter/src/response_time.rs
+++ b/crates/counter/src/response_time.rs
@@ -1,56 +1,56 @@
-//! The usual response time of the counter, and the silence that follows from it.
+//! The average response time of the counter, and the silence timeout derived from it.
 
 use std::cell::Cell;
 use std::time::Duration;
 
-/// A connection with calls pending counts as silent after this many usual response times without any data.
-const SILENCE_RESPONSE_TIMES: f64 = 4.0;
-/// The least silence, as a share of the call timeout: a short delay of a fast counter is not a failure.
-const MIN_SILENCE_SHARE: f64 = 0.4;
-/// The longest silence, however slow the counter was before.
-const MAX_SILENCE: Duration = Duration::from_secs(1);
-/// Weight of one reply in the usual response time: about the last ten replies matter.
+/// Silence timeout, as a multiple of the average response time.
+const SILENCE_TIMEOUT_FACTOR: f64 = 4.0;
+/// Minimum of the silence timeout, as a fraction of the call timeout, since a short delay of a fast counter is not a failure.
+const MIN_SILENCE_TIMEOUT_FRACTION: f64 = 0.4;
+/// Maximum of the silence timeout, however slow the counter was before.
+const MAX_SILENCE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Weight of one reply in the moving average, so that about the last ten replies determine it.
 const REPLY_WEIGHT: f64 = 0.1;
-/// Growth of the usual response time with each connection that falls silent. Without it, replies of a counter that has
-/// become slower would always come too late to be seen.
-const GROWTH_ON_SILENCE: f64 = 1.5;
+/// Factor by which each silent connection raises the average response time. Without it, every connection to a counter that has
+/// become slower would be closed before the reply arrives that would raise the average.
+const SILENCE_GROWTH_FACTOR: f64 = 1.5;
 
-/// A moving average of response times over all connections.
+/// The exponential moving average of response times over all connections.
 pub struct ResponseTime {
-    usual: Cell<Duration>,
+    average: Cell<Duration>,
     call_timeout: Duration,
 }
 
 impl ResponseTime {
-    /// Nothing is known yet: a reply may take as long as a call waits.
+    /// Starts with the call timeout as the average, since no response time is known yet.
     pub fn new(call_timeout: Duration) -> Self {
         ResponseTime {
-            usual: Cell::new(call_timeout),
+            average: Cell::new(call_timeout),
             call_timeout,
         }
     }
 
-    /// Takes the response time of one call.
+    /// Adds the response time of one call to the average.
     pub fn record(&self, response_time: Duration) {
-        let response_time = response_time.min(MAX_SILENCE);
-        let usual = self.usual.get();
-        self.usual
-            .set(usual.mul_f64(1.0 - REPLY_WEIGHT) + response_time.mul_f64(REPLY_WEIGHT));
+        let response_time = response_time.min(MAX_SILENCE_TIMEOUT);
+        let average = self.average.get();
+        self.average
+            .set(average.mul_f64(1.0 - REPLY_WEIGHT) + response_time.mul_f64(REPLY_WEIGHT));
     }
 
-    /// Takes note of a connection that fell silent.
+    /// Raises the average, up to the call timeout, since a connection became silent.
     pub fn record_silence(&self) {
-        let usual = self.usual.get().mul_f64(GROWTH_ON_SILENCE);
-        self.usual.set(usual.min(self.call_timeout));
+        let average = self.average.get().mul_f64(SILENCE_GROWTH_FACTOR);
+        self.average.set(average.min(self.call_timeout));
     }
 
-    /// How long a connection with calls pending may be without data before it counts as silent.
+    /// Returns how long a connection with pending calls may receive no data before it counts as silent.
     pub fn silence_timeout(&self) -> Duration {
-        let min_silence = self.call_timeout.mul_f64(MIN_SILENCE_SHARE);
-        self.usual
+        let min_silence_timeout = self.call_timeout.mul_f64(MIN_SILENCE_TIMEOUT_FRACTION);
+        self.average
             .get()
-            .mul_f64(SILENCE_RESPONSE_TIMES)
-            .max(min_silence)
-            .min(MAX_SILENCE)
+            .mul_f64(SILENCE_TIMEOUT_FACTOR)
+            .max(min_silence_timeout)
+            .min(MAX_SILENCE_TIMEOUT)
     }
 }
--- a/crates/counter/src/wire.rs
+++ b/crates/counter/src/wire.rs
@@ -1,15 +1,16 @@
-//! The counter's protocol: one line a call, `bump NAME AMOUNT TTL` with the TTL in milliseconds, and one line a reply.
+//! The line protocol of the shared counter. A call is the line `bump NAME AMOUNT TTL` with the TTL in milliseconds; a reply is one
+//! line.
 
 use frosthatch_engine::CounterCall;
 use std::io::Write;
 
-/// A partial line that is longer than this is invalid.
+/// Upper bound of the length of a partial line; a longer one is invalid.
 const MAX_LINE_BYTES: usize = 256;
 
-/// One reply of the counter.
+/// A reply of the counter.
 #[derive(Debug, PartialEq)]
 pub enum Reply {
-    /// The amount was added; the count is now this.
+    /// The amount was added; the value is the counter's new total.
     Total(f64),
     /// The amount was added, but the reply does not state a valid total.
     InvalidTotal,
@@ -27,7 +28,7 @@
     );
 }
 
-/// Reads a complete line; `None` if it is not a reply.
+/// Parses a complete line; returns `None` if it is not a reply.
 pub fn parse_reply(line: &[u8]) -> Option<Reply> {
     let text = std::str::from_utf8(line).ok()?.trim_end();
     match text {
@@ -42,7 +43,7 @@
     })
 }
 
-/// Whether a partial line may be the beginning of a reply.
+/// Returns whether a partial line may be the beginning of a reply.
 pub fn may_begin_reply(partial: &[u8]) -> bool {
     let is_compatible = |prefix: &[u8]| prefix.starts_with(partial) || partial.starts_with(prefix);
     let is_known_reply = is_compatible(b"ok ") || is_compatible(b"busy") || is_compatible(b"error");
--- a/crates/counter/src/wire/tests.rs
+++ b/crates/counter/src/wire/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the counter's protocol.
+//! Tests of the shared counter's line protocol.
 
 use super::{may_begin_reply, parse_reply, write_call, Reply, MAX_LINE_BYTES};
 use frosthatch_engine::CounterCall;
