--- a/crates/cluster-membership/src/driver.rs
+++ b/crates/cluster-membership/src/driver.rs
@@ -1,5 +1,5 @@
-//! Connects the [`Membership`] state machine to a UDP socket, a periodic tick and the engine. The driver itself makes no
-//! decisions.
+//! Connects the [`Membership`] state machine to a UDP socket, a periodic tick and the engine. The driver itself makes
+//! no decisions.
 
 use crate::membership::{Membership, Output};
 use crate::record::LifecyclePhase;
@@ -88,7 +88,8 @@
         self.membership.borrow_mut().set_keys(keys);
     }
 
-    /// Notifies the other members that this one leaves. Afterwards this member sends no usage.
+    /// Notifies the other members that this one leaves. Each tick repeats the notice until the future of
+    /// [`MembershipHandle::run`] is dropped.
     pub fn leave(&self) {
         let mut outputs = Vec::new();
         self.membership
@@ -115,22 +116,23 @@
         }
     }
 
-    /// Reads the datagrams queued at the socket. They are handled if `is_socket_sound` and discarded otherwise.
+    /// Reads the datagrams queued at the socket and handles them, or discards them if waiting for the socket failed
+    /// (`is_ready` is false).
     fn receive(
         &self,
         engine: &Engine,
-        is_socket_sound: bool,
+        is_ready: bool,
         buffer: &mut [u8],
         outputs: &mut Vec<Output>,
     ) {
         for _ in 0..MAX_DATAGRAMS_PER_READ {
-            // An error can also report that the port of some other member is closed.
+            // Any error is ignored, since an earlier send to a closed port is also reported as an error here.
             let received: std::io::Result<(usize, SocketAddr)> =
                 uninterrupted(|| self.socket.try_recv_from(buffer));
             let Ok((length, from)) = received else {
                 return;
             };
-            if is_socket_sound {
+            if is_ready {
                 self.membership.borrow_mut().handle_datagram(
                     engine.now_us(),
                     from,
@@ -145,7 +147,8 @@
         for output in outputs.drain(..) {
             match output {
                 Output::Send { to, bytes } => {
-                    // A datagram that cannot be sent now is dropped; the next one to this member makes up for it.
+                    // A datagram that cannot be sent now is dropped: the next one to the same receiver repeats the
+                    // gossip, and messages may be lost.
                     drop(uninterrupted(|| self.socket.try_send_to(&bytes, to)));
                 }
                 Output::UsageReported {
--- a/crates/cluster-membership/src/failure_detector.rs
+++ b/crates/cluster-membership/src/failure_detector.rs
@@ -1,9 +1,9 @@
-//! Failure detection by SWIM (Das, Gupta, Motivala, DSN 2002) with the extensions of Lifeguard (Dadgar, Phillips, Currey, 2017):
-//! a local health score, and suspicion timeouts that shrink with each member that confirms the suspicion. A member from which
-//! a datagram was received recently is not probed.
+//! Failure detection by SWIM (Das, Gupta, Motivala, DSN 2002) with the extensions of Lifeguard (Dadgar, Phillips,
+//! Currey, 2017): a local health score, and suspicion timeouts that shrink with each member that confirms the
+//! suspicion. A member from which a datagram was received recently is not probed.
 //!
-//! Times are in microseconds of a clock that stands still while this process does not run, so that a pause of this process is
-//! no evidence that other members failed.
+//! Times are in microseconds of running time, which hardly advances while this process does not run, so that a pause
+//! of this process is no evidence that other members failed.
 
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -19,8 +19,8 @@
 const MAX_HEALTH_SCORE: u32 = 8;
 /// Number of retries of a direct probe, one per tick, since a probe or its acknowledgement may be lost.
 const PING_RETRIES: u32 = 2;
-/// Upper bound, in probe intervals, of the time without a datagram from a member after which it may be probed.
-const MAX_QUIET_INTERVALS: u64 = 3;
+/// Upper bound, in probe intervals, of the time without a datagram from a member after which the member may be probed.
+const MAX_SILENCE_THRESHOLD_INTERVALS: u64 = 3;
 /// Number of other members that are requested to probe a target that does not answer.
 const INDIRECT_PINGS: usize = 3;
 /// Shortest suspicion timeout in probe intervals, per decimal logarithm of the number of members.
@@ -52,7 +52,7 @@
     /// Mark a member as suspect, since it did not answer a probe.
     Suspect(String),
     /// Declare a suspected member dead, since its suspicion timed out.
-    ConfirmDead(String),
+    DeclareDead(String),
     /// Notify a member that it is suspected although datagrams from it arrive, so that it refutes the suspicion.
     NotifySuspect(String),
 }
@@ -77,8 +77,8 @@
 pub struct FailureDetector {
     probe_interval_us: u64,
     rng: Pcg64Mcg,
-    /// Lifeguard's local health multiplier. Each refutation, and each probe that fails while no datagrams arrive from any other
-    /// member, adds one; each acknowledgement subtracts one.
+    /// Lifeguard's local health multiplier. Each refutation, and each probe that fails while no datagrams arrive from
+    /// any other member, adds one; each acknowledgement subtracts one; a pause of this process sets the maximum.
     health_score: u32,
     /// Remaining targets of the current round of probes in random order; the last element is probed next.
     probe_order: Vec<String>,
@@ -110,14 +110,16 @@
         self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
     }
 
-    /// Abandons the probe in flight and suspends probing for one interval, after a pause during which this process did not run.
+    /// Handles the end of a pause of this process: abandons the probe in flight, sets the local health score to
+    /// [`MAX_HEALTH_SCORE`], and suspends probing for one interval stretched by that score.
     pub fn resume_after_pause(&mut self, now_us: u64) {
         self.probe = None;
         self.health_score = MAX_HEALTH_SCORE;
         self.next_probe_at_us = now_us + self.scaled_interval_us();
     }
 
-    /// Returns a new probe number, which is never 0. Probes sent on behalf of other members take their numbers here as well.
+    /// Returns a new probe number, which is never 0. Probes sent on behalf of other members take their numbers here
+    /// as well.
     pub fn next_ping(&mut self) -> u32 {
         self.last_ping = self.last_ping.wrapping_add(1).max(1);
         self.last_ping
@@ -131,8 +133,8 @@
         }
     }
 
-    /// Records that `suspectors` members suspect the given incarnation of a member. The count includes this member if it suspects
-    /// the member itself.
+    /// Records that `suspectors` members suspect the given incarnation of a member. The count includes this member if
+    /// it suspects the member itself.
     pub fn record_suspicion(
         &mut self,
         now_us: u64,
@@ -160,11 +162,12 @@
         }
     }
 
-    /// Expires suspicions, advances the probe in flight, starts a probe if one is due, and appends the resulting actions to
-    /// `actions`.
+    /// Expires suspicions, advances the probe in flight, starts a probe if one is due, and appends the resulting
+    /// actions to `actions`.
     ///
-    /// `others`: names of all other present members, sorted; `last_received_at`: when a datagram was last received directly from
-    /// a member, in microseconds, or 0 for never; `update_interval_us`: interval at which members send each other updates.
+    /// `others`: names of all other present members, sorted; `last_received_at`: when a datagram was last received
+    /// directly from a member, in microseconds, or 0 for never; `update_interval_us`: interval at which members send
+    /// each other updates.
     pub fn tick(
         &mut self,
         now_us: u64,
@@ -195,8 +198,8 @@
         }
     }
 
-    /// Returns how long a member may remain suspect before it is declared dead, in microseconds, in a cluster of `members` of
-    /// which `suspectors` suspect the member.
+    /// Returns how long a member may remain suspect before it is declared dead, in microseconds, in a cluster of
+    /// `members` of which `suspectors` suspect the member.
     fn suspicion_timeout_us(&self, members: usize, suspectors: usize) -> u64 {
         let size_factor = (members.max(10) as f64).log10();
         let shortest = MIN_SUSPICION_INTERVALS * size_factor * self.probe_interval_us as f64;
@@ -213,8 +216,8 @@
         (timeout * health_factor) as u64
     }
 
-    /// Ends suspicions that have timed out: notifies the suspects from which datagrams arrived since, and declares the others
-    /// dead.
+    /// Handles suspicions that have timed out: restarts the timeout and notifies the suspect if a datagram arrived
+    /// from it since the suspicion began; otherwise declares the suspect dead.
     fn expire_suspicions(
         &mut self,
         now_us: u64,
@@ -242,12 +245,13 @@
                 actions.push(DetectorAction::NotifySuspect(name));
             } else {
                 self.suspicions.remove(&name);
-                actions.push(DetectorAction::ConfirmDead(name));
+                actions.push(DetectorAction::DeclareDead(name));
             }
         }
     }
 
-    /// Ends the probe in flight if a datagram arrived from its target; otherwise retries it or requests indirect probes.
+    /// Ends the probe in flight if a datagram arrived from its target; otherwise retries it or requests indirect
+    /// probes.
     fn continue_probe(
         &mut self,
         now_us: u64,
@@ -288,7 +292,8 @@
         let Some(probe) = self.probe.take() else {
             return;
         };
-        // Lifeguard: if no datagrams arrive from the other members either, this process is as likely to be the slow one.
+        // Lifeguard: if no datagrams arrive from the other members either, this process is as likely to be the slow
+        // one.
         let has_received_any = others
             .iter()
             .any(|name| last_received_at(name) >= probe.sent_at_us);
@@ -298,8 +303,10 @@
         actions.push(DetectorAction::Suspect(probe.target));
     }
 
-    /// Returns the next probe target, among the members from which nothing was received for a while. The choice alternates
-    /// between the longest silent one of a few random candidates and the next one of a round in random order.
+    /// Returns the next probe target, among the members from which nothing was received for two update intervals (but
+    /// at least one and at most [`MAX_SILENCE_THRESHOLD_INTERVALS`] probe intervals). The choice alternates between
+    /// the longest silent one of a few random candidates that are not suspected, and the next one of a round in
+    /// random order.
     fn choose_target(
         &mut self,
         now_us: u64,
@@ -308,9 +315,11 @@
         last_received_at: &impl Fn(&str) -> u64,
     ) -> Option<String> {
         // At long update intervals, the loss of a single update must not cause a probe.
-        let max_quiet_us = MAX_QUIET_INTERVALS * self.probe_interval_us;
-        let quiet_us = (2 * update_interval_us).clamp(self.probe_interval_us, max_quiet_us);
-        let is_quiet = |name: &str| now_us.saturating_sub(last_received_at(name)) >= quiet_us;
+        let max_silence_threshold_us = MAX_SILENCE_THRESHOLD_INTERVALS * self.probe_interval_us;
+        let silence_threshold_us =
+            (2 * update_interval_us).clamp(self.probe_interval_us, max_silence_threshold_us);
+        let is_silent =
+            |name: &str| now_us.saturating_sub(last_received_at(name)) >= silence_threshold_us;
         self.prefers_longest_silent = !self.prefers_longest_silent;
         if self.prefers_longest_silent {
             let candidates = self.draw(others, PROBE_CANDIDATES, "");
@@ -318,7 +327,7 @@
                 .into_iter()
                 .filter(|name| !self.suspicions.contains_key(name))
                 .min_by_key(|name| last_received_at(name));
-            if let Some(name) = longest_silent.filter(|name| is_quiet(name)) {
+            if let Some(name) = longest_silent.filter(|name| is_silent(name)) {
                 return Some(name);
             }
         }
@@ -327,7 +336,7 @@
                 self.probe_order = self.draw(others, others.len(), "");
             }
             let name = self.probe_order.pop()?;
-            if others.binary_search(&&*name).is_ok() && is_quiet(&name) {
+            if others.binary_search(&&*name).is_ok() && is_silent(&name) {
                 return Some(name);
             }
         }
--- a/crates/cluster-membership/src/failure_detector/tests.rs
+++ b/crates/cluster-membership/src/failure_detector/tests.rs
@@ -2,8 +2,8 @@
 
 const PROBE_INTERVAL_US: u64 = 200_000;
 
-/// Ticks the detector every 50 ms from `from_us` up to `to_us` and records each suspicion as this member's own. Returns the
-/// actions with their times.
+/// Ticks the detector every 50 ms from `from_us` up to `to_us` and records each suspicion as this member's own.
+/// Returns the actions with their times.
 fn run(
     detector: &mut FailureDetector,
     from_us: u64,
@@ -60,7 +60,7 @@
             .map(|(at_us, _)| *at_us)
     };
     let suspected_at_us = time_of(DetectorAction::Suspect("b".into()));
-    let dead_at_us = time_of(DetectorAction::ConfirmDead("b".into()));
+    let dead_at_us = time_of(DetectorAction::DeclareDead("b".into()));
     assert!(
         suspected_at_us.expect("the silent member is suspected")
             < silent_from_us + 4 * PROBE_INTERVAL_US
@@ -104,7 +104,7 @@
         .any(|(_, a)| *a == DetectorAction::NotifySuspect("a".into())));
     assert!(!all
         .iter()
-        .any(|(_, a)| matches!(a, DetectorAction::ConfirmDead(_))));
+        .any(|(_, a)| matches!(a, DetectorAction::DeclareDead(_))));
     detector.clear_suspicion("a");
     let later = run(
         &mut detector,
--- a/crates/cluster-membership/src/gauges.rs
+++ b/crates/cluster-membership/src/gauges.rs
@@ -1,5 +1,5 @@
-//! Named gauges that each member publishes to the others, with the age of each value. The set of a member is sent whole under a
-//! version number; receivers keep only the latest version.
+//! Named gauges that each member publishes to the others, with the age of each value. The set of a member is sent
+//! whole under a version number; receivers keep only the latest version.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/crates/cluster-membership/src/member_table.rs
+++ b/crates/cluster-membership/src/member_table.rs
@@ -1,5 +1,6 @@
-//! The table of all members known to this one. It queues changes for dissemination, finds differences from another member's
-//! table, derives the view of ready members, and forgets members that have been gone for long. Times are in microseconds.
+//! The table of all members known to this one. It queues changes for dissemination, finds differences from another
+//! member's table, derives the view of ready members, and forgets members that have been gone for long. Times are in
+//! microseconds.
 
 use crate::record::{stable_hash, LifecyclePhase, Liveness, MemberRecord};
 use std::collections::{BTreeMap, VecDeque};
@@ -7,10 +8,11 @@
 #[cfg(test)]
 mod tests;
 
-/// Number of buckets into which a table is divided for anti-entropy: tables are compared, and differences sent, per bucket.
+/// Number of buckets into which a table is divided for anti-entropy: tables are compared, and differences sent, per
+/// bucket.
 pub const BUCKETS: usize = 16;
-/// How often each change is disseminated, as a multiple of the binary logarithm of the number of members (SWIM, section 4.1 of
-/// Das et al., DSN 2002).
+/// How often each change is disseminated, as a multiple of the binary logarithm of the number of members (SWIM,
+/// section 4.1 of Das et al., DSN 2002).
 const DISSEMINATION_FACTOR: u32 = 4;
 
 /// A member in the table.
@@ -18,8 +20,8 @@
 pub struct MemberEntry {
     /// Latest record of the member.
     pub record: MemberRecord,
-    /// When a member that is gone died or left, derived from the age reported by other members; for a present member, when its
-    /// record was received.
+    /// When a member that is gone died or left, derived from the age reported by other members; for a present member,
+    /// when its record was received.
     pub since_us: u64,
     /// Short hashes of the names of the members that suspect this one; empty unless it is a suspect.
     pub suspectors: Vec<u32>,
@@ -64,7 +66,8 @@
 }
 
 impl MemberTable {
-    /// Creates a table that holds only this member. `forget_us`: how long dead members and those that have left are remembered.
+    /// Creates a table that holds only this member. `forget_us`: how long dead members and those that have left are
+    /// remembered.
     pub fn new(own: MemberRecord, max_members: usize, forget_us: u64) -> MemberTable {
         let mut table = MemberTable {
             own_name: own.name.clone(),
@@ -131,8 +134,8 @@
         ready
     }
 
-    /// Merges a record received from another member and returns the change, if any. `age_us`: how long the record's member has
-    /// been gone; 0 if it is present.
+    /// Merges a record received from another member and returns the change, if any. `age_us`: how long the record's
+    /// member has been gone; 0 if it is present.
     pub fn merge(
         &mut self,
         now_us: u64,
@@ -161,8 +164,8 @@
         })
     }
 
-    /// Publishes a phase of this member under an incarnation above both its last one and `min_incarnation`. The new record also
-    /// refutes records of lower incarnations in which this member is suspect, dead or gone.
+    /// Publishes a phase of this member under an incarnation above both its last one and `min_incarnation`. The new
+    /// record also refutes records of lower incarnations in which this member is suspect, dead or gone.
     pub fn publish_own(&mut self, now_us: u64, phase: LifecyclePhase, min_incarnation: u64) {
         let own = self.own_record().clone();
         let record = MemberRecord {
@@ -174,8 +177,8 @@
         self.insert_record(now_us, record, now_us);
     }
 
-    /// Sets the liveness of a member in its current incarnation and returns the change: `None` unless the liveness is worse than
-    /// the known one.
+    /// Sets the liveness of a member in its current incarnation and returns the change: `None` unless the liveness is
+    /// worse than the known one.
     pub fn set_liveness(
         &mut self,
         now_us: u64,
@@ -189,8 +192,8 @@
         self.merge(now_us, &record, 0)
     }
 
-    /// Adds a suspector (the short hash of its name) to the member `name`. Returns false and adds nothing if the member is no
-    /// suspect, already has `max_suspectors` suspectors, or has this one.
+    /// Adds a suspector (the short hash of its name) to the member `name`. Returns false and adds nothing if the
+    /// member is no suspect, already has `max_suspectors` suspectors, or has this one.
     pub fn add_suspector(&mut self, name: &str, suspector: u32, max_suspectors: usize) -> bool {
         let Some(entry) = self.entries.get_mut(name) else {
             return false;
@@ -205,12 +208,13 @@
         is_new
     }
 
-    /// Returns the number of known members that suspect the member `name`.
+    /// Returns the number of suspectors recorded for the member `name`.
     pub fn suspector_count(&self, name: &str) -> usize {
         self.entry(name).map_or(0, |entry| entry.suspectors.len())
     }
 
-    /// Passes the changes to disseminate to `accept` one by one, the least often sent ones first, until it returns false.
+    /// Passes the changes to disseminate to `accept` one by one, the least often sent ones first, until it returns
+    /// false.
     pub fn drain_disseminations(&mut self, mut accept: impl FnMut(&MemberEntry) -> bool) {
         let members_log2 = usize::BITS - self.entries.len().leading_zeros();
         let max_sent = DISSEMINATION_FACTOR * members_log2;
@@ -268,7 +272,8 @@
         names.iter().filter_map(|name| self.remove(name)).collect()
     }
 
-    /// Returns whether the table has room for another member. A full table first drops the member that has been gone for longest.
+    /// Returns whether the table has room for another member. A full table first drops the member that has been gone
+    /// for longest.
     fn ensure_capacity(&mut self) -> bool {
         if self.entries.len() < self.max_members {
             return true;
--- a/crates/cluster-membership/src/membership/anti_entropy.rs
+++ b/crates/cluster-membership/src/membership/anti_entropy.rs
@@ -1,5 +1,5 @@
-//! Anti-entropy: periodic comparison of the whole member table with that of a random other member, which repairs the effect of
-//! lost disseminations.
+//! Anti-entropy: periodic comparison of the whole member table with that of a random other member, which repairs the
+//! effect of lost disseminations.
 
 use super::output::Output;
 use super::send::DatagramContent;
@@ -37,8 +37,8 @@
         self.send(now_us, &name, content, outputs);
     }
 
-    /// Sends the differing members, starting with a random one, so that successive comparisons of a large table cover different
-    /// members. The first datagram also carries this member's digests if `includes_digests`.
+    /// Sends the differing members, starting with a random one, so that successive comparisons of a large table cover
+    /// different members. The first datagram also carries this member's digests if `includes_digests`.
     pub(super) fn send_differing(
         &mut self,
         now_us: u64,
--- a/crates/cluster-membership/src/membership/config.rs
+++ b/crates/cluster-membership/src/membership/config.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-/// Percentage of the message budget reserved for periodic updates; the rest is for probes, replies and anti-entropy.
+/// Percentage of the datagram budget reserved for periodic updates; the rest is for probes, replies and anti-entropy.
 const UPDATE_BUDGET_PERCENT: u64 = 85;
 /// How long a usage report remains valid, in update intervals: more than one, since datagrams may be lost.
 const REPORT_TTL_INTERVALS: u64 = 6;
@@ -49,8 +49,8 @@
 }
 
 impl MembershipConfig {
-    /// Returns the interval between updates to the same member in microseconds, stretched so that updates to `others` members
-    /// stay within the message budget.
+    /// Returns the interval between updates to the same member in microseconds, stretched so that updates to `others`
+    /// members stay within the datagram budget.
     pub(super) fn scaled_update_interval_us(&self, others: usize) -> u64 {
         let updates_per_s = (self.messages_per_s * UPDATE_BUDGET_PERCENT / 100).max(1);
         self.update_interval_us
--- a/crates/cluster-membership/src/membership/invalid_seal_limiter.rs
+++ b/crates/cluster-membership/src/membership/invalid_seal_limiter.rs
@@ -1,10 +1,12 @@
-//! Rate limit of the processor time spent on datagrams with an invalid seal, whose senders have no key or a wrong one.
+//! Rate limit of the datagrams examined from sources that sent invalid seals, so that senders without a valid key do
+//! not exhaust the processor.
 
 use crate::token_bucket::TokenBucket;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Invalid datagrams examined per second from one source, and together from all sources that are not counted separately.
+/// Invalid datagrams examined per second from one source, and together from all sources that are not counted
+/// separately.
 const MAX_INVALID_PER_S: f64 = 50.0;
 /// Upper bound of the sources that are counted separately.
 const MAX_SOURCES: usize = 256;
@@ -52,7 +54,7 @@
             .spend(now_us, 1.0);
     }
 
-    /// Returns whether a flood was detected since the last call and none has been reported before; true at most once.
+    /// Returns true at the first call after the rate limit rejected a datagram, and false at all other calls.
     pub fn take_unreported_flood(&mut self) -> bool {
         let is_flooded = std::mem::take(&mut self.has_new_flood);
         is_flooded && !std::mem::replace(&mut self.is_flood_reported, true)
--- a/crates/cluster-membership/src/membership/member_updates.rs
+++ b/crates/cluster-membership/src/membership/member_updates.rs
@@ -1,5 +1,5 @@
-//! Handling of received member updates: merges them into the member table, refutes those in which this member is suspect, dead
-//! or gone, and resolves conflicts with another process under the same name.
+//! Handling of received member updates: merges them into the member table, refutes those in which this member is
+//! suspect, dead or gone, and resolves conflicts with another process under the same name.
 
 use super::output::Output;
 use super::peer::last_received_at_us;
@@ -9,11 +9,12 @@
 use crate::record::{stable_hash, LifecyclePhase, Liveness, MemberRecord};
 use crate::wire::MemberUpdate;
 
-/// Time after the start within which a process takes its name over from another process; after it, a later process takes the
-/// name over from this one.
+/// Time since its start within which a process that meets another one under its name raises its incarnation to take
+/// the name over. After that time it yields the name to a process with a higher incarnation.
 const NAME_CLAIM_WINDOW_US: u64 = 3_000_000;
-/// Upper bound, in update intervals, of the time without a datagram from a suspect, after which this member suspects it too.
-const MAX_MISSED_UPDATES: u64 = 4;
+/// Time without a datagram from a suspect, in update intervals and at least two probe intervals, after which this
+/// member suspects it too.
+const MISSED_UPDATES_BEFORE_SUSPICION: u64 = 4;
 
 /// Another process that is or was running under this member's name.
 #[derive(Clone, Copy, Debug)]
@@ -27,7 +28,8 @@
 }
 
 impl Membership {
-    /// Handles a received member update, which concerns either another member, this process, or a process under the same name.
+    /// Handles a received member update, which concerns either another member, this process, or a process under the
+    /// same name.
     pub(super) fn apply_member_update(
         &mut self,
         now_us: u64,
@@ -81,7 +83,8 @@
         }
     }
 
-    /// Records the suspectors of a suspect from an update, and adds this member to them if it misses the suspect's updates.
+    /// Records the suspectors of a suspect from an update, and adds this member to them if it misses the suspect's
+    /// updates.
     fn confirm_suspicion(&mut self, update: &MemberUpdate) {
         let name = &update.record.name;
         for suspector in &update.suspectors {
@@ -89,7 +92,7 @@
                 .add_suspector(name, *suspector, MAX_CONFIRMATIONS + 1);
         }
         let update_interval_us = self.config.scaled_update_interval_us(self.table.len());
-        let missed_us = update_interval_us * MAX_MISSED_UPDATES;
+        let missed_us = update_interval_us * MISSED_UPDATES_BEFORE_SUSPICION;
         let max_silence_us = missed_us.max(2 * self.config.probe_interval_us);
         let last_received_at_us = last_received_at_us(&self.peers, name);
         let running_us = self.clock.running_us();
@@ -116,7 +119,8 @@
             .record_suspicion(running_us, name, incarnation, suspectors);
     }
 
-    /// Takes this member's name over from another process, or marks this process as superseded by a later one.
+    /// Handles another process under this member's name that has a higher incarnation: takes the name over if that
+    /// process is gone or this one has just started; otherwise marks this process as superseded.
     pub(super) fn handle_name_claim(
         &mut self,
         now_us: u64,
@@ -166,7 +170,7 @@
         }
         let was_dead = before.is_some_and(|before| before.liveness == Liveness::Dead);
         let state = if was_dead && record.is_present() {
-            format!("{}, returned after it was dead", record.state())
+            format!("{} again after it was declared dead", record.state())
         } else {
             record.state().to_string()
         };
@@ -204,7 +208,7 @@
         let own_name = has_own_number.then_some(&self.config.name);
         if let Some(other) = other.or(own_name) {
             let line = format!(
-                "member {name}: gateway number {} is already used by member {other}; configure a different number for each member",
+                "member {name}: gateway number {} is also used by member {other}; configure a unique one",
                 record.number
             );
             self.log(now_us, line, outputs);
--- a/crates/cluster-membership/src/membership/mod.rs
+++ b/crates/cluster-membership/src/membership/mod.rs
@@ -1,9 +1,10 @@
-//! The state machine of a member: its inputs are datagrams and ticks, its outputs are datagrams and events. It has no sockets
-//! and no clock, and all its randomness comes from a seed. Times are in microseconds of a monotonic clock.
+//! The state machine of a member: its inputs are datagrams and ticks, its outputs are datagrams and events. It has no
+//! sockets and no clock, and all its randomness comes from a seed. Times are in microseconds of a monotonic clock.
 //!
-//! [`Membership`] is one type whose methods are divided by concern: `state` holds the data and its accessors, `receive` handles
-//! datagrams, `member_updates` merges the member updates in them, `probing` drives the failure detector, `anti_entropy` compares
-//! member tables, `seeds` finds other members, `send` composes datagrams, and `tick` does the periodic work.
+//! [`Membership`] is one type whose methods are divided by concern: `state` holds the data and its accessors,
+//! `receive` handles datagrams, `member_updates` merges the member updates in them, `probing` drives the failure
+//! detector, `anti_entropy` compares member tables, `seeds` finds other members, `send` composes datagrams, and
+//! `tick` does the periodic work.
 
 mod anti_entropy;
 mod config;
--- a/crates/cluster-membership/src/membership/peer.rs
+++ b/crates/cluster-membership/src/membership/peer.rs
@@ -14,13 +14,14 @@
 /// State of the exchange with one other member.
 pub(super) struct Peer {
     pub session: Session,
-    /// When a datagram last arrived from the member, whether or not its instance is proven, in microseconds of running time.
+    /// When a datagram last arrived from the member, whether or not its instance is proven, in microseconds of
+    /// running time.
     pub last_datagram_at_us: u64,
     /// Progress of the exchange of usage.
     pub usage: UsageProgress,
     /// Gauges of the member.
     pub gauges: Gauges,
-    /// Latest version of our gauges that the member has acknowledged.
+    /// Latest version of this member's gauges that the other member has acknowledged.
     pub gauges_acked: u64,
     /// When the next update to the member is due, in microseconds.
     pub next_update_at_us: u64,
@@ -28,13 +29,14 @@
     pub received: TokenBucket,
     /// Numbers of the member's probes that the next datagram to it acknowledges.
     pub pending_acks: Vec<u32>,
-    /// Number of datagrams sent to the member's instance since that was proven; the first ones carry our record.
+    /// How many datagrams were sent to the member's instance since that was proven; the first ones carry this
+    /// member's record.
     pub proven_sends: u8,
 }
 
 impl Peer {
-    /// Creates the state for a member with which nothing was exchanged. The first datagram to it has the sequence number after
-    /// `last_sent_sequence`.
+    /// Creates the state for a member with which nothing was exchanged. The first datagram to it has the sequence
+    /// number after `last_sent_sequence`.
     pub fn new(updates_per_s: f64, last_sent_sequence: u64) -> Peer {
         let max_received_per_s = updates_per_s * MAX_UPDATE_FACTOR + MAX_EXTRA_DATAGRAMS_PER_S;
         Peer {
@@ -59,7 +61,8 @@
     }
 }
 
-/// Returns when a datagram was last received directly from the member `name`, in microseconds of running time; 0 if never.
+/// Returns when a datagram was last received directly from the member `name`, in microseconds of running time; 0 if
+/// never.
 pub(super) fn last_received_at_us(peers: &BTreeMap<String, Peer>, name: &str) -> u64 {
     peers
         .get(name)
--- a/crates/cluster-membership/src/membership/probing.rs
+++ b/crates/cluster-membership/src/membership/probing.rs
@@ -8,14 +8,15 @@
 use crate::record::{Liveness, MemberRecord};
 use crate::wire::IndirectPing;
 
-/// How long a probe on behalf of another member waits for its acknowledgement.
+/// How long a probe on behalf of another member waits for its acknowledgement, and how long a peer that is not in the
+/// member table is retained after its last datagram.
 pub(super) const RELAYED_PING_TIMEOUT_US: u64 = 5_000_000;
 /// Upper bound of the probes in flight on behalf of other members.
 const MAX_RELAYED_PINGS: usize = 1_024;
 
 impl Membership {
-    /// Ticks the failure detector and executes its actions. Does nothing while received datagrams may date from the last pause of
-    /// this process.
+    /// Ticks the failure detector and executes its actions. Does nothing while received datagrams may date from the
+    /// last pause of this process.
     pub(super) fn run_failure_detector(&mut self, now_us: u64, outputs: &mut Vec<Output>) {
         if self.clock.is_catching_up() {
             return;
@@ -63,7 +64,7 @@
                 }
             }
             DetectorAction::Suspect(name) => self.suspect(now_us, &name, outputs),
-            DetectorAction::ConfirmDead(name) => self.confirm_dead(now_us, &name, outputs),
+            DetectorAction::DeclareDead(name) => self.declare_dead(now_us, &name, outputs),
             DetectorAction::NotifySuspect(name) => {
                 self.send(now_us, &name, DatagramContent::receiver_record(), outputs);
             }
@@ -84,7 +85,7 @@
     }
 
     /// Declares a member dead if it is a suspect.
-    fn confirm_dead(&mut self, now_us: u64, name: &str, outputs: &mut Vec<Output>) {
+    fn declare_dead(&mut self, now_us: u64, name: &str, outputs: &mut Vec<Output>) {
         let is_suspect = self
             .table
             .record(name)
@@ -127,7 +128,8 @@
         );
     }
 
-    /// Handles the acknowledgement of the probe numbered `ping`, and forwards it if the probe was sent on behalf of another member.
+    /// Handles the acknowledgement of the probe numbered `ping`, and forwards it if the probe was sent on behalf of
+    /// another member.
     pub(super) fn handle_ack(&mut self, now_us: u64, ping: u32, outputs: &mut Vec<Output>) {
         self.detector.acknowledge(ping);
         if let Some(relayed) = self.relayed_pings.remove(&ping) {
--- a/crates/cluster-membership/src/membership/receive.rs
+++ b/crates/cluster-membership/src/membership/receive.rs
@@ -7,11 +7,13 @@
 use crate::gauges::GaugeSnapshot;
 use crate::session::{DatagramIdentity, DatagramVerdict};
 use crate::usage_counters::InstanceKey;
-use crate::wire::{DatagramBody, DatagramHeader, MemberUpdate, UsageGroup, MAX_PROBES};
+use crate::wire::{
+    DatagramBody, DatagramHeader, MemberUpdate, UsageGroup, MAX_PROBES_PER_DATAGRAM,
+};
 use std::net::SocketAddr;
 
-/// Upper bound of the remembered peers, as a multiple of the maximum number of members, since some peers are not in the member
-/// table.
+/// Upper bound of the remembered peers, as a multiple of the maximum number of members, since some peers are not in
+/// the member table.
 const MAX_PEERS_PER_MEMBER: usize = 2;
 
 impl Membership {
@@ -54,7 +56,8 @@
                 return;
             }
             DatagramVerdict::Replaced => {
-                // Addressed to the replaced instance, so that it learns that it has been replaced.
+                // The reply is addressed to the replaced instance, so that its process learns that another one has
+                // its name.
                 let replaced = Some(body.header.instance_id);
                 self.reply_to_unproven(now_us, &body.header, from, replaced, outputs);
                 return;
@@ -64,8 +67,8 @@
         self.handle_body(now_us, body, outputs);
     }
 
-    /// Opens and decodes a datagram; returns `None` if its seal or body is invalid, or if its source exceeds the limit of invalid
-    /// datagrams.
+    /// Opens and decodes a datagram; returns `None` if its seal or body is invalid, or if its source exceeds the
+    /// limit of invalid datagrams.
     fn open(&mut self, now_us: u64, from: SocketAddr, bytes: &[u8]) -> Option<DatagramBody> {
         if !self.invalid_seals.admit(now_us, from) {
             return None;
@@ -77,8 +80,8 @@
         body
     }
 
-    /// Records a datagram in the session of its sender and returns the verdict; `None` if there are too many peers, or if this
-    /// sender exceeds its rate limit.
+    /// Records a datagram in the session of its sender and returns the verdict; `None` if there are too many peers,
+    /// or if this sender exceeds its rate limit.
     fn classify_datagram(
         &mut self,
         now_us: u64,
@@ -123,7 +126,8 @@
         }
     }
 
-    /// Sends this member's record to the sender of an unproven datagram, so that the sender learns the current instance.
+    /// Sends this member's record to the sender of an unproven datagram, so that the sender learns the current
+    /// instance.
     fn reply_to_unproven(
         &mut self,
         now_us: u64,
@@ -183,12 +187,12 @@
         let gauges_acked = peer.gauges_acked.max(header.gauges_received);
         peer.gauges_acked = gauges_acked.min(self.gauges.version);
         peer.gauges.replace_if_later(now_us, gauges);
-        if header.ping != 0 && peer.pending_acks.len() < MAX_PROBES {
+        if header.ping != 0 && peer.pending_acks.len() < MAX_PROBES_PER_DATAGRAM {
             peer.pending_acks.push(header.ping);
         }
         self.usage.merge(now_us, usage);
         if header.usage_after > peer.usage.received {
-            // A datagram with earlier changes was lost or is late.
+            // A datagram with earlier changes was lost or is late, so the changes in this one are not acknowledged yet.
             return;
         }
         peer.usage.received = peer.usage.received.max(header.usage_up_to);
--- a/crates/cluster-membership/src/membership/run_clock.rs
+++ b/crates/cluster-membership/src/membership/run_clock.rs
@@ -1,11 +1,12 @@
-//! A clock of the time during which this process was running, without pauses in which it was stopped or starved.
+//! A clock of the time during which this process was running; pauses in which it was stopped or starved hardly count.
 
 use super::config::MembershipConfig;
 
 /// Longest gap between two ticks, in update intervals; a longer one counts as a pause of the process.
 const MAX_TICK_GAP_INTERVALS: u64 = 6;
 
-/// A clock that advances by ticks and stands still during pauses. All times are in microseconds.
+/// A clock that advances by at most [`MAX_TICK_GAP_INTERVALS`] update intervals per tick, so that a pause of the
+/// process counts for no more than that. All times are in microseconds.
 pub(super) struct RunClock {
     max_gap_us: u64,
     report_ttl_us: u64,
@@ -37,13 +38,13 @@
         now_us.saturating_sub(self.started_at_us.unwrap_or(now_us))
     }
 
-    /// Returns whether received datagrams may still date from the last pause, so that they do not prove that their senders are
-    /// running now.
+    /// Returns whether received datagrams may still date from the last pause, so that they do not prove that their
+    /// senders are running now.
     pub fn is_catching_up(&self) -> bool {
         self.running_us < self.catching_up_until_us
     }
 
-    /// Detects a pause when a datagram is handled before the late tick.
+    /// Detects a pause at the first datagram after it, which may be handled before the next tick.
     pub fn observe_datagram(&mut self, now_us: u64) {
         let has_ticked = self.last_tick_at_us > 0;
         if has_ticked && now_us.saturating_sub(self.last_tick_at_us) > self.max_gap_us {
--- a/crates/cluster-membership/src/membership/seeds.rs
+++ b/crates/cluster-membership/src/membership/seeds.rs
@@ -18,8 +18,8 @@
 const MAX_SEEDS_AT_ONCE: usize = 64;
 
 impl Membership {
-    /// Contacts seeds at whose addresses no member is present: all of them while no other member is present, otherwise a random
-    /// one. Also contacts a random dead member, since a partition may have healed.
+    /// Contacts seeds at whose addresses no member is present: all of them while no other member is present,
+    /// otherwise a random one. Also contacts a random dead member, since a partition may have healed.
     pub(super) fn contact_seeds(&mut self, now_us: u64, outputs: &mut Vec<Output>) {
         if now_us < self.next_seed_contact_at_us {
             return;
--- a/crates/cluster-membership/src/membership/send.rs
+++ b/crates/cluster-membership/src/membership/send.rs
@@ -7,18 +7,21 @@
 use crate::record::LifecyclePhase;
 use crate::seal::{MAX_DATAGRAM_BYTES, SEAL_OVERHEAD_BYTES};
 use crate::usage_counters::InstanceKey;
-use crate::wire::{DatagramHeader, DatagramWriter, IndirectPing, MemberUpdate, MAX_PROBES};
+use crate::wire::{
+    DatagramHeader, DatagramWriter, IndirectPing, MemberUpdate, MAX_PROBES_PER_DATAGRAM,
+};
 use std::iter::Peekable;
 use std::net::SocketAddr;
 
 /// Upper bound of the length of a message of another subsystem, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 880;
 
-/// Bytes of a datagram that disseminated members leave free for usage counters.
+/// Bytes of a datagram reserved for usage counters when disseminated members are added.
 const USAGE_RESERVE_BYTES: usize = 400;
-/// Number of the first datagrams to a proven instance that carry this member's record.
-const MIN_OWN_RECORD_SENDS: u8 = 3;
-/// Upper bound of the members notified per call or tick that this one leaves.
+/// How many datagrams to a newly proven instance carry this member's record: more than one, since datagrams may be
+/// lost.
+const OWN_RECORD_SENDS: u8 = 3;
+/// Upper bound of the members notified by one call of [`Membership::leave`].
 const MAX_LEAVE_NOTICES: usize = 64;
 
 /// The contents of one datagram in addition to what every datagram carries.
@@ -36,7 +39,7 @@
     pub wants_digests: bool,
     /// Whether the datagram carries this member's record.
     pub has_own_record: bool,
-    /// Whether the datagram carries the receiver's record.
+    /// Whether the datagram carries this member's record of the receiver.
     pub has_receiver_record: bool,
     /// The replaced instance of the receiver to address in place of the current one.
     pub replaced_instance_id: Option<u64>,
@@ -63,7 +66,7 @@
         }
     }
 
-    /// Creates content with the receiver's own record, so that the receiver refutes it if it is wrong.
+    /// Creates content with this member's record of the receiver, so that the receiver can refute a wrong one.
     pub fn receiver_record() -> Self {
         DatagramContent {
             has_receiver_record: true,
@@ -78,13 +81,14 @@
     instance: InstanceKey,
     /// Sequence number of the datagram.
     sequence: u64,
-    /// Whether this instance is proven: it has named ours. An unproven instance is sent neither messages nor gossip.
+    /// Whether this instance is proven: a datagram from it was addressed to this process's instance. An unproven
+    /// instance is sent neither messages nor gossip.
     is_proven: bool,
     /// Whether the receiver is gone according to the member table, or another instance has its name.
     is_outdated: bool,
     /// Whether the receiver may still lack this member's record.
     needs_own_record: bool,
-    /// Number of the last usage change of the receiver that this member has.
+    /// Change number up to which this member has received all usage changes of the receiver.
     usage_received: u64,
     /// Version of the receiver's gauges that this member has.
     gauges_received: u64,
@@ -93,7 +97,8 @@
 }
 
 impl Membership {
-    /// Notifies the other members that this one leaves. Each further call and each tick repeats the notice.
+    /// Notifies up to [`MAX_LEAVE_NOTICES`] present members that this one leaves. Each further call and each tick
+    /// repeats that.
     pub fn leave(&mut self, now_us: u64, outputs: &mut Vec<Output>) {
         if self.superseded {
             return;
@@ -110,8 +115,8 @@
         }
     }
 
-    /// Sends a message of at most [`MAX_MESSAGE_BYTES`] bytes to a member once. The message is dropped if the member's instance
-    /// is not proven, since the datagrams that named it may have been replayed.
+    /// Sends a message of at most [`MAX_MESSAGE_BYTES`] bytes to a member once. The message is dropped if the
+    /// member's instance is not proven, since the datagrams that named it may have been replayed.
     pub fn send_message(
         &mut self,
         now_us: u64,
@@ -173,7 +178,8 @@
         self.transmit(now_us, address, writer, header, outputs);
     }
 
-    /// Counts a datagram to a member, takes its pending acknowledgements, and determines the instance to address.
+    /// Assigns the next sequence number, schedules the member's next update, takes its pending acknowledgements, and
+    /// determines the instance to address.
     fn address_receiver(
         &mut self,
         now_us: u64,
@@ -198,7 +204,7 @@
         let instance_id = replaced_instance_id.unwrap_or(current_instance_id);
         let proven_instance_id = peer.session.proven_instance_id;
         let is_proven = proven_instance_id != 0 && proven_instance_id == instance_id;
-        let needs_own_record = peer.proven_sends < MIN_OWN_RECORD_SENDS;
+        let needs_own_record = peer.proven_sends < OWN_RECORD_SENDS;
         if is_proven {
             peer.proven_sends = peer.proven_sends.saturating_add(1);
         }
@@ -224,7 +230,7 @@
     fn header_to(&self, receiver: &mut Receiver, content: &mut DatagramContent) -> DatagramHeader {
         let mut acks = std::mem::take(&mut receiver.pending_acks);
         acks.append(&mut content.acks);
-        acks.truncate(MAX_PROBES);
+        acks.truncate(MAX_PROBES_PER_DATAGRAM);
         DatagramHeader {
             ping: content.ping,
             acks,
@@ -237,7 +243,7 @@
         }
     }
 
-    /// Returns a header that carries only sender and receiver.
+    /// Returns a header with the fields that every datagram carries.
     pub(super) fn header(&self, to_instance_id: u64, sequence: u64) -> DatagramHeader {
         let own = self.table.own_record();
         DatagramHeader {
@@ -323,7 +329,7 @@
         let bytes = self.keys.seal(&writer.finish(header));
         debug_assert!((SEAL_OVERHEAD_BYTES..=MAX_DATAGRAM_BYTES).contains(&bytes.len()));
         self.byte_budget.spend(now_us, bytes.len() as f64);
-        self.message_budget.spend(now_us, 1.0);
+        self.datagram_budget.spend(now_us, 1.0);
         outputs.push(Output::Send { to, bytes });
     }
 
@@ -331,8 +337,8 @@
     pub(super) fn peer_mut(&mut self, now_us: u64, name: &str) -> &mut Peer {
         let update_interval_us = self.config.scaled_update_interval_us(self.table.len());
         let updates_per_s = 1e6 / update_interval_us as f64;
-        // At most one datagram per millisecond is sent to a member, so this is above all sequence numbers that were sent before the
-        // member was forgotten.
+        // At most one datagram per millisecond is sent to a member, so the uptime in milliseconds is above all
+        // sequence numbers that were sent before the member was forgotten.
         let last_sent_sequence = self.clock.uptime_us(now_us) / 1_000;
         self.peers
             .entry(name.into())
--- a/crates/cluster-membership/src/membership/state.rs
+++ b/crates/cluster-membership/src/membership/state.rs
@@ -54,22 +54,25 @@
     pub(super) peers: BTreeMap<String, Peer>,
     /// Probes in flight on behalf of other members, by this member's number of the probe.
     pub(super) relayed_pings: BTreeMap<u32, RelayedPing>,
-    /// Numbers of the gateways that have reported all of their own usage since the last tick.
+    /// Numbers of the gateways from which, since the last tick, a datagram arrived that completes this member's
+    /// knowledge of their own usage.
     pub(super) fully_reported: BTreeSet<u32>,
     /// Gateway numbers of the present members from which no datagrams arrive directly.
     pub(super) silent_gateways: Vec<u16>,
-    /// Gateway numbers that no member uses, as of the last [`Output::GatewaysAbsent`].
+    /// Gateway numbers in the last [`Output::GatewaysAbsent`].
     pub(super) absent_gateways: Vec<u32>,
     pub(super) invalid_seals: InvalidSealLimiter,
     pub(super) byte_budget: TokenBucket,
-    pub(super) message_budget: TokenBucket,
+    pub(super) datagram_budget: TokenBucket,
     pub(super) unproven_replies: TokenBucket,
     pub(super) log_limiter: LogLimiter,
     pub(super) next_seed_contact_at_us: u64,
     pub(super) next_comparison_at_us: u64,
-    /// Whether the member table can be relied on: a datagram of another member was accepted, or there is no seed but this member.
+    /// Whether the member table can be relied on: a datagram of another member was accepted, or there is no seed but
+    /// this member.
     pub(super) has_joined: bool,
-    /// Whether a later process is running under this member's name. This process then neither sends nor handles datagrams.
+    /// Whether a later process is running under this member's name. This process then neither sends nor handles
+    /// datagrams.
     pub superseded: bool,
     /// Whether [`Membership::leave`] was called.
     pub(super) has_left: bool,
@@ -101,7 +104,7 @@
             absent_gateways: Vec::new(),
             invalid_seals: InvalidSealLimiter::new(),
             byte_budget: TokenBucket::new(config.bytes_per_s as f64),
-            message_budget: TokenBucket::new(config.messages_per_s as f64),
+            datagram_budget: TokenBucket::new(config.messages_per_s as f64),
             unproven_replies: TokenBucket::new(MAX_UNPROVEN_REPLIES_PER_S),
             log_limiter: LogLimiter::new(),
             next_seed_contact_at_us: 0,
@@ -190,7 +193,8 @@
         }
     }
 
-    /// Returns the running time since a datagram was last received directly from a member, in microseconds; `None` if never.
+    /// Returns the running time since a datagram was last received directly from a member, in microseconds; `None` if
+    /// never.
     fn time_since_received_us(&self, name: &str) -> Option<u64> {
         let last_received_at_us = last_received_at_us(&self.peers, name);
         (last_received_at_us > 0)
--- a/crates/cluster-membership/src/membership/tick.rs
+++ b/crates/cluster-membership/src/membership/tick.rs
@@ -10,7 +10,7 @@
 
 /// Time without a datagram from a member after which the other members are requested to relay its usage.
 const SILENCE_TIMEOUT_US: u64 = 1_000_000;
-/// Lower bound of the number of updates that may be sent per tick.
+/// Minimum of the limit of updates per tick.
 const MIN_UPDATES_PER_TICK: u64 = 8;
 
 impl Membership {
@@ -37,7 +37,8 @@
         self.log_suppressed(now_us, outputs);
     }
 
-    /// Removes members that have been gone for long, expired relayed probes, and the peers that are no longer needed.
+    /// Removes members that have been gone for `forget_us`, expired relayed probes, and peers that are not in the
+    /// member table and sent nothing for [`RELAYED_PING_TIMEOUT_US`].
     fn forget_gone(&mut self, now_us: u64, outputs: &mut Vec<Output>) {
         for record in self.table.forget_gone(now_us) {
             self.log(
@@ -56,7 +57,8 @@
         });
     }
 
-    /// Reports the gateway numbers that no member uses, if they have changed.
+    /// Reports the gateway numbers that no known member has, other than members that have left, if these numbers have
+    /// changed.
     fn report_absent_gateways(&mut self, outputs: &mut Vec<Output>) {
         if !self.has_joined {
             return;
@@ -83,15 +85,15 @@
 
     /// Reports the usage received since the last tick, if there is any.
     fn report_usage(&mut self, now_us: u64, outputs: &mut Vec<Output>) {
-        let changes = self.usage.tick(now_us);
-        if changes.is_empty() && self.fully_reported.is_empty() {
+        let reported = self.usage.tick(now_us);
+        if reported.is_empty() && self.fully_reported.is_empty() {
             return;
         }
         let complete_gateways = std::mem::take(&mut self.fully_reported);
         outputs.push(Output::UsageReported {
             complete_gateways: complete_gateways.into_iter().collect(),
-            uses: changes.uses,
-            earlier_uses: changes.earlier_uses,
+            uses: reported.uses,
+            earlier_uses: reported.earlier_uses,
         });
     }
 
@@ -112,8 +114,8 @@
             .collect();
     }
 
-    /// Sends updates to the members for which one is due, in the order of the due times, so that all members share an insufficient
-    /// budget.
+    /// Sends updates to the members for which one is due, in the order of the due times, so that all members share an
+    /// insufficient budget.
     fn send_updates(&mut self, now_us: u64, outputs: &mut Vec<Output>) {
         let due_at_us = |name: &str| self.peers.get(name).map_or(0, |p| p.next_update_at_us);
         let mut due: Vec<(u64, String)> = self
@@ -125,15 +127,15 @@
         due.sort_unstable();
         due.truncate(self.max_updates_per_tick());
         for (_, name) in due {
-            if !self.byte_budget.has_tokens(now_us) || !self.message_budget.has_tokens(now_us) {
+            if !self.byte_budget.has_tokens(now_us) || !self.datagram_budget.has_tokens(now_us) {
                 return;
             }
             self.send(now_us, &name, DatagramContent::default(), outputs);
         }
     }
 
-    /// Returns the limit of updates per tick. Updates are spread over the ticks of an interval, with a quarter to spare, since each
-    /// takes some 20 us, during which requests wait.
+    /// Returns the maximum number of updates per tick, with one tick per `update_interval_us`: an equal share of all
+    /// updates plus a quarter. Composing an update takes some 20 us, during which requests wait.
     fn max_updates_per_tick(&self) -> usize {
         let others = self.table.len().saturating_sub(1);
         let interval_us = self.config.scaled_update_interval_us(others);
@@ -144,7 +146,7 @@
     /// Logs a flood of invalid datagrams, and the number of suppressed log lines.
     fn log_suppressed(&mut self, now_us: u64, outputs: &mut Vec<Output>) {
         if self.invalid_seals.take_unreported_flood() {
-            let text = "fleet: flood of datagrams with an invalid seal; those above the rate limit are dropped unread";
+            let text = "fleet: flood of datagrams with an invalid seal; those above the rate limit are dropped unverified";
             outputs.push(Output::Log(text.into()));
         }
         if let Some(suppressed) = self.log_limiter.take_suppressed(now_us) {
--- a/crates/cluster-membership/src/record.rs
+++ b/crates/cluster-membership/src/record.rs
@@ -41,7 +41,9 @@
 pub struct MemberRecord {
     /// Name, unique in the cluster and stable across restarts.
     pub name: String,
-    /// Gateway number: the member's position in the sets of gateways that requests name.
+    /// Gateway number, unique in the cluster and below
+    /// [`MembershipConfig::gateways`](crate::MembershipConfig::gateways). A request names the gateways of its
+    /// customer by the first one's number and a count.
     pub number: u16,
     /// Availability zone.
     pub zone: String,
@@ -51,7 +53,8 @@
     pub address: SocketAddr,
     /// Random id that the process chooses at its start; a restarted process has a different one.
     pub instance_id: u64,
-    /// Incarnation: starts as the process's start time in milliseconds since 1970 and grows with each change and refutation.
+    /// Incarnation: starts as the process's start time in milliseconds since 1970 and grows with each change and
+    /// refutation.
     pub incarnation: u64,
     /// Lifecycle phase, as published by the member.
     pub phase: LifecyclePhase,
@@ -79,7 +82,8 @@
         !self.name.is_empty() && all_plain
     }
 
-    /// Returns whether a text has at most [`MAX_TEXT_BYTES`] bytes and only characters that are safe in a log line.
+    /// Returns whether a text has at most [`MAX_TEXT_BYTES`] bytes, all of them ASCII letters, digits, `-`, `.` or
+    /// `_`, so that it is safe in a log line.
     pub fn is_plain(text: &str) -> bool {
         let is_safe = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '.' | '_');
         text.len() <= MAX_TEXT_BYTES && text.chars().all(is_safe)
@@ -107,7 +111,8 @@
         }
     }
 
-    /// Returns the digest of the state on which all members converge. Suspicion is left out, since it soon ends either way.
+    /// Returns the digest of the state on which all members converge. Suspicion is left out, since it soon ends
+    /// either way.
     pub fn digest(&self) -> u64 {
         stable_hash((
             &self.name,
--- a/crates/cluster-membership/src/seal.rs
+++ b/crates/cluster-membership/src/seal.rs
@@ -1,5 +1,5 @@
-//! Authentication of datagrams by the cluster's shared keys with HMAC-SHA-256 (RFC 2104), truncated to its first 16 bytes (RFC
-//! 2104 section 5 requires at least half of the hash). During a key rotation, two keys are accepted.
+//! Authentication of datagrams by the cluster's shared keys with HMAC-SHA-256 (RFC 2104), truncated to its first 16
+//! bytes (RFC 2104 section 5 requires at least half of the hash). During a key rotation, two keys are accepted.
 //!
 //! ```text
 //! "FH" | version 3 | key id u8 | body | HMAC of all preceding bytes
@@ -10,7 +10,8 @@
 #[cfg(test)]
 mod tests;
 
-/// Upper bound of the length of a datagram, in bytes: below the MTU of usual paths, so that datagrams are not fragmented.
+/// Upper bound of the length of a datagram, in bytes: below the MTU of usual paths, so that datagrams are not
+/// fragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 /// Number of bytes that sealing adds to a body.
 pub const SEAL_OVERHEAD_BYTES: usize = PREFIX.len() + 1 + TAG_BYTES;
@@ -70,8 +71,8 @@
     /// Minimum length of a secret in bytes: that of the hash (RFC 2104 section 3).
     pub const MIN_SECRET_BYTES: usize = 32;
 
-    /// Parses the text of a key file. The file holds either one line per key, with an id (0 to 255) and a secret of at least 32
-    /// bytes without spaces, the sealing key first; or a single secret, which gets the id 0.
+    /// Parses the text of a key file. The file holds either one line per key, with an id (0 to 255) and a secret of
+    /// at least 32 bytes without spaces, the sealing key first; or a single secret, which gets the id 0.
     ///
     /// # Errors
     /// The file holds too many keys, a secret that is too short, or two keys with the same id.
--- a/crates/cluster-membership/src/session.rs
+++ b/crates/cluster-membership/src/session.rs
@@ -1,8 +1,8 @@
 //! Replay protection for the datagrams of one sender.
 //!
-//! Each datagram names the process instance of its receiver. A datagram that names this instance was created after this process
-//! started, which proves that it is no replay from before the start. Within one instance of the sender each sequence number is
-//! accepted once, and an instance that a later one has replaced is not accepted again.
+//! Each datagram names the process instance of its receiver. A datagram that names the receiver's current instance
+//! was created after the receiver started, so it is no replay from before that start. Within one instance of the
+//! sender each sequence number is accepted once, and an instance that a later one has replaced is not accepted again.
 
 #[cfg(test)]
 mod tests;
@@ -13,7 +13,7 @@
 /// State of the datagrams exchanged with the processes under one member name.
 #[derive(Clone, Debug, Default)]
 pub struct Session {
-    /// Instance that is proven, since it has named ours; 0 for none.
+    /// Proven instance: a datagram from it was addressed to this process's instance; 0 for none.
     pub proven_instance_id: u64,
     /// Sender's instance in the last datagram, whether or not it is proven, so that replies can name it.
     pub claimed_instance_id: u64,
@@ -51,16 +51,17 @@
     AcceptedNewInstance,
     /// The datagram was received before, or its sequence number is below the replay window.
     Duplicate,
-    /// The datagram names another instance of the receiver, or none, and may be a replay. The receiver replies, so that the sender
-    /// learns the current instance.
+    /// The datagram names another instance of the receiver, or none, and may be a replay. The receiver replies, so
+    /// that the sender learns the current instance.
     Unproven,
-    /// The datagram comes from an instance that another one has replaced. The receiver replies, so that the sender learns of
-    /// that.
+    /// The datagram comes from an instance that another one has replaced. The receiver replies, so that the sender
+    /// learns of that.
     Replaced,
 }
 
 impl Session {
-    /// Creates a session without any received datagrams. The first one sent has the sequence number after `last_sent_sequence`.
+    /// Creates a session without any received datagrams. The first one sent has the sequence number after
+    /// `last_sent_sequence`.
     pub fn starting_after(last_sent_sequence: u64) -> Session {
         Session {
             last_sent_sequence,
@@ -68,7 +69,8 @@
         }
     }
 
-    /// Returns the verdict on a datagram and records the datagram as received. `own_instance_id`: the instance of this process.
+    /// Returns the verdict on a datagram and records the datagram as received. `own_instance_id`: the instance of
+    /// this process.
     pub fn receive(&mut self, own_instance_id: u64, datagram: DatagramIdentity) -> DatagramVerdict {
         let instance_id = datagram.instance_id;
         let is_new_instance = instance_id != self.proven_instance_id;
@@ -95,8 +97,8 @@
         }
     }
 
-    /// Records a sequence number in the sliding window (RFC 4303 section 3.4.3). Returns false if it was received before or is
-    /// below the window.
+    /// Records a sequence number in the sliding window (RFC 4303 section 3.4.3). Returns false if it was received
+    /// before or is below the window.
     fn record_sequence(&mut self, sequence: u64) -> bool {
         if sequence > self.highest_sequence {
             let advance = sequence - self.highest_sequence;
--- a/crates/cluster-membership/src/usage_counters.rs
+++ b/crates/cluster-membership/src/usage_counters.rs
@@ -1,17 +1,18 @@
-//! Counters of the usage that each gateway admitted, by gateway, process instance, window and customer. Counters only grow, and
-//! two states are merged by the larger value of each counter, so that the order, loss and repetition of updates do not affect the
-//! result (a state-based CRDT, the G-counter; Shapiro et al., INRIA RR-7506, section 3.1.1). Times are in microseconds, totals in
-//! thousandths of a unit.
+//! Counters of the usage that each gateway admitted, by gateway, process instance, window and customer. Counters only
+//! grow, and two states are merged by the larger value of each counter, so that the order, loss and repetition of
+//! updates do not affect the result (a state-based CRDT, the G-counter; Shapiro et al., INRIA RR-7506, section
+//! 3.1.1). Times are in microseconds, totals in thousandths of a unit.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// Length of a window in microseconds of its gateway's monotonic clock.
 pub const WINDOW_US: u64 = 10_000_000;
-/// Number of retained windows per instance: 20 to 30 s of usage, about as much as a quota's burst can hold.
-pub const WINDOWS: u32 = 3;
-/// Upper bound of the remembered instances of one gateway, including those of which only the number of dropped windows is left.
-pub const MAX_INSTANCES: usize = 8;
+/// Upper bound of the retained windows per instance: 20 to 30 s of usage, about as much as a quota's burst can hold.
+pub const MAX_WINDOWS_PER_INSTANCE: u32 = 3;
+/// Upper bound of the remembered instances of one gateway, including those whose windows are all dropped and of which
+/// only the index of the first window not dropped is left.
+pub const MAX_INSTANCES_PER_GATEWAY: usize = 8;
 /// Time without growth after which all windows of an instance are dropped.
 const SILENT_INSTANCE_TIMEOUT_US: u64 = 40_000_000;
 
@@ -153,8 +154,8 @@
             })
     }
 
-    /// Merges the total of one counter and returns its growth: 0 if the total is not above the known one, the window was dropped,
-    /// or the limit of counters is reached and no window can be evicted.
+    /// Merges the total of one counter and returns its growth: 0 if the total is not above the known one, the window
+    /// was dropped, or the limit of counters is reached and no window can be evicted.
     pub fn merge(&mut self, now_us: u64, key: UsageKey, tag: u32, total: u64) -> u64 {
         let instance_key = key.instance();
         let is_dropped = self
@@ -179,8 +180,8 @@
         total - known_total
     }
 
-    /// Drops the windows of instances that have not grown for long. The first window not dropped is remembered, so that late updates
-    /// are still ignored.
+    /// Drops the windows of instances that have not grown for long. The first window not dropped is remembered, so
+    /// that late updates are still ignored.
     pub fn drop_silent_instances(&mut self, now_us: u64) {
         let is_silent = |instance: &InstanceState| {
             now_us.saturating_sub(instance.grew_at_us) >= SILENT_INSTANCE_TIMEOUT_US
@@ -215,7 +216,7 @@
             grew_at_us: now_us,
         });
         instance.grew_at_us = now_us;
-        let first_window = key.window.saturating_sub(WINDOWS - 1);
+        let first_window = key.window.saturating_sub(MAX_WINDOWS_PER_INSTANCE - 1);
         if first_window > instance.first_window {
             instance.first_window = first_window;
             self.drop_windows_below(instance_key, first_window);
@@ -255,8 +256,8 @@
         }
     }
 
-    /// Drops the window of the counter that changed longest ago, among all instances but `protected`. Returns whether there was
-    /// such a window.
+    /// Drops the window of the counter that changed longest ago, among all instances but `protected`. Returns whether
+    /// there was such a window.
     fn evict_oldest_window(&mut self, protected: InstanceKey) -> bool {
         let oldest = self
             .changes
@@ -273,7 +274,8 @@
         true
     }
 
-    /// Forgets the instance that has not grown for longest, if the gateway already has [`MAX_INSTANCES`] instances.
+    /// Forgets the instance that has not grown for longest, if the gateway already has [`MAX_INSTANCES_PER_GATEWAY`]
+    /// instances.
     fn evict_instance_if_full(&mut self, gateway: u16) {
         let first = InstanceKey {
             gateway,
@@ -284,7 +286,7 @@
             instance_id: u64::MAX,
         };
         let instances_of_gateway = || self.instances.range(first..=last);
-        if instances_of_gateway().count() < MAX_INSTANCES {
+        if instances_of_gateway().count() < MAX_INSTANCES_PER_GATEWAY {
             return;
         }
         let longest_silent = instances_of_gateway()
--- a/crates/cluster-membership/src/usage_gossip.rs
+++ b/crates/cluster-membership/src/usage_gossip.rs
@@ -1,7 +1,7 @@
-//! Dissemination of the usage that gateways admitted. Each member sends its own counters to every other member until that member
-//! has acknowledged them. Each datagram acknowledges the receiver's changes up to a number, and the receiver sends those after it:
-//! the next datagram makes up for a lost one, and a duplicate or late one has no effect, since counters only grow. Times are in
-//! microseconds.
+//! Dissemination of the usage that gateways admitted. Each member sends its own counters to every other member until
+//! that member has acknowledged them. Each datagram acknowledges its receiver's changes up to a change number, and
+//! the receiver then sends only later changes. The next datagram thus makes up for a lost one, and a duplicate or
+//! late one has no effect, since counters only grow. Times are in microseconds.
 
 use crate::usage_counters::{InstanceKey, UsageCounters, UsageKey, WINDOW_US};
 use crate::wire::{DatagramWriter, UsageGroup};
@@ -9,7 +9,8 @@
 
 /// Resolution of the counters: one count is a thousandth of a unit.
 const MILLIUNITS_PER_UNIT: f64 = 1_000.0;
-/// Period after an instance became known here in which its reported usage counts as admitted before that.
+/// Time after an instance became known to this member during which the growth of its counters is reported as admitted
+/// before the instance became known.
 const CATCH_UP_PERIOD_US: u64 = 300_000;
 /// Upper bound of the instances whose time of becoming known is remembered.
 const MAX_KNOWN_INSTANCES: usize = 8_192;
@@ -17,26 +18,26 @@
 /// Progress of the exchange of usage with one other member.
 #[derive(Clone, Debug, Default)]
 pub struct UsageProgress {
-    /// Number of our last change that the other member has acknowledged.
+    /// Change number up to which the other member has acknowledged this member's usage changes.
     pub acked: u64,
-    /// Number of the other member's last change that we have received.
+    /// Change number up to which all usage changes of the other member have been received.
     pub received: u64,
     /// Numbers of the gateways from which the other member receives no datagrams directly.
     pub wanted_gateways: Vec<u16>,
-    /// Number of our last change that was relayed to the other member in the current round.
+    /// Change number up to which usage was relayed to the other member in the current round.
     relayed: u64,
 }
 
-/// Usage of other gateways that became known since the last tick, in units.
+/// Usage of other gateways that was reported to this member since the last tick, in units.
 #[derive(Debug, Default, PartialEq)]
-pub struct UsageChanges {
+pub struct ReportedUsage {
     /// Newly reported usage, as gateway number, customer and units.
     pub uses: Vec<(u32, u32, f64)>,
-    /// Usage admitted before its gateway became known here, as customer and units.
+    /// Usage admitted before its gateway's process instance became known to this member, as customer and units.
     pub earlier_uses: Vec<(u32, f64)>,
 }
 
-impl UsageChanges {
+impl ReportedUsage {
     /// Returns whether there is no new usage.
     pub fn is_empty(&self) -> bool {
         self.uses.is_empty() && self.earlier_uses.is_empty()
@@ -46,9 +47,10 @@
 /// The part of the sender's usage that a datagram carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UsageCoverage {
-    /// Number of the last change that the datagram covers.
+    /// Change number up to which the datagram covers the sender's usage changes.
     pub up_to: u64,
-    /// Whether the datagram covers all changes that the receiver lacks.
+    /// Whether the datagram carries all usage that the receiver lacks of the sender and of the receiver's earlier
+    /// instances; relayed usage of other gateways is not considered.
     pub is_complete: bool,
 }
 
@@ -62,14 +64,16 @@
     started_at_us: Option<u64>,
     /// Growth of the other gateways' usage since the last tick, in thousandths of a unit by gateway and customer.
     growth: BTreeMap<(u16, u32), u64>,
-    /// Growth since the last tick of usage admitted before its gateway became known, in thousandths of a unit by customer.
+    /// Growth since the last tick of usage admitted before its gateway's process instance became known, in
+    /// thousandths of a unit by customer.
     earlier_growth: BTreeMap<u32, u64>,
     /// When each instance became known to this member.
     known_since_us: BTreeMap<InstanceKey, u64>,
 }
 
 impl UsageGossip {
-    /// Creates the state without any usage. `gateways`: number of gateways; `max_entries`: upper bound of the retained counters.
+    /// Creates the state without any usage. `gateways`: number of gateways; `max_entries`: upper bound of the
+    /// retained counters.
     pub fn new(local: InstanceKey, gateways: u16, max_entries: usize) -> UsageGossip {
         UsageGossip {
             local,
@@ -107,7 +111,7 @@
                 gateway: key.gateway,
                 instance_id: key.instance_id,
             };
-            // This process's own usage is not taken from others, since only this process knows it.
+            // Only this process knows its own usage, and gateway numbers out of range are invalid.
             if instance == self.local || key.gateway >= self.gateways {
                 continue;
             }
@@ -123,7 +127,8 @@
     /// Adds the growth of a counter to the usage to report at the next tick.
     fn record_growth(&mut self, now_us: u64, instance: InstanceKey, tag: u32, growth: u64) {
         let known_since_us = *self.known_since_us.entry(instance).or_insert(now_us);
-        // The first report of an unknown instance covers up to three windows, not only its latest usage.
+        // The first report of a new instance covers up to three windows of past usage, so its growth is not reported
+        // as current.
         if now_us.saturating_sub(known_since_us) < CATCH_UP_PERIOD_US {
             *self.earlier_growth.entry(tag).or_default() += growth;
         } else {
@@ -131,9 +136,9 @@
         }
     }
 
-    /// Adds this gateway's pending usage to its counters, drops outdated counters, and returns the usage of other gateways that
-    /// became known since the last tick.
-    pub fn tick(&mut self, now_us: u64) -> UsageChanges {
+    /// Adds this gateway's pending usage to its counters, drops outdated counters, and returns the usage of other
+    /// gateways that became known since the last tick.
+    pub fn tick(&mut self, now_us: u64) -> ReportedUsage {
         self.count_own(now_us);
         self.counters.drop_silent_instances(now_us);
         self.forget_oldest_instances();
@@ -146,7 +151,7 @@
             .into_iter()
             .map(|(tag, milliunits)| (tag, to_units(milliunits)))
             .collect();
-        UsageChanges { uses, earlier_uses }
+        ReportedUsage { uses, earlier_uses }
     }
 
     /// Adds this gateway's pending usage to its counters of the current window.
@@ -179,8 +184,9 @@
         }
     }
 
-    /// Adds to a datagram the usage that its receiver lacks: this gateway's own, that of the receiver's earlier instances, and, as
-    /// far as there is room, that of the gateways from which the receiver gets no datagrams directly. Returns the coverage.
+    /// Adds to a datagram the usage that its receiver lacks: this gateway's own, that of the receiver's earlier
+    /// instances, and, as far as there is room, that of the gateways from which the receiver gets no datagrams
+    /// directly. Returns the coverage.
     pub fn write(
         &self,
         progress: &mut UsageProgress,
@@ -207,8 +213,8 @@
         coverage
     }
 
-    /// Adds usage of the gateways from which the receiver gets no datagrams directly. The relay restarts from the first change after
-    /// each round, since the receiver does not acknowledge relayed changes.
+    /// Adds usage of the gateways from which the receiver gets no datagrams directly. The relay restarts from the
+    /// first change after each round, since the receiver does not acknowledge relayed changes.
     fn relay_wanted(&self, progress: &mut UsageProgress, writer: &mut DatagramWriter) {
         let relayed = std::mem::take(&mut progress.relayed);
         if progress.wanted_gateways.is_empty() {
--- a/crates/cluster-membership/src/wire.rs
+++ b/crates/cluster-membership/src/wire.rs
@@ -1,5 +1,5 @@
-//! The wire format of a datagram's body: postcard (postcard.jamesmunns.com/wire-format), in which integers have variable length.
-//! Fields are not named on the wire, so their order must not change.
+//! The wire format of a datagram's body: postcard (postcard.jamesmunns.com/wire-format), in which integers have
+//! variable length. Fields are not named on the wire, so their order must not change.
 
 use crate::gauges::GaugeSnapshot;
 use crate::record::MemberRecord;
@@ -12,8 +12,8 @@
 
 /// Upper bound of the length of [`DatagramHeader::wanted_gateways`].
 pub const MAX_WANTED_GATEWAYS: usize = 32;
-/// Upper bound of the acknowledgements in one datagram, and of the indirect ping requests.
-pub const MAX_PROBES: usize = 16;
+/// Upper bound of the acknowledgements in one datagram, and likewise of the indirect ping requests.
+pub const MAX_PROBES_PER_DATAGRAM: usize = 16;
 /// Bytes of a datagram reserved for the encoded lengths of lists.
 const LIST_LENGTH_BYTES: usize = 16;
 /// Upper bound of the customers in one [`UsageGroup`], so that the length of its list fits into one byte.
@@ -47,20 +47,21 @@
     pub acks: Vec<u32>,
     /// Members that the receiver is to probe for the sender.
     pub indirect_pings: Vec<IndirectPing>,
-    /// Digests of the buckets of the sender's member table, for anti-entropy; empty for no comparison. The receiver replies with
-    /// the members of the buckets that differ.
+    /// Digests of the buckets of the sender's member table, for anti-entropy; empty for no comparison. The receiver
+    /// replies with the members of the buckets that differ.
     pub bucket_digests: Vec<u32>,
     /// Whether the receiver is to reply with its own bucket digests as well.
     pub wants_digests: bool,
-    /// Number of the sender's usage change before the first one that the datagram covers.
+    /// Change number after which the datagram covers the sender's usage changes (exclusive).
     pub usage_after: u64,
-    /// Number of the sender's last usage change that the datagram covers.
+    /// Change number up to which the datagram covers the sender's usage changes (inclusive).
     pub usage_up_to: u64,
     /// Whether the datagram carries all of the sender's own usage that the receiver lacks.
     pub is_usage_complete: bool,
-    /// Number of the receiver's last usage change up to which the sender has all of them.
+    /// Change number up to which the sender has received all usage changes of the receiver.
     pub usage_received: u64,
-    /// Numbers of the gateways from which the sender receives no datagrams directly, so that the receiver relays their usage.
+    /// Numbers of the gateways from which the sender receives no datagrams directly, so that the receiver relays
+    /// their usage.
     pub wanted_gateways: Vec<u16>,
     /// Version of the receiver's gauges that the sender has.
     pub gauges_received: u64,
@@ -116,8 +117,8 @@
         let (body, rest) = postcard::take_from_bytes::<DatagramBody>(bytes).ok()?;
         let header = &body.header;
         let is_in_bounds = header.wanted_gateways.len() <= MAX_WANTED_GATEWAYS
-            && header.acks.len() <= MAX_PROBES
-            && header.indirect_pings.len() <= MAX_PROBES;
+            && header.acks.len() <= MAX_PROBES_PER_DATAGRAM
+            && header.indirect_pings.len() <= MAX_PROBES_PER_DATAGRAM;
         (rest.is_empty() && is_in_bounds).then_some(body)
     }
 }
@@ -132,8 +133,8 @@
 }
 
 impl DatagramWriter {
-    /// Creates an empty datagram and reserves space for `header`, which may still change in `usage_after`, `usage_up_to` and
-    /// `is_usage_complete`.
+    /// Creates an empty datagram and reserves space for `header`. The header passed to [`DatagramWriter::finish`] may
+    /// differ from it only in `usage_after`, `usage_up_to` and `is_usage_complete`.
     pub fn new(header: &DatagramHeader) -> DatagramWriter {
         let widest = DatagramHeader {
             usage_after: u64::MAX,
@@ -215,7 +216,7 @@
             gauges: self.gauges,
             message: self.message,
         };
-        // Encoding to a vector cannot fail for these plain types.
+        // Cannot fail: serialization of these types returns no error, and the vector grows as needed.
         postcard::to_allocvec(&body).unwrap_or_default()
     }
 
--- a/crates/cluster-membership/src/wire/tests.rs
+++ b/crates/cluster-membership/src/wire/tests.rs
@@ -1,5 +1,6 @@
 use super::{
-    DatagramBody, DatagramHeader, DatagramWriter, MemberUpdate, MAX_PROBES, MAX_WANTED_GATEWAYS,
+    DatagramBody, DatagramHeader, DatagramWriter, MemberUpdate, MAX_PROBES_PER_DATAGRAM,
+    MAX_WANTED_GATEWAYS,
 };
 use crate::gauges::{Gauge, GaugeSnapshot};
 use crate::record::tests::record;
@@ -27,7 +28,7 @@
             usage_up_to: numbers[5],
             is_usage_complete,
             wanted_gateways,
-            acks: vec![7; MAX_PROBES],
+            acks: vec![7; MAX_PROBES_PER_DATAGRAM],
             bucket_digests: vec![u32::MAX; 16],
             ..DatagramHeader::default()
         };
--- a/crates/cluster-membership/tests/authentication.rs
+++ b/crates/cluster-membership/tests/authentication.rs
@@ -33,7 +33,7 @@
     let recorded = world
         .recorded_datagrams
         .take()
-        .expect("recording was started above");
+        .expect("`recorded_datagrams` was set before the run");
     let now_us = world.now;
     world
         .node(1)
--- a/crates/cluster-membership/tests/failure_detection.rs
+++ b/crates/cluster-membership/tests/failure_detection.rs
@@ -1,5 +1,5 @@
-//! Tests of partitions, stopped and starved processes, and datagram loss, in virtual time: no running member is considered dead
-//! permanently.
+//! Tests of partitions, stopped and starved processes, and datagram loss, in virtual time: no running member is
+//! considered dead permanently.
 
 mod world;
 
@@ -14,7 +14,7 @@
     world.is_link_cut = Box::new(|from, to| (from, to) == (1, 3));
     world.run(20 * S);
     assert!(world.accusations().is_empty(), "{:?}", world.accusations());
-    // The same holds if only one other member receives datagrams from the member.
+    // Nor is a member declared dead if only member 0 receives its datagrams.
     world.is_link_cut = Box::new(|from, to| from == 1 && to != 0);
     world.run(20 * S);
     assert!(world.accusations().is_empty(), "{:?}", world.accusations());
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn three_partitions_that_heal_in_another_order_converge_on_one_view() {
+fn three_partitions_that_heal_one_after_another_converge_on_one_view() {
     let mut world = World::settled(9, 8);
     world.is_link_cut = Box::new(|a, b| a / 3 != b / 3);
     let elapsed_us = world.until(20 * S, |world| {
@@ -42,13 +42,13 @@
     assert!(elapsed_us.is_some_and(|us| us <= 3 * S), "{elapsed_us:?}");
 }
 
-/// A one-way cut lasts so long that one side forgets the other, but not vice versa. The forgotten side must return at once when
-/// the link works again.
+/// A one-way cut lasts so long that one side forgets the other, but not vice versa. The forgotten side must return at
+/// once when the link works again.
 #[test]
-fn a_member_forgotten_on_one_side_only_returns_at_once() {
+fn a_member_that_others_forgot_is_ready_again_within_3_s() {
     let mut world = World::settled(4, 19);
     world.run(30 * S);
-    // The member 3 receives all datagrams, and no other member receives any from it.
+    // No datagram from member 3 arrives, whereas it receives those of the others until these have forgotten it.
     world.is_link_cut = Box::new(|from, _| from == 3);
     let forgotten_after_us = world.until(90 * S, |world| {
         (0..3).all(|n| world.state(3, n) == "unknown")
@@ -60,7 +60,8 @@
         world.views_equal() && world.fleet(0).view().ready_count == 4
     });
     assert!(elapsed_us.is_some_and(|us| us <= 3 * S), "{elapsed_us:?}");
-    // Suspicion timeouts are long at a member that received nothing, so a wrong suspicion by member 3 may time out only now.
+    // Member 3 received nothing after the others had forgotten it, so its health score is high and its suspicion
+    // timeouts are long: a wrong suspicion would time out only now.
     world.run(25 * S);
     assert!(world.views_equal() && world.fleet(3).view().ready_count == 4);
     assert_eq!(
@@ -116,14 +117,15 @@
 
 #[test]
 fn loss_and_jitter_cause_few_false_deaths_which_are_refuted() {
-    for (loss, max_death_log_lines, seed) in [(0.05, 0, 11), (0.3, 4, 12)] {
+    for (loss, max_false_deaths, seed) in [(0.05, 0, 11), (0.3, 4, 12)] {
         let mut world = World::settled(16, seed);
         world.loss = loss;
         world.delay = (1_000, 200_000);
         world.run(30 * S);
+        // A false death is logged by up to 15 members.
         let death_log_lines = world.accusations();
         assert!(
-            death_log_lines.len() <= max_death_log_lines * 15,
+            death_log_lines.len() <= max_false_deaths * 15,
             "{loss}: {death_log_lines:?}"
         );
         world.loss = 0.0;
@@ -165,7 +167,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 48, ..ProptestConfig::default() })]
 
-    /// After any events: once all links work and all members run, every member sees all three as ready and all views are equal.
+    /// After any events: once all links work and all members run, every member sees all three as ready and all views
+    /// are equal.
     #[test]
     fn running_members_recover_equal_views_after_any_events(events in events(), seed in any::<u64>()) {
         let mut world = World::settled(3, seed);
--- a/crates/cluster-membership/tests/gateways/mod.rs
+++ b/crates/cluster-membership/tests/gateways/mod.rs
@@ -1,5 +1,5 @@
-//! A simulation of gateways with traffic control and cluster membership, and of customers, servers and a shared counter, in
-//! virtual time (microseconds).
+//! A simulation of gateways with traffic control and cluster membership, and of customers, servers and a shared
+//! counter, in virtual time (microseconds).
 
 use crate::world::{address_of, config, keys};
 use frosthatch_cluster_membership::{LifecyclePhase, Membership, MembershipConfig, Output};
@@ -198,11 +198,11 @@
         self.admissions.values().map(count).collect()
     }
 
-    /// Returns the number of requests from `first_request` on that the customers below `customers` made.
-    pub fn requests_since(&self, first_request: u64, customers: u32) -> f64 {
+    /// Returns the number of requests from `first_request` on of the customers with a number below `customer_limit`.
+    pub fn requests_since(&self, first_request: u64, customer_limit: u32) -> f64 {
         self.customers
             .iter()
-            .filter(|(id, customer)| id.0 >= first_request && **customer < customers)
+            .filter(|(id, customer)| id.0 >= first_request && **customer < customer_limit)
             .count() as f64
     }
 
@@ -211,8 +211,8 @@
         self.admissions.values().map(Vec::len).min().unwrap_or(0)
     }
 
-    /// Returns the overrun of the customer with the largest one since `from_us`: the units admitted beyond a token bucket of the
-    /// quota, as a fraction of the units granted by the quota's rate.
+    /// Returns the overrun of the customer with the largest one since `from_us`: the units admitted beyond a token
+    /// bucket of the quota, as a fraction of the units granted by the quota's rate.
     pub fn worst_overrun(&self, from_us: u64) -> f64 {
         let Quota { rate, burst, .. } = self.quota;
         let granted = (self.now_us - from_us) as f64 / 1e6 * rate;
--- a/crates/cluster-membership/tests/golden_forms.rs
+++ b/crates/cluster-membership/tests/golden_forms.rs
@@ -1,5 +1,5 @@
-//! Tests of the encoding of all that members send each other against recorded bytes, which other versions of the program have
-//! to be able to read. `RECORD=1 cargo test --test golden_forms` records them anew.
+//! Tests of the encoding of all that members send each other against recorded bytes, which other versions of the
+//! program have to be able to read. `RECORD=1 cargo test --test golden_forms` records them anew.
 
 mod world;
 
@@ -18,12 +18,13 @@
         .join("tests/golden")
         .join(file);
     if std::env::var_os("RECORD").is_some() {
-        return std::fs::write(path, actual).expect("the golden directory is writable");
+        return std::fs::write(path, actual)
+            .expect("RECORD needs a writable directory tests/golden");
     }
     assert_eq!(
         std::fs::read_to_string(path).expect("the recorded file exists"),
         actual,
-        "the recorded text is on the left"
+        "the encoding equals the recorded one (left)"
     );
 }
 
@@ -177,8 +178,8 @@
     }
 }
 
-/// Runs a cluster whose members join, report usage and gauges, die, restart, are partitioned, lose datagrams, and leave. Returns
-/// a digest of the datagrams of each step.
+/// Runs a cluster whose members join, report usage and gauges, die, restart, are partitioned, lose datagrams, and
+/// leave. Returns a digest of the datagrams of each step.
 fn run_all_events(seed: u64) -> String {
     let mut text = String::new();
     let mut world = World::new(6, seed);
--- a/crates/cluster-membership/tests/membership.rs
+++ b/crates/cluster-membership/tests/membership.rs
@@ -123,7 +123,7 @@
 
 #[test]
 fn of_two_processes_with_one_name_the_older_one_stops_sending() {
-    // In the second case the older process is not a seed; the other members contact seeds in any case.
+    // With 17 members, n7 is not a seed, so the other members do not contact its address in any case.
     for (count, duplicated) in [(4, 2), (17, 7)] {
         check_two_processes_with_one_name(count, duplicated);
     }
--- a/crates/cluster-membership/tests/quotas.rs
+++ b/crates/cluster-membership/tests/quotas.rs
@@ -1,5 +1,5 @@
-//! Tests of how closely quotas are kept by the usage that gateways report to each other, in virtual time, for clusters of several
-//! sizes and fractions of lost datagrams. Results and seeds are printed.
+//! Tests of how closely quotas are kept by the usage that gateways report to each other, in virtual time, for
+//! clusters of several sizes and fractions of lost datagrams. Results and seeds are printed.
 
 mod gateways;
 mod world;
@@ -44,8 +44,8 @@
     }
 }
 
-/// A quota may be exceeded only by units that other gateways admitted and have not reported yet, with and without the shared
-/// counter.
+/// A quota may be exceeded only by units that other gateways admitted and have not reported yet, with and without the
+/// shared counter.
 #[test]
 fn quotas_are_kept_by_reported_usage() {
     for (gateways, loss) in [(4, 0.0), (4, 0.3), (20, 0.3), (100, 0.3)] {
@@ -70,7 +70,8 @@
                  fewest admitted units {min_admitted_share:.3} of the quota, {bytes_per_s:.0} B/s per gateway"
             );
             println!("{report}");
-            // The overrun of a small quota varies most with the seed: over a hundred seeds it is 0.13 in the mean and 0.25 at worst.
+            // The overrun of a small quota varies most with the seed: over a hundred seeds it is 0.13 in the mean and
+            // 0.25 at worst.
             let max_overrun = if quota == LARGE { 0.08 } else { 0.3 };
             assert!(
                 overrun <= max_overrun && min_admitted_share >= 0.8,
@@ -80,8 +81,8 @@
     }
 }
 
-/// One gateway is isolated for ten seconds. Customers that request less than their quota are served throughout, and those that
-/// request more get their quota and little more, also after the gateway has returned.
+/// One gateway is isolated for ten seconds. Customers that request less than their quota are served throughout, and
+/// those that request more get their quota and little more, also after the gateway has returned.
 #[test]
 fn an_isolated_gateway_neither_rejects_customers_within_their_quota_nor_charges_usage_twice() {
     for (isolated, seed) in [(0, 5), (3, 6)] {
@@ -97,7 +98,9 @@
             let admitted = cluster.admitted_since(from_us);
             let quota = LARGE.rate * seconds;
             let requests = cluster.next_request - first_request;
-            let report = format!("gateway {isolated} {phase}: admitted {admitted:?} of {quota} units; {requests} requests");
+            let report = format!(
+                "gateway {isolated} {phase}: admitted {admitted:?} of {quota} units; {requests} requests"
+            );
             println!("{report}");
             let requests_within_quota = cluster.requests_since(first_request, 3);
             let admitted_within_quota = admitted[..3].iter().sum::<f64>();
--- a/crates/cluster-membership/tests/usage_counters.rs
+++ b/crates/cluster-membership/tests/usage_counters.rs
@@ -1,8 +1,8 @@
-//! Tests of the merge of usage counters: updates give the same totals in any order and with repetitions, dropped windows are never
-//! counted again, and memory is bounded.
+//! Tests of the merge of usage counters: updates give the same totals in any order and with repetitions, dropped
+//! windows are never counted again, and memory is bounded.
 
 use frosthatch_cluster_membership::usage_counters::{
-    UsageCounters, UsageKey, MAX_INSTANCES, WINDOWS,
+    UsageCounters, UsageKey, MAX_INSTANCES_PER_GATEWAY, MAX_WINDOWS_PER_INSTANCE,
 };
 use proptest::prelude::{any, prop, prop_assert_eq, proptest, Strategy};
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,13 +23,18 @@
 }
 
 fn entries() -> impl Strategy<Value = Vec<Entry>> {
-    let entry = (0u16..4, 1u64..3, 0..WINDOWS, 0u32..6, 1u64..1_000).prop_map(
-        |(gateway, instance_id, window, tag, total)| Entry {
+    let entry = (
+        0u16..4,
+        1u64..3,
+        0..MAX_WINDOWS_PER_INSTANCE,
+        0u32..6,
+        1u64..1_000,
+    )
+        .prop_map(|(gateway, instance_id, window, tag, total)| Entry {
             key: key(gateway, instance_id, window),
             tag,
             total,
-        },
-    );
+        });
     prop::collection::vec(entry, 0..80)
 }
 
@@ -89,7 +94,10 @@
 fn a_dropped_window_is_not_counted_again() {
     let mut counters = UsageCounters::new(100);
     assert_eq!(counters.merge(1, key(1, 7, 0), 5, 40), 40);
-    assert_eq!(counters.merge(2, key(1, 7, WINDOWS), 5, 10), 10);
+    assert_eq!(
+        counters.merge(2, key(1, 7, MAX_WINDOWS_PER_INSTANCE), 5, 10),
+        10
+    );
     assert_eq!(counters.len(), 1, "the first window is dropped");
     assert_eq!(
         counters.merge(3, key(1, 7, 0), 5, 50),
@@ -99,8 +107,14 @@
     // After a long time without growth, all windows are dropped permanently.
     counters.drop_silent_instances(100_000_000);
     assert!(counters.is_empty());
-    assert_eq!(counters.merge(100_000_001, key(1, 7, WINDOWS), 5, 10), 0);
-    assert_eq!(counters.merge(100_000_002, key(1, 7, WINDOWS + 4), 5, 3), 3);
+    assert_eq!(
+        counters.merge(100_000_001, key(1, 7, MAX_WINDOWS_PER_INSTANCE), 5, 10),
+        0
+    );
+    assert_eq!(
+        counters.merge(100_000_002, key(1, 7, MAX_WINDOWS_PER_INSTANCE + 4), 5, 3),
+        3
+    );
 }
 
 #[test]
@@ -123,7 +137,7 @@
         .keys()
         .map(|(key, _)| (key.gateway, key.instance_id))
         .collect();
-    assert!(instances.len() <= 5 * MAX_INSTANCES);
+    assert!(instances.len() <= 5 * MAX_INSTANCES_PER_GATEWAY);
     // An instance does not evict its own counters, so its further ones are rejected.
     let mut counters = UsageCounters::new(10);
     let growth: u64 = (0..20)
--- a/crates/cluster-membership/tests/usage_dissemination.rs
+++ b/crates/cluster-membership/tests/usage_dissemination.rs
@@ -1,5 +1,5 @@
-//! Tests of the usage that members report to each other, in virtual time: each unit is counted exactly once, even if datagrams
-//! are lost, delayed or duplicated, and across partitions, restarts and pauses.
+//! Tests of the usage that members report to each other, in virtual time: each unit is counted exactly once, even if
+//! datagrams are lost, delayed or duplicated, and across partitions, restarts and pauses.
 
 mod world;
 
@@ -134,8 +134,8 @@
     );
 }
 
-/// Usage in datagrams that were queued at the socket during a pause is counted, but these datagrams do not prove that their senders
-/// are running now.
+/// Usage in datagrams that were queued at the socket during a pause is counted, but these datagrams do not prove that
+/// their senders are running now.
 #[test]
 fn datagrams_that_waited_during_a_pause_are_not_current_reports() {
     let mut world = World::settled(2, 6);
--- a/crates/cluster-membership/tests/world/mod.rs
+++ b/crates/cluster-membership/tests/world/mod.rs
@@ -72,7 +72,7 @@
     pub clock_skew_us: u64,
     /// Units that other members reported to this one, by customer.
     pub peer_usage: BTreeMap<u32, f64>,
-    /// Units that were reported as admitted before their gateway became known, by customer.
+    /// Units that were reported as admitted before their gateway's process instance became known, by customer.
     pub earlier_usage: BTreeMap<u32, f64>,
     /// When each gateway last reported all of its usage, by gateway number.
     pub last_complete_report_at_us: BTreeMap<u32, u64>,
@@ -383,7 +383,8 @@
         digests.windows(2).all(|w| w[0] == w[1])
     }
 
-    /// Runs until a condition holds and returns the elapsed microseconds; `None` if it does not hold after `timeout_us`.
+    /// Runs until a condition holds and returns the elapsed microseconds; `None` if it does not hold after
+    /// `timeout_us`.
     pub fn until(&mut self, timeout_us: u64, holds: impl Fn(&World) -> bool) -> Option<u64> {
         let from_us = self.now;
         while self.now < from_us + timeout_us {
--- a/crates/counter/src/connection.rs
+++ b/crates/counter/src/connection.rs
@@ -16,13 +16,13 @@
 pub const MAX_PENDING_CALLS: usize = 1_024;
 /// Size of the buffer of one read.
 const READ_CHUNK_BYTES: usize = 4096;
-/// Deadline passed to the disabled timer of a connection that waits for no timeout.
+/// Delay of the timer that `select!` creates but does not poll while no timeout is pending; the value has no effect.
 const DISABLED_TIMER_DELAY: Duration = Duration::from_secs(3_600);
 
 /// A call that has not been replied to.
 struct PendingCall {
-    /// Name of the counter to which the call adds; `None` once the call has timed out. The entry of such a call stays in the queue,
-    /// so that a late reply is not mistaken for that of the next call.
+    /// Key of the total to which the call adds; `None` once the call has timed out. The entry of such a call stays in
+    /// the queue, so that a late reply is not mistaken for that of the next call.
     name: Option<String>,
     /// When the call was queued.
     started_at: Instant,
@@ -32,9 +32,10 @@
 
 /// One connection with its pending calls and its buffers.
 ///
-/// A connection with pending calls that receives no data for the silence timeout is closed. This detects peers that stop
-/// replying without closing the connection: a lost machine, a stuck proxy, a broken network path. If the counter itself pauses
-/// for that long, the pending calls are lost and the next connection waits for the same counter.
+/// A connection with pending calls that receives no data for the silence timeout is closed. This detects peers that
+/// stop replying without closing the connection: a lost machine, a stuck proxy, a broken network path. A pause of the
+/// counter itself of that length also closes the connection: its pending calls are lost, and a new connection does
+/// not help until the counter runs again.
 pub struct Connection {
     stream: TcpStream,
     call_timeout: Duration,
@@ -75,7 +76,7 @@
         self.pending.len()
     }
 
-    /// Returns whether a call for the counter `name` is pending and has not timed out.
+    /// Returns whether a call for the total named `name` is pending and has not timed out.
     pub fn has_pending_call_for(&self, name: &str) -> bool {
         self.pending
             .iter()
@@ -113,7 +114,7 @@
         self.write()
     }
 
-    /// Returns when the oldest call that has not timed out does so.
+    /// Returns when the oldest call that has not timed out yet will time out; `None` without such a call.
     fn next_timeout_at(&self) -> Option<Instant> {
         self.pending
             .iter()
@@ -121,8 +122,8 @@
             .map(|call| call.started_at + self.call_timeout)
     }
 
-    /// Returns when the connection counts as silent unless data is received; `None` without pending calls. Calls queued at a busy
-    /// counter do not make the connection silent, since replies to earlier calls keep arriving.
+    /// Returns when the connection counts as silent unless data is received; `None` without pending calls. Calls
+    /// queued at a busy counter do not make the connection silent, since replies to earlier calls keep arriving.
     fn silent_at(&self) -> Option<Instant> {
         let oldest_started_at = self.pending.front()?.started_at;
         let active_at = self
@@ -177,7 +178,8 @@
                 Err(error) => return Err(error),
             }
             self.handle_complete_lines(engine)?;
-            // Invalid data without an end of line would otherwise never be handled, and the pending calls would time out.
+            // Invalid data without an end of line would otherwise never be handled, and the pending calls would time
+            // out.
             if !may_begin_reply(&self.incoming) {
                 return Err(io::ErrorKind::InvalidData.into());
             }
@@ -193,8 +195,8 @@
         Ok(())
     }
 
-    /// Handles one line as the reply to the oldest pending call. An invalid line ends the connection, since later replies could no
-    /// longer be matched to their calls.
+    /// Handles one line as the reply to the oldest pending call. An invalid line ends the connection, since later
+    /// replies could no longer be matched to their calls.
     fn handle_reply(&mut self, line: &[u8], engine: &Rc<Engine>) -> io::Result<()> {
         let reply = parse_reply(line).ok_or(io::ErrorKind::InvalidData)?;
         let call = self.pending.pop_front().ok_or(io::ErrorKind::InvalidData)?;
@@ -223,8 +225,8 @@
         }
     }
 
-    /// Ends all pending calls, since the connection is lost. A call that was not written completely has added nothing; for the
-    /// others it is unknown.
+    /// Ends all pending calls, since the connection is lost. A call that was not written completely has added nothing;
+    /// whether the counter added the amounts of the others is unknown.
     pub fn abandon(&mut self, engine: &Rc<Engine>) {
         for call in self.pending.drain(..) {
             let status = if call.end_offset <= self.written_bytes {
--- a/crates/counter/src/pool.rs
+++ b/crates/counter/src/pool.rs
@@ -22,11 +22,12 @@
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 /// Upper bound of the delay after a failure to connect.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
-/// Upper bound of the connections. The counter accepts 32 connections from a gateway, some of which may still be closing.
+/// Upper bound of the connections. The counter accepts 32 connections from a gateway, some of which may still be
+/// closing.
 const MAX_CONNECTIONS: usize = 8;
 
-/// Sends the received calls to the counter at its current address. Returns when the sender of `calls` or of `addresses` is
-/// dropped.
+/// Sends the received calls to the counter at its current address. Returns when the sender of `calls` or of
+/// `addresses` is dropped.
 ///
 /// `call_timeout`: how long a call waits for its reply.
 pub async fn run(
@@ -64,8 +65,8 @@
 
 /// The pool of connections to the counter.
 ///
-/// A call goes to the connection with the fewest pending calls, usually none, so that few calls are lost if a connection becomes
-/// silent or breaks. A slow counter needs more connections, up to `MAX_CONNECTIONS`.
+/// A call goes to the connection with the fewest pending calls, usually none, so that few calls are lost if a
+/// connection becomes silent or breaks. A slow counter needs more connections, up to `MAX_CONNECTIONS`.
 struct ConnectionPool {
     engine: Rc<Engine>,
     call_timeout: Duration,
@@ -106,15 +107,16 @@
         }
     }
 
-    /// Returns until when calls wait for the first connection, which is usually established quickly; `None` if they need not wait.
+    /// Returns until when calls wait for the first connection, which is usually established quickly: at most half the
+    /// call timeout from its start. `None` if calls need not wait.
     fn calls_held_until(&self, now: Instant) -> Option<Instant> {
         let connecting = self.connecting.as_ref()?;
         let until = connecting.started_at + self.call_timeout / 2;
         (self.connections.is_empty() && until > now).then_some(until)
     }
 
-    /// Starts another connection if all existing ones have pending calls and have received data. Without the latter condition,
-    /// connections would multiply while the counter itself is silent.
+    /// Starts another connection if all existing ones have pending calls and have received data. Without the latter
+    /// condition, connections would multiply while the counter itself is silent.
     fn connect_if_needed(&mut self, address: SocketAddr) {
         let is_needed = self
             .connections
@@ -158,8 +160,8 @@
         }
     }
 
-    /// Returns the index of the connection for a call: one with a pending call for the same counter name, since replies keep their
-    /// order only within a connection; otherwise the one with the fewest pending calls.
+    /// Returns the index of the connection for a call: one with a pending call for the same name, since replies keep
+    /// their order only within a connection; otherwise the one with the fewest pending calls.
     fn connection_for(&self, name: &str) -> Option<usize> {
         let has_pending_call_for_name =
             |connection: &Connection| connection.has_pending_call_for(name);
@@ -189,7 +191,8 @@
         self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
     }
 
-    /// Drains the connections to the counter's previous address in the background, so that new calls go to the new address.
+    /// Drains the connections to the counter's previous address in the background, so that new calls go to the new
+    /// address.
     fn change_address(&mut self) {
         for connection in self.connections.drain(..) {
             tokio::task::spawn_local(connection.drain(self.engine.clone()));
@@ -200,8 +203,8 @@
     }
 }
 
-/// Waits for the connection that is being established and returns its stream, or `None` if it failed; waits forever if there is
-/// no such connection.
+/// Waits for the connection that is being established and returns its stream, or `None` if it failed; waits forever
+/// if there is no such connection.
 async fn wait_for_connecting(connecting: &mut Option<Connecting>) -> Option<TcpStream> {
     match connecting {
         Some(connecting) => connecting.stream.as_mut().await,
--- a/crates/counter/src/response_time.rs
+++ b/crates/counter/src/response_time.rs
@@ -5,14 +5,15 @@
 
 /// Silence timeout, as a multiple of the average response time.
 const SILENCE_TIMEOUT_FACTOR: f64 = 4.0;
-/// Minimum of the silence timeout, as a fraction of the call timeout, since a short delay of a fast counter is not a failure.
+/// Minimum of the silence timeout, as a fraction of the call timeout, since a short delay of a fast counter is not a
+/// failure.
 const MIN_SILENCE_TIMEOUT_FRACTION: f64 = 0.4;
 /// Maximum of the silence timeout, however slow the counter was before.
 const MAX_SILENCE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Weight of one reply in the moving average, so that about the last ten replies determine it.
 const REPLY_WEIGHT: f64 = 0.1;
-/// Factor by which each silent connection raises the average response time. Without it, every connection to a counter that has
-/// become slower would be closed before the reply arrives that would raise the average.
+/// Factor by which each silent connection raises the average response time. Without it, every connection to a counter
+/// that has become slower would be closed before the reply arrives that would raise the average.
 const SILENCE_GROWTH_FACTOR: f64 = 1.5;
 
 /// The exponential moving average of response times over all connections.
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Adds the response time of one call to the average.
+    /// Adds the response time of one call, capped at [`MAX_SILENCE_TIMEOUT`], to the average.
     pub fn record(&self, response_time: Duration) {
         let response_time = response_time.min(MAX_SILENCE_TIMEOUT);
         let average = self.average.get();
--- a/crates/counter/src/wire.rs
+++ b/crates/counter/src/wire.rs
@@ -1,5 +1,5 @@
-//! The line protocol of the shared counter. A call is the line `bump NAME AMOUNT TTL` with the TTL in milliseconds; a reply is one
-//! line.
+//! The line protocol of the shared counter. A call is the line `bump NAME AMOUNT TTL` with the TTL in milliseconds; a
+//! reply is one line.
 
 use frosthatch_engine::CounterCall;
 use std::io::Write;
@@ -10,7 +10,7 @@
 /// A reply of the counter.
 #[derive(Debug, PartialEq)]
 pub enum Reply {
-    /// The amount was added; the value is the counter's new total.
+    /// The amount was added; the value is the new total of the name in the call.
     Total(f64),
     /// The amount was added, but the reply does not state a valid total.
     InvalidTotal,
