--- a/crates/cluster-membership/src/wire/tests.rs
+++ b/crates/cluster-membership/src/wire/tests.rs
@@ -1,5 +1,6 @@
 use super::{
-    DatagramBody, DatagramHeader, DatagramWriter, MemberUpdate, MAX_PROBES, MAX_WANTED_GATEWAYS,
+    DatagramBody, DatagramHeader, DatagramWriter, MemberUpdate, MAX_PROBES_PER_DATAGRAM,
+    MAX_WANTED_GATEWAYS,
 };
 use crate::gauges::{Gauge, GaugeSnapshot};
 use crate::record::tests::record;
@@ -27,7 +28,7 @@
             usage_up_to: numbers[5],
             is_usage_complete,
             wanted_gateways,
-            acks: vec![7; MAX_PROBES],
+            acks: vec![7; MAX_PROBES_PER_DATAGRAM],
             bucket_digests: vec![u32::MAX; 16],
             ..DatagramHeader::default()
         };
@@ -52,7 +53,7 @@
         let gauges_added = writer.add_gauges(snapshot.clone());
         let bytes = writer.finish(header.clone());
         prop_assert!(bytes.len() + SEAL_OVERHEAD_BYTES <= MAX_DATAGRAM_BYTES, "{}", bytes.len());
-        let body = DatagramBody::decode(&bytes).expect("it is read");
+        let body = DatagramBody::decode(&bytes).expect("a written body decodes");
         prop_assert_eq!((body.header, body.members), (header, added_members));
         prop_assert_eq!(body.message, if message_added { message } else { Vec::new() });
         let none = GaugeSnapshot { version: 0, gauges: Vec::new() };
