--- a/crates/traffic-control/src/boot.rs
+++ b/crates/traffic-control/src/boot.rs
@@ -1,12 +1,12 @@
-//! The settings in the form in which operators hand them out, for whatever hosts a gateway. The names of that form are
-//! mapped to the terms of the decisions here.
+//! The settings document that operators write for a process that hosts a gateway, and its conversion to [`Settings`].
+//! Where names differ, `balancers` are gateways, `services` are request classes and `tariffs` are plans.
 
 use crate::interface::{
     Ceiling, Effect, Plan, RequestClass, RetryBudget, Scope, Settings, SlowStart,
 };
 use serde::Deserialize;
 
-/// The settings as operators write them; what is left out is zero or empty, what is unknown is skipped.
+/// The settings document. A field that is left out is zero or empty; an unknown field is ignored.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 pub struct BootInfo {
@@ -37,7 +37,7 @@
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
-// Mirrors the operators' document.
+// Each switch is a field of the settings document.
 #[expect(clippy::struct_excessive_bools)]
 struct Limits {
     cancel: bool,
@@ -103,7 +103,7 @@
 }
 
 impl BootInfo {
-    /// The settings in the units and terms of the decisions.
+    /// Converts the document to the settings of a [`Gateway`](crate::Gateway).
     pub fn settings(self) -> Settings {
         let limits = self.limits;
         let family = self.family_info;
--- a/crates/traffic-control/src/class_latency.rs
+++ b/crates/traffic-control/src/class_latency.rs
@@ -1,48 +1,50 @@
-//! How long attempts of a class take, and how many units they carry. Measurement only.
+//! Latency and units of the attempts of one request class, measured in control intervals. Makes no decisions.
 
 use crate::interface::{Micros, RequestClass};
 
-/// Growth of the lowest latency in an interval, to forget an old one.
-const LOWEST_GROWTH: f64 = 1.01;
-/// Answers that make a mean worth acting on.
+/// Factor by which the lowest mean latency grows in each interval, so that an old minimum is forgotten.
+const LOWEST_LATENCY_GROWTH: f64 = 1.01;
+/// Number of latencies from which the mean of an interval is used.
 const MIN_SAMPLES: u32 = 3;
-/// Weight of one attempt in the mean units: about the last fifty.
+/// Weight of one attempt in the mean units: an average over about the last fifty attempts.
 const MEAN_UNITS_WEIGHT: f64 = 0.02;
-/// Before any attempt was measured, it is taken to need this part of the latency objective.
-const OBJECTIVE_PER_UNMEASURED_ATTEMPT: f64 = 8.0;
+/// Ratio of the latency objective to the latency that is assumed before any attempt was measured.
+const OBJECTIVE_TO_UNMEASURED_LATENCY: f64 = 8.0;
 
-/// How long an attempt takes.
+/// Estimated latency of an attempt of a class.
 #[derive(Clone, Copy)]
 pub(crate) struct AttemptTimes {
-    /// Now.
+    /// Latency under the current load.
     pub current_s: f64,
-    /// At an idle server.
+    /// Latency at an idle server.
     pub idle_s: f64,
 }
 
-/// The latency of one class.
+/// Measured latency and units of the attempts of one class.
 #[derive(Clone, Default)]
 pub(crate) struct ClassLatency {
-    /// Mean units of a request, so that a large one is not taken for a slow server.
+    /// Mean units of a request. Latencies are compared in proportion to the units, so that the server of a large request
+    /// does not count as slow.
     pub mean_units: f64,
-    /// Sum and number of the latencies of this interval.
-    sum_us: f64,
-    count: u32,
-    /// Mean of the last interval; 0: nothing was measured yet.
+    /// Sum of the latencies of this interval.
+    latency_sum_us: f64,
+    /// Number of the latencies of this interval.
+    latency_count: u32,
+    /// Mean latency of the last interval that had enough samples; 0 before the first.
     pub mean_us: f64,
-    /// Lowest recent mean.
+    /// Lowest recent mean latency, taken as the latency at an idle server; 0 before the first.
     pub lowest_us: f64,
 }
 
 impl ClassLatency {
-    /// Records a request; the first one's units stand for all until there is a mean.
+    /// Sets the mean units to those of the first request. Later requests have no effect.
     pub fn record_request(&mut self, units: f64) {
         if self.mean_units <= 0.0 {
             self.mean_units = units;
         }
     }
 
-    /// Records the units of an attempt that ended. Returns how many times the usual time for its units it took.
+    /// Records the units of an attempt that ended. Returns its latency as a multiple of the usual latency for these units.
     pub fn record_units_and_compare(&mut self, units: f64, elapsed_us: Micros) -> f64 {
         self.mean_units += MEAN_UNITS_WEIGHT * (units - self.mean_units);
         let usual_us = if self.mean_us > 0.0 {
@@ -53,37 +55,39 @@
         elapsed_us as f64 / usual_us.max(1.0)
     }
 
-    /// How many times its time at an idle server an attempt took; `None` before any was measured.
-    pub fn idle_multiple(&self, units: f64, elapsed_us: Micros) -> Option<f64> {
+    /// Returns the latency of an attempt as a multiple of its latency at an idle server; `None` before the first interval
+    /// with enough samples.
+    pub fn multiple_of_idle_latency(&self, units: f64, elapsed_us: Micros) -> Option<f64> {
         let idle_us = self.lowest_us * units / self.mean_units.max(1e-9);
         (self.lowest_us > 0.0).then(|| elapsed_us as f64 / idle_us.max(1.0))
     }
 
-    /// Records the latency of an attempt.
+    /// Records the latency of an attempt in this interval.
     pub fn record_latency(&mut self, elapsed_us: Micros) {
-        self.sum_us += elapsed_us as f64;
-        self.count += 1;
+        self.latency_sum_us += elapsed_us as f64;
+        self.latency_count += 1;
     }
 
-    /// Ends an interval. Returns whether its mean is worth acting on.
+    /// Ends the interval and updates the means. Returns whether the interval had enough samples; if not, they count in the
+    /// next interval as well.
     pub fn end_interval(&mut self) -> bool {
-        if self.count < MIN_SAMPLES {
+        if self.latency_count < MIN_SAMPLES {
             return false;
         }
-        self.mean_us = self.sum_us / f64::from(self.count);
+        self.mean_us = self.latency_sum_us / f64::from(self.latency_count);
         self.lowest_us = if self.lowest_us > 0.0 {
-            (self.lowest_us * LOWEST_GROWTH).min(self.mean_us)
+            (self.lowest_us * LOWEST_LATENCY_GROWTH).min(self.mean_us)
         } else {
             self.mean_us
         };
-        self.sum_us = 0.0;
-        self.count = 0;
+        self.latency_sum_us = 0.0;
+        self.latency_count = 0;
         true
     }
 
-    /// How long an attempt takes, now and at idle servers.
+    /// Returns the estimated latency of an attempt of `class`.
     pub fn attempt_times(&self, class: &RequestClass) -> AttemptTimes {
-        let unmeasured_us = class.latency_objective_us as f64 / OBJECTIVE_PER_UNMEASURED_ATTEMPT;
+        let unmeasured_us = class.latency_objective_us as f64 / OBJECTIVE_TO_UNMEASURED_LATENCY;
         let idle_us = if self.lowest_us > 0.0 {
             self.lowest_us
         } else {
--- a/crates/traffic-control/src/concurrency_permits.rs
+++ b/crates/traffic-control/src/concurrency_permits.rs
@@ -1,49 +1,54 @@
-//! What a gateway knows of a customer's concurrency permits: how many of its own it did not need recently, and how many
-//! the other gateways use by now. State only; how many it holds is decided elsewhere.
+//! A gateway's record of a customer's concurrency permits: how many of its own it recently left unused, and an estimate of
+//! how many the other gateways use. Keeps state only; `customer` and `policy` decide how many permits a gateway holds.
 
 use crate::interface::Micros;
 
-/// Weight of one reply in the mean of what others use: about the last ten.
-const MEAN_WEIGHT: f64 = 0.1;
-/// More permits than this are not distinguished: by then the probability that one is free is zero or one.
+/// Weight of one reply of the counter in the mean number of permits used by other gateways: an average over about the
+/// last ten replies.
+const USE_BY_OTHERS_WEIGHT: f64 = 0.1;
+/// Numbers of permits above this are treated as equal to it: the probability that one is free is then zero or one.
 const MAX_DISTINGUISHED_PERMITS: usize = 64;
 
-/// One customer's permits, as one gateway knows them.
+/// One customer's concurrency permits as seen by this gateway.
 #[derive(Default)]
 pub(crate) struct ConcurrencyPermits {
-    /// Reported to all, not in use, and held for this gateway's next request.
+    /// Permits that are reported as taken by this gateway but not in use: they are held for its next requests.
     pub spare: u32,
-    /// The fewest that were spare since the review became due: these were not needed.
-    fewest_spare: u32,
-    review_is_due: bool,
+    /// Lowest number of spare permits since a review became due: as many were not needed.
+    min_spare: u32,
+    /// Whether a review of the spare permits is due.
+    is_review_due: bool,
+    /// Permits that other gateways used at the last report.
     used_by_others: f64,
+    /// Mean of the recent values of `used_by_others`.
     mean_used_by_others: f64,
-    /// When the use by others was last reported.
+    /// Time of the last report; `None` before the first.
     reported_at: Option<Micros>,
 }
 
 impl ConcurrencyPermits {
-    /// Sets the number of spare permits. True: a review becomes due a while from now.
+    /// Sets the number of spare permits. Returns whether the caller has to schedule a review.
     pub fn set_spare(&mut self, spare: u32) -> bool {
         self.spare = spare;
-        self.fewest_spare = self.fewest_spare.min(spare);
-        let becomes_due = spare > 0 && !self.review_is_due;
+        self.min_spare = self.min_spare.min(spare);
+        let becomes_due = spare > 0 && !self.is_review_due;
         if becomes_due {
-            self.review_is_due = true;
-            self.fewest_spare = spare;
+            self.is_review_due = true;
+            self.min_spare = spare;
         }
         becomes_due
     }
 
-    /// Takes the review: how many permits were spare all the time since it became due; `None` where none is due.
+    /// Ends the review. Returns how many permits were spare during the whole time since it was scheduled; `None` if no
+    /// review is due.
     pub fn take_unneeded(&mut self) -> Option<u32> {
-        std::mem::take(&mut self.review_is_due).then_some(self.fewest_spare)
+        std::mem::take(&mut self.is_review_due).then_some(self.min_spare)
     }
 
-    /// Records how many permits the others use, as the count reported.
+    /// Records the number of permits that the other gateways use, as reported by the counter.
     pub fn record_use_by_others(&mut self, now: Micros, used: f64) {
         let weight = if self.reported_at.is_some() {
-            MEAN_WEIGHT
+            USE_BY_OTHERS_WEIGHT
         } else {
             1.0
         };
@@ -52,8 +57,9 @@
         self.reported_at = Some(now);
     }
 
-    /// The probability that the others use fewer than `free` permits by now; `None` if nothing was ever reported. Each
-    /// reported one ends with time and new ones come as usual: the mean of a queue that never waits.
+    /// Returns the probability that the other gateways use fewer than `free` permits at `now`; `None` before the first
+    /// report. Models their permits as an infinite-server queue: each reported permit ends after `attempt_us` on average,
+    /// and new ones are taken at the rate that keeps up the mean use.
     pub fn availability_probability(&self, now: Micros, attempt_us: f64, free: f64) -> Option<f64> {
         let age_us = now.saturating_sub(self.reported_at?) as f64;
         if free < 1.0 {
@@ -66,13 +72,13 @@
         let mean_new = self.mean_used_by_others * (1.0 - survival);
         let mut probability = 0.0;
         for (count, count_probability) in survivors.iter().enumerate() {
-            probability += count_probability * poisson_at_most(mean_new, max_used - count);
+            probability += count_probability * poisson_cdf(mean_new, max_used - count);
         }
         Some(probability.min(1.0))
     }
 }
 
-/// The probabilities that 0 to `max` of `trials` events happen.
+/// Returns the probabilities that exactly 0, 1, … `max` of `trials` independent events happen.
 fn binomial(trials: usize, probability: f64, max: usize) -> Vec<f64> {
     let mut distribution = vec![0.0; max + 1];
     distribution[0] = 1.0;
@@ -86,8 +92,8 @@
     distribution
 }
 
-/// The probability of at most `max` events where `mean` happen on average.
-fn poisson_at_most(mean: f64, max: usize) -> f64 {
+/// Returns the probability that a Poisson distribution with mean `mean` yields at most `max`.
+fn poisson_cdf(mean: f64, max: usize) -> f64 {
     let mut term = (-mean).exp();
     let mut sum = 0.0;
     for count in 0..=max {
--- a/crates/traffic-control/src/concurrency_permits/tests.rs
+++ b/crates/traffic-control/src/concurrency_permits/tests.rs
@@ -1,7 +1,7 @@
 use super::ConcurrencyPermits;
 
 #[test]
-fn a_report_is_certain_then_fades_to_the_usual_use() {
+fn a_new_report_is_certain_and_an_old_one_gives_way_to_the_mean_use() {
     let mut permits = ConcurrencyPermits::default();
     assert_eq!(permits.availability_probability(0, 50_000.0, 2.0), None);
     permits.record_use_by_others(1_000, 2.0);
@@ -15,31 +15,38 @@
     );
     let soon = permits
         .availability_probability(51_000, 50_000.0, 2.0)
-        .expect("heard");
+        .expect("the use by others was reported");
     let late = permits
         .availability_probability(10_000_000, 50_000.0, 2.0)
-        .expect("heard");
-    // After one usual attempt each of two is still there by 0.37, and 1.26 new ones came on the mean; later it is
-    // Poisson's two.
+        .expect("the use by others was reported");
+    // After one mean attempt each of the two reported permits is still in use with probability 0.37, and 1.26 new ones
+    // were taken on average. Much later the number in use follows a Poisson distribution of mean 2.
     assert!((soon - 0.387).abs() < 0.01, "{soon}");
     assert!((late - 0.406).abs() < 0.01, "{late}");
     assert_eq!(
         permits.availability_probability(51_000, 50_000.0, 0.0),
         Some(0.0),
-        "its own take all"
+        "no permit is available when this gateway's own attempts use all of them"
     );
 }
 
 #[test]
 fn permits_that_were_spare_all_the_time_are_not_needed() {
     let mut permits = ConcurrencyPermits::default();
-    assert!(permits.set_spare(1), "a look is due");
+    assert!(
+        permits.set_spare(1),
+        "the first spare permit schedules a review"
+    );
     assert!(
         !permits.set_spare(0) && !permits.set_spare(1),
-        "one look at a time"
+        "no second review is scheduled while one is due"
     );
-    assert_eq!(permits.take_unneeded(), Some(0), "it was needed");
-    assert_eq!(permits.take_unneeded(), None, "no look is due");
+    assert_eq!(permits.take_unneeded(), Some(0), "the permit was needed");
+    assert_eq!(permits.take_unneeded(), None, "no review is due");
     assert!(permits.set_spare(2) && !permits.set_spare(1) && !permits.set_spare(2));
-    assert_eq!(permits.take_unneeded(), Some(1), "one of two was needed");
+    assert_eq!(
+        permits.take_unneeded(),
+        Some(1),
+        "one of the two permits was needed"
+    );
 }
--- a/crates/traffic-control/src/fleet.rs
+++ b/crates/traffic-control/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The servers as this gateway knows them: what the list says of each, its recent outcomes, and sums over all. State only;
-//! which server a request goes to is decided in `policy`.
+//! The servers known to this gateway: their entries in the server list, the recent outcomes of their attempts, and sums
+//! over all servers. Keeps state only; `policy` decides which server a request goes to.
 
 use crate::decaying_sum::{DecayingSum, DEMAND_TAU_US};
 use crate::interface::{
@@ -7,7 +7,7 @@
 };
 use crate::server::{Server, SlowStartCredit, WeightedOutcome};
 use crate::subset::Subset;
-use crate::zones::ZoneFailures;
+use crate::zones::ZoneErrorTracker;
 use frosthatch_load_balancing::outlier_signals::{
     HealthReport, OutlierSignals, HEALTHY_FAILURE_RATIO, MAX_REPORTS, REPORT_TTL_US,
     UNHEALTHY_FAILURE_RATIO,
@@ -15,51 +15,55 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Weight of one reply in a server's averages: about the last five.
+/// Weight of one reply in a server's averages, which cover about its last five replies.
 const REPLY_WEIGHT: f64 = 0.2;
-/// Weight of a failed connection: nobody is there.
+/// Weight of a failed connection in a server's averages: no process listens there.
 const NO_CONNECTION_WEIGHT: f64 = 0.8;
-/// What is thought of a server without attempts halves in this at the earliest...
+/// Shortest half-life of a server's assessment while it gets no attempts.
 const MIN_ASSESSMENT_HALF_LIFE_US: f64 = 4_000_000.0;
-/// ...and after as long as this many sends to each server take from here.
+/// Number of sends to each server whose duration is the half-life of an assessment, if that is longer than the minimum.
 const ASSESSMENT_HALF_LIFE_SENDS: f64 = 2.0;
-/// That a server is healthy is reported for so long after it was seen.
-const HEALTHY_REPORT_US: Micros = 2_000_000;
-/// Sums over many servers are cached this long: short beside a control interval.
+/// How long after the last attempt a server is reported as healthy.
+const HEALTHY_REPORT_TTL_US: Micros = 2_000_000;
+/// How long sums over many servers are cached: a small part of a control interval.
 const TOTALS_REFRESH_INTERVAL_US: Micros = 50_000;
-/// A server of which a larger share of attempts failed mostly fails.
-const MOSTLY_FAILS_ERROR_RATE: f64 = 0.5;
-/// The least rate of sends that estimates go by.
+/// Error rate above which a server counts as mostly failing.
+const MOSTLY_FAILING_ERROR_RATE: f64 = 0.5;
+/// Lower bound on the rate of sends in estimates.
 const MIN_SENDS_PER_S: f64 = 0.1;
 
-/// Sums over the servers, as of a time.
+/// Sums over all servers at one time.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Totals {
-    as_of: Micros,
+pub(crate) struct FleetTotals {
+    computed_at: Micros,
+    /// Attempts of this gateway in flight.
     pub in_flight: f64,
+    /// Number of ready servers.
     pub ready_servers: f64,
-    /// Size of the ready servers, as far as they are warm.
+    /// Sum of the relative capacities of the ready servers, each times its [`Server::warmth`].
     pub ready_size: f64,
 }
 
-/// A server as one of its attempts ended.
-pub(crate) struct ServerAtEnd {
+/// State of a server at the end of one of its attempts.
+pub(crate) struct ServerAtAttemptEnd {
+    /// Share of its full capacity that the server has at least; see [`Server::warmth`].
     pub warmth: f64,
     pub is_ready: bool,
 }
 
-/// All servers.
+/// The servers of the server list, and removed ones with attempts in flight.
 pub(crate) struct ServerFleet {
     pub servers: BTreeMap<ServerId, Server>,
-    /// The ready servers, where they are too many to compare all; or those of them that this gateway uses. Else empty.
+    /// The subset of the ready servers that this gateway uses; without a subset, all ready servers if they are too many to
+    /// compare for each request; otherwise empty.
     pub candidates: Arc<[ServerId]>,
-    /// This gateway's share of the ready servers; 1: it uses all.
+    /// Share of the ready servers that this gateway uses; 1 without a subset.
     pub subset_share: f64,
     pub subset: Subset,
-    /// What all gateways report of servers.
+    /// The health reports of all gateways, and the servers that are ejected by them.
     pub outlier_signals: OutlierSignals,
-    pub zones: ZoneFailures,
-    totals: Totals,
+    pub zones: ZoneErrorTracker,
+    totals: FleetTotals,
     recent_sends: DecayingSum,
 }
 
@@ -71,8 +75,8 @@
             servers: BTreeMap::new(),
             candidates: Arc::default(),
             subset_share: 1.0,
-            totals: Totals::default(),
-            zones: ZoneFailures::default(),
+            totals: FleetTotals::default(),
+            zones: ZoneErrorTracker::default(),
             recent_sends: DecayingSum::default(),
         }
     }
@@ -81,8 +85,8 @@
         self.servers.values().filter(|s| s.health == Health::Ready)
     }
 
-    /// Sums over the servers; where these are many, the ones of the last refresh.
-    pub fn totals(&self, slow_start: &SlowStart, now: Micros) -> Totals {
+    /// Returns the sums over all servers. With candidates set, these are the cached sums of the last refresh.
+    pub fn totals(&self, slow_start: &SlowStart, now: Micros) -> FleetTotals {
         if self.candidates.is_empty() {
             self.compute_totals(slow_start, now)
         } else {
@@ -90,9 +94,9 @@
         }
     }
 
-    pub fn compute_totals(&self, slow_start: &SlowStart, now: Micros) -> Totals {
-        Totals {
-            as_of: now,
+    pub fn compute_totals(&self, slow_start: &SlowStart, now: Micros) -> FleetTotals {
+        FleetTotals {
+            computed_at: now,
             in_flight: self.servers.values().map(|s| f64::from(s.in_flight)).sum(),
             ready_servers: self.ready_servers().count() as f64,
             ready_size: self
@@ -102,15 +106,16 @@
         }
     }
 
-    /// Computes the sums over many servers again where they have become old.
+    /// Recomputes the cached sums if they are stale.
     pub fn refresh_totals(&mut self, slow_start: &SlowStart, now: Micros) {
-        let is_stale = now >= self.totals.as_of + TOTALS_REFRESH_INTERVAL_US;
+        let is_stale = now >= self.totals.computed_at + TOTALS_REFRESH_INTERVAL_US;
         if is_stale && !self.candidates.is_empty() {
             self.totals = self.compute_totals(slow_start, now);
         }
     }
 
-    /// Takes in the server list. `random_credit`: the part of a send that a new server is taken to have saved up.
+    /// Applies an update of the server list. `random_credit` yields the slow-start credit, in sends, with which a new or
+    /// restarted server starts.
     pub fn apply_list(
         &mut self,
         kind: ListKind,
@@ -143,7 +148,7 @@
         let is_new = server.slowness_ratio == 0.0;
         let is_restarted = server.started_us != entry.started_us;
         if is_new || is_restarted {
-            // What was known of the previous process does not hold any more.
+            // The assessment of the previous process does not apply to the new one.
             *server = Server {
                 slowness_ratio: 1.0,
                 assessed_at: now,
@@ -167,8 +172,9 @@
         };
     }
 
-    /// Assigns the servers that this gateway uses, as servers or gateways have changed. `subset_size`: how many each of
-    /// so many gateways uses of so many servers, if not all. At most `max_compared` servers are compared for a request.
+    /// Selects the servers that this gateway uses after a change of servers or gateways. `subset_size` returns how many
+    /// servers each gateway uses, given the numbers of gateways and of ready servers; `None` means all. For one request
+    /// the caller compares at most `max_compared` servers.
     pub fn assign_subset(
         &mut self,
         slow_start: &SlowStart,
@@ -194,7 +200,8 @@
         self.totals = self.compute_totals(slow_start, now);
     }
 
-    /// Records an attempt that goes out, by one of the sends that were saved up. Returns the server's zone and cell.
+    /// Records the start of an attempt, which takes one of the `available_sends` of the server's slow-start credit. Returns
+    /// the server's zone and cell.
     pub fn record_send(
         &mut self,
         server: &ServerId,
@@ -211,36 +218,38 @@
         Some(server.group.clone())
     }
 
-    /// Records that an attempt ended; `None` where its server is gone.
-    pub fn record_end(
+    /// Records the end of an attempt. Returns the state of its server, or `None` if the server is no longer known.
+    pub fn record_attempt_end(
         &mut self,
         server: &ServerId,
         slow_start: &SlowStart,
         now: Micros,
-    ) -> Option<ServerAtEnd> {
+    ) -> Option<ServerAtAttemptEnd> {
         let server = self.servers.get_mut(server)?;
         server.in_flight = server.in_flight.saturating_sub(1);
-        Some(ServerAtEnd {
+        Some(ServerAtAttemptEnd {
             warmth: server.warmth(slow_start, now),
             is_ready: server.health == Health::Ready,
         })
     }
 
+    /// Returns the recent rate of sends to all servers, at least [`MIN_SENDS_PER_S`].
     pub fn sends_per_s(&self, now: Micros) -> f64 {
         self.recent_sends
             .per_s(now, DEMAND_TAU_US)
             .max(MIN_SENDS_PER_S)
     }
 
-    /// One of many gateways meets a server rarely: what it learned must last until it meets the server again.
+    /// Returns the half-life of a server's assessment. One of many gateways sends to each server rarely, so an assessment
+    /// has to last until the next send.
     pub fn assessment_half_life_us(&self, now: Micros) -> f64 {
         let used = self.servers.len() as f64 * self.subset_share;
         MIN_ASSESSMENT_HALF_LIFE_US
             .max(ASSESSMENT_HALF_LIFE_SENDS * used / self.sends_per_s(now) * 1e6)
     }
 
-    /// Records the outcome of an attempt that took `latency_ratio` times the usual time, as a warm server counts it.
-    /// `counts_for_zone`: it counts for the server's zone as well.
+    /// Records the outcome of an attempt in the assessment of its server and, if `counts_for_zone`, in the error rate of
+    /// its zone. `latency_ratio` is the latency as a multiple of the usual latency, scaled to a warm server.
     pub fn record_outcome(
         &mut self,
         server: &ServerId,
@@ -255,7 +264,7 @@
         };
         let outcome = weigh_outcome(server, status, latency_ratio);
         let counts = outcome.weight > 0.0;
-        // An ejected server that was tried in its turn and served has recovered.
+        // An ejected server that has served a trial request has recovered.
         if counts && outcome.failed == 0.0 && self.outlier_signals.is_ejected(server.hash_key) {
             server.error_rate = 0.0;
         }
@@ -267,14 +276,15 @@
         }
     }
 
-    /// What this gateway reports of servers: those that fail, and healthy ones that another gateway reports as failing.
+    /// Returns this gateway's health reports: on servers that fail, and on healthy ones that another gateway reports as
+    /// unhealthy.
     pub fn health_reports(&self, now: Micros) -> HealthReports {
         let is_fresh =
             |s: &&Server| s.assessed_at > s.started_us && s.assessed_at + REPORT_TTL_US > now;
         let report = |s: &Server| (s.hash_key, s.reported_error_rate(), s.assessed_at);
         let is_reported = |&(hash_key, error_rate, assessed_at): &(u64, f64, Micros)| {
             let refutes = error_rate < HEALTHY_FAILURE_RATIO
-                && assessed_at + HEALTHY_REPORT_US > now
+                && assessed_at + HEALTHY_REPORT_TTL_US > now
                 && self.outlier_signals.is_reported_unhealthy(hash_key, now);
             error_rate > UNHEALTHY_FAILURE_RATIO || refutes
         };
@@ -285,7 +295,7 @@
             .map(report)
             .filter(is_reported)
             .collect();
-        // Of too many the latest.
+        // Keeps the reports with the latest assessments.
         reports.sort_by_key(|(_, _, assessed_at)| std::cmp::Reverse(*assessed_at));
         reports.truncate(MAX_REPORTS);
         HealthReports {
@@ -294,26 +304,26 @@
         }
     }
 
-    /// Takes in which gateways there are.
+    /// Sets the gateways that servers are assigned to, and drops the health reports of all others.
     pub fn set_gateways(&mut self, gateways: &[u32]) {
         self.subset.set_gateways(gateways);
         self.outlier_signals
             .retain_gateways(|from| gateways.iter().any(|g| u64::from(*g) == from));
     }
 
-    /// Takes in all that another gateway reports of servers.
+    /// Replaces the health reports of another gateway, and updates which servers are ejected.
     pub fn record_health_reports(&mut self, from: u32, reports: HealthReports, now: Micros) {
-        self.signal_health(u64::from(from), reports);
+        self.replace_health_reports(u64::from(from), reports);
         self.update_outliers(now);
     }
 
-    fn signal_health(&mut self, from: u64, reports: HealthReports) {
-        let report = |(server, errors, at)| {
+    fn replace_health_reports(&mut self, from: u64, reports: HealthReports) {
+        let report = |(server, error_rate, assessed_at)| {
             (
                 server,
                 HealthReport {
-                    failure_ratio: errors,
-                    observed_at_us: at,
+                    failure_ratio: error_rate,
+                    observed_at_us: assessed_at,
                 },
             )
         };
@@ -324,23 +334,25 @@
         );
     }
 
-    /// Updates which servers are ejected, as reports have come or time has passed.
+    /// Updates which servers are ejected, after new reports or with the passage of time.
     pub fn update_outliers(&mut self, now: Micros) {
         let own_reports = self.health_reports(now);
-        let nothing_to_signal = own_reports.of.is_empty() && self.outlier_signals.is_empty();
-        if !nothing_to_signal {
-            self.signal_health(self.subset.own_key(), own_reports);
+        let has_no_reports = own_reports.of.is_empty() && self.outlier_signals.is_empty();
+        if !has_no_reports {
+            self.replace_health_reports(self.subset.own_key(), own_reports);
         }
         let subset = &self.subset;
         let servers = &self.servers;
-        let start_and_users = |hash_key: u64| {
+        let start_and_user_count = |hash_key: u64| {
             let server = servers.values().find(|s| s.hash_key == hash_key)?;
             Some((server.started_us, subset.gateways_using(hash_key).len()))
         };
-        self.outlier_signals.update_ejections(now, start_and_users);
+        self.outlier_signals
+            .update_ejections(now, start_and_user_count);
     }
 
-    /// Whether more attempts failed there than not, by this gateway or by all.
+    /// Returns whether a server is ejected by the reports of all gateways, or failed most of this gateway's recent
+    /// attempts.
     pub fn mostly_fails(&self, server: &Server, now: Micros) -> bool {
         if self.outlier_signals.is_ejected(server.hash_key) {
             return true;
@@ -348,19 +360,20 @@
         let zone_error_rate = self.zones.at(now).error_rate(&server.group.0);
         let half_life_us = self.assessment_half_life_us(now);
         let assessment = server.decayed_assessment(now, half_life_us, zone_error_rate);
-        assessment.error_rate > MOSTLY_FAILS_ERROR_RATE
+        assessment.error_rate > MOSTLY_FAILING_ERROR_RATE
     }
 
-    /// Ready servers that mostly fail.
-    pub fn avoided_servers(&self, now: Micros) -> usize {
+    /// Returns the number of ready servers that mostly fail.
+    pub fn avoided_server_count(&self, now: Micros) -> usize {
         self.ready_servers()
             .filter(|s| self.mostly_fails(s, now))
             .count()
     }
 }
 
-/// What an outcome says of its server. An attempt without an answer counts as slow and failed in one, so that servers that
-/// have gone silent, or a class on them, are noticed.
+/// Returns the weight, slowness and failure of an outcome in its server's assessment. An attempt that got no answer for
+/// longer than usual counts both as slow and as failed, so that a server that hangs, or hangs for one class only, is
+/// detected.
 fn weigh_outcome(server: &Server, status: CompletionStatus, latency_ratio: f64) -> WeightedOutcome {
     let failed = WeightedOutcome {
         weight: REPLY_WEIGHT,
--- a/crates/traffic-control/src/gateway.rs
+++ b/crates/traffic-control/src/gateway.rs
@@ -1,4 +1,4 @@
-//! One gateway's state. Its decisions are in `policy`.
+//! The state of one gateway. The decisions on it are in `policy`.
 
 use crate::counter::{
     CallsInFlight, CounterClock, CounterMonitor, CounterRateLimiter, MAX_SMALL_FLEET_GATEWAYS,
@@ -16,42 +16,44 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A class of one plan: what the paper calls a service.
+/// Admission state of one pair of class and plan, which the paper named in the crate's documentation calls a service.
 #[derive(Clone, Default)]
 pub(crate) struct AdmissionCell {
-    /// Share of its requests that are admitted.
+    /// Share of the cell's requests that are admitted, from 0 to 1.
     pub fraction: f64,
-    /// Requests in this interval.
+    /// Requests that arrived in this interval.
     pub arrivals: f64,
-    /// Admitted ones of them.
+    /// Requests that were admitted in this interval.
     pub admitted: f64,
-    /// Rate of the last interval, as it is reported to peers.
+    /// Admitted requests per second in the last interval, which is reported to peers.
     pub admitted_per_s: f64,
 }
 
-/// Recent queries of a plan's customers, by what they found.
+/// Recent quota queries for the customers of one plan, by result.
 #[derive(Clone, Default)]
 pub(crate) struct QueryResults {
+    /// Queries that found too little left in the quota.
     pub without_capacity: DecayingSum,
+    /// Queries that found enough left in the quota.
     pub with_capacity: DecayingSum,
 }
 
-/// One gateway's whole state.
+/// A gateway: its settings, its state and the decisions on them.
 pub struct Gateway {
     pub(crate) settings: Settings,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) now: Micros,
-    /// When the first event came.
+    /// Time of the first event; `None` before it.
     pub(crate) started_at: Option<Micros>,
-    /// By class, and in each by plan.
+    /// Admission cells, ordered by class, and by plan within each class.
     pub(crate) cells: Vec<AdmissionCell>,
     pub(crate) server_latency: ServerLatency,
     pub(crate) fleet: ServerFleet,
-    /// By tag.
+    /// Customers by tag.
     pub(crate) customers: BTreeMap<u32, Customer>,
-    /// By plan.
+    /// Quotas by index of the plan.
     pub(crate) quotas: Vec<Quota>,
-    /// By plan.
+    /// Results of quota queries by index of the plan.
     pub(crate) query_results: Vec<QueryResults>,
     pub(crate) counter_limiter: CounterRateLimiter,
     pub(crate) counter_calls: CallsInFlight,
@@ -59,33 +61,33 @@
     pub(crate) counter_monitor: CounterMonitor,
     pub(crate) peer_reports: PeerReports,
     pub(crate) requests: BTreeMap<RequestId, PendingRequest>,
-    /// Requests that wait for a server.
+    /// Requests that wait for an available server or for the lease.
     pub(crate) waiting_requests: BTreeSet<RequestId>,
     pub(crate) retry_tokens: f64,
     pub(crate) lease_state: LeaseState,
-    /// Until when the smaller of two policies holds.
+    /// End of the transition after a policy change, during which the stricter of the two policies' limits apply.
     pub(crate) transition_until: Option<Micros>,
 }
 
 impl Gateway {
-    /// A gateway with nothing known yet. `seed` is its only source of randomness.
+    /// Creates a gateway without servers or customers. `seed` is its only source of randomness.
     ///
     /// # Errors
-    /// Settings that make no sense; the text says what to correct.
+    /// Returns the first mistake in `settings`; the text says what to correct.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
-        let open_cell = AdmissionCell {
+        let fully_open_cell = AdmissionCell {
             fraction: 1.0,
             ..AdmissionCell::default()
         };
-        let cells = vec![open_cell; settings.classes.len() * settings.plans.len()];
+        let cells = vec![fully_open_cell; settings.classes.len() * settings.plans.len()];
         let server_latency = ServerLatency::new(&settings.classes);
         let quotas = Quota::for_plans(
             &settings,
             server_latency.attempt_s,
             MAX_SMALL_FLEET_GATEWAYS,
         );
-        let has_only_counter = settings.usage_report_ttl_us == 0;
+        let is_without_usage_reports = settings.usage_report_ttl_us == 0;
         Ok(Gateway {
             rng: Pcg64Mcg::seed_from_u64(seed),
             now: 0,
@@ -97,7 +99,7 @@
             customers: BTreeMap::new(),
             quotas,
             query_results: vec![QueryResults::default(); settings.plans.len()],
-            counter_limiter: CounterRateLimiter::new(settings.gateways, has_only_counter),
+            counter_limiter: CounterRateLimiter::new(settings.gateways, is_without_usage_reports),
             counter_calls: CallsInFlight::default(),
             counter_clock: CounterClock::default(),
             counter_monitor: CounterMonitor::default(),
--- a/crates/traffic-control/src/gossip.rs
+++ b/crates/traffic-control/src/gossip.rs
@@ -1,58 +1,60 @@
-//! The bytes of messages between gateways.
+//! Encoding and decoding of the messages between gateways.
 
-/// Units, rates and levels travel as counts of this part of one.
+/// Units, rates and levels are encoded as multiples of one divided by this scale.
 const FIXED_POINT_SCALE: f64 = 8.0;
-/// Fractions travel as tenths.
+/// Fractions are encoded as tenths.
 const FRACTION_SCALE: f64 = 10.0;
 
-const CELL_REPORTS: u8 = 2;
-const QUOTA_REQUEST: u8 = 3;
-const QUOTA_GRANT: u8 = 4;
+const KIND_CELL_REPORTS: u8 = 2;
+const KIND_QUOTA_REQUEST: u8 = 3;
+const KIND_QUOTA_GRANT: u8 = 4;
 
 const CELL_REPORT_BYTES: usize = 3;
 const QUOTA_REQUEST_BYTES: usize = 11;
 const QUOTA_GRANT_BYTES: usize = 10;
 
-/// The state of one class and plan at a gateway.
+/// Report on one admission cell (a pair of class and plan) of the sender.
 pub(crate) struct CellReport {
+    /// Share of the cell's requests that are admitted, from 0 to 1.
     pub fraction: f64,
+    /// Admitted requests per second.
     pub admitted_per_s: f64,
 }
 
-/// From a gateway to a customer's owner.
+/// Report of usage and request for units, sent by a gateway to the owner of a customer.
 pub(crate) struct QuotaRequest {
     pub tag: u32,
     /// Index of the customer's plan.
     pub plan: u8,
-    /// Gateways that the customer uses.
+    /// Number of gateways that the customer uses.
     pub gateway_count: u16,
-    /// Units of its quota that are wanted.
+    /// Units of the customer's quota that the gateway requests.
     pub wanted_units: f64,
-    /// Units that were used without asking; negative: given back.
+    /// Units that the gateway used without a grant and has not reported yet; negative for units that it returns.
     pub unreported_units: f64,
 }
 
-/// From a customer's owner to a gateway.
+/// Reply of a customer's owner to a [`QuotaRequest`].
 pub(crate) struct QuotaGrant {
     pub tag: u32,
     pub granted_units: f64,
-    /// The store's level before the grant.
+    /// Level of the customer's token bucket before the grant, in units.
     pub level: f64,
-    /// Demand at all gateways, in units a second.
+    /// Demand of the customer at all gateways, in units per second.
     pub demand_per_s: f64,
 }
 
 /// A message between gateways.
 pub(crate) enum Message {
-    /// Fractions and admitted rates of the sender.
+    /// Admission fractions and admitted rates of the sender, in the order of its cells.
     CellReports(Vec<CellReport>),
-    /// Use of a customer, and what is wanted of its quota.
+    /// Usage of a customer, and the units that the sender requests.
     QuotaRequest(QuotaRequest),
-    /// What is granted of a customer's quota.
+    /// Units granted to the receiver.
     QuotaGrant(QuotaGrant),
 }
 
-/// A customer's short name among gateways (FNV-1a, 32 bits).
+/// Returns the tag by which gateways identify a customer: the 32-bit FNV-1a hash of its name.
 pub(crate) fn customer_tag(name: &str) -> u32 {
     name.bytes().fold(0x811c_9dc5, |hash, byte| {
         (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193)
@@ -67,12 +69,12 @@
     f64::from(i16::from_le_bytes(bytes)) / FIXED_POINT_SCALE
 }
 
-/// The bytes of a message, at most `max_bytes`; reports of cells that do not fit are left out.
+/// Encodes a message. Cell reports that do not fit into `max_bytes` are left out.
 pub(crate) fn encode(message: &Message, max_bytes: usize) -> Vec<u8> {
     let mut bytes = Vec::new();
     match message {
         Message::CellReports(reports) => {
-            bytes.push(CELL_REPORTS);
+            bytes.push(KIND_CELL_REPORTS);
             let max_reports = max_bytes.saturating_sub(1) / CELL_REPORT_BYTES;
             for report in reports.iter().take(max_reports) {
                 bytes.push((report.fraction * FRACTION_SCALE).round() as u8);
@@ -80,7 +82,7 @@
             }
         }
         Message::QuotaRequest(request) => {
-            bytes.push(QUOTA_REQUEST);
+            bytes.push(KIND_QUOTA_REQUEST);
             bytes.extend(request.tag.to_le_bytes());
             bytes.push(request.plan);
             bytes.extend(request.gateway_count.to_le_bytes());
@@ -88,7 +90,7 @@
             bytes.extend(encode_fixed_point(request.unreported_units));
         }
         Message::QuotaGrant(grant) => {
-            bytes.push(QUOTA_GRANT);
+            bytes.push(KIND_QUOTA_GRANT);
             bytes.extend(grant.tag.to_le_bytes());
             bytes.extend(encode_fixed_point(grant.granted_units));
             bytes.extend(encode_fixed_point(grant.level));
@@ -98,18 +100,20 @@
     bytes
 }
 
-/// The message of these bytes; `None` for bytes that no gateway sends.
+/// Decodes a message; `None` if its kind is unknown or its length is wrong.
 pub(crate) fn decode(bytes: &[u8]) -> Option<Message> {
     let (kind, body) = bytes.split_first()?;
     match (*kind, body.len()) {
-        (CELL_REPORTS, length) if length % CELL_REPORT_BYTES == 0 => {
+        (KIND_CELL_REPORTS, length) if length % CELL_REPORT_BYTES == 0 => {
             let reports = body.chunks_exact(CELL_REPORT_BYTES).map(decode_cell_report);
             Some(Message::CellReports(reports.collect()))
         }
-        (QUOTA_REQUEST, QUOTA_REQUEST_BYTES) => {
+        (KIND_QUOTA_REQUEST, QUOTA_REQUEST_BYTES) => {
             Some(Message::QuotaRequest(decode_quota_request(body)))
         }
-        (QUOTA_GRANT, QUOTA_GRANT_BYTES) => Some(Message::QuotaGrant(decode_quota_grant(body))),
+        (KIND_QUOTA_GRANT, QUOTA_GRANT_BYTES) => {
+            Some(Message::QuotaGrant(decode_quota_grant(body)))
+        }
         _ => None,
     }
 }
--- a/crates/traffic-control/src/gossip/tests.rs
+++ b/crates/traffic-control/src/gossip/tests.rs
@@ -4,13 +4,13 @@
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-/// Recorded bytes: gateways of another version have to read them.
+/// Guards against a change of the encoding, which gateways of another version could not decode.
 #[test]
-fn the_bytes_of_messages_are_those_that_were_recorded() {
-    let cells = |n: usize| {
-        (0..n)
-            .map(|c| CellReport {
-                fraction: 0.5 * c as f64,
+fn encoded_messages_equal_the_recorded_bytes() {
+    let cell_reports = |count: usize| {
+        (0..count)
+            .map(|index| CellReport {
+                fraction: 0.5 * index as f64,
                 admitted_per_s: 12.25,
             })
             .collect()
@@ -30,11 +30,11 @@
     });
     let encoded = |message: &Message, max_bytes: usize| hex(&encode(message, max_bytes));
     assert_eq!(
-        encoded(&Message::CellReports(cells(3)), 256),
+        encoded(&Message::CellReports(cell_reports(3)), 256),
         "020062000562000a6200"
     );
     assert_eq!(
-        encoded(&Message::CellReports(cells(3)), 8),
+        encoded(&Message::CellReports(cell_reports(3)), 8),
         "02006200056200"
     );
     assert_eq!(encoded(&request, 256), "0319aabda4022c011900f4ff");
--- a/crates/traffic-control/src/interface/actions.rs
+++ b/crates/traffic-control/src/interface/actions.rs
@@ -1,4 +1,4 @@
-//! What a gateway does in response to events.
+//! The actions that a gateway returns in response to events.
 
 use super::events::Timer;
 use super::identifiers::{RequestId, ServerId};
@@ -7,26 +7,26 @@
 /// Why a request was not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnservedReason {
-    /// Its class or plan is not among the settings.
+    /// The settings do not contain the request's class or plan.
     UnknownClass,
-    /// More customers are active than are tracked.
+    /// The customer is new, and the limit on tracked customers is reached.
     TooManyCustomers,
-    /// It is not known under which policy requests may be admitted.
+    /// The gateway holds no lease, so no policy is known under which requests may be admitted.
     NoLease,
-    /// Its customer's quota is used up, as far as is known.
+    /// The customer's quota is used up, as far as this gateway knows.
     Quota,
-    /// It would exceed its customer's ceiling.
+    /// The request would exceed the customer's ceiling.
     Ceiling,
-    /// Servers are over capacity, and it is among the requests that are shed.
+    /// The servers are over capacity, and the request is among those that are shed.
     Pressure,
-    /// No server was available within the time that it may wait.
+    /// No server became available while the request could wait.
     NoServer,
-    /// Its attempts failed, and no further one may go out.
+    /// The request's attempts failed, and no further attempt is allowed.
     AttemptsFailed,
 }
 
 impl UnservedReason {
-    /// The name that logs use.
+    /// Returns the name of the reason in logs.
     pub fn name(self) -> &'static str {
         match self {
             UnservedReason::UnknownClass => "unknown_class",
@@ -41,77 +41,77 @@
     }
 }
 
-/// What a gateway does.
+/// An action that the driver of a gateway carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
     Send {
         /// The request.
         request: RequestId,
-        /// The server that it goes to.
+        /// The server that the attempt goes to.
         server: ServerId,
-        /// Its timeout; 0: until the client gives up.
+        /// Timeout of the attempt; 0 to wait until the client gives up.
         timeout_us: Micros,
-        /// Time within which it may begin; after that it must not be sent and counts as never run. The driver checks this
-        /// at the last moment, as a connection may be established late.
+        /// Time from now within which the attempt may begin; later it must not be sent and counts as never run. The driver
+        /// checks this immediately before it sends, as establishing a connection may take long.
         begin_within_us: Micros,
     },
     /// Stop waiting for an attempt.
     Cancel {
         /// The request.
         request: RequestId,
-        /// The attempt's number.
+        /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// Final answer: rejected; trying again is harmless.
+    /// Answer a request finally as rejected; the client may safely retry it.
     Reject {
         /// The request.
         request: RequestId,
-        /// Retry-after; 0: none is given.
+        /// Time after which the client should retry; 0 if none is given.
         retry_after_us: Micros,
-        /// Why; for logs and metrics.
+        /// The reason, for logs and metrics.
         reason: UnservedReason,
     },
-    /// Final answer: failed; the request may have run.
+    /// Answer a request finally as failed; it may have run.
     Fail {
         /// The request.
         request: RequestId,
-        /// Why; for logs and metrics.
+        /// The reason, for logs and metrics.
         reason: UnservedReason,
     },
-    /// Set a timer for the gateway.
+    /// Set a timer, and pass it to the gateway as [`Event::Timer`](crate::Event::Timer) once it expires.
     SetTimer {
-        /// Time from now.
+        /// Time from now until the timer expires.
         after_us: Micros,
-        /// The timer to return as an event.
+        /// The timer.
         timer: Timer,
     },
     /// Send a message to another gateway.
     SendToPeer {
-        /// The other gateway's number.
+        /// Index of the other gateway.
         to: u32,
-        /// At most 256 bytes.
+        /// The encoded message, at most 256 bytes.
         bytes: Vec<u8>,
     },
     /// Add to a count of the shared counter.
     AddToCounter {
-        /// The name.
+        /// The name of the count.
         name: String,
-        /// The amount.
+        /// The amount to add.
         amount: f64,
-        /// How long the count is retained, if it is new.
+        /// How long the counter retains the count, if this call creates it.
         ttl_us: Micros,
     },
-    /// Report units of a customer that passed within its quota to the other gateways. Only where
+    /// Report units that a customer used within its quota to the other gateways. Returned only if
     /// [`Settings::usage_report_ttl_us`](crate::Settings::usage_report_ttl_us) is set.
     ReportUsage {
         /// The customer's tag.
         tag: u32,
-        /// The units.
+        /// The units used.
         units: f64,
     },
     /// Subscribe to the server list.
     Subscribe,
-    /// A line for the on-call log.
+    /// Write a line to the on-call log.
     Log(String),
 }
--- a/crates/traffic-control/src/interface/events.rs
+++ b/crates/traffic-control/src/interface/events.rs
@@ -1,4 +1,4 @@
-//! What happens to a gateway: its timers and events.
+//! The events that a gateway handles, timers included.
 
 use super::identifiers::RequestId;
 use super::plans::{LeaseState, PolicyTerms};
@@ -6,10 +6,10 @@
 use super::server_list::{ListKind, ServerEntry};
 use super::time::Micros;
 
-/// A timer that the gateway has set.
+/// A timer that the gateway set with [`Action::SetTimer`](crate::Action::SetTimer).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timer {
-    /// The control interval.
+    /// The end of a control interval.
     Interval,
     /// The timer of a request.
     Request(RequestId),
@@ -17,12 +17,12 @@
     Customer(u32),
 }
 
-/// What a gateway reports of servers to the others.
+/// A gateway's reports on the health of servers, for the other gateways.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HealthReports {
-    /// Number of servers that it uses.
+    /// Number of servers that the gateway uses.
     pub uses: usize,
-    /// Hash key of a server, recent error rate there from 0 to 1, and when that was assessed.
+    /// For each reported server: its hash key, its recent error rate from 0 to 1, and the time of that assessment.
     pub of: Vec<(u64, f64, Micros)>,
 }
 
@@ -31,59 +31,59 @@
 pub enum Event {
     /// An update of the server list.
     Servers {
-        /// How to read it.
+        /// What the entries cover.
         kind: ListKind,
-        /// The entries.
+        /// The entries of the update.
         entries: Vec<ServerEntry>,
     },
     /// A client request.
     Request(Request),
-    /// A streamed answer has begun: no other attempt may follow.
+    /// A streamed answer has begun, so the request may have no further attempt.
     Streaming(RequestId),
     /// An attempt ended.
     Outcome(AttemptOutcome),
-    /// The client has gone.
+    /// The client closed its connection or gave up before the final answer.
     ClientGone(RequestId),
-    /// A timer is due.
+    /// A timer expired.
     Timer(Timer),
-    /// A message from a peer.
+    /// A message from another gateway arrived.
     Peer {
-        /// The peer's index.
+        /// Index of the other gateway.
         from: u32,
-        /// The message.
+        /// The encoded message.
         bytes: Vec<u8>,
     },
-    /// Other gateways reported what they let through within quotas.
+    /// Other gateways reported units that customers used within their quotas.
     UsageReported {
-        /// The gateways that have reported all their use until now since the last such event.
+        /// Indices of the gateways that, since the last such event, have reported all usage up to now.
         heard: Vec<u32>,
-        /// Index of a gateway, tag of a customer, and units.
+        /// Index of the reporting gateway, tag of the customer, and units used.
         uses: Vec<(u32, u32, f64)>,
-        /// Tag of a customer, and units from before a gateway first reported: how old they are is not known.
+        /// Tag of the customer, and units used before a gateway's first report: their age is unknown.
         past: Vec<(u32, f64)>,
     },
-    /// The numbers of the gateways that are present, in place of all that the settings count: servers are assigned to
-    /// these.
+    /// The set of present gateways changed. Servers are assigned to the gateways with these indices, instead of to
+    /// [`Settings::gateways`](crate::Settings::gateways) many.
     Gateways(Vec<u32>),
-    /// All that another gateway reports of servers, in place of its previous reports.
+    /// Another gateway reported the health of servers; this replaces its previous reports.
     HealthReports {
-        /// The other gateway's number.
+        /// Index of the other gateway.
         from: u32,
-        /// Its reports.
+        /// The complete reports of the other gateway.
         reports: HealthReports,
     },
-    /// All gateways that are known to pass no requests, as they left or never joined.
+    /// The set of gateways changed that are known to admit no requests, because they left or never joined. Holds the
+    /// indices of all of them.
     GatewaysAbsent(Vec<u32>),
-    /// The wall clock, by which all gateways name counts, was stepped: it is now `ahead_us` microseconds ahead of the clock
-    /// of events.
+    /// The wall clock, from which all gateways derive the names of counts, was stepped.
     WallClock {
-        /// Negative where the wall clock is behind.
+        /// Microseconds by which the wall clock is now ahead of the clock of events; negative if it is behind.
         ahead_us: i64,
     },
-    /// Other policy terms are in force. What customers used carries over, and for a short transition the smaller of both
-    /// terms holds.
+    /// New policy terms are in force. The units that customers used carry over, and for a short transition the stricter of
+    /// the old and new limits apply.
     PolicyChanged(PolicyTerms),
-    /// Whether requests may be admitted has changed.
+    /// The state of the policy lease changed, and with it whether requests may be admitted.
     LeaseStateChanged(LeaseState),
     /// A call to the counter ended.
     CounterReply {
@@ -91,7 +91,7 @@
         name: String,
         /// How the call ended.
         status: CompletionStatus,
-        /// The total after the call, if served.
+        /// The total after the call, if the call was served.
         total: f64,
     },
 }
--- a/crates/traffic-control/src/interface/identifiers.rs
+++ b/crates/traffic-control/src/interface/identifiers.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-/// A request's identifier; a client's retry carries a new one.
+/// A request's identifier; a retry by the client has a new one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
--- a/crates/traffic-control/src/interface/mod.rs
+++ b/crates/traffic-control/src/interface/mod.rs
@@ -1,5 +1,5 @@
-//! The public interface: the settings a gateway starts with, the events that happen to it and the actions it
-//! answers with. Types only, no decisions.
+//! The public types of the crate: the settings that a gateway starts with, the events that it handles and the actions that
+//! it returns.
 
 mod actions;
 mod events;
--- a/crates/traffic-control/src/interface/plans.rs
+++ b/crates/traffic-control/src/interface/plans.rs
@@ -1,8 +1,8 @@
-//! Request classes, customer plans and the policy that sets both.
+//! Request classes, customer plans, and the policy terms that set both.
 
 use super::time::Micros;
 
-/// Which servers drop a repeat of a keyed request.
+/// The servers that share the idempotency keys they have seen, so that each drops a repeat of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
     /// Every server.
@@ -16,47 +16,47 @@
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Any number of times.
+    /// The request may run any number of times.
     Repeatable,
-    /// Repeats are dropped within `scope` for `window_us` from the first send that may have run.
+    /// Servers within `scope` drop repeats for `window_us` from the first send that may have run.
     Keyed {
-        /// The servers that share which keys they have seen.
+        /// The servers that share the keys they have seen.
         scope: Scope,
-        /// How long they remember a key, from the send.
+        /// How long servers remember a key, from the send.
         window_us: Micros,
     },
-    /// Never: a further attempt needs proof that no earlier one ran.
+    /// The request must not run twice: a further attempt requires proof that no earlier one ran.
     Once,
 }
 
 /// A class of request.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// Name that requests carry.
+    /// Name of the class in requests.
     pub name: String,
-    /// Latency objective: an answer within it earns the full value.
+    /// Latency within which an answer earns the full value of the request.
     pub latency_objective_us: Micros,
     /// Time after which the client gives up.
     pub deadline_us: Micros,
-    /// Whether it may run again.
+    /// Whether a request of the class may run more than once.
     pub effect: Effect,
-    /// Value of one request before the plan's price and the units.
+    /// Value of one unit of a request, before the factor [`Plan::price`].
     pub priority_weight: f64,
-    /// Share of the value that an answer between objective and deadline earns.
+    /// Share of the value that an answer between the objective and the deadline earns.
     pub late_weight: f64,
 }
 
-/// A hard ceiling: a second store of units that no customer of the plan may overdraw at all gateways together.
+/// A hard ceiling: a second token bucket for each customer of a plan, which all gateways together must not overdraw.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Ceiling {
-    /// Units a second by which it fills.
+    /// Refill rate of the bucket, in units per second.
     pub rate: f64,
-    /// Its capacity in units.
+    /// Capacity of the bucket, in units.
     pub depth: f64,
 }
 
 impl Ceiling {
-    /// The ceiling that keeps to both; where one has none, the other's.
+    /// Returns the ceiling with the lower rate and the lower depth of both; if only one is given, that one.
     pub(crate) fn stricter(a: Option<Ceiling>, b: Option<Ceiling>) -> Option<Ceiling> {
         let (Some(first), Some(second)) = (a, b) else {
             return a.or(b);
@@ -68,33 +68,33 @@
     }
 }
 
-/// A plan and its quota for each customer over all gateways.
+/// A customer plan. Its quota applies to each customer of the plan, across all gateways.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Name that requests carry.
+    /// Name of the plan in requests.
     pub name: String,
-    /// Units a second; 0: no quota on the rate.
+    /// Refill rate of the quota's token bucket, in units per second; 0 if the plan does not limit the rate.
     pub rate: f64,
-    /// Capacity of the store in units.
+    /// Capacity of the quota's token bucket, in units.
     pub burst: f64,
-    /// Limit on attempts in flight; 0: none.
+    /// Limit on attempts in flight; 0 for no limit.
     pub max_open: u32,
-    /// Factor on the value of its requests.
+    /// Factor on the value of the plan's requests.
     pub price: f64,
     /// Share of its value that a request beyond the quota earns.
     pub excess_weight: f64,
-    /// Share of its value that passing on a request beyond the quota costs.
+    /// Cost of sending a request beyond the quota, as a share of the request's value.
     pub overrun_cost: f64,
-    /// Hard ceiling, if any.
+    /// Hard ceiling on the units of each customer, if any.
     pub ceiling: Option<Ceiling>,
 }
 
-/// The retry budget.
+/// The budget that limits retries to a small share of the load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// Retries that one first attempt earns.
+    /// Retries that each first attempt adds to the budget.
     pub ratio: f64,
-    /// Retries that may be saved up: they stay a small share of the load.
+    /// Limit on the retries in the budget.
     pub max_saved: f64,
 }
 
@@ -107,19 +107,20 @@
     }
 }
 
-/// What an agreed policy sets. Plans and classes are those of the settings in the same order, with other figures.
+/// The terms that an agreed policy sets. They hold the plans and classes of the settings in the same order, with other
+/// values.
 #[derive(Clone, Debug)]
 pub struct PolicyTerms {
     /// All plans.
     pub plans: Vec<Plan>,
     /// All classes.
     pub classes: Vec<RequestClass>,
-    /// Retry budget.
+    /// The retry budget.
     pub retries: RetryBudget,
 }
 
 impl PolicyTerms {
-    /// The smaller of both, plan by plan; classes and retries are those of `self`.
+    /// Returns terms with the stricter limits of `self` and `other` for each plan; all else is that of `self`.
     pub fn smaller(self, other: &PolicyTerms) -> PolicyTerms {
         let plans = self
             .plans
@@ -141,7 +142,7 @@
     }
 }
 
-/// The smaller limit on open attempts, where 0 is none.
+/// Returns the lower of two limits on attempts in flight, where 0 means no limit.
 fn stricter_max_open(a: u32, b: u32) -> u32 {
     if a == 0 || b == 0 {
         a.max(b)
@@ -150,13 +151,13 @@
     }
 }
 
-/// Whether requests may be admitted, where gateways agree on their policy.
+/// State of the lease on a policy that gateways agree on, which decides whether requests may be admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseState {
-    /// They may be admitted.
+    /// The lease is held: requests may be admitted.
     Held,
-    /// They wait for the lease, as long as their clients' time allows.
+    /// The lease is being acquired: requests wait for it, as long as their clients' deadlines allow.
     Pending,
-    /// No policy is known to hold: they are rejected at once.
+    /// No policy is known to be in force: requests are rejected immediately.
     Missing,
 }
--- a/crates/traffic-control/src/interface/requests.rs
+++ b/crates/traffic-control/src/interface/requests.rs
@@ -1,4 +1,4 @@
-//! Client requests, and how their attempts end.
+//! Client requests and the outcomes of their attempts.
 
 use super::identifiers::{CustomerId, RequestId, ServerId};
 use super::time::Micros;
@@ -6,7 +6,7 @@
 /// A client request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its identifier.
+    /// The request's identifier.
     pub id: RequestId,
     /// The customer that sent it.
     pub customer: CustomerId,
@@ -14,25 +14,26 @@
     pub plan: String,
     /// The request's class.
     pub class: String,
-    /// Units that it takes of the quota.
+    /// Units that the request takes from the quota.
     pub units: f64,
-    /// Gateways that the customer uses.
+    /// Number of gateways that the customer uses.
     pub gateway_count: u32,
-    /// Index of the first of them; the others follow in a circle.
+    /// Index of the first gateway that the customer uses; the others have the following indices, modulo the number of
+    /// gateways.
     pub first_gateway: u32,
     /// Time until the client gives up.
     pub remaining_us: Micros,
-    /// The pool of servers that it may go to.
+    /// The pool of servers that the request may go to.
     pub pool: u8,
-    /// The server that it is sticky to, and whether it may go elsewhere once that one is lost.
+    /// The server that the request is sticky to, and whether it may go to another one once that server is lost.
     pub sticky_server: Option<(ServerId, bool)>,
-    /// Whether it is shed before others of its class and plan.
+    /// Whether the request is shed before others of its class and plan.
     pub low_priority: bool,
 }
 
 impl Request {
-    /// A request of one unit whose customer uses one gateway.
-    pub fn new(id: u64, customer: &str, plan: &str, class: &str, patience_us: Micros) -> Self {
+    /// Creates a request of one unit whose customer uses one gateway.
+    pub fn new(id: u64, customer: &str, plan: &str, class: &str, remaining_us: Micros) -> Self {
         Request {
             id: RequestId(id),
             customer: CustomerId(customer.into()),
@@ -41,7 +42,7 @@
             units: 1.0,
             gateway_count: 1,
             first_gateway: 0,
-            remaining_us: patience_us,
+            remaining_us,
             pool: 0,
             sticky_server: None,
             low_priority: false,
@@ -56,33 +57,33 @@
     Inflight,
     /// Requests queued at the server.
     Queue,
-    /// Recent service time in milliseconds, without waiting.
+    /// Recent service time in milliseconds, without time in a queue.
     ServiceMs,
 }
 
 /// How an attempt, or a call to the counter, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CompletionStatus {
-    /// It was answered.
+    /// The server answered.
     Served,
-    /// The server answered with an error; it may have run.
+    /// The server answered with an error; the attempt may have run.
     ServerError,
-    /// The server rejected it unseen; it never ran.
+    /// The server rejected the attempt without processing it; the attempt never ran.
     Rejected,
-    /// No answer in time; it may have run.
+    /// No answer arrived in time; the attempt may have run.
     NoAnswer,
-    /// No connection; it never ran.
+    /// No connection was established; the attempt never ran.
     NoConnection,
-    /// The connection broke; it may have run.
+    /// The connection was lost; the attempt may have run.
     ConnectionLost,
-    /// It was cancelled; it may have run.
+    /// The gateway cancelled the attempt; it may have run.
     Cancelled,
-    /// Nothing of it was sent; it never ran.
+    /// No part of the attempt was sent; it never ran.
     NotSent,
 }
 
 impl CompletionStatus {
-    /// Whether this status proves that the attempt never ran.
+    /// Returns whether the status proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
@@ -91,31 +92,32 @@
     }
 }
 
-/// The end of one attempt.
+/// The outcome of one attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptOutcome {
     /// The request.
     pub request: RequestId,
     /// Number of the attempt, from 0.
     pub attempt: u32,
-    /// The server.
+    /// The server that the attempt went to.
     pub server: ServerId,
     /// How the attempt ended.
     pub status: CompletionStatus,
-    /// Time since the send.
+    /// Time from the send to the end of the attempt.
     pub elapsed_us: Micros,
-    /// Set once the client has its final answer.
+    /// Whether the client has its final answer.
     pub closed: bool,
-    /// Actual units, where the request's were an estimate.
+    /// Units that the request actually took, if [`Request::units`] was an estimate.
     pub settled_units: Option<f64>,
-    /// The customer's use at all gateways in the meter's last period, as a share of its rate or of its limit on attempts.
+    /// The customer's usage at all gateways in the last period of the usage meter, as a share of its rate or of its limit
+    /// on attempts in flight.
     pub metered_use: Option<f64>,
-    /// The server's load report.
+    /// The load report of the server.
     pub load_report: Vec<(LoadMetric, f64)>,
 }
 
 impl AttemptOutcome {
-    /// An outcome with a status only, which leaves the request open.
+    /// Creates an outcome without settled units, metered usage and load report, which leaves the request open.
     pub fn new(
         request: RequestId,
         attempt: u32,
@@ -136,7 +138,7 @@
         }
     }
 
-    /// The same outcome, with the request closed.
+    /// Marks the request as closed by this outcome.
     pub fn closing(mut self) -> Self {
         self.closed = true;
         self
--- a/crates/traffic-control/src/interface/server_list.rs
+++ b/crates/traffic-control/src/interface/server_list.rs
@@ -3,52 +3,52 @@
 use super::identifiers::ServerId;
 use super::time::Micros;
 
-/// What a server list contains.
+/// What an update of the server list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed entries only.
+    /// The entries that changed.
     Partial,
     /// All entries.
     Complete,
-    /// The complete list as it was persisted before a restart; it may be stale.
+    /// All entries as persisted before a restart of the gateway; they may be stale.
     Persisted,
-    /// Nothing, as a call to discovery failed.
+    /// No entries, because a call to discovery failed.
     Error,
 }
 
-/// A server's state in the list.
+/// A server's state in the server list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Health {
-    /// It takes requests.
+    /// The server takes requests.
     #[default]
     Ready,
-    /// It finishes what it has; no new request may go there.
+    /// The server finishes its requests; no new request may go to it.
     Draining,
-    /// It is gone.
+    /// The server is no longer in the list.
     Removed,
 }
 
-/// One server in the list.
+/// An entry of the server list.
 #[derive(Clone, Debug)]
 pub struct ServerEntry {
-    /// Its address.
+    /// The server's address.
     pub server: ServerId,
-    /// Its zone.
+    /// The server's zone.
     pub zone: String,
-    /// Its cell: servers of one cell share which idempotency keys they have seen.
+    /// The server's cell. The servers of a cell share the idempotency keys they have seen.
     pub cell: u64,
-    /// Its relative capacity.
+    /// The server's capacity relative to the others.
     pub weight: f64,
-    /// When it last started; 0: long ago.
+    /// Time of the server's last start; 0 if that was long ago.
     pub started_us: Micros,
-    /// Its state in the list.
+    /// The server's state.
     pub health: Health,
-    /// Its pool: only requests of the same pool go there. Each protocol has its own.
+    /// The server's pool. Only requests of the same pool go to it; each protocol has its own pool.
     pub pool: u8,
 }
 
 impl ServerEntry {
-    /// A ready server of weight 1 that started long ago.
+    /// Creates the entry of a ready server of weight 1 that started long ago.
     pub fn ready(server: &str, zone: &str) -> Self {
         ServerEntry {
             server: ServerId(server.into()),
--- a/crates/traffic-control/src/interface/settings.rs
+++ b/crates/traffic-control/src/interface/settings.rs
@@ -3,27 +3,27 @@
 use super::plans::{Ceiling, Effect, Plan, RequestClass, RetryBudget};
 use super::time::Micros;
 
-/// How a server warms up after its start, and what overloads it meanwhile.
+/// How a server's capacity grows after its start, and which load would overload it meanwhile.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
-    /// Least share of its capacity at the start.
+    /// Minimum share of its full capacity that a server has at its start.
     pub initial_share: f64,
-    /// It is warm after this at the latest.
+    /// Time after its start within which a server reaches its full capacity.
     pub duration_us: Micros,
-    /// It is overloaded by more than this multiple of what it can do...
+    /// Multiple of its capacity above which load overloads a server, if it lasts for `overload_after_us`.
     pub overload_multiple: f64,
-    /// ...sent for this long.
+    /// Duration of excess load after which a server is overloaded.
     pub overload_after_us: Micros,
 }
 
 /// The configuration of a gateway.
 #[derive(Clone, Debug)]
-// Independent switches of the configuration.
+// The switches are independent of each other.
 #[expect(clippy::struct_excessive_bools)]
 pub struct Settings {
     /// Number of gateways.
     pub gateways: u32,
-    /// This gateway's index.
+    /// Index of this gateway, from 0.
     pub gateway_index: u32,
     /// This gateway's zone.
     pub zone: String,
@@ -31,39 +31,41 @@
     pub classes: Vec<RequestClass>,
     /// Customer plans.
     pub plans: Vec<Plan>,
-    /// Slow start of servers.
+    /// How servers warm up.
     pub slow_start: SlowStart,
-    /// Attempts that a request may have.
+    /// Limit on the attempts of a request.
     pub max_attempts: u32,
     /// Whether two attempts of one request may be in flight at once.
     pub parallel_attempts: bool,
     /// Whether an attempt may be cancelled.
     pub cancel: bool,
-    /// Longest retry-after that clients honour; 0: none is sent.
+    /// Longest retry-after that clients honour; 0 if none is sent.
     pub max_retry_after_us: Micros,
     /// Whether gateways may send messages to each other.
     pub peer_messages: bool,
-    /// Messages a second that a gateway accepts.
+    /// Messages per second that a gateway accepts from its peers.
     pub peer_messages_per_s: f64,
     /// Whether there is a shared counter.
     pub has_counter: bool,
-    /// How long the usage reports that gateways send each other count; 0: they send none.
+    /// How long a usage report of another gateway is valid; 0 if gateways send none.
     pub usage_report_ttl_us: Micros,
-    /// Period of the usage meter; 0: none.
+    /// Period of the usage meter; 0 if there is no meter.
     pub meter_period_us: Micros,
     /// Whether the server list is only sent on request.
     pub list_on_request: bool,
-    /// Cost of an attempt into another zone, as a share of a request's value.
+    /// Cost of an attempt to a server in another zone, as a share of the request's value.
     pub cross_zone_cost: f64,
-    /// The most units that one request takes.
+    /// Limit on the units of one request.
     pub max_units: f64,
-    /// Retry budget.
+    /// The retry budget.
     pub retries: RetryBudget,
 }
 
 impl Settings {
+    /// Checks the settings.
+    ///
     /// # Errors
-    /// The first mistake; the text says what to correct.
+    /// Returns the first of the [`mistakes`](Self::mistakes).
     pub(crate) fn validate(&self) -> Result<(), SettingsError> {
         match self.mistakes().into_iter().next() {
             Some(mistake) => Err(SettingsError(mistake)),
@@ -71,24 +73,24 @@
         }
     }
 
-    /// All mistakes, each with what would be right.
+    /// Returns a message for each mistake in the settings, which says what is valid instead.
     pub fn mistakes(&self) -> Vec<String> {
         let mut mistakes = Vec::new();
         if self.classes.is_empty() || self.plans.is_empty() {
-            mistakes.push("give at least one class and one plan".to_string());
+            mistakes.push("the settings must contain at least one class and one plan".to_string());
         }
         if self.gateways == 0 || self.gateway_index >= self.gateways {
-            mistakes.push("`gateways` must be at least 1 and `me` below it".into());
+            mistakes.push("the number of gateways must be at least 1, and `me` below it".into());
         }
         for class in self.classes.iter().filter(|class| !is_valid_class(class)) {
             mistakes.push(format!(
-                "class {:?} needs a positive aim and finite, non-negative worths",
+                "class {:?}: aim must be greater than 0, worth and late worth finite and not negative",
                 class.name
             ));
         }
         for plan in self.plans.iter().filter(|plan| !is_valid_plan(plan)) {
             mistakes.push(format!(
-                "plan {:?}: rate, burst, price, worth, cost and ceiling must be finite and not negative",
+                "plan {:?}: rate, burst, price, excess worth, overrun cost and ceiling must be finite and not negative",
                 plan.name
             ));
         }
@@ -101,13 +103,15 @@
         ];
         if !quantities.into_iter().all(is_valid_quantity) {
             mistakes.push(
-                "cold start, mail, zone cost and units must be finite and not negative".into(),
+                "`coldFrom`, `tipMultiple`, `mailPerS`, `crossZone` and `unitsTop` must be finite and not negative"
+                    .into(),
             );
         }
         mistakes
     }
 
-    /// A small valid configuration for examples and tests: one gateway, one repeatable class `read`, one plan `basic`.
+    /// Returns a small valid configuration for examples and tests: one gateway, one repeatable class `read`, one plan
+    /// `basic`.
     pub fn example() -> Self {
         Settings {
             gateways: 1,
@@ -177,7 +181,7 @@
     quantities.into_iter().all(is_valid_quantity) && plan.ceiling.is_none_or(is_valid_ceiling)
 }
 
-/// Why settings were not accepted; the text says what to correct.
+/// The error for invalid settings; the text says what to correct.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("settings not usable: {}", .0)]
+#[error("invalid settings: {}", .0)]
 pub struct SettingsError(pub String);
--- a/crates/traffic-control/src/interface/time.rs
+++ b/crates/traffic-control/src/interface/time.rs
@@ -1,10 +1,10 @@
-//! The unit of time, and how late attempts may begin.
+//! The unit of time, and bounds on delays that deadlines of attempts allow for.
 
-/// A time or a duration in whole microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// A gateway may be delayed by this much between reading its clock and writing. Latest starts of attempts allow for it.
+/// Longest delay of a gateway between reading its clock and sending. The deadlines for starting attempts allow for it.
 pub const MAX_GATEWAY_DELAY_US: Micros = 150_000;
 
-/// An attempt may begin this long after its client has gone.
+/// How long after its client has gone an attempt may still begin.
 pub const CLIENT_GONE_SLACK_US: Micros = 100_000;
--- a/crates/traffic-control/src/lib.rs
+++ b/crates/traffic-control/src/lib.rs
@@ -1,9 +1,9 @@
-//! Decisions of a gateway that meters many customers' use of one shared service: admission, quotas, load balancing and
+//! Traffic control for a gateway in front of a service that many customers share: admission, quotas, load balancing and
 //! retries.
 //!
-//! One [`Gateway`] value is one gateway. It handles [`Event`]s, each with the clock, and returns
-//! [`Action`]s: send this request there, reject that one, set a timer. It does no I/O, reads no clock and shares
-//! nothing, so the same events always yield the same actions.
+//! A [`Gateway`] handles [`Event`]s, each with the current time, and returns [`Action`]s, such as sending a request to a
+//! server, rejecting a request or setting a timer. It does no I/O, reads no clock and shares no state, so the same events
+//! always yield the same actions.
 //!
 //! Admission follows Lin, Ghosh and Das, "Wireless Networks Revenue Optimization through Overload Control
 //! with Priority Services": the admission fraction of each class and plan steps down while latency exceeds its bound and
@@ -22,7 +22,7 @@
 //! actions.clear();
 //! gateway.handle(2_000, Event::Request(request), &mut actions);
 //! let Some(Action::Send { request, server, .. }) = actions.iter().find(|a| matches!(a, Action::Send { .. })) else {
-//!     panic!("an idle fleet serves a request inside its quota");
+//!     panic!("a request within its quota is sent to an idle server");
 //! };
 //!
 //! let outcome = AttemptOutcome::new(*request, 0, server.clone(), CompletionStatus::Served, 20_000).closing();
--- a/crates/traffic-control/src/peer_reports.rs
+++ b/crates/traffic-control/src/peer_reports.rs
@@ -1,5 +1,5 @@
-//! What the other gateways reported: their admission rates, when they last reported their use, and use of customers that
-//! are not known here yet. State only.
+//! Reports of the other gateways: their admitted rates, the times of their last usage reports, and the reported usage of
+//! customers that this gateway does not track yet. Keeps state only.
 
 use crate::customer::Customer;
 use crate::decaying_sum::{DecayingSum, DEMAND_TAU_US};
@@ -8,52 +8,53 @@
 use crate::quota::Quota;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Fewer reports than this are too few to go by.
+/// Decayed number of reports up to which the admitted rates of peers are not used.
 const MIN_REPORT_COUNT: f64 = 0.1;
 
-/// How old reported use is.
+/// Age of reported usage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum UsageAge {
+    /// The units were used since the reporting gateway's previous report.
     Current,
-    /// It may be from before the store was last full.
+    /// The units may have been used before the customer's bucket was last full.
     PossiblyStale,
 }
 
-/// Reported use of a customer that is not known here.
+/// Reported usage of a customer that this gateway does not track.
 pub(crate) struct UnknownCustomerUsage {
-    used_units: f64,
+    current_units: f64,
     possibly_stale_units: f64,
-    since: Micros,
+    first_reported_at: Micros,
 }
 
 impl UnknownCustomerUsage {
-    /// What a store holds now that was full before, as far as is known. Possibly stale use may be older than what has
-    /// filled in since: it empties the store and no more.
+    /// Returns the units in the customer's bucket at `now`, assuming that it was full before the first report. Possibly
+    /// stale usage may be older than the refills since: it empties the bucket but does not overdraw it.
     pub fn remaining_units(&self, quota: &Quota, now: Micros) -> f64 {
-        let filled = quota.rate_per_s * now.saturating_sub(self.since) as f64 / 1e6;
-        (quota.capacity - self.possibly_stale_units).max(0.0) - self.used_units + filled
+        let refilled = quota.rate_per_s * now.saturating_sub(self.first_reported_at) as f64 / 1e6;
+        (quota.capacity - self.possibly_stale_units).max(0.0) - self.current_units + refilled
     }
 }
 
-/// The gateways of a customer's set that are to report their use.
+/// The other gateways that a customer uses, by whether their usage reports are current.
 struct ReportingPeers {
-    /// Silent ones, and since when.
+    /// Gateways without a valid usage report, and since when.
     silent: Vec<(u32, Micros)>,
-    /// Until when the reports of the others count; `None` where there are no others.
+    /// Time until which the reports of all other peers are valid; `None` if there are no others.
     reports_until: Option<Micros>,
 }
 
 /// The reports of all other gateways.
 pub(crate) struct PeerReports {
-    /// Admitted rates that were reported, by cell.
+    /// Sums of the admitted rates that gateways reported, by admission cell.
     admitted_rates: Vec<DecayingSum>,
-    /// How many gateways reported them.
+    /// Number of the reports in `admitted_rates`, which decays as they do.
     report_count: DecayingSum,
-    /// When each gateway last reported its use.
+    /// Time of each gateway's last usage report.
     usage_reported_at: BTreeMap<u32, Micros>,
-    /// Gateways through which nothing comes.
+    /// Gateways that are known to admit no requests.
     pub absent_gateways: BTreeSet<u32>,
-    /// Use of customers that are not known here, by tag.
+    /// Reported usage of customers that this gateway does not track, by tag.
     unknown_customers: BTreeMap<u32, UnknownCustomerUsage>,
 }
 
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Records the admitted rates of a peer.
+    /// Records the admitted rates that a peer reported.
     pub fn record_cell_reports(&mut self, now: Micros, reports: Vec<CellReport>) {
         self.report_count.add(now, DEMAND_TAU_US, 1.0);
         for (rate, report) in self.admitted_rates.iter_mut().zip(reports) {
@@ -76,7 +77,8 @@
         }
     }
 
-    /// What all `others` admit a second in a cell, by what some of them reported.
+    /// Returns a function that estimates the requests per second that `others` gateways admit in a cell, extrapolated from
+    /// those that reported recently.
     pub fn others_admitted_per_s(&self, now: Micros, others: u32) -> impl Fn(usize) -> f64 + '_ {
         let reports = self.report_count.at(now, DEMAND_TAU_US);
         let gateways_per_report = if reports > MIN_REPORT_COUNT {
@@ -87,13 +89,13 @@
         move |cell| self.admitted_rates[cell].at(now, DEMAND_TAU_US) * gateways_per_report
     }
 
-    /// Records that a gateway reported its use.
+    /// Records the time of a gateway's usage report.
     pub fn record_usage_report(&mut self, now: Micros, from: u32) {
         self.usage_reported_at.insert(from, now);
     }
 
-    /// Updates a customer by which gateways of its set have reported again or fallen silent: what was let through until
-    /// then the others know, and for the silent ones a share of the store is set aside.
+    /// Updates a customer after its gateways reported usage or stopped reporting. While all of them report, each knows all
+    /// usage up to the reports; for each silent gateway a share of the customer's bucket is reserved.
     pub fn update_customer(
         &self,
         now: Micros,
@@ -106,23 +108,25 @@
             return;
         }
         let peers = self.reporting_peers(now, settings, customer);
-        let all_report = peers.silent.is_empty();
-        if !(all_report && customer.shares.all_reachable()) {
-            let is_counted = customer.is_synced(now) && !customer.follows_peer_reports(now);
+        let all_peers_report = peers.silent.is_empty();
+        if !(all_peers_report && customer.shares.all_reachable()) {
+            let is_level_from_counter =
+                customer.is_synced(now) && !customer.follows_peer_reports(now);
             customer.shares.reassign(
                 now,
                 quota,
                 customer.gateway_count,
-                is_counted,
+                is_level_from_counter,
                 &peers.silent,
                 &mut customer.level,
             );
         }
-        // Where no other gateway is there, none has to report.
-        let nobody_else = (peers.reports_until.is_none() && all_report).then(|| now + ttl_us);
-        let reports_until = peers.reports_until.or(nobody_else);
-        // A counter knows of all use, also of the silent ones'.
-        match reports_until.filter(|_| all_report || !settings.has_counter) {
+        // Without any other gateway present, no reports are missing.
+        let until_without_peers =
+            (peers.reports_until.is_none() && all_peers_report).then(|| now + ttl_us);
+        let reports_until = peers.reports_until.or(until_without_peers);
+        // With silent peers the counter is preferred, as it includes their usage.
+        match reports_until.filter(|_| all_peers_report || !settings.has_counter) {
             Some(until) => customer.extend_peer_reports(until),
             None => customer.used_since_reports = 0.0,
         }
@@ -147,7 +151,8 @@
                 reports_until =
                     Some(reports_until.map_or(expires_at, |until| until.min(expires_at)));
             } else {
-                // Until the last refill its share came in here: no more of that is set aside.
+                // Up to the last refill, this gateway's level includes the silent gateway's share: only refills from then
+                // on are reserved.
                 let refilled_at = customer.refilled_at;
                 silent.push((gateway, reported_at.unwrap_or(refilled_at).max(refilled_at)));
             }
@@ -158,7 +163,8 @@
         }
     }
 
-    /// Records use of a customer that is not known here, of at most `max_customers`.
+    /// Records reported usage of a customer that this gateway does not track. Drops it if such usage of `max_customers`
+    /// customers is recorded already.
     pub fn record_unknown_customer(
         &mut self,
         now: Micros,
@@ -174,24 +180,24 @@
             .unknown_customers
             .entry(tag)
             .or_insert(UnknownCustomerUsage {
-                used_units: 0.0,
+                current_units: 0.0,
                 possibly_stale_units: 0.0,
-                since: now,
+                first_reported_at: now,
             });
         match age {
-            UsageAge::Current => usage.used_units += units,
+            UsageAge::Current => usage.current_units += units,
             UsageAge::PossiblyStale => usage.possibly_stale_units += units,
         }
     }
 
-    /// Takes out the reported use of a customer that becomes known here.
+    /// Removes and returns the reported usage of a customer that this gateway starts to track.
     pub fn take_unknown_customer(&mut self, tag: u32) -> Option<UnknownCustomerUsage> {
         self.unknown_customers.remove(&tag)
     }
 
-    /// Forgets use that was first reported longer ago than `timeout_us`.
+    /// Forgets usage that was first reported `timeout_us` ago or earlier.
     pub fn forget_unknown_customers(&mut self, now: Micros, timeout_us: Micros) {
         self.unknown_customers
-            .retain(|_, usage| now.saturating_sub(usage.since) < timeout_us);
+            .retain(|_, usage| now.saturating_sub(usage.first_reported_at) < timeout_us);
     }
 }
--- a/crates/traffic-control/src/pending_request.rs
+++ b/crates/traffic-control/src/pending_request.rs
@@ -1,15 +1,15 @@
-//! The state of one request while it is open: its demands, its deadlines and its attempts.
+//! The state of an open request: its class and units, its deadlines and its attempts.
 
 use crate::interface::{Micros, ServerId};
 
-/// Whether an attempt may have taken effect.
+/// Whether an attempt has ended and may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptState {
-    /// It has not ended.
+    /// The attempt has not ended.
     InFlight,
-    /// It ended, and may have run.
+    /// The attempt ended and may have run.
     MayHaveRun,
-    /// It ended, and surely never ran.
+    /// The attempt ended and certainly never ran.
     NeverRan,
 }
 
@@ -20,33 +20,33 @@
     pub group: (String, u64),
     pub sent_at: Micros,
     pub state: AttemptState,
-    /// Whether it ended before anything of it was sent.
+    /// Whether the attempt ended before any part of it was sent.
     pub not_sent: bool,
-    /// What it cost of the retry budget.
+    /// Retries that the attempt took from the retry budget.
     pub retry_cost: f64,
 }
 
 /// An open request.
 #[derive(Default)]
 pub(crate) struct PendingRequest {
-    /// Index of its class.
+    /// Index of the request's class.
     pub class: usize,
-    /// Index of its admission cell: its class and plan.
+    /// Index of the request's admission cell, which is its pair of class and plan.
     pub cell: usize,
-    /// Tag of its customer.
+    /// Tag of the request's customer.
     pub customer: u32,
     pub units: f64,
-    /// What it takes of the quota's store: its units, or one permit.
+    /// What the request takes from the quota: its units, or one concurrency permit.
     pub quota_units: f64,
-    /// When its client gives up, or its answer loses all value.
+    /// Time at which the client gives up or an answer loses all value.
     pub deadline: Micros,
-    /// With nothing sent it is answered by then.
+    /// Time by which the request is answered if no attempt was sent.
     pub send_deadline: Micros,
-    /// The servers that it may go to.
+    /// The pool of servers that the request may go to.
     pub pool: u8,
-    /// The server where it belongs, and whether it may go elsewhere once that one is lost.
+    /// The server that the request is sticky to, and whether it may go to another one once that server is lost.
     pub sticky_server: Option<(ServerId, bool)>,
-    /// Whether it comes after others of its cell.
+    /// Whether the request is shed before others of its cell.
     pub low_priority: bool,
     pub attempts: Vec<Attempt>,
     /// Whether the client has its final answer.
@@ -62,7 +62,7 @@
             .any(|a| a.state == AttemptState::InFlight)
     }
 
-    /// Whether an earlier attempt went to this server.
+    /// Returns whether an earlier attempt went to `server`.
     pub fn has_tried(&self, server: &ServerId) -> bool {
         self.attempts.iter().any(|a| a.server == *server)
     }
--- a/crates/traffic-control/src/quota.rs
+++ b/crates/traffic-control/src/quota.rs
@@ -1,53 +1,58 @@
-//! A plan's quota as a store that every customer of the plan has.
+//! A plan's quota, as the parameters of the token bucket that each customer of the plan has.
 
 use crate::interface::{Ceiling, Plan, Settings};
 
-/// The store of a plan without any limit holds so much.
+/// Capacity of the bucket of a plan without a limit on the rate or on attempts in flight.
 const UNLIMITED_CAPACITY: f64 = 1e12;
 
-/// A store of units, or of concurrency permits that attempts take and, without a counter, give back in time.
+/// Parameters of a token bucket of units, or of concurrency permits. Attempts take permits; without a counter, the permits
+/// that an attempt takes are refilled over time.
 #[derive(Clone, Copy)]
 pub(crate) struct Quota {
+    /// Refill rate, in units or permits per second.
     pub rate_per_s: f64,
+    /// Capacity, in units or permits.
     pub capacity: f64,
+    /// Limit on the units or permits that one request takes.
     pub max_request_units: f64,
-    /// Whether it limits attempts in flight rather than units.
+    /// Whether the quota limits attempts in flight rather than units.
     pub limits_concurrency: bool,
     pub ceiling: Option<Ceiling>,
-    /// What passing on beyond it costs, as a share of what it costs for the plan where that is most.
+    /// Cost of sending requests beyond the quota, relative to the plan for which that cost is highest.
     pub relative_cost: f64,
-    /// Whether the gateways are many and report nothing to each other: at most the counter knows the use of all.
+    /// Whether the fleet is large and its gateways send each other no usage reports: only the counter, if there is one,
+    /// then has the usage at all gateways.
     pub is_counter_only: bool,
     pub has_counter: bool,
 }
 
-/// What a plan's store is made of.
-struct Store {
+/// Rate, capacity and largest withdrawal of a plan's token bucket.
+struct BucketParameters {
     rate_per_s: f64,
     capacity: f64,
     max_request_units: f64,
 }
 
 impl Quota {
-    /// The quotas of all plans, while a mean attempt takes `attempt_s`. A fleet of more than `max_small_fleet` gateways
-    /// counts as large: each of them can make few calls.
+    /// Returns the quotas of all plans, given the mean latency `attempt_s` of an attempt. A fleet of more than
+    /// `max_small_fleet` gateways counts as large: each gateway can then make only few calls to the counter.
     pub fn for_plans(settings: &Settings, attempt_s: f64, max_small_fleet: u32) -> Vec<Quota> {
         let has_counter = settings.has_counter;
         let is_counter_only = (has_counter || !settings.peer_messages)
             && settings.usage_report_ttl_us == 0
             && settings.gateways > max_small_fleet;
-        let max_cost = settings.plans.iter().map(overrun_price).fold(0.0, f64::max);
+        let max_overrun_price = settings.plans.iter().map(overrun_price).fold(0.0, f64::max);
         let quota = |plan: &Plan| {
-            let store = plan_store(plan, settings.max_units, attempt_s);
-            let relative_cost = if max_cost > 0.0 {
-                overrun_price(plan) / max_cost
+            let bucket = plan_bucket(plan, settings.max_units, attempt_s);
+            let relative_cost = if max_overrun_price > 0.0 {
+                overrun_price(plan) / max_overrun_price
             } else {
                 1.0
             };
             Quota {
-                rate_per_s: store.rate_per_s,
-                capacity: store.capacity,
-                max_request_units: store.max_request_units,
+                rate_per_s: bucket.rate_per_s,
+                capacity: bucket.capacity,
+                max_request_units: bucket.max_request_units,
                 limits_concurrency: plan.rate <= 0.0 && plan.max_open > 0,
                 ceiling: plan.ceiling,
                 relative_cost,
@@ -58,7 +63,7 @@
         settings.plans.iter().map(quota).collect()
     }
 
-    /// The smaller of both stores; all else is `other`'s.
+    /// Returns a quota with the lower rate, capacity and ceiling of both; all else is that of `other`.
     pub fn stricter(self, other: Quota) -> Quota {
         Quota {
             rate_per_s: self.rate_per_s.min(other.rate_per_s),
@@ -73,9 +78,9 @@
     plan.price * plan.overrun_cost
 }
 
-fn plan_store(plan: &Plan, max_units: f64, attempt_s: f64) -> Store {
+fn plan_bucket(plan: &Plan, max_units: f64, attempt_s: f64) -> BucketParameters {
     if plan.rate > 0.0 {
-        return Store {
+        return BucketParameters {
             rate_per_s: plan.rate,
             capacity: plan.burst,
             max_request_units: max_units,
@@ -86,7 +91,7 @@
     } else {
         UNLIMITED_CAPACITY
     };
-    Store {
+    BucketParameters {
         rate_per_s: capacity / attempt_s,
         capacity,
         max_request_units: 1.0,
--- a/crates/traffic-control/src/server.rs
+++ b/crates/traffic-control/src/server.rs
@@ -1,62 +1,66 @@
-//! What is known of one server: position, warmth, attempts in flight, and recent outcomes. State only; which server a
-//! request goes to is decided in `policy`.
+//! The state of one server: its zone and cell, its warm-up, its attempts in flight and the assessment of its recent
+//! outcomes. Keeps state only; `policy` decides which server a request goes to.
 
 use crate::interface::{Health, Micros, SlowStart};
 
-/// Servers that are at most so many times slower than usual are not reported for their slowness.
-const MAX_UNREPORTED_SLOWNESS: f64 = 4.0;
-/// That a server was healthy is half forgotten in this while its zone fails.
+/// Slowness ratio up to which a server is not reported as slow to other gateways.
+const MAX_UNREPORTED_SLOWNESS_RATIO: f64 = 4.0;
+/// Half-life of a server's lower error rate while its zone has a higher one.
 const HEALTHY_HALF_LIFE_US: f64 = 300_000.0;
 
-/// Sends that a server in slow start may get.
+/// Number of sends saved up for a server in slow start, at the time of the last send or of its addition.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct SlowStartCredit {
     pub sends: f64,
     pub as_of: Micros,
 }
 
-/// What is thought of a server.
+/// A server's recent slowness and error rate.
 #[derive(Clone, Copy)]
 pub(crate) struct Assessment {
-    /// Latency relative to the fleet's usual one for the class; 1 is usual.
+    /// Latency of the server's attempts relative to the usual latency of their class at all servers; 1 is usual.
     pub slowness_ratio: f64,
-    /// Share of the attempts that failed.
+    /// Share of the attempts that failed, from 0 to 1.
     pub error_rate: f64,
 }
 
-/// The outcome of one attempt, with its weight beside all earlier ones.
+/// The outcome of one attempt, and its weight in the assessment of the server.
 #[derive(Clone, Copy)]
 pub(crate) struct WeightedOutcome {
+    /// Weight of this outcome, from 0 to 1; all earlier ones together have the rest.
     pub weight: f64,
+    /// See [`Assessment::slowness_ratio`].
     pub slowness_ratio: f64,
-    /// 1 if it failed, else 0.
+    /// 1 if the attempt failed, 0 if not.
     pub failed: f64,
 }
 
-/// One server.
+/// One server as this gateway knows it.
 #[derive(Default)]
 pub(crate) struct Server {
     /// Zone and cell.
     pub group: (String, u64),
-    /// Its size beside the others'.
+    /// Capacity relative to the other servers.
     pub share: f64,
-    /// Hash of its name, the same at all gateways.
+    /// Hash of the server's name, the same at all gateways.
     pub hash_key: u64,
-    /// When it started; 0: long ago.
+    /// Time of the last start; 0 if that was long ago.
     pub started_us: Micros,
     pub health: Health,
     pub pool: u8,
     /// Attempts of this gateway that have not ended.
     pub in_flight: u32,
-    /// As of the last outcome; see [`Assessment`].
+    /// Slowness ratio at the last outcome; see [`Assessment`].
     pub slowness_ratio: f64,
+    /// Error rate at the last outcome; see [`Assessment`].
     pub error_rate: f64,
+    /// Time of the last outcome.
     pub assessed_at: Micros,
     pub slow_start_credit: SlowStartCredit,
 }
 
 impl Server {
-    /// The share of its capacity that it has at least, which grows evenly from its start.
+    /// Returns the share of its full capacity that the server has at least, which grows linearly from its start to 1.
     pub fn warmth(&self, slow_start: &SlowStart, now: Micros) -> f64 {
         let age_us = now.saturating_sub(self.started_us) as f64;
         let progress = if self.started_us == 0 || slow_start.duration_us == 0 {
@@ -67,19 +71,19 @@
         slow_start.initial_share + (1.0 - slow_start.initial_share) * progress
     }
 
-    /// What is thought of it now. That fades without outcomes, so that it is tried again: its error rate fades to its
-    /// zone's.
+    /// Returns the assessment at `now`. Without outcomes the slowness ratio decays to 1 and the error rate to that of the
+    /// zone, so that a server that was avoided is tried again.
     pub fn decayed_assessment(
         &self,
         now: Micros,
         half_life_us: f64,
         zone_error_rate: f64,
     ) -> Assessment {
-        let silent_us = now.saturating_sub(self.assessed_at) as f64;
-        let retained = 0.5f64.powf(silent_us / half_life_us);
-        // That a server was healthy some time ago says little once others of its zone fail.
+        let age_us = now.saturating_sub(self.assessed_at) as f64;
+        let retained = 0.5f64.powf(age_us / half_life_us);
+        // A healthy assessment soon loses its significance while other servers of the zone fail.
         let retained_errors = if zone_error_rate > self.error_rate {
-            0.5f64.powf(silent_us / HEALTHY_HALF_LIFE_US)
+            0.5f64.powf(age_us / HEALTHY_HALF_LIFE_US)
         } else {
             retained
         };
@@ -89,15 +93,15 @@
         }
     }
 
-    /// What is reported to other gateways: the share of attempts that had failed at the last outcome, or as much for its
-    /// slowness.
+    /// Returns the error rate that is reported to other gateways: the error rate at the last outcome, or an equivalent for
+    /// the server's slowness if that is higher.
     pub fn reported_error_rate(&self) -> f64 {
-        let slowness_ratio = self.slowness_ratio.max(MAX_UNREPORTED_SLOWNESS);
+        let slowness_ratio = self.slowness_ratio.max(MAX_UNREPORTED_SLOWNESS_RATIO);
         self.error_rate
-            .max(1.0 - MAX_UNREPORTED_SLOWNESS / slowness_ratio)
+            .max(1.0 - MAX_UNREPORTED_SLOWNESS_RATIO / slowness_ratio)
     }
 
-    /// Records the outcome of an attempt.
+    /// Records the outcome of an attempt in the server's assessment.
     pub fn record_outcome(
         &mut self,
         now: Micros,
--- a/crates/traffic-control/src/server_latency.rs
+++ b/crates/traffic-control/src/server_latency.rs
@@ -1,29 +1,29 @@
-//! How fast the servers are as seen from here: latencies by class, throughput, and how much longer attempts take than at
-//! idle servers. Measurement only.
+//! Latency and throughput of all servers as measured by this gateway: latencies by class, answers per second, and the
+//! ratio of recent latencies to those of idle servers. Makes no decisions.
 
 use crate::class_latency::{AttemptTimes, ClassLatency};
 use crate::interface::{CompletionStatus, Micros, RequestClass};
 
-/// One attempt counts as at most so many times the idle time.
+/// Limit on the multiple of the idle latency that one attempt contributes to the stretch.
 const MAX_STRETCH: f64 = 10.0;
-/// Weight of one attempt in the stretch: about the last seven.
+/// Weight of one attempt in the stretch: an average over about the last seven attempts.
 const STRETCH_WEIGHT: f64 = 0.15;
-/// Part of the best throughput that is retained in each interval: servers and load change in tens of seconds.
+/// Factor by which the best throughput decays in each interval: servers and load change within tens of seconds.
 const THROUGHPUT_RETENTION: f64 = 0.97;
 
 /// Latency and throughput of all servers.
 pub(crate) struct ServerLatency {
     pub classes: Vec<ClassLatency>,
-    /// How many times their idle time attempts recently took.
+    /// Mean ratio of the latency of recent attempts to the latency at idle servers.
     pub stretch: f64,
-    /// Best recent rate of answers a second for a unit of ready size.
+    /// Highest recent rate of answers per second and unit of ready size (the relative capacity of the ready servers).
     pub throughput: f64,
-    /// Mean time of an attempt.
+    /// Mean latency of an attempt over all classes.
     pub attempt_s: f64,
-    /// The same at an idle server.
+    /// Mean latency of an attempt at an idle server over all classes.
     pub idle_attempt_s: f64,
     answers_in_interval: f64,
-    /// The largest ready size in this interval.
+    /// Largest ready size in this interval.
     max_ready_size: f64,
 }
 
@@ -42,8 +42,8 @@
         latency
     }
 
-    /// Records an attempt that ended. Answers of a server that is not ready any more say nothing of the throughput of the
-    /// others. Returns how many times the usual time the attempt took.
+    /// Records an attempt that ended. Answers of a server that is no longer ready do not count for the throughput of the
+    /// ready ones. Returns the latency as a multiple of the usual latency for the units.
     pub fn record_attempt(
         &mut self,
         class: usize,
@@ -53,7 +53,7 @@
         server_is_ready: bool,
     ) -> f64 {
         let latency = &mut self.classes[class];
-        let usual_ratio = latency.record_units_and_compare(units, elapsed_us);
+        let multiple_of_usual = latency.record_units_and_compare(units, elapsed_us);
         let is_answered = matches!(
             status,
             CompletionStatus::Served | CompletionStatus::ServerError
@@ -66,20 +66,22 @@
             CompletionStatus::Served | CompletionStatus::NoAnswer
         );
         if is_measured {
-            if let Some(multiple) = latency.idle_multiple(units, elapsed_us) {
+            if let Some(multiple) = latency.multiple_of_idle_latency(units, elapsed_us) {
                 self.stretch += STRETCH_WEIGHT * (multiple.min(MAX_STRETCH) - self.stretch);
             }
             latency.record_latency(elapsed_us);
         }
-        usual_ratio
+        multiple_of_usual
     }
 
-    /// Records the ready size: answers of many servers do not count as those of the few that are left.
+    /// Records the ready size. The throughput is computed with the largest of an interval, so that answers of many servers
+    /// are not attributed to the few that are left.
     pub fn record_ready_size(&mut self, size: f64) {
         self.max_ready_size = self.max_ready_size.max(size);
     }
 
-    /// Ends an interval of `seconds`. Returns which classes have a mean that is worth acting on.
+    /// Ends an interval of `seconds`, after which the ready size is `size`. Returns for each class whether the interval had
+    /// enough samples for its mean.
     pub fn end_interval(&mut self, classes: &[RequestClass], seconds: f64, size: f64) -> Vec<bool> {
         let is_measured = self
             .classes
--- a/crates/traffic-control/src/shares.rs
+++ b/crates/traffic-control/src/shares.rs
@@ -1,33 +1,35 @@
-//! Which part of a customer's store belongs to which gateway while some of its set are silent. The reachable ones share one
-//! store, which is charged with each use that is reported. For a gateway that falls silent a share is set aside, by its
-//! recent use: it may go on using that where it is, and nobody else does. Once it is heard again, what it did not use goes
-//! back. Arithmetic only.
+//! Division of a customer's token bucket between its gateways while some of them are silent, that is, send no usage
+//! reports. The reachable gateways share one bucket, from which all reported usage is charged. When a gateway falls silent,
+//! a share of the bucket is reserved for it according to its recent usage: the silent gateway may go on using that share,
+//! and no other gateway does. Once it reports again, unused units return to the common bucket. Keeps state only.
 
 use crate::decaying_sum::{DecayingSum, DEMAND_TAU_US};
 use crate::interface::Micros;
 use crate::quota::Quota;
 
-/// This part of each share is even: a gateway that used little recently may come to need more.
+/// Part of each share that is the same for all gateways, as a gateway with little recent usage may need more later. The
+/// rest is in proportion to recent usage.
 const EVEN_SPLIT_WEIGHT: f64 = 0.2;
 
-/// A silent gateway and its share of the store.
+/// A silent gateway and its share of the bucket.
 struct SilentGateway {
     gateway: u32,
     share: f64,
-    /// Units of its share as it was last heard, less what it reported to have used since; negative: it used more.
+    /// Units reserved for the gateway at `silent_since`, less its usage that was reported after that; negative if it used
+    /// more.
     remaining_units: f64,
-    as_of: Micros,
+    silent_since: Micros,
 }
 
 impl SilentGateway {
-    /// What is left of its share now, which fills as the store does.
+    /// Returns the units left in the share at `now`. The share is refilled at its part of the bucket's rate.
     fn remaining_at(&self, now: Micros, quota: &Quota) -> f64 {
-        let elapsed_us = now.saturating_sub(self.as_of) as f64;
+        let elapsed_us = now.saturating_sub(self.silent_since) as f64;
         self.remaining_units + quota.rate_per_s * self.share * elapsed_us / 1e6
     }
 }
 
-/// Recent use of a customer by gateway, and the shares of the silent ones.
+/// A customer's recent usage by gateway, and the shares of the silent gateways.
 #[derive(Default)]
 pub(crate) struct StoreShares {
     recent_usage: Vec<(u32, DecayingSum)>,
@@ -35,10 +37,10 @@
 }
 
 impl StoreShares {
-    /// The share of the store that all reachable gateways have together, this one included.
+    /// Returns the share of the bucket that all reachable gateways have together, including this one.
     pub fn reachable_share(&self) -> f64 {
-        let set_aside: f64 = self.silent_gateways.iter().map(|s| s.share).sum();
-        (1.0 - set_aside).max(0.0)
+        let reserved_share: f64 = self.silent_gateways.iter().map(|s| s.share).sum();
+        (1.0 - reserved_share).max(0.0)
     }
 
     pub fn all_reachable(&self) -> bool {
@@ -55,16 +57,16 @@
         }
     }
 
-    /// Records use that a gateway reported. Returns the units that come out of the common store: all of a reachable one's;
-    /// of a silent one's, reported by others, what exceeds the units set aside for it until now. `is_heard`: the gateway
-    /// reports itself again, and settles then.
+    /// Records reported usage of a gateway. Returns the units to charge to the common bucket: all of them if the gateway is
+    /// reachable; if it is silent, those that exceed the units reserved for it by now. With `is_own_report` the silent
+    /// gateway itself reports again: all units are charged to its share, which [`reassign`](Self::reassign) then settles.
     pub fn charge_reported(
         &mut self,
         now: Micros,
         quota: &Quota,
         gateway: u32,
         units: f64,
-        is_heard: bool,
+        is_own_report: bool,
     ) -> f64 {
         self.record_usage(now, gateway, units);
         let Some(silent) = self
@@ -74,43 +76,45 @@
         else {
             return units;
         };
-        let within_share = if is_heard {
+        let units_within_share = if is_own_report {
             units
         } else {
             units.min(silent.remaining_at(now, quota).max(0.0))
         };
-        silent.remaining_units -= within_share;
-        units - within_share
+        silent.remaining_units -= units_within_share;
+        units - units_within_share
     }
 
-    /// Sets the shares aside of the `silent` gateways, by when each was last heard, out of a set of `gateway_count`. Puts
-    /// back into `level` what is left of the shares of the others; nothing where the level `is_counted` by the counter.
+    /// Updates the reserved shares to those of the `silent` gateways, out of `gateway_count` gateways; each comes with the
+    /// time since which it has been silent. Takes the units of new shares from `level`, the level of the common bucket, and
+    /// returns to it what is left of the shares of gateways that report again. A level that `is_from_counter` includes
+    /// these units already, so none are returned to it.
     pub fn reassign(
         &mut self,
         now: Micros,
         quota: &Quota,
         gateway_count: u32,
-        is_counted: bool,
+        is_from_counter: bool,
         silent: &[(u32, Micros)],
         level: &mut f64,
     ) {
         self.silent_gateways.retain(|known| {
             let is_silent = silent.iter().any(|(g, _)| *g == known.gateway);
-            if !is_silent && !is_counted {
+            if !is_silent && !is_from_counter {
                 let max_units = quota.capacity * known.share;
                 *level += known.remaining_at(now, quota).clamp(-max_units, max_units);
             }
             is_silent
         });
-        let all_usage = self.all_usage(now);
-        for &(gateway, since) in silent {
+        let total_usage = self.total_usage(now);
+        for &(gateway, silent_since) in silent {
             if self.silent_gateways.iter().any(|s| s.gateway == gateway) {
                 continue;
             }
             let reachable_share = self.reachable_share();
-            // The last gateway's share is what is left.
+            // All shares together must not exceed the bucket.
             let share = self
-                .share_by_usage(now, gateway, gateway_count, all_usage)
+                .share_by_usage(now, gateway, gateway_count, total_usage)
                 .min(reachable_share);
             let remaining_units = if reachable_share > 0.0 {
                 *level * share / reachable_share
@@ -122,21 +126,27 @@
                 gateway,
                 share,
                 remaining_units,
-                as_of: since,
+                silent_since,
             });
         }
     }
 
-    fn all_usage(&self, now: Micros) -> f64 {
+    fn total_usage(&self, now: Micros) -> f64 {
         self.recent_usage
             .iter()
             .map(|(_, usage)| usage.at(now, DEMAND_TAU_US))
             .sum()
     }
 
-    fn share_by_usage(&self, now: Micros, gateway: u32, gateway_count: u32, all_usage: f64) -> f64 {
+    fn share_by_usage(
+        &self,
+        now: Micros,
+        gateway: u32,
+        gateway_count: u32,
+        total_usage: f64,
+    ) -> f64 {
         let even_share = 1.0 / f64::from(gateway_count);
-        if all_usage <= 0.0 {
+        if total_usage <= 0.0 {
             return even_share;
         }
         let usage = self
@@ -144,7 +154,7 @@
             .iter()
             .find(|(g, _)| *g == gateway)
             .map_or(0.0, |(_, usage)| usage.at(now, DEMAND_TAU_US));
-        EVEN_SPLIT_WEIGHT * even_share + (1.0 - EVEN_SPLIT_WEIGHT) * usage / all_usage
+        EVEN_SPLIT_WEIGHT * even_share + (1.0 - EVEN_SPLIT_WEIGHT) * usage / total_usage
     }
 }
 
--- a/crates/traffic-control/src/status.rs
+++ b/crates/traffic-control/src/status.rs
@@ -1,22 +1,23 @@
-//! What is seen of a gateway from outside, and what it learns from the end of an attempt. No decisions.
+//! Figures on a gateway's state for status pages and metrics, and the measurements it takes at the end of an attempt. Makes
+//! no decisions.
 
 use crate::counter::MAX_SMALL_FLEET_GATEWAYS;
 use crate::gateway::Gateway;
 use crate::interface::{AttemptOutcome, HealthReports, ServerId};
 
 impl Gateway {
-    /// Requests that are not done, those with attempts still in flight included.
+    /// Returns the number of open requests, including answered ones with attempts in flight.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Ready servers that hardly any request goes to, as more of them failed there than not.
+    /// Returns the number of ready servers that get hardly any requests because most attempts there fail.
     pub fn avoided_server_count(&self) -> usize {
-        self.fleet.avoided_servers(self.now)
+        self.fleet.avoided_server_count(self.now)
     }
 
-    /// Gateways among which servers are assigned; ready servers that this one uses; and servers that all gateways eject by
-    /// their health reports.
+    /// Returns three numbers: the gateways that servers are assigned to, the ready servers that this gateway uses, and the
+    /// servers that are ejected by the health reports of all gateways.
     pub fn subset_counts(&self) -> [usize; 3] {
         let ready = self.fleet.ready_servers().count();
         let used = if self.fleet.subset_share < 1.0 {
@@ -31,13 +32,13 @@
         ]
     }
 
-    /// What this gateway reports of servers: those that fail as seen from here, and healthy ones that others report as
-    /// failing.
+    /// Returns this gateway's health reports: on servers that fail, and on healthy ones that another gateway reports as
+    /// unhealthy.
     pub fn health_reports(&self) -> HealthReports {
         self.fleet.health_reports(self.now)
     }
 
-    /// Records what the end of an attempt says of its server and its class.
+    /// Records the end of an attempt in the latency of its class and the assessment of its server.
     pub(crate) fn record_attempt_end(
         &mut self,
         outcome: &AttemptOutcome,
@@ -46,7 +47,8 @@
         server: &ServerId,
     ) {
         let slow_start = &self.settings.slow_start;
-        let Some(at_end) = self.fleet.record_end(server, slow_start, self.now) else {
+        let Some(server_at_end) = self.fleet.record_attempt_end(server, slow_start, self.now)
+        else {
             return;
         };
         let latency_ratio = self.server_latency.record_attempt(
@@ -54,8 +56,8 @@
             units,
             outcome.status,
             outcome.elapsed_us,
-            at_end.is_ready,
-        ) * at_end.warmth;
+            server_at_end.is_ready,
+        ) * server_at_end.warmth;
         let counts_for_zone = self.settings.gateways > MAX_SMALL_FLEET_GATEWAYS;
         self.fleet.record_outcome(
             server,
--- a/crates/traffic-control/src/subset.rs
+++ b/crates/traffic-control/src/subset.rs
@@ -1,4 +1,5 @@
-//! The subset of a large fleet of servers that this gateway uses, as servers are assigned to the gateways that there are.
+//! The subset of a large fleet of servers that this gateway uses, from an assignment of all servers to the present
+//! gateways.
 
 use crate::interface::ServerId;
 use crate::server::Server;
@@ -9,21 +10,22 @@
 pub(crate) struct Subset {
     own_key: u64,
     gateway_keys: Vec<u64>,
+    /// The servers that were last assigned.
     servers: Vec<AssignableServer>,
-    /// By gateway, indices of its servers.
+    /// For each gateway, the indices in `servers` of those assigned to it.
     assignment: Vec<Vec<u32>>,
-    /// Size of the subsets; 0: nothing is assigned, each gateway uses all servers.
+    /// Size of each gateway's subset; 0 if no servers are assigned and each gateway uses all.
     size: usize,
 }
 
-fn gateway_key(number: u32) -> u64 {
-    key(&number.to_string())
+fn gateway_key(index: u32) -> u64 {
+    key(&index.to_string())
 }
 
 impl Subset {
-    pub fn new(me: u32, gateways: u32) -> Self {
+    pub fn new(gateway_index: u32, gateways: u32) -> Self {
         Subset {
-            own_key: gateway_key(me),
+            own_key: gateway_key(gateway_index),
             gateway_keys: (0..gateways).map(gateway_key).collect(),
             servers: Vec::new(),
             assignment: Vec::new(),
@@ -31,12 +33,13 @@
         }
     }
 
-    /// The key of this gateway.
+    /// Returns the key of this gateway.
     pub fn own_key(&self) -> u64 {
         self.own_key
     }
 
-    /// Sets which gateways there are. This one always counts itself: whoever does not hear of it still uses it.
+    /// Sets the gateways that are present. This gateway always counts itself as present, as clients may use it even where
+    /// other gateways do not know of it.
     pub fn set_gateways(&mut self, gateways: &[u32]) {
         self.gateway_keys = gateways.iter().copied().map(gateway_key).collect();
         if !self.gateway_keys.contains(&self.own_key) {
@@ -49,8 +52,8 @@
         self.gateway_keys.len()
     }
 
-    /// The ready servers that this gateway uses, in a subset of `size`; `None`: all. Servers are only assigned again where
-    /// something has changed.
+    /// Returns the ready servers that this gateway uses, or `None` if it uses all. `size` is the size of a subset; `None`
+    /// for no subsets. Servers are assigned again only after a change of the servers, the gateways or the size.
     pub fn select(
         &mut self,
         ready: &[(&ServerId, &Server)],
@@ -82,7 +85,7 @@
         Some(names.collect())
     }
 
-    /// The keys of the gateways that use a server.
+    /// Returns the keys of the gateways that use a server.
     pub fn gateways_using(&self, hash_key: u64) -> Vec<u64> {
         if self.size == 0 {
             return self.gateway_keys.clone();
