--- a/crates/traffic-control/src/boot.rs
+++ b/crates/traffic-control/src/boot.rs
@@ -1,5 +1,6 @@
 //! The settings document that operators write for a process that hosts a gateway, and its conversion to [`Settings`].
-//! Where names differ, `balancers` are gateways, `services` are request classes and `tariffs` are plans.
+//! In the document, `balancers` are gateways, `services` are request classes and `tariffs` are plans; the serde names
+//! of the fields below give the other names that differ.
 
 use crate::interface::{
     Ceiling, Effect, Plan, RequestClass, RetryBudget, Scope, Settings, SlowStart,
@@ -37,7 +38,7 @@
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
-// Each switch is a field of the settings document.
+// The Boolean settings are fields of the settings document, so an enum would not fit.
 #[expect(clippy::struct_excessive_bools)]
 struct Limits {
     cancel: bool,
--- a/crates/traffic-control/src/class_latency.rs
+++ b/crates/traffic-control/src/class_latency.rs
@@ -1,4 +1,5 @@
-//! Latency and units of the attempts of one request class, measured in control intervals. Makes no decisions.
+//! Latency (mean in each control interval) and units (running mean) of the attempts of one request class. Makes no
+//! decisions.
 
 use crate::interface::{Micros, RequestClass};
 
@@ -8,13 +9,14 @@
 const MIN_SAMPLES: u32 = 3;
 /// Weight of one attempt in the mean units: an average over about the last fifty attempts.
 const MEAN_UNITS_WEIGHT: f64 = 0.02;
-/// Ratio of the latency objective to the latency that is assumed before any attempt was measured.
-const OBJECTIVE_TO_UNMEASURED_LATENCY: f64 = 8.0;
+/// Ratio of the latency objective to the assumed latency of an attempt. The assumed latency stands for the idle latency
+/// until the first interval with enough samples, and is a lower bound of the current latency.
+const OBJECTIVE_TO_ASSUMED_LATENCY: f64 = 8.0;
 
 /// Estimated latency of an attempt of a class.
 #[derive(Clone, Copy)]
 pub(crate) struct AttemptTimes {
-    /// Latency under the current load.
+    /// Latency under the current load, at least the assumed latency.
     pub current_s: f64,
     /// Latency at an idle server.
     pub idle_s: f64,
@@ -23,8 +25,8 @@
 /// Measured latency and units of the attempts of one class.
 #[derive(Clone, Default)]
 pub(crate) struct ClassLatency {
-    /// Mean units of a request. Latencies are compared in proportion to the units, so that the server of a large request
-    /// does not count as slow.
+    /// Mean units of a request. Latencies are divided by the units before they are compared, so that a server does not
+    /// count as slow for a large request.
     pub mean_units: f64,
     /// Sum of the latencies of this interval.
     latency_sum_us: f64,
@@ -37,14 +39,16 @@
 }
 
 impl ClassLatency {
-    /// Sets the mean units to those of the first request. Later requests have no effect.
+    /// Sets the mean units to those of the first request, which stand in for the mean until attempts end. Later
+    /// requests have no effect.
     pub fn record_request(&mut self, units: f64) {
         if self.mean_units <= 0.0 {
             self.mean_units = units;
         }
     }
 
-    /// Records the units of an attempt that ended. Returns its latency as a multiple of the usual latency for these units.
+    /// Records the units of an attempt that ended. Returns its latency as a multiple of the usual latency for these
+    /// units; 1 before the first interval with enough samples.
     pub fn record_units_and_compare(&mut self, units: f64, elapsed_us: Micros) -> f64 {
         self.mean_units += MEAN_UNITS_WEIGHT * (units - self.mean_units);
         let usual_us = if self.mean_us > 0.0 {
@@ -55,8 +59,8 @@
         elapsed_us as f64 / usual_us.max(1.0)
     }
 
-    /// Returns the latency of an attempt as a multiple of its latency at an idle server; `None` before the first interval
-    /// with enough samples.
+    /// Returns the latency of an attempt as a multiple of its latency at an idle server; `None` before the first
+    /// interval with enough samples.
     pub fn multiple_of_idle_latency(&self, units: f64, elapsed_us: Micros) -> Option<f64> {
         let idle_us = self.lowest_us * units / self.mean_units.max(1e-9);
         (self.lowest_us > 0.0).then(|| elapsed_us as f64 / idle_us.max(1.0))
@@ -68,8 +72,8 @@
         self.latency_count += 1;
     }
 
-    /// Ends the interval and updates the means. Returns whether the interval had enough samples; if not, they count in the
-    /// next interval as well.
+    /// Ends the interval and updates the means. Returns whether the interval had enough samples; if not, the samples
+    /// are carried over to the next interval.
     pub fn end_interval(&mut self) -> bool {
         if self.latency_count < MIN_SAMPLES {
             return false;
@@ -87,14 +91,14 @@
 
     /// Returns the estimated latency of an attempt of `class`.
     pub fn attempt_times(&self, class: &RequestClass) -> AttemptTimes {
-        let unmeasured_us = class.latency_objective_us as f64 / OBJECTIVE_TO_UNMEASURED_LATENCY;
+        let assumed_us = class.latency_objective_us as f64 / OBJECTIVE_TO_ASSUMED_LATENCY;
         let idle_us = if self.lowest_us > 0.0 {
             self.lowest_us
         } else {
-            unmeasured_us
+            assumed_us
         };
         AttemptTimes {
-            current_s: self.mean_us.max(unmeasured_us) / 1e6,
+            current_s: self.mean_us.max(assumed_us) / 1e6,
             idle_s: idle_us / 1e6,
         }
     }
--- a/crates/traffic-control/src/concurrency_permits.rs
+++ b/crates/traffic-control/src/concurrency_permits.rs
@@ -1,5 +1,6 @@
-//! A gateway's record of a customer's concurrency permits: how many of its own it recently left unused, and an estimate of
-//! how many the other gateways use. Keeps state only; `customer` and `policy` decide how many permits a gateway holds.
+//! A gateway's record of a customer's concurrency permits: how many of its own it recently left unused, and an estimate
+//! of how many the other gateways use. Keeps state only; `customer` and `policy` decide how many permits a gateway
+//! holds.
 
 use crate::interface::Micros;
 
@@ -14,35 +15,35 @@
 pub(crate) struct ConcurrencyPermits {
     /// Permits that are reported as taken by this gateway but not in use: they are held for its next requests.
     pub spare: u32,
-    /// Lowest number of spare permits since a review became due: as many were not needed.
+    /// Lowest number of spare permits since a review was scheduled: this many were not needed.
     min_spare: u32,
-    /// Whether a review of the spare permits is due.
-    is_review_due: bool,
-    /// Permits that other gateways used at the last report.
+    /// Whether a review of the spare permits is scheduled.
+    is_review_scheduled: bool,
+    /// Permits that other gateways used at the counter's last reply.
     used_by_others: f64,
     /// Mean of the recent values of `used_by_others`.
     mean_used_by_others: f64,
-    /// Time of the last report; `None` before the first.
+    /// Time of the counter's last reply; `None` before the first.
     reported_at: Option<Micros>,
 }
 
 impl ConcurrencyPermits {
-    /// Sets the number of spare permits. Returns whether the caller has to schedule a review.
+    /// Sets the number of spare permits. Returns whether the caller has to schedule a review for later.
     pub fn set_spare(&mut self, spare: u32) -> bool {
         self.spare = spare;
         self.min_spare = self.min_spare.min(spare);
-        let becomes_due = spare > 0 && !self.is_review_due;
-        if becomes_due {
-            self.is_review_due = true;
+        let must_schedule_review = spare > 0 && !self.is_review_scheduled;
+        if must_schedule_review {
+            self.is_review_scheduled = true;
             self.min_spare = spare;
         }
-        becomes_due
+        must_schedule_review
     }
 
     /// Ends the review. Returns how many permits were spare during the whole time since it was scheduled; `None` if no
-    /// review is due.
+    /// review is scheduled.
     pub fn take_unneeded(&mut self) -> Option<u32> {
-        std::mem::take(&mut self.is_review_due).then_some(self.min_spare)
+        std::mem::take(&mut self.is_review_scheduled).then_some(self.min_spare)
     }
 
     /// Records the number of permits that the other gateways use, as reported by the counter.
@@ -57,9 +58,10 @@
         self.reported_at = Some(now);
     }
 
-    /// Returns the probability that the other gateways use fewer than `free` permits at `now`; `None` before the first
-    /// report. Models their permits as an infinite-server queue: each reported permit ends after `attempt_us` on average,
-    /// and new ones are taken at the rate that keeps up the mean use.
+    /// Returns the probability that the other gateways use fewer than `free` permits at `now`; `None` before the
+    /// counter's first reply. Models their permits as an infinite-server queue: each permit in the last reply is
+    /// released after `attempt_us` on average, and others are taken at the rate that keeps the mean number in use
+    /// constant.
     pub fn availability_probability(&self, now: Micros, attempt_us: f64, free: f64) -> Option<f64> {
         let age_us = now.saturating_sub(self.reported_at?) as f64;
         if free < 1.0 {
--- a/crates/traffic-control/src/concurrency_permits/tests.rs
+++ b/crates/traffic-control/src/concurrency_permits/tests.rs
@@ -21,8 +21,14 @@
         .expect("the use by others was reported");
     // After one mean attempt each of the two reported permits is still in use with probability 0.37, and 1.26 new ones
     // were taken on average. Much later the number in use follows a Poisson distribution of mean 2.
-    assert!((soon - 0.387).abs() < 0.01, "{soon}");
-    assert!((late - 0.406).abs() < 0.01, "{late}");
+    assert!(
+        (soon - 0.387).abs() < 0.01,
+        "after one attempt the probability follows the last report and the mean use: {soon}"
+    );
+    assert!(
+        (late - 0.406).abs() < 0.01,
+        "after 200 attempts the probability follows the mean use alone: {late}"
+    );
     assert_eq!(
         permits.availability_probability(51_000, 50_000.0, 0.0),
         Some(0.0),
@@ -39,10 +45,10 @@
     );
     assert!(
         !permits.set_spare(0) && !permits.set_spare(1),
-        "no second review is scheduled while one is due"
+        "no second review is scheduled before the first ends"
     );
     assert_eq!(permits.take_unneeded(), Some(0), "the permit was needed");
-    assert_eq!(permits.take_unneeded(), None, "no review is due");
+    assert_eq!(permits.take_unneeded(), None, "no review is scheduled");
     assert!(permits.set_spare(2) && !permits.set_spare(1) && !permits.set_spare(2));
     assert_eq!(
         permits.take_unneeded(),
--- a/crates/traffic-control/src/fleet.rs
+++ b/crates/traffic-control/src/fleet.rs
@@ -17,14 +17,16 @@
 
 /// Weight of one reply in a server's averages, which cover about its last five replies.
 const REPLY_WEIGHT: f64 = 0.2;
-/// Weight of a failed connection in a server's averages: no process listens there.
+/// Weight of a failed connection in a server's averages. It exceeds [`REPLY_WEIGHT`] because a failed connection
+/// usually means that no process listens at the address.
 const NO_CONNECTION_WEIGHT: f64 = 0.8;
 /// Shortest half-life of a server's assessment while it gets no attempts.
 const MIN_ASSESSMENT_HALF_LIFE_US: f64 = 4_000_000.0;
-/// Number of sends to each server whose duration is the half-life of an assessment, if that is longer than the minimum.
+/// Number of sends to each server after which an assessment has decayed by half: the half-life is the time that they
+/// take on average, but at least [`MIN_ASSESSMENT_HALF_LIFE_US`].
 const ASSESSMENT_HALF_LIFE_SENDS: f64 = 2.0;
-/// How long after the last attempt a server is reported as healthy.
-const HEALTHY_REPORT_TTL_US: Micros = 2_000_000;
+/// Maximum age of a healthy assessment with which this gateway contradicts another gateway's unhealthy report.
+const MAX_HEALTHY_REPORT_AGE_US: Micros = 2_000_000;
 /// How long sums over many servers are cached: a small part of a control interval.
 const TOTALS_REFRESH_INTERVAL_US: Micros = 50_000;
 /// Error rate above which a server counts as mostly failing.
@@ -46,7 +48,7 @@
 
 /// State of a server at the end of one of its attempts.
 pub(crate) struct ServerAtAttemptEnd {
-    /// Share of its full capacity that the server has at least; see [`Server::warmth`].
+    /// Minimum share of its full capacity that the server has; see [`Server::warmth`].
     pub warmth: f64,
     pub is_ready: bool,
 }
@@ -54,8 +56,8 @@
 /// The servers of the server list, and removed ones with attempts in flight.
 pub(crate) struct ServerFleet {
     pub servers: BTreeMap<ServerId, Server>,
-    /// The subset of the ready servers that this gateway uses; without a subset, all ready servers if they are too many to
-    /// compare for each request; otherwise empty.
+    /// The servers to choose from for a request: this gateway's subset, or all ready servers if these are too many to
+    /// compare. Empty if all servers are compared.
     pub candidates: Arc<[ServerId]>,
     /// Share of the ready servers that this gateway uses; 1 without a subset.
     pub subset_share: f64,
@@ -114,8 +116,8 @@
         }
     }
 
-    /// Applies an update of the server list. `random_credit` yields the slow-start credit, in sends, with which a new or
-    /// restarted server starts.
+    /// Applies an update of the server list. `random_credit` yields the slow-start credit, in sends, with which a new
+    /// or restarted server starts.
     pub fn apply_list(
         &mut self,
         kind: ListKind,
@@ -200,8 +202,8 @@
         self.totals = self.compute_totals(slow_start, now);
     }
 
-    /// Records the start of an attempt, which takes one of the `available_sends` of the server's slow-start credit. Returns
-    /// the server's zone and cell.
+    /// Records the start of an attempt, which takes one of the `available_sends` of the server's slow-start credit.
+    /// Returns the server's zone and cell.
     pub fn record_send(
         &mut self,
         server: &ServerId,
@@ -240,16 +242,16 @@
             .max(MIN_SENDS_PER_S)
     }
 
-    /// Returns the half-life of a server's assessment. One of many gateways sends to each server rarely, so an assessment
-    /// has to last until the next send.
+    /// Returns the half-life of a server's assessment. One of many gateways sends to each server rarely, so an
+    /// assessment has to last until the next send.
     pub fn assessment_half_life_us(&self, now: Micros) -> f64 {
         let used = self.servers.len() as f64 * self.subset_share;
         MIN_ASSESSMENT_HALF_LIFE_US
             .max(ASSESSMENT_HALF_LIFE_SENDS * used / self.sends_per_s(now) * 1e6)
     }
 
-    /// Records the outcome of an attempt in the assessment of its server and, if `counts_for_zone`, in the error rate of
-    /// its zone. `latency_ratio` is the latency as a multiple of the usual latency, scaled to a warm server.
+    /// Records the outcome of an attempt in the assessment of its server and, if `counts_for_zone`, in the error rate
+    /// of its zone. `latency_ratio` is the latency as a multiple of the usual latency, scaled to a warm server.
     pub fn record_outcome(
         &mut self,
         server: &ServerId,
@@ -276,15 +278,15 @@
         }
     }
 
-    /// Returns this gateway's health reports: on servers that fail, and on healthy ones that another gateway reports as
-    /// unhealthy.
+    /// Returns this gateway's health reports: on servers whose error rate or slowness exceeds the limit, and on healthy
+    /// ones that another gateway reports as unhealthy.
     pub fn health_reports(&self, now: Micros) -> HealthReports {
         let is_fresh =
             |s: &&Server| s.assessed_at > s.started_us && s.assessed_at + REPORT_TTL_US > now;
         let report = |s: &Server| (s.hash_key, s.reported_error_rate(), s.assessed_at);
         let is_reported = |&(hash_key, error_rate, assessed_at): &(u64, f64, Micros)| {
             let refutes = error_rate < HEALTHY_FAILURE_RATIO
-                && assessed_at + HEALTHY_REPORT_TTL_US > now
+                && assessed_at + MAX_HEALTHY_REPORT_AGE_US > now
                 && self.outlier_signals.is_reported_unhealthy(hash_key, now);
             error_rate > UNHEALTHY_FAILURE_RATIO || refutes
         };
@@ -295,7 +297,7 @@
             .map(report)
             .filter(is_reported)
             .collect();
-        // Keeps the reports with the latest assessments.
+        // At most `MAX_REPORTS` are reported: those with the latest assessments.
         reports.sort_by_key(|(_, _, assessed_at)| std::cmp::Reverse(*assessed_at));
         reports.truncate(MAX_REPORTS);
         HealthReports {
--- a/crates/traffic-control/src/gateway.rs
+++ b/crates/traffic-control/src/gateway.rs
@@ -16,7 +16,8 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Admission state of one pair of class and plan, which the paper named in the crate's documentation calls a service.
+/// Admission state of one pair of class and plan. Lin, Ghosh and Das call such a pair a service; the `services` of the
+/// settings document are classes.
 #[derive(Clone, Default)]
 pub(crate) struct AdmissionCell {
     /// Share of the cell's requests that are admitted, from 0 to 1.
--- a/crates/traffic-control/src/gossip.rs
+++ b/crates/traffic-control/src/gossip.rs
@@ -1,6 +1,6 @@
 //! Encoding and decoding of the messages between gateways.
 
-/// Units, rates and levels are encoded as multiples of one divided by this scale.
+/// Encoded steps per unit: units, rates and levels are encoded in steps of 1/8.
 const FIXED_POINT_SCALE: f64 = 8.0;
 /// Fractions are encoded as tenths.
 const FRACTION_SCALE: f64 = 10.0;
@@ -21,7 +21,7 @@
     pub admitted_per_s: f64,
 }
 
-/// Report of usage and request for units, sent by a gateway to the owner of a customer.
+/// Report of usage and request for units, sent to a customer's owner: the gateway that grants units of its quota.
 pub(crate) struct QuotaRequest {
     pub tag: u32,
     /// Index of the customer's plan.
--- a/crates/traffic-control/src/interface/actions.rs
+++ b/crates/traffic-control/src/interface/actions.rs
@@ -52,18 +52,18 @@
         server: ServerId,
         /// Timeout of the attempt; 0 to wait until the client gives up.
         timeout_us: Micros,
-        /// Time from now within which the attempt may begin; later it must not be sent and counts as never run. The driver
-        /// checks this immediately before it sends, as establishing a connection may take long.
+        /// Time from now within which the attempt may begin; later it must not be sent and counts as never run. The
+        /// driver checks this immediately before it sends, as establishing a connection may take long.
         begin_within_us: Micros,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt: its answer is no longer used, but the attempt may still run.
     Cancel {
         /// The request.
         request: RequestId,
         /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// Answer a request finally as rejected; the client may safely retry it.
+    /// Give a request its final answer: rejected. The client may safely retry it.
     Reject {
         /// The request.
         request: RequestId,
@@ -72,7 +72,7 @@
         /// The reason, for logs and metrics.
         reason: UnservedReason,
     },
-    /// Answer a request finally as failed; it may have run.
+    /// Give a request its final answer: failed. The request may have run.
     Fail {
         /// The request.
         request: RequestId,
@@ -93,16 +93,17 @@
         /// The encoded message, at most 256 bytes.
         bytes: Vec<u8>,
     },
-    /// Add to a count of the shared counter.
+    /// Add to a named total that the shared counter keeps. The reply is
+    /// [`Event::CounterReply`](crate::Event::CounterReply).
     AddToCounter {
-        /// The name of the count.
+        /// The name of the total.
         name: String,
         /// The amount to add.
         amount: f64,
-        /// How long the counter retains the count, if this call creates it.
+        /// How long the counter retains the total, if this call creates it.
         ttl_us: Micros,
     },
-    /// Report units that a customer used within its quota to the other gateways. Returned only if
+    /// Report to the other gateways the units that a customer used within its quota. Returned only if
     /// [`Settings::usage_report_ttl_us`](crate::Settings::usage_report_ttl_us) is set.
     ReportUsage {
         /// The customer's tag.
--- a/crates/traffic-control/src/interface/events.rs
+++ b/crates/traffic-control/src/interface/events.rs
@@ -55,15 +55,16 @@
     },
     /// Other gateways reported units that customers used within their quotas.
     UsageReported {
-        /// Indices of the gateways that, since the last such event, have reported all usage up to now.
+        /// Indices of the gateways whose usage is completely reported up to now; each has reported since the previous
+        /// event of this kind.
         heard: Vec<u32>,
         /// Index of the reporting gateway, tag of the customer, and units used.
         uses: Vec<(u32, u32, f64)>,
         /// Tag of the customer, and units used before a gateway's first report: their age is unknown.
         past: Vec<(u32, f64)>,
     },
-    /// The set of present gateways changed. Servers are assigned to the gateways with these indices, instead of to
-    /// [`Settings::gateways`](crate::Settings::gateways) many.
+    /// The set of present gateways changed. Servers are assigned to the gateways with these indices; before the first
+    /// event of this kind, to as many gateways as [`Settings::gateways`](crate::Settings::gateways) says.
     Gateways(Vec<u32>),
     /// Another gateway reported the health of servers; this replaces its previous reports.
     HealthReports {
@@ -72,26 +73,26 @@
         /// The complete reports of the other gateway.
         reports: HealthReports,
     },
-    /// The set of gateways changed that are known to admit no requests, because they left or never joined. Holds the
-    /// indices of all of them.
+    /// The set of absent gateways changed. Absent gateways are known to admit no requests, because they left or never
+    /// joined. Holds the indices of all absent gateways.
     GatewaysAbsent(Vec<u32>),
-    /// The wall clock, from which all gateways derive the names of counts, was stepped.
+    /// The wall clock, from which all gateways derive the names of the counter's totals, was stepped.
     WallClock {
         /// Microseconds by which the wall clock is now ahead of the clock of events; negative if it is behind.
         ahead_us: i64,
     },
-    /// New policy terms are in force. The units that customers used carry over, and for a short transition the stricter of
-    /// the old and new limits apply.
+    /// New policy terms are in force. The units that customers used carry over, and for a short transition the stricter
+    /// of the old and new limits apply.
     PolicyChanged(PolicyTerms),
     /// The state of the policy lease changed, and with it whether requests may be admitted.
     LeaseStateChanged(LeaseState),
     /// A call to the counter ended.
     CounterReply {
-        /// The name of the count.
+        /// The name of the total.
         name: String,
         /// How the call ended.
         status: CompletionStatus,
-        /// The total after the call, if the call was served.
+        /// The value of the total after the call, if the call was served.
         total: f64,
     },
 }
--- a/crates/traffic-control/src/interface/mod.rs
+++ b/crates/traffic-control/src/interface/mod.rs
@@ -1,5 +1,5 @@
-//! The public types of the crate: the settings that a gateway starts with, the events that it handles and the actions that
-//! it returns.
+//! The public types of the crate: the settings that a gateway starts with, the events that it handles and the actions
+//! that it returns.
 
 mod actions;
 mod events;
--- a/crates/traffic-control/src/interface/plans.rs
+++ b/crates/traffic-control/src/interface/plans.rs
@@ -22,7 +22,7 @@
     Keyed {
         /// The servers that share the keys they have seen.
         scope: Scope,
-        /// How long servers remember a key, from the send.
+        /// How long servers remember a key after the first send that may have run.
         window_us: Micros,
     },
     /// The request must not run twice: a further attempt requires proof that no earlier one ran.
@@ -77,7 +77,7 @@
     pub rate: f64,
     /// Capacity of the quota's token bucket, in units.
     pub burst: f64,
-    /// Limit on attempts in flight; 0 for no limit.
+    /// Limit on the attempts in flight of each customer, used only if `rate` is 0; 0 for no limit.
     pub max_open: u32,
     /// Factor on the value of the plan's requests.
     pub price: f64,
@@ -151,13 +151,13 @@
     }
 }
 
-/// State of the lease on a policy that gateways agree on, which decides whether requests may be admitted.
+/// State of this gateway's lease on the agreed policy. Requests may be admitted only while the lease is held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseState {
     /// The lease is held: requests may be admitted.
     Held,
     /// The lease is being acquired: requests wait for it, as long as their clients' deadlines allow.
     Pending,
-    /// No policy is known to be in force: requests are rejected immediately.
+    /// No lease is held or being acquired, so no policy is known to be in force: requests are rejected immediately.
     Missing,
 }
--- a/crates/traffic-control/src/interface/requests.rs
+++ b/crates/traffic-control/src/interface/requests.rs
@@ -109,8 +109,8 @@
     pub closed: bool,
     /// Units that the request actually took, if [`Request::units`] was an estimate.
     pub settled_units: Option<f64>,
-    /// The customer's usage at all gateways in the last period of the usage meter, as a share of its rate or of its limit
-    /// on attempts in flight.
+    /// The customer's usage at all gateways in the last period of the usage meter, as a share of the plan's rate, or of
+    /// its limit on attempts in flight if the plan limits these and not the rate.
     pub metered_use: Option<f64>,
     /// The load report of the server.
     pub load_report: Vec<(LoadMetric, f64)>,
--- a/crates/traffic-control/src/interface/settings.rs
+++ b/crates/traffic-control/src/interface/settings.rs
@@ -10,15 +10,16 @@
     pub initial_share: f64,
     /// Time after its start within which a server reaches its full capacity.
     pub duration_us: Micros,
-    /// Multiple of its capacity above which load overloads a server, if it lasts for `overload_after_us`.
+    /// Load above this multiple of a server's current capacity overloads the server if it lasts for
+    /// `overload_after_us`.
     pub overload_multiple: f64,
-    /// Duration of excess load after which a server is overloaded.
+    /// Duration of such load after which a server is overloaded.
     pub overload_after_us: Micros,
 }
 
 /// The configuration of a gateway.
 #[derive(Clone, Debug)]
-// The switches are independent of each other.
+// The Boolean settings are independent of each other, so an enum would not fit.
 #[expect(clippy::struct_excessive_bools)]
 pub struct Settings {
     /// Number of gateways.
@@ -49,7 +50,8 @@
     pub has_counter: bool,
     /// How long a usage report of another gateway is valid; 0 if gateways send none.
     pub usage_report_ttl_us: Micros,
-    /// Period of the usage meter; 0 if there is no meter.
+    /// Period over which the usage meter measures each customer's usage at all gateways; 0 if there is no meter. Its
+    /// figures come with outcomes, as [`AttemptOutcome::metered_use`](crate::AttemptOutcome::metered_use).
     pub meter_period_us: Micros,
     /// Whether the server list is only sent on request.
     pub list_on_request: bool,
@@ -80,17 +82,20 @@
             mistakes.push("the settings must contain at least one class and one plan".to_string());
         }
         if self.gateways == 0 || self.gateway_index >= self.gateways {
-            mistakes.push("the number of gateways must be at least 1, and `me` below it".into());
+            mistakes.push(
+                "`balancers` (the number of gateways) must be at least 1, and `me` less than `balancers`"
+                    .into(),
+            );
         }
         for class in self.classes.iter().filter(|class| !is_valid_class(class)) {
             mistakes.push(format!(
-                "class {:?}: aim must be greater than 0, worth and late worth finite and not negative",
+                "class {:?}: aim must be greater than 0; worth and late worth must be finite and not negative",
                 class.name
             ));
         }
         for plan in self.plans.iter().filter(|plan| !is_valid_plan(plan)) {
             mistakes.push(format!(
-                "plan {:?}: rate, burst, price, excess worth, overrun cost and ceiling must be finite and not negative",
+                "plan {:?}: rate, burst, price, excess worth, overrun cost and ceiling must each be finite and not negative",
                 plan.name
             ));
         }
@@ -103,7 +108,7 @@
         ];
         if !quantities.into_iter().all(is_valid_quantity) {
             mistakes.push(
-                "`coldFrom`, `tipMultiple`, `mailPerS`, `crossZone` and `unitsTop` must be finite and not negative"
+                "`coldFrom`, `tipMultiple`, `mailPerS`, `crossZone` and `unitsTop` must each be finite and not negative"
                     .into(),
             );
         }
--- a/crates/traffic-control/src/lib.rs
+++ b/crates/traffic-control/src/lib.rs
@@ -1,13 +1,13 @@
 //! Traffic control for a gateway in front of a service that many customers share: admission, quotas, load balancing and
 //! retries.
 //!
-//! A [`Gateway`] handles [`Event`]s, each with the current time, and returns [`Action`]s, such as sending a request to a
-//! server, rejecting a request or setting a timer. It does no I/O, reads no clock and shares no state, so the same events
-//! always yield the same actions.
+//! A [`Gateway`] handles [`Event`]s, each with the current time, and returns [`Action`]s, such as sending a request to
+//! a server, rejecting a request or setting a timer. It does no I/O, reads no clock and shares no state, so the same
+//! events always yield the same actions.
 //!
-//! Admission follows Lin, Ghosh and Das, "Wireless Networks Revenue Optimization through Overload Control
-//! with Priority Services": the admission fraction of each class and plan steps down while latency exceeds its bound and
-//! otherwise moves halfway to targets that maximise value. Quotas are token buckets, one for each customer.
+//! Admission follows Lin, Ghosh and Das, "Wireless Networks Revenue Optimization through Overload Control with Priority
+//! Services": the admission fraction of each class and plan steps down while latency exceeds its bound and otherwise
+//! moves halfway to targets that maximise value. Quotas are token buckets, one for each customer.
 //!
 //! ```
 //! use frosthatch_traffic_control::{Action, Event, Gateway, ListKind, AttemptOutcome, Request, ServerEntry, Settings, CompletionStatus};
--- a/crates/traffic-control/src/peer_reports.rs
+++ b/crates/traffic-control/src/peer_reports.rs
@@ -1,5 +1,5 @@
-//! Reports of the other gateways: their admitted rates, the times of their last usage reports, and the reported usage of
-//! customers that this gateway does not track yet. Keeps state only.
+//! Reports of the other gateways: their admitted rates, the times of their last usage reports, and the reported usage
+//! of customers that this gateway does not track yet. Keeps state only.
 
 use crate::customer::Customer;
 use crate::decaying_sum::{DecayingSum, DEMAND_TAU_US};
@@ -8,7 +8,7 @@
 use crate::quota::Quota;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Decayed number of reports up to which the admitted rates of peers are not used.
+/// Decayed number of reports that must be exceeded for the admitted rates of peers to be used.
 const MIN_REPORT_COUNT: f64 = 0.1;
 
 /// Age of reported usage.
@@ -21,15 +21,15 @@
 }
 
 /// Reported usage of a customer that this gateway does not track.
-pub(crate) struct UnknownCustomerUsage {
+pub(crate) struct UntrackedCustomerUsage {
     current_units: f64,
     possibly_stale_units: f64,
     first_reported_at: Micros,
 }
 
-impl UnknownCustomerUsage {
+impl UntrackedCustomerUsage {
     /// Returns the units in the customer's bucket at `now`, assuming that it was full before the first report. Possibly
-    /// stale usage may be older than the refills since: it empties the bucket but does not overdraw it.
+    /// stale usage may precede the refills counted here: it empties the bucket but does not overdraw it.
     pub fn remaining_units(&self, quota: &Quota, now: Micros) -> f64 {
         let refilled = quota.rate_per_s * now.saturating_sub(self.first_reported_at) as f64 / 1e6;
         (quota.capacity - self.possibly_stale_units).max(0.0) - self.current_units + refilled
@@ -40,7 +40,7 @@
 struct ReportingPeers {
     /// Gateways without a valid usage report, and since when.
     silent: Vec<(u32, Micros)>,
-    /// Time until which the reports of all other peers are valid; `None` if there are no others.
+    /// Earliest expiry of the valid usage reports; `None` if no other gateway has a valid report.
     reports_until: Option<Micros>,
 }
 
@@ -48,14 +48,14 @@
 pub(crate) struct PeerReports {
     /// Sums of the admitted rates that gateways reported, by admission cell.
     admitted_rates: Vec<DecayingSum>,
-    /// Number of the reports in `admitted_rates`, which decays as they do.
+    /// Number of reports summed in `admitted_rates`, with the same decay.
     report_count: DecayingSum,
     /// Time of each gateway's last usage report.
     usage_reported_at: BTreeMap<u32, Micros>,
     /// Gateways that are known to admit no requests.
     pub absent_gateways: BTreeSet<u32>,
     /// Reported usage of customers that this gateway does not track, by tag.
-    unknown_customers: BTreeMap<u32, UnknownCustomerUsage>,
+    untracked_customers: BTreeMap<u32, UntrackedCustomerUsage>,
 }
 
 impl PeerReports {
@@ -65,7 +65,7 @@
             report_count: DecayingSum::default(),
             usage_reported_at: BTreeMap::new(),
             absent_gateways: BTreeSet::new(),
-            unknown_customers: BTreeMap::new(),
+            untracked_customers: BTreeMap::new(),
         }
     }
 
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Returns a function that estimates the requests per second that `others` gateways admit in a cell, extrapolated from
-    /// those that reported recently.
+    /// Returns a function that estimates the requests per second that `others` gateways admit in a cell, extrapolated
+    /// from those that reported recently.
     pub fn others_admitted_per_s(&self, now: Micros, others: u32) -> impl Fn(usize) -> f64 + '_ {
         let reports = self.report_count.at(now, DEMAND_TAU_US);
         let gateways_per_report = if reports > MIN_REPORT_COUNT {
@@ -94,8 +94,9 @@
         self.usage_reported_at.insert(from, now);
     }
 
-    /// Updates a customer after its gateways reported usage or stopped reporting. While all of them report, each knows all
-    /// usage up to the reports; for each silent gateway a share of the customer's bucket is reserved.
+    /// Updates a customer from the state of the usage reports of the other gateways that it uses. While all reports are
+    /// valid, the customer's level includes the usage at all gateways up to these reports. For each gateway whose
+    /// report is missing or has expired, a share of the customer's bucket is reserved.
     pub fn update_customer(
         &self,
         now: Micros,
@@ -121,7 +122,8 @@
                 &mut customer.level,
             );
         }
-        // Without any other gateway present, no reports are missing.
+        // If the customer's other gateways are all absent, no reports are needed, as this gateway knows the whole
+        // usage.
         let until_without_peers =
             (peers.reports_until.is_none() && all_peers_report).then(|| now + ttl_us);
         let reports_until = peers.reports_until.or(until_without_peers);
@@ -151,8 +153,8 @@
                 reports_until =
                     Some(reports_until.map_or(expires_at, |until| until.min(expires_at)));
             } else {
-                // Up to the last refill, this gateway's level includes the silent gateway's share: only refills from then
-                // on are reserved.
+                // Up to the last refill, this gateway's level includes the silent gateway's share: only refills from
+                // then on are reserved.
                 let refilled_at = customer.refilled_at;
                 silent.push((gateway, reported_at.unwrap_or(refilled_at).max(refilled_at)));
             }
@@ -173,13 +175,13 @@
         units: f64,
         age: UsageAge,
     ) {
-        if self.unknown_customers.len() >= max_customers {
+        if self.untracked_customers.len() >= max_customers {
             return;
         }
         let usage = self
-            .unknown_customers
+            .untracked_customers
             .entry(tag)
-            .or_insert(UnknownCustomerUsage {
+            .or_insert(UntrackedCustomerUsage {
                 current_units: 0.0,
                 possibly_stale_units: 0.0,
                 first_reported_at: now,
@@ -191,13 +193,13 @@
     }
 
     /// Removes and returns the reported usage of a customer that this gateway starts to track.
-    pub fn take_unknown_customer(&mut self, tag: u32) -> Option<UnknownCustomerUsage> {
-        self.unknown_customers.remove(&tag)
+    pub fn take_unknown_customer(&mut self, tag: u32) -> Option<UntrackedCustomerUsage> {
+        self.untracked_customers.remove(&tag)
     }
 
     /// Forgets usage that was first reported `timeout_us` ago or earlier.
     pub fn forget_unknown_customers(&mut self, now: Micros, timeout_us: Micros) {
-        self.unknown_customers
+        self.untracked_customers
             .retain(|_, usage| now.saturating_sub(usage.first_reported_at) < timeout_us);
     }
 }
--- a/crates/traffic-control/src/quota.rs
+++ b/crates/traffic-control/src/quota.rs
@@ -5,8 +5,8 @@
 /// Capacity of the bucket of a plan without a limit on the rate or on attempts in flight.
 const UNLIMITED_CAPACITY: f64 = 1e12;
 
-/// Parameters of a token bucket of units, or of concurrency permits. Attempts take permits; without a counter, the permits
-/// that an attempt takes are refilled over time.
+/// Parameters of a token bucket of units, or of concurrency permits. Attempts take permits; without a counter, the
+/// permits that an attempt takes are refilled over time.
 #[derive(Clone, Copy)]
 pub(crate) struct Quota {
     /// Refill rate, in units or permits per second.
@@ -20,8 +20,8 @@
     pub ceiling: Option<Ceiling>,
     /// Cost of sending requests beyond the quota, relative to the plan for which that cost is highest.
     pub relative_cost: f64,
-    /// Whether the fleet is large and its gateways send each other no usage reports: only the counter, if there is one,
-    /// then has the usage at all gateways.
+    /// Whether the fleet is large and its gateways exchange no usage: they send no usage reports, and either there is a
+    /// counter or they send no messages. The usage at all gateways is then known from the counter or not at all.
     pub is_counter_only: bool,
     pub has_counter: bool,
 }
--- a/crates/traffic-control/src/server.rs
+++ b/crates/traffic-control/src/server.rs
@@ -5,10 +5,10 @@
 
 /// Slowness ratio up to which a server is not reported as slow to other gateways.
 const MAX_UNREPORTED_SLOWNESS_RATIO: f64 = 4.0;
-/// Half-life of a server's lower error rate while its zone has a higher one.
+/// Half-life of a server's error rate while it is lower than the error rate of its zone.
 const HEALTHY_HALF_LIFE_US: f64 = 300_000.0;
 
-/// Number of sends saved up for a server in slow start, at the time of the last send or of its addition.
+/// Number of sends saved up for a server in slow start at the time `as_of`: that of its last send, addition or restart.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct SlowStartCredit {
     pub sends: f64,
@@ -50,17 +50,18 @@
     pub pool: u8,
     /// Attempts of this gateway that have not ended.
     pub in_flight: u32,
-    /// Slowness ratio at the last outcome; see [`Assessment`].
+    /// Slowness ratio at the last outcome; see [`Assessment`]. 0 only in an entry that is being added.
     pub slowness_ratio: f64,
     /// Error rate at the last outcome; see [`Assessment`].
     pub error_rate: f64,
-    /// Time of the last outcome.
+    /// Time of the last outcome, or of the server's addition or restart if that was later.
     pub assessed_at: Micros,
     pub slow_start_credit: SlowStartCredit,
 }
 
 impl Server {
-    /// Returns the share of its full capacity that the server has at least, which grows linearly from its start to 1.
+    /// Returns the minimum share of its full capacity that the server has: it grows linearly from
+    /// [`SlowStart::initial_share`] at the start of the server to 1.
     pub fn warmth(&self, slow_start: &SlowStart, now: Micros) -> f64 {
         let age_us = now.saturating_sub(self.started_us) as f64;
         let progress = if self.started_us == 0 || slow_start.duration_us == 0 {
@@ -71,8 +72,8 @@
         slow_start.initial_share + (1.0 - slow_start.initial_share) * progress
     }
 
-    /// Returns the assessment at `now`. Without outcomes the slowness ratio decays to 1 and the error rate to that of the
-    /// zone, so that a server that was avoided is tried again.
+    /// Returns the assessment at `now`. Without outcomes the slowness ratio decays to 1 and the error rate to that of
+    /// the zone, so that a server that was avoided is tried again.
     pub fn decayed_assessment(
         &self,
         now: Micros,
@@ -93,8 +94,8 @@
         }
     }
 
-    /// Returns the error rate that is reported to other gateways: the error rate at the last outcome, or an equivalent for
-    /// the server's slowness if that is higher.
+    /// Returns the error rate that is reported to other gateways: the error rate at the last outcome, or an equivalent
+    /// for the server's slowness if that is higher.
     pub fn reported_error_rate(&self) -> f64 {
         let slowness_ratio = self.slowness_ratio.max(MAX_UNREPORTED_SLOWNESS_RATIO);
         self.error_rate
--- a/crates/traffic-control/src/server_latency.rs
+++ b/crates/traffic-control/src/server_latency.rs
@@ -4,9 +4,9 @@
 use crate::class_latency::{AttemptTimes, ClassLatency};
 use crate::interface::{CompletionStatus, Micros, RequestClass};
 
-/// Limit on the multiple of the idle latency that one attempt contributes to the stretch.
+/// Maximum ratio of latency to idle latency that one attempt contributes to [`ServerLatency::stretch`].
 const MAX_STRETCH: f64 = 10.0;
-/// Weight of one attempt in the stretch: an average over about the last seven attempts.
+/// Weight of one attempt in [`ServerLatency::stretch`]: an average over about the last seven attempts.
 const STRETCH_WEIGHT: f64 = 0.15;
 /// Factor by which the best throughput decays in each interval: servers and load change within tens of seconds.
 const THROUGHPUT_RETENTION: f64 = 0.97;
@@ -16,7 +16,8 @@
     pub classes: Vec<ClassLatency>,
     /// Mean ratio of the latency of recent attempts to the latency at idle servers.
     pub stretch: f64,
-    /// Highest recent rate of answers per second and unit of ready size (the relative capacity of the ready servers).
+    /// Highest recent rate of answers per second, divided by the ready size: the sum of the relative capacities of the
+    /// ready servers, as in [`FleetTotals::ready_size`](crate::fleet::FleetTotals::ready_size).
     pub throughput: f64,
     /// Mean latency of an attempt over all classes.
     pub attempt_s: f64,
@@ -42,8 +43,8 @@
         latency
     }
 
-    /// Records an attempt that ended. Answers of a server that is no longer ready do not count for the throughput of the
-    /// ready ones. Returns the latency as a multiple of the usual latency for the units.
+    /// Records an attempt that ended. Answers of a server that is no longer ready do not count for the throughput of
+    /// the ready ones. Returns the latency as a multiple of the usual latency for the units.
     pub fn record_attempt(
         &mut self,
         class: usize,
@@ -74,14 +75,14 @@
         multiple_of_usual
     }
 
-    /// Records the ready size. The throughput is computed with the largest of an interval, so that answers of many servers
-    /// are not attributed to the few that are left.
+    /// Records the ready size. The throughput is computed with the largest of an interval, so that answers of many
+    /// servers are not attributed to the few that are left.
     pub fn record_ready_size(&mut self, size: f64) {
         self.max_ready_size = self.max_ready_size.max(size);
     }
 
-    /// Ends an interval of `seconds`, after which the ready size is `size`. Returns for each class whether the interval had
-    /// enough samples for its mean.
+    /// Ends an interval of `seconds`, after which the ready size is `size`. Returns for each class whether the interval
+    /// had enough samples for its mean.
     pub fn end_interval(&mut self, classes: &[RequestClass], seconds: f64, size: f64) -> Vec<bool> {
         let is_measured = self
             .classes
--- a/crates/traffic-control/src/shares.rs
+++ b/crates/traffic-control/src/shares.rs
@@ -1,7 +1,8 @@
 //! Division of a customer's token bucket between its gateways while some of them are silent, that is, send no usage
-//! reports. The reachable gateways share one bucket, from which all reported usage is charged. When a gateway falls silent,
-//! a share of the bucket is reserved for it according to its recent usage: the silent gateway may go on using that share,
-//! and no other gateway does. Once it reports again, unused units return to the common bucket. Keeps state only.
+//! reports. The reachable gateways share one bucket, from which all reported usage is charged. When a gateway falls
+//! silent, a share of the bucket is reserved for it according to its recent usage: the silent gateway may go on using
+//! that share, and no other gateway does. Once it reports again, unused units return to the common bucket. Keeps no
+//! track of reports: `peer_reports` determines which gateways are silent.
 
 use crate::decaying_sum::{DecayingSum, DEMAND_TAU_US};
 use crate::interface::Micros;
@@ -15,8 +16,8 @@
 struct SilentGateway {
     gateway: u32,
     share: f64,
-    /// Units reserved for the gateway at `silent_since`, less its usage that was reported after that; negative if it used
-    /// more.
+    /// Units reserved for the gateway at `silent_since`, less its usage that was reported after that; negative if it
+    /// used more.
     remaining_units: f64,
     silent_since: Micros,
 }
@@ -57,9 +58,9 @@
         }
     }
 
-    /// Records reported usage of a gateway. Returns the units to charge to the common bucket: all of them if the gateway is
-    /// reachable; if it is silent, those that exceed the units reserved for it by now. With `is_own_report` the silent
-    /// gateway itself reports again: all units are charged to its share, which [`reassign`](Self::reassign) then settles.
+    /// Records reported usage of a gateway. Returns the units to charge to the common bucket: all units of a reachable
+    /// gateway; of a silent gateway, reported by another one, the units beyond those reserved for it; none if the
+    /// silent gateway itself reports again (`is_own_report`), as [`reassign`](Self::reassign) then settles its share.
     pub fn charge_reported(
         &mut self,
         now: Micros,
@@ -85,10 +86,10 @@
         units - units_within_share
     }
 
-    /// Updates the reserved shares to those of the `silent` gateways, out of `gateway_count` gateways; each comes with the
-    /// time since which it has been silent. Takes the units of new shares from `level`, the level of the common bucket, and
-    /// returns to it what is left of the shares of gateways that report again. A level that `is_from_counter` includes
-    /// these units already, so none are returned to it.
+    /// Reserves a share for each gateway in `silent` (its index and since when it is silent), out of `gateway_count`
+    /// gateways, and releases the shares of all others. `level` is the level of the common bucket: the units of new
+    /// shares are taken from it, and what is left of released shares is returned to it, unless it `is_from_counter` and
+    /// so includes those units already.
     pub fn reassign(
         &mut self,
         now: Micros,
--- a/crates/traffic-control/src/status.rs
+++ b/crates/traffic-control/src/status.rs
@@ -1,5 +1,5 @@
-//! Figures on a gateway's state for status pages and metrics, and the measurements it takes at the end of an attempt. Makes
-//! no decisions.
+//! Figures on a gateway's state for status pages and metrics, and the measurements it takes at the end of an attempt.
+//! Makes no decisions.
 
 use crate::counter::MAX_SMALL_FLEET_GATEWAYS;
 use crate::gateway::Gateway;
@@ -16,8 +16,8 @@
         self.fleet.avoided_server_count(self.now)
     }
 
-    /// Returns three numbers: the gateways that servers are assigned to, the ready servers that this gateway uses, and the
-    /// servers that are ejected by the health reports of all gateways.
+    /// Returns three numbers: the gateways that servers are assigned to, the ready servers that this gateway uses, and
+    /// the servers that are ejected by the health reports of all gateways.
     pub fn subset_counts(&self) -> [usize; 3] {
         let ready = self.fleet.ready_servers().count();
         let used = if self.fleet.subset_share < 1.0 {
@@ -32,8 +32,8 @@
         ]
     }
 
-    /// Returns this gateway's health reports: on servers that fail, and on healthy ones that another gateway reports as
-    /// unhealthy.
+    /// Returns this gateway's health reports: on servers whose error rate or slowness exceeds the limit, and on healthy
+    /// ones that another gateway reports as unhealthy.
     pub fn health_reports(&self) -> HealthReports {
         self.fleet.health_reports(self.now)
     }
--- a/crates/traffic-control/src/subset.rs
+++ b/crates/traffic-control/src/subset.rs
@@ -38,8 +38,8 @@
         self.own_key
     }
 
-    /// Sets the gateways that are present. This gateway always counts itself as present, as clients may use it even where
-    /// other gateways do not know of it.
+    /// Sets the gateways that are present. This gateway always counts itself as present, as clients may use it even
+    /// where other gateways do not know of it.
     pub fn set_gateways(&mut self, gateways: &[u32]) {
         self.gateway_keys = gateways.iter().copied().map(gateway_key).collect();
         if !self.gateway_keys.contains(&self.own_key) {
@@ -52,8 +52,8 @@
         self.gateway_keys.len()
     }
 
-    /// Returns the ready servers that this gateway uses, or `None` if it uses all. `size` is the size of a subset; `None`
-    /// for no subsets. Servers are assigned again only after a change of the servers, the gateways or the size.
+    /// Returns the ready servers that this gateway uses, or `None` if it uses all. `size` is the size of a subset;
+    /// `None` for no subsets. Servers are assigned again only after a change of the servers, the gateways or the size.
     pub fn select(
         &mut self,
         ready: &[(&ServerId, &Server)],
--- a/crates/traffic-control/src/zones.rs
+++ b/crates/traffic-control/src/zones.rs
@@ -8,8 +8,8 @@
 /// Half-life of the error rate of a zone without attempts.
 const ERROR_RATE_HALF_LIFE_US: f64 = 4_000_000.0;
 
-/// The recent error rate of each zone, and the time of its last update. For a gateway that sends to each server rarely, the
-/// failure of a zone shows in the outcomes of all its servers together long before it shows in those of one.
+/// The recent error rate of each zone, and the time of its last update. For a gateway that sends to each server rarely,
+/// the failure of a zone shows in the outcomes of all its servers together long before it shows in those of one.
 #[derive(Default)]
 pub(crate) struct ZoneErrorTracker(BTreeMap<String, (f64, Micros)>);
 
