--- a/crates/traffic-control/benches/decisions.rs
+++ b/crates/traffic-control/benches/decisions.rs
@@ -1,5 +1,5 @@
-//! What a decision costs: processor time of a request with its answer, by how many servers and customers there are.
-//! Gateways: one of 100, with a counter that answers at once.
+//! Measures how long a gateway takes to handle one request and its answer, by numbers of servers and customers.
+//! The gateway is one of 100 and has a counter that replies at once.
 
 use frosthatch_traffic_control::{
     Action, AttemptOutcome, CompletionStatus, Event, Gateway, ListKind, Plan, Request, ServerEntry,
@@ -8,8 +8,8 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-const REQUESTS: u64 = 40_000;
-const PLAYS: usize = 5;
+const REQUESTS_PER_RUN: u64 = 40_000;
+const RUNS: usize = 5;
 
 fn settings() -> Settings {
     let plan = |name: &str, rate: f64, max_open| Plan {
@@ -32,12 +32,12 @@
     }
 }
 
-/// Mean time of a request, in ns.
-fn play(servers: usize, customers: u64) -> f64 {
-    let mut gateway = Gateway::new(settings(), 7).expect("settings");
-    let mut out = Vec::new();
+/// Returns the mean time of a request in ns.
+fn mean_ns_per_request(server_count: usize, customer_count: u64) -> f64 {
+    let mut gateway = Gateway::new(settings(), 7).expect("the settings are valid");
+    let mut actions = Vec::new();
     let mut now = 1_000_000_000;
-    let entries = (0..servers)
+    let entries = (0..server_count)
         .map(|n| ServerEntry::ready(&format!("s{n}"), "a"))
         .collect();
     gateway.handle(
@@ -46,29 +46,31 @@
             kind: ListKind::Complete,
             entries,
         },
-        &mut out,
+        &mut actions,
     );
-    let names: Vec<String> = (0..customers).map(|n| format!("customer-{n}")).collect();
-    let began = Instant::now();
-    for id in 0..REQUESTS {
+    let names: Vec<String> = (0..customer_count)
+        .map(|n| format!("customer-{n}"))
+        .collect();
+    let started_at = Instant::now();
+    for id in 0..REQUESTS_PER_RUN {
         now += 1_000;
         if id % 1_000 == 0 {
-            gateway.handle(now, Event::Timer(Timer::Interval), &mut out);
+            gateway.handle(now, Event::Timer(Timer::Interval), &mut actions);
         }
         let plan = ["small", "places", "large"][(id % 3) as usize];
         let mut request = Request::new(
             id,
-            &names[(id * 7_919 % customers) as usize],
+            &names[(id * 7_919 % customer_count) as usize],
             plan,
             "read",
             1_000_000,
         );
         request.gateway_count = 100;
-        out.clear();
-        gateway.handle(now, Event::Request(request), &mut out);
-        let mut k = 0;
-        while k < out.len() {
-            let event = match out[k].clone() {
+        actions.clear();
+        gateway.handle(now, Event::Request(request), &mut actions);
+        let mut handled = 0;
+        while handled < actions.len() {
+            let event = match actions[handled].clone() {
                 Action::Send {
                     request, server, ..
                 } => Event::Outcome(
@@ -82,23 +84,25 @@
                 },
                 _ => Event::Timer(Timer::Customer(0)),
             };
-            gateway.handle(now, event, &mut out);
-            k += 1;
+            gateway.handle(now, event, &mut actions);
+            handled += 1;
         }
     }
     black_box(gateway.open_requests());
-    began.elapsed().as_nanos() as f64 / REQUESTS as f64
+    started_at.elapsed().as_nanos() as f64 / REQUESTS_PER_RUN as f64
 }
 
 fn main() {
-    for servers in [10, 200, 5_000] {
-        for customers in [100, 20_000] {
-            let mut ns: Vec<f64> = (0..PLAYS).map(|_| play(servers, customers)).collect();
-            ns.sort_by(f64::total_cmp);
+    for server_count in [10, 200, 5_000] {
+        for customer_count in [100, 20_000] {
+            let mut run_means_ns: Vec<f64> = (0..RUNS)
+                .map(|_| mean_ns_per_request(server_count, customer_count))
+                .collect();
+            run_means_ns.sort_by(f64::total_cmp);
             println!(
-                "{servers:5} servers {customers:6} customers: {:7.0} ns a request (least {:.0})",
-                ns[PLAYS / 2],
-                ns[0]
+                "{server_count:5} servers {customer_count:6} customers: {:7.0} ns per request (minimum {:.0})",
+                run_means_ns[RUNS / 2],
+                run_means_ns[0]
             );
         }
     }
--- a/crates/traffic-control/tests/counter_faults/world.rs
+++ b/crates/traffic-control/tests/counter_faults/world.rs
@@ -1,4 +1,4 @@
-//! Gateways, a counter with faults and a meter, in virtual time.
+//! Simulation of gateways, a counter with faults and a meter in virtual time.
 
 use frosthatch_traffic_control::{
     Action, AttemptOutcome, CompletionStatus, Event, Gateway, ListKind, Micros, Request, RequestId,
@@ -7,78 +7,103 @@
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
 
+/// Virtual time between two steps of the simulation.
 pub const STEP_US: Micros = 5_000;
 
 thread_local! {
-    /// A counter window is a minute: whether it ends within a fault depends on the start.
-    pub static START: std::cell::Cell<Micros> = const { std::cell::Cell::new(965_000_000) };
-    /// Units a second, burst, and the most units of one request.
+    /// Start of the virtual time. A counter window lasts a minute, so the start decides whether one ends during a fault.
+    pub static START_US: std::cell::Cell<Micros> = const { std::cell::Cell::new(965_000_000) };
+    /// Rate of the plan in units a second, its burst in units, and the maximum units of one request.
     pub static PLAN: std::cell::Cell<(f64, f64, f64)> = const { std::cell::Cell::new((40.0, 80.0, 1.0)) };
 }
 
-pub fn rate() -> f64 {
+pub fn plan_rate() -> f64 {
     PLAN.with(std::cell::Cell::get).0
 }
 
-pub fn burst() -> f64 {
+pub fn plan_burst() -> f64 {
     PLAN.with(std::cell::Cell::get).1
 }
 
 pub const GATEWAYS: usize = 4;
 
-/// How long a call takes, and a request.
-pub const CALL_US: Micros = 2_000;
+/// Time until the counter replies, while it is not slow.
+pub const COUNTER_REPLY_US: Micros = 2_000;
 
-pub const SERVED_US: Micros = 20_000;
+/// Duration of an attempt.
+pub const ATTEMPT_US: Micros = 20_000;
 
-/// Timeout of a call.
+/// Timeout of a counter call.
 pub const CALL_TIMEOUT_US: Micros = 50_000;
 
+/// Time after the end of a period until the meter reports its use.
 pub const METER_DELAY_US: Micros = 600_000;
 
-/// Demand by customer, as a multiple of the quota. Customers 0 and 1 use all gateways evenly; the others mostly one.
+/// Demand of each customer as a multiple of its quota. Customers 0 and 1, the heavy ones, use all gateways evenly; the others
+/// are within their quota and use mostly one gateway.
 pub const DEMAND_PER_QUOTA: [f64; 6] = [4.0, 4.0, 0.4, 0.6, 0.8, 0.9];
 
+/// How the totals in the counter's replies are wrong.
 #[derive(Clone, Copy, PartialEq)]
 pub enum TotalFault {
+    /// The totals are right.
     None,
-    By(f64),
-    NoNumber,
+    /// The totals are off by this amount.
+    Offset(f64),
+    /// The counter replies with an error in place of a number.
+    Malformed,
 }
 
+/// A counter that may be split, replaced, slow or out of reach.
 pub struct Counter {
+    /// Counts by name, of each replica.
     pub replicas: Vec<BTreeMap<String, f64>>,
+    /// Index of the replica that each gateway uses.
     pub replica_of_gateway: [usize; GATEWAYS],
+    /// Whether no call gets a reply.
     pub is_lost: bool,
-    /// Calls for names of this third get no reply.
-    pub lost_part: Option<usize>,
-    pub delay: Micros,
+    /// Index of the third of the names whose calls get no reply.
+    pub lost_shard: Option<usize>,
+    /// Time from a call to its reply.
+    pub reply_delay_us: Micros,
     pub total_fault: TotalFault,
 }
 
-pub struct World {
+/// Gateways with their customers, counter and meter, and the current virtual time.
+pub struct Simulation {
     pub now: Micros,
+    /// The gateways; `None` while one is stopped.
     pub gateways: Vec<Option<Gateway>>,
+    /// Timers of each gateway by the time when they are due.
     pub timers: Vec<BTreeMap<Micros, Vec<Timer>>>,
-    pub ends: VecDeque<(Micros, usize, RequestId, ServerId)>,
+    /// End, gateway, request and server of each attempt in flight.
+    pub running: VecDeque<(Micros, usize, RequestId, ServerId)>,
+    /// Counter calls in flight by the time and number of their reply, with the gateway that made the call.
     pub calls: BTreeMap<(Micros, u64), (usize, Event)>,
     pub counter: Counter,
-    pub meter_lost: bool,
-    pub periods: BTreeMap<(usize, u64), f64>,
-    pub customer_of: BTreeMap<RequestId, usize>,
-    pub asked: Vec<Vec<Micros>>,
-    pub sent: Vec<Vec<Micros>>,
-    pub moved: bool,
-    pub state: u64,
-    pub next: u64,
-    pub counted: u64,
+    pub is_meter_lost: bool,
+    /// Units sent, by customer and second.
+    pub sent_units: BTreeMap<(usize, u64), f64>,
+    pub customer_of_request: BTreeMap<RequestId, usize>,
+    /// Times of the requests of each customer.
+    pub requests_at: Vec<Vec<Micros>>,
+    /// Times of the sends for each customer.
+    pub sends_at: Vec<Vec<Micros>>,
+    /// Whether the heavy customers have moved to a single gateway each.
+    pub has_moved_heavy_customers: bool,
+    /// State of the random number generator.
+    pub random_state: u64,
+    pub next_request_id: u64,
+    /// Number of counter calls so far.
+    pub counter_calls: u64,
+    /// Lines that the gateways logged.
     pub logs: Vec<String>,
 }
 
-pub fn settings(me: usize) -> Settings {
+pub fn settings(gateway_index: usize) -> Settings {
     let mut s = Settings::example();
     s.gateways = GATEWAYS as u32;
-    s.gateway_index = me as u32;
+    s.gateway_index = gateway_index as u32;
     s.has_counter = true;
     (s.plans[0].rate, s.plans[0].burst, s.max_units) = PLAN.with(std::cell::Cell::get);
     s.meter_period_us = 1_000_000;
@@ -86,41 +111,44 @@
     s
 }
 
-impl World {
-    pub fn new() -> World {
+impl Simulation {
+    /// Starts all gateways and runs them for ten seconds.
+    pub fn new() -> Simulation {
         let counter = Counter {
             replicas: vec![BTreeMap::new()],
             replica_of_gateway: [0; GATEWAYS],
             is_lost: false,
-            lost_part: None,
-            delay: CALL_US,
+            lost_shard: None,
+            reply_delay_us: COUNTER_REPLY_US,
             total_fault: TotalFault::None,
         };
-        let mut world = World {
-            now: START.with(std::cell::Cell::get),
+        let mut simulation = Simulation {
+            now: START_US.with(std::cell::Cell::get),
             gateways: (0..GATEWAYS).map(|_| None).collect(),
             timers: vec![BTreeMap::new(); GATEWAYS],
-            ends: VecDeque::new(),
+            running: VecDeque::new(),
             calls: BTreeMap::new(),
             counter,
-            meter_lost: false,
-            periods: BTreeMap::new(),
-            customer_of: BTreeMap::new(),
-            asked: vec![Vec::new(); DEMAND_PER_QUOTA.len()],
-            sent: vec![Vec::new(); DEMAND_PER_QUOTA.len()],
-            moved: false,
-            state: 5,
-            next: 1,
-            counted: 0,
+            is_meter_lost: false,
+            sent_units: BTreeMap::new(),
+            customer_of_request: BTreeMap::new(),
+            requests_at: vec![Vec::new(); DEMAND_PER_QUOTA.len()],
+            sends_at: vec![Vec::new(); DEMAND_PER_QUOTA.len()],
+            has_moved_heavy_customers: false,
+            random_state: 5,
+            next_request_id: 1,
+            counter_calls: 0,
             logs: Vec::new(),
         };
-        (0..GATEWAYS).for_each(|n| world.start(n));
-        world.run(10.0);
-        world
+        (0..GATEWAYS).for_each(|n| simulation.start(n));
+        simulation.run(10.0);
+        simulation
     }
 
+    /// Starts gateway `n` with an empty state.
     pub fn start(&mut self, n: usize) {
-        self.gateways[n] = Some(Gateway::new(settings(n), 77 + n as u64).expect("settings"));
+        self.gateways[n] =
+            Some(Gateway::new(settings(n), 77 + n as u64).expect("the settings are valid"));
         self.timers[n].clear();
         let entries = (0..40)
             .map(|s| ServerEntry::ready(&format!("s{s}"), "a"))
@@ -134,14 +162,16 @@
         );
     }
 
+    /// Returns a random number from 0 to 1, exclusive.
     pub fn random_unit(&mut self) -> f64 {
-        self.state = self
-            .state
+        self.random_state = self
+            .random_state
             .wrapping_mul(0x5851_F42D_4C95_7F2D)
             .wrapping_add(0x1405_7B7E_F767_814F);
-        (self.state >> 33) as f64 / f64::from(1u32 << 31)
+        (self.random_state >> 33) as f64 / f64::from(1u32 << 31)
     }
 
+    /// Handles an event at gateway `n`, if it is running, and carries out the actions.
     pub fn handle_event(&mut self, n: usize, event: Event) {
         let mut actions = Vec::new();
         let Some(gateway) = &mut self.gateways[n] else {
@@ -153,14 +183,14 @@
                 Action::Send {
                     request, server, ..
                 } => {
-                    let customer = self.customer_of[&request];
-                    self.sent[customer].push(self.now);
+                    let customer = self.customer_of_request[&request];
+                    self.sends_at[customer].push(self.now);
                     *self
-                        .periods
+                        .sent_units
                         .entry((customer, self.now / 1_000_000))
                         .or_default() += 1.0;
-                    self.ends
-                        .push_back((self.now + SERVED_US, n, request, server));
+                    self.running
+                        .push_back((self.now + ATTEMPT_US, n, request, server));
                 }
                 Action::SetTimer { after_us, timer } => {
                     self.timers[n]
@@ -168,39 +198,40 @@
                         .or_default()
                         .push(timer);
                 }
-                Action::AddToCounter { name, amount, .. } => self.count(n, name, amount),
+                Action::AddToCounter { name, amount, .. } => self.add_to_counter(n, name, amount),
                 Action::Log(line) => self.logs.push(line),
                 _ => {}
             }
         }
     }
 
-    pub fn count(&mut self, n: usize, name: String, amount: f64) {
-        self.counted += 1;
+    /// Adds `amount` to a count of the counter and schedules the reply to gateway `n`.
+    pub fn add_to_counter(&mut self, n: usize, name: String, amount: f64) {
+        self.counter_calls += 1;
         let c = &mut self.counter;
-        let part = name.bytes().map(usize::from).sum::<usize>() % 3;
-        let silent = c.is_lost || c.lost_part == Some(part);
+        let shard = name.bytes().map(usize::from).sum::<usize>() % 3;
+        let is_unreachable = c.is_lost || c.lost_shard == Some(shard);
         let mut status = CompletionStatus::NoAnswer;
         let mut total = 0.0;
         let mut at = self.now + CALL_TIMEOUT_US;
-        if !silent {
-            let held = c.replicas[c.replica_of_gateway[n]]
+        if !is_unreachable {
+            let count = c.replicas[c.replica_of_gateway[n]]
                 .entry(name.clone())
                 .or_default();
-            *held += amount;
-            if c.delay < CALL_TIMEOUT_US {
+            *count += amount;
+            if c.reply_delay_us < CALL_TIMEOUT_US {
                 status = CompletionStatus::Served;
-                total = *held;
-                at = self.now + c.delay;
+                total = *count;
+                at = self.now + c.reply_delay_us;
             }
             match c.total_fault {
-                TotalFault::By(by) if status == CompletionStatus::Served => total += by,
-                TotalFault::NoNumber => status = CompletionStatus::ServerError,
+                TotalFault::Offset(by) if status == CompletionStatus::Served => total += by,
+                TotalFault::Malformed => status = CompletionStatus::ServerError,
                 _ => {}
             }
         }
         self.calls.insert(
-            (at, self.counted),
+            (at, self.counter_calls),
             (
                 n,
                 Event::CounterReply {
@@ -212,15 +243,16 @@
         );
     }
 
+    /// Moves the time forward by one step and handles all events that are due.
     pub fn step(&mut self) {
         self.now += STEP_US;
-        for (customer, of_rate) in DEMAND_PER_QUOTA.into_iter().enumerate() {
-            if self.random_unit() >= of_rate * rate() * STEP_US as f64 / 1e6 {
+        for (customer, demand_per_quota) in DEMAND_PER_QUOTA.into_iter().enumerate() {
+            if self.random_unit() >= demand_per_quota * plan_rate() * STEP_US as f64 / 1e6 {
                 continue;
             }
             let draw = (self.random_unit() * 100.0) as usize;
-            let place = match draw {
-                _ if self.moved && customer < 2 => 3,
+            let gateway_rank = match draw {
+                _ if self.has_moved_heavy_customers && customer < 2 => 3,
                 _ if customer < 2 => draw % GATEWAYS,
                 0..55 => 0,
                 55..80 => 1,
@@ -228,36 +260,36 @@
                 _ => 3,
             };
             let mut r = Request::new(
-                self.next,
+                self.next_request_id,
                 &format!("c{customer}"),
                 "basic",
                 "read",
                 2_000_000,
             );
             r.gateway_count = GATEWAYS as u32;
-            self.next += 1;
-            self.customer_of.insert(r.id, customer);
-            self.asked[customer].push(self.now);
-            self.handle_event((customer + place) % GATEWAYS, Event::Request(r));
+            self.next_request_id += 1;
+            self.customer_of_request.insert(r.id, customer);
+            self.requests_at[customer].push(self.now);
+            self.handle_event((customer + gateway_rank) % GATEWAYS, Event::Request(r));
         }
         while let Some(call) = self.calls.first_entry().filter(|e| e.key().0 <= self.now) {
             let (n, event) = call.remove();
             self.handle_event(n, event);
         }
-        while self.ends.front().is_some_and(|(at, ..)| *at <= self.now) {
-            let (_, n, id, server) = self.ends.pop_front().expect("one");
+        while self.running.front().is_some_and(|(at, ..)| *at <= self.now) {
+            let (_, n, id, server) = self.running.pop_front().expect("the queue is not empty");
             let mut o =
-                AttemptOutcome::new(id, 0, server, CompletionStatus::Served, SERVED_US).closing();
+                AttemptOutcome::new(id, 0, server, CompletionStatus::Served, ATTEMPT_US).closing();
             let period = (
                 (self.now - METER_DELAY_US) / 1_000_000 - 1,
-                self.customer_of[&id],
+                self.customer_of_request[&id],
             );
             let used = self
-                .periods
+                .sent_units
                 .get(&(period.1, period.0))
                 .copied()
                 .unwrap_or(0.0);
-            o.metered_use = (!self.meter_lost).then_some(used / rate());
+            o.metered_use = (!self.is_meter_lost).then_some(used / plan_rate());
             self.handle_event(n, Event::Outcome(o));
         }
         for n in 0..GATEWAYS {
@@ -272,81 +304,95 @@
         }
     }
 
+    /// Runs the simulation for `seconds` of virtual time.
     pub fn run(&mut self, seconds: f64) {
         (0..(seconds * 1e6) as u64 / STEP_US).for_each(|_| self.step());
     }
 
-    /// Units beyond the quota since a time, of the customer with most of them.
+    /// Returns the units sent beyond the quota since `from`, of the customer with the largest overrun.
     pub fn overrun_units(&self, from: Micros) -> f64 {
-        let over = |sent: &Vec<Micros>| {
-            let mut level = burst();
-            let mut at = START.with(std::cell::Cell::get);
-            let mut over = 0.0;
-            for &t in sent {
-                level = (level + (t - at) as f64 / 1e6 * rate()).min(burst());
+        let overrun = |sends_at: &Vec<Micros>| {
+            let mut level = plan_burst();
+            let mut at = START_US.with(std::cell::Cell::get);
+            let mut overrun = 0.0;
+            for &t in sends_at {
+                level = (level + (t - at) as f64 / 1e6 * plan_rate()).min(plan_burst());
                 at = t;
                 if level >= 1.0 {
                     level -= 1.0;
                 } else if t >= from {
-                    over += 1.0;
+                    overrun += 1.0;
                 }
             }
-            over
+            overrun
         };
-        self.sent.iter().map(over).fold(0.0, f64::max)
+        self.sends_at.iter().map(overrun).fold(0.0, f64::max)
     }
 
-    /// The share of the requests of customers within their quota that were sent since a time.
-    pub fn honest_share(&self, from: Micros) -> f64 {
+    /// Returns the share of requests since `from` that were sent, over all customers within their quota.
+    pub fn compliant_share(&self, from: Micros) -> f64 {
         let since = |all: &[Vec<Micros>]| -> f64 {
             all[2..]
                 .iter()
-                .map(|of| of.iter().filter(|t| **t >= from).count() as f64)
+                .map(|times| times.iter().filter(|t| **t >= from).count() as f64)
                 .sum()
         };
-        since(&self.sent) / since(&self.asked)
+        since(&self.sends_at) / since(&self.requests_at)
     }
 
-    /// What customers beyond their quota got since a time, as a multiple of the quota.
-    pub fn heavy_share(&self, from: Micros) -> f64 {
+    /// Returns the units sent since `from` as a multiple of the quota, of the heavy customer with the smaller multiple.
+    pub fn heavy_quota_multiple(&self, from: Micros) -> f64 {
         let seconds = (self.now - from) as f64 / 1e6;
-        let got = |n: usize| {
-            self.sent[n].iter().filter(|t| **t >= from).count() as f64 / (seconds * rate())
+        let quota_multiple = |n: usize| {
+            self.sends_at[n].iter().filter(|t| **t >= from).count() as f64 / (seconds * plan_rate())
         };
-        got(0).min(got(1))
+        quota_multiple(0).min(quota_multiple(1))
     }
 
-    /// Plays a fault, then ten seconds more; then all must be as usual for twenty seconds. Limits on the overrun are in
-    /// seconds of the quota's rate.
-    pub fn play_fault(
+    /// Runs a fault that lasts `seconds` and ten seconds of recovery, then checks that quotas and shares are normal for
+    /// twenty seconds. The maximum overrun is in seconds of the quota's rate; `min_compliant_share` is the minimum share of
+    /// requests that customers within their quota are served during the fault.
+    pub fn run_fault(
         &mut self,
         seconds: f64,
-        begin: impl FnOnce(&mut World),
-        end: impl FnOnce(&mut World),
-        most_over: f64,
-        least_honest: f64,
+        inject: impl FnOnce(&mut Simulation),
+        recover: impl FnOnce(&mut Simulation),
+        max_overrun_s: f64,
+        min_compliant_share: f64,
     ) {
         let from = self.now;
-        begin(self);
+        inject(self);
         self.run(seconds);
-        let honest = self.honest_share(from);
-        end(self);
+        let compliant = self.compliant_share(from);
+        recover(self);
         self.run(10.0);
-        let over = self.overrun_units(from) / rate();
-        println!("overrun {over:.2} s, honest {honest:.3}");
-        assert!(over <= most_over, "{over} seconds' worth too much");
-        assert!(honest >= least_honest, "the honest got {honest}");
-        let usual = self.now;
+        let overrun = self.overrun_units(from) / plan_rate();
+        println!("overrun {overrun:.2} s, share within quotas {compliant:.3}");
+        assert!(
+            overrun <= max_overrun_s,
+            "overrun of {overrun} s of the rate, limit {max_overrun_s}"
+        );
+        assert!(
+            compliant >= min_compliant_share,
+            "share of requests within quotas is {compliant}, minimum {min_compliant_share}"
+        );
+        let recovered_at = self.now;
         self.run(20.0);
-        let over = self.overrun_units(usual) / rate();
-        let honest = self.honest_share(usual);
-        let heavy = self.heavy_share(usual);
-        println!("   then {over:.2} s, honest {honest:.3}, heavy {heavy:.2}");
+        let overrun = self.overrun_units(recovered_at) / plan_rate();
+        let compliant = self.compliant_share(recovered_at);
+        let heavy = self.heavy_quota_multiple(recovered_at);
+        println!("   after recovery: overrun {overrun:.2} s, share within quotas {compliant:.3}, heavy customers {heavy:.2} of quota");
+        assert!(
+            overrun <= 4.0,
+            "overrun of {overrun} s of the rate after recovery, limit 4"
+        );
+        assert!(
+            compliant >= 0.96,
+            "share of requests within quotas is {compliant} after recovery, minimum 0.96"
+        );
         assert!(
-            over <= 4.0,
-            "{over} seconds' worth too much, and all is well"
+            (0.8..=1.2).contains(&heavy),
+            "heavy customers get {heavy} of their quota after recovery"
         );
-        assert!(honest >= 0.96, "{honest}, and all is well");
-        assert!((0.8..=1.2).contains(&heavy), "{heavy}, and all is well");
     }
 }
--- a/crates/traffic-control/tests/fleet/main.rs
+++ b/crates/traffic-control/tests/fleet/main.rs
@@ -1,41 +1,43 @@
-//! What many gateways do together where each one's slice is under one request.
+//! Tests of fleets in which each gateway's slice of a quota is smaller than one request.
 
 #[path = "../common/mod.rs"]
 mod common;
 mod slow_start;
 
-use common::{is_rejected, sent_server, unlimited_settings, Rig};
+use common::{is_rejected, sent_server, unlimited_settings, TestGateway};
 use frosthatch_traffic_control::{
     Action, AttemptOutcome, Ceiling, CompletionStatus, CustomerId, Event, ListKind, Micros,
     ServerEntry, Settings, Timer,
 };
 
-fn fleet(gateways: u32, change: impl Fn(&mut Settings)) -> Vec<Rig> {
-    let one = |me| {
+/// Starts `gateway_count` gateways with four servers each, whose settings `change` has adjusted.
+fn start_fleet(gateway_count: u32, change: impl Fn(&mut Settings)) -> Vec<TestGateway> {
+    let start_gateway = |gateway_index| {
         let mut settings = Settings::example();
-        settings.gateways = gateways;
-        settings.gateway_index = me;
+        settings.gateways = gateway_count;
+        settings.gateway_index = gateway_index;
         settings.peer_messages_per_s = 100.0;
         change(&mut settings);
-        Rig::seeded(settings, u64::from(me) + 1).with_listed(4)
+        TestGateway::with_seed(settings, u64::from(gateway_index) + 1).with_listed(4)
     };
-    (0..gateways).map(one).collect()
+    (0..gateway_count).map(start_gateway).collect()
 }
 
-/// Delivers the messages of gateway `from` to the others, and their replies. Returns the number of sends of `from`.
-fn deliver_messages(rigs: &mut [Rig], from: usize, actions: Vec<Action>) -> usize {
+/// Delivers the messages of gateway `from` to the others, and the messages that follow. Returns the number of attempts that
+/// `from` sends.
+fn deliver_messages(gateways: &mut [TestGateway], from: usize, actions: Vec<Action>) -> usize {
     let mut sends = 0;
     let mut queue = vec![(from, actions)];
-    while let Some((from_now, actions)) = queue.pop() {
+    while let Some((sender, actions)) = queue.pop() {
         for a in actions {
             match a {
-                Action::Send { .. } if from_now == from => sends += 1,
+                Action::Send { .. } if sender == from => sends += 1,
                 Action::SendToPeer { to, bytes } => {
-                    let answer = rigs[to as usize].handle(Event::Peer {
-                        from: from_now as u32,
+                    let replies = gateways[to as usize].handle(Event::Peer {
+                        from: sender as u32,
                         bytes,
                     });
-                    queue.push((to as usize, answer));
+                    queue.push((to as usize, replies));
                 }
                 _ => {}
             }
@@ -46,173 +48,177 @@
 
 #[test]
 fn gateways_that_share_an_owner_admit_the_quota_and_no_more() {
-    for gateways in [3, 150, 600] {
-        let mut rigs = fleet(gateways, |s| s.peer_messages = true);
-        // Long enough for the owner to have saved up the burst of 20: its start counts as a restart.
-        rigs.iter_mut().for_each(|r| r.now += 10_000_000);
+    for gateway_count in [3, 150, 600] {
+        let mut gateways = start_fleet(gateway_count, |s| s.peer_messages = true);
+        // The start counts as a restart: the owner needs this time to save up the burst of 20.
+        gateways.iter_mut().for_each(|r| r.now += 10_000_000);
         let mut admitted = 0;
-        for g in 0..rigs.len().min(150) {
-            for _ in 0..(150 / rigs.len()).max(1) {
-                let (_, actions) = rigs[g].request_with(|r| r.gateway_count = gateways);
-                admitted += deliver_messages(&mut rigs, g, actions);
+        for g in 0..gateways.len().min(150) {
+            for _ in 0..(150 / gateways.len()).max(1) {
+                let (_, actions) = gateways[g].request_with(|r| r.gateway_count = gateway_count);
+                admitted += deliver_messages(&mut gateways, g, actions);
             }
         }
         assert!(
             (19..=21).contains(&admitted),
-            "{admitted} of a burst of 20 with {gateways} gateways"
+            "{admitted} admitted of a burst of 20 with {gateway_count} gateways"
         );
     }
 }
 
 #[test]
 fn few_unsynced_gateways_save_up_their_slice_and_a_restart_adds_nothing() {
-    for gateways in [7, 8] {
-        let slice_s = f64::from(gateways) / 10.0;
-        let mut rig = fleet(gateways, |s| {
+    for gateway_count in [7, 8] {
+        let slice_s = f64::from(gateway_count) / 10.0;
+        let mut gateway = start_fleet(gateway_count, |s| {
             s.plans[0].burst = 5.0;
             s.max_units = 1.0;
         })
         .remove(0);
-        let admitted = |rig: &mut Rig| {
-            sent_server(&rig.request_with(|r| r.gateway_count = gateways).1).is_some()
+        let admitted = |gateway: &mut TestGateway| {
+            sent_server(&gateway.request_with(|r| r.gateway_count = gateway_count).1).is_some()
         };
         assert!(
-            !admitted(&mut rig),
-            "a fresh start owns a fraction of a request"
+            !admitted(&mut gateway),
+            "a gateway that has just started has less than one request saved up"
         );
-        rig.now += (slice_s * 1e6) as Micros;
-        let n = (0..5).filter(|_| admitted(&mut rig)).count();
+        gateway.now += (slice_s * 1e6) as Micros;
+        let n = (0..5).filter(|_| admitted(&mut gateway)).count();
         assert_eq!(
             n, 1,
-            "one request is saved up in the time that the slice takes for it, and no more"
+            "one request, and no more, is saved up in the time in which the slice accrues it"
         );
     }
 }
 
-/// At many gateways the slice is next to nothing and most customers are within their quota: they are admitted until the meter shows
-/// overuse. A ceiling, which no gateway may risk, is kept to the slice, and a restart adds nothing to it.
+/// With many gateways the slice of a quota is close to zero and most customers are within their quota, so they are admitted until
+/// the meter shows overuse. A ceiling must never be exceeded: each gateway keeps to its slice of it, and a restart adds nothing.
 #[test]
 fn many_unsynced_gateways_admit_until_the_meter_shows_overuse_and_keep_to_their_ceiling_slice() {
-    for gateways in [9, 150, 600] {
-        let mut rig = fleet(gateways, |s| s.meter_period_us = 1_000_000).remove(0);
-        let ask = |rig: &mut Rig| {
-            let (id, actions) = rig.request_with(|r| r.gateway_count = gateways);
+    for gateway_count in [9, 150, 600] {
+        let mut gateway = start_fleet(gateway_count, |s| s.meter_period_us = 1_000_000).remove(0);
+        let send_request = |gateway: &mut TestGateway| {
+            let (id, actions) = gateway.request_with(|r| r.gateway_count = gateway_count);
             sent_server(&actions).map(|server| (id, server))
         };
         let mut admitted = 0;
         for n in 0..321 {
-            let sent = ask(&mut rig);
+            let sent = send_request(&mut gateway);
             assert!(
                 n > 0 || sent.is_some(),
-                "nothing is known of it: it is passed on"
+                "the first request of an unknown customer is admitted"
             );
             let Some((id, server)) = sent else { continue };
             admitted += 1;
             let mut o = AttemptOutcome::new(id, 0, server, CompletionStatus::Served, 0);
             o.closed = true;
             o.metered_use = Some(4.0);
-            rig.handle(Event::Outcome(o));
+            gateway.handle(Event::Outcome(o));
         }
-        // The first, a sixteenth of the others, and what was saved up of the slice.
+        // The first request, a sixteenth of the others, and what the slice saved up.
         assert!(
             (8..=40).contains(&admitted),
-            "{admitted} of 321 by {gateways} gateways"
+            "{admitted} of 321 requests admitted by one of {gateway_count} gateways"
         );
         let ceiling = Some(Ceiling {
             rate: 15.0,
-            depth: f64::from(gateways) * 0.9,
+            depth: f64::from(gateway_count) * 0.9,
         });
-        let mut rig = fleet(gateways, |s| s.plans[0].ceiling = ceiling).remove(0);
+        let mut gateway = start_fleet(gateway_count, |s| s.plans[0].ceiling = ceiling).remove(0);
         assert!(
-            ask(&mut rig).is_none(),
-            "its slice is under one request, and the ceiling is no guess"
+            send_request(&mut gateway).is_none(),
+            "a ceiling slice of less than one request admits nothing"
         );
     }
 }
 
 #[test]
 fn many_gateways_together_stay_within_a_slow_start_budget() {
-    for gateways in [3, 150, 600] {
-        let mut rigs = fleet(gateways, |s| {
+    for gateway_count in [3, 150, 600] {
+        let mut gateways = start_fleet(gateway_count, |s| {
             s.plans[0].rate = 1e6;
             s.plans[0].burst = 1e6;
         });
         let mut to_cold = 0;
-        for rig in &mut rigs {
-            // It is the only server.
+        for gateway in &mut gateways {
+            // The server in slow start is the only server.
             let cold = ServerEntry {
-                started_us: rig.now,
+                started_us: gateway.now,
                 ..ServerEntry::ready("cold", "a")
             };
-            rig.update_servers(ListKind::Complete, vec![cold]);
-            // The window of two seconds, with 600 requests a second for the fleet.
-            for _ in 0..1200 / gateways {
-                let (id, actions) = rig.request("c");
+            gateway.update_servers(ListKind::Complete, vec![cold]);
+            // Two seconds, the time after which a server is overloaded, with 600 requests a second for the fleet.
+            for _ in 0..1200 / gateway_count {
+                let (id, actions) = gateway.request("c");
                 if let Some(server) = sent_server(&actions) {
                     to_cold += 1;
-                    rig.end_attempt_after(id, 0, &server, CompletionStatus::Served, 0);
+                    gateway.end_attempt_after(id, 0, &server, CompletionStatus::Served, 0);
                 }
-                rig.now += 2_000_000 / u64::from(1200 / gateways);
+                gateway.now += 2_000_000 / u64::from(1200 / gateway_count);
             }
         }
-        // A core that takes 125 ms for an attempt does 16 in two seconds, three times a fifth of it is ten.
+        // A core that takes 125 ms for an attempt completes 16 in two seconds; three times a fifth of that is about ten.
         assert!(
             (1..=20).contains(&to_cold),
-            "{to_cold} to a cold server by {gateways} gateways"
+            "{gateway_count} gateways sent {to_cold} requests to a server in slow start"
         );
     }
 }
 
 #[test]
 fn a_permit_whose_return_is_lost_is_granted_again() {
-    let capped = |s: &mut Settings| {
+    let limit_open_attempts = |s: &mut Settings| {
         s.peer_messages = true;
         s.plans[0].rate = 0.0;
         s.plans[0].burst = 0.0;
         s.plans[0].max_open = 3;
     };
-    let mut rigs = fleet(150, capped);
-    let pass = |rigs: &mut Vec<Rig>, g: usize| {
-        let (_, actions) = rigs[g].request_with(|r| r.gateway_count = 150);
-        deliver_messages(rigs, g, actions)
+    let mut gateways = start_fleet(150, limit_open_attempts);
+    let send_request = |gateways: &mut Vec<TestGateway>, g: usize| {
+        let (_, actions) = gateways[g].request_with(|r| r.gateway_count = 150);
+        deliver_messages(gateways, g, actions)
     };
-    // Each gateway sends one request and then is silent.
+    // Each gateway gets one request, and none of the sent attempts ends.
     assert_eq!(
-        (1..20).map(|g| pass(&mut rigs, g)).sum::<usize>(),
+        (1..20)
+            .map(|g| send_request(&mut gateways, g))
+            .sum::<usize>(),
         3,
-        "the cap holds over all gateways"
+        "the limit on attempts in flight holds over all gateways"
     );
-    rigs.iter_mut().for_each(|r| r.now += 2_000_000);
+    gateways.iter_mut().for_each(|r| r.now += 2_000_000);
     assert_eq!(
-        (20..40).map(|g| pass(&mut rigs, g)).sum::<usize>(),
+        (20..40)
+            .map(|g| send_request(&mut gateways, g))
+            .sum::<usize>(),
         3,
-        "and its places come back"
+        "permits that are not returned are granted again"
     );
 }
 
 #[test]
 fn a_request_does_not_wait_long_for_a_silent_owner_or_counter() {
     for counter in [false, true] {
-        let mut rig = fleet(150, |s| {
+        let mut gateway = start_fleet(150, |s| {
             s.has_counter = counter;
             s.peer_messages = !counter;
         })
         .remove(0);
-        let (id, actions) = rig.request_with(|r| r.gateway_count = 150);
+        let (id, actions) = gateway.request_with(|r| r.gateway_count = 150);
         assert!(
             sent_server(&actions).is_none() && !is_rejected(&actions),
-            "it waits for an answer"
+            "the request waits for a reply"
         );
         let mut waits = 0;
         let mut last = Vec::new();
         while !is_rejected(&last) && sent_server(&last).is_none() && waits < 5 {
-            rig.now += 100_000;
-            last = rig.handle(Event::Timer(Timer::Request(id)));
+            gateway.now += 100_000;
+            last = gateway.handle(Event::Timer(Timer::Request(id)));
             waits += 1;
         }
-        assert!(waits <= 2, "answered after {waits} waits");
-        // A request of a client about to leave cannot wait at all.
-        let (_, actions) = rig.request_with(|r| {
+        assert!(waits <= 2, "request answered after {waits} timers, limit 2");
+        // A request whose client is about to give up cannot wait at all.
+        let (_, actions) = gateway.request_with(|r| {
             r.gateway_count = 150;
             r.remaining_us = 60_000;
         });
@@ -223,14 +229,14 @@
 #[test]
 fn calls_back_off_while_the_counter_is_silent() {
     let calls = |status: CompletionStatus| {
-        let mut rig = fleet(150, |s| s.has_counter = true).remove(0);
+        let mut gateway = start_fleet(150, |s| s.has_counter = true).remove(0);
         let mut calls = [0, 0];
         for k in 0..1200 {
-            let (_, actions) = rig.request_with(|r| {
+            let (_, actions) = gateway.request_with(|r| {
                 r.gateway_count = 150;
                 r.customer = CustomerId(format!("c{k}").into());
             });
-            rig.now += 50_000;
+            gateway.now += 50_000;
             for a in actions {
                 if let Action::AddToCounter { name, amount, .. } = a {
                     calls[k / 600] += 1;
@@ -239,7 +245,7 @@
                     } else {
                         0.0
                     };
-                    rig.handle(Event::CounterReply {
+                    gateway.handle(Event::CounterReply {
                         name,
                         status,
                         total,
@@ -250,15 +256,15 @@
         calls
     };
     let silent = calls(CompletionStatus::NoAnswer);
-    // A fifth of a call a second is always tried.
+    // One call every five seconds is always made.
     assert!(
         silent[0] > silent[1] && silent[1] <= 7,
-        "{silent:?} in each half minute"
+        "{silent:?} calls in each half minute without replies"
     );
-    let answers = calls(CompletionStatus::Served);
+    let answering = calls(CompletionStatus::Served);
     assert!(
-        silent[0] * 2 < answers[0] && silent[1] * 2 < answers[1],
-        "{silent:?}, {answers:?} with answers"
+        silent[0] * 2 < answering[0] && silent[1] * 2 < answering[1],
+        "{silent:?} calls without replies, {answering:?} with replies"
     );
 }
 
@@ -266,49 +272,50 @@
 fn a_silent_server_loses_its_share() {
     let mut settings = unlimited_settings();
     settings.gateways = 150;
-    let mut rig = Rig::with_servers(settings, 4);
+    let mut gateway = TestGateway::with_servers(settings, 4);
     let mut silent = 0;
     let mut all = 0;
     for _ in 0..400 {
-        let (id, actions) = rig.request("c");
+        let (id, actions) = gateway.request("c");
         let Some(server) = sent_server(&actions) else {
             continue;
         };
         all += 1;
-        let dead = &*server.0 == "s0";
-        silent += u32::from(dead);
-        let (status, after) = if dead {
+        let is_silent = &*server.0 == "s0";
+        silent += u32::from(is_silent);
+        let (status, after) = if is_silent {
             (CompletionStatus::NoAnswer, 1_000_000)
         } else {
             (CompletionStatus::Served, 100_000)
         };
-        rig.end_attempt_after(id, 0, &server, status, after);
-        rig.now += 200_000;
+        gateway.end_attempt_after(id, 0, &server, status, after);
+        gateway.now += 200_000;
         if all % 5 == 0 {
-            rig.handle(Event::Timer(Timer::Interval));
+            gateway.handle(Event::Timer(Timer::Interval));
         }
     }
     assert!(
         silent * 8 < all,
-        "{silent} of {all} went to the silent server"
+        "{silent} of {all} requests went to the silent server"
     );
 }
 
 #[test]
-fn the_gateway_that_begins_a_count_corrects_it_for_what_filled_in_before() {
-    // Otherwise an idle customer would get a second burst, and all gateways would correct the count at once.
-    let added = |name_made_before: f64| {
-        let mut rig = fleet(150, |s| s.has_counter = true).remove(0);
-        rig.now = 1_230_000_000;
-        let (_, actions) = rig.request_with(|r| r.gateway_count = 150);
+fn the_gateway_that_starts_a_count_adds_the_units_that_accrued_before() {
+    // Without the correction an idle customer would get a second burst; without its limit to one gateway all gateways would
+    // correct the count at once.
+    let added = |total_before: f64| {
+        let mut gateway = start_fleet(150, |s| s.has_counter = true).remove(0);
+        gateway.now = 1_230_000_000;
+        let (_, actions) = gateway.request_with(|r| r.gateway_count = 150);
         let Some(Action::AddToCounter { name, amount, .. }) = actions
             .into_iter()
             .find(|a| matches!(a, Action::AddToCounter { .. }))
         else {
-            panic!("it asks the counter")
+            panic!("the gateway makes no counter call")
         };
-        let total = amount + name_made_before;
-        let next = rig.handle(Event::CounterReply {
+        let total = amount + total_before;
+        let next = gateway.handle(Event::CounterReply {
             name,
             status: CompletionStatus::Served,
             total,
@@ -323,7 +330,7 @@
             })
             .sum::<f64>()
     };
-    // Half a minute at ten units a second filled in since the counter's window began.
+    // 300 units accrued in the half minute since the counter's window began, at ten units a second.
     assert!((added(0.0) - 300.0).abs() < 2.0);
-    assert_eq!(added(300.0), 0.0, "a count in step is left alone");
+    assert_eq!(added(300.0), 0.0, "a correct count is not corrected again");
 }
--- a/crates/traffic-control/tests/fleet/slow_start.rs
+++ b/crates/traffic-control/tests/fleet/slow_start.rs
@@ -1,21 +1,22 @@
-//! What all gateways together send to a server in slow start.
+//! Tests how many attempts all gateways together send to a server in slow start.
 
-use crate::common::Rig;
-use crate::fleet;
+use crate::common::TestGateway;
+use crate::start_fleet;
 use frosthatch_traffic_control::{
     Action, CompletionStatus, Event, ListKind, Micros, RequestId, ServerEntry, ServerId, Settings,
     SlowStart, Timer,
 };
 use std::collections::BTreeMap;
 
-/// Work of a request at a warm core.
+/// Service time of a request on one core of a warm server.
 const WORK_US: Micros = 50_000;
 
-/// Indices of the two servers.
+/// Index of the warm server.
 const WARM: usize = 0;
+/// Index of the server in slow start.
 const COLD: usize = 1;
 
-/// An attempt that ends.
+/// The end of an attempt.
 struct EndedAttempt {
     gateway: usize,
     request: RequestId,
@@ -25,8 +26,8 @@
     elapsed_us: Micros,
 }
 
-/// What is due at a time.
-enum Due {
+/// A scheduled event; those with a number are events of the gateway with this index.
+enum ScheduledEvent {
     Answer(EndedAttempt),
     ListUpdate(usize),
     Restart(usize),
@@ -34,24 +35,25 @@
     Request(usize),
 }
 
-/// Events by time, then in the order in which they were scheduled.
+/// Scheduled events, by time and then in the order of scheduling.
 #[derive(Default)]
 struct Schedule {
-    due: BTreeMap<(Micros, u64), Due>,
+    due: BTreeMap<(Micros, u64), ScheduledEvent>,
     scheduled: u64,
 }
 
 impl Schedule {
-    fn add(&mut self, at: Micros, event: Due) {
+    fn add(&mut self, at: Micros, event: ScheduledEvent) {
         self.scheduled += 1;
         self.due.insert((at, self.scheduled), event);
     }
 }
 
-/// A linear congruential generator.
-struct Dice(u64);
+/// A linear congruential random number generator.
+struct RandomNumbers(u64);
 
-impl Dice {
+impl RandomNumbers {
+    /// Returns a number less than `below`.
     fn draw(&mut self, below: u64) -> u64 {
         self.0 = self
             .0
@@ -61,7 +63,7 @@
     }
 }
 
-/// What a server got in a span of time, beside what it may get.
+/// Numbers of attempts in a span of time: those sent to the server, and those that it may get without overload.
 #[derive(Clone, Copy)]
 struct Span {
     sent: usize,
@@ -74,38 +76,39 @@
     }
 }
 
-/// A fleet of gateways, a server in slow start, and perhaps a warm one that cannot do all that is asked for. A server works
-/// on as many requests at once as it has cores; the others wait.
-struct Play {
-    gateways: u32,
+/// A fleet of gateways with a server in slow start and optionally a warm server that cannot serve all requests. A server
+/// processes as many requests at once as it has cores; the others wait.
+struct Simulation {
+    gateway_count: u32,
     cores: usize,
     has_warm_server: bool,
-    began_us: Micros,
+    server_started_us: Micros,
     slow_start: SlowStart,
-    rigs: Vec<Rig>,
+    gateways: Vec<TestGateway>,
     schedule: Schedule,
     attempts: BTreeMap<(usize, RequestId), u32>,
-    /// When each core of the warm server and of the cold one is free.
+    /// Time when each core of the warm server, and of the one in slow start, is free.
     cores_free_at: [Vec<Micros>; 2],
+    /// Times of the sends to the server in slow start.
     sent_to_cold_at: Vec<Micros>,
 }
 
-fn change(settings: &mut Settings) {
+fn adjust_settings(settings: &mut Settings) {
     settings.plans[0].rate = 1e6;
     settings.plans[0].burst = 1e6;
     settings.has_counter = true;
 }
 
-impl Play {
-    fn new(gateways: u32, cores: usize, has_warm_server: bool) -> Play {
-        let rigs = fleet(gateways, change);
-        Play {
-            gateways,
+impl Simulation {
+    fn new(gateway_count: u32, cores: usize, has_warm_server: bool) -> Simulation {
+        let gateways = start_fleet(gateway_count, adjust_settings);
+        Simulation {
+            gateway_count,
             cores,
             has_warm_server,
-            began_us: rigs[0].now,
+            server_started_us: gateways[0].now,
             slow_start: Settings::example().slow_start,
-            rigs,
+            gateways,
             schedule: Schedule::default(),
             attempts: BTreeMap::new(),
             cores_free_at: [vec![0; cores], vec![0; cores]],
@@ -113,26 +116,30 @@
         }
     }
 
-    /// Each gateway hears of the start at another moment, and every fifth restarts in the middle.
+    /// Schedules all events: each gateway learns of the server's start at another time, and every fifth gateway restarts midway.
     fn schedule_events(&mut self, seed: u64) {
-        let began = self.began_us;
-        let mut dice = Dice(seed);
-        for gateway in 0..self.rigs.len() {
-            let heard_at = began + dice.draw(1_000_000);
-            self.schedule.add(heard_at, Due::ListUpdate(gateway));
+        let server_started_us = self.server_started_us;
+        let mut random = RandomNumbers(seed);
+        for gateway in 0..self.gateways.len() {
+            let update_at = server_started_us + random.draw(1_000_000);
+            self.schedule
+                .add(update_at, ScheduledEvent::ListUpdate(gateway));
             if gateway % 5 == 4 {
-                let restarted_at = began + 2_000_000 + dice.draw(1_000_000);
-                self.schedule.add(restarted_at, Due::Restart(gateway));
+                let restart_at = server_started_us + 2_000_000 + random.draw(1_000_000);
+                self.schedule
+                    .add(restart_at, ScheduledEvent::Restart(gateway));
             }
             for second in 1..6 {
-                self.schedule
-                    .add(began + second * 1_000_000, Due::Interval(gateway));
+                self.schedule.add(
+                    server_started_us + second * 1_000_000,
+                    ScheduledEvent::Interval(gateway),
+                );
             }
         }
         for number in 0..300 * self.cores as u64 {
-            let gateway = dice.draw(self.rigs.len() as u64) as usize;
-            let at = began + number * 20_000 / self.cores as u64;
-            self.schedule.add(at, Due::Request(gateway));
+            let gateway = random.draw(self.gateways.len() as u64) as usize;
+            let at = server_started_us + number * 20_000 / self.cores as u64;
+            self.schedule.add(at, ScheduledEvent::Request(gateway));
         }
     }
 
@@ -153,11 +160,11 @@
         }
     }
 
-    fn handle(&mut self, now: Micros, event: Due) -> (usize, Vec<Action>) {
+    fn handle(&mut self, now: Micros, event: ScheduledEvent) -> (usize, Vec<Action>) {
         match event {
-            Due::Answer(ended) => {
-                let rig = self.rig_at(ended.gateway, now);
-                let actions = rig.end_attempt(
+            ScheduledEvent::Answer(ended) => {
+                let test_gateway = self.gateway_at(ended.gateway, now);
+                let actions = test_gateway.end_attempt(
                     ended.request,
                     ended.attempt,
                     &ended.server,
@@ -166,18 +173,19 @@
                 );
                 (ended.gateway, actions)
             }
-            Due::ListUpdate(gateway) => (gateway, self.update_list(gateway, now)),
-            Due::Restart(gateway) => {
-                self.rigs[gateway] = fleet(self.gateways, change).swap_remove(gateway);
+            ScheduledEvent::ListUpdate(gateway) => (gateway, self.update_list(gateway, now)),
+            ScheduledEvent::Restart(gateway) => {
+                self.gateways[gateway] =
+                    start_fleet(self.gateway_count, adjust_settings).swap_remove(gateway);
                 (gateway, self.update_list(gateway, now))
             }
-            Due::Interval(gateway) => {
-                let rig = self.rig_at(gateway, now);
-                (gateway, rig.handle(Event::Timer(Timer::Interval)))
+            ScheduledEvent::Interval(gateway) => {
+                let test_gateway = self.gateway_at(gateway, now);
+                (gateway, test_gateway.handle(Event::Timer(Timer::Interval)))
             }
-            Due::Request(gateway) => {
-                let rig = self.rig_at(gateway, now);
-                let request = rig.request_with(|r| {
+            ScheduledEvent::Request(gateway) => {
+                let test_gateway = self.gateway_at(gateway, now);
+                let request = test_gateway.request_with(|r| {
                     r.id.0 = r.id.0 * 1_000 + gateway as u64;
                     r.gateway_count = 1;
                 });
@@ -186,26 +194,26 @@
         }
     }
 
-    fn rig_at(&mut self, gateway: usize, now: Micros) -> &mut Rig {
-        let rig = &mut self.rigs[gateway];
-        rig.now = now;
-        rig
+    fn gateway_at(&mut self, gateway: usize, now: Micros) -> &mut TestGateway {
+        let test_gateway = &mut self.gateways[gateway];
+        test_gateway.now = now;
+        test_gateway
     }
 
     fn update_list(&mut self, gateway: usize, now: Micros) -> Vec<Action> {
         let cold = ServerEntry {
-            started_us: self.began_us,
+            started_us: self.server_started_us,
             ..ServerEntry::ready("cold", "a")
         };
         let warm = self
             .has_warm_server
             .then(|| ServerEntry::ready("warm", "a"));
         let entries = warm.into_iter().chain([cold]).collect();
-        self.rig_at(gateway, now)
+        self.gateway_at(gateway, now)
             .update_servers(ListKind::Complete, entries)
     }
 
-    /// A server works on an attempt, unless it takes too long for the gateway that sent it.
+    /// Processes an attempt at a server, and schedules its end. An attempt that would exceed its timeout takes no core.
     fn serve(
         &mut self,
         now: Micros,
@@ -226,7 +234,7 @@
         let core_free_at = self.cores_free_at[server_index]
             .iter_mut()
             .min()
-            .expect("cores");
+            .expect("a server has at least one core");
         let done_at = now.max(*core_free_at) + (WORK_US as f64 / speed) as Micros;
         let times_out = done_at - now > timeout_us;
         let (status, elapsed_us) = if times_out {
@@ -243,15 +251,17 @@
             status,
             elapsed_us,
         };
-        self.schedule.add(now + elapsed_us, Due::Answer(ended));
+        self.schedule
+            .add(now + elapsed_us, ScheduledEvent::Answer(ended));
     }
 
+    /// Returns the share of its capacity that the server in slow start has reached.
     fn warmth(&self, now: Micros) -> f64 {
-        let age = (now - self.began_us) as f64 / self.slow_start.duration_us as f64;
+        let age = (now - self.server_started_us) as f64 / self.slow_start.duration_us as f64;
         self.slow_start.initial_share + (1.0 - self.slow_start.initial_share) * age.min(1.0)
     }
 
-    /// The span of time after `from` in which a server may be overloaded.
+    /// Counts the attempts in the span that starts at `from` and lasts as long as a server can be overloaded without harm.
     fn span(&self, from: Micros) -> Span {
         let length_us = self.slow_start.overload_after_us;
         let sent = self
@@ -259,7 +269,7 @@
             .iter()
             .filter(|at| (from..from + length_us).contains(*at))
             .count();
-        // A multiple of what its warmth lets it do.
+        // The tolerated multiple of what the server can process at its warmth.
         let allowed = self.slow_start.overload_multiple
             * self.warmth(from)
             * self.cores as f64
@@ -268,6 +278,7 @@
         Span { sent, allowed }
     }
 
+    /// Returns the span with the largest excess.
     fn worst_span(&self) -> Span {
         let by_excess = |a: &Span, b: &Span| a.excess().total_cmp(&b.excess());
         self.sent_to_cold_at
@@ -281,27 +292,27 @@
     }
 }
 
-/// Without a common budget a server would fall under the sum of what all gateways send, each its own share and what it
-/// saved up.
+/// Without a common budget a server would be overloaded by all gateways together, each of which sends its own share and what
+/// it saved up.
 #[test]
 fn all_gateways_together_do_not_overload_a_server_in_slow_start() {
     let fleets = [2, 3, 20, 30, 300]
         .into_iter()
         .flat_map(|g| [1, 4].map(|cores| (g, cores)));
-    for (gateways, cores, warm) in
-        fleets.flat_map(|(g, cores)| [true, false].map(|warm| (g, cores, warm)))
+    for (gateway_count, cores, has_warm_server) in fleets
+        .flat_map(|(g, cores)| [true, false].map(|has_warm_server| (g, cores, has_warm_server)))
     {
         for seed in 1..4 {
-            let mut play = Play::new(gateways, cores, warm);
-            play.schedule_events(seed);
-            play.run();
-            let Span { sent, allowed } = play.worst_span();
-            let most = allowed + 2.0 * allowed.sqrt() + 2.0;
-            let what = format!(
-                "{gateways} gateways, {cores} cores, warm {warm}: {sent} sent, {most:.1} at most"
+            let mut simulation = Simulation::new(gateway_count, cores, has_warm_server);
+            simulation.schedule_events(seed);
+            simulation.run();
+            let Span { sent, allowed } = simulation.worst_span();
+            let limit = allowed + 2.0 * allowed.sqrt() + 2.0;
+            let result = format!(
+                "{gateway_count} gateways, {cores} cores, warm server: {has_warm_server}: {sent} sent, limit {limit:.1}"
             );
-            println!("{what}");
-            assert!(sent > 0 && sent as f64 <= most, "{what}");
+            println!("{result}");
+            assert!(sent > 0 && sent as f64 <= limit, "{result}");
         }
     }
 }
--- a/crates/traffic-control/tests/health_reports.rs
+++ b/crates/traffic-control/tests/health_reports.rs
@@ -1,8 +1,8 @@
-//! Health reports between gateways: a failing server is soon ejected by all, tried by one gateway at a time, and used again once it
-//! has recovered.
+//! Tests of the health reports between gateways: a failing server is soon ejected by all, probed by one gateway at a time, and
+//! used again once it has recovered.
 
 mod common;
-use common::{sent_server, unlimited_settings, Rig};
+use common::{sent_server, unlimited_settings, TestGateway};
 use frosthatch_traffic_control::{
     CompletionStatus, Event, HealthReports, ListKind, RequestId, ServerEntry, ServerId, Settings,
     Timer,
@@ -10,80 +10,97 @@
 use std::collections::BTreeMap;
 
 const GATEWAYS: u32 = 12;
-/// So few that all gateways use all of them.
+/// Number of servers, so few that all gateways use all of them.
 const SERVERS: usize = 18;
-const STEP: u64 = 50_000;
+/// Time between two steps of a run.
+const STEP_US: u64 = 50_000;
 
 struct Fleet {
-    gateways: Vec<Rig>,
-    /// Gateways that neither send nor get reports.
+    gateways: Vec<TestGateway>,
+    /// Indices of the gateways that neither send nor get reports.
     unreachable_gateways: Vec<u32>,
-    /// Whether an attempt of a gateway at a server fails.
+    /// Returns whether an attempt of this gateway at this server fails.
     fails: fn(u32, &ServerId) -> bool,
-    /// Sends in the last run, by gateway and server.
+    /// Number of sends in the last run, by gateway and server.
     sends: BTreeMap<(u32, ServerId), usize>,
+    /// Whether the gateways exchange health reports.
     exchanges_reports: bool,
-    /// Attempts in flight: gateway, when it ends, request, attempt and server.
+    /// Attempts in flight: gateway, end, request, number and server.
     in_flight: Vec<(u32, u64, RequestId, u32, ServerId)>,
 }
 
 impl Fleet {
-    fn new(talk: bool, bad: fn(u32, &ServerId) -> bool) -> Fleet {
-        let one = |me: u32| {
+    fn new(exchanges_reports: bool, fails: fn(u32, &ServerId) -> bool) -> Fleet {
+        let start_gateway = |gateway_index: u32| {
             let settings = Settings {
                 gateways: GATEWAYS,
-                gateway_index: me,
+                gateway_index,
                 ..unlimited_settings()
             };
-            let mut rig = Rig::seeded(settings, u64::from(me));
-            rig.update_servers(
+            let mut gateway = TestGateway::with_seed(settings, u64::from(gateway_index));
+            gateway.update_servers(
                 ListKind::Complete,
                 (0..SERVERS)
                     .map(|n| ServerEntry::ready(&format!("s{n}"), "a"))
                     .collect(),
             );
-            rig
+            gateway
         };
         Fleet {
-            gateways: (0..GATEWAYS).map(one).collect(),
+            gateways: (0..GATEWAYS).map(start_gateway).collect(),
             unreachable_gateways: Vec::new(),
-            fails: bad,
+            fails,
             sends: BTreeMap::new(),
-            exchanges_reports: talk,
+            exchanges_reports,
             in_flight: Vec::new(),
         }
     }
 
-    /// Each gateway gets forty requests a second, which take three steps at healthy servers, and reports five times a second.
+    /// Runs the fleet. Each gateway gets forty requests a second, which take three steps at healthy servers, and reports five
+    /// times a second.
     fn run(&mut self, seconds: u64) {
         self.sends.clear();
-        for step in 0..seconds * 1_000_000 / STEP {
-            for me in 0..GATEWAYS {
-                let rig = &mut self.gateways[me as usize];
-                rig.now += STEP;
+        for step in 0..seconds * 1_000_000 / STEP_US {
+            for gateway_index in 0..GATEWAYS {
+                let gateway = &mut self.gateways[gateway_index as usize];
+                gateway.now += STEP_US;
                 if step % 20 == 0 {
-                    rig.handle(Event::Timer(Timer::Interval));
+                    gateway.handle(Event::Timer(Timer::Interval));
                 }
-                let now = rig.now;
+                let now = gateway.now;
                 let (due, later) = std::mem::take(&mut self.in_flight)
                     .into_iter()
-                    .partition(|o| o.0 == me && o.1 <= now);
+                    .partition(|o| o.0 == gateway_index && o.1 <= now);
                 self.in_flight = later;
                 let due: Vec<(u32, u64, RequestId, u32, ServerId)> = due;
                 for (_, _, id, attempt, server) in due {
-                    rig.end_attempt(id, attempt, &server, CompletionStatus::Served, 3 * STEP);
+                    gateway.end_attempt(
+                        id,
+                        attempt,
+                        &server,
+                        CompletionStatus::Served,
+                        3 * STEP_US,
+                    );
                 }
                 for _ in 0..2 {
-                    let (id, mut actions) = self.gateways[me as usize].request("c");
+                    let (id, mut actions) = self.gateways[gateway_index as usize].request("c");
                     let mut attempt = 0;
                     while let Some(server) = sent_server(&actions) {
-                        *self.sends.entry((me, server.clone())).or_default() += 1;
-                        if !(self.fails)(me, &server) {
-                            self.in_flight
-                                .push((me, now + 3 * STEP, id, attempt, server));
+                        *self
+                            .sends
+                            .entry((gateway_index, server.clone()))
+                            .or_default() += 1;
+                        if !(self.fails)(gateway_index, &server) {
+                            self.in_flight.push((
+                                gateway_index,
+                                now + 3 * STEP_US,
+                                id,
+                                attempt,
+                                server,
+                            ));
                             break;
                         }
-                        actions = self.gateways[me as usize].end_attempt(
+                        actions = self.gateways[gateway_index as usize].end_attempt(
                             id,
                             attempt,
                             &server,
@@ -100,19 +117,20 @@
         }
     }
 
+    /// Delivers the health reports of all reachable gateways to each other.
     fn exchange_reports(&mut self) {
         let reports: Vec<HealthReports> = self
             .gateways
             .iter()
-            .map(|r| r.gateway.health_reports())
+            .map(|r| r.inner.health_reports())
             .collect();
-        for (me, rig) in (0..).zip(&mut self.gateways) {
+        for (gateway_index, gateway) in (0..).zip(&mut self.gateways) {
             for (from, reports) in (0..).zip(&reports) {
-                if from != me
-                    && !self.unreachable_gateways.contains(&me)
+                if from != gateway_index
+                    && !self.unreachable_gateways.contains(&gateway_index)
                     && !self.unreachable_gateways.contains(&from)
                 {
-                    rig.handle(Event::HealthReports {
+                    gateway.handle(Event::HealthReports {
                         from,
                         reports: reports.clone(),
                     });
@@ -121,6 +139,7 @@
         }
     }
 
+    /// Returns the number of sends to a server in the last run.
     fn sent_to(&self, server: &str) -> usize {
         self.sends
             .iter()
@@ -129,95 +148,114 @@
             .sum()
     }
 
+    /// Returns the number of ejected servers of each gateway.
     fn ejected_servers(&self) -> Vec<usize> {
         self.gateways
             .iter()
-            .map(|r| r.gateway.subset_counts()[2])
+            .map(|r| r.inner.subset_counts()[2])
             .collect()
     }
 }
 
 #[test]
-fn a_failing_server_is_detected_by_few_and_tried_by_one_at_a_time() {
-    let bad = |_, s: &ServerId| &*s.0 == "s7";
-    let mut alone = Fleet::new(false, bad);
-    let mut together = Fleet::new(true, bad);
-    alone.run(3);
-    together.run(3);
-    let found_out = (alone.sent_to("s7"), together.sent_to("s7"));
-    alone.run(30);
-    together.run(30);
-    let kept_out = (alone.sent_to("s7"), together.sent_to("s7"));
-    // Of 14,400 requests; one in each interval of four seconds.
+fn a_failing_server_is_detected_by_few_and_probed_by_one_gateway_at_a_time() {
+    let fails = |_, s: &ServerId| &*s.0 == "s7";
+    let mut without_reports = Fleet::new(false, fails);
+    let mut with_reports = Fleet::new(true, fails);
+    without_reports.run(3);
+    with_reports.run(3);
+    let sends_until_detected = (without_reports.sent_to("s7"), with_reports.sent_to("s7"));
+    without_reports.run(30);
+    with_reports.run(30);
+    let sends_after_detection = (without_reports.sent_to("s7"), with_reports.sent_to("s7"));
+    // One probe in each interval of four seconds, of 14,400 requests in all.
     assert!(
-        together.ejected_servers().iter().all(|out| *out == 1),
+        with_reports
+            .ejected_servers()
+            .iter()
+            .all(|ejected| *ejected == 1),
         "{:?}",
-        together.ejected_servers()
+        with_reports.ejected_servers()
+    );
+    assert!(
+        (5..=10).contains(&sends_after_detection.1),
+        "{sends_after_detection:?}"
+    );
+    assert!(
+        sends_after_detection.1 * 4 < sends_after_detection.0,
+        "{sends_after_detection:?}"
     );
-    assert!((5..=10).contains(&kept_out.1), "{kept_out:?}");
-    assert!(kept_out.1 * 4 < kept_out.0, "{kept_out:?}");
-    assert!(found_out.1 <= found_out.0, "{found_out:?}");
-    // It has recovered: all use it within seconds.
-    together.fails = |_, _| false;
-    together.run(5);
-    assert!(together.ejected_servers().iter().all(|out| *out == 0));
-    together.run(5);
-    // As much as the others, within noise.
     assert!(
-        (40..160).contains(&together.sent_to("s7")),
+        sends_until_detected.1 <= sends_until_detected.0,
+        "{sends_until_detected:?}"
+    );
+    // The server has recovered: all gateways use it within seconds.
+    with_reports.fails = |_, _| false;
+    with_reports.run(5);
+    assert!(with_reports
+        .ejected_servers()
+        .iter()
+        .all(|ejected| *ejected == 0));
+    with_reports.run(5);
+    // The server gets as many requests as the others, within noise.
+    assert!(
+        (40..160).contains(&with_reports.sent_to("s7")),
         "{}",
-        together.sent_to("s7")
+        with_reports.sent_to("s7")
     );
 }
 
-/// A gateway with a faulty network reports all servers, and ejects none of them for the others.
+/// A gateway with a faulty network reports all servers as failing; the others eject none of them.
 #[test]
 fn a_gateway_that_reports_all_servers_ejects_none() {
-    let mut fleet = Fleet::new(true, |me, _| me == 3);
+    let mut fleet = Fleet::new(true, |gateway_index, _| gateway_index == 3);
     fleet.run(10);
     let others = fleet
         .ejected_servers()
         .into_iter()
         .enumerate()
         .filter(|(n, _)| *n != 3)
-        .all(|(_, out)| out == 0);
+        .all(|(_, ejected)| ejected == 0);
     assert!(others, "{:?}", fleet.ejected_servers());
-    // It can reach some servers only: it is still one reporter.
-    let mut fleet = Fleet::new(true, |me, s| me == 3 && s.0.ends_with('1'));
+    // A gateway that fails to reach some servers only is still a single reporter.
+    let mut fleet = Fleet::new(true, |gateway_index, s| {
+        gateway_index == 3 && s.0.ends_with('1')
+    });
     fleet.run(10);
     assert!(
-        fleet.ejected_servers().iter().all(|out| *out == 0),
+        fleet.ejected_servers().iter().all(|ejected| *ejected == 0),
         "{:?}",
         fleet.ejected_servers()
     );
 }
 
-/// A gateway without reports ejects nothing, but avoids the server nearly as before.
+/// A gateway that gets no reports ejects no server, but avoids the failing one by its own outcomes.
 #[test]
 fn a_gateway_without_reports_goes_by_its_own_outcomes() {
     let mut fleet = Fleet::new(true, |_, s| &*s.0 == "s7");
     fleet.unreachable_gateways = vec![5];
     fleet.run(10);
-    let out = fleet.ejected_servers();
+    let ejected = fleet.ejected_servers();
     assert!(
-        out.iter()
+        ejected
+            .iter()
             .enumerate()
-            .all(|(n, out)| *out == usize::from(n != 5)),
-        "{out:?}"
+            .all(|(n, ejected)| *ejected == usize::from(n != 5)),
+        "{ejected:?}"
     );
 }
 
-/// What was known of a server's previous process does not hold any more.
+/// Reports about a server's previous process no longer hold after its restart.
 #[test]
-fn a_restarted_server_is_not_ejected_for_its_past() {
+fn a_restarted_server_is_not_ejected_for_failures_before_its_restart() {
     let mut fleet = Fleet::new(true, |_, s| &*s.0 == "s7");
     fleet.run(4);
-    assert!(fleet.ejected_servers().iter().all(|out| *out == 1));
+    assert!(fleet.ejected_servers().iter().all(|ejected| *ejected == 1));
     fleet.fails = |_, _| false;
-    for rig in &mut fleet.gateways {
-        rig.now += 10_000;
-        let started_us = rig.now;
-        rig.update_servers(
+    for gateway in &mut fleet.gateways {
+        gateway.now += 10_000;
+        let started_us = gateway.now;
+        gateway.update_servers(
             ListKind::Partial,
             vec![ServerEntry {
                 started_us,
@@ -227,7 +265,7 @@
     }
     fleet.exchange_reports();
     assert!(
-        fleet.ejected_servers().iter().all(|out| *out == 0),
+        fleet.ejected_servers().iter().all(|ejected| *ejected == 0),
         "{:?}",
         fleet.ejected_servers()
     );
--- a/crates/traffic-control/tests/mechanism/inputs.rs
+++ b/crates/traffic-control/tests/mechanism/inputs.rs
@@ -1,19 +1,19 @@
-//! Bad input, and bounds on memory.
+//! Tests of invalid input and of the bound on the number of customers.
 
-use crate::common::{is_rejected, sent_server, unlimited_settings, Rig};
+use crate::common::{is_rejected, sent_server, unlimited_settings, TestGateway};
 use frosthatch_traffic_control::{
     Action, AttemptOutcome, CompletionStatus, Event, Gateway, Request, RequestId, ServerId,
     Settings, Timer,
 };
 
 #[test]
-fn unknown_names_get_one_answer_and_unknown_ids_change_nothing() {
-    let mut rig = Rig::with_servers(unlimited_settings(), 2);
+fn unknown_names_are_rejected_once_and_unknown_ids_are_ignored() {
+    let mut gateway = TestGateway::with_servers(unlimited_settings(), 2);
     for change in [
         |r: &mut Request| r.plan = "?".into(),
         |r: &mut Request| r.class = "?".into(),
     ] {
-        let (_, actions) = rig.request_with(change);
+        let (_, actions) = gateway.request_with(change);
         assert_eq!(
             actions
                 .iter()
@@ -22,23 +22,24 @@
             1
         );
     }
-    let stranger = AttemptOutcome::new(
+    let unknown_outcome = AttemptOutcome::new(
         RequestId(99),
         0,
         ServerId("x".into()),
         CompletionStatus::Served,
         1,
     );
-    assert!(rig.handle(Event::Outcome(stranger)).is_empty());
-    assert!(rig.handle(Event::ClientGone(RequestId(99))).is_empty());
-    assert!(rig
+    assert!(gateway.handle(Event::Outcome(unknown_outcome)).is_empty());
+    assert!(gateway.handle(Event::ClientGone(RequestId(99))).is_empty());
+    assert!(gateway
         .handle(Event::Timer(Timer::Request(RequestId(99))))
         .is_empty());
-    let (id, actions) = rig.request("c");
-    let server = sent_server(&actions).expect("sent");
-    rig.end_attempt_after(id, 0, &server, CompletionStatus::Served, 1);
+    let (id, actions) = gateway.request("c");
+    let server = sent_server(&actions).expect("a ready server is listed");
+    gateway.end_attempt_after(id, 0, &server, CompletionStatus::Served, 1);
     assert!(
-        rig.end_attempt_after(id, 0, &server, CompletionStatus::ServerError, 1)
+        gateway
+            .end_attempt_after(id, 0, &server, CompletionStatus::ServerError, 1)
             .is_empty(),
         "a repeated outcome is ignored"
     );
@@ -46,14 +47,14 @@
 
 #[test]
 fn invalid_settings_are_an_error() {
-    let broken: [fn(&mut Settings); 5] = [
+    let invalid_changes: [fn(&mut Settings); 5] = [
         |s| s.classes.clear(),
         |s| s.plans.clear(),
         |s| s.plans[0].rate = -1.0,
         |s| s.plans[0].burst = f64::NAN,
         |s| s.gateways = 0,
     ];
-    for change in broken {
+    for change in invalid_changes {
         let mut s = Settings::example();
         change(&mut s);
         assert!(Gateway::new(s, 1).is_err());
@@ -62,12 +63,12 @@
 
 #[test]
 fn memory_is_bounded_under_a_flood_of_customers() {
-    let mut rig = Rig::with_servers(unlimited_settings(), 2);
-    let answered = (0..70_000)
-        .filter(|i| is_rejected(&rig.request(&format!("c{i}")).1))
+    let mut gateway = TestGateway::with_servers(unlimited_settings(), 2);
+    let rejected = (0..70_000)
+        .filter(|i| is_rejected(&gateway.request(&format!("c{i}")).1))
         .count();
     assert!(
-        answered >= 70_000 - 24_576,
-        "customers beyond the bound are refused"
+        rejected >= 70_000 - 24_576,
+        "customers beyond the limit of 24,576 are rejected"
     );
 }
--- a/crates/traffic-control/tests/mechanism/main.rs
+++ b/crates/traffic-control/tests/mechanism/main.rs
@@ -1,4 +1,4 @@
-//! Admission fractions, quotas and bad input, at the interface.
+//! Tests of one gateway through its public interface: admission, counter calls, invalid input, permits, quotas and servers.
 
 mod admission;
 #[path = "../common/mod.rs"]
--- a/crates/traffic-control/tests/replay/main.rs
+++ b/crates/traffic-control/tests/replay/main.rs
@@ -1,75 +1,85 @@
-//! Whether the decisions are still the same ones. Random worlds (gateways, servers, a counter, peers, reloads and takeovers)
-//! are played against the module, and a digest of all its actions is compared with the one that was recorded. A change
-//! that is to alter behaviour records them anew, in a commit of its own that says what it gains:
+//! Compares the decisions of gateways with recorded ones. Simulates random scenarios (gateways, servers, a counter, peer messages,
+//! list updates and takeovers) and compares a digest of all actions with the recorded digest. A change that alters behaviour on
+//! purpose records the digests again, in a commit of its own that says what is gained:
 //!
 //!     RECORD=1 cargo test -p frosthatch-traffic-control --test replay
 
 mod play;
 mod world;
 
-use play::Play;
+use play::Simulation;
 use proptest::strategy::{Strategy, ValueTree};
 use proptest::test_runner::TestRunner;
 use std::fmt::Write;
 use std::sync::LazyLock;
-use world::worlds;
+use world::scenarios;
 
+/// File of the recorded digests, relative to the package.
 const GOLDEN: &str = "tests/golden/replay.txt";
 
-/// Worlds for each size of fleet.
-const WORLDS_PER_FLEET: usize = 12;
+/// Number of scenarios for each fleet size.
+const SCENARIOS_PER_FLEET: usize = 12;
 
-fn play_all() -> String {
+/// Simulates all scenarios and returns the counts of their actions and their digests, as they are recorded.
+fn simulate_all() -> String {
     let mut text = String::from(
         "# gateways world: sends cancels refusals failures tells counts uses timers digest\n",
     );
-    for gateways in [1, 3, 30, 300] {
+    for gateway_count in [1, 3, 30, 300] {
         let mut runner = TestRunner::deterministic();
-        for n in 0..WORLDS_PER_FLEET {
-            let world = worlds(gateways)
+        for n in 0..SCENARIOS_PER_FLEET {
+            let scenario = scenarios(gateway_count)
                 .new_tree(&mut runner)
-                .expect("a world")
+                .expect("the strategies reject no values")
                 .current();
-            let (digest, seen) = Play::new(world).run();
-            let seen = seen.map(|n| n.to_string()).join(" ");
-            writeln!(text, "{gateways} {n}: {seen} {digest:016x}").expect("to memory");
+            let (digest, action_counts) = Simulation::new(scenario).run();
+            let action_counts = action_counts.map(|n| n.to_string()).join(" ");
+            writeln!(text, "{gateway_count} {n}: {action_counts} {digest:016x}")
+                .expect("writing to a string cannot fail");
         }
     }
     text
 }
 
-/// Played once for all tests that only read the results.
-static RESULTS: LazyLock<String> = LazyLock::new(play_all);
+/// Results of one simulation of all scenarios, for all tests that only read them.
+static RESULTS: LazyLock<String> = LazyLock::new(simulate_all);
 
 #[test]
-fn the_decisions_are_those_that_were_recorded() {
+fn the_decisions_match_the_recorded_ones() {
     let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join(GOLDEN);
-    let now = RESULTS.as_str();
+    let current = RESULTS.as_str();
     if std::env::var_os("RECORD").is_some() {
-        return std::fs::write(path, now).expect("written");
+        return std::fs::write(path, current).expect("the file of recorded digests is writable");
     }
-    let recorded = std::fs::read_to_string(path).expect("recorded digests");
-    for (recorded, now) in recorded.lines().zip(now.lines()) {
-        assert_eq!(recorded, now, "recorded on the left");
+    let recorded = std::fs::read_to_string(path).expect("the file of recorded digests is readable");
+    for (recorded, current) in recorded.lines().zip(current.lines()) {
+        assert_eq!(
+            recorded, current,
+            "the decisions match the recorded ones (left)"
+        );
     }
-    assert_eq!(recorded.lines().count(), now.lines().count());
+    assert_eq!(recorded.lines().count(), current.lines().count());
 }
 
-/// Without each kind of action in the recorded worlds a digest would say little.
+/// A digest shows changes only in the kinds of actions that occur in the scenarios.
 #[test]
-fn the_worlds_show_all_kinds_of_actions() {
+fn the_scenarios_cover_all_kinds_of_actions() {
     let mut sums = [0u64; 8];
     for line in RESULTS.lines().skip(1) {
-        let figures = line.split_once(": ").expect("figures").1.split(' ');
-        figures
+        let counts = line
+            .split_once(": ")
+            .expect("the counts follow a colon")
+            .1
+            .split(' ');
+        counts
             .zip(&mut sums)
             .for_each(|(f, sum)| *sum += f.parse::<u64>().unwrap_or(0));
     }
     assert!(sums.iter().all(|n| *n > 100), "{sums:?}");
 }
 
-/// The same events give the same actions, whatever else this process has done before.
+/// The same events give the same actions, whatever the process has done before.
 #[test]
 fn the_same_events_give_the_same_actions() {
-    assert_eq!(play_all(), *RESULTS);
+    assert_eq!(simulate_all(), *RESULTS);
 }
--- a/crates/traffic-control/tests/replay/play.rs
+++ b/crates/traffic-control/tests/replay/play.rs
@@ -1,6 +1,6 @@
-//! How a world is played, and the digest of its actions.
+//! Simulation of a scenario, and the digest of the actions in it.
 
-use crate::world::{World, PLAYED_GATEWAYS};
+use crate::world::{Scenario, SIMULATED_GATEWAYS};
 use frosthatch_traffic_control::{
     Action, AttemptOutcome, CompletionStatus, Event, Gateway, Health, ListKind, Micros, Request,
     RequestId, ServerId, Timer,
@@ -9,10 +9,10 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-/// How long a world is played.
+/// Duration of a simulation, in seconds of virtual time.
 const SECONDS: u64 = 12;
 
-/// How an attempt may fail.
+/// The ways in which an attempt fails.
 const FAULTS: [CompletionStatus; 6] = [
     CompletionStatus::ServerError,
     CompletionStatus::Rejected,
@@ -22,93 +22,102 @@
     CompletionStatus::NotSent,
 ];
 
-/// How a call to the counter may fail.
+/// The ways in which a counter call fails.
 const COUNTER_FAULTS: [CompletionStatus; 3] = [
     CompletionStatus::ServerError,
     CompletionStatus::NoAnswer,
     CompletionStatus::NoConnection,
 ];
 
-/// A world as it is played.
-pub struct Play {
-    world: World,
+/// A running simulation of a scenario.
+pub struct Simulation {
+    scenario: Scenario,
     rng: Pcg64Mcg,
     now: Micros,
     gateways: Vec<Gateway>,
-    /// By time, then in the order in which they were scheduled.
+    /// Scheduled events with their gateways, by time and then in the order of scheduling.
     due: BTreeMap<(Micros, u64), (usize, Event)>,
-    events: u64,
+    scheduled: u64,
+    /// Counts of the shared counter, by name.
     counts: BTreeMap<String, f64>,
+    /// Number of attempts of each request.
     attempts: BTreeMap<(usize, RequestId), u32>,
     digest: u64,
+    /// Number of actions by kind, in the order of the recorded header.
     action_counts: [u64; 8],
 }
 
-impl Play {
-    pub fn new(world: World) -> Play {
-        let played = world.gateways.min(PLAYED_GATEWAYS);
-        let gateways = (0..played).map(|me| {
-            Gateway::new(world.settings(me), world.seed + u64::from(me)).expect("settings")
+impl Simulation {
+    pub fn new(scenario: Scenario) -> Simulation {
+        let simulated = scenario.gateways.min(SIMULATED_GATEWAYS);
+        let gateways = (0..simulated).map(|gateway_index| {
+            Gateway::new(
+                scenario.settings(gateway_index),
+                scenario.seed + u64::from(gateway_index),
+            )
+            .expect("the settings are valid")
         });
-        let mut play = Play {
-            rng: Pcg64Mcg::seed_from_u64(world.seed),
+        let mut simulation = Simulation {
+            rng: Pcg64Mcg::seed_from_u64(scenario.seed),
             now: 1_000_000_000,
             gateways: gateways.collect(),
             due: BTreeMap::new(),
-            events: 0,
+            scheduled: 0,
             counts: BTreeMap::new(),
             attempts: BTreeMap::new(),
             digest: 0xcbf2_9ce4_8422_2325,
             action_counts: [0; 8],
-            world,
+            scenario,
         };
-        for g in 0..played as usize {
-            play.schedule(
+        for g in 0..simulated as usize {
+            simulation.schedule(
                 0,
                 g,
                 Event::Servers {
                     kind: ListKind::Complete,
-                    entries: play.world.list(),
+                    entries: simulation.scenario.list(),
                 },
             );
         }
-        play
+        simulation
     }
 
     fn schedule(&mut self, after: Micros, gateway: usize, event: Event) {
-        self.events += 1;
+        self.scheduled += 1;
         self.due
-            .insert((self.now + after, self.events), (gateway, event));
+            .insert((self.now + after, self.scheduled), (gateway, event));
     }
 
+    /// Returns a random number from 0 to 1, inclusive.
     fn random_unit(&mut self) -> f64 {
         f64::from(self.rng.next_u32()) / f64::from(u32::MAX)
     }
 
-    fn below(&mut self, n: u32) -> u32 {
+    /// Returns a random number less than `n`.
+    fn random_below(&mut self, n: u32) -> u32 {
         self.rng.next_u32() % n.max(1)
     }
 
-    /// Plays the world to its end: what comes in for each gateway, and what follows. Returns the digest and the number of
-    /// actions by kind.
+    /// Runs the simulation to its end: schedules requests and list updates for each gateway, and handles them and all events
+    /// that follow. Returns the digest and the number of actions by kind.
     pub fn run(mut self) -> (u64, [u64; 8]) {
         let end = self.now + SECONDS * 1_000_000;
-        let played = self.gateways.len();
-        for g in 0..played {
+        let simulated = self.gateways.len();
+        for g in 0..simulated {
             let mut at = 0;
             while at < SECONDS * 1_000_000 {
-                at += (-(1.0 - self.random_unit() * 0.999_999).ln() / self.world.per_s * 1e6)
-                    as Micros;
+                at += (-(1.0 - self.random_unit() * 0.999_999).ln() / self.scenario.requests_per_s
+                    * 1e6) as Micros;
                 let request = self.request();
                 if self.random_unit() < 0.03 {
-                    let after = at + Micros::from(self.below(100_000));
+                    let after = at + Micros::from(self.random_below(100_000));
                     self.schedule(after, g, Event::ClientGone(request.id));
                 }
                 self.schedule(at, g, Event::Request(request));
             }
             for second in 1..SECONDS {
                 let change = self.list_event(second);
-                let after = second * 1_000_000 + Micros::from(self.below(900_000));
+                let after = second * 1_000_000 + Micros::from(self.random_below(900_000));
                 self.schedule(after, g, change);
             }
         }
@@ -117,7 +126,7 @@
                 break;
             }
             self.now = at;
-            // A takeover: another process with the list of this one. Attempts and calls in flight belong to nobody.
+            // A takeover: a new process starts from the persisted list. Attempts, calls and timers of the old process are dropped.
             if matches!(
                 &event,
                 Event::Servers {
@@ -125,10 +134,11 @@
                     ..
                 }
             ) {
-                let stays = |e: &Event| matches!(e, Event::Request(_) | Event::Servers { .. });
-                self.due.retain(|_, (of, e)| *of != g || stays(e));
-                let settings = self.world.settings(g as u32);
-                self.gateways[g] = Gateway::new(settings, self.world.seed ^ at).expect("settings");
+                let survives = |e: &Event| matches!(e, Event::Request(_) | Event::Servers { .. });
+                self.due.retain(|_, (owner, e)| *owner != g || survives(e));
+                let settings = self.scenario.settings(g as u32);
+                self.gateways[g] = Gateway::new(settings, self.scenario.seed ^ at)
+                    .expect("the settings are valid");
             }
             let mut out = Vec::new();
             self.gateways[g].handle(at, event, &mut out);
@@ -136,31 +146,31 @@
                 self.carry_out(g, action);
             }
         }
-        let left: u64 = self.gateways.iter().map(|g| g.open_requests() as u64).sum();
+        let open_requests: u64 = self.gateways.iter().map(|g| g.open_requests() as u64).sum();
         self.add_to_digest(&format!(
-            "{left} open, {} avoided",
+            "{open_requests} open, {} avoided",
             self.gateways[0].avoided_server_count()
         ));
         (self.digest, self.action_counts)
     }
 
     fn request(&mut self) -> Request {
-        let n = self.below(self.world.customers);
+        let n = self.random_below(self.scenario.customers);
         let plan = ["small", "places", "large"][n as usize % 3];
         let class = if self.random_unit() < 0.7 {
             "read"
         } else {
             "write"
         };
-        let patience = 150_000 + Micros::from(self.below(1_500_000));
-        let id = self.events + 1;
-        let mut r = Request::new(id, &format!("customer-{n}"), plan, class, patience);
-        r.units = f64::from(1 + self.below(6));
-        r.gateway_count = [1, 2, 3, 60, 300][n as usize % 5].min(self.world.gateways);
+        let patience_us = 150_000 + Micros::from(self.random_below(1_500_000));
+        let id = self.scheduled + 1;
+        let mut r = Request::new(id, &format!("customer-{n}"), plan, class, patience_us);
+        r.units = f64::from(1 + self.random_below(6));
+        r.gateway_count = [1, 2, 3, 60, 300][n as usize % 5].min(self.scenario.gateways);
         r.first_gateway = if r.gateway_count < 4 {
             0
         } else {
-            n % self.world.gateways
+            n % self.scenario.gateways
         };
         r.low_priority = self.random_unit() < 0.05;
         if self.random_unit() < 0.02 {
@@ -172,11 +182,11 @@
         r
     }
 
-    /// An update of the server list: drains, restarts, the complete list, or a takeover.
+    /// Draws an update of the server list: a drain, removal or restart, the complete list, a takeover, or a discovery error.
     fn list_event(&mut self, second: u64) -> Event {
-        let n = self.below(self.world.servers as u32) as usize;
-        let mut entry = self.world.entry(n);
-        let kind = match self.below(6) {
+        let n = self.random_below(self.scenario.servers as u32) as usize;
+        let mut entry = self.scenario.entry(n);
+        let kind = match self.random_below(6) {
             0 => {
                 entry.health = Health::Draining;
                 ListKind::Partial
@@ -192,13 +202,13 @@
             4 => {
                 return Event::Servers {
                     kind: ListKind::Complete,
-                    entries: self.world.list(),
+                    entries: self.scenario.list(),
                 }
             }
-            _ if self.world.seed.is_multiple_of(3) => {
+            _ if self.scenario.seed.is_multiple_of(3) => {
                 return Event::Servers {
                     kind: ListKind::Persisted,
-                    entries: self.world.list(),
+                    entries: self.scenario.list(),
                 }
             }
             _ => ListKind::Error,
@@ -209,7 +219,7 @@
         }
     }
 
-    /// Carries an action of gateway `g` out: schedules the events that follow from it.
+    /// Carries out an action of gateway `g` by scheduling the events that follow from it.
     fn carry_out(&mut self, g: usize, action: Action) {
         let now = self.now;
         let recorded = recorded_form(&action);
@@ -252,6 +262,7 @@
         self.add_to_digest(&format!("{now} {g} {recorded}"));
     }
 
+    /// Schedules the end of an attempt.
     fn schedule_outcome(
         &mut self,
         g: usize,
@@ -262,13 +273,13 @@
         let attempts = self.attempts.entry((g, request)).or_default();
         let attempt = *attempts;
         *attempts += 1;
-        let work_us = Micros::from(self.below(120_000));
+        let work_us = Micros::from(self.random_below(120_000));
         let stretch = if self.random_unit() < 0.05 { 8 } else { 1 };
         let slowdown = if self.servers_are_slow() { 4 } else { 1 };
         let mut elapsed_us = (20_000 + work_us * stretch) * slowdown;
         let mut status = CompletionStatus::Served;
-        if self.random_unit() < self.world.fault_rate {
-            status = FAULTS[self.below(6) as usize];
+        if self.random_unit() < self.scenario.fault_rate {
+            status = FAULTS[self.random_below(6) as usize];
             elapsed_us /= 3;
         }
         if timeout_us > 0 && elapsed_us > timeout_us {
@@ -283,13 +294,15 @@
         self.schedule(elapsed_us, g, Event::Outcome(outcome));
     }
 
+    /// Delivers a peer message, unless it is lost.
     fn deliver_message(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
-        if to < self.gateways.len() && self.random_unit() > self.world.fault_rate {
+        if to < self.gateways.len() && self.random_unit() > self.scenario.fault_rate {
             let from = from as u32;
             self.schedule(1_000, to, Event::Peer { from, bytes });
         }
     }
 
+    /// Delivers a usage report to all other gateways.
     fn deliver_usage_report(&mut self, from: usize, tag: u32, units: f64) {
         for other in (0..self.gateways.len()).filter(|o| *o != from) {
             let report = Event::UsageReported {
@@ -301,20 +314,23 @@
         }
     }
 
-    /// In worlds with faults the servers are slow for four seconds.
+    /// Returns whether the servers are slow; in scenarios with faults they are slow for four seconds.
     fn servers_are_slow(&self) -> bool {
-        self.world.fault_rate > 0.0 && (3_000_000..7_000_000).contains(&(self.now - 1_000_000_000))
+        self.scenario.fault_rate > 0.0
+            && (3_000_000..7_000_000).contains(&(self.now - 1_000_000_000))
     }
 
-    /// Adds to a counter that the others of the fleet add to as well; calls fail at times, and once it is down for two seconds.
+    /// Adds to a count that gateways outside the simulation add to as well. In scenarios with faults some calls fail, and the
+    /// counter is down for two seconds.
     fn add_to_counter(&mut self, g: usize, name: String, amount: f64) {
-        let others = f64::from(self.world.gateways.saturating_sub(PLAYED_GATEWAYS)).min(20.0)
+        let added_by_others = f64::from(self.scenario.gateways.saturating_sub(SIMULATED_GATEWAYS))
+            .min(20.0)
             * self.random_unit()
             * 0.05;
-        let down = (5_000_000..7_000_000).contains(&(self.now - 1_000_000_000))
-            && self.world.fault_rate > 0.0;
-        let status = if down || self.random_unit() < self.world.fault_rate {
-            COUNTER_FAULTS[self.below(3) as usize]
+        let is_down = (5_000_000..7_000_000).contains(&(self.now - 1_000_000_000))
+            && self.scenario.fault_rate > 0.0;
+        let status = if is_down || self.random_unit() < self.scenario.fault_rate {
+            COUNTER_FAULTS[self.random_below(3) as usize]
         } else {
             CompletionStatus::Served
         };
@@ -323,11 +339,11 @@
             status,
             CompletionStatus::Served | CompletionStatus::NoAnswer
         ) {
-            *total += amount + others.floor();
+            *total += amount + added_by_others.floor();
         }
         let total = *total;
         let after = 1_500
-            + Micros::from(self.below(4_000))
+            + Micros::from(self.random_below(4_000))
             + if status == CompletionStatus::NoAnswer {
                 50_000
             } else {
@@ -344,40 +360,40 @@
         );
     }
 
-    /// FNV-1a, 64 bits.
+    /// Adds a line to the digest (FNV-1a, 64 bits).
     fn add_to_digest(&mut self, line: &str) {
         let step = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3);
         self.digest = line.bytes().fold(self.digest, step);
     }
 }
 
-/// An action as the digests record it, which does not change with the names of the code.
+/// Returns an action as the digests record it. The texts are independent of identifiers in the code, which may change.
 fn recorded_form(action: &Action) -> String {
-    let of = |id: &RequestId| format!("RequestId({})", id.0);
+    let request_text = |id: &RequestId| format!("RequestId({})", id.0);
     match action {
         Action::Send { request, server, timeout_us, begin_within_us } => format!(
             "Send {{ request: {}, server: ServerId({:?}), timeout_us: {timeout_us}, begin_within_us: {begin_within_us} }}",
-            of(request),
+            request_text(request),
             server.0
         ),
         Action::Cancel { request, attempt } => {
-            format!("Cancel {{ request: {}, attempt: {attempt} }}", of(request))
+            format!("Cancel {{ request: {}, attempt: {attempt} }}", request_text(request))
         }
-        // Reasons are for logs only.
+        // Reasons are for logs only and are left out.
         Action::Reject { request, retry_after_us, reason: _ } => {
-            format!("Refuse {{ request: {}, retry_after_us: {retry_after_us} }}", of(request))
+            format!("Refuse {{ request: {}, retry_after_us: {retry_after_us} }}", request_text(request))
         }
-        Action::Fail { request, reason: _ } => format!("Fail {{ request: {} }}", of(request)),
+        Action::Fail { request, reason: _ } => format!("Fail {{ request: {} }}", request_text(request)),
         Action::SetTimer { after_us, timer } => {
             let timer = match timer {
                 Timer::Interval => "Interval".to_string(),
-                Timer::Request(id) => format!("Request({})", of(id)),
+                Timer::Request(id) => format!("Request({})", request_text(id)),
                 Timer::Customer(tag) => format!("Customer({tag})"),
             };
             format!("SetTimer {{ after_us: {after_us}, timer: {timer} }}")
         }
         Action::SendToPeer { to, bytes } => format!("Tell {{ to: {to}, bytes: {bytes:?} }}"),
-        // Rounded, as logarithms and powers may differ in the last digits on another machine.
+        // Amounts are rounded: logarithms and powers may differ in the last digits on another machine.
         Action::AddToCounter { name, amount, ttl_us } => format!("Count {name} {amount:.6} {ttl_us}"),
         Action::ReportUsage { tag, units } => format!("Used {{ tag: {tag}, units: {units:?} }}"),
         Action::Subscribe => "Subscribe".to_string(),
--- a/crates/traffic-control/tests/replay/world.rs
+++ b/crates/traffic-control/tests/replay/world.rs
@@ -1,12 +1,12 @@
-//! The worlds that are played.
+//! Random scenarios for the simulation.
 
 use frosthatch_traffic_control::{
     Ceiling, Effect, Plan, RequestClass, RetryBudget, Scope, ServerEntry, Settings,
 };
 use proptest::prelude::{any, prop_oneof, Just, Strategy};
 
-/// Gateways of a fleet that are played; the others only show in the counts.
-pub const PLAYED_GATEWAYS: u32 = 4;
+/// Maximum number of gateways of a fleet that are simulated; the others appear only in the counts of the counter.
+pub const SIMULATED_GATEWAYS: u32 = 4;
 
 /// The channels by which gateways learn of each other's use.
 #[derive(Clone, Debug)]
@@ -16,57 +16,65 @@
     pub usage_reports: bool,
 }
 
-/// One fleet with its servers, customers and faults.
+/// A fleet with its servers, customers and faults.
 #[derive(Clone, Debug)]
-pub struct World {
+pub struct Scenario {
     pub gateways: u32,
     pub channels: Channels,
+    /// Effect of class `write`: 0: repeatable, 1: keyed, other: once.
     pub effect: u8,
     pub servers: usize,
     pub customers: u32,
-    /// Requests that each gateway gets a second.
-    pub per_s: f64,
+    /// Mean number of requests that each gateway gets a second.
+    pub requests_per_s: f64,
+    /// Quota of plan `large` in units a second.
     pub quota: f64,
+    /// Limit on attempts in flight of plan `places`.
     pub max_open: u32,
-    /// Times the quota; 0: none.
+    /// Ceiling of plan `large` as a multiple of its quota; 0: none.
     pub ceiling: f64,
-    /// Share of attempts and calls that fail.
+    /// Share of attempts, counter calls and peer messages that fail.
     pub fault_rate: f64,
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
     pub seed: u64,
 }
 
-pub fn worlds(gateways: u32) -> impl Strategy<Value = World> {
-    let known = (any::<bool>(), any::<bool>(), any::<bool>());
+/// Returns a strategy for scenarios with this number of gateways.
+pub fn scenarios(gateways: u32) -> impl Strategy<Value = Scenario> {
+    let channel_flags = (any::<bool>(), any::<bool>(), any::<bool>());
     let fleet = (0u8..3, 1usize..90, 1u32..16, 5.0..80.0f64);
     let quotas = (1.0..60.0f64, 1u32..9, prop_oneof![Just(0.0), 1.2..3.0f64]);
-    let rest = (
+    let remaining_values = (
         prop_oneof![Just(0.0), 0.01..0.4f64],
         any::<bool>(),
         any::<u64>(),
     );
-    (known, fleet, quotas, rest).prop_map(move |(known, fleet, quotas, rest)| World {
-        gateways,
-        channels: Channels {
-            counter: known.0,
-            peer_messages: known.1,
-            usage_reports: known.2 && !known.0,
+    (channel_flags, fleet, quotas, remaining_values).prop_map(
+        move |(channel_flags, fleet, quotas, remaining_values)| Scenario {
+            gateways,
+            channels: Channels {
+                counter: channel_flags.0,
+                peer_messages: channel_flags.1,
+                usage_reports: channel_flags.2 && !channel_flags.0,
+            },
+            effect: fleet.0,
+            servers: fleet.1,
+            customers: fleet.2,
+            requests_per_s: fleet.3,
+            quota: quotas.0,
+            max_open: quotas.1,
+            ceiling: quotas.2,
+            fault_rate: remaining_values.0,
+            cancel: remaining_values.1,
+            seed: remaining_values.2,
         },
-        effect: fleet.0,
-        servers: fleet.1,
-        customers: fleet.2,
-        per_s: fleet.3,
-        quota: quotas.0,
-        max_open: quotas.1,
-        ceiling: quotas.2,
-        fault_rate: rest.0,
-        cancel: rest.1,
-        seed: rest.2,
-    })
+    )
 }
 
-impl World {
-    pub fn settings(&self, me: u32) -> Settings {
+impl Scenario {
+    /// Returns the settings of a gateway.
+    pub fn settings(&self, gateway_index: u32) -> Settings {
         let class = |name: &str, latency_objective_us, priority_weight, effect| RequestClass {
             name: name.into(),
             latency_objective_us,
@@ -98,7 +106,7 @@
         };
         Settings {
             gateways: self.gateways,
-            gateway_index: me,
+            gateway_index,
             classes: vec![
                 class("read", 600_000, 2.0, Effect::Repeatable),
                 class("write", 300_000, 5.0, effect),
@@ -127,6 +135,7 @@
         }
     }
 
+    /// Returns the list entry of server `n`.
     pub fn entry(&self, n: usize) -> ServerEntry {
         ServerEntry {
             cell: (n % 5) as u64,
@@ -138,6 +147,7 @@
         }
     }
 
+    /// Returns the complete server list.
     pub fn list(&self) -> Vec<ServerEntry> {
         (0..self.servers).map(|n| self.entry(n)).collect()
     }
--- a/crates/traffic-control/tests/rules.rs
+++ b/crates/traffic-control/tests/rules.rs
@@ -1,15 +1,16 @@
-//! Rules that one gateway keeps by itself: deadlines, effects, draining, slow start and ceilings.
+//! Tests of the rules that a gateway keeps without others: deadlines, effects, draining, slow start and ceilings.
 
 mod common;
 use common::{
-    count_admitted_by_counter, is_failed, is_rejected, sent_server, unlimited_settings, Rig,
+    count_admitted_by_counter, is_failed, is_rejected, sent_server, unlimited_settings, TestGateway,
 };
 use frosthatch_traffic_control::{
     Action, AttemptOutcome, Ceiling, CompletionStatus, Effect, Event, Health, ListKind, Micros,
     RequestId, Scope, ServerEntry, ServerId, Settings, Timer,
 };
 
-fn keyed(scope: Scope) -> Settings {
+/// Returns settings with a keyed class.
+fn keyed_settings(scope: Scope) -> Settings {
     let mut s = unlimited_settings();
     s.classes[0].effect = Effect::Keyed {
         scope,
@@ -26,37 +27,38 @@
 }
 
 #[test]
-fn a_time_out_at_the_deadline_is_still_answered() {
-    let mut rig = Rig::with_servers(unlimited_settings(), 2);
-    let (id, actions) = rig.request("c");
-    let server = sent_server(&actions).expect("sent");
-    let actions = rig.end_attempt_after(id, 0, &server, CompletionStatus::NoAnswer, 4_000_000);
+fn a_request_whose_attempt_times_out_at_the_deadline_is_answered() {
+    let mut gateway = TestGateway::with_servers(unlimited_settings(), 2);
+    let (id, actions) = gateway.request("c");
+    let server = sent_server(&actions).expect("a ready server is listed");
+    let actions = gateway.end_attempt_after(id, 0, &server, CompletionStatus::NoAnswer, 4_000_000);
     assert!(is_rejected(&actions) && sent_server(&actions).is_none());
-    assert_eq!(rig.gateway.open_requests(), 0);
+    assert_eq!(gateway.inner.open_requests(), 0);
 }
 
 #[test]
-fn without_late_value_the_latency_objective_ends_attempt_and_request() {
-    for (late_worth, expected) in [(0.0, 1_000_000), (0.2, 4_000_000)] {
+fn without_late_weight_attempt_and_request_end_at_the_latency_objective() {
+    for (late_weight, expected) in [(0.0, 1_000_000), (0.2, 4_000_000)] {
         let mut settings = unlimited_settings();
-        settings.classes[0].late_weight = late_worth;
-        let mut rig = Rig::with_servers(settings, 2);
-        let (id, actions) = rig.request("c");
-        let server = sent_server(&actions).expect("sent");
+        settings.classes[0].late_weight = late_weight;
+        let mut gateway = TestGateway::with_servers(settings, 2);
+        let (id, actions) = gateway.request("c");
+        let server = sent_server(&actions).expect("a ready server is listed");
         let timeout = actions.iter().find_map(|a| match a {
             Action::Send { timeout_us, .. } => Some(*timeout_us),
             _ => None,
         });
         assert_eq!(timeout, Some(expected));
-        let actions = rig.end_attempt_after(id, 0, &server, CompletionStatus::NoAnswer, expected);
+        let actions =
+            gateway.end_attempt_after(id, 0, &server, CompletionStatus::NoAnswer, expected);
         assert!(is_rejected(&actions) && sent_server(&actions).is_none());
     }
 }
 
 #[test]
 fn a_request_waiting_for_servers_is_answered_before_its_client_leaves() {
-    let mut rig = Rig::new(unlimited_settings());
-    let (id, actions) = rig.request("c");
+    let mut gateway = TestGateway::new(unlimited_settings());
+    let (id, actions) = gateway.request("c");
     assert!(sent_server(&actions).is_none() && !is_rejected(&actions));
     let timer = actions.iter().find_map(|a| match a {
         Action::SetTimer {
@@ -65,22 +67,24 @@
         } if *r == id => Some(*after_us),
         _ => None,
     });
-    let after = timer.expect("a held request needs a timer");
+    let after = timer.expect("a waiting request has a timer");
     assert!(after < 4_000_000);
-    rig.now += after;
-    assert!(is_rejected(&rig.handle(Event::Timer(Timer::Request(id)))));
+    gateway.now += after;
+    assert!(is_rejected(
+        &gateway.handle(Event::Timer(Timer::Request(id)))
+    ));
     assert!(
-        !is_rejected(&rig.handle(Event::Timer(Timer::Request(id)))),
-        "one answer only"
+        !is_rejected(&gateway.handle(Event::Timer(Timer::Request(id)))),
+        "a request is answered only once"
     );
 }
 
 #[test]
 fn a_waiting_request_is_sent_when_a_server_is_listed() {
-    let mut rig = Rig::new(unlimited_settings());
-    rig.request("c");
+    let mut gateway = TestGateway::new(unlimited_settings());
+    gateway.request("c");
     assert!(sent_server(
-        &rig.update_servers(ListKind::Partial, vec![ServerEntry::ready("s", "a")])
+        &gateway.update_servers(ListKind::Partial, vec![ServerEntry::ready("s", "a")])
     )
     .is_some());
 }
@@ -89,10 +93,11 @@
 fn a_non_idempotent_request_that_may_have_run_is_neither_retried_nor_rejected() {
     let mut settings = unlimited_settings();
     settings.classes[0].effect = Effect::Once;
-    let mut rig = Rig::with_servers(settings, 3);
-    let (id, actions) = rig.request("c");
-    let server = sent_server(&actions).expect("sent");
-    let actions = rig.end_attempt_after(id, 0, &server, CompletionStatus::ConnectionLost, 1_000);
+    let mut gateway = TestGateway::with_servers(settings, 3);
+    let (id, actions) = gateway.request("c");
+    let server = sent_server(&actions).expect("a ready server is listed");
+    let actions =
+        gateway.end_attempt_after(id, 0, &server, CompletionStatus::ConnectionLost, 1_000);
     assert!(sent_server(&actions).is_none() && !is_rejected(&actions) && is_failed(&actions));
 }
 
@@ -100,106 +105,117 @@
 fn a_non_idempotent_request_that_never_ran_is_retried_elsewhere() {
     let mut settings = unlimited_settings();
     settings.classes[0].effect = Effect::Once;
-    let mut rig = Rig::with_servers(settings, 3);
-    let (id, actions) = rig.request("c");
-    let server = sent_server(&actions).expect("sent");
-    let again =
-        sent_server(&rig.end_attempt_after(id, 0, &server, CompletionStatus::NoConnection, 1_000))
-            .expect("sent again");
+    let mut gateway = TestGateway::with_servers(settings, 3);
+    let (id, actions) = gateway.request("c");
+    let server = sent_server(&actions).expect("a ready server is listed");
+    let again = sent_server(&gateway.end_attempt_after(
+        id,
+        0,
+        &server,
+        CompletionStatus::NoConnection,
+        1_000,
+    ))
+    .expect("another server may take the retry");
     assert_ne!(again, server);
 }
 
 #[test]
 fn a_keyed_request_that_may_have_run_stays_in_its_cell() {
     for _ in 0..8 {
-        let mut rig = Rig::new(keyed(Scope::Cell));
-        rig.update_servers(
+        let mut gateway = TestGateway::new(keyed_settings(Scope::Cell));
+        gateway.update_servers(
             ListKind::Complete,
             (0..8).map(|i| in_cell(&format!("s{i}"), i / 2)).collect(),
         );
-        let (id, actions) = rig.request("c");
-        let server = sent_server(&actions).expect("sent");
-        let again = sent_server(&rig.end_attempt_after(
+        let (id, actions) = gateway.request("c");
+        let server = sent_server(&actions).expect("a ready server is listed");
+        let again = sent_server(&gateway.end_attempt_after(
             id,
             0,
             &server,
             CompletionStatus::ServerError,
             1_000,
         ))
-        .expect("sent again");
-        let cell = |s: &ServerId| s.0[1..].parse::<u64>().expect("number") / 2;
+        .expect("another server may take the retry");
+        let cell = |s: &ServerId| {
+            s.0[1..]
+                .parse::<u64>()
+                .expect("server names end in a number")
+                / 2
+        };
         assert_eq!(cell(&again), cell(&server));
     }
 }
 
 #[test]
-fn a_keyed_request_is_not_retried_after_its_window_nor_rejected_outside_one_group() {
-    let mut rig = Rig::with_servers(keyed(Scope::Cell), 3);
-    let (id, actions) = rig.request("c");
-    let server = sent_server(&actions).expect("sent");
-    let actions = rig.end_attempt_after(id, 0, &server, CompletionStatus::ServerError, 1_000_001);
+fn a_keyed_request_that_may_have_run_is_neither_retried_nor_rejected_after_its_window() {
+    let mut gateway = TestGateway::with_servers(keyed_settings(Scope::Cell), 3);
+    let (id, actions) = gateway.request("c");
+    let server = sent_server(&actions).expect("a ready server is listed");
+    let actions =
+        gateway.end_attempt_after(id, 0, &server, CompletionStatus::ServerError, 1_000_001);
     assert!(sent_server(&actions).is_none() && is_failed(&actions) && !is_rejected(&actions));
 }
 
 #[test]
-fn never_two_attempts_at_once_where_that_is_forbidden() {
+fn a_request_has_one_attempt_at_a_time_where_parallel_attempts_are_off() {
     let mut settings = unlimited_settings();
     settings.parallel_attempts = false;
-    let mut rig = Rig::with_servers(settings, 3);
-    let (id, actions) = rig.request("c");
+    let mut gateway = TestGateway::with_servers(settings, 3);
+    let (id, actions) = gateway.request("c");
     assert!(sent_server(&actions).is_some());
-    rig.now += 900_000;
-    assert!(sent_server(&rig.handle(Event::Timer(Timer::Request(id)))).is_none());
+    gateway.now += 900_000;
+    assert!(sent_server(&gateway.handle(Event::Timer(Timer::Request(id)))).is_none());
 }
 
 #[test]
 fn nothing_goes_to_a_draining_or_removed_server() {
-    let mut rig = Rig::with_servers(unlimited_settings(), 2);
+    let mut gateway = TestGateway::with_servers(unlimited_settings(), 2);
     let drained = ServerEntry {
         health: Health::Draining,
         ..ServerEntry::ready("s0", "a")
     };
-    rig.update_servers(ListKind::Partial, vec![drained]);
+    gateway.update_servers(ListKind::Partial, vec![drained]);
     for _ in 0..20 {
-        let (_, actions) = rig.request("c");
+        let (_, actions) = gateway.request("c");
         assert_eq!(sent_server(&actions), Some(ServerId("s1".into())));
     }
-    rig.update_servers(ListKind::Complete, vec![ServerEntry::ready("s2", "a")]);
-    let (_, actions) = rig.request("c");
+    gateway.update_servers(ListKind::Complete, vec![ServerEntry::ready("s2", "a")]);
+    let (_, actions) = gateway.request("c");
     assert_eq!(sent_server(&actions), Some(ServerId("s2".into())));
 }
 
 #[test]
 fn an_idle_server_in_slow_start_gets_no_more_than_its_share() {
-    let mut rig = Rig::with_servers(unlimited_settings(), 4);
+    let mut gateway = TestGateway::with_servers(unlimited_settings(), 4);
     let cold = ServerEntry {
-        started_us: rig.now,
+        started_us: gateway.now,
         ..ServerEntry::ready("cold", "a")
     };
-    rig.update_servers(ListKind::Partial, vec![cold]);
+    gateway.update_servers(ListKind::Partial, vec![cold]);
     let mut to_cold = 0;
     for _ in 0..100 {
-        let (id, actions) = rig.request("c");
-        let server = sent_server(&actions).expect("sent");
-        // The others do not answer; the server in slow start answers at once and always looks idle.
+        let (id, actions) = gateway.request("c");
+        let server = sent_server(&actions).expect("a ready server is listed");
+        // The other servers do not answer; the one in slow start answers at once and so always looks idle.
         if &*server.0 == "cold" {
             to_cold += 1;
-            rig.end_attempt_after(id, 0, &server, CompletionStatus::Served, 0);
+            gateway.end_attempt_after(id, 0, &server, CompletionStatus::Served, 0);
         }
-        rig.now += 20_000;
+        gateway.now += 20_000;
     }
-    // A fifth of what one of five equal servers would get in the two seconds is four.
+    // One of five equal servers would get 20 requests in the two seconds; a fifth of that is four.
     assert!(
         (1..=6).contains(&to_cold),
-        "{to_cold} of 100 went to the cold server"
+        "{to_cold} of 100 requests went to the server in slow start"
     );
 }
 
-/// A restarted server does not stay unused, and so never warm up: beside idle servers one in slow start always looks
-/// expensive.
+/// Beside idle servers one in slow start always looks expensive. If it got no requests for that reason, a restarted server would
+/// never warm up.
 #[test]
 fn a_server_in_slow_start_is_used_though_others_are_idle() {
-    let mut rig = Rig::with_servers(
+    let mut gateway = TestGateway::with_servers(
         Settings {
             gateways: 4,
             ..unlimited_settings()
@@ -207,75 +223,82 @@
         8,
     );
     let cold = ServerEntry {
-        started_us: rig.now,
+        started_us: gateway.now,
         ..ServerEntry::ready("cold", "a")
     };
-    rig.update_servers(ListKind::Partial, vec![cold]);
+    gateway.update_servers(ListKind::Partial, vec![cold]);
     for second in 0..5 {
         let mut to_cold = 0;
         for _ in 0..50 {
-            rig.now += 20_000;
-            let (id, actions) = rig.request("c");
-            let server = sent_server(&actions).expect("sent");
+            gateway.now += 20_000;
+            let (id, actions) = gateway.request("c");
+            let server = sent_server(&actions).expect("a ready server is listed");
             to_cold += u32::from(&*server.0 == "cold");
-            rig.end_attempt_after(id, 0, &server, CompletionStatus::Served, 0);
+            gateway.end_attempt_after(id, 0, &server, CompletionStatus::Served, 0);
         }
-        assert!(to_cold >= 1 || second == 0, "nothing in second {second}");
-        // 50 a second over eight and a fifth.
+        assert!(
+            to_cold >= 1 || second == 0,
+            "the server in slow start got no request in second {second}"
+        );
+        // 50 requests a second over eight servers and a fifth of one: about six each, 1.2 in slow start.
         assert!(
             to_cold <= 3,
-            "{to_cold} in second {second}: no more than its share"
+            "the server in slow start got {to_cold} requests in second {second}, limit 3"
         );
     }
 }
 
-/// Latencies grow with queues: if the share of a server in slow start went by them, it would shrink when it is needed most.
+/// Latencies grow with queues: if the share of a server in slow start depended on them, it would shrink under load, when the
+/// server is needed most.
 #[test]
 fn a_server_in_slow_start_keeps_its_share_while_others_are_overloaded() {
-    let mut rig = Rig::with_servers(
+    let mut gateway = TestGateway::with_servers(
         Settings {
             gateways: 2,
             ..unlimited_settings()
         },
         3,
     );
-    let mut held: Vec<(Micros, RequestId, ServerId, Micros)> = Vec::new();
-    // A second of 100 requests at this latency of warm servers; returns how many of them went to the cold one.
-    let mut second = |took: Micros| {
+    let mut in_flight: Vec<(Micros, RequestId, ServerId, Micros)> = Vec::new();
+    // Runs one second with 100 requests, which take `took` at warm servers, and returns how many went to the one in slow start.
+    let mut run_second = |took: Micros| {
         let mut to_cold = 0;
         for _ in 0..100 {
-            let (id, actions) = rig.request("c");
+            let (id, actions) = gateway.request("c");
             let server = sent_server(&actions);
             to_cold += u32::from(server.as_ref().is_some_and(|s| &*s.0 == "cold"));
-            held.extend(server.map(|s| {
+            in_flight.extend(server.map(|s| {
                 let took = if &*s.0 == "cold" { 200_000 } else { took };
-                (rig.now + took, id, s, took)
+                (gateway.now + took, id, s, took)
             }));
-            rig.now += 10_000;
-            let now = rig.now;
-            for (_, id, server, took) in held.extract_if(.., |h| h.0 <= now) {
+            gateway.now += 10_000;
+            let now = gateway.now;
+            for (_, id, server, took) in in_flight.extract_if(.., |h| h.0 <= now) {
                 let outcome =
                     AttemptOutcome::new(id, 0, server, CompletionStatus::Served, took).closing();
-                rig.handle(Event::Outcome(outcome));
+                gateway.handle(Event::Outcome(outcome));
             }
         }
-        rig.handle(Event::Timer(Timer::Interval));
+        gateway.handle(Event::Timer(Timer::Interval));
         if took == 400_000 && to_cold == 0 {
             let cold = ServerEntry {
-                started_us: rig.now,
+                started_us: gateway.now,
                 ..ServerEntry::ready("cold", "a")
             };
-            rig.update_servers(ListKind::Partial, vec![cold]);
+            gateway.update_servers(ListKind::Partial, vec![cold]);
         }
         to_cold
     };
     for _ in 0..4 {
-        second(40_000);
+        run_second(40_000);
     }
-    let slow: Vec<u32> = (0..4).map(|_| second(400_000)).collect();
-    // A warm server did 33 a second: a fifth of that is 7, and the rule allows three times as much for all
-    // gateways together.
-    assert!(slow[1..].iter().all(|n| (6..=20).contains(n)), "{slow:?}");
+    let to_cold_by_second: Vec<u32> = (0..4).map(|_| run_second(400_000)).collect();
+    // A warm server completed 33 requests a second: a fifth of that is 7, and all gateways together may send three times as
+    // much.
+    assert!(
+        to_cold_by_second[1..].iter().all(|n| (6..=20).contains(n)),
+        "{to_cold_by_second:?}"
+    );
 }
 
 fn settings_with_ceiling() -> Settings {
@@ -288,26 +311,31 @@
     s
 }
 
-fn admitted(rig: &mut Rig, tries: usize) -> usize {
-    count_admitted_by_counter(rig, 2, tries, &mut 0.0)
+/// Returns how many of `tries` requests are admitted by a gateway whose customer uses two gateways.
+fn count_admitted(gateway: &mut TestGateway, tries: usize) -> usize {
+    count_admitted_by_counter(gateway, 2, tries, &mut 0.0)
 }
 
 #[test]
 fn a_restart_creates_no_second_ceiling_burst() {
-    let mut rig = Rig::with_servers(settings_with_ceiling(), 2);
+    let mut gateway = TestGateway::with_servers(settings_with_ceiling(), 2);
     assert_eq!(
-        admitted(&mut rig, 50),
+        count_admitted(&mut gateway, 50),
         0,
-        "a gateway that has just started owns nothing of the ceiling"
+        "the ceiling slice of a gateway that has just started is empty"
     );
-    rig.now += 1_000_000;
+    gateway.now += 1_000_000;
     assert_eq!(
-        admitted(&mut rig, 50),
+        count_admitted(&mut gateway, 50),
         5,
-        "half of the ceiling's rate for a second"
+        "the slice accrues half of the ceiling's rate"
+    );
+    gateway.now += 60_000_000;
+    assert_eq!(
+        count_admitted(&mut gateway, 50),
+        10,
+        "the slice holds half of the ceiling's depth"
     );
-    rig.now += 60_000_000;
-    assert_eq!(admitted(&mut rig, 50), 10, "half of the ceiling's depth");
 }
 
 #[test]
@@ -316,10 +344,10 @@
     settings.peer_messages = true;
     settings.peer_messages_per_s = 100.0;
     settings.has_counter = true;
-    let mut rig = Rig::with_servers(settings, 2);
+    let mut gateway = TestGateway::with_servers(settings, 2);
     for k in 0..200u8 {
-        rig.now += 10_000;
-        rig.handle(Event::Peer {
+        gateway.now += 10_000;
+        gateway.handle(Event::Peer {
             from: u32::from(k % 4),
             bytes: [
                 &[3 + k % 2][..],
@@ -329,5 +357,8 @@
             .concat(),
         });
     }
-    assert_eq!(count_admitted_by_counter(&mut rig, 2, 50, &mut -1e9), 10);
+    assert_eq!(
+        count_admitted_by_counter(&mut gateway, 2, 50, &mut -1e9),
+        10
+    );
 }
--- a/crates/traffic-control/tests/streams.rs
+++ b/crates/traffic-control/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Random event streams with fixed seeds: what must hold whatever happens.
+//! Tests the invariants of a gateway under random event streams with a fixed seed.
 
 mod common;
 
@@ -36,56 +36,62 @@
     CompletionStatus::ConnectionLost,
 ];
 
-/// An attempt that has not ended.
-struct OpenAttempt {
+/// An attempt in flight.
+struct AttemptInFlight {
     request: RequestId,
     number: u32,
     server: ServerId,
     sent_at: Micros,
 }
 
-/// A gateway, what it was sent and what it did.
-struct Play {
+/// A gateway with the state that its driver keeps, and what it did.
+struct Simulation {
     gateway: Gateway,
     now: Micros,
     next_request: u64,
-    listed: BTreeSet<ServerId>,
-    open: Vec<OpenAttempt>,
+    ready_servers: BTreeSet<ServerId>,
+    in_flight: Vec<AttemptInFlight>,
+    /// Number of attempts of each request.
     attempts: BTreeMap<RequestId, u32>,
+    /// Number of final answers to each request.
     answers: BTreeMap<RequestId, u32>,
+    /// Time when the client of each request gives up.
     deadlines: BTreeMap<RequestId, Micros>,
+    /// Timers with the times when they are due.
     timers: Vec<(Micros, Timer)>,
+    /// All actions so far.
     actions: Vec<Action>,
-    /// Units that the ceiling slice let through.
-    drawn: f64,
+    /// Units drawn from the ceiling slice.
+    drawn_units: f64,
 }
 
-const START: Micros = 7_000_000;
+/// Start of the virtual time.
+const START_US: Micros = 7_000_000;
 
-impl Play {
-    fn new() -> Play {
-        Play {
-            gateway: Gateway::new(settings(), 5).expect("settings"),
-            now: START,
+impl Simulation {
+    fn new() -> Simulation {
+        Simulation {
+            gateway: Gateway::new(settings(), 5).expect("the settings are valid"),
+            now: START_US,
             next_request: 1u64,
-            listed: BTreeSet::new(),
-            open: Vec::new(),
+            ready_servers: BTreeSet::new(),
+            in_flight: Vec::new(),
             attempts: BTreeMap::new(),
             answers: BTreeMap::new(),
             deadlines: BTreeMap::new(),
             timers: Vec::new(),
             actions: Vec::new(),
-            drawn: 0.0,
+            drawn_units: 0.0,
         }
     }
 
-    /// The next event. What is due before the next step comes first: attempts at their client's deadline, then timers.
+    /// Returns the next event. Events that are due by `until` come first: attempts at their client's deadline, then timers.
     fn next_event(&mut self, kind: u8, pick: u8, until: Micros) -> Option<Event> {
         self.timers.sort_by_key(|timer| timer.0);
-        self.open.sort_by_key(|o| self.deadlines[&o.request]);
+        self.in_flight.sort_by_key(|o| self.deadlines[&o.request]);
         let timer_at = self.timers.first().map_or(Micros::MAX, |t| t.0);
         let overdue = self
-            .open
+            .in_flight
             .first()
             .map(|o| self.deadlines[&o.request])
             .filter(|deadline| *deadline <= until.min(timer_at));
@@ -98,10 +104,11 @@
             self.now = self.now.max(at);
             return Some(Event::Timer(timer));
         }
-        self.drawn_event(kind, pick, until)
+        self.selected_event(kind, pick, until)
     }
 
-    fn drawn_event(&mut self, kind: u8, pick: u8, until: Micros) -> Option<Event> {
+    /// Returns the event that `kind` and `pick` select.
+    fn selected_event(&mut self, kind: u8, pick: u8, until: Micros) -> Option<Event> {
         match kind % 6 {
             0 | 1 => {
                 self.now = until;
@@ -117,10 +124,10 @@
             }),
             _ => {
                 self.now = until;
-                if self.open.is_empty() {
+                if self.in_flight.is_empty() {
                     return None;
                 }
-                let index = usize::from(pick) % self.open.len();
+                let index = usize::from(pick) % self.in_flight.len();
                 Some(self.end_attempt(index, STATUSES[usize::from(pick) % 6]))
             }
         }
@@ -142,9 +149,9 @@
             ..ServerEntry::ready(&format!("s{}", pick % 5), "a")
         };
         if health == Health::Ready {
-            self.listed.insert(entry.server.clone());
+            self.ready_servers.insert(entry.server.clone());
         } else {
-            self.listed.remove(&entry.server);
+            self.ready_servers.remove(&entry.server);
         }
         Event::Servers {
             kind: ListKind::Partial,
@@ -152,8 +159,9 @@
         }
     }
 
+    /// Ends the attempt in flight at `index`.
     fn end_attempt(&mut self, index: usize, status: CompletionStatus) -> Event {
-        let ended = self.open.remove(index);
+        let ended = self.in_flight.remove(index);
         let mut outcome = AttemptOutcome::new(
             ended.request,
             ended.number,
@@ -178,19 +186,23 @@
         self.actions.extend(actions);
     }
 
+    /// Records an action and checks it against the invariants.
     fn check(&mut self, action: &Action) {
         match action {
             Action::Send {
                 request, server, ..
             } => {
                 assert!(
-                    self.listed.contains(server),
-                    "sent to a server that drains or is gone"
+                    self.ready_servers.contains(server),
+                    "requests go only to servers that are listed as ready"
+                );
+                assert!(
+                    !self.answers.contains_key(request),
+                    "no attempt is sent after the answer"
                 );
-                assert!(!self.answers.contains_key(request), "sent after the answer");
                 let attempts = self.attempts.entry(*request).or_default();
-                self.drawn += f64::from(u8::from(*attempts == 0));
-                self.open.push(OpenAttempt {
+                self.drawn_units += f64::from(u8::from(*attempts == 0));
+                self.in_flight.push(AttemptInFlight {
                     request: *request,
                     number: *attempts,
                     server: server.clone(),
@@ -200,8 +212,11 @@
             }
             Action::Reject { request, .. } | Action::Fail { request, .. } => {
                 *self.answers.entry(*request).or_default() += 1;
-                assert_eq!(self.answers[request], 1, "one answer each");
-                assert!(self.now <= self.deadlines[request], "answered in time");
+                assert_eq!(self.answers[request], 1, "a request is answered only once");
+                assert!(
+                    self.now <= self.deadlines[request],
+                    "a request is answered before its deadline"
+                );
             }
             Action::SetTimer { after_us, timer } => {
                 self.timers.push((self.now + after_us, *timer));
@@ -211,9 +226,12 @@
     }
 
     fn check_ceiling(&self) {
-        let drawn = self.drawn;
-        let slice = 10.0 + 50.0 / 3.0 * ((self.now - START) as f64 / 1e6);
-        assert!(drawn <= slice + 1e-6, "{drawn} drawn of a slice of {slice}");
+        let drawn_units = self.drawn_units;
+        let slice_units = 10.0 + 50.0 / 3.0 * ((self.now - START_US) as f64 / 1e6);
+        assert!(
+            drawn_units <= slice_units + 1e-6,
+            "{drawn_units} units drawn from a ceiling slice of {slice_units}"
+        );
     }
 
     fn check_all_answered(&self) {
@@ -226,31 +244,32 @@
     }
 }
 
-/// Plays the stream and checks every action; returns all actions, and what the ceiling slice let through.
-fn play(steps: &[(u8, u8, u32)]) -> (Vec<Action>, f64) {
-    let mut play = Play::new();
-    let drain = |n: usize| (0..n).map(|_| (5u8, 3u8, 5_000_000u32));
-    for (kind, pick, us) in steps.iter().copied().chain(drain(400)) {
-        let until = play.now + Micros::from(us);
-        if let Some(event) = play.next_event(kind, pick, until) {
-            play.handle(event);
+/// Handles the events of a stream and checks every action. Returns all actions and the units drawn from the ceiling slice.
+fn run_stream(steps: &[(u8, u8, u32)]) -> (Vec<Action>, f64) {
+    let mut simulation = Simulation::new();
+    // Enough further steps for every request to be answered.
+    let final_steps = |n: usize| (0..n).map(|_| (5u8, 3u8, 5_000_000u32));
+    for (kind, pick, us) in steps.iter().copied().chain(final_steps(400)) {
+        let until = simulation.now + Micros::from(us);
+        if let Some(event) = simulation.next_event(kind, pick, until) {
+            simulation.handle(event);
         }
-        play.check_ceiling();
+        simulation.check_ceiling();
     }
-    play.check_all_answered();
-    (play.actions, play.drawn)
+    simulation.check_all_answered();
+    (simulation.actions, simulation.drawn_units)
 }
 
 proptest! {
     #![proptest_config(Config { cases: 64, rng_seed: RngSeed::Fixed(20_261_128), failure_persistence: None, ..Config::default() })]
 
     #[test]
-    fn the_rules_hold_and_the_same_events_give_the_same_actions(
+    fn the_invariants_hold_and_the_same_events_give_the_same_actions(
         steps in proptest::collection::vec((any::<u8>(), any::<u8>(), 0u32..200_000), 1..300)
     ) {
-        let (first, drawn) = play(&steps);
-        let (second, _) = play(&steps);
+        let (first, drawn_units) = run_stream(&steps);
+        let (second, _) = run_stream(&steps);
         prop_assert_eq!(first, second);
-        prop_assert!(drawn >= 0.0);
+        prop_assert!(drawn_units >= 0.0);
     }
 }
--- a/crates/traffic-control/tests/subsets.rs
+++ b/crates/traffic-control/tests/subsets.rs
@@ -1,7 +1,7 @@
-//! One of many gateways uses a subset of many servers, and the rules hold all the same.
+//! Tests of a gateway that, as one of many, uses only a subset of many servers.
 
 mod common;
-use common::{count_sends_one_by_one, sent_server, unlimited_settings, Rig};
+use common::{count_sends_one_by_one, sent_server, unlimited_settings, TestGateway};
 use frosthatch_traffic_control::{
     CompletionStatus, Effect, Event, Health, ListKind, Scope, ServerEntry, ServerId, Settings,
     SlowStart,
@@ -11,16 +11,18 @@
 const GATEWAYS: u32 = 300;
 const SERVERS: usize = 200;
 
-fn one_gateway(me: u32, change: impl FnOnce(&mut Settings)) -> Rig {
+/// Creates the gateway with this index in a fleet of 300, with settings that `change` has adjusted.
+fn start_gateway(gateway_index: u32, change: impl FnOnce(&mut Settings)) -> TestGateway {
     let mut settings = Settings {
         gateways: GATEWAYS,
-        gateway_index: me,
+        gateway_index,
         ..unlimited_settings()
     };
     change(&mut settings);
-    Rig::seeded(settings, u64::from(me))
+    TestGateway::with_seed(settings, u64::from(gateway_index))
 }
 
+/// Returns the list entry of server `n`: four servers share a cell, and the first hundred are in zone `a`.
 fn entry(n: usize) -> ServerEntry {
     ServerEntry {
         cell: n as u64 / 4,
@@ -28,9 +30,9 @@
     }
 }
 
-/// The servers that so many requests go to, one after the other.
-fn used_servers(rig: &mut Rig, requests: usize) -> BTreeSet<ServerId> {
-    count_sends_one_by_one(rig, requests, 50_000, 50_000)
+/// Sends requests one at a time and returns the servers that got them.
+fn used_servers(gateway: &mut TestGateway, requests: usize) -> BTreeSet<ServerId> {
+    count_sends_one_by_one(gateway, requests, 50_000, 50_000)
         .into_keys()
         .collect()
 }
@@ -38,12 +40,12 @@
 #[test]
 fn one_of_many_gateways_uses_few_of_many_servers_and_all_use_all() {
     let mut all = BTreeSet::new();
-    for me in 0..GATEWAYS {
-        let mut rig = one_gateway(me, |_| {});
-        rig.update_servers(ListKind::Complete, (0..SERVERS).map(entry).collect());
-        let some = used_servers(&mut rig, 100);
-        assert_eq!(some.len(), 7);
-        all.extend(some);
+    for gateway_index in 0..GATEWAYS {
+        let mut gateway = start_gateway(gateway_index, |_| {});
+        gateway.update_servers(ListKind::Complete, (0..SERVERS).map(entry).collect());
+        let used = used_servers(&mut gateway, 100);
+        assert_eq!(used.len(), 7);
+        all.extend(used);
     }
     assert_eq!(all.len(), SERVERS);
 }
@@ -51,16 +53,16 @@
 /// When all servers of a subset drain, others replace them at once.
 #[test]
 fn draining_servers_of_a_subset_are_replaced() {
-    let mut rig = one_gateway(7, |_| {});
-    rig.update_servers(ListKind::Complete, (0..SERVERS).map(entry).collect());
-    let before = used_servers(&mut rig, 200);
+    let mut gateway = start_gateway(7, |_| {});
+    gateway.update_servers(ListKind::Complete, (0..SERVERS).map(entry).collect());
+    let before = used_servers(&mut gateway, 200);
     let drains = |n: &usize| before.contains(&entry(*n).server);
     let entries = (0..SERVERS).filter(drains).map(|n| ServerEntry {
         health: Health::Draining,
         ..entry(n)
     });
-    rig.update_servers(ListKind::Partial, entries.collect());
-    let after = used_servers(&mut rig, 200);
+    gateway.update_servers(ListKind::Partial, entries.collect());
+    let after = used_servers(&mut gateway, 200);
     assert!(
         before.is_disjoint(&after),
         "{:?}",
@@ -69,41 +71,52 @@
     assert_eq!(after.len(), 7);
 }
 
-/// A retry may only go to the cell that drops repeats, of which the subset may have no other server.
+/// A retry may only go to the cell that drops repeats, and the subset may hold no other server of this cell.
 #[test]
 fn a_retry_leaves_the_subset_where_only_other_servers_drop_repeats() {
     let keyed = Effect::Keyed {
         scope: Scope::Cell,
         window_us: 1_000_000,
     };
-    let mut rig = one_gateway(11, |s| s.classes[0].effect = keyed);
-    rig.update_servers(ListKind::Complete, (0..SERVERS).map(entry).collect());
-    let part = used_servers(&mut rig, 200);
-    let cell = |s: &ServerId| s.0[1..].parse::<usize>().expect("its number") / 4;
-    let mut left = 0;
-    // The retry budget holds ten.
+    let mut gateway = start_gateway(11, |s| s.classes[0].effect = keyed);
+    gateway.update_servers(ListKind::Complete, (0..SERVERS).map(entry).collect());
+    let subset = used_servers(&mut gateway, 200);
+    let cell = |s: &ServerId| {
+        s.0[1..]
+            .parse::<usize>()
+            .expect("server names end in a number")
+            / 4
+    };
+    let mut outside_subset = 0;
+    // The retry budget holds ten retries.
     for _ in 0..10 {
-        rig.now += 200_000;
-        let (id, actions) = rig.request("c");
-        let first = sent_server(&actions).expect("sent");
-        let second = sent_server(&rig.end_attempt_after(
+        gateway.now += 200_000;
+        let (id, actions) = gateway.request("c");
+        let first = sent_server(&actions).expect("a ready server is listed");
+        let second = sent_server(&gateway.end_attempt_after(
             id,
             0,
             &first,
             CompletionStatus::ConnectionLost,
             1_000,
         ))
-        .expect("sent again");
+        .expect("the cell has other servers");
         assert_eq!(cell(&first), cell(&second));
-        assert_ne!(first, second, "the cell has others");
-        left += usize::from(!part.contains(&second));
-        rig.end_attempt_after(id, 1, &second, CompletionStatus::Served, 1_000);
+        assert_ne!(
+            first, second,
+            "the retry goes to another server of the cell"
+        );
+        outside_subset += usize::from(!subset.contains(&second));
+        gateway.end_attempt_after(id, 1, &second, CompletionStatus::Served, 1_000);
     }
-    assert!(left > 0, "of most cells the part has one server");
+    assert!(
+        outside_subset > 0,
+        "some retries go to servers outside the subset"
+    );
 }
 
-/// What all gateways together send to a server in slow start within the stated time does not overload it, though
-/// only some of them use it, and each has nowhere else to go: all servers are in slow start.
+/// All servers are in slow start, so that each gateway has no warm server to choose, and only some gateways use each server. All
+/// gateways together still do not overload a server within the stated time.
 #[test]
 fn servers_in_slow_start_are_not_overloaded_by_the_gateways_that_use_them() {
     let cold = SlowStart {
@@ -113,14 +126,14 @@
         overload_after_us: 3_000_000,
     };
     let mut to_each = std::collections::BTreeMap::<ServerId, usize>::new();
-    for me in 0..GATEWAYS {
-        let mut rig = one_gateway(me, |s| s.slow_start = cold);
-        rig.update_servers(ListKind::Complete, (0..SERVERS).map(entry).collect());
-        // Latencies are measured first.
-        used_servers(&mut rig, 20);
-        rig.interval();
-        let now = rig.now;
-        rig.update_servers(
+    for gateway_index in 0..GATEWAYS {
+        let mut gateway = start_gateway(gateway_index, |s| s.slow_start = cold);
+        gateway.update_servers(ListKind::Complete, (0..SERVERS).map(entry).collect());
+        // The gateway measures latencies before the servers restart.
+        used_servers(&mut gateway, 20);
+        gateway.interval();
+        let now = gateway.now;
+        gateway.update_servers(
             ListKind::Complete,
             (0..SERVERS)
                 .map(|n| ServerEntry {
@@ -130,78 +143,84 @@
                 .collect(),
         );
         for _ in 0..60 {
-            rig.now += 50_000;
-            let (id, actions) = rig.request("c");
+            gateway.now += 50_000;
+            let (id, actions) = gateway.request("c");
             if let Some(server) = sent_server(&actions) {
                 *to_each.entry(server.clone()).or_default() += 1;
-                rig.end_attempt_after(id, 0, &server, CompletionStatus::Served, 0);
+                gateway.end_attempt_after(id, 0, &server, CompletionStatus::Served, 0);
             }
         }
     }
-    // Each did 30 a second for all gateways before; cold 0.27 of it, times 4, for 3 s.
+    // A warm server completed 30 requests a second for all gateways; one in slow start may get 0.27 of that, times 4, for 3 s.
     let allowed = 30.0 * 0.27 * 4.0 * 3.0;
     let sum = to_each.values().sum::<usize>() as f64;
-    let most = to_each.values().max().copied().unwrap_or(0) as f64;
-    assert!(most < allowed, "{most} to one of {allowed}");
+    let largest = to_each.values().max().copied().unwrap_or(0) as f64;
+    assert!(
+        largest < allowed,
+        "{largest} requests went to one server, limit {allowed}"
+    );
     assert!(
         sum > allowed * SERVERS as f64 / 5.0,
-        "{sum}: they are used, so that they grow warm"
+        "servers in slow start got {sum} requests, too few to warm up"
     );
 }
 
-/// Where gateways know which of them are present, the remaining ones take all servers over; a few use all servers.
+/// Gateways that know which gateways are present together use all servers after others have left.
 #[test]
 fn the_remaining_gateways_use_all_servers_together() {
-    let (numbers, left): (Vec<u32>, Vec<u32>) =
+    let (every_gateway, remaining): (Vec<u32>, Vec<u32>) =
         ((0..30).collect(), (0..30).filter(|n| n % 3 > 0).collect());
-    let of = |gateways: &[u32], shown: &[u32]| {
+    let used_by = |gateways: &[u32], present: &[u32]| {
         let mut all = BTreeSet::new();
-        for me in gateways {
-            let mut rig = one_gateway(*me, |s| s.gateways = 30);
-            rig.update_servers(ListKind::Complete, (0..60).map(entry).collect());
-            rig.handle(Event::Gateways(shown.to_vec()));
-            all.extend(used_servers(&mut rig, 400));
+        for gateway_index in gateways {
+            let mut gateway = start_gateway(*gateway_index, |s| s.gateways = 30);
+            gateway.update_servers(ListKind::Complete, (0..60).map(entry).collect());
+            gateway.handle(Event::Gateways(present.to_vec()));
+            all.extend(used_servers(&mut gateway, 400));
         }
         all.len()
     };
-    assert_eq!(of(&numbers, &numbers), 60);
-    assert_eq!(of(&left, &left), 60);
-    // Before they know of it some servers are used by none.
-    assert!(of(&left[..9], &numbers) < 60);
-    assert_eq!(of(&left[..9], &left[..9]), 60);
-    // A gateway that sees no other uses all servers; one that is not in its own view counts itself.
-    assert_eq!(of(&[4], &[]), 60);
-    assert_eq!(of(&[4], &left[3..17]), 12);
+    assert_eq!(used_by(&every_gateway, &every_gateway), 60);
+    assert_eq!(used_by(&remaining, &remaining), 60);
+    // Before the remaining gateways know that others have left, no gateway uses some of the servers.
+    assert!(used_by(&remaining[..9], &every_gateway) < 60);
+    assert_eq!(used_by(&remaining[..9], &remaining[..9]), 60);
+    // A gateway that sees no other uses all servers; one that is missing in its own view counts itself as present.
+    assert_eq!(used_by(&[4], &[]), 60);
+    assert_eq!(used_by(&[4], &remaining[3..17]), 12);
 }
 
-/// All servers of a gateway fail, though they are listed: it uses others, and its own again once they recover.
+/// When all servers of its subset fail but remain listed, a gateway uses others, and returns to its subset once they recover.
 #[test]
-fn a_gateway_whose_servers_all_fail_uses_others() {
-    let mut rig = one_gateway(7, |_| {});
-    rig.update_servers(ListKind::Complete, (0..SERVERS).map(entry).collect());
-    let part = used_servers(&mut rig, 200);
+fn a_gateway_whose_subset_fails_uses_other_servers() {
+    let mut gateway = start_gateway(7, |_| {});
+    gateway.update_servers(ListKind::Complete, (0..SERVERS).map(entry).collect());
+    let subset = used_servers(&mut gateway, 200);
     let mut served = 0;
     for _ in 0..200 {
-        rig.now += 50_000;
-        let (id, actions) = rig.request("c");
-        let first = sent_server(&actions).expect("sent");
-        let bad = part.contains(&first);
-        rig.end_attempt_after(
+        gateway.now += 50_000;
+        let (id, actions) = gateway.request("c");
+        let first = sent_server(&actions).expect("a ready server is listed");
+        let is_failing = subset.contains(&first);
+        gateway.end_attempt_after(
             id,
             0,
             &first,
-            if bad {
+            if is_failing {
                 CompletionStatus::NoConnection
             } else {
                 CompletionStatus::Served
             },
             1_000,
         );
-        rig.handle(Event::ClientGone(id));
-        served += usize::from(!bad);
+        gateway.handle(Event::ClientGone(id));
+        served += usize::from(!is_failing);
     }
-    assert!(served > 120, "{served} of 200");
-    used_servers(&mut rig, 600);
-    let after = used_servers(&mut rig, 200);
-    assert!(after.is_subset(&part) && after.len() > 3, "{after:?}");
+    assert!(
+        served > 120,
+        "{served} of 200 requests went to healthy servers"
+    );
+    used_servers(&mut gateway, 600);
+    let after = used_servers(&mut gateway, 200);
+    assert!(after.is_subset(&subset) && after.len() > 3, "{after:?}");
 }
--- a/crates/traffic-control/tests/terms.rs
+++ b/crates/traffic-control/tests/terms.rs
@@ -1,8 +1,8 @@
-//! Policy terms that change while requests come: what was used carries over, the smaller of both holds for a short time, and no
-//! request is admitted while it is unknown which hold.
+//! Tests of policy terms that change under load: use carries over, the smaller of the old and new terms holds during a short
+//! transition, and no request is admitted while it is unknown which terms hold.
 
 mod common;
-use common::{is_rejected, sent_server, Rig};
+use common::{is_rejected, sent_server, TestGateway};
 use frosthatch_traffic_control::{
     Action, Ceiling, CompletionStatus, Event, LeaseState, ListKind, Plan, PolicyTerms, RetryBudget,
     ServerEntry, Settings, Timer,
@@ -33,14 +33,14 @@
     })
 }
 
-/// How many of the requests that come now, one after another, are admitted; each is served at once.
-fn count_admitted(rig: &mut Rig, most: usize) -> usize {
+/// Sends `requests` requests one at a time and serves the admitted ones at once. Returns how many were admitted.
+fn count_admitted(gateway: &mut TestGateway, requests: usize) -> usize {
     let mut admitted = 0;
-    for _ in 0..most {
-        let (id, actions) = rig.request("c");
+    for _ in 0..requests {
+        let (id, actions) = gateway.request("c");
         if let Some(server) = sent_server(&actions) {
             admitted += 1;
-            rig.end_attempt_after(id, 0, &server, CompletionStatus::Served, 0);
+            gateway.end_attempt_after(id, 0, &server, CompletionStatus::Served, 0);
         }
     }
     admitted
@@ -48,110 +48,115 @@
 
 #[test]
 fn a_lowered_quota_holds_at_once_for_a_customer_at_its_limit() {
-    let mut rig = Rig::with_servers(settings(plan(10.0, 20.0, None)), 2);
-    assert_eq!(count_admitted(&mut rig, 15), 15);
-    rig.handle(terms(plan(2.0, 4.0, None)));
+    let mut gateway = TestGateway::with_servers(settings(plan(10.0, 20.0, None)), 2);
+    assert_eq!(count_admitted(&mut gateway, 15), 15);
+    gateway.handle(terms(plan(2.0, 4.0, None)));
     assert_eq!(
-        count_admitted(&mut rig, 15),
+        count_admitted(&mut gateway, 15),
         4,
-        "of the five that were left as many as fit the smaller store"
+        "of the five units left, the smaller store keeps four"
     );
-    rig.now += 1_000_000;
-    assert_eq!(count_admitted(&mut rig, 15), 2);
+    gateway.now += 1_000_000;
+    assert_eq!(count_admitted(&mut gateway, 15), 2);
 }
 
 #[test]
 fn a_raised_quota_returns_nothing_used_and_fills_by_the_smaller_at_first() {
-    let mut rig = Rig::with_servers(settings(plan(2.0, 4.0, None)), 2);
-    assert_eq!(count_admitted(&mut rig, 10), 4);
-    rig.handle(terms(plan(40.0, 40.0, None)));
-    assert_eq!(count_admitted(&mut rig, 10), 0, "what was used is used");
-    // Half of the transition: by the smaller rate a quarter of a unit.
-    rig.now += 125_000;
-    rig.handle(Event::Timer(Timer::Interval));
-    assert_eq!(count_admitted(&mut rig, 10), 0);
-    rig.now += 125_000;
-    rig.handle(Event::Timer(Timer::Interval));
-    rig.now += 500_000;
+    let mut gateway = TestGateway::with_servers(settings(plan(2.0, 4.0, None)), 2);
+    assert_eq!(count_admitted(&mut gateway, 10), 4);
+    gateway.handle(terms(plan(40.0, 40.0, None)));
     assert_eq!(
-        count_admitted(&mut rig, 100),
+        count_admitted(&mut gateway, 10),
+        0,
+        "a raised quota returns no used units"
+    );
+    // After half of the transition the smaller rate has accrued a quarter of a unit.
+    gateway.now += 125_000;
+    gateway.handle(Event::Timer(Timer::Interval));
+    assert_eq!(count_admitted(&mut gateway, 10), 0);
+    gateway.now += 125_000;
+    gateway.handle(Event::Timer(Timer::Interval));
+    gateway.now += 500_000;
+    assert_eq!(
+        count_admitted(&mut gateway, 100),
         20,
-        "half a second by the new rate, and half a unit from before"
+        "half a second accrues 20 units at the new rate, besides half a unit from the transition"
     );
 }
 
-/// Whatever the order of changes, no more is admitted in any time than by the largest ceiling, and in the transition than by the smaller.
+/// Whether the ceiling is raised or lowered, no more is admitted than the larger one allows, and during the transition no more
+/// than the smaller one allows.
 #[test]
-fn a_ceiling_is_kept_across_changes_by_the_smaller_while_both_may_hold() {
+fn the_smaller_ceiling_holds_while_both_may_be_in_force() {
     for (first, then) in [(20.0, 8.0), (8.0, 20.0)] {
-        let mut rig = Rig::with_servers(settings(plan(100.0, 100.0, Some(first))), 2);
-        rig.now += 5_000_000;
-        // The first customer's slice fills from the start.
-        count_admitted(&mut rig, 200);
-        rig.now += 2_000_000;
-        rig.handle(terms(plan(100.0, 100.0, Some(then))));
-        let within: usize = (0..10)
+        let mut gateway = TestGateway::with_servers(settings(plan(100.0, 100.0, Some(first))), 2);
+        gateway.now += 5_000_000;
+        // The customer's slice of the ceiling fills from the start.
+        count_admitted(&mut gateway, 200);
+        gateway.now += 2_000_000;
+        gateway.handle(terms(plan(100.0, 100.0, Some(then))));
+        let in_transition: usize = (0..10)
             .map(|_| {
-                rig.now += 25_000;
-                count_admitted(&mut rig, 50)
+                gateway.now += 25_000;
+                count_admitted(&mut gateway, 50)
             })
             .sum();
         let smaller = f64::min(first, then);
         assert!(
-            within as f64 <= smaller + 0.25 * smaller,
-            "{first} to {then}: {within} within the window"
+            in_transition as f64 <= smaller + 0.25 * smaller,
+            "ceiling {first} to {then}: {in_transition} units in the transition"
         );
         let after: usize = (0..100)
             .map(|_| {
-                rig.now += 25_000;
-                count_admitted(&mut rig, 50)
+                gateway.now += 25_000;
+                count_admitted(&mut gateway, 50)
             })
             .sum();
         assert!(
             after as f64 <= then * 2.5 + 1.0,
-            "{first} to {then}: {after} after it"
+            "ceiling {first} to {then}: {after} units after the transition"
         );
         assert!(
             after as f64 >= then * 2.4 - 1.0,
-            "{first} to {then}: {after} after it"
+            "ceiling {first} to {then}: {after} units after the transition"
         );
     }
 }
 
 #[test]
-fn requests_wait_while_the_policy_changes_and_are_decided_under_the_new_one() {
-    let mut rig = Rig::with_servers(settings(plan(10.0, 20.0, None)), 2);
-    rig.handle(Event::LeaseStateChanged(LeaseState::Pending));
+fn requests_wait_while_the_policy_changes_and_are_decided_under_the_new_terms() {
+    let mut gateway = TestGateway::with_servers(settings(plan(10.0, 20.0, None)), 2);
+    gateway.handle(Event::LeaseStateChanged(LeaseState::Pending));
     for _ in 0..6 {
-        let (_, actions) = rig.request("c");
+        let (_, actions) = gateway.request("c");
         assert!(sent_server(&actions).is_none() && !is_rejected(&actions));
     }
-    // A list update admits none of them.
+    // A list update admits no waiting request.
     assert!(sent_server(
-        &rig.update_servers(ListKind::Complete, vec![ServerEntry::ready("s9", "a")])
+        &gateway.update_servers(ListKind::Complete, vec![ServerEntry::ready("s9", "a")])
     )
     .is_none());
-    rig.now += 60_000;
-    rig.handle(terms(plan(1.0, 2.0, None)));
-    let actions = rig.handle(Event::LeaseStateChanged(LeaseState::Held));
-    let n = |which: fn(&Action) -> bool| actions.iter().filter(|a| which(a)).count();
+    gateway.now += 60_000;
+    gateway.handle(terms(plan(1.0, 2.0, None)));
+    let actions = gateway.handle(Event::LeaseStateChanged(LeaseState::Held));
+    let count = |which: fn(&Action) -> bool| actions.iter().filter(|a| which(a)).count();
     assert_eq!(
-        n(|a| matches!(a, Action::Send { .. })),
+        count(|a| matches!(a, Action::Send { .. })),
         2,
-        "as many as the new terms allow"
+        "waiting requests are admitted under the new terms"
     );
     assert_eq!(
-        n(|a| matches!(a, Action::Reject { .. })),
+        count(|a| matches!(a, Action::Reject { .. })),
         4,
-        "and the rest is answered at once"
+        "the other waiting requests are rejected at once"
     );
 }
 
 #[test]
 fn a_request_that_waits_too_long_is_answered_while_its_client_can_try_elsewhere() {
-    let mut rig = Rig::with_servers(settings(plan(10.0, 20.0, None)), 2);
-    rig.handle(Event::LeaseStateChanged(LeaseState::Pending));
-    let (id, actions) = rig.request("c");
+    let mut gateway = TestGateway::with_servers(settings(plan(10.0, 20.0, None)), 2);
+    gateway.handle(Event::LeaseStateChanged(LeaseState::Pending));
+    let (id, actions) = gateway.request("c");
     let after = actions.iter().find_map(|a| match a {
         Action::SetTimer {
             after_us,
@@ -159,58 +164,65 @@
         } if *r == id => Some(*after_us),
         _ => None,
     });
-    rig.now += after.expect("a timer");
-    assert!(is_rejected(&rig.handle(Event::Timer(Timer::Request(id)))));
+    gateway.now += after.expect("a waiting request has a timer");
+    assert!(is_rejected(
+        &gateway.handle(Event::Timer(Timer::Request(id)))
+    ));
 }
 
 #[test]
-fn without_a_policy_requests_are_rejected_and_admitted_ones_go_on() {
-    let mut rig = Rig::with_servers(settings(plan(10.0, 20.0, None)), 2);
-    let (running, actions) = rig.request("c");
-    let server = sent_server(&actions).expect("sent");
-    rig.handle(Event::LeaseStateChanged(LeaseState::Pending));
-    let (_, held) = rig.request("c");
-    assert!(!is_rejected(&held));
+fn without_a_policy_requests_are_rejected_and_admitted_ones_continue() {
+    let mut gateway = TestGateway::with_servers(settings(plan(10.0, 20.0, None)), 2);
+    let (running, actions) = gateway.request("c");
+    let server = sent_server(&actions).expect("a ready server is listed");
+    gateway.handle(Event::LeaseStateChanged(LeaseState::Pending));
+    let (_, waiting) = gateway.request("c");
+    assert!(!is_rejected(&waiting));
     assert!(
-        is_rejected(&rig.handle(Event::LeaseStateChanged(LeaseState::Missing))),
-        "what was held is answered"
+        is_rejected(&gateway.handle(Event::LeaseStateChanged(LeaseState::Missing))),
+        "waiting requests are rejected"
     );
-    let (_, actions) = rig.request("c");
+    let (_, actions) = gateway.request("c");
     let after = actions.iter().find_map(|a| match a {
         Action::Reject { retry_after_us, .. } => Some(*retry_after_us),
         _ => None,
     });
     assert_eq!(after, Some(1_000_000));
-    // Its first attempt was admitted: a retry is not another request.
-    let actions = rig.end_attempt_after(running, 0, &server, CompletionStatus::Rejected, 10_000);
+    // The running request was admitted, and its retry needs no further admission.
+    let actions =
+        gateway.end_attempt_after(running, 0, &server, CompletionStatus::Rejected, 10_000);
     assert!(sent_server(&actions).is_some());
-    rig.handle(Event::LeaseStateChanged(LeaseState::Held));
-    assert!(sent_server(&rig.request("c").1).is_some());
+    gateway.handle(Event::LeaseStateChanged(LeaseState::Held));
+    assert!(sent_server(&gateway.request("c").1).is_some());
 }
 
 #[test]
-fn the_smaller_terms_take_the_smaller_of_each_figure() {
-    let set = Settings::example();
-    let of = |rate: f64, burst: f64, cap: u32, ceiling: Option<f64>| {
+fn the_smaller_terms_hold_the_smaller_of_each_limit() {
+    let settings = Settings::example();
+    let policy_terms = |rate: f64, burst: f64, max_open: u32, ceiling: Option<f64>| {
         let ceiling = ceiling.map(|c| Ceiling { rate: c, depth: c });
         let plan = Plan {
             rate,
             burst,
-            max_open: cap,
+            max_open,
             ceiling,
-            ..set.plans[0].clone()
+            ..settings.plans[0].clone()
         };
         PolicyTerms {
             plans: vec![plan],
-            classes: set.classes.clone(),
-            retries: set.retries,
+            classes: settings.classes.clone(),
+            retries: settings.retries,
         }
     };
-    let both = of(5.0, 20.0, 0, Some(30.0)).smaller(&of(10.0, 8.0, 4, None));
-    let p = &both.plans[0];
-    assert_eq!((p.rate, p.burst, p.max_open), (5.0, 8.0, 4));
+    let smaller_terms =
+        policy_terms(5.0, 20.0, 0, Some(30.0)).smaller(&policy_terms(10.0, 8.0, 4, None));
+    let smaller_plan = &smaller_terms.plans[0];
+    assert_eq!(
+        (smaller_plan.rate, smaller_plan.burst, smaller_plan.max_open),
+        (5.0, 8.0, 4)
+    );
     assert_eq!(
-        p.ceiling,
+        smaller_plan.ceiling,
         Some(Ceiling {
             rate: 30.0,
             depth: 30.0
--- a/crates/traffic-control/tests/wide_sets/main.rs
+++ b/crates/traffic-control/tests/wide_sets/main.rs
@@ -1,4 +1,4 @@
-//! Customers whose requests come through so many gateways that each sees hardly any of them.
+//! Tests of customers that use so many gateways that each gateway gets few of their requests.
 
 mod ceilings;
 #[path = "../common/mod.rs"]
@@ -6,15 +6,15 @@
 mod meter;
 mod zones;
 
-use common::{is_rejected, reply_to_calls, sent_server, Rig};
+use common::{is_rejected, reply_to_calls, sent_server, TestGateway};
 use frosthatch_traffic_control::{
     Action, AttemptOutcome, CompletionStatus, CustomerId, Event, Micros, Request, Settings, Timer,
 };
 
 const GATEWAYS: u32 = 100;
 
-/// One of many gateways. The plan's burst spread over the set is under one request.
-fn one_gateway(seed: u64) -> Rig {
+/// Creates one of many gateways, with a plan whose burst divided by the number of gateways is less than one request.
+fn start_gateway(seed: u64) -> TestGateway {
     let mut settings = Settings {
         gateways: GATEWAYS,
         has_counter: true,
@@ -23,9 +23,10 @@
     settings.gateway_index = seed as u32 % GATEWAYS;
     settings.plans[0].overrun_cost = 0.5;
     settings.plans[0].price = 1.0;
-    Rig::seeded(settings, seed).with_listed(4)
+    TestGateway::with_seed(settings, seed).with_listed(4)
 }
 
+/// Returns name, amount and retention time of each counter call among `actions`.
 fn counter_calls(actions: &[Action]) -> Vec<(String, f64, Micros)> {
     let call = |a: &Action| match a {
         Action::AddToCounter {
@@ -38,6 +39,7 @@
     actions.iter().filter_map(call).collect()
 }
 
+/// Returns a change that makes a request one of this customer at all gateways.
 fn from_customer(customer: u64) -> impl FnOnce(&mut Request) {
     move |r| {
         r.gateway_count = GATEWAYS;
@@ -45,71 +47,86 @@
     }
 }
 
-/// A fleet that starts, or restarts for a release, does not begin with all the calls that it could have saved up.
+/// The call budget of a gateway does not start full; otherwise a fleet that starts, or restarts for a release, would make all
+/// these calls at once.
 #[test]
 fn many_gateways_that_start_at_once_make_few_calls() {
-    let made: usize = (0..u64::from(GATEWAYS))
+    let calls: usize = (0..u64::from(GATEWAYS))
         .map(|seed| {
-            let mut rig = one_gateway(seed);
+            let mut gateway = start_gateway(seed);
             (0..10)
-                .map(|c| counter_calls(&rig.request_with(from_customer(c)).1).len())
+                .map(|c| counter_calls(&gateway.request_with(from_customer(c)).1).len())
                 .sum::<usize>()
         })
         .sum();
     assert!(
-        (50..=300).contains(&made),
-        "{made} calls by {GATEWAYS} gateways, none answered yet"
+        (50..=300).contains(&calls),
+        "{calls} counter calls by {GATEWAYS} gateways before any reply"
     );
 }
 
-/// After a query without a reply, a slice of next to nothing is no reason to reject.
+/// After a counter call without a reply, a request is not rejected because the gateway's slice is close to zero.
 #[test]
 fn an_unknown_customer_is_admitted_when_the_counter_is_silent() {
-    let mut rig = one_gateway(1);
-    let (id, actions) = rig.request_with(from_customer(1));
-    assert_eq!(counter_calls(&actions).len(), 1, "it asks: {actions:?}");
-    let told = reply_to_calls(&mut rig, actions, &mut 0.0, || CompletionStatus::NoAnswer);
-    let server = sent_server(&told).expect("passed on");
-    // The meter reports four times the quota: as many requests are admitted as use the quota up in sum.
+    let mut gateway = start_gateway(1);
+    let (id, actions) = gateway.request_with(from_customer(1));
+    assert_eq!(
+        counter_calls(&actions).len(),
+        1,
+        "the gateway makes one counter call: {actions:?}"
+    );
+    let reply_actions = reply_to_calls(&mut gateway, actions, &mut 0.0, || {
+        CompletionStatus::NoAnswer
+    });
+    let server = sent_server(&reply_actions).expect("an unknown customer is admitted");
+    // The meter reports four times the quota: all gateways together then admit as many requests as use up the quota.
     let mut o = AttemptOutcome::new(id, 0, server, CompletionStatus::Served, 50_000);
     o.closed = true;
     o.metered_use = Some(4.0);
-    rig.handle(Event::Outcome(o));
+    gateway.handle(Event::Outcome(o));
     let mut admitted = 0;
     for _ in 0..200 {
-        let (id, actions) = rig.request_with(from_customer(1));
-        let actions = reply_to_calls(&mut rig, actions, &mut 0.0, || CompletionStatus::Rejected);
+        let (id, actions) = gateway.request_with(from_customer(1));
+        let actions = reply_to_calls(&mut gateway, actions, &mut 0.0, || {
+            CompletionStatus::Rejected
+        });
         if let Some(server) = sent_server(&actions) {
             admitted += 1;
-            rig.end_attempt_after(id, 0, &server, CompletionStatus::Served, 0);
+            gateway.end_attempt_after(id, 0, &server, CompletionStatus::Served, 0);
         }
     }
     assert!(
         (4..=30).contains(&admitted),
-        "{admitted} of 200 passed, a sixteenth is due"
+        "{admitted} of 200 requests admitted, a sixteenth is expected"
     );
 }
 
-/// Reserved units do not stay reserved until their customer comes again, which may be never.
+/// Without a timer, reserved units would stay reserved until the next request of their customer, which may never come.
 #[test]
-fn unused_reserved_units_are_returned_though_their_customer_stays_away() {
-    let mut rig = one_gateway(1);
-    let (_, actions) = rig.request_with(|r| {
+fn unused_reserved_units_are_returned_without_further_requests() {
+    let mut gateway = start_gateway(1);
+    let (_, actions) = gateway.request_with(|r| {
         r.gateway_count = GATEWAYS;
         r.units = 3.0;
     });
-    let [(name, asked, _)] = &counter_calls(&actions)[..] else {
-        panic!("it asks: {actions:?}")
+    let [(name, requested, _)] = &counter_calls(&actions)[..] else {
+        panic!("the gateway makes one counter call: {actions:?}")
     };
-    let mut told = rig.handle(Event::CounterReply {
+    let mut reply_actions = gateway.handle(Event::CounterReply {
         name: name.clone(),
         status: CompletionStatus::Served,
         total: 1e3,
     });
-    assert!(is_rejected(&told), "all is used: {told:?}");
-    let mut back = counter_calls(&told).iter().map(|c| c.1).sum::<f64>();
+    assert!(
+        is_rejected(&reply_actions),
+        "a request beyond the quota is rejected: {reply_actions:?}"
+    );
+    let mut returned_units = counter_calls(&reply_actions)
+        .iter()
+        .map(|c| c.1)
+        .sum::<f64>();
     for _ in 0..10 {
-        let timers: Vec<(Micros, Timer)> = told
+        let timers: Vec<(Micros, Timer)> = reply_actions
             .iter()
             .filter_map(|a| match a {
                 Action::SetTimer {
@@ -119,17 +136,20 @@
                 _ => None,
             })
             .collect();
-        told.clear();
+        reply_actions.clear();
         for (after_us, timer) in timers {
-            rig.now += after_us;
-            told.extend(rig.handle(Event::Timer(timer)));
+            gateway.now += after_us;
+            reply_actions.extend(gateway.handle(Event::Timer(timer)));
         }
-        back += counter_calls(&told).iter().map(|c| c.1).sum::<f64>();
+        returned_units += counter_calls(&reply_actions)
+            .iter()
+            .map(|c| c.1)
+            .sum::<f64>();
     }
-    assert_eq!(back, -asked);
+    assert_eq!(returned_units, -requested);
 }
 
-/// The permits of so many gateways are one sum, which starts again every few seconds: those of a dead gateway are free then.
+/// The permits of this many gateways are one sum, which restarts every few seconds and so frees those of a dead gateway.
 #[test]
 fn permits_of_a_dead_gateway_are_soon_free_again() {
     let mut settings = Settings {
@@ -142,26 +162,26 @@
     settings.plans[0].max_open = 2;
     settings.plans[0].overrun_cost = 1.0;
     let mut counts = std::collections::HashMap::new();
-    let mut passes = |seed: u64, later: Micros, ends: bool| {
-        let mut rig = Rig::seeded(settings.clone(), seed).with_listed(4);
-        rig.now += later;
-        let (id, mut actions) = rig.request_with(from_customer(1));
+    let mut is_sent = |seed: u64, later: Micros, attempt_ends: bool| {
+        let mut gateway = TestGateway::with_seed(settings.clone(), seed).with_listed(4);
+        gateway.now += later;
+        let (id, mut actions) = gateway.request_with(from_customer(1));
         let mut server = None;
-        let mut k = 0;
-        while k < actions.len() {
-            match actions[k].clone() {
+        let mut next = 0;
+        while next < actions.len() {
+            match actions[next].clone() {
                 Action::AddToCounter { name, amount, .. } => {
                     let total: &mut f64 = counts.entry(name.clone()).or_default();
                     *total += amount;
-                    let told = Event::CounterReply {
+                    let reply = Event::CounterReply {
                         name,
                         status: CompletionStatus::Served,
                         total: *total,
                     };
-                    actions.extend(rig.handle(told));
+                    actions.extend(gateway.handle(reply));
                 }
-                Action::Send { server: to, .. } if ends => {
-                    actions.extend(rig.end_attempt_after(
+                Action::Send { server: to, .. } if attempt_ends => {
+                    actions.extend(gateway.end_attempt_after(
                         id,
                         0,
                         &to,
@@ -173,21 +193,21 @@
                 Action::Send { server: to, .. } => server = Some(to),
                 _ => {}
             }
-            k += 1;
+            next += 1;
         }
         server.is_some()
     };
     assert!(
-        (0..3).all(|seed| passes(seed, 0, true)),
-        "one after the other"
+        (0..3).all(|seed| is_sent(seed, 0, true)),
+        "requests one at a time share the permits"
     );
     assert!(
-        passes(3, 0, false) && passes(4, 0, false),
-        "two at once, whose gateways die"
+        is_sent(3, 0, false) && is_sent(4, 0, false),
+        "both permits are granted, to gateways that then die"
     );
-    assert!(!passes(5, 0, true), "and no third");
+    assert!(!is_sent(5, 0, true), "a third permit is not granted");
     assert!(
-        passes(6, 3_000_000, true),
-        "a few seconds later both places are free"
+        is_sent(6, 3_000_000, true),
+        "the permits of dead gateways are free after three seconds"
     );
 }
