--- a/crates/traffic-control/benches/decisions.rs
+++ b/crates/traffic-control/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! Measures how long a gateway takes to handle one request and its answer, by numbers of servers and customers.
+//! Measures the wall-clock time that a gateway takes to handle one request and its answer, by numbers of servers and customers.
 //! The gateway is one of 100 and has a counter that replies at once.
 
 use frosthatch_traffic_control::{
@@ -82,6 +82,7 @@
                     status: CompletionStatus::Served,
                     total: amount,
                 },
+                // Other actions lead to a timer event.
                 _ => Event::Timer(Timer::Customer(0)),
             };
             gateway.handle(now, event, &mut actions);
@@ -100,7 +101,7 @@
                 .collect();
             run_means_ns.sort_by(f64::total_cmp);
             println!(
-                "{server_count:5} servers {customer_count:6} customers: {:7.0} ns per request (minimum {:.0})",
+                "{server_count:5} servers {customer_count:6} customers: median {:7.0} ns per request, minimum {:.0} ns",
                 run_means_ns[RUNS / 2],
                 run_means_ns[0]
             );
--- a/crates/traffic-control/tests/common/mod.rs
+++ b/crates/traffic-control/tests/common/mod.rs
@@ -30,11 +30,11 @@
 
     /// Creates a gateway whose server list holds `n` ready servers, all started long ago.
     pub fn with_servers(settings: Settings, n: usize) -> Self {
-        TestGateway::new(settings).with_listed(n)
+        TestGateway::new(settings).with_listed_servers(n)
     }
 
     /// Lists the servers `s0`, `s1` and so on, `n` in all, which are ready and started long ago.
-    pub fn with_listed(mut self, n: usize) -> Self {
+    pub fn with_listed_servers(mut self, n: usize) -> Self {
         let entries = (0..n)
             .map(|i| ServerEntry::ready(&format!("s{i}"), "a"))
             .collect();
@@ -95,7 +95,7 @@
     }
 
     /// Moves the clock forward by one control interval and handles its timer.
-    pub fn interval(&mut self) -> Vec<Action> {
+    pub fn run_interval(&mut self) -> Vec<Action> {
         self.now += 1_000_000;
         self.handle(Event::Timer(Timer::Interval))
     }
@@ -110,7 +110,7 @@
 }
 
 /// Replies to all counter calls among `actions` and to those that follow from the replies, and returns all actions.
-/// `total` is the counter's total, and `status_of_next_call` yields the status of each reply.
+/// `total` is the count in units, to which each served call adds its amount; `status_of_next_call` yields the status of each reply.
 pub fn reply_to_calls(
     gateway: &mut TestGateway,
     mut actions: Vec<Action>,
@@ -149,7 +149,7 @@
 }
 
 /// Returns how many of `tries` requests are admitted while the counter replies at once. `gateway_count` is the number of
-/// gateways that the customer uses, and `total` the counter's total.
+/// gateways that the customer uses, and `total` is the count in units.
 pub fn count_admitted_by_counter(
     gateway: &mut TestGateway,
     gateway_count: u32,
--- a/crates/traffic-control/tests/counter_faults/main.rs
+++ b/crates/traffic-control/tests/counter_faults/main.rs
@@ -48,7 +48,11 @@
                     .iter()
                     .filter(|l| l.contains("counter lost"))
                     .count();
-                assert!((1..=GATEWAYS).contains(&lost), "{:?}", simulation.logs);
+                assert!(
+                    (1..=GATEWAYS).contains(&lost),
+                    "the loss of the counter is logged 1 to {GATEWAYS} times: {:?}",
+                    simulation.logs
+                );
             }
         }
     });
@@ -140,7 +144,7 @@
 }
 
 #[test]
-fn quotas_hold_while_replies_are_a_second_late() {
+fn quotas_hold_while_counter_calls_time_out() {
     for_each_plan(|| {
         Simulation::new().run_fault(
             10.0,
@@ -202,9 +206,10 @@
     });
 }
 
-/// The usage ledger needs no additional counter calls.
+/// The usage ledger, with which a gateway checks the counter's totals, needs no counter calls of its own: the number of calls
+/// stays below one per request.
 #[test]
-fn the_usage_ledger_adds_no_counter_calls() {
+fn a_gateway_makes_less_than_one_counter_call_per_request() {
     for_each_plan(|| {
         let mut simulation = Simulation::new();
         let requests_before = simulation.next_request_id;
--- a/crates/traffic-control/tests/counter_faults/world.rs
+++ b/crates/traffic-control/tests/counter_faults/world.rs
@@ -64,7 +64,7 @@
     pub is_lost: bool,
     /// Index of the third of the names whose calls get no reply.
     pub lost_shard: Option<usize>,
-    /// Time from a call to its reply.
+    /// Time from a call to its reply. From `CALL_TIMEOUT_US` on the call is counted but ends without a reply.
     pub reply_delay_us: Micros,
     pub total_fault: TotalFault,
 }
@@ -330,7 +330,7 @@
     }
 
     /// Returns the share of requests since `from` that were sent, over all customers within their quota.
-    pub fn compliant_share(&self, from: Micros) -> f64 {
+    pub fn compliant_sent_share(&self, from: Micros) -> f64 {
         let since = |all: &[Vec<Micros>]| -> f64 {
             all[2..]
                 .iter()
@@ -349,50 +349,50 @@
         quota_multiple(0).min(quota_multiple(1))
     }
 
-    /// Runs a fault that lasts `seconds` and ten seconds of recovery, then checks that quotas and shares are normal for
-    /// twenty seconds. The maximum overrun is in seconds of the quota's rate; `min_compliant_share` is the minimum share of
-    /// requests that customers within their quota are served during the fault.
+    /// Runs a fault for `seconds` and then ten seconds without it, in which the overrun may be `max_overrun_s` seconds of the
+    /// quota's rate. `min_sent_share` is the minimum share of the requests of customers within their quota that are sent
+    /// during the fault. In the next twenty seconds the limits are 4 s, 0.96, and 0.8 to 1.2 times the quota of heavy customers.
     pub fn run_fault(
         &mut self,
         seconds: f64,
         inject: impl FnOnce(&mut Simulation),
         recover: impl FnOnce(&mut Simulation),
         max_overrun_s: f64,
-        min_compliant_share: f64,
+        min_sent_share: f64,
     ) {
         let from = self.now;
         inject(self);
         self.run(seconds);
-        let compliant = self.compliant_share(from);
+        let sent_share = self.compliant_sent_share(from);
         recover(self);
         self.run(10.0);
         let overrun = self.overrun_units(from) / plan_rate();
-        println!("overrun {overrun:.2} s, share within quotas {compliant:.3}");
+        println!("overrun {overrun:.2} s, {sent_share:.3} of the requests within quotas sent");
         assert!(
             overrun <= max_overrun_s,
-            "overrun of {overrun} s of the rate, limit {max_overrun_s}"
+            "the largest overrun is {overrun} s of the quota's rate, limit {max_overrun_s} s"
         );
         assert!(
-            compliant >= min_compliant_share,
-            "share of requests within quotas is {compliant}, minimum {min_compliant_share}"
+            sent_share >= min_sent_share,
+            "{sent_share} of the requests of customers within their quota are sent, minimum {min_sent_share}"
         );
         let recovered_at = self.now;
         self.run(20.0);
         let overrun = self.overrun_units(recovered_at) / plan_rate();
-        let compliant = self.compliant_share(recovered_at);
+        let sent_share = self.compliant_sent_share(recovered_at);
         let heavy = self.heavy_quota_multiple(recovered_at);
-        println!("   after recovery: overrun {overrun:.2} s, share within quotas {compliant:.3}, heavy customers {heavy:.2} of quota");
+        println!("   after recovery: overrun {overrun:.2} s, {sent_share:.3} of the requests within quotas sent, heavy customers at {heavy:.2} times their quota");
         assert!(
             overrun <= 4.0,
-            "overrun of {overrun} s of the rate after recovery, limit 4"
+            "the largest overrun is {overrun} s of the quota's rate after recovery, limit 4 s"
         );
         assert!(
-            compliant >= 0.96,
-            "share of requests within quotas is {compliant} after recovery, minimum 0.96"
+            sent_share >= 0.96,
+            "{sent_share} of the requests of customers within their quota are sent after recovery, minimum 0.96"
         );
         assert!(
             (0.8..=1.2).contains(&heavy),
-            "heavy customers get {heavy} of their quota after recovery"
+            "a heavy customer gets {heavy} times its quota after recovery, expected 0.8 to 1.2"
         );
     }
 }
--- a/crates/traffic-control/tests/fleet/main.rs
+++ b/crates/traffic-control/tests/fleet/main.rs
@@ -1,4 +1,5 @@
-//! Tests of fleets in which each gateway's slice of a quota is smaller than one request.
+//! Tests of what all gateways of a fleet admit and send together, mostly where each gateway's slice of a quota is smaller than
+//! one request.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -18,7 +19,7 @@
         settings.gateway_index = gateway_index;
         settings.peer_messages_per_s = 100.0;
         change(&mut settings);
-        TestGateway::with_seed(settings, u64::from(gateway_index) + 1).with_listed(4)
+        TestGateway::with_seed(settings, u64::from(gateway_index) + 1).with_listed_servers(4)
     };
     (0..gateway_count).map(start_gateway).collect()
 }
@@ -50,8 +51,10 @@
 fn gateways_that_share_an_owner_admit_the_quota_and_no_more() {
     for gateway_count in [3, 150, 600] {
         let mut gateways = start_fleet(gateway_count, |s| s.peer_messages = true);
-        // The start counts as a restart: the owner needs this time to save up the burst of 20.
-        gateways.iter_mut().for_each(|r| r.now += 10_000_000);
+        // A start counts as a restart: the owner of the customer's bucket has no units at first and accrues the burst of 20 in 10 s.
+        gateways
+            .iter_mut()
+            .for_each(|gateway| gateway.now += 10_000_000);
         let mut admitted = 0;
         for g in 0..gateways.len().min(150) {
             for _ in 0..(150 / gateways.len()).max(1) {
@@ -61,15 +64,16 @@
         }
         assert!(
             (19..=21).contains(&admitted),
-            "{admitted} admitted of a burst of 20 with {gateway_count} gateways"
+            "{admitted} requests admitted by {gateway_count} gateways, expected 19 to 21 of a burst of 20"
         );
     }
 }
 
 #[test]
-fn few_unsynced_gateways_save_up_their_slice_and_a_restart_adds_nothing() {
+fn few_gateways_without_shared_usage_save_up_their_slice_and_a_restart_adds_nothing() {
     for gateway_count in [7, 8] {
-        let slice_s = f64::from(gateway_count) / 10.0;
+        // The slice accrues a unit in this time: all gateways together accrue 10 units a second.
+        let unit_accrual_s = f64::from(gateway_count) / 10.0;
         let mut gateway = start_fleet(gateway_count, |s| {
             s.plans[0].burst = 5.0;
             s.max_units = 1.0;
@@ -82,7 +86,7 @@
             !admitted(&mut gateway),
             "a gateway that has just started has less than one request saved up"
         );
-        gateway.now += (slice_s * 1e6) as Micros;
+        gateway.now += (unit_accrual_s * 1e6) as Micros;
         let n = (0..5).filter(|_| admitted(&mut gateway)).count();
         assert_eq!(
             n, 1,
@@ -94,7 +98,8 @@
 /// With many gateways the slice of a quota is close to zero and most customers are within their quota, so they are admitted until
 /// the meter shows overuse. A ceiling must never be exceeded: each gateway keeps to its slice of it, and a restart adds nothing.
 #[test]
-fn many_unsynced_gateways_admit_until_the_meter_shows_overuse_and_keep_to_their_ceiling_slice() {
+fn many_gateways_without_shared_usage_admit_until_the_meter_shows_overuse_and_keep_to_their_ceiling_slice(
+) {
     for gateway_count in [9, 150, 600] {
         let mut gateway = start_fleet(gateway_count, |s| s.meter_period_us = 1_000_000).remove(0);
         let send_request = |gateway: &mut TestGateway| {
@@ -115,10 +120,11 @@
             o.metered_use = Some(4.0);
             gateway.handle(Event::Outcome(o));
         }
-        // The first request, a sixteenth of the others, and what the slice saved up.
+        // The first request, a sixteenth of the others, and what the slice saved up: at four times the quota one request in four
+        // squared is admitted.
         assert!(
             (8..=40).contains(&admitted),
-            "{admitted} of 321 requests admitted by one of {gateway_count} gateways"
+            "{admitted} of 321 requests admitted by one of {gateway_count} gateways, expected 8 to 40"
         );
         let ceiling = Some(Ceiling {
             rate: 15.0,
@@ -147,7 +153,7 @@
                 ..ServerEntry::ready("cold", "a")
             };
             gateway.update_servers(ListKind::Complete, vec![cold]);
-            // Two seconds, the time after which a server is overloaded, with 600 requests a second for the fleet.
+            // All gateways together get 600 requests a second for two seconds (`overload_after_us`).
             for _ in 0..1200 / gateway_count {
                 let (id, actions) = gateway.request("c");
                 if let Some(server) = sent_server(&actions) {
@@ -157,10 +163,11 @@
                 gateway.now += 2_000_000 / u64::from(1200 / gateway_count);
             }
         }
-        // A core that takes 125 ms for an attempt completes 16 in two seconds; three times a fifth of that is about ten.
+        // A core that takes 125 ms for an attempt completes 16 in two seconds. In slow start the fleet may send three times
+        // (`overload_multiple`) a fifth (`initial_share`) of that, about ten.
         assert!(
             (1..=20).contains(&to_cold),
-            "{gateway_count} gateways sent {to_cold} requests to a server in slow start"
+            "{gateway_count} gateways sent {to_cold} requests to a server in slow start, expected 1 to 20"
         );
     }
 }
@@ -186,7 +193,9 @@
         3,
         "the limit on attempts in flight holds over all gateways"
     );
-    gateways.iter_mut().for_each(|r| r.now += 2_000_000);
+    gateways
+        .iter_mut()
+        .for_each(|gateway| gateway.now += 2_000_000);
     assert_eq!(
         (20..40)
             .map(|g| send_request(&mut gateways, g))
@@ -256,15 +265,15 @@
         calls
     };
     let silent = calls(CompletionStatus::NoAnswer);
-    // One call every five seconds is always made.
+    // Without replies a gateway still makes a fifth of a call a second, which is 6 in half a minute.
     assert!(
         silent[0] > silent[1] && silent[1] <= 7,
-        "{silent:?} calls in each half minute without replies"
+        "{silent:?} calls without replies in each half minute, expected fewer in the second and at most 7"
     );
     let answering = calls(CompletionStatus::Served);
     assert!(
         silent[0] * 2 < answering[0] && silent[1] * 2 < answering[1],
-        "{silent:?} calls without replies, {answering:?} with replies"
+        "{silent:?} calls without replies, expected less than half of the {answering:?} with replies"
     );
 }
 
@@ -296,14 +305,14 @@
     }
     assert!(
         silent * 8 < all,
-        "{silent} of {all} requests went to the silent server"
+        "{silent} of {all} requests went to the silent server, limit is an eighth"
     );
 }
 
 #[test]
 fn the_gateway_that_starts_a_count_adds_the_units_that_accrued_before() {
-    // Without the correction an idle customer would get a second burst; without its limit to one gateway all gateways would
-    // correct the count at once.
+    // The gateway that finds a count empty adds the units accrued since the window began. If no gateway did so, an idle customer
+    // would get a second burst; if all did, each would correct the count.
     let added = |total_before: f64| {
         let mut gateway = start_fleet(150, |s| s.has_counter = true).remove(0);
         gateway.now = 1_230_000_000;
--- a/crates/traffic-control/tests/fleet/slow_start.rs
+++ b/crates/traffic-control/tests/fleet/slow_start.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 /// Service time of a request on one core of a warm server.
-const WORK_US: Micros = 50_000;
+const SERVICE_TIME_US: Micros = 50_000;
 
 /// Index of the warm server.
 const WARM: usize = 0;
@@ -63,7 +63,7 @@
     }
 }
 
-/// Numbers of attempts in a span of time: those sent to the server, and those that it may get without overload.
+/// Number of attempts sent to the server in a span of time, and the maximum, which includes the permitted overload.
 #[derive(Clone, Copy)]
 struct Span {
     sent: usize,
@@ -226,7 +226,11 @@
         if is_cold {
             self.sent_to_cold_at.push(now);
         }
-        let speed = if is_cold { self.warmth(now) } else { 1.0 };
+        let speed = if is_cold {
+            self.capacity_share(now)
+        } else {
+            1.0
+        };
         let attempts = self.attempts.entry((gateway, request)).or_default();
         let attempt = *attempts;
         *attempts += 1;
@@ -235,7 +239,7 @@
             .iter_mut()
             .min()
             .expect("a server has at least one core");
-        let done_at = now.max(*core_free_at) + (WORK_US as f64 / speed) as Micros;
+        let done_at = now.max(*core_free_at) + (SERVICE_TIME_US as f64 / speed) as Micros;
         let times_out = done_at - now > timeout_us;
         let (status, elapsed_us) = if times_out {
             (CompletionStatus::NoAnswer, timeout_us)
@@ -256,7 +260,7 @@
     }
 
     /// Returns the share of its capacity that the server in slow start has reached.
-    fn warmth(&self, now: Micros) -> f64 {
+    fn capacity_share(&self, now: Micros) -> f64 {
         let age = (now - self.server_started_us) as f64 / self.slow_start.duration_us as f64;
         self.slow_start.initial_share + (1.0 - self.slow_start.initial_share) * age.min(1.0)
     }
@@ -269,12 +273,12 @@
             .iter()
             .filter(|at| (from..from + length_us).contains(*at))
             .count();
-        // The tolerated multiple of what the server can process at its warmth.
+        // The attempts that the server can process in the span at its capacity at `from`, times the overload multiple.
         let allowed = self.slow_start.overload_multiple
-            * self.warmth(from)
+            * self.capacity_share(from)
             * self.cores as f64
             * length_us as f64
-            / WORK_US as f64;
+            / SERVICE_TIME_US as f64;
         Span { sent, allowed }
     }
 
@@ -292,8 +296,8 @@
     }
 }
 
-/// Without a common budget a server would be overloaded by all gateways together, each of which sends its own share and what
-/// it saved up.
+/// If each gateway sent its own share and the attempts it saved up, all gateways together would overload the server; so they
+/// share one budget.
 #[test]
 fn all_gateways_together_do_not_overload_a_server_in_slow_start() {
     let fleets = [2, 3, 20, 30, 300]
--- a/crates/traffic-control/tests/health_reports.rs
+++ b/crates/traffic-control/tests/health_reports.rs
@@ -122,7 +122,7 @@
         let reports: Vec<HealthReports> = self
             .gateways
             .iter()
-            .map(|r| r.inner.health_reports())
+            .map(|gateway| gateway.inner.health_reports())
             .collect();
         for (gateway_index, gateway) in (0..).zip(&mut self.gateways) {
             for (from, reports) in (0..).zip(&reports) {
@@ -152,7 +152,7 @@
     fn ejected_servers(&self) -> Vec<usize> {
         self.gateways
             .iter()
-            .map(|r| r.inner.subset_counts()[2])
+            .map(|gateway| gateway.inner.subset_counts()[2])
             .collect()
     }
 }
@@ -168,26 +168,26 @@
     without_reports.run(30);
     with_reports.run(30);
     let sends_after_detection = (without_reports.sent_to("s7"), with_reports.sent_to("s7"));
-    // One probe in each interval of four seconds, of 14,400 requests in all.
     assert!(
         with_reports
             .ejected_servers()
             .iter()
             .all(|ejected| *ejected == 1),
-        "{:?}",
+        "each gateway ejects one server: {:?}",
         with_reports.ejected_servers()
     );
+    // In 30 s with 14,400 requests one gateway at a time probes the server every four seconds.
     assert!(
         (5..=10).contains(&sends_after_detection.1),
-        "{sends_after_detection:?}"
+        "sends to the ejected server without and with reports: {sends_after_detection:?}; expected 5 to 10 with reports"
     );
     assert!(
         sends_after_detection.1 * 4 < sends_after_detection.0,
-        "{sends_after_detection:?}"
+        "sends to the ejected server without and with reports: {sends_after_detection:?}; expected under a quarter with reports"
     );
     assert!(
         sends_until_detected.1 <= sends_until_detected.0,
-        "{sends_until_detected:?}"
+        "sends until the server is detected, without and with reports: {sends_until_detected:?}; expected no more with reports"
     );
     // The server has recovered: all gateways use it within seconds.
     with_reports.fails = |_, _| false;
@@ -200,14 +200,14 @@
     // The server gets as many requests as the others, within noise.
     assert!(
         (40..160).contains(&with_reports.sent_to("s7")),
-        "{}",
+        "{} requests to the recovered server, expected 40 to 159",
         with_reports.sent_to("s7")
     );
 }
 
 /// A gateway with a faulty network reports all servers as failing; the others eject none of them.
 #[test]
-fn a_gateway_that_reports_all_servers_ejects_none() {
+fn servers_that_a_single_gateway_reports_are_not_ejected_by_others() {
     let mut fleet = Fleet::new(true, |gateway_index, _| gateway_index == 3);
     fleet.run(10);
     let others = fleet
@@ -216,7 +216,11 @@
         .enumerate()
         .filter(|(n, _)| *n != 3)
         .all(|(_, ejected)| ejected == 0);
-    assert!(others, "{:?}", fleet.ejected_servers());
+    assert!(
+        others,
+        "no other gateway ejects a server: {:?}",
+        fleet.ejected_servers()
+    );
     // A gateway that fails to reach some servers only is still a single reporter.
     let mut fleet = Fleet::new(true, |gateway_index, s| {
         gateway_index == 3 && s.0.ends_with('1')
@@ -224,14 +228,14 @@
     fleet.run(10);
     assert!(
         fleet.ejected_servers().iter().all(|ejected| *ejected == 0),
-        "{:?}",
+        "no gateway ejects a server: {:?}",
         fleet.ejected_servers()
     );
 }
 
-/// A gateway that gets no reports ejects no server, but avoids the failing one by its own outcomes.
+/// A gateway that gets no reports ejects no server; it relies on its own outcomes.
 #[test]
-fn a_gateway_without_reports_goes_by_its_own_outcomes() {
+fn a_gateway_without_reports_ejects_no_server() {
     let mut fleet = Fleet::new(true, |_, s| &*s.0 == "s7");
     fleet.unreachable_gateways = vec![5];
     fleet.run(10);
@@ -241,7 +245,7 @@
             .iter()
             .enumerate()
             .all(|(n, ejected)| *ejected == usize::from(n != 5)),
-        "{ejected:?}"
+        "each gateway but the sixth ejects one server: {ejected:?}"
     );
 }
 
@@ -266,7 +270,7 @@
     fleet.exchange_reports();
     assert!(
         fleet.ejected_servers().iter().all(|ejected| *ejected == 0),
-        "{:?}",
+        "no gateway ejects a server: {:?}",
         fleet.ejected_servers()
     );
 }
--- a/crates/traffic-control/tests/many_servers.rs
+++ b/crates/traffic-control/tests/many_servers.rs
@@ -20,10 +20,14 @@
     let mut gateway = TestGateway::with_servers(unlimited_settings(), SERVERS);
     let counts = count_sends_by_server(&mut gateway, 5 * SERVERS);
     // With five requests on average and a random choice, 1 server in 150 gets none, and no server gets many.
-    assert!(counts.len() > SERVERS * 97 / 100, "{}", counts.len());
+    assert!(
+        counts.len() > SERVERS * 97 / 100,
+        "{} of 2,000 servers got requests, minimum 97 percent",
+        counts.len()
+    );
     assert!(
         counts.values().max() < Some(&20),
-        "{:?}",
+        "no server gets 20 requests: {:?}",
         counts.values().max()
     );
 }
@@ -44,7 +48,10 @@
         .filter(|(s, _)| busy.contains(s))
         .map(|(_, n)| n)
         .sum();
-    assert!(to_busy < SERVERS / 20, "{to_busy}");
+    assert!(
+        to_busy < SERVERS / 20,
+        "{to_busy} of 2,000 requests went to busy servers, limit is 5 percent"
+    );
 }
 
 #[test]
@@ -58,7 +65,7 @@
     gateway.update_servers(ListKind::Partial, entries.collect());
     for server in count_sends_by_server(&mut gateway, 1_000).keys() {
         let n: usize = server.0[1..].parse().expect("server names end in a number");
-        assert!(!draining(n), "{n}");
+        assert!(!draining(n), "server s{n} drains and got a request");
     }
 }
 
@@ -102,7 +109,7 @@
     }
 }
 
-/// A server in slow start is protected among many servers as it is among few.
+/// Among many servers, too, a server in slow start gets no more than its share.
 #[test]
 fn a_server_in_slow_start_among_many_gets_no_more_than_its_share() {
     let mut settings = unlimited_settings();
@@ -115,5 +122,8 @@
     let counts = count_sends_by_server(&mut gateway, 3_000);
     let to_cold = counts.get(&ServerId("cold".into())).copied().unwrap_or(0);
     // 3,000 requests, with 3 s of pauses and 30 s of work: one of 2,000 warm servers gets one or two.
-    assert!(to_cold <= 4, "{to_cold}");
+    assert!(
+        to_cold <= 4,
+        "{to_cold} requests went to the server in slow start, limit 4"
+    );
 }
--- a/crates/traffic-control/tests/mechanism/admission.rs
+++ b/crates/traffic-control/tests/mechanism/admission.rs
@@ -21,21 +21,21 @@
 fn fractions_step_down_while_latency_exceeds_its_bound_and_recover_by_half() {
     let mut gateway = TestGateway::with_servers(unlimited_settings(), 4);
     serve_requests(&mut gateway, 20, 100_000);
-    gateway.interval();
+    gateway.run_interval();
     for _ in 0..3 {
         serve_requests(&mut gateway, 200, 900_000);
-        gateway.interval();
+        gateway.run_interval();
     }
     let low = serve_requests(&mut gateway, 1000, 100_000);
     assert!(
         (600..800).contains(&low),
-        "after three steps down {low} of 1000 are admitted"
+        "after three steps down {low} of 1000 requests are admitted, expected 600 to 799"
     );
-    gateway.interval();
+    gateway.run_interval();
     let back = serve_requests(&mut gateway, 1000, 100_000);
     assert!(
         (850..950).contains(&back),
-        "after a recovery by half, rounded to a step, {back} of 1000 are admitted"
+        "after a recovery by half, rounded to a step, {back} of 1000 requests are admitted, expected 850 to 949"
     );
 }
 
@@ -44,10 +44,10 @@
     let mut gateway = TestGateway::with_servers(unlimited_settings(), 4);
     for _ in 0..40 {
         serve_requests(&mut gateway, 1000, 900_000);
-        gateway.interval();
+        gateway.run_interval();
     }
     for _ in 0..6 {
-        gateway.interval();
+        gateway.run_interval();
     }
     assert_eq!(serve_requests(&mut gateway, 100, 100_000), 100);
 }
@@ -66,12 +66,15 @@
         );
     }
     gateway.now -= 1_000_000;
-    gateway.interval();
+    gateway.run_interval();
     // The servers completed 20 requests a second: 100 at once would take five seconds.
     let n = (0..100)
         .filter(|_| sent_server(&gateway.request("c").1).is_some())
         .count();
-    assert!((5..20).contains(&n), "{n} of 100 requests admitted");
+    assert!(
+        (5..20).contains(&n),
+        "{n} of 100 requests admitted, expected 5 to 19"
+    );
 }
 
 /// A server that does not answer must not use up all the time of a request.
@@ -91,12 +94,12 @@
         "without measured latencies the timeout is the latency objective"
     );
     serve_requests(&mut gateway, 10, 50_000);
-    gateway.interval();
+    gateway.run_interval();
     let (id, actions) = gateway.request("d");
     let attempt_timeout_us = sent_timeout(&actions).expect("a ready server is listed");
     assert!(
         (200_000..=500_000).contains(&attempt_timeout_us),
-        "timeout of {attempt_timeout_us} us"
+        "attempt timeout of {attempt_timeout_us} us, expected 200,000 to 500,000"
     );
     let server = sent_server(&actions).expect("a ready server is listed");
     let actions = gateway.end_attempt_after(
@@ -126,7 +129,7 @@
     let wait = wait.expect("the request waits for a server");
     assert!(
         (1_000_000..2_000_000).contains(&wait),
-        "the timer is due after {wait} us"
+        "the timer is due after {wait} us, expected 1,000,000 to 1,999,999"
     );
     gateway.now += wait;
     assert!(is_rejected(
--- a/crates/traffic-control/tests/mechanism/counter_calls.rs
+++ b/crates/traffic-control/tests/mechanism/counter_calls.rs
@@ -6,9 +6,9 @@
     Action, CompletionStatus, CustomerId, Event, Micros, Request, Timer,
 };
 
-/// Failed calls do not cause further calls at once.
+/// A failed call causes at most one further call at once.
 #[test]
-fn a_failed_call_is_not_repeated_at_once() {
+fn a_failed_call_causes_at_most_one_further_call() {
     for status in [CompletionStatus::NoConnection, CompletionStatus::Rejected] {
         let mut gateway = TestGateway::with_servers(settings_with_counter(2), 4);
         let (_, actions) = gateway.request_with(|r| r.gateway_count = 2);
@@ -60,14 +60,14 @@
     let after_thirty = calls_after(30);
     assert!(
         after_thirty * 10 > after_one * 5,
-        "{after_thirty} counter calls after thirty were lost, {after_one} after one was lost"
+        "{after_thirty} counter calls after thirty were lost, expected more than half of the {after_one} after one was lost"
     );
 }
 
 #[test]
 fn a_counter_that_has_become_slow_is_still_queried() {
     let mut gateway = TestGateway::with_servers(settings_with_counter(2), 4);
-    // Ten requests a second, one at a time: the replies are quick at first and then slow, though no two calls overlap.
+    // Ten requests a second, one at a time: replies take 5 ms, then 40 ms. Calls never overlap, so load does not cause the delay.
     let mut calls = |reply_delay_us: Micros, first: u64| {
         (first..first + 100)
             .filter(|&n| {
--- a/crates/traffic-control/tests/mechanism/inputs.rs
+++ b/crates/traffic-control/tests/mechanism/inputs.rs
@@ -61,14 +61,15 @@
     }
 }
 
+/// The number of tracked customers is limited, which bounds memory under a flood of customers.
 #[test]
-fn memory_is_bounded_under_a_flood_of_customers() {
+fn customers_beyond_the_limit_are_rejected() {
     let mut gateway = TestGateway::with_servers(unlimited_settings(), 2);
     let rejected = (0..70_000)
         .filter(|i| is_rejected(&gateway.request(&format!("c{i}")).1))
         .count();
     assert!(
         rejected >= 70_000 - 24_576,
-        "customers beyond the limit of 24,576 are rejected"
+        "{rejected} of 70,000 customers rejected, expected all beyond the limit of 24,576"
     );
 }
--- a/crates/traffic-control/tests/mechanism/permits.rs
+++ b/crates/traffic-control/tests/mechanism/permits.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn few_unsynced_gateways_do_not_each_round_up_a_limit_on_attempts() {
+fn few_gateways_without_shared_usage_do_not_each_round_up_a_limit_on_attempts() {
     let mut settings = unlimited_settings();
     settings.gateways = 8;
     settings.plans[0].rate = 0.0;
@@ -50,7 +50,7 @@
 /// Each of many gateways would need longer to save up a permit than customers stay, so requests are admitted until the meter
 /// shows more than the limit.
 #[test]
-fn the_meter_keeps_a_limit_on_attempts_at_many_unsynced_gateways() {
+fn the_meter_keeps_a_limit_on_attempts_at_many_gateways_without_shared_usage() {
     let mut settings = unlimited_settings();
     settings.gateways = 100;
     settings.meter_period_us = 1_000_000;
@@ -75,11 +75,12 @@
     }
     assert!(
         (8..=40).contains(&admitted),
-        "{admitted} of 321 requests admitted: the first and a sixteenth of the others are expected"
+        "{admitted} of 321 requests admitted, expected 8 to 40: the first, and at four times the quota a sixteenth of the others"
     );
 }
 
-/// A call whose reply is lost may have been counted or not; the permit it takes or returns must not stay wrong.
+/// A call whose reply is lost may have been counted or not. The gateway corrects the count, so that its permit is neither lost
+/// nor granted twice.
 #[test]
 fn a_permit_whose_counter_call_was_lost_is_corrected() {
     for lost in 0..3 {
@@ -241,7 +242,7 @@
     let mut gateway = TestGateway::with_servers(settings_with_permits(2, 2), 4);
     let mut total = 0.0;
     let timer_of = Timer::Customer;
-    let mut review_tag = None;
+    let mut customer_tag = None;
     for n in 0..3 {
         let (id, actions) = gateway.request_with(|r| r.gateway_count = 2);
         let server = sent_server(&actions);
@@ -265,7 +266,7 @@
             CompletionStatus::Served,
             30_000,
         );
-        review_tag = review_tag.or(actions.iter().find_map(|a| match a {
+        customer_tag = customer_tag.or(actions.iter().find_map(|a| match a {
             Action::SetTimer {
                 timer: Timer::Customer(tag),
                 ..
@@ -279,8 +280,9 @@
         );
         assert_eq!(total, 1.0);
     }
-    let customer_tag = review_tag.expect("an ended attempt leaves a spare permit to review");
-    // The permit was used since the first review became due, so it stays spare; before the second it was not used.
+    let customer_tag = customer_tag.expect("an ended attempt sets a timer for its spare permit");
+    // The permit was used after the timer was first set, so that timer keeps it. It was not used before the second timer, which
+    // returns it.
     let actions = gateway.handle(Event::Timer(timer_of(customer_tag)));
     assert_eq!(reply_late(&mut gateway, actions, &mut total).0, vec![]);
     let actions = gateway.handle(Event::Timer(timer_of(customer_tag)));
@@ -288,12 +290,14 @@
     assert_eq!(total, 0.0);
 }
 
-/// Where no call can be made, or none gets a reply, the mean use by the other gateways decides.
+/// Where no counter call can be made, or none gets a reply, the permits available are the limit less the mean use by the other
+/// gateway.
 #[test]
-fn unsynced_permits_depend_on_the_mean_use_by_others() {
+fn without_counter_replies_permits_depend_on_the_mean_use_by_others() {
     for (others, admitted) in [(0.0, 5), (2.0, 0)] {
         let mut gateway = TestGateway::with_servers(settings_with_permits(2, 2), 4);
-        // The second digit of the count, worth 16 a permit, is that of the other gateway.
+        // The count holds the permits of each gateway as a base-16 digit; the other gateway's is the second, so that each of its
+        // permits adds 16.
         let mut total = others * 16.0;
         for _ in 0..20 {
             let (id, actions) = gateway.request_with(|r| r.gateway_count = 2);
@@ -344,16 +348,16 @@
     gateway.now = 1_019_000_000;
     let mut total = 0.0;
     // Starts as many attempts as may be in flight at once.
-    let open = |gateway: &mut TestGateway, total: &mut f64| {
-        let mut pending_calls = Vec::new();
+    let start_attempts = |gateway: &mut TestGateway, total: &mut f64| {
+        let mut attempts = Vec::new();
         for _ in 0..6 {
             let (id, actions) = gateway.request_with(|r| r.gateway_count = 2);
-            pending_calls
+            attempts
                 .extend(reply_and_find_send(gateway, actions, total).map(|server| (id, server)));
         }
-        pending_calls
+        attempts
     };
-    let first = open(&mut gateway, &mut total);
+    let first = start_attempts(&mut gateway, &mut total);
     assert_eq!(first.len(), 4);
     gateway.now = 1_022_000_000;
     total = 0.0;
@@ -361,6 +365,9 @@
         let actions = gateway.end_attempt_after(id, 0, &server, CompletionStatus::Served, 0);
         reply_and_find_send(&mut gateway, actions, &mut total);
     }
-    let then = open(&mut gateway, &mut total).len();
-    assert_eq!(then, 4, "all four permits are available in the new window");
+    let in_new_window = start_attempts(&mut gateway, &mut total).len();
+    assert_eq!(
+        in_new_window, 4,
+        "all four permits are available in the new window"
+    );
 }
--- a/crates/traffic-control/tests/mechanism/quotas.rs
+++ b/crates/traffic-control/tests/mechanism/quotas.rs
@@ -5,7 +5,7 @@
 use frosthatch_traffic_control::{Action, CompletionStatus, Event, Settings};
 
 #[test]
-fn an_unsynced_bucket_holds_the_even_slice_and_rejects_with_retry_after() {
+fn a_bucket_without_shared_usage_holds_the_even_slice_and_rejects_with_retry_after() {
     let mut settings = Settings::example();
     settings.gateways = 2;
     let mut gateway = TestGateway::with_servers(settings, 4);
@@ -29,7 +29,7 @@
 #[test]
 fn use_by_others_in_the_count_is_charged_and_the_rest_is_available() {
     let settings = settings_with_counter(2);
-    // The other gateway has used this much in the counter's window: the store holds 20 units less that use.
+    // The bucket holds 20 units less `used_by_others`, the other gateway's use in this counter window.
     let admitted = |used_by_others: f64| {
         let mut gateway = TestGateway::with_servers(settings.clone(), 4);
         gateway.now = 1_200_000_000;
@@ -83,41 +83,41 @@
     }
     assert!(
         admitted <= 20,
-        "{admitted} requests admitted of a burst of 20"
+        "{admitted} requests admitted, limit is the burst of 20"
     );
 }
 
 /// Customers do not get a second burst whenever a counter window begins.
 #[test]
-fn an_empty_store_stays_empty_in_a_new_counter_window() {
+fn an_empty_bucket_stays_empty_in_a_new_counter_window() {
     let mut settings = settings_with_counter(2);
     settings.plans[0].rate = 0.5;
     settings.plans[0].burst = 10.0;
     let mut gateway = TestGateway::with_servers(settings, 4);
-    gateway.now = 1_019_500_000; // half a second before the minute ends
+    gateway.now = 1_019_500_000; // half a second before the counter's window ends
     let mut total = 0.0;
     let burst = count_admitted_by_counter(&mut gateway, 2, 30, &mut total);
     assert!(
         (9..=11).contains(&burst),
-        "{burst} requests admitted of a burst of 10, {total} units counted"
+        "{burst} requests admitted of a burst of 10, expected 9 to 11; {total} units counted"
     );
     gateway.now = 1_022_000_000;
     total = 0.0;
     let again = count_admitted_by_counter(&mut gateway, 2, 30, &mut total);
     assert!(
         (1..=2).contains(&again),
-        "{again} more requests admitted in 2.5 s"
+        "{again} more requests admitted in 2.5 s, expected 1 or 2"
     );
     // The new count holds all use, so that the other gateway sees it.
     assert!(
         (9.0..=12.0).contains(&total),
-        "{total} units in the new count"
+        "{total} units in the new count, expected 9 to 12"
     );
 }
 
 /// Customers do not get a second burst when the counter has lost its counts.
 #[test]
-fn an_empty_store_stays_empty_when_the_counter_has_lost_its_counts() {
+fn an_empty_bucket_stays_empty_when_the_counter_has_lost_its_counts() {
     let mut settings = settings_with_counter(2);
     settings.plans[0].rate = 0.5;
     settings.plans[0].burst = 10.0;
@@ -126,18 +126,18 @@
     let mut total = 0.0;
     assert!(
         count_admitted_by_counter(&mut gateway, 2, 30, &mut total) >= 9,
-        "the burst is admitted"
+        "at least 9 requests of the burst of 10 are admitted"
     );
     gateway.now += 2_000_000;
     total = 0.0;
     let again = count_admitted_by_counter(&mut gateway, 2, 30, &mut total);
     assert!(
         (1..=2).contains(&again),
-        "{again} more requests admitted in 2 s"
+        "{again} more requests admitted in 2 s, expected 1 or 2"
     );
 }
 
-/// Two gateways that find the same shortfall in a count at once correct it only once; otherwise the store would look empty.
+/// Two gateways that find the same shortfall in a count at once correct it only once; otherwise the bucket would look empty.
 #[test]
 fn two_gateways_correct_a_count_once() {
     let mut gateways = [1, 2].map(|seed| {
@@ -145,7 +145,7 @@
         settings.gateway_index = seed as u32 - 1;
         settings.plans[0].rate = 10.0;
         settings.plans[0].burst = 20.0;
-        let mut gateway = TestGateway::with_seed(settings, seed).with_listed(4);
+        let mut gateway = TestGateway::with_seed(settings, seed).with_listed_servers(4);
         gateway.now = 1_030_000_000; // ten seconds into the counter's window: 100 units accrued and none was used
         gateway
     });
@@ -171,15 +171,16 @@
     }
     assert!(
         (100.0..=105.0).contains(&total),
-        "{total} units in the count"
+        "{total} units in the count, expected 100 to 105"
     );
     let mut admitted = 0;
     for gateway in &mut gateways {
         admitted += count_admitted_by_counter(gateway, 2, 30, &mut total);
     }
-    // A little more than the 18 units that are left, as small use is reported in batches.
+    // Of the burst of 20 units 18 are left after the first two requests. Small use is reported in batches, so that a few more
+    // may be admitted.
     assert!(
         (15..=22).contains(&admitted),
-        "{admitted} requests admitted"
+        "{admitted} requests admitted, expected 15 to 22"
     );
 }
--- a/crates/traffic-control/tests/mechanism/servers.rs
+++ b/crates/traffic-control/tests/mechanism/servers.rs
@@ -34,7 +34,7 @@
     }
     assert!(
         to_failing * 10 < all,
-        "{to_failing} of {all} requests went to the failing server"
+        "{to_failing} of {all} requests went to the failing server, limit is a tenth"
     );
 }
 
@@ -57,6 +57,6 @@
     }
     assert!(
         to_smallest >= 8,
-        "the smallest of four idle servers got {to_smallest} of 200 requests"
+        "the smallest of four idle servers got {to_smallest} of 200 requests, minimum 8"
     );
 }
--- a/crates/traffic-control/tests/replay/main.rs
+++ b/crates/traffic-control/tests/replay/main.rs
@@ -63,7 +63,7 @@
 
 /// A digest shows changes only in the kinds of actions that occur in the scenarios.
 #[test]
-fn the_scenarios_cover_all_kinds_of_actions() {
+fn the_scenarios_cover_all_counted_kinds_of_actions() {
     let mut sums = [0u64; 8];
     for line in RESULTS.lines().skip(1) {
         let counts = line
@@ -75,7 +75,10 @@
             .zip(&mut sums)
             .for_each(|(f, sum)| *sum += f.parse::<u64>().unwrap_or(0));
     }
-    assert!(sums.iter().all(|n| *n > 100), "{sums:?}");
+    assert!(
+        sums.iter().all(|n| *n > 100),
+        "more than 100 actions of each kind: {sums:?}"
+    );
 }
 
 /// The same events give the same actions, whatever the process has done before.
--- a/crates/traffic-control/tests/replay/play.rs
+++ b/crates/traffic-control/tests/replay/play.rs
@@ -43,7 +43,7 @@
     /// Number of attempts of each request.
     attempts: BTreeMap<(usize, RequestId), u32>,
     digest: u64,
-    /// Number of actions by kind, in the order of the recorded header.
+    /// Number of actions by kind, in the order of the recorded header; `timers` includes subscriptions and log lines.
     action_counts: [u64; 8],
 }
 
--- a/crates/traffic-control/tests/rules.rs
+++ b/crates/traffic-control/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Tests of the rules that a gateway keeps without others: deadlines, effects, draining, slow start and ceilings.
+//! Tests of what each gateway guarantees on its own: deadlines, effects, draining, slow start and ceilings.
 
 mod common;
 use common::{
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn without_late_weight_attempt_and_request_end_at_the_latency_objective() {
+fn late_weight_decides_whether_a_request_ends_at_its_latency_objective_or_deadline() {
     for (late_weight, expected) in [(0.0, 1_000_000), (0.2, 4_000_000)] {
         let mut settings = unlimited_settings();
         settings.classes[0].late_weight = late_weight;
@@ -197,22 +197,22 @@
     for _ in 0..100 {
         let (id, actions) = gateway.request("c");
         let server = sent_server(&actions).expect("a ready server is listed");
-        // The other servers do not answer; the one in slow start answers at once and so always looks idle.
+        // The other servers do not answer; the one in slow start answers at once and so never has attempts in flight.
         if &*server.0 == "cold" {
             to_cold += 1;
             gateway.end_attempt_after(id, 0, &server, CompletionStatus::Served, 0);
         }
         gateway.now += 20_000;
     }
-    // One of five equal servers would get 20 requests in the two seconds; a fifth of that is four.
+    // One of five equal servers would get 20 requests in the two seconds; a fifth of that, its initial share, is four.
     assert!(
         (1..=6).contains(&to_cold),
-        "{to_cold} of 100 requests went to the server in slow start"
+        "{to_cold} of 100 requests went to the server in slow start, expected 1 to 6"
     );
 }
 
-/// Beside idle servers one in slow start always looks expensive. If it got no requests for that reason, a restarted server would
-/// never warm up.
+/// The estimated cost of a server in slow start is always higher than that of idle warm servers. If it got no requests for that
+/// reason, a restarted server would never warm up.
 #[test]
 fn a_server_in_slow_start_is_used_though_others_are_idle() {
     let mut gateway = TestGateway::with_servers(
@@ -240,7 +240,7 @@
             to_cold >= 1 || second == 0,
             "the server in slow start got no request in second {second}"
         );
-        // 50 requests a second over eight servers and a fifth of one: about six each, 1.2 in slow start.
+        // Eight servers and a fifth of one (`initial_share`) get 50 requests a second: about six each, 1.2 in slow start.
         assert!(
             to_cold <= 3,
             "the server in slow start got {to_cold} requests in second {second}, limit 3"
@@ -260,27 +260,28 @@
         3,
     );
     let mut in_flight: Vec<(Micros, RequestId, ServerId, Micros)> = Vec::new();
-    // Runs one second with 100 requests, which take `took` at warm servers, and returns how many went to the one in slow start.
-    let mut run_second = |took: Micros| {
+    // Runs one second with 100 requests, which take `took_us` at warm servers, and returns how many went to the server in slow
+    // start. The first second at 400 ms ends with the listing of that server.
+    let mut run_second = |took_us: Micros| {
         let mut to_cold = 0;
         for _ in 0..100 {
             let (id, actions) = gateway.request("c");
             let server = sent_server(&actions);
             to_cold += u32::from(server.as_ref().is_some_and(|s| &*s.0 == "cold"));
             in_flight.extend(server.map(|s| {
-                let took = if &*s.0 == "cold" { 200_000 } else { took };
-                (gateway.now + took, id, s, took)
+                let took_us = if &*s.0 == "cold" { 200_000 } else { took_us };
+                (gateway.now + took_us, id, s, took_us)
             }));
             gateway.now += 10_000;
             let now = gateway.now;
-            for (_, id, server, took) in in_flight.extract_if(.., |h| h.0 <= now) {
+            for (_, id, server, took_us) in in_flight.extract_if(.., |h| h.0 <= now) {
                 let outcome =
-                    AttemptOutcome::new(id, 0, server, CompletionStatus::Served, took).closing();
+                    AttemptOutcome::new(id, 0, server, CompletionStatus::Served, took_us).closing();
                 gateway.handle(Event::Outcome(outcome));
             }
         }
         gateway.handle(Event::Timer(Timer::Interval));
-        if took == 400_000 && to_cold == 0 {
+        if took_us == 400_000 && to_cold == 0 {
             let cold = ServerEntry {
                 started_us: gateway.now,
                 ..ServerEntry::ready("cold", "a")
@@ -297,7 +298,7 @@
     // much.
     assert!(
         to_cold_by_second[1..].iter().all(|n| (6..=20).contains(n)),
-        "{to_cold_by_second:?}"
+        "requests to the server in slow start by second: {to_cold_by_second:?}; expected 6 to 20"
     );
 }
 
@@ -345,6 +346,7 @@
     settings.peer_messages_per_s = 100.0;
     settings.has_counter = true;
     let mut gateway = TestGateway::with_servers(settings, 2);
+    // Quota requests and grants with arbitrary contents, from this gateway and others.
     for k in 0..200u8 {
         gateway.now += 10_000;
         gateway.handle(Event::Peer {
@@ -357,6 +359,7 @@
             .concat(),
         });
     }
+    // Despite these messages and a negative total of the counter, the slice admits half of the depth.
     assert_eq!(
         count_admitted_by_counter(&mut gateway, 2, 50, &mut -1e9),
         10
--- a/crates/traffic-control/tests/streams.rs
+++ b/crates/traffic-control/tests/streams.rs
@@ -1,4 +1,6 @@
-//! Tests the invariants of a gateway under random event streams with a fixed seed.
+//! Tests the invariants of a gateway under random event streams with a fixed seed: requests go only to ready servers, each
+//! request is answered once and before its deadline, the ceiling slice is not exceeded, and the same events give the same
+//! actions.
 
 mod common;
 
@@ -44,7 +46,7 @@
     sent_at: Micros,
 }
 
-/// A gateway with the state that its driver keeps, and what it did.
+/// A gateway, the state of its simulated clients and servers, and its actions.
 struct Simulation {
     gateway: Gateway,
     now: Micros,
@@ -85,7 +87,8 @@
         }
     }
 
-    /// Returns the next event. Events that are due by `until` come first: attempts at their client's deadline, then timers.
+    /// Returns the next event. Attempts in flight at their client's deadline and timers that are due by `until` come first, in
+    /// order of time; at equal times the attempt comes first. Otherwise `kind` and `pick` select the event.
     fn next_event(&mut self, kind: u8, pick: u8, until: Micros) -> Option<Event> {
         self.timers.sort_by_key(|timer| timer.0);
         self.in_flight.sort_by_key(|o| self.deadlines[&o.request]);
@@ -107,7 +110,7 @@
         self.selected_event(kind, pick, until)
     }
 
-    /// Returns the event that `kind` and `pick` select.
+    /// Returns a request, a list update, a peer message or the end of an attempt, by `kind`; `pick` selects its contents.
     fn selected_event(&mut self, kind: u8, pick: u8, until: Micros) -> Option<Event> {
         match kind % 6 {
             0 | 1 => {
@@ -159,7 +162,7 @@
         }
     }
 
-    /// Ends the attempt in flight at `index`.
+    /// Removes the attempt at `index` from those in flight and returns its outcome.
     fn end_attempt(&mut self, index: usize, status: CompletionStatus) -> Event {
         let ended = self.in_flight.remove(index);
         let mut outcome = AttemptOutcome::new(
@@ -225,6 +228,7 @@
         }
     }
 
+    /// Checks the drawn units against the slice: a third of the ceiling's depth and rate.
     fn check_ceiling(&self) {
         let drawn_units = self.drawn_units;
         let slice_units = 10.0 + 50.0 / 3.0 * ((self.now - START_US) as f64 / 1e6);
--- a/crates/traffic-control/tests/subsets.rs
+++ b/crates/traffic-control/tests/subsets.rs
@@ -115,8 +115,8 @@
     );
 }
 
-/// All servers are in slow start, so that each gateway has no warm server to choose, and only some gateways use each server. All
-/// gateways together still do not overload a server within the stated time.
+/// With all servers in slow start no gateway has a warm server to choose, and only some gateways use each server. All gateways
+/// together must not overload any server within 3 s.
 #[test]
 fn servers_in_slow_start_are_not_overloaded_by_the_gateways_that_use_them() {
     let cold = SlowStart {
@@ -131,7 +131,7 @@
         gateway.update_servers(ListKind::Complete, (0..SERVERS).map(entry).collect());
         // The gateway measures latencies before the servers restart.
         used_servers(&mut gateway, 20);
-        gateway.interval();
+        gateway.run_interval();
         let now = gateway.now;
         gateway.update_servers(
             ListKind::Complete,
@@ -161,7 +161,7 @@
     );
     assert!(
         sum > allowed * SERVERS as f64 / 5.0,
-        "servers in slow start got {sum} requests, too few to warm up"
+        "servers in slow start got {sum} requests in all, too few to warm up"
     );
 }
 
@@ -182,10 +182,11 @@
     };
     assert_eq!(used_by(&every_gateway, &every_gateway), 60);
     assert_eq!(used_by(&remaining, &remaining), 60);
-    // Before the remaining gateways know that others have left, no gateway uses some of the servers.
+    // Before the remaining gateways know that others have left, some servers are used by no gateway.
     assert!(used_by(&remaining[..9], &every_gateway) < 60);
     assert_eq!(used_by(&remaining[..9], &remaining[..9]), 60);
-    // A gateway that sees no other uses all servers; one that is missing in its own view counts itself as present.
+    // A gateway that sees no other gateway uses all servers. One that is not among the present gateways adds itself, here as the
+    // fifteenth.
     assert_eq!(used_by(&[4], &[]), 60);
     assert_eq!(used_by(&[4], &remaining[3..17]), 12);
 }
@@ -218,9 +219,12 @@
     }
     assert!(
         served > 120,
-        "{served} of 200 requests went to healthy servers"
+        "{served} of 200 requests went to healthy servers, minimum 121"
     );
     used_servers(&mut gateway, 600);
     let after = used_servers(&mut gateway, 200);
-    assert!(after.is_subset(&subset) && after.len() > 3, "{after:?}");
+    assert!(
+        after.is_subset(&subset) && after.len() > 3,
+        "a gateway returns to its subset: {after:?}"
+    );
 }
--- a/crates/traffic-control/tests/terms.rs
+++ b/crates/traffic-control/tests/terms.rs
@@ -47,21 +47,21 @@
 }
 
 #[test]
-fn a_lowered_quota_holds_at_once_for_a_customer_at_its_limit() {
+fn a_lowered_quota_holds_at_once_for_the_units_left() {
     let mut gateway = TestGateway::with_servers(settings(plan(10.0, 20.0, None)), 2);
     assert_eq!(count_admitted(&mut gateway, 15), 15);
     gateway.handle(terms(plan(2.0, 4.0, None)));
     assert_eq!(
         count_admitted(&mut gateway, 15),
         4,
-        "of the five units left, the smaller store keeps four"
+        "of the five units left, the smaller bucket keeps four"
     );
     gateway.now += 1_000_000;
     assert_eq!(count_admitted(&mut gateway, 15), 2);
 }
 
 #[test]
-fn a_raised_quota_returns_nothing_used_and_fills_by_the_smaller_at_first() {
+fn a_raised_quota_returns_no_used_units_and_accrues_at_the_smaller_rate_during_the_transition() {
     let mut gateway = TestGateway::with_servers(settings(plan(2.0, 4.0, None)), 2);
     assert_eq!(count_admitted(&mut gateway, 10), 4);
     gateway.handle(terms(plan(40.0, 40.0, None)));
@@ -70,7 +70,7 @@
         0,
         "a raised quota returns no used units"
     );
-    // After half of the transition the smaller rate has accrued a quarter of a unit.
+    // After 125 ms, half of the transition, the smaller rate of 2 units a second has accrued a quarter of a unit.
     gateway.now += 125_000;
     gateway.handle(Event::Timer(Timer::Interval));
     assert_eq!(count_admitted(&mut gateway, 10), 0);
@@ -84,14 +84,14 @@
     );
 }
 
-/// Whether the ceiling is raised or lowered, no more is admitted than the larger one allows, and during the transition no more
-/// than the smaller one allows.
+/// During the transition no more units are admitted than the smaller ceiling allows; afterwards as many as the new ceiling
+/// allows, whether it was raised or lowered.
 #[test]
 fn the_smaller_ceiling_holds_while_both_may_be_in_force() {
     for (first, then) in [(20.0, 8.0), (8.0, 20.0)] {
         let mut gateway = TestGateway::with_servers(settings(plan(100.0, 100.0, Some(first))), 2);
         gateway.now += 5_000_000;
-        // The customer's slice of the ceiling fills from the start.
+        // The first requests create the customer's slice of the ceiling, which fills from the gateway's start.
         count_admitted(&mut gateway, 200);
         gateway.now += 2_000_000;
         gateway.handle(terms(plan(100.0, 100.0, Some(then))));
@@ -104,7 +104,7 @@
         let smaller = f64::min(first, then);
         assert!(
             in_transition as f64 <= smaller + 0.25 * smaller,
-            "ceiling {first} to {then}: {in_transition} units in the transition"
+            "ceiling {first} to {then}: {in_transition} units in the transition, limit 1.25 times {smaller}"
         );
         let after: usize = (0..100)
             .map(|_| {
@@ -114,11 +114,11 @@
             .sum();
         assert!(
             after as f64 <= then * 2.5 + 1.0,
-            "ceiling {first} to {then}: {after} units after the transition"
+            "ceiling {first} to {then}: {after} units in 2.5 s after the transition, too many"
         );
         assert!(
             after as f64 >= then * 2.4 - 1.0,
-            "ceiling {first} to {then}: {after} units after the transition"
+            "ceiling {first} to {then}: {after} units in 2.5 s after the transition, too few"
         );
     }
 }
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_request_that_waits_too_long_is_answered_while_its_client_can_try_elsewhere() {
+fn a_waiting_request_is_rejected_at_its_timer() {
     let mut gateway = TestGateway::with_servers(settings(plan(10.0, 20.0, None)), 2);
     gateway.handle(Event::LeaseStateChanged(LeaseState::Pending));
     let (id, actions) = gateway.request("c");
@@ -196,8 +196,9 @@
     assert!(sent_server(&gateway.request("c").1).is_some());
 }
 
+/// A `max_open` of 0 and a missing ceiling mean that there is no limit.
 #[test]
-fn the_smaller_terms_hold_the_smaller_of_each_limit() {
+fn the_smaller_terms_have_the_smaller_of_each_limit() {
     let settings = Settings::example();
     let policy_terms = |rate: f64, burst: f64, max_open: u32, ceiling: Option<f64>| {
         let ceiling = ceiling.map(|c| Ceiling { rate: c, depth: c });
--- a/crates/traffic-control/tests/wide_sets/ceilings.rs
+++ b/crates/traffic-control/tests/wide_sets/ceilings.rs
@@ -21,7 +21,7 @@
         depth: 120.0,
     });
     s.plans[0].overrun_cost = 1.0;
-    TestGateway::with_seed(s, u64::from(gateway_index)).with_listed(4)
+    TestGateway::with_seed(s, u64::from(gateway_index)).with_listed_servers(4)
 }
 
 /// All gateways together admit at most the part of the ceiling above the quota without the counter, and at most the quota
@@ -72,7 +72,7 @@
         );
         assert!(
             !replies || admitted >= 0.8 * (60.0 + 10.0 * SECONDS as f64),
-            "{admitted} units admitted, minimum 80 percent of the quota"
+            "{admitted} units admitted, minimum 80 percent of the quota and its burst"
         );
     }
 }
@@ -93,7 +93,7 @@
     let waiting: Vec<RequestId> = (0..2)
         .map(|_| gateway.request_with(set_gateways_and_units).0)
         .collect();
-    // 40 s into the counter's window, 400 units have accrued and were used, and 20 more.
+    // 40 s into the counter's window 400 units have accrued; 420 of these and of the burst were used.
     let mut total = 420.0 + requested;
     let reply_actions = gateway.handle(Event::CounterReply {
         name: name.clone(),
@@ -127,6 +127,6 @@
     );
     assert_eq!(
         total, 429.0,
-        "the count holds only the units that the requests draw"
+        "the count grows only by the three units of each of the three requests"
     );
 }
--- a/crates/traffic-control/tests/wide_sets/main.rs
+++ b/crates/traffic-control/tests/wide_sets/main.rs
@@ -23,7 +23,7 @@
     settings.gateway_index = seed as u32 % GATEWAYS;
     settings.plans[0].overrun_cost = 0.5;
     settings.plans[0].price = 1.0;
-    TestGateway::with_seed(settings, seed).with_listed(4)
+    TestGateway::with_seed(settings, seed).with_listed_servers(4)
 }
 
 /// Returns name, amount and retention time of each counter call among `actions`.
@@ -39,7 +39,7 @@
     actions.iter().filter_map(call).collect()
 }
 
-/// Returns a change that makes a request one of this customer at all gateways.
+/// Returns a function that sets the customer of a request, which uses all gateways.
 fn from_customer(customer: u64) -> impl FnOnce(&mut Request) {
     move |r| {
         r.gateway_count = GATEWAYS;
@@ -47,8 +47,8 @@
     }
 }
 
-/// The call budget of a gateway does not start full; otherwise a fleet that starts, or restarts for a release, would make all
-/// these calls at once.
+/// The budget of a gateway for counter calls does not start full; otherwise a fleet that starts, or restarts for a release, would
+/// spend all budgets at once.
 #[test]
 fn many_gateways_that_start_at_once_make_few_calls() {
     let calls: usize = (0..u64::from(GATEWAYS))
@@ -61,7 +61,7 @@
         .sum();
     assert!(
         (50..=300).contains(&calls),
-        "{calls} counter calls by {GATEWAYS} gateways before any reply"
+        "{calls} counter calls by {GATEWAYS} gateways before any reply, expected 50 to 300"
     );
 }
 
@@ -79,7 +79,7 @@
         CompletionStatus::NoAnswer
     });
     let server = sent_server(&reply_actions).expect("an unknown customer is admitted");
-    // The meter reports four times the quota: all gateways together then admit as many requests as use up the quota.
+    // The meter reports four times the quota. The share of requests that all gateways admit is then a sixteenth, 1 in 4 squared.
     let mut o = AttemptOutcome::new(id, 0, server, CompletionStatus::Served, 50_000);
     o.closed = true;
     o.metered_use = Some(4.0);
@@ -97,7 +97,7 @@
     }
     assert!(
         (4..=30).contains(&admitted),
-        "{admitted} of 200 requests admitted, a sixteenth is expected"
+        "{admitted} of 200 requests admitted, expected 4 to 30: at four times the quota a sixteenth"
     );
 }
 
@@ -149,7 +149,8 @@
     assert_eq!(returned_units, -requested);
 }
 
-/// The permits of this many gateways are one sum, which restarts every few seconds and so frees those of a dead gateway.
+/// With so many gateways the count holds only the sum of all permits. A new count starts every few seconds, which frees the
+/// permits of a dead gateway.
 #[test]
 fn permits_of_a_dead_gateway_are_soon_free_again() {
     let mut settings = Settings {
@@ -163,7 +164,7 @@
     settings.plans[0].overrun_cost = 1.0;
     let mut counts = std::collections::HashMap::new();
     let mut is_sent = |seed: u64, later: Micros, attempt_ends: bool| {
-        let mut gateway = TestGateway::with_seed(settings.clone(), seed).with_listed(4);
+        let mut gateway = TestGateway::with_seed(settings.clone(), seed).with_listed_servers(4);
         gateway.now += later;
         let (id, mut actions) = gateway.request_with(from_customer(1));
         let mut server = None;
@@ -199,7 +200,7 @@
     };
     assert!(
         (0..3).all(|seed| is_sent(seed, 0, true)),
-        "requests one at a time share the permits"
+        "three requests, one after the other, are sent with two permits"
     );
     assert!(
         is_sent(3, 0, false) && is_sent(4, 0, false),
--- a/crates/traffic-control/tests/wide_sets/meter.rs
+++ b/crates/traffic-control/tests/wide_sets/meter.rs
@@ -4,9 +4,9 @@
 use crate::GATEWAYS;
 use frosthatch_traffic_control::{AttemptOutcome, CompletionStatus, Event, Settings};
 
-/// Simulates many gateways without a counter, peer messages and usage reports, and one customer with a quota of 2 units a second.
-/// The customer sends `requests_per_s` requests of one unit a second, one at a time over all gateways; `is_metered` says whether
-/// outcomes carry its metered use. Returns how many requests are admitted in each second.
+/// Simulates a customer with a quota of 2 units a second at many gateways that have no counter and exchange neither peer messages
+/// nor usage reports. Each second it sends `requests_per_s` requests of one unit, spread evenly over the gateways; `is_metered`
+/// says whether outcomes carry its metered use. Returns how many requests are admitted in each second.
 fn admitted_without_counter(requests_per_s: usize, is_metered: bool) -> Vec<usize> {
     let mut settings = Settings {
         gateways: GATEWAYS,
@@ -29,7 +29,7 @@
                 },
                 gateway_index.into(),
             )
-            .with_listed(4)
+            .with_listed_servers(4)
         })
         .collect();
     let mut requested = 0;
@@ -67,7 +67,7 @@
         let admitted: usize = admitted_without_counter(1, is_metered).iter().sum();
         assert!(
             admitted >= 36,
-            "{admitted} of 40 requests admitted, metered: {is_metered}"
+            "{admitted} of 40 requests admitted, minimum 36; metered: {is_metered}"
         );
     }
 }
@@ -80,6 +80,6 @@
     let quota_multiple = late as f64 / (admitted.len() - 10) as f64 / 2.0;
     assert!(
         (0.75..=2.25).contains(&quota_multiple),
-        "{quota_multiple} times the quota admitted of six requested: {admitted:?}"
+        "{quota_multiple} times the quota admitted of six times requested, expected 0.75 to 2.25: {admitted:?}"
     );
 }
--- a/crates/traffic-control/tests/wide_sets/zones.rs
+++ b/crates/traffic-control/tests/wide_sets/zones.rs
@@ -47,15 +47,18 @@
     let before = count_sends_to_a(&mut gateway, 100, false);
     assert!(
         before >= 30,
-        "{before} of 100 requests went to zone `a` before its loss"
+        "{before} of 100 requests went to zone `a` before its loss, minimum 30"
     );
     count_sends_to_a(&mut gateway, 20, true);
     let after = count_sends_to_a(&mut gateway, 100, true);
-    assert!(after <= 15, "{after} of 100 requests went to the lost zone");
+    assert!(
+        after <= 15,
+        "{after} of 100 requests went to the lost zone, limit 15"
+    );
     gateway.now += 20_000_000;
     let recovered = count_sends_to_a(&mut gateway, 100, false);
     assert!(
         recovered >= 20,
-        "{recovered} of 100 requests went to the recovered zone"
+        "{recovered} of 100 requests went to the recovered zone, minimum 20"
     );
 }
