--- a/crates/http1/src/backend.rs
+++ b/crates/http1/src/backend.rs
@@ -1,5 +1,5 @@
-//! Attempts at servers, and the pool of connections that they use. A connection carries one request at a time and closes
-//! as soon as it is dropped; nothing here repeats a request.
+//! Attempts of requests at servers, and the pool of connections to the servers. A connection carries one request at a
+//! time and closes when it is dropped. Retries are the engine's task: this module never repeats a request.
 
 mod attempt;
 mod connect;
--- a/crates/http1/src/backend/attempt.rs
+++ b/crates/http1/src/backend/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a server: connects, writes the request and reads the response.
+//! Makes one attempt at a server: connects, writes the request and reads the response.
 
 use super::connect::{AcquiredConnection, ConnectFailure};
 use super::forwarded_request::ForwardedRequest;
@@ -17,12 +17,12 @@
 use tokio::time::{timeout_at, Instant};
 use tracing::debug;
 
-/// The outcome of writing a request and waiting for its response.
-struct Exchange {
+/// Outcome of writing a request and waiting for its response.
+struct ExchangeOutcome {
     reply: ServerReply,
     written_bytes: usize,
     is_request_written: bool,
-    /// Why the rest of the request was not written.
+    /// The reason why the rest of the request was not written, if it was denied.
     write_denied: Option<WriteDenied>,
     duration: Duration,
 }
@@ -34,7 +34,7 @@
 }
 
 impl Upstream {
-    /// Makes one attempt. It ends by `deadline`, but for the part of a long response that is streamed afterwards.
+    /// Makes one attempt, which ends by `deadline`. Only the rest of a long response is streamed after the attempt.
     pub(super) async fn attempt(
         &self,
         server: &ServerId,
@@ -57,17 +57,17 @@
             .exchange(server, &route, &connection.conn, request, deadline, permit)
             .await;
         if let Some(reason) = exchange.write_denied {
-            log_withheld(server, reason, exchange.written_bytes);
+            log_denied(server, reason, exchange.written_bytes);
             let is_unused = exchange.written_bytes == 0;
             if reason != WriteDenied::ForwardedDeadlineStale && is_unused {
                 self.put_back(server, route.address, connection);
             }
-            return AttemptResult::without_response(withheld_status(reason));
+            return AttemptResult::without_response(denied_status(reason));
         }
         if let Some(idle_time) = idle_time {
             let is_failed = matches!(exchange.reply, ServerReply::ConnectionFailed);
             if is_failed && exchange.written_bytes == 0 {
-                // The server closed the idle connection at this very moment.
+                // The server closed the idle connection before any byte of the request was written.
                 return AttemptResult::without_response(CompletionStatus::NotSent);
             }
             let is_lost = is_failed && exchange.duration < StalenessEstimator::STALE_RESET_WINDOW;
@@ -77,7 +77,7 @@
             ServerReply::Received(response) => {
                 self.response_result(server, &route, connection, response)
             }
-            // An incomplete request is never executed. A complete one may have been, or may be yet.
+            // Servers never execute an incomplete request. A complete one may have been executed, or may still be.
             _ if !exchange.is_request_written => {
                 AttemptResult::without_response(CompletionStatus::NoConnection)
             }
@@ -88,8 +88,11 @@
         }
     }
 
-    /// Gets a connection by `deadline`, or the status with which the attempt ends. That this machine could not connect
-    /// does not count against the server.
+    /// Gets a connection by `deadline`.
+    ///
+    /// # Errors
+    /// Returns the status with which the attempt ends. It is `NotSent`, which does not count against the server, if
+    /// this machine lacked the resources to connect.
     async fn connect(
         &self,
         server: &ServerId,
@@ -102,8 +105,8 @@
             self.acquire_connection(server, route.address, permit, &is_short_of_resources);
         match timeout_at(deadline, acquiring).await {
             Ok(Ok(acquired)) => Ok(acquired),
-            Ok(Err(ConnectFailure::Withheld(reason))) => {
-                log_withheld(server, reason, 0);
+            Ok(Err(ConnectFailure::Denied(reason))) => {
+                log_denied(server, reason, 0);
                 Err(CompletionStatus::NotSent)
             }
             Err(_) if is_short_of_resources.get() => Err(CompletionStatus::NotSent),
@@ -111,7 +114,7 @@
         }
     }
 
-    /// Writes the request and reads its response, or the beginning of a long one.
+    /// Writes the request and reads its response; of a long response, only the beginning.
     async fn exchange(
         &self,
         server: &ServerId,
@@ -120,7 +123,7 @@
         request: &ForwardedRequest,
         deadline: Instant,
         permit: &AttemptPermit,
-    ) -> Exchange {
+    ) -> ExchangeOutcome {
         let has_long_body = request.body.len() > MAX_BODY_BYTES;
         let forwarded_deadline = ForwardedDeadline::new(deadline, has_long_body);
         let head = request.head_with_deadline(&forwarded_deadline);
@@ -128,8 +131,8 @@
         let write_denied = Cell::new(None);
         let check_write = |progress| {
             let allowed = match progress {
-                // While it connected, the server may have begun to drain or moved.
-                WriteProgress::NotBegun if !self.still_routes_to(server, route) => {
+                // The server may have begun to drain, or changed its address, while the connection was made.
+                WriteProgress::NotBegun if !self.is_route_current(server, route) => {
                     Err(WriteDenied::ServerNotReady)
                 }
                 WriteProgress::NotBegun => permit.check(),
@@ -158,7 +161,7 @@
             Ok(Err(_)) => ServerReply::ConnectionFailed,
             Err(_) => ServerReply::TimedOut,
         };
-        Exchange {
+        ExchangeOutcome {
             reply,
             written_bytes: written.get(),
             is_request_written: written.get() >= head.len() + request.body.len(),
@@ -167,12 +170,14 @@
         }
     }
 
-    fn still_routes_to(&self, server: &ServerId, route: &Route) -> bool {
+    /// Returns whether new requests for the server still go to the address of `route`.
+    fn is_route_current(&self, server: &ServerId, route: &Route) -> bool {
         self.route(server)
             .is_some_and(|current| current.address == route.address)
     }
 
-    /// The result of an attempt with a response; its connection goes back to the pool, or with what remains to be read.
+    /// Builds the result of an attempt with a response. The connection moves into the stream of a response that is not
+    /// complete; otherwise it returns to the pool if it is reusable.
     fn response_result(
         &self,
         server: &ServerId,
@@ -204,14 +209,14 @@
     }
 }
 
-fn log_withheld(server: &ServerId, reason: WriteDenied, written_bytes: usize) {
+fn log_denied(server: &ServerId, reason: WriteDenied, written_bytes: usize) {
     debug!(server = %server.0, %reason, written = written_bytes, "attempt.not_sent");
 }
 
-/// How an attempt ends whose request was not written to its end.
-fn withheld_status(reason: WriteDenied) -> CompletionStatus {
+/// Returns the status of an attempt whose request was not written completely because of `reason`.
+fn denied_status(reason: WriteDenied) -> CompletionStatus {
     match reason {
-        // The server does not read what is written to it.
+        // The server reads the request too slowly.
         WriteDenied::ForwardedDeadlineStale => CompletionStatus::NoConnection,
         _ => CompletionStatus::NotSent,
     }
--- a/crates/http1/src/backend/connect.rs
+++ b/crates/http1/src/backend/connect.rs
@@ -1,4 +1,4 @@
-//! Finds or makes the connection for an attempt.
+//! Acquires the connection for an attempt: an idle one from the pool, or a new one.
 
 use super::pooled_connection::PooledConnection;
 use super::upstream::Upstream;
@@ -11,29 +11,29 @@
 use tokio::time::{sleep_until, timeout, Instant};
 use tracing::debug;
 
-/// A connection that this machine could not make is retried after this...
+/// Minimum delay before an attempt retries a connection that this machine lacked the resources to make.
 const RECONNECT_DELAY: Duration = Duration::from_millis(5);
-/// ...and all of them together no more often than this.
+/// Minimum interval between such retries of all attempts together.
 const MIN_RECONNECT_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Why an attempt got no connection.
+/// Reason why an attempt got no connection.
 pub(super) enum ConnectFailure {
-    /// The server refused, or did not answer in time.
+    /// The server refused the connection, or did not accept it within the connect timeout.
     Unreachable,
-    /// This machine could not connect before the attempt was too late.
-    Withheld(WriteDenied),
+    /// This machine lacked the resources to connect until the permit denied the attempt.
+    Denied(WriteDenied),
 }
 
-/// The connection of an attempt.
+/// Connection for an attempt.
 pub(super) struct AcquiredConnection {
     pub(super) connection: PooledConnection,
-    /// How long it had been idle; none if it is new.
+    /// Time for which the connection was idle; `None` if it is new.
     pub(super) idle_time: Option<Duration>,
 }
 
 impl Upstream {
-    /// A connection without a request on it. Where this machine lacks the resources for a new one, it retries for as long
-    /// as `permit` allows the attempt to begin, and sets `is_short_of_resources`.
+    /// Acquires a connection without a request on it. While this machine lacks the resources for a new connection,
+    /// retries for as long as `permit` allows the attempt to begin, and sets `is_short_of_resources`.
     pub(super) async fn acquire_connection(
         &self,
         server: &ServerId,
@@ -45,7 +45,7 @@
             if let Some(idle) = self.take_idle(server) {
                 return Ok(AcquiredConnection {
                     connection: idle.connection,
-                    idle_time: Some(idle.since.elapsed()),
+                    idle_time: Some(idle.idle_since.elapsed()),
                 });
             }
             if let Some(connection) = self.try_connect(server, address).await? {
@@ -55,12 +55,12 @@
                 });
             }
             is_short_of_resources.set(true);
-            permit.check().map_err(ConnectFailure::Withheld)?;
+            permit.check().map_err(ConnectFailure::Denied)?;
             self.wait_for_reconnect().await;
         }
     }
 
-    /// Makes a new connection; none if this machine lacks the resources for it.
+    /// Makes a new connection. Returns `None` if this machine lacks the resources for it.
     async fn try_connect(
         &self,
         server: &ServerId,
@@ -79,6 +79,7 @@
         }
     }
 
+    /// Waits until this attempt may retry to connect.
     async fn wait_for_reconnect(&self) {
         let earliest = Instant::now() + RECONNECT_DELAY;
         let reconnect_at = earliest.max(self.next_reconnect_at.get());
--- a/crates/http1/src/backend/outgoing.rs
+++ b/crates/http1/src/backend/outgoing.rs
@@ -1,4 +1,4 @@
-//! The engine's view of a request for a server.
+//! Implements the engine's [`Payload`] for HTTP/1 requests.
 
 use super::forwarded_request::ForwardedRequest;
 use super::upstream::Upstream;
@@ -7,11 +7,11 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// A request for whichever server is chosen.
+/// Request that the engine sends to the server it chooses, and to another one if it retries.
 pub struct OutgoingRequest {
-    /// What the server receives.
+    /// Request as the servers receive it.
     pub request: Rc<ForwardedRequest>,
-    /// The servers, and the connections to them.
+    /// Servers, and the connections to them.
     pub upstream: Rc<Upstream>,
 }
 
--- a/crates/http1/src/backend/pooled_connection.rs
+++ b/crates/http1/src/backend/pooled_connection.rs
@@ -1,4 +1,4 @@
-//! Connections that count against the limit of the pool.
+//! Connections to servers that count against the pool's limit.
 
 use crate::conn::ServerConnection;
 use std::cell::Cell;
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Counts one connection as open until it is dropped.
+/// Slot of the pool: counts one connection as open until the slot is dropped.
 pub(super) struct ConnectionSlot {
     open_connections: Rc<Cell<usize>>,
 }
@@ -24,7 +24,7 @@
     }
 }
 
-/// A connection with its slot in the pool.
+/// Connection with its slot of the pool.
 pub(super) struct PooledConnection {
     pub(super) conn: ServerConnection,
     _slot: ConnectionSlot,
@@ -36,15 +36,17 @@
     }
 }
 
-/// A connection that waits for its next request.
+/// Connection that waits for its next request.
 pub(super) struct IdleConnection {
     pub(super) connection: PooledConnection,
-    pub(super) since: Instant,
+    /// Time at which the connection's last request was finished.
+    pub(super) idle_since: Instant,
 }
 
 impl IdleConnection {
-    /// Whether it may carry another request, at an age of less than `max_age`.
+    /// Returns whether the connection may carry another request: it has been idle for less than `max_age`, is open, and
+    /// has no unread bytes.
     pub(super) fn is_usable(&self, now: Instant, max_age: Duration) -> bool {
-        now.duration_since(self.since) < max_age && self.connection.conn.is_reusable()
+        now.duration_since(self.idle_since) < max_age && self.connection.conn.is_reusable()
     }
 }
--- a/crates/http1/src/backend/response_stream.rs
+++ b/crates/http1/src/backend/response_stream.rs
@@ -1,4 +1,4 @@
-//! A long response on its way through the gateway.
+//! The rest of a long response, which is streamed to the client.
 
 use super::pooled_connection::PooledConnection;
 use crate::conn::RemainingBody;
@@ -6,7 +6,7 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// The unread part of a long response, and the connection that it arrives on.
+/// Unread part of a long response, and the connection on which it arrives.
 pub struct ResponseStream {
     pub(super) rest: RemainingBody,
     pub(super) connection: PooledConnection,
@@ -16,15 +16,15 @@
 }
 
 impl ResponseStream {
-    /// Length of the whole body in bytes, where the head declares it.
+    /// Returns the length of the whole body in bytes, if the response's head declares it.
     pub fn declared_length(&self) -> Option<usize> {
         self.rest.declared_length()
     }
 
-    /// Reads more of the body into `part`, in place of what it holds. Returns whether the body is complete.
+    /// Replaces the content of `part` with the next part of the body. Returns whether the body is complete.
     ///
     /// # Errors
-    /// The connection fails, or the body is malformed.
+    /// Fails if the connection fails or the body is malformed.
     pub async fn read_part(&mut self, part: &mut Vec<u8>) -> io::Result<bool> {
         let conn = &self.connection.conn;
         conn.read_body_part(&mut self.rest, part).await
--- a/crates/http1/src/backend/server_table.rs
+++ b/crates/http1/src/backend/server_table.rs
@@ -1,4 +1,4 @@
-//! The servers that are known, by identifier and by address.
+//! Table of the known HTTP/1 servers, by identifier and by address.
 
 use super::pooled_connection::IdleConnection;
 use frosthatch_engine::{Endpoint, EndpointState, Protocol};
@@ -8,14 +8,14 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// One server and the idle connections to it.
+/// Server and the idle connections to it.
 pub(super) struct Server {
     pub(super) address: SocketAddr,
-    /// Takes new requests.
+    /// Whether the server takes new requests.
     pub(super) is_ready: bool,
-    /// In the order in which they became idle.
+    /// Idle connections, the longest idle one first.
     pub(super) idle: Vec<IdleConnection>,
-    /// Ends the attempts in flight once the server is removed.
+    /// Notified when the server is removed, which ends its attempts in flight.
     pub(super) removed: Rc<Notify>,
 }
 
@@ -36,17 +36,18 @@
     }
 }
 
-/// The servers, kept up to date from the endpoint list.
+/// Table of the servers, updated from the endpoint list.
 #[derive(Default)]
 pub(super) struct ServerTable {
     pub(super) servers: HashMap<ServerId, Server>,
-    /// Several at one address only until the removal of the older ones is notified.
+    /// Identifiers of the servers at each address, the newest last. An address has more than one only until the
+    /// endpoint list reports the older ones as gone.
     by_address: HashMap<SocketAddr, Vec<ServerId>>,
 }
 
 impl ServerTable {
-    /// Applies changes of the endpoint list; with a complete list, servers that it leaves out are removed. Connections to
-    /// servers that are gone, draining or at another address are closed.
+    /// Applies changes of the endpoint list. A complete list also removes the servers that it does not contain. Closes
+    /// the idle connections to servers that are gone, are draining or have changed their address.
     pub(super) fn apply(&mut self, is_complete_list: bool, endpoints: &[Endpoint]) {
         let http1_endpoints: Vec<&Endpoint> = endpoints
             .iter()
@@ -80,7 +81,7 @@
 
     fn remove(&mut self, id: &ServerId) {
         if let Some(server) = self.servers.remove(id) {
-            self.leave_address(id, server.address);
+            self.remove_from_address(id, server.address);
         }
     }
 
@@ -99,14 +100,14 @@
             return;
         }
         if let Some(previous_address) = previous_address {
-            self.leave_address(&id, previous_address);
+            self.remove_from_address(&id, previous_address);
         }
-        self.take_address(id, endpoint.address);
+        self.add_to_address(id, endpoint.address);
     }
 
-    /// Enters a server at its address. Others there stop taking requests, which would reach the new one under their
-    /// names: addresses are used again, and the removal of an old server may be notified later.
-    fn take_address(&mut self, id: ServerId, address: SocketAddr) {
+    /// Adds a server to its address. Addresses are reused, and the endpoint list may report the old server as gone
+    /// later: older servers at the address stop taking requests, which would otherwise reach the new server.
+    fn add_to_address(&mut self, id: ServerId, address: SocketAddr) {
         let ids = self.by_address.entry(address).or_default();
         for older_id in ids.iter() {
             if let Some(older) = self.servers.get_mut(older_id) {
@@ -117,7 +118,7 @@
         ids.push(id);
     }
 
-    fn leave_address(&mut self, id: &ServerId, address: SocketAddr) {
+    fn remove_from_address(&mut self, id: &ServerId, address: SocketAddr) {
         if let Some(ids) = self.by_address.get_mut(&address) {
             ids.retain(|other| other != id);
             if ids.is_empty() {
--- a/crates/http1/src/backend/upstream.rs
+++ b/crates/http1/src/backend/upstream.rs
@@ -1,4 +1,4 @@
-//! The connections to all servers: which are idle, how many there may be, and when they are closed.
+//! The pool of connections to servers: keeps idle connections, limits the number of open ones, and closes stale ones.
 
 use super::pooled_connection::{ConnectionSlot, IdleConnection, PooledConnection};
 use super::response_stream::ResponseStream;
@@ -16,32 +16,33 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, Instant};
 
-/// A connection is not used again sooner than this after a response. Guards against a second response to the same
-/// request, some milliseconds late, which would be taken for the next one's: meanwhile it shows as unsolicited.
-const MIN_REST: Duration = Duration::from_millis(25);
-/// Idle connections are checked this often.
-const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// Minimum idle time before a connection is reused. A server may send a second response to a request, some milliseconds
+/// late, which would be taken for the response to the next request; on an idle connection it is detected as
+/// unsolicited.
+const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(25);
+/// Interval at which idle connections are checked.
+const STALE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Bounds on the connections to servers.
+/// Limits on the connections to servers.
 pub struct UpstreamLimits {
-    /// A server that takes longer to accept a connection is unreachable.
+    /// Time after which a server that has not accepted a connection counts as unreachable.
     pub connect_timeout: Duration,
-    /// Idle connections are closed after this, well before a server closes them.
+    /// Time after which an idle connection is closed; it is well below the servers' own idle timeout.
     pub idle_timeout: Duration,
-    /// Most connections to all servers together.
+    /// Maximum number of open connections to all servers together.
     pub max_connections: usize,
-    /// Bytes that the bodies of long requests may take together.
+    /// Maximum number of bytes that the bodies of all long requests take together.
     pub max_long_request_bytes: usize,
 }
 
-/// Where new requests for a server go.
+/// Destination of new requests for a server.
 pub(super) struct Route {
     pub(super) address: SocketAddr,
-    /// Notified once the server is removed.
+    /// Notified when the server is removed.
     pub(super) removed: Rc<Notify>,
 }
 
-/// The servers, and the connections to them.
+/// Servers, and the pool of connections to them.
 pub struct Upstream {
     pub(super) limits: UpstreamLimits,
     max_connections: Cell<usize>,
@@ -49,13 +50,13 @@
     open_connections: Rc<Cell<usize>>,
     pub(super) counters: Rc<RequestCounters>,
     pub(super) staleness: RefCell<StalenessEstimator>,
-    /// When this machine may retry a connection that it could not make.
+    /// Earliest time of the next retry of a connection that this machine lacked the resources to make.
     pub(super) next_reconnect_at: Cell<Instant>,
     long_request_bytes_available: Arc<AtomicUsize>,
 }
 
 impl Upstream {
-    /// No servers yet; they come from the endpoint list.
+    /// Creates a pool without servers; they are added by updates of the endpoint list.
     pub fn new(limits: UpstreamLimits, counters: Rc<RequestCounters>) -> Self {
         Upstream {
             max_connections: Cell::new(limits.max_connections),
@@ -69,24 +70,24 @@
         }
     }
 
-    /// Changes the most connections to all servers; those that are open stay.
-    pub fn set_max_connections(&self, connections: usize) {
-        self.max_connections.set(connections);
+    /// Changes the maximum number of connections to all servers together. Open connections stay open.
+    pub fn set_max_connections(&self, max_connections: usize) {
+        self.max_connections.set(max_connections);
     }
 
-    /// An empty reservation for the body of a long request.
+    /// Returns an empty reservation for the body of a long request.
     pub(crate) fn reserve_body_memory(&self) -> BodyReservation {
         BodyReservation::new(self.long_request_bytes_available.clone())
     }
 
-    /// Takes back the connection of a response that has been read to its end.
+    /// Returns the connection of a completely read response to the pool, if it is reusable.
     pub(crate) fn finish_stream(&self, stream: ResponseStream) {
         if stream.is_reusable {
             self.put_back(&stream.server, stream.address, stream.connection);
         }
     }
 
-    /// Where new requests for a server go; none if it is draining or gone.
+    /// Returns the destination of new requests for a server; `None` if the server is draining or gone.
     pub(super) fn route(&self, server: &ServerId) -> Option<Route> {
         let table = self.table.borrow();
         let server = table.servers.get(server).filter(|s| s.is_ready)?;
@@ -96,12 +97,16 @@
         })
     }
 
-    /// Takes the usable connection that has been idle for the shortest time: the others can age and be closed.
+    /// Takes the usable connection that has been idle for the shortest time, so that those not needed reach their idle
+    /// timeout.
     pub(super) fn take_idle(&self, server: &ServerId) -> Option<IdleConnection> {
         let mut table = self.table.borrow_mut();
         let idle = &mut table.servers.get_mut(server)?.idle;
         let max_age = self.max_idle_age();
-        while let Some(index) = idle.iter().rposition(|i| i.since.elapsed() >= MIN_REST) {
+        while let Some(index) = idle
+            .iter()
+            .rposition(|i| i.idle_since.elapsed() >= MIN_IDLE_BEFORE_REUSE)
+        {
             let candidate = idle.remove(index);
             if candidate.is_usable(Instant::now(), max_age) {
                 return Some(candidate);
@@ -110,7 +115,8 @@
         None
     }
 
-    /// Makes a connection idle, or closes it if it cannot be used again.
+    /// Returns a connection to the pool, or closes it if it is not reusable or the server no longer takes requests at
+    /// `address`.
     pub(super) fn put_back(
         &self,
         server: &ServerId,
@@ -128,13 +134,13 @@
         if connection.conn.is_reusable() {
             same_server.idle.push(IdleConnection {
                 connection,
-                since: Instant::now(),
+                idle_since: Instant::now(),
             });
         }
     }
 
-    /// Reserves a slot for a new connection. At the limit, closes the one that has been idle longest; none if there is
-    /// no idle one.
+    /// Reserves a slot for a new connection. At the limit, closes the connection that has been idle longest; returns
+    /// `None` if no connection is idle.
     pub(super) fn reserve_slot(&self) -> Option<ConnectionSlot> {
         if self.open_connections.get() >= self.max_connections.get() {
             let is_closed = self.close_longest_idle();
@@ -145,10 +151,10 @@
         Some(ConnectionSlot::new(self.open_connections.clone()))
     }
 
-    /// Returns whether there was an idle connection to close.
+    /// Closes the connection that has been idle longest. Returns false if no connection is idle.
     fn close_longest_idle(&self) -> bool {
         let mut table = self.table.borrow_mut();
-        let idle_since = |server: &&mut Server| server.idle.first().map(|i| i.since);
+        let idle_since = |server: &&mut Server| server.idle.first().map(|i| i.idle_since);
         let server = table
             .servers
             .values_mut()
@@ -161,11 +167,13 @@
         true
     }
 
+    /// Returns the idle time from which on a connection is not reused.
     fn max_idle_age(&self) -> Duration {
         let learned_limit = self.staleness.borrow().max_idle_age();
         self.limits.idle_timeout.min(learned_limit)
     }
 
+    /// Closes the idle connections that are too old or not reusable. Called once per [`STALE_CHECK_INTERVAL`].
     fn close_stale_connections(&self) {
         self.staleness.borrow_mut().decay();
         let now = Instant::now();
@@ -182,10 +190,11 @@
     }
 }
 
-/// Closes, once a second and without end, connections that have been idle for too long or were closed by their server.
+/// Closes, once a second, the connections that have been idle for too long or were closed by their server. Never
+/// returns.
 pub async fn close_stale_connections(upstream: Rc<Upstream>) {
     loop {
-        sleep(SWEEP_INTERVAL).await;
+        sleep(STALE_CHECK_INTERVAL).await;
         upstream.close_stale_connections();
     }
 }
--- a/crates/http1/src/body_memory.rs
+++ b/crates/http1/src/body_memory.rs
@@ -1,16 +1,16 @@
-//! The memory that long request bodies share.
+//! Accounts for the memory of long request bodies against a shared budget.
 
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 use std::sync::Arc;
 
-/// The bytes that one request body has reserved from a shared budget. Dropping it returns them.
+/// Bytes that one request body has reserved from a shared budget. Dropping the reservation returns them.
 pub struct BodyReservation {
     available_bytes: Arc<AtomicUsize>,
     reserved_bytes: usize,
 }
 
 impl BodyReservation {
-    /// An empty reservation; `available_bytes` is what is left of the shared budget.
+    /// Creates an empty reservation; `available_bytes` is the unreserved part of the shared budget.
     pub fn new(available_bytes: Arc<AtomicUsize>) -> Self {
         BodyReservation {
             available_bytes,
@@ -18,8 +18,8 @@
         }
     }
 
-    /// Grows the reservation to `total_bytes`, if the budget allows; it never shrinks. Returns whether that much is
-    /// reserved.
+    /// Grows the reservation to at least `total_bytes`. Returns false, and leaves the reservation unchanged, if the
+    /// budget does not suffice. A reservation never shrinks.
     pub fn try_grow_to(&mut self, total_bytes: usize) -> bool {
         let missing_bytes = total_bytes.saturating_sub(self.reserved_bytes);
         let is_granted = self
--- a/crates/http1/src/chunked.rs
+++ b/crates/http1/src/chunked.rs
@@ -1,17 +1,18 @@
-//! Decoder of chunked bodies (RFC 9112 section 7.1), fed as they arrive. No I/O.
+//! Incremental decoder of chunked bodies (RFC 9112 section 7.1), without I/O.
 
 use crate::error::MessageError;
 use httparse::Status;
 
-/// Longest size line, with its extensions.
+/// Maximum length of a size line, including chunk extensions.
 const MAX_SIZE_LINE_BYTES: usize = 4 << 10;
-/// Longest line of the trailer section.
+/// Maximum length of a line of the trailer section.
 const MAX_TRAILER_LINE_BYTES: usize = 16 << 10;
-/// Bytes around the data of the chunks that are always allowed...
+/// Maximum number of bytes of size lines, chunk ends and trailers, unless [`MAX_OVERHEAD_RATIO`] allows more.
 const MAX_OVERHEAD_BYTES: usize = 256 << 10;
-/// ...and how many times the data they may take where that is more.
+/// Maximum ratio of these bytes to the bytes of data, where it allows more than [`MAX_OVERHEAD_BYTES`].
 const MAX_OVERHEAD_RATIO: usize = 4;
 
+/// The element of the body that is decoded next.
 #[derive(Debug, Default, PartialEq)]
 enum State {
     #[default]
@@ -33,33 +34,34 @@
 }
 
 impl ChunkedDecoder {
-    /// Takes what belongs to the body off the start of `input` and appends the data in it to `body`. Returns whether the
-    /// body is complete; what follows it stays in `input`.
+    /// Removes encoded bytes from the start of `input` and appends the decoded data to `body`. Returns whether the body
+    /// is complete. Incomplete elements, and the bytes after the body, stay in `input`.
     ///
     /// # Errors
-    /// The input is not a chunked body, or takes too many bytes around its data.
+    /// Fails if the input is not a chunked body, or its overhead exceeds the limits.
     pub fn decode(
         &mut self,
         input: &mut Vec<u8>,
         body: &mut Vec<u8>,
     ) -> Result<bool, MessageError> {
-        let mut used_bytes = 0;
-        let is_complete = self.decode_available(input, &mut used_bytes, body);
-        input.drain(..used_bytes);
+        let mut decoded_input_bytes = 0;
+        let is_complete = self.decode_available(input, &mut decoded_input_bytes, body);
+        input.drain(..decoded_input_bytes);
         if self.overhead_bytes > MAX_OVERHEAD_BYTES.max(MAX_OVERHEAD_RATIO * self.data_bytes) {
             return Err(MessageError::ChunkOverhead);
         }
         is_complete
     }
 
+    /// Decodes the complete elements of `input` and adds their lengths to `decoded_input_bytes`.
     fn decode_available(
         &mut self,
         input: &[u8],
-        used_bytes: &mut usize,
+        decoded_input_bytes: &mut usize,
         body: &mut Vec<u8>,
     ) -> Result<bool, MessageError> {
         loop {
-            let rest = &input[*used_bytes..];
+            let rest = &input[*decoded_input_bytes..];
             let consumed_bytes = match self.state {
                 State::Size => self.decode_size(rest)?,
                 State::Data { remaining_bytes } => self.decode_data(rest, remaining_bytes, body),
@@ -70,11 +72,12 @@
             let Some(consumed_bytes) = consumed_bytes else {
                 return Ok(false);
             };
-            *used_bytes += consumed_bytes;
+            *decoded_input_bytes += consumed_bytes;
         }
     }
 
-    /// Like the other steps, returns how many bytes it consumed; none if more are needed.
+    /// Decodes a size line. Like the other steps, returns the number of bytes consumed, or `None` if more input is
+    /// needed.
     fn decode_size(&mut self, rest: &[u8]) -> Result<Option<usize>, MessageError> {
         let parsed = httparse::parse_chunk_size(rest).map_err(|_| MessageError::ChunkSize)?;
         let Status::Complete((line_bytes, size)) = parsed else {
@@ -129,7 +132,7 @@
         Ok(Some(2))
     }
 
-    /// Checks and discards one field of the trailer section, or the empty line that ends it.
+    /// Checks and discards one field line of the trailer section, or the empty line that ends the section.
     fn decode_trailer_line(&mut self, rest: &[u8]) -> Result<Option<usize>, MessageError> {
         let Some(line_end) = rest.windows(2).position(|pair| pair == b"\r\n") else {
             if rest.len() > MAX_TRAILER_LINE_BYTES {
--- a/crates/http1/src/chunked/tests.rs
+++ b/crates/http1/src/chunked/tests.rs
@@ -1,40 +1,41 @@
 use super::{ChunkedDecoder, MAX_SIZE_LINE_BYTES};
 use crate::error::MessageError;
 
-/// Decodes `text` as it arrives in parts of `part_bytes`. Returns the body, what stands behind it, and whether the body is
+/// Decodes `text`, fed in parts of `part_bytes`. Returns the body, the undecoded bytes, and whether the body is
 /// complete.
 fn decode_in_parts(
     text: &[u8],
     part_bytes: usize,
 ) -> Result<(Vec<u8>, Vec<u8>, bool), MessageError> {
     let mut decoder = ChunkedDecoder::default();
-    let mut behind = Vec::new();
+    let mut undecoded = Vec::new();
     let mut body = Vec::new();
     let mut is_complete = false;
     for part in text.chunks(part_bytes) {
-        behind.extend_from_slice(part);
-        is_complete = decoder.decode(&mut behind, &mut body)?;
+        undecoded.extend_from_slice(part);
+        is_complete = decoder.decode(&mut undecoded, &mut body)?;
     }
-    Ok((body, behind, is_complete))
+    Ok((body, undecoded, is_complete))
 }
 
 #[test]
-fn chunks_extensions_and_trailers_are_decoded_however_they_are_split() {
+fn chunks_extensions_and_trailers_are_decoded_at_any_split() {
     let text = b"4;a=b\r\nabcd\r\n0A\r\n0123456789\r\n0\r\nX-Sum: 1\r\nY:\r\n\r\nGET";
     for step in 1..text.len() {
-        let (body, behind, is_complete) = decode_in_parts(text, step).expect("in order");
+        let (body, undecoded, is_complete) =
+            decode_in_parts(text, step).expect("the chunked body is valid");
         assert_eq!(
-            (&body[..], &behind[..], is_complete),
+            (&body[..], &undecoded[..], is_complete),
             (&b"abcd0123456789"[..], &b"GET"[..], true),
-            "{step}"
+            "the body is decoded in parts of {step} bytes"
         );
     }
-    let without_last_chunk = decode_in_parts(b"4\r\nabcd\r\n", 3).expect("in order");
+    let without_last_chunk = decode_in_parts(b"4\r\nabcd\r\n", 3).expect("the chunk is valid");
     assert!(!without_last_chunk.2);
 }
 
 #[test]
-fn malformed_chunks_and_too_much_overhead_are_errors() {
+fn malformed_chunks_and_excessive_overhead_are_errors() {
     let long = [b"1;".to_vec(), vec![b'x'; MAX_SIZE_LINE_BYTES + 10]].concat();
     for text in [
         &b"x\r\n"[..],
@@ -46,7 +47,7 @@
     ] {
         assert!(
             decode_in_parts(text, 7).is_err(),
-            "{:?}",
+            "{:?} is malformed",
             String::from_utf8_lossy(text)
         );
     }
@@ -59,6 +60,6 @@
         decode_in_parts(&tiny_chunks, 4_096)
             .map(|_| ())
             .map_err(|error| error.to_string()),
-        Err("too much around its chunks".to_string())
+        Err("too much chunk overhead".to_string())
     );
 }
--- a/crates/http1/src/conn.rs
+++ b/crates/http1/src/conn.rs
@@ -1,5 +1,5 @@
-//! One connection to a server, with one request at a time. A response that does not fit its own framing is an error, and
-//! its request may then have been executed all the same.
+//! Connection to a server, which carries one request at a time. A response that contradicts its own framing is an
+//! error; its request may have been executed nevertheless.
 
 mod body;
 mod response;
@@ -19,54 +19,55 @@
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 
-/// Most interim responses ahead of the final one.
+/// Maximum number of interim responses before the final one.
 const MAX_INTERIM_RESPONSES: usize = 16;
 
-/// How far a request has been written.
+/// Progress of writing a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteProgress {
-    /// None of its bytes have left.
+    /// No byte of the request has been written.
     NotBegun,
-    /// Some of its bytes have left.
+    /// Some bytes of the request have been written.
     Begun,
 }
 
-/// A request to be written.
+/// Request to write to a server, and the callbacks that observe the writing.
 pub struct Sending<'a> {
     /// Head and body.
     pub request: [&'a [u8]; 2],
-    /// Number of bytes that have left; while a long body is being written, only those of the head.
+    /// Number of bytes written so far. While a long body is being written, it counts only the bytes of the head.
     pub written: &'a Cell<usize>,
-    /// Whether the next bytes may be written; called immediately before each write.
+    /// Checks that the next bytes may be written. Called immediately before each write; an error ends the exchange.
     pub may: &'a dyn Fn(WriteProgress) -> Result<(), WriteDenied>,
-    /// Called once all bytes have left.
+    /// Called when all bytes have been written.
     pub whole: &'a dyn Fn(),
 }
 
-/// A connection to a server. It closes when it is dropped.
+/// Connection to a server, which closes when it is dropped.
 pub struct ServerConnection {
     stream: TcpStream,
 }
 
 impl ServerConnection {
-    /// Connects to `address`, without a time limit.
+    /// Connects to `address`, without a timeout.
     ///
     /// # Errors
-    /// The server cannot be reached, or this machine cannot connect.
+    /// Fails if the server cannot be reached or this machine lacks the resources to connect.
     pub async fn open(address: SocketAddr) -> Result<ServerConnection, ConnectError> {
         let stream = connect(address).await?;
         Ok(ServerConnection { stream })
     }
 
-    /// Whether another request may be sent: the connection is open, and no unsolicited bytes have arrived.
+    /// Returns whether another request may be sent: the connection is open, and no unsolicited bytes have arrived.
     pub fn is_reusable(&self) -> bool {
         peek(&self.stream).is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Sends a request and reads its response: all of it, or only the beginning of a body longer than `max_body_bytes`.
+    /// Sends a request and reads its response. Of a body longer than `max_body_bytes`, reads only the beginning;
+    /// [`ServerConnection::read_body_part`] reads the remainder by the response's `rest`.
     ///
     /// # Errors
-    /// The request may not be written, the connection fails, or the response is malformed.
+    /// Fails if `sending` denies a write, the connection fails, or the response is malformed.
     pub async fn exchange(
         &self,
         sending: Sending<'_>,
@@ -80,13 +81,13 @@
             return Err(MessageError::BodyTooLong.into());
         }
         let body = RemainingBody::new(framing, buffer);
-        self.read_first_bytes(response, body, max_body_bytes).await
+        self.read_body_start(response, body, max_body_bytes).await
     }
 
-    /// Reads more of a long body into `part`, in place of what it holds. Returns whether the body is complete.
+    /// Replaces the content of `part` with the next part of a long body. Returns whether the body is complete.
     ///
     /// # Errors
-    /// The connection fails, or the body is malformed.
+    /// Fails if the connection fails or the body is malformed.
     pub async fn read_body_part(
         &self,
         rest: &mut RemainingBody,
@@ -97,7 +98,7 @@
         rest.decode_into(part, at_end)
     }
 
-    /// Writes all of a request, unless a check denies it or the server sends something before it is complete.
+    /// Writes a request. Fails if a check denies a write, or if the server sends bytes before the request is complete.
     async fn send(&self, sending: &Sending<'_>) -> io::Result<()> {
         let [head, body] = sending.request;
         let written = sending.written;
@@ -113,6 +114,7 @@
         result
     }
 
+    /// Checks that the next bytes of a request may be written.
     fn check_write(&self, sending: &Sending<'_>) -> io::Result<()> {
         let progress = if sending.written.get() == 0 {
             WriteProgress::NotBegun
@@ -120,8 +122,8 @@
             WriteProgress::Begun
         };
         (sending.may)(progress).map_err(io::Error::other)?;
-        // Guards against a late response to an earlier request, which would be taken for this one's: no response is due
-        // before the last byte of the request has left.
+        // A late response to an earlier request would be taken for the response to this one. No response is due before
+        // the last byte of the request has been written, so any bytes that arrive earlier are unsolicited.
         if self.is_reusable() {
             Ok(())
         } else {
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Reads the final head and takes it off the buffer; interim responses ahead of it are skipped.
+    /// Reads the head of the final response and removes it from the buffer. Skips interim responses.
     async fn read_final_head(
         &self,
         buffer: &mut Vec<u8>,
@@ -154,6 +156,7 @@
         }
     }
 
+    /// Reads more bytes into `buffer`. Fails at the end of the connection.
     async fn read_more(&self, buffer: &mut Vec<u8>) -> io::Result<()> {
         match read_some(&self.stream, buffer).await? {
             0 => Err(io::ErrorKind::UnexpectedEof.into()),
@@ -161,8 +164,9 @@
         }
     }
 
-    /// Reads the body into `response`; of one longer than `max_bytes` only the beginning, with the rest beside it.
-    async fn read_first_bytes(
+    /// Reads the body into `response`. Of a body longer than `max_bytes`, reads only the beginning and stores `rest` in
+    /// `response`.
+    async fn read_body_start(
         &self,
         mut response: ServerResponse,
         mut rest: RemainingBody,
@@ -179,7 +183,7 @@
                 response.reusable &= rest.buffer.is_empty();
                 break;
             }
-            // Of a body that is declared long the first bytes that arrive are enough.
+            // A body that is declared long is streamed from its first bytes on.
             if body.len() > max_bytes || is_declared_long && !body.is_empty() {
                 response.rest = Some(rest);
                 break;
--- a/crates/http1/src/conn/body.rs
+++ b/crates/http1/src/conn/body.rs
@@ -1,30 +1,30 @@
-//! The body of a response, decoded as it arrives.
+//! Incremental decoding of response bodies.
 
 use crate::chunked::ChunkedDecoder;
 use crate::error::MessageError;
 use crate::limits::MAX_LONG_BODY_BYTES;
 use std::io;
 
-/// How the end of a response's body is found.
+/// Framing of a response's body.
 pub(super) enum ResponseFraming {
-    /// After so many bytes.
+    /// The body has this length in bytes.
     Length(usize),
-    /// After the last chunk.
+    /// The body ends after its last chunk and the trailer section.
     Chunked(ChunkedDecoder),
-    /// At the end of the connection (RFC 9112 section 6.3).
+    /// The body ends when the server closes the connection (RFC 9112 section 6.3).
     UntilClose,
 }
 
-/// The part of a response's body that the caller has not received yet.
+/// Part of a response's body that has not been returned to the caller yet.
 pub struct RemainingBody {
     framing: ResponseFraming,
-    /// Read from the connection, not yet decoded.
+    /// Bytes read from the connection that are not decoded yet.
     pub(super) buffer: Vec<u8>,
     decoded_bytes: usize,
 }
 
 impl RemainingBody {
-    /// A body of which nothing has been decoded; `buffer` holds what was read behind the head.
+    /// Creates a body of which nothing has been decoded. `buffer` contains the bytes read after the head.
     pub(super) fn new(framing: ResponseFraming, buffer: Vec<u8>) -> Self {
         RemainingBody {
             framing,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Length of the whole body in bytes, where the head declares it.
+    /// Returns the length of the whole body in bytes, if the response's head declares it.
     pub fn declared_length(&self) -> Option<usize> {
         match self.framing {
             ResponseFraming::Length(length) => Some(length),
@@ -41,8 +41,8 @@
         }
     }
 
-    /// Moves what has arrived of the body behind `body`. `at_end`: the connection has ended. Returns whether the body is
-    /// complete.
+    /// Decodes the buffered bytes and appends them to `body`. `at_end` states that the connection has ended. Returns
+    /// whether the body is complete.
     pub(super) fn decode_into(&mut self, body: &mut Vec<u8>, at_end: bool) -> io::Result<bool> {
         let bytes_before = body.len();
         let is_complete = match &mut self.framing {
@@ -67,7 +67,8 @@
     }
 }
 
-/// Moves at most `missing_bytes` from the start of `buffer` behind `body`; returns whether that many were there.
+/// Moves up to `missing_bytes` from the start of `buffer` to the end of `body`. Returns whether `buffer` held that
+/// many.
 fn take_up_to(
     buffer: &mut Vec<u8>,
     missing_bytes: usize,
@@ -77,19 +78,19 @@
         body.append(buffer);
         return Ok(false);
     }
-    let behind = buffer.split_off(missing_bytes);
+    let following = buffer.split_off(missing_bytes);
     body.append(buffer);
-    *buffer = behind;
-    // Guards against a declared length that is too short: the rest of the body would stand behind it. Only the beginning
-    // of another response is known to be no part of this one.
-    if !may_begin_response(buffer) {
+    *buffer = following;
+    // If the declared length is too short, the rest of the body follows it. Only the start of another response is known
+    // not to belong to this body.
+    if !could_start_response(buffer) {
         return Err(MessageError::BodyExceedsLength);
     }
     Ok(true)
 }
 
-/// Whether the bytes are none, or the beginning of a response.
-fn may_begin_response(bytes: &[u8]) -> bool {
+/// Returns whether `bytes` is empty or the start of a response.
+fn could_start_response(bytes: &[u8]) -> bool {
     let start = b"HTTP/1.";
     start.starts_with(bytes) || bytes.starts_with(start)
 }
--- a/crates/http1/src/conn/response.rs
+++ b/crates/http1/src/conn/response.rs
@@ -1,4 +1,4 @@
-//! A server's response, and the parser of its head.
+//! Responses of servers, and the parser of their heads.
 
 use super::body::{RemainingBody, ResponseFraming};
 use crate::chunked::ChunkedDecoder;
@@ -9,40 +9,41 @@
 use frosthatch_traffic_control::LoadMetric;
 use httparse::{Header, Status, EMPTY_HEADER};
 
+/// Header with the server's load report.
 const LOAD_METRICS_HEADER: &str = "endpoint-load-metrics";
-/// Percentage of a limit that the request has used.
+/// Header with the used percentage of a metered limit.
 const METERED_USE_HEADER: &str = "x-ratelimit-used";
-/// Set by a server that guarantees not to have executed the request.
+/// Header by which a server guarantees, with the value `1`, that it has not executed the request.
 const NEVER_RAN_HEADER: &str = "x-never-ran";
 
-/// A response, complete but for what `rest` holds.
+/// Response of a server, complete except for the part in `rest`.
 #[derive(Default)]
 pub struct ServerResponse {
     /// Status code.
     pub status: u16,
-    /// The body, or its first bytes if there is a `rest`.
+    /// Body, or its beginning if `rest` is present.
     pub body: Bytes,
-    /// The server guarantees that the request was not executed.
+    /// Whether the server guarantees that the request was not executed.
     pub never_ran: bool,
-    /// Fraction of a metered limit that the server reports as used.
+    /// Used fraction of a metered limit, if the server reports it.
     pub metered_use: Option<f64>,
-    /// The load that the server reports.
+    /// Load metrics that the server reports.
     pub load_report: Vec<(LoadMetric, f64)>,
-    /// The connection stays open, and nothing follows the response on it.
+    /// Whether the connection stays open and no bytes follow the response on it.
     pub reusable: bool,
-    /// The part of a long body that has not been read yet.
+    /// Unread part of a long body.
     pub rest: Option<RemainingBody>,
 }
 
-/// A parsed head.
+/// Parsed head of a response.
 pub(super) enum ResponseHead {
-    /// An interim response (1xx): the final one follows.
+    /// Interim response (1xx), which the final response follows.
     Interim,
-    /// The final response, still without its body.
+    /// Final response, still without its body, and the framing of the body.
     Final(ServerResponse, ResponseFraming),
 }
 
-/// A parsed head and the number of bytes it takes; none while it is incomplete.
+/// Parses the head at the start of `buffer`. Returns the head and its length in bytes, or `None` if it is incomplete.
 pub(super) fn parse_response_head(
     buffer: &[u8],
 ) -> Result<Option<(ResponseHead, usize)>, MessageError> {
@@ -59,7 +60,7 @@
     }
     let headers = &*head.headers;
     let framing = response_framing(status, headers)?;
-    let stays_open = head.version == Some(1)
+    let is_persistent = head.version == Some(1)
         && !announces_close(headers)
         && !matches!(framing, ResponseFraming::UntilClose);
     let response = ServerResponse {
@@ -71,12 +72,13 @@
             .map(|percent| percent / 100.0),
         load_report: find_header(headers, LOAD_METRICS_HEADER)
             .map_or_else(Vec::new, parse_load_report),
-        reusable: stays_open,
+        reusable: is_persistent,
         rest: None,
     };
     Ok(Some((ResponseHead::Final(response, framing), head_bytes)))
 }
 
+/// Determines the framing of a response's body.
 fn response_framing(status: u16, headers: &[Header<'_>]) -> Result<ResponseFraming, MessageError> {
     let codings: Vec<&str> = headers
         .iter()
@@ -90,18 +92,18 @@
             Ok(ResponseFraming::Chunked(ChunkedDecoder::default()))
         }
         (None, []) if status == 200 => Ok(ResponseFraming::UntilClose),
-        // With both, or with another coding, the end cannot be known.
+        // The end of the body is ambiguous with both headers, and unknown with another coding.
         _ => Err(MessageError::Framing),
     }
 }
 
-/// A finite number that is not negative.
+/// Parses a finite number that is not negative.
 fn parse_quantity(text: &str) -> Option<f64> {
     let value: f64 = text.trim().parse().ok()?;
     (value.is_finite() && value >= 0.0).then_some(value)
 }
 
-/// Parses `TEXT inflight=7, latency_ms=12.5`; metrics that are unknown or malformed are skipped.
+/// Parses a load report such as `TEXT inflight=7, latency_ms=12.5`. Skips unknown and malformed metrics.
 fn parse_load_report(text: &str) -> Vec<(LoadMetric, f64)> {
     text.strip_prefix("TEXT ").map_or_else(Vec::new, |metrics| {
         metrics.split(',').filter_map(parse_load_metric).collect()
--- a/crates/http1/src/conn/response/tests.rs
+++ b/crates/http1/src/conn/response/tests.rs
@@ -1,9 +1,9 @@
 use super::{parse_load_report, LOAD_METRICS_HEADER, METERED_USE_HEADER, NEVER_RAN_HEADER};
 use frosthatch_traffic_control::LoadMetric;
 
-/// The form of the header is given by the platform.
+/// The platform defines the names and the format of the headers.
 #[test]
-fn a_load_report_is_parsed_by_the_names_of_its_header() {
+fn the_platforms_load_report_and_header_names_are_understood() {
     let report = parse_load_report("TEXT inflight=7, queue=2, latency_ms=12.5, other=1");
     assert_eq!(
         report,
--- a/crates/http1/src/error.rs
+++ b/crates/http1/src/error.rs
@@ -1,45 +1,46 @@
-//! What can be wrong with a message that a peer sends.
+//! Errors in messages that a peer sends.
 
 use std::io;
 
-/// Why a message of a peer cannot be used.
+/// Reason why a peer's message is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// The size line of a chunk is not a size, too large or too long.
-    #[error("a chunk's size")]
+    /// The size line of a chunk is malformed or too long, or its size is too large.
+    #[error("invalid chunk size line")]
     ChunkSize,
-    /// The data of a chunk is not followed by a line end.
-    #[error("a chunk's end")]
+    /// The data of a chunk is not followed by CRLF.
+    #[error("no line end after chunk data")]
     ChunkEnd,
-    /// The trailer section is not a list of fields, or is too long.
-    #[error("its trailer")]
+    /// A line of the trailer section is not a field, or is too long.
+    #[error("invalid trailer section")]
     Trailer,
-    /// Size lines and trailers take far more bytes than the data in the chunks.
-    #[error("too much around its chunks")]
+    /// Size lines, chunk ends and trailers take far more bytes than the data of the chunks.
+    #[error("too much chunk overhead")]
     ChunkOverhead,
-    /// The head is not that of a response.
-    #[error("its head")]
+    /// The head is not a valid response head.
+    #[error("invalid response head")]
     Head,
     /// `Content-Length` is repeated or not a number.
-    #[error("its length")]
+    #[error("Content-Length is repeated or not a number")]
     ContentLength,
-    /// The headers do not tell beyond doubt where the body ends.
-    #[error("its framing")]
+    /// The headers do not define the end of the body unambiguously.
+    #[error("ambiguous or unsupported body framing")]
     Framing,
     /// The body exceeds [`MAX_LONG_BODY_BYTES`](crate::limits::MAX_LONG_BODY_BYTES).
-    #[error("too long")]
+    #[error("body exceeds the size limit")]
     BodyTooLong,
-    /// Bytes that begin no response follow a body of declared length.
-    #[error("longer than it says")]
+    /// A body of declared length is followed by bytes that are not the start of a response.
+    #[error("body is longer than its declared length")]
     BodyExceedsLength,
-    /// Bytes arrived on the connection before the request was written.
-    #[error("ahead of its request")]
+    /// Bytes arrived on the connection before the request was completely written.
+    #[error("bytes received before the request was written")]
     Unsolicited,
-    /// Too many interim responses, or one with too long a head.
-    #[error("no end of heads")]
+    /// There are too many interim responses, or a complete head is longer than
+    /// [`MAX_HEAD_BYTES`](crate::limits::MAX_HEAD_BYTES).
+    #[error("too many interim responses, or a head that is too long")]
     TooManyHeads,
-    /// The head does not end within [`MAX_HEAD_BYTES`](crate::limits::MAX_HEAD_BYTES).
-    #[error("a head without end")]
+    /// The head is incomplete after [`MAX_HEAD_BYTES`](crate::limits::MAX_HEAD_BYTES).
+    #[error("no end of the response head within the size limit")]
     HeadTooLong,
 }
 
--- a/crates/http1/src/headers.rs
+++ b/crates/http1/src/headers.rs
@@ -1,12 +1,12 @@
-//! Headers that both sides read.
+//! Functions that read headers of requests and of responses.
 
 use crate::error::MessageError;
 use httparse::Header;
 
-/// The value of `Content-Length`, if there is one. A value too large for `usize` is read as `usize::MAX`.
+/// Returns the value of `Content-Length`, if the header is present. A value too large for `usize` becomes `usize::MAX`.
 ///
 /// # Errors
-/// The header is repeated or is not a number.
+/// Fails if the header is repeated or is not a number.
 pub fn content_length(headers: &[Header<'_>]) -> Result<Option<usize>, MessageError> {
     let mut values = headers
         .iter()
@@ -23,13 +23,13 @@
     Ok(Some(digits.parse().unwrap_or(usize::MAX)))
 }
 
-/// The value of the first header of that name, if it is UTF-8.
+/// Returns the value of the first header named `name`, if it is valid UTF-8.
 pub fn find_header<'a>(headers: &[Header<'a>], name: &str) -> Option<&'a str> {
     let header = headers.iter().find(|h| h.name.eq_ignore_ascii_case(name))?;
     std::str::from_utf8(header.value).ok()
 }
 
-/// Whether the sender announces that it closes the connection after this message.
+/// Returns whether `Connection: close` announces that the sender closes the connection after this message.
 pub fn announces_close(headers: &[Header<'_>]) -> bool {
     let options = find_header(headers, "connection").unwrap_or("");
     options
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,5 +1,6 @@
-//! HTTP/1.1 on both sides: [`server`] reads the requests of clients and writes the one response to each, [`backend`] sends
-//! them to servers over a pool of connections, [`conn`] is one of these connections.
+//! HTTP/1.1 towards clients and servers: [`server`] reads clients' requests and writes one response to each,
+//! [`backend`] sends requests to servers over a pool of connections, and [`conn`] implements one connection to a
+//! server.
 
 pub mod backend;
 mod body_memory;
--- a/crates/http1/src/server/answering.rs
+++ b/crates/http1/src/server/answering.rs
@@ -1,4 +1,4 @@
-//! Gets the response to a request, from the operator's plugins or from the engine.
+//! Obtains the response to a request from the operator's plugins or from the engine.
 
 use super::bad_request::BadRequest;
 use super::client::ClientConnection;
@@ -15,7 +15,8 @@
 use tokio::time::Instant;
 
 impl HttpServer {
-    /// The reply to a request, by the operator's plugins if there are any; none if its client goes first.
+    /// Returns the reply to a request, after evaluating the operator's plugins if there are any; `None` if the client
+    /// disconnects first.
     pub(super) async fn reply_to(
         &self,
         client: &mut ClientConnection,
@@ -60,15 +61,15 @@
         }))
     }
 
-    /// Counts a response to a request that the engine never saw.
+    /// Counts a response to a request that was not submitted to the engine.
     pub(super) fn count_response(&self, class_index: usize, response: &Response) {
         self.engine
             .counters()
             .record_response(class_index, response);
     }
 
-    /// Submits a request as the plugins' verdict has it, unless the verdict is a response itself: then nothing has been
-    /// executed.
+    /// Applies the plugins' verdict: submits the request with the verdict's changes, or returns the response that the
+    /// verdict requires, without executing the request. Returns `None` if the client disconnects first.
     async fn apply_verdict(
         &self,
         client: &mut ClientConnection,
@@ -81,14 +82,15 @@
             None => return self.submit(client, request).await,
             Some(PluginVerdict::Continue {
                 units,
-                deprioritized: lower,
-                timeout: within,
+                deprioritized: is_low_priority,
+                timeout: response_timeout,
                 headers,
             }) => {
                 request.request.units = request.request.units.max(units.unwrap_or(0.0));
-                request.request.low_priority = lower;
-                if let Some(within) = within {
-                    request.gone_at = request.gone_at.min(started_at + within);
+                request.request.low_priority = is_low_priority;
+                if let Some(response_timeout) = response_timeout {
+                    request.client_deadline =
+                        request.client_deadline.min(started_at + response_timeout);
                 }
                 extra_headers.push_str(&headers);
                 return self.submit(client, request).await;
@@ -100,14 +102,14 @@
         Ok(Some(response))
     }
 
-    /// The engine's response to a request; none if its client goes first.
+    /// Submits a request to the engine. Returns the response; `None` if the client disconnects first.
     async fn submit(
         &self,
         client: &mut ClientConnection,
         client_request: ClientRequest,
     ) -> Result<Option<Response>, BadRequest> {
-        // Guards against forwarding what waited here, unread, until its client had gone.
-        if client.has_gone() {
+        // A request that waited unread in the socket until its client disconnected must not be forwarded.
+        if client.detect_disconnect() {
             return Ok(None);
         }
         let id = client_request.request.id;
@@ -117,25 +119,26 @@
         });
         let submitted = self.engine.submit(IncomingRequest {
             request: client_request.request,
-            client_leaves_at: client_request.gone_at,
+            client_leaves_at: client_request.client_deadline,
             payload,
         });
         let responding = submitted.map_err(|DuplicateRequest| BadRequest::Duplicate)?;
         let mut guard = ClientWaitGuard {
             engine: &self.engine,
-            waiting_for: Some(id),
+            pending_request: Some(id),
         };
         let Some(response) = client.while_connected(responding).await else {
             return Ok(None);
         };
-        guard.waiting_for = None;
+        guard.pending_request = None;
         Ok(Some(
             response.unwrap_or(Response::Failed { timed_out: false }),
         ))
     }
 }
 
-/// What plugins see of a request: its wanted headers are taken, and its body is copied as far as they want it.
+/// Builds the plugins' view of a request: moves the headers that they need out of `request`, and copies as much of the
+/// body as they need.
 fn plugin_request(
     plugins: &dyn RequestPlugins,
     request: &mut ClientRequest,
@@ -143,25 +146,25 @@
 ) -> PluginRequest {
     let wanted_input = plugins.wanted_input();
     let body = &request.forwarded.body;
-    let shown_body_bytes = wanted_input.1.min(body.len());
+    let copied_body_bytes = wanted_input.1.min(body.len());
     PluginRequest {
         request: request.request.clone(),
-        remaining: request.gone_at.saturating_duration_since(now),
-        is_idempotent: request.is_safe,
+        remaining: request.client_deadline.saturating_duration_since(now),
+        is_idempotent: request.is_repeatable,
         headers: std::mem::take(&mut request.plugin_headers),
-        body: body[..shown_body_bytes].to_vec(),
+        body: body[..copied_body_bytes].to_vec(),
     }
 }
 
-/// Notifies the engine that the client has gone, if it is dropped before the response arrives.
+/// Guard that notifies the engine of the client's disconnection if it is dropped before the response arrives.
 struct ClientWaitGuard<'a> {
     engine: &'a Rc<Engine>,
-    waiting_for: Option<RequestId>,
+    pending_request: Option<RequestId>,
 }
 
 impl Drop for ClientWaitGuard<'_> {
     fn drop(&mut self) {
-        if let Some(id) = self.waiting_for {
+        if let Some(id) = self.pending_request {
             self.engine.client_gone(id);
         }
     }
--- a/crates/http1/src/server/bad_request.rs
+++ b/crates/http1/src/server/bad_request.rs
@@ -1,26 +1,26 @@
-//! Requests that are rejected before the engine sees them.
+//! Errors for which a request is rejected before it is submitted to the engine, or by the engine as a duplicate.
 
 use std::time::Duration;
 
-/// A long body for which there is no memory may be sent again after this.
+/// Time after which a request may be retried if there was no memory for its long body.
 pub(super) const BODY_MEMORY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Why a request is rejected; displays as the body of the error response.
+/// Reason why a request is rejected. Its display form is the body of the error response.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum BadRequest {
-    /// The head is not one of HTTP/1, or the body is not framed as declared.
+    /// The head is not valid HTTP/1, or the chunked body is malformed.
     #[error("the request cannot be read")]
     Malformed,
     /// The head exceeds [`MAX_HEAD_BYTES`](crate::limits::MAX_HEAD_BYTES).
     #[error("the head is too long")]
     HeadTooLong,
-    /// The path names no class of requests.
+    /// The path does not name a request class, or contains characters other than printable ASCII.
     #[error("no such class")]
     UnknownClass,
-    /// The class has another method.
+    /// The method is not the one that the class requires.
     #[error("not the class's method")]
     WrongMethod,
-    /// A header is missing, repeated or malformed.
+    /// A header is missing, repeated, malformed or out of range.
     #[error("{name} is missing or makes no sense")]
     InvalidHeader {
         /// Name of the header.
@@ -29,13 +29,13 @@
     /// The body exceeds [`MAX_LONG_BODY_BYTES`](crate::limits::MAX_LONG_BODY_BYTES).
     #[error("the body is too long")]
     BodyTooLong,
-    /// Long bodies have taken all memory that they share.
+    /// The shared memory budget of long bodies does not suffice.
     #[error("no room for long requests now")]
     NoBodyMemory,
-    /// The request was not complete in time.
+    /// The request was not completely received in time.
     #[error("the request came too slowly")]
     TooSlow,
-    /// The process ends before the request could be answered.
+    /// The process ends before the request, which is still incomplete, could be answered.
     #[error("this gateway ends")]
     ShuttingDown,
     /// A request with the same identifier is in flight.
@@ -44,12 +44,12 @@
 }
 
 impl BadRequest {
-    /// The error for a header that is missing, repeated or malformed.
+    /// Creates the error for a header that is missing, repeated, malformed or out of range.
     pub(super) fn header(name: &'static str) -> Self {
         BadRequest::InvalidHeader { name }
     }
 
-    /// Status code and reason phrase.
+    /// Returns the status code and the reason phrase.
     pub(super) fn status(&self) -> &'static str {
         match self {
             BadRequest::Malformed | BadRequest::InvalidHeader { .. } => "400 Bad Request",
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Header lines of the error response.
+    /// Returns additional header lines of the error response, each with its line end.
     pub(super) fn headers(&self) -> String {
         match self {
             BadRequest::NoBodyMemory => {
--- a/crates/http1/src/server/call_terms.rs
+++ b/crates/http1/src/server/call_terms.rs
@@ -1,20 +1,20 @@
-//! The `X-Call-Terms` header: what a request draws, and which gateways its customer uses.
+//! Parser of the `X-Call-Terms` header: the quota units of a request, and the gateways that its customer uses.
 
 use frosthatch_traffic_control::Settings;
 use std::str::FromStr;
 
-/// The parsed header.
+/// Parsed `X-Call-Terms` header.
 pub(super) struct CallTerms {
-    /// Units of quota that the request draws.
+    /// Quota units that the request draws.
     pub(super) units: f64,
-    /// Number of gateways that the customer uses...
+    /// Number of gateways that the customer uses.
     pub(super) gateway_count: u32,
-    /// ...and the index of the first of them.
+    /// Index of the first of these gateways.
     pub(super) first_gateway: u32,
 }
 
 impl CallTerms {
-    /// Parses `units=2,spread=3,first=1`; none unless each is there once and in its range.
+    /// Parses a value such as `units=2,spread=3,first=1`. Returns `None` unless each term is present once and in range.
     pub(super) fn parse(text: &str, settings: &Settings) -> Option<CallTerms> {
         let terms = CallTerms {
             units: parse_term(text, "units")?,
@@ -30,6 +30,7 @@
     }
 }
 
+/// Parses the value of the term `name`.
 fn parse_term<T: FromStr>(text: &str, name: &str) -> Option<T> {
     let (_, value) = text
         .split(',')
--- a/crates/http1/src/server/client.rs
+++ b/crates/http1/src/server/client.rs
@@ -1,4 +1,4 @@
-//! One client's connection: what has arrived on it, whether the client is still there, and its end.
+//! Connection of a client: buffers received bytes, detects that the client has disconnected, and closes the connection.
 
 use super::bad_request::BadRequest;
 use super::poll_once::poll_once;
@@ -19,61 +19,65 @@
 use tokio::time::{sleep, timeout, Instant};
 use tracing::debug;
 
-/// A client has this long to read a response.
+/// Time within which a response must be written, which requires the client to read it.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// At the end of a connection up to so many bytes are still read, for so long, that the client can read its last response:
-/// closing with unread bytes would reset the connection.
+/// Maximum number of bytes that are discarded before a connection is closed: closing a connection with unread bytes
+/// resets it, and the client may then not be able to read its last response.
 const MAX_LINGER_BYTES: usize = 256 << 10;
+/// Maximum time for which bytes are discarded before a connection is closed.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
-/// A client that sends on while it waits for its response is still read, as only this shows its end; beyond a head the
-/// bytes are discarded, at this interval and so many at a time.
-const FLOOD_READ_INTERVAL: Duration = Duration::from_millis(5);
-const MAX_FLOOD_READ_BYTES: usize = 64 << 10;
+/// Interval at which the input of a client is read and discarded once it has sent more than is buffered. It must be
+/// read on, as only reading shows that the client has disconnected.
+const OVERFLOW_READ_INTERVAL: Duration = Duration::from_millis(5);
+/// Number of bytes after which one check for a disconnection stops reading.
+const MAX_DISCONNECT_CHECK_BYTES: usize = 64 << 10;
 
-/// What a client is expected to send next, which decides how much is read at a time.
+/// Size of the reads from a client, by what the client is expected to send next.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReadSize {
-    /// A head, or nothing: small reads.
+    /// Small reads, while a head or nothing is expected.
     Small,
-    /// A body: reads as large as what has arrived.
+    /// Large reads, while a body is expected.
     Bulk,
 }
 
-/// One client's connection.
+/// Connection of a client.
 pub(super) struct ClientConnection {
     pub(super) stream: TcpStream,
+    /// Number of the connection, unique in the process.
     pub(super) number: u64,
-    /// What has been read and not yet used.
+    /// Bytes that have been read and not yet parsed.
     pub(super) buffer: Vec<u8>,
-    /// It has carried a request before.
+    /// Whether the connection has carried a request.
     pub(super) has_served: bool,
-    /// The client has sent more than is buffered: no further request can be read.
-    pub(super) is_flooded: bool,
-    /// When the last of the buffered bytes arrived, at the earliest.
+    /// Whether the client has sent more than is buffered. Bytes may have been discarded, so no further request can be
+    /// read.
+    pub(super) has_input_overflowed: bool,
+    /// Earliest time at which the last of the buffered bytes may have arrived.
     pub(super) received_at: Instant,
-    /// When the connection was last read: what is there at the next read without a wait may have arrived since.
-    polled_at: Instant,
-    /// Why the connection ends, as the log shows it.
+    /// Time of the last read or poll. Bytes that the next read finds without waiting have arrived since then.
+    last_polled_at: Instant,
+    /// Reason why the connection is closed, as logged.
     pub(super) close_reason: &'static str,
 }
 
 impl ClientConnection {
-    /// A connection whose first bytes may have arrived since `arrived_since`.
-    pub(super) fn new(stream: TcpStream, number: u64, arrived_since: Instant) -> Self {
+    /// Creates a connection on which bytes may have arrived since `earliest_arrival`.
+    pub(super) fn new(stream: TcpStream, number: u64, earliest_arrival: Instant) -> Self {
         ClientConnection {
             stream,
             number,
             buffer: Vec::new(),
             has_served: false,
-            is_flooded: false,
-            received_at: arrived_since,
-            polled_at: arrived_since,
+            has_input_overflowed: false,
+            received_at: earliest_arrival,
+            last_polled_at: earliest_arrival,
             close_reason: "idle",
         }
     }
 
-    /// The output of `awaited`; none if the client goes first. A client that ends its side of the connection counts as
-    /// gone: this cannot be told from a full close.
+    /// Awaits `awaited` and returns its output; `None` if the client disconnects first. A client that closes only its
+    /// sending side counts as disconnected, as this cannot be distinguished from a full close.
     pub(super) async fn while_connected<T>(
         &mut self,
         mut awaited: impl Future<Output = T> + Unpin,
@@ -82,29 +86,29 @@
             tokio::select! {
                 biased;
                 output = &mut awaited => return Some(output),
-                is_gone = self.wait_for_bytes() => if is_gone {
+                is_disconnected = self.wait_for_bytes() => if is_disconnected {
                     return None;
                 },
             }
         }
     }
 
-    /// Whether something can be read at once.
+    /// Returns whether bytes can be read without waiting.
     pub(super) fn has_unread_bytes(&self) -> bool {
         peek(&self.stream).is_ok_and(|bytes| bytes > 0)
     }
 
-    /// Reads into the buffer once something is there, and notes when it arrived. Returns the number of bytes, 0 at the end
-    /// of the connection. Nothing is lost if this is dropped while it waits.
+    /// Waits until bytes have arrived, reads them into the buffer and updates `received_at`. Returns the number of
+    /// bytes read, 0 at the end of the connection. Cancel safe: no bytes are lost.
     pub(super) async fn read(&mut self, size: ReadSize) -> io::Result<usize> {
-        let mut arrived_since = self.polled_at;
+        let mut earliest_arrival = self.last_polled_at;
         loop {
             if let Some(readiness) = poll_once(pin!(self.stream.readable())).await {
                 readiness?;
             } else {
-                self.polled_at = Instant::now();
+                self.last_polled_at = Instant::now();
                 self.stream.readable().await?;
-                arrived_since = Instant::now();
+                earliest_arrival = Instant::now();
             }
             let result = match size {
                 ReadSize::Small => try_read_some(&self.stream, &mut self.buffer),
@@ -114,40 +118,41 @@
             };
             match result {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                done => {
-                    self.polled_at = Instant::now();
-                    self.received_at = arrived_since;
-                    return done;
+                outcome => {
+                    self.last_polled_at = Instant::now();
+                    self.received_at = earliest_arrival;
+                    return outcome;
                 }
             }
         }
     }
 
-    /// Waits for more from the client. Returns whether it has gone.
+    /// Waits for more input. Returns whether the client has disconnected.
     async fn wait_for_bytes(&mut self) -> bool {
-        if self.is_flooded {
-            sleep(FLOOD_READ_INTERVAL).await;
-            return self.has_gone();
+        if self.has_input_overflowed {
+            sleep(OVERFLOW_READ_INTERVAL).await;
+            return self.detect_disconnect();
         }
         let result = self.read(ReadSize::Small).await;
-        self.is_flooded |= self.buffer.len() > MAX_HEAD_BYTES;
+        self.has_input_overflowed |= self.buffer.len() > MAX_HEAD_BYTES;
         matches!(result, Ok(0) | Err(_))
     }
 
-    /// Whether the client has gone by now: asks the socket itself, and buffers what has arrived.
-    pub(super) fn has_gone(&mut self) -> bool {
+    /// Reads from the socket by system calls, without waiting for the runtime's readiness. Returns whether the client has
+    /// disconnected. Buffers the received bytes unless the input has overflowed.
+    pub(super) fn detect_disconnect(&mut self) -> bool {
         let socket = SockRef::from(&self.stream);
         let mut chunk = [0; READ_CHUNK_BYTES];
         let mut total_bytes = 0;
-        while total_bytes < MAX_FLOOD_READ_BYTES {
+        while total_bytes < MAX_DISCONNECT_CHECK_BYTES {
             match uninterrupted(|| (&*socket).read(&mut chunk)) {
                 Ok(0) => return true,
                 Ok(read_bytes) => {
                     total_bytes += read_bytes;
-                    if !self.is_flooded {
+                    if !self.has_input_overflowed {
                         self.buffer.extend_from_slice(&chunk[..read_bytes]);
                     }
-                    self.is_flooded |= self.buffer.len() > MAX_HEAD_BYTES;
+                    self.has_input_overflowed |= self.buffer.len() > MAX_HEAD_BYTES;
                 }
                 Err(e) => return e.kind() != io::ErrorKind::WouldBlock,
             }
@@ -155,14 +160,14 @@
         false
     }
 
-    /// Writes all of `bytes`; returns whether that succeeded in time.
+    /// Writes all of `bytes`. Returns whether this succeeded within [`WRITE_TIMEOUT`].
     pub(super) async fn write(&self, bytes: &[u8]) -> bool {
         let written = Cell::new(0);
         let writing = write_all(&self.stream, bytes, &written);
         matches!(timeout(WRITE_TIMEOUT, writing).await, Ok(Ok(())))
     }
 
-    /// Writes an error response; the connection ends with it. Returns whether it was written completely.
+    /// Writes an error response, after which the connection is closed. Returns whether it was written completely.
     pub(super) async fn reject(&mut self, error: &BadRequest) -> bool {
         self.close_reason = "request_invalid";
         let status = error.status();
@@ -177,24 +182,25 @@
         .await
     }
 
-    /// Ends the connection in good order: ends its own side, then discards what the client still sends until the client has
-    /// read the last response. A request among that is not taken, as its client sees.
+    /// Closes the connection gracefully: shuts down its sending side, then discards the client's input until the client
+    /// closes, for at most [`LINGER_TIMEOUT`]. The client sees that a request in the discarded input was not accepted.
     pub(super) async fn linger_and_close(mut self) {
         self.shut_down_writes();
         let _ = timeout(LINGER_TIMEOUT, self.discard_input()).await;
     }
 
-    /// Like [`ClientConnection::linger_and_close`], but discards only what is there already.
+    /// Like [`ClientConnection::linger_and_close`], but discards only the input that has already arrived.
     pub(super) fn close_at_once(mut self) {
         self.shut_down_writes();
-        self.is_flooded = true;
-        self.has_gone();
+        self.has_input_overflowed = true;
+        self.detect_disconnect();
     }
 
     fn shut_down_writes(&self) {
         let _ = SockRef::from(&self.stream).shutdown(Shutdown::Write);
     }
 
+    /// Discards input until the client closes or [`MAX_LINGER_BYTES`] have been read.
     async fn discard_input(&mut self) {
         let mut discarded_bytes = 0;
         while discarded_bytes < MAX_LINGER_BYTES {
--- a/crates/http1/src/server/conversation.rs
+++ b/crates/http1/src/server/conversation.rs
@@ -1,4 +1,4 @@
-//! The requests of one connection, one after another, and their responses.
+//! Serves the requests of one connection, one after another.
 
 use super::client::ClientConnection;
 use super::http_server::HttpServer;
@@ -10,13 +10,13 @@
 use std::time::Duration;
 use tracing::debug;
 
-/// A client that is rejected at capacity may retry after this.
+/// Time after which a client may retry a request that was rejected because too many connections are busy.
 const OVER_CAPACITY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 impl HttpServer {
-    /// Serves requests until the connection is over. Returns whether it ends in good order; otherwise its client must see
-    /// that it does not.
-    pub(super) async fn converse(self: &Rc<Self>, client: &mut ClientConnection) -> bool {
+    /// Serves requests until the connection is to be closed. Returns whether to close it gracefully; otherwise the last
+    /// response is incomplete, and the client must be able to see that.
+    pub(super) async fn serve_requests(self: &Rc<Self>, client: &mut ClientConnection) -> bool {
         loop {
             let received = match self.read_request(client).await {
                 Ok(Some(received)) => received,
@@ -48,7 +48,7 @@
                 Err(error) => return client.reject(&error).await,
             };
             let closes_connection = received.closes_connection
-                || client.is_flooded
+                || client.has_input_overflowed
                 || is_over_capacity
                 || self.closes_after_response();
             let is_written = self
@@ -65,6 +65,7 @@
         }
     }
 
+    /// Builds, and counts, the rejection of a request because too many connections are busy.
     fn reject_at_capacity(&self, class_index: usize) -> Reply {
         let response = Response::Rejected {
             retry_after: OVER_CAPACITY_RETRY_AFTER,
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Writes a reply, and relays what is still to come of it. Returns whether all of it was written.
+    /// Writes a reply, and relays the body of a streamed one. Returns whether all of it was written.
     async fn write_reply(
         &self,
         client: &mut ClientConnection,
--- a/crates/http1/src/server/http_server.rs
+++ b/crates/http1/src/server/http_server.rs
@@ -1,4 +1,4 @@
-//! What the connections of all clients share.
+//! State shared by the connections of all clients.
 
 use super::idle_connection::IdleConnection;
 use crate::backend::Upstream;
@@ -10,34 +10,36 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// One in so many of all connections is kept free of requests in flight; beyond that new requests are rejected at once.
-/// Guards against requests that wait unread past their deadline because all connections are taken.
-const RESERVED_FRACTION: usize = 8;
+/// Divisor for the share of connections that is reserved for connections without a request in flight. If requests in
+/// flight take more than the rest, new requests are rejected at once, as requests on further connections would wait
+/// unread past their deadlines.
+const RESERVED_DIVISOR: usize = 8;
 
-/// The server side of the gateway, shared by all connections of clients.
+/// HTTP/1.1 server of the gateway, shared by the connections of all clients.
 pub struct HttpServer {
     pub(super) engine: Rc<Engine>,
     pub(super) upstream: Rc<Upstream>,
     pub(super) settings: Settings,
-    /// The operator's plugins, if there are any.
+    /// Operator's plugins, if there are any.
     pub(super) plugins: Option<Rc<dyn RequestPlugins>>,
-    /// Set while the process shuts down: requests that are not complete by then are rejected.
-    pub(super) shutdown_requests_until: Cell<Option<Instant>>,
-    /// Since when the gateway is draining, if it is.
+    /// Time from which on incomplete requests are rejected; set when the process begins to shut down.
+    pub(super) shutdown_request_deadline: Cell<Option<Instant>>,
+    /// Time at which the gateway began to drain; `None` if it is not draining.
     pub(super) draining_since: Cell<Option<Instant>>,
-    /// By connection number.
+    /// Connections that wait for a request or for the rest of one, by connection number.
     pub(super) idle: RefCell<HashMap<u64, IdleConnection>>,
     pub(super) open_connections: Cell<usize>,
-    /// Those of the open connections that only wait for their clients to read the last response.
+    /// Number of open connections that only wait for their clients to read the last response.
     pub(super) lingering_connections: Cell<usize>,
     pub(super) max_connections: Cell<usize>,
-    /// Unset while another process accepts at the same listener.
+    /// Whether this process accepts connections; false while another process accepts on the same listener.
     pub(super) is_accepting: Cell<bool>,
+    /// Notified when `is_accepting` is set.
     pub(super) accepting_changed: Notify,
 }
 
 impl HttpServer {
-    /// A server that accepts up to `max_connections` connections once [`HttpServer::accept`] runs.
+    /// Creates a server that keeps up to `max_connections` connections open once [`HttpServer::accept`] runs.
     pub fn new(
         engine: Rc<Engine>,
         upstream: Rc<Upstream>,
@@ -50,7 +52,7 @@
             upstream,
             settings,
             plugins,
-            shutdown_requests_until: Cell::new(None),
+            shutdown_request_deadline: Cell::new(None),
             draining_since: Cell::new(None),
             idle: RefCell::default(),
             open_connections: Cell::new(0),
@@ -61,22 +63,23 @@
         })
     }
 
-    /// Whether new clients may come.
+    /// Returns whether new clients may connect: the engine is ready, and the server accepts connections and is neither
+    /// draining nor shutting down.
     pub fn is_ready(&self) -> bool {
         self.engine.is_ready() && self.is_accepting() && !self.closes_after_response()
     }
 
-    /// Number of open connections.
+    /// Returns the number of open connections.
     pub fn open_connections(&self) -> usize {
         self.open_connections.get()
     }
 
-    /// Changes the most connections that are open at a time; those that are open stay.
+    /// Changes the maximum number of open connections. Open connections stay open.
     pub fn set_max_connections(&self, max_connections: usize) {
         self.max_connections.set(max_connections);
     }
 
-    /// Whether connections are accepted here, not by another process at the same listener.
+    /// Returns whether this process accepts connections, and not another process on the same listener.
     pub fn is_accepting(&self) -> bool {
         self.is_accepting.get()
     }
@@ -87,21 +90,21 @@
         self.accepting_changed.notify_one();
     }
 
-    /// Whether requests in flight take all connections but the reserved ones.
+    /// Returns whether connections with a request in flight take more than the unreserved share of all connections.
     pub(super) fn is_over_capacity(&self) -> bool {
         let max_connections = self.max_connections.get();
         let idle_connections = self.idle.borrow().len();
         let busy_connections =
             self.open_connections() - self.lingering_connections.get() - idle_connections;
-        busy_connections > max_connections - max_connections / RESERVED_FRACTION
+        busy_connections > max_connections - max_connections / RESERVED_DIVISOR
     }
 
-    /// Whether each response closes its connection: the process shuts down or is draining.
+    /// Returns whether each response closes its connection, as the gateway is shutting down or draining.
     pub(super) fn closes_after_response(&self) -> bool {
-        self.shutdown_requests_until.get().is_some() || self.is_draining()
+        self.shutdown_request_deadline.get().is_some() || self.is_draining()
     }
 
-    /// Whether the gateway is draining by the operator's order.
+    /// Returns whether the gateway is draining at the operator's command.
     pub fn is_draining(&self) -> bool {
         self.draining_since.get().is_some()
     }
--- a/crates/http1/src/server/listener.rs
+++ b/crates/http1/src/server/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections, bounds their number, and ends each in good order.
+//! Accepts clients' connections, limits their number, and closes them.
 
 use super::client::ClientConnection;
 use super::http_server::HttpServer;
@@ -12,53 +12,55 @@
 use tokio::time::{sleep, Instant};
 use tracing::debug;
 
-/// A failed accept is retried after this.
+/// Delay before a failed accept is retried.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
-/// How often it is checked whether a connection may be accepted again, where none can be closed for it.
+/// Interval of the checks whether another connection may be accepted, while none can be closed to make room for it.
 const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// One in so many of all connections may linger, beside those in use.
-const LINGERING_FRACTION: usize = 16;
+/// Divisor for the share of connections that may linger; it is subtracted from the connections that may be in use.
+const LINGERING_DIVISOR: usize = 16;
 
-struct Accepted {
+/// Result of an accept.
+struct AcceptResult {
     result: io::Result<TcpStream>,
-    /// No connection was there at once.
+    /// Whether the accept had to wait, as no connection was in the backlog.
     has_waited: bool,
 }
 
 impl HttpServer {
-    /// Accepts connections without end, each served by a task of its own.
+    /// Accepts connections and serves each in its own task. Never returns.
     pub async fn accept(self: Rc<Self>, listener: Rc<TcpListener>) {
-        // Since when connections may have waited in the backlog, if they may.
-        let mut unattended_since = None;
+        // Time since when connections may have been waiting in the backlog; `None` if the backlog is known to be empty.
+        let mut backlog_since = None;
         for number in 0.. {
             while !self.is_accepting() {
                 self.accepting_changed.notified().await;
             }
-            self.wait_for_capacity(&mut unattended_since).await;
+            self.wait_for_capacity(&mut backlog_since).await;
             let accepted = tokio::select! {
-                accepted = accept_one(&listener) => accepted,
+                accepted = accept_connection(&listener) => accepted,
                 () = self.accepting_changed.notified() => continue,
             };
             if accepted.has_waited {
-                unattended_since = None;
+                backlog_since = None;
             }
             if let Ok(stream) = accepted.result {
-                let arrived_since = unattended_since.unwrap_or_else(Instant::now);
-                self.spawn_connection(ClientConnection::new(stream, number, arrived_since));
+                let earliest_arrival = backlog_since.unwrap_or_else(Instant::now);
+                self.spawn_connection(ClientConnection::new(stream, number, earliest_arrival));
             } else {
-                // Out of descriptors, or the client has gone: the next one may succeed.
-                unattended_since.get_or_insert_with(Instant::now);
+                // This machine is out of descriptors, or the client has disconnected: the next accept may succeed.
+                backlog_since.get_or_insert_with(Instant::now);
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 
-    /// Closes idle connections until another may be accepted. Guards against running out of descriptors.
-    async fn wait_for_capacity(&self, unattended_since: &mut Option<Instant>) {
+    /// Closes idle connections until another connection may be accepted, so that the process does not run out of
+    /// descriptors.
+    async fn wait_for_capacity(&self, backlog_since: &mut Option<Instant>) {
         while self.open_connections() - self.lingering_connections.get()
-            >= self.max_connections.get() - self.max_connections.get() / LINGERING_FRACTION
+            >= self.max_connections.get() - self.max_connections.get() / LINGERING_DIVISOR
         {
-            unattended_since.get_or_insert_with(Instant::now);
+            backlog_since.get_or_insert_with(Instant::now);
             if self.evict_idle() {
                 yield_now().await;
             } else {
@@ -67,6 +69,7 @@
         }
     }
 
+    /// Serves a connection in a new task.
     fn spawn_connection(self: &Rc<Self>, client: ClientConnection) {
         let server = self.clone();
         let number = client.number;
@@ -78,11 +81,12 @@
         });
     }
 
+    /// Serves a connection until it is closed.
     async fn serve(self: &Rc<Self>, mut client: ClientConnection) {
         let _ = client.stream.set_nodelay(true);
         let number = client.number;
         debug!(connection = number, "connection.accepted");
-        let orderly = self.converse(&mut client).await;
+        let orderly = self.serve_requests(&mut client).await;
         debug!(
             connection = number,
             orderly,
@@ -90,13 +94,14 @@
             "connection.closed"
         );
         if orderly {
-            self.end_orderly(client).await;
+            self.close_gracefully(client).await;
         }
     }
 
-    /// Lets the client read the last response. Where many connections end at once the last of them do not wait for that.
-    async fn end_orderly(&self, client: ClientConnection) {
-        let max_lingering = self.max_connections.get() / LINGERING_FRACTION;
+    /// Closes a connection so that the client can read the last response. Does not wait for the client if the maximum
+    /// number of connections is lingering already.
+    async fn close_gracefully(&self, client: ClientConnection) {
+        let max_lingering = self.max_connections.get() / LINGERING_DIVISOR;
         let lingering = &self.lingering_connections;
         if lingering.get() < max_lingering.max(1) {
             lingering.set(lingering.get() + 1);
@@ -108,13 +113,14 @@
     }
 }
 
-async fn accept_one(listener: &TcpListener) -> Accepted {
+/// Accepts one connection.
+async fn accept_connection(listener: &TcpListener) -> AcceptResult {
     let mut accepting = pin!(listener.accept());
     let (result, has_waited) = match poll_once(accepting.as_mut()).await {
         Some(result) => (result, false),
         None => (accepting.await, true),
     };
-    Accepted {
+    AcceptResult {
         result: result.map(|(stream, _)| stream),
         has_waited,
     }
--- a/crates/http1/src/server/mod.rs
+++ b/crates/http1/src/server/mod.rs
@@ -1,5 +1,6 @@
-//! The server side: accepts the connections of clients, reads and checks requests, and writes one response to each. It is
-//! strict: what a well-behaved client never sends is an error, and ends its connection before anything else sees it.
+//! HTTP/1.1 server: accepts clients' connections, reads and checks their requests, and writes one response to each. The
+//! checks are strict: a request that a well-behaved client never sends is rejected before it is submitted to the
+//! engine, and its connection is closed.
 
 mod answering;
 mod bad_request;
--- a/crates/http1/src/server/relay.rs
+++ b/crates/http1/src/server/relay.rs
@@ -1,4 +1,4 @@
-//! Relays long responses to the client as they arrive.
+//! Relays long responses to the client while they arrive.
 
 use super::client::ClientConnection;
 use super::http_server::HttpServer;
@@ -12,18 +12,23 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Either side of a long response may make the other wait for so long.
+/// Maximum time for which the client or the server may stall a long response: the time for writing one part to the
+/// client, or for receiving one from the server.
 const BODY_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How the client finds the end of a relayed body.
+/// Framing of a relayed body towards the client.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum RelayFraming {
+    /// The server declared this length in bytes.
     Length(usize),
+    /// The length is unknown, and the client speaks HTTP/1.1.
     Chunked,
+    /// The length is unknown, and the client speaks HTTP/1.0: the end of the connection ends the body.
     UntilClose,
 }
 
 impl RelayFraming {
+    /// Returns the header line that declares this framing, if there is one.
     fn header(self) -> String {
         match self {
             RelayFraming::Length(length) => format!("Content-Length: {length}\r\n"),
@@ -32,7 +37,7 @@
         }
     }
 
-    /// Encodes a part of the body behind `output`.
+    /// Encodes a part of the body and appends it to `output`.
     fn encode(self, part: &[u8], output: &mut Vec<u8>) {
         if part.is_empty() {
             return;
@@ -46,6 +51,7 @@
         }
     }
 
+    /// Appends the end of the body to `output`.
     fn encode_end(self, output: &mut Vec<u8>) {
         if self == RelayFraming::Chunked {
             output.extend_from_slice(b"0\r\n\r\n");
@@ -53,21 +59,22 @@
     }
 }
 
-/// The head of a relayed response, but for its framing.
+/// Head of a relayed response, except for the framing of its body.
 pub(super) struct RelayedHead<'a> {
-    /// Header lines, each with its end.
+    /// Additional header lines, each with its line end.
     pub(super) extra_headers: &'a str,
+    /// Whether the response closes the connection.
     pub(super) closes_connection: bool,
-    /// The client cannot read chunks.
+    /// Whether the client speaks HTTP/1.0, which has no chunked encoding.
     pub(super) is_http_1_0: bool,
 }
 
 impl HttpServer {
-    /// Relays a long response, of which `first_part` has arrived. Returns whether the client got all of it.
+    /// Relays a long response, of which `first_part` has arrived. Returns whether all of it was written. Stops when the
+    /// client disconnects.
     ///
-    /// A response that is cut short has no end that the client could take for its real one: its length is not reached, the
-    /// last chunk is missing, or, where only the end of the connection marks it, the connection is reset. A client that
-    /// goes meanwhile ends it.
+    /// The client can recognize a truncated response: its declared length is not reached, the last chunk is missing or,
+    /// if the end of the connection ends the body, the connection is reset.
     pub(super) async fn relay_body(
         &self,
         client: &mut ClientConnection,
@@ -111,7 +118,7 @@
             output.clear();
             let reading = pin!(timeout(BODY_STALL_TIMEOUT, stream.read_part(&mut part)));
             let Some(Ok(Ok(is_last_part))) = client.while_connected(reading).await else {
-                // Malformed, cut short or stalled, or the client has gone.
+                // The response is malformed, truncated or stalled, or the client has disconnected.
                 return false;
             };
             is_complete = is_last_part;
@@ -119,6 +126,7 @@
     }
 }
 
+/// Writes a part of the response. Returns whether this succeeded within [`BODY_STALL_TIMEOUT`].
 async fn write_part(client: &ClientConnection, output: &[u8]) -> bool {
     let written = Cell::new(0);
     let writing = write_all(&client.stream, output, &written);
--- a/crates/http1/src/server/request.rs
+++ b/crates/http1/src/server/request.rs
@@ -1,4 +1,4 @@
-//! A client's request while it is read, and when it is complete.
+//! Types for a client's request, while it is being received and when it is complete.
 
 use crate::backend::ForwardedRequest;
 use crate::body_memory::BodyReservation;
@@ -6,60 +6,61 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A request that is to be forwarded to a server.
+/// Client's request that is to be forwarded to a server.
 pub(super) struct ClientRequest {
     pub(super) request: frosthatch_traffic_control::Request,
-    /// How long the client waits, from its last byte on...
-    pub(super) patience: Duration,
-    /// ...and until when that is, once the request is complete.
-    pub(super) gone_at: Instant,
-    /// Its class is safe to repeat; such a request has no body.
-    pub(super) is_safe: bool,
+    /// Time for which the client waits for the response after it has sent the last byte.
+    pub(super) client_timeout: Duration,
+    /// Time until which the client waits for the response; set when the request is complete.
+    pub(super) client_deadline: Instant,
+    /// Whether the request's class allows repeating it; such a request has no body.
+    pub(super) is_repeatable: bool,
+    /// Request as it is forwarded.
     pub(super) forwarded: ForwardedRequest,
-    /// Headers that the operator's plugins want to see.
+    /// Names and values of the headers that the operator's plugins need.
     pub(super) plugin_headers: Vec<(String, String)>,
 }
 
-/// What a request is for.
+/// Target of a request.
 pub(super) enum RequestTarget {
-    /// A query whether the gateway is ready.
+    /// Query of the gateway's readiness.
     Readiness,
-    /// A request for a server.
+    /// Request that is forwarded to a server.
     Server(Box<ClientRequest>),
 }
 
-/// A complete request that is in order.
+/// Complete and valid request.
 pub(super) struct ReceivedRequest {
     pub(super) target: RequestTarget,
-    /// The client wants the connection to end.
+    /// Whether the client requests that the connection is closed after the response.
     pub(super) closes_connection: bool,
-    /// The client speaks HTTP/1.0, without chunks.
+    /// Whether the client speaks HTTP/1.0, which has no chunked encoding.
     pub(super) is_http_1_0: bool,
 }
 
-/// How the end of a request's body is found.
+/// Framing of a request's body.
 pub(super) enum RequestFraming {
-    /// After so many bytes.
+    /// The body has this length in bytes.
     Length(usize),
-    /// After the last chunk.
+    /// The body ends after its last chunk and the trailer section.
     Chunked(ChunkedDecoder),
 }
 
 impl RequestFraming {
-    /// Whether there is no body.
+    /// Returns whether the request has no body.
     pub(super) fn is_empty(&self) -> bool {
         matches!(self, RequestFraming::Length(0))
     }
 }
 
-/// A request whose head is in order, with what has arrived of its body.
+/// Request with a valid head, and the part of its body that has been decoded.
 pub(super) struct PartialRequest {
-    /// Length of the head in the buffer.
+    /// Length of the head in bytes, as received.
     pub(super) head_bytes: usize,
     pub(super) framing: RequestFraming,
     pub(super) body: Vec<u8>,
     pub(super) body_memory: Option<BodyReservation>,
-    /// The client waits for an interim response before it sends the body (RFC 9110 section 10.1.1).
+    /// Whether the client waits for an interim response before it sends the body (RFC 9110 section 10.1.1).
     pub(super) expects_continue: bool,
     pub(super) closes_connection: bool,
     pub(super) is_http_1_0: bool,
@@ -67,15 +68,15 @@
 }
 
 impl PartialRequest {
-    /// The request, now that its body is complete. Its client's patience counts from `received_at`, when the last of it
-    /// arrived.
+    /// Converts a request whose body is complete. `received_at` is the time at which its last byte arrived, from which
+    /// on the client waits.
     pub(super) fn into_received(self, received_at: Instant) -> ReceivedRequest {
         let mut target = self.target;
         if let RequestTarget::Server(request) = &mut target {
-            request.gone_at = received_at + request.patience;
+            request.client_deadline = received_at + request.client_timeout;
             let forwarded = &mut request.forwarded;
-            if !request.is_safe {
-                // Servers get a length, whatever the client's framing.
+            if !request.is_repeatable {
+                // Bodies are forwarded with a length, whatever the client's framing.
                 let length = format!("Content-Length: {}\r\n", self.body.len());
                 forwarded.head.extend(length.into_bytes());
             }
--- a/crates/http1/src/server/request_body.rs
+++ b/crates/http1/src/server/request_body.rs
@@ -1,4 +1,4 @@
-//! Takes the bodies of requests off the connection's buffer as they arrive. No I/O.
+//! Decodes request bodies incrementally from the connection's buffer, without I/O.
 
 use super::bad_request::{BadRequest, BODY_MEMORY_RETRY_AFTER};
 use super::http_server::HttpServer;
@@ -8,7 +8,7 @@
 use frosthatch_engine::Response;
 
 impl HttpServer {
-    /// Moves what has arrived of a body from `buffer` to the request. Returns whether the body is complete.
+    /// Decodes the part of a body in `buffer` and appends it to `request`. Returns whether the body is complete.
     pub(super) fn take_body(
         &self,
         request: &mut PartialRequest,
@@ -38,6 +38,8 @@
         Ok(is_complete)
     }
 
+    /// Reserves memory for a long body. Fails, and counts the request as rejected, if the shared budget does not
+    /// suffice.
     fn reserve_body_memory(&self, request: &mut PartialRequest) -> Result<(), BadRequest> {
         let reservation = request
             .body_memory
--- a/crates/http1/src/server/request_head.rs
+++ b/crates/http1/src/server/request_head.rs
@@ -1,4 +1,4 @@
-//! Parses and checks the heads of requests, before anything is stored for them. No I/O.
+//! Parses and checks request heads, without I/O, before any state is kept for the requests.
 
 use super::bad_request::BadRequest;
 use super::call_terms::CallTerms;
@@ -17,12 +17,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// No client waits this long.
-const MAX_PATIENCE_S: f64 = 3_600.0;
-/// Customer identifiers are below this.
+/// Maximum time, in seconds, for which a client may declare to wait for a response.
+const MAX_CLIENT_TIMEOUT_S: f64 = 3_600.0;
+/// Exclusive upper bound of customer identifiers.
 const CUSTOMER_ID_END: u64 = 1 << 33;
 
-/// The request line and headers of a head that is framed beyond doubt.
+/// Request line and headers of a head with unambiguous framing.
 struct RequestParts<'a> {
     method: &'a str,
     path: &'a str,
@@ -30,24 +30,24 @@
     has_body: bool,
 }
 
-/// The headers that say who requests what.
+/// Parsed headers that identify the request and its customer, and state its terms.
 struct CallHeaders<'a> {
     trace_id: &'a str,
     request_id: RequestId,
     customer: &'a str,
     plan: &'a Plan,
-    patience: Duration,
+    client_timeout: Duration,
     terms: CallTerms,
 }
 
 impl HttpServer {
-    /// Parses and checks a head that is complete at the start of `buffer`.
+    /// Parses and checks the head at the start of `buffer`, which must contain the end of a head.
     pub(super) fn parse_head(&self, buffer: &[u8]) -> Result<PartialRequest, BadRequest> {
         let mut headers = [EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Request::new(&mut headers);
         let head_bytes = match head.parse(buffer) {
             Ok(Status::Complete(head_bytes)) => head_bytes,
-            // Partial: what looked like the end of the head were empty lines ahead of it.
+            // The head is partial if the detected end of a head was only empty lines before it.
             Ok(Status::Partial) | Err(_) => return Err(BadRequest::Malformed),
         };
         if head_bytes > MAX_HEAD_BYTES {
@@ -80,12 +80,13 @@
         })
     }
 
+    /// Parses and checks a request that is to be forwarded.
     fn parse_client_request(&self, parts: &RequestParts<'_>) -> Result<ClientRequest, BadRequest> {
         let class = find_class(&self.settings, parts.path)?;
-        let is_safe = class.effect == Effect::Repeatable;
-        check_against_class(parts, class, is_safe)?;
+        let is_repeatable = class.effect == Effect::Repeatable;
+        check_against_class(parts, class, is_repeatable)?;
         let call = CallHeaders::parse(parts.headers, &self.settings)?;
-        let head = forwarded_head(parts, call.trace_id, class, is_safe)?;
+        let head = forwarded_head(parts, call.trace_id, class, is_repeatable)?;
         let request = Request {
             id: call.request_id,
             customer: CustomerId(call.customer.into()),
@@ -105,19 +106,20 @@
             body_memory: None,
             class_index: self.engine.counters().class_index(&class.name),
         };
-        // Nobody waits past the class's deadline, so that nothing is stored for a request for long.
+        // The wait is limited to the class's deadline, so that no request's state is kept for longer.
         let deadline = Duration::from_micros(class.deadline_us);
         Ok(ClientRequest {
             request,
-            patience: call.patience.min(deadline),
-            // Set when the last byte has arrived.
-            gone_at: Instant::now(),
-            is_safe,
+            client_timeout: call.client_timeout.min(deadline),
+            // Replaced when the request is complete.
+            client_deadline: Instant::now(),
+            is_repeatable,
             forwarded,
             plugin_headers: self.headers_for_plugins(parts.headers),
         })
     }
 
+    /// Returns the names and values of the headers that the operator's plugins need.
     fn headers_for_plugins(&self, headers: &[Header<'_>]) -> Vec<(String, String)> {
         let Some(plugins) = &self.plugins else {
             return Vec::new();
@@ -145,10 +147,10 @@
             .iter()
             .find(|plan| plan.name == plan_name)
             .ok_or(BadRequest::header("X-Tier"))?;
-        let patience_s = required_header(headers, "X-Expires-In")?
+        let client_timeout_s = required_header(headers, "X-Expires-In")?
             .parse::<f64>()
             .ok()
-            .filter(|&s| s > 0.0 && s <= MAX_PATIENCE_S)
+            .filter(|&s| s > 0.0 && s <= MAX_CLIENT_TIMEOUT_S)
             .ok_or(BadRequest::header("X-Expires-In"))?;
         let terms = CallTerms::parse(required_header(headers, "X-Call-Terms")?, settings)
             .ok_or(BadRequest::header("X-Call-Terms"))?;
@@ -157,19 +159,19 @@
             request_id: RequestId(request_id),
             customer,
             plan,
-            patience: Duration::from_secs_f64(patience_s),
+            client_timeout: Duration::from_secs_f64(client_timeout_s),
             terms,
         })
     }
 }
 
-/// Whether a head ends in `buffer`, of which the first `scanned_bytes` have been searched before.
+/// Returns whether `buffer`, whose first `scanned_bytes` have been searched before, contains the end of a head.
 pub(super) fn contains_head_end(buffer: &[u8], scanned_bytes: usize) -> bool {
     let new_bytes = &buffer[scanned_bytes.saturating_sub(3)..];
     new_bytes.windows(2).any(|w| w == b"\n\n") || new_bytes.windows(3).any(|w| w == b"\n\r\n")
 }
 
-/// Guards against request smuggling: the end of the body must be beyond doubt.
+/// Determines the framing of a request's body. Rejects ambiguous framing, which would allow request smuggling.
 fn request_framing(
     headers: &[Header<'_>],
     is_http_1_0: bool,
@@ -197,7 +199,7 @@
         .is_some_and(|value| value.trim().eq_ignore_ascii_case("100-continue"))
 }
 
-/// The class that the first segment of the path names.
+/// Returns the class that the first segment of the path names.
 fn find_class<'a>(settings: &'a Settings, path: &str) -> Result<&'a RequestClass, BadRequest> {
     let first_segment = path
         .strip_prefix('/')
@@ -213,30 +215,31 @@
     Ok(class)
 }
 
+/// Checks that the request's `X-Qos` header, method and body match its class.
 fn check_against_class(
     parts: &RequestParts<'_>,
     class: &RequestClass,
-    is_safe: bool,
+    is_repeatable: bool,
 ) -> Result<(), BadRequest> {
     if required_header(parts.headers, "X-Qos")? != class.name {
         return Err(BadRequest::header("X-Qos"));
     }
-    let expected_method = if is_safe { "GET" } else { "POST" };
+    let expected_method = if is_repeatable { "GET" } else { "POST" };
     if parts.method != expected_method {
         return Err(BadRequest::WrongMethod);
     }
-    if is_safe && parts.has_body {
+    if is_repeatable && parts.has_body {
         return Err(BadRequest::header("Content-Length"));
     }
     Ok(())
 }
 
-/// The head that servers get, without the length of the body and the deadline.
+/// Builds the head to forward, without the body's length and the deadline header.
 fn forwarded_head(
     parts: &RequestParts<'_>,
     trace_id: &str,
     class: &RequestClass,
-    is_safe: bool,
+    is_repeatable: bool,
 ) -> Result<String, BadRequest> {
     let headers = parts.headers;
     let method = parts.method;
@@ -244,10 +247,10 @@
     let host = required_header(headers, "Host").unwrap_or("backend.local");
     let mut head =
         format!("{method} {path} HTTP/1.1\r\nHost: {host}\r\nX-Trace-Id: {trace_id}\r\n");
-    // Classes whose servers drop repeats by key require one. Elsewhere it is optional and forwarded as it is; none is
-    // made up, as a request that may not be repeated stays one.
+    // A class whose servers deduplicate requests by key requires a key. In the other classes with a body it is optional
+    // and forwarded unchanged. No key is generated: that would not make a request repeatable.
     let requires_key = matches!(class.effect, Effect::Keyed { .. });
-    if requires_key || !is_safe && find_header(headers, "Idempotency-Key").is_some() {
+    if requires_key || !is_repeatable && find_header(headers, "Idempotency-Key").is_some() {
         let key = required_header(headers, "Idempotency-Key")?;
         let _ = write!(head, "Idempotency-Key: {key}\r\n");
     }
@@ -257,7 +260,8 @@
     Ok(head)
 }
 
-/// The value of a header that must occur once, as printable ASCII that can be forwarded unchanged.
+/// Returns the value of a header, which must occur exactly once and consist of printable ASCII, so that it can be
+/// forwarded unchanged.
 fn required_header<'a>(headers: &[Header<'a>], name: &'static str) -> Result<&'a str, BadRequest> {
     let mut values = headers
         .iter()
@@ -272,7 +276,7 @@
     std::str::from_utf8(value).map_err(|_| BadRequest::header(name))
 }
 
-/// Exactly 16 hexadecimal digits.
+/// Parses exactly 16 hexadecimal digits.
 fn parse_hex16(text: &str) -> Option<u64> {
     let is_hex16 = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
     if !is_hex16 {
--- a/crates/http1/src/server/request_reader.rs
+++ b/crates/http1/src/server/request_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the requests of one connection, and ends a connection that stays idle.
+//! Reads the requests of one connection, with timeouts for idle connections and slow requests.
 
 use super::bad_request::BadRequest;
 use super::client::{ClientConnection, ReadSize};
@@ -12,42 +12,47 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, Instant};
 
-/// A head is complete this long after its first byte, the first of a connection this long after it was accepted: an error
-/// or a close is owed within 3 s.
+/// Time within which a head must be complete, from its first byte, or from the accept for a connection's first head. A
+/// client must get an error response or a close within 3 s.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// A body is complete this long after its head, and longer by what has arrived of it at the slowest rate allowed.
+/// Time within which a body must be complete after its head, extended by the time that the received bytes take at
+/// [`MIN_BODY_BYTES_PER_S`]. Also the maximum pause within a body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(2);
-/// Half of the rate at which clients send.
+/// Minimum rate at which a body must arrive: half of the rate at which clients send.
 const MIN_BODY_BYTES_PER_S: f64 = 32_000.0;
-/// A connection that has served stays open for so long without a request.
+/// Time after which an idle connection that has carried a request is closed.
 const KEEPALIVE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The state of reading one request.
+/// State of reading one request.
 struct RequestReader {
-    /// When the head, or the body without what it gains by its length, is late.
+    /// Deadline of the head, or of the body without the extension for the received bytes.
     deadline: Instant,
-    /// Ends the connection while no request has begun.
-    end: Rc<Notify>,
-    has_begun: bool,
-    /// Bytes of the buffer that hold no end of a head.
+    /// Notified when the connection is to be closed.
+    close_notify: Rc<Notify>,
+    /// Whether the first byte of the request has arrived.
+    has_request_begun: bool,
+    /// Number of bytes at the start of the buffer that are known not to contain the end of a head.
     scanned_bytes: usize,
-    /// The request, once its head is complete.
+    /// Request, once its head is complete.
     request: Option<PartialRequest>,
-    /// The time is over, or the connection is to end: what has arrived by now is still read.
+    /// Whether the deadline has passed or the connection is to be closed: only bytes that have already arrived are
+    /// still read.
     is_last_read: bool,
 }
 
 impl RequestReader {
-    /// A body may take longer the more of it has arrived, but no pause in it longer than the timeout.
+    /// Returns the deadline of the next read. The deadline of a body is extended by the bytes received, but is at most
+    /// [`BODY_TIMEOUT`] from now.
     fn current_deadline(&self) -> Instant {
         let Some(request) = &self.request else {
             return self.deadline;
         };
-        let earned_s = request.body.len() as f64 / MIN_BODY_BYTES_PER_S;
-        let extended_deadline = self.deadline + Duration::from_secs_f64(earned_s);
+        let extension_s = request.body.len() as f64 / MIN_BODY_BYTES_PER_S;
+        let extended_deadline = self.deadline + Duration::from_secs_f64(extension_s);
         extended_deadline.min(Instant::now() + BODY_TIMEOUT)
     }
 
+    /// Returns the size of the next read.
     fn read_size(&self) -> ReadSize {
         if self.request.is_some() {
             ReadSize::Bulk
@@ -58,18 +63,19 @@
 }
 
 impl HttpServer {
-    /// Reads and checks the next request; none if the connection is over. Until then the connection is listed as idle.
+    /// Reads and checks the next request. Returns `None` if the connection is to be closed without a response. Lists
+    /// the connection as idle in the meantime.
     pub(super) async fn read_request(
         &self,
         client: &mut ClientConnection,
     ) -> Result<Option<ReceivedRequest>, BadRequest> {
         let idle_since = Instant::now();
-        let end = Rc::new(Notify::new());
+        let close_notify = Rc::new(Notify::new());
         let idle_connection = IdleConnection {
-            since: idle_since,
+            waiting_since: idle_since,
             has_served: client.has_served,
-            request_begun: false,
-            end: end.clone(),
+            has_request_begun: false,
+            close_notify: close_notify.clone(),
         };
         self.idle
             .borrow_mut()
@@ -81,8 +87,8 @@
         };
         let mut reader = RequestReader {
             deadline: idle_since + timeout,
-            end,
-            has_begun: false,
+            close_notify,
+            has_request_begun: false,
             scanned_bytes: 0,
             request: None,
             is_last_read: false,
@@ -92,13 +98,14 @@
         result
     }
 
+    /// Reads until the request is complete, it is too late, or the connection is to be closed.
     async fn read_until_complete(
         &self,
         client: &mut ClientConnection,
         reader: &mut RequestReader,
     ) -> Result<Option<ReceivedRequest>, BadRequest> {
         loop {
-            if !reader.has_begun && !client.buffer.is_empty() {
+            if !reader.has_request_begun && !client.buffer.is_empty() {
                 self.begin_request(client, reader);
             }
             if reader.request.is_none() {
@@ -124,34 +131,34 @@
                         client.close_reason = "ended_by_client";
                         return Ok(None);
                     }
-                    // A request that has just begun has time to be completed.
-                    reader.is_last_read &= reader.has_begun;
+                    // A request that begins with this read gets the time to be completed.
+                    reader.is_last_read &= reader.has_request_begun;
                 }
-                () = reader.end.notified(), if !reader.is_last_read => reader.is_last_read = true,
+                () = reader.close_notify.notified(), if !reader.is_last_read => reader.is_last_read = true,
                 () = sleep_until(deadline), if !reader.is_last_read => reader.is_last_read = true,
             }
         }
     }
 
-    /// The first bytes of a request have arrived: the connection is idle no longer. It gets a new `end`, as whoever
-    /// notified the old one took it for idle.
+    /// Records that the first bytes of a request have arrived, so that the connection is no longer idle. Replaces its
+    /// `close_notify`, as a notification of the previous one was meant for an idle connection.
     fn begin_request(&self, client: &ClientConnection, reader: &mut RequestReader) {
         let now = Instant::now();
-        reader.has_begun = true;
+        reader.has_request_begun = true;
         if client.has_served {
             reader.deadline = now + HEAD_TIMEOUT;
         }
-        reader.end = Rc::default();
+        reader.close_notify = Rc::default();
         if let Some(connection) = self.idle.borrow_mut().get_mut(&client.number) {
-            connection.request_begun = true;
-            connection.end = reader.end.clone();
+            connection.has_request_begun = true;
+            connection.close_notify = reader.close_notify.clone();
             if connection.has_served {
-                connection.since = now;
+                connection.waiting_since = now;
             }
         }
     }
 
-    /// Takes the head off the buffer, if it is complete.
+    /// Parses the head and removes it from the buffer, if it is complete.
     fn take_head(
         &self,
         buffer: &mut Vec<u8>,
@@ -171,12 +178,13 @@
         Ok(())
     }
 
-    /// The outcome for a request that is not complete in time: an error, unless it has not begun.
+    /// Returns the outcome of a request that is incomplete when its time is over: an error, or `None` if it has not
+    /// begun.
     fn end_incomplete(
         &self,
         reader: &RequestReader,
     ) -> Result<Option<ReceivedRequest>, BadRequest> {
-        if !reader.has_begun {
+        if !reader.has_request_begun {
             Ok(None)
         } else if self.is_too_late_for_requests() {
             Err(BadRequest::ShuttingDown)
--- a/crates/http1/src/server/response.rs
+++ b/crates/http1/src/server/response.rs
@@ -1,20 +1,20 @@
-//! Encoding of responses to clients.
+//! Encodes responses to clients.
 
 use frosthatch_engine::Response;
 
-/// The reply to a request that is in order.
+/// Reply to a valid request.
 pub(super) enum Reply {
-    /// To a query whether the gateway is ready.
+    /// Reply to a query of the gateway's readiness.
     Readiness { is_ready: bool },
-    /// To any other request.
+    /// Reply to any other request.
     Response {
         response: Response,
-        /// Further header lines, each with its end.
+        /// Additional header lines, each with its line end.
         extra_headers: String,
     },
 }
 
-/// Encodes a response; of one that is streamed, what is sent when nothing could be streamed.
+/// Encodes a response of the engine. A streamed response, which is relayed instead, is encoded as a failure.
 pub(super) fn encode_engine_response(
     response: &Response,
     closes_connection: bool,
@@ -47,7 +47,7 @@
     }
 }
 
-/// Encodes the reply to a query whether the gateway is ready.
+/// Encodes the reply to a query of the gateway's readiness.
 pub(super) fn encode_readiness(is_ready: bool, closes_connection: bool) -> Vec<u8> {
     if is_ready {
         encode_response("200 OK", "", closes_connection, b"ready")
@@ -61,7 +61,7 @@
     }
 }
 
-/// Encodes the head of a response. Each line of `headers` and of `framing` has its end.
+/// Encodes the head of a response. Each line of `headers` and `framing` must have its line end.
 pub(super) fn encode_response_head(
     status: &str,
     headers: &str,
@@ -76,7 +76,7 @@
     format!("HTTP/1.1 {status}\r\n{headers}{close}{framing}\r\n")
 }
 
-/// Encodes a response with its body. Each line of `headers` has its end.
+/// Encodes a response with its body. Each line of `headers` must have its line end.
 pub(super) fn encode_response(
     status: &str,
     headers: &str,
--- a/crates/http1/src/socket_io.rs
+++ b/crates/http1/src/socket_io.rs
@@ -1,4 +1,4 @@
-//! Reading from and writing to a socket, with the buffers of the caller.
+//! Functions that read from and write to a socket with the caller's buffers.
 
 use frosthatch_sockets::uninterrupted;
 use socket2::SockRef;
@@ -7,20 +7,20 @@
 use std::mem::MaybeUninit;
 use tokio::net::TcpStream;
 
-/// Bytes that one read takes at most where it is not known how many arrive.
+/// Maximum size of a read where the number of bytes to expect is unknown.
 pub const READ_CHUNK_BYTES: usize = 4 << 10;
 
-/// Waits until the socket is readable and appends what one read of at most [`READ_CHUNK_BYTES`] brings. Returns the
-/// number of bytes, 0 at the end of the connection.
+/// Waits until the socket is readable, reads up to [`READ_CHUNK_BYTES`] once and appends them to `buffer`. Returns the
+/// number of bytes read, 0 at the end of the connection.
 ///
 /// # Errors
-/// Those of the socket.
+/// Returns the socket's error.
 pub async fn read_some(stream: &TcpStream, buffer: &mut Vec<u8>) -> io::Result<usize> {
     loop {
         stream.readable().await?;
         match try_read_some(stream, buffer) {
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-            done => return done,
+            outcome => return outcome,
         }
     }
 }
@@ -28,7 +28,7 @@
 /// Like [`read_some`], but does not wait.
 ///
 /// # Errors
-/// [`io::ErrorKind::WouldBlock`] if nothing is there; otherwise those of the socket.
+/// Returns [`io::ErrorKind::WouldBlock`] if no bytes have arrived, or the socket's error.
 pub fn try_read_some(stream: &TcpStream, buffer: &mut Vec<u8>) -> io::Result<usize> {
     let mut chunk = [0; READ_CHUNK_BYTES];
     let read_bytes = uninterrupted(|| stream.try_read(&mut chunk))?;
@@ -36,21 +36,22 @@
     Ok(read_bytes)
 }
 
-/// Like [`read_some`], but reads as much as the buffer has capacity for, which is extended first if it is short.
+/// Like [`read_some`], but reads up to the free capacity of `buffer`, which [`reserve_for_bulk`] extends if it is
+/// small.
 ///
 /// # Errors
-/// Those of the socket.
+/// Returns the socket's error.
 pub async fn read_bulk(stream: &TcpStream, buffer: &mut Vec<u8>) -> io::Result<usize> {
     loop {
         stream.readable().await?;
         match uninterrupted(|| stream.try_read_buf(reserve_for_bulk(buffer))) {
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-            done => return done,
+            outcome => return outcome,
         }
     }
 }
 
-/// Extends the capacity of a buffer where less than [`READ_CHUNK_BYTES`] of it are free.
+/// Extends the capacity of a buffer if less than [`READ_CHUNK_BYTES`] of it are free.
 pub fn reserve_for_bulk(buffer: &mut Vec<u8>) -> &mut Vec<u8> {
     if buffer.capacity() - buffer.len() < READ_CHUNK_BYTES {
         buffer.reserve_exact(4 * READ_CHUNK_BYTES);
@@ -58,27 +59,28 @@
     buffer
 }
 
-/// Asks the socket itself for a byte without taking it: the runtime's view of its readiness may be outdated. Returns 0
-/// at the end of the connection.
+/// Peeks at the next byte by a system call, as the runtime's record of the socket's readiness may be outdated. Returns
+/// the number of bytes, 0 at the end of the connection.
 ///
 /// # Errors
-/// [`io::ErrorKind::WouldBlock`] if nothing is there; otherwise those of the socket.
+/// Returns [`io::ErrorKind::WouldBlock`] if no bytes have arrived, or the socket's error.
 pub fn peek(stream: &TcpStream) -> io::Result<usize> {
     uninterrupted(|| SockRef::from(stream).peek(&mut [MaybeUninit::uninit(); 1]))
 }
 
-/// Writes all of `bytes`. `written` counts the bytes that have left, also where this fails or is dropped.
+/// Writes all of `bytes`. `written` counts the bytes written so far, and is correct if the function fails or is
+/// cancelled.
 ///
 /// # Errors
-/// Those of the socket.
+/// Returns the socket's error.
 pub async fn write_all(stream: &TcpStream, bytes: &[u8], written: &Cell<usize>) -> io::Result<()> {
     write_all_checked(stream, bytes, written, || Ok(())).await
 }
 
-/// Like [`write_all`], but calls `check` immediately before each write, without a wait in between.
+/// Like [`write_all`], but calls `check` immediately before each write; nothing is awaited in between.
 ///
 /// # Errors
-/// The first one of `check`, or that of the socket.
+/// Returns the first error of `check` or of the socket.
 pub async fn write_all_checked(
     stream: &TcpStream,
     bytes: &[u8],
