--- a/crates/http1/src/backend/attempt.rs
+++ b/crates/http1/src/backend/attempt.rs
@@ -67,17 +67,19 @@
         if let Some(idle_time) = idle_time {
             let is_failed = matches!(exchange.reply, ServerReply::ConnectionFailed);
             if is_failed && exchange.written_bytes == 0 {
-                // The server closed the idle connection before any byte of the request was written.
+                // The idle connection failed before any byte of the request was written: the server closed it, sent
+                // unsolicited bytes, or was removed.
                 return AttemptResult::without_response(CompletionStatus::NotSent);
             }
-            let is_lost = is_failed && exchange.duration < StalenessEstimator::STALE_RESET_WINDOW;
+            let is_lost = is_failed && exchange.duration < StalenessEstimator::STALE_FAILURE_WINDOW;
             self.staleness.borrow_mut().record_use(idle_time, is_lost);
         }
         match exchange.reply {
             ServerReply::Received(response) => {
                 self.response_result(server, &route, connection, response)
             }
-            // Servers never execute an incomplete request. A complete one may have been executed, or may still be.
+            // Servers never execute an incomplete request. A complete one may have been executed, or may still be
+            // executed.
             _ if !exchange.is_request_written => {
                 AttemptResult::without_response(CompletionStatus::NoConnection)
             }
@@ -91,8 +93,8 @@
     /// Gets a connection by `deadline`.
     ///
     /// # Errors
-    /// Returns the status with which the attempt ends. It is `NotSent`, which does not count against the server, if
-    /// this machine lacked the resources to connect.
+    /// Returns the status with which the attempt ends. It is `NotSent`, which does not count against the server,
+    /// after a local shortage (see [`super::connect`]).
     async fn connect(
         &self,
         server: &ServerId,
@@ -100,16 +102,15 @@
         deadline: Instant,
         permit: &AttemptPermit,
     ) -> Result<AcquiredConnection, CompletionStatus> {
-        let is_short_of_resources = Cell::new(false);
-        let acquiring =
-            self.acquire_connection(server, route.address, permit, &is_short_of_resources);
+        let has_local_shortage = Cell::new(false);
+        let acquiring = self.acquire_connection(server, route.address, permit, &has_local_shortage);
         match timeout_at(deadline, acquiring).await {
             Ok(Ok(acquired)) => Ok(acquired),
             Ok(Err(ConnectFailure::Denied(reason))) => {
                 log_denied(server, reason, 0);
                 Err(CompletionStatus::NotSent)
             }
-            Err(_) if is_short_of_resources.get() => Err(CompletionStatus::NotSent),
+            Err(_) if has_local_shortage.get() => Err(CompletionStatus::NotSent),
             Ok(Err(ConnectFailure::Unreachable)) | Err(_) => Err(CompletionStatus::NoConnection),
         }
     }
@@ -216,7 +217,8 @@
 /// Returns the status of an attempt whose request was not written completely because of `reason`.
 fn denied_status(reason: WriteDenied) -> CompletionStatus {
     match reason {
-        // The server reads the request too slowly.
+        // The server reads so slowly that the forwarded deadline became outdated while the request was written: counts
+        // against the server.
         WriteDenied::ForwardedDeadlineStale => CompletionStatus::NoConnection,
         _ => CompletionStatus::NotSent,
     }
--- a/crates/http1/src/backend/connect.rs
+++ b/crates/http1/src/backend/connect.rs
@@ -1,4 +1,7 @@
 //! Acquires the connection for an attempt: an idle one from the pool, or a new one.
+//!
+//! A new connection may be impossible because of a *local shortage*: the pool is at its limit without an idle
+//! connection, or the operating system lacks the resources for a connection. It does not count against the server.
 
 use super::pooled_connection::PooledConnection;
 use super::upstream::Upstream;
@@ -11,7 +14,7 @@
 use tokio::time::{sleep_until, timeout, Instant};
 use tracing::debug;
 
-/// Minimum delay before an attempt retries a connection that this machine lacked the resources to make.
+/// Minimum delay before an attempt retries to connect after a local shortage.
 const RECONNECT_DELAY: Duration = Duration::from_millis(5);
 /// Minimum interval between such retries of all attempts together.
 const MIN_RECONNECT_INTERVAL: Duration = Duration::from_millis(2);
@@ -20,7 +23,7 @@
 pub(super) enum ConnectFailure {
     /// The server refused the connection, or did not accept it within the connect timeout.
     Unreachable,
-    /// This machine lacked the resources to connect until the permit denied the attempt.
+    /// The permit denied the attempt while it waited for the end of a local shortage.
     Denied(WriteDenied),
 }
 
@@ -32,14 +35,14 @@
 }
 
 impl Upstream {
-    /// Acquires a connection without a request on it. While this machine lacks the resources for a new connection,
-    /// retries for as long as `permit` allows the attempt to begin, and sets `is_short_of_resources`.
+    /// Acquires a connection without a request on it. During a local shortage, sets `has_local_shortage` and
+    /// retries for as long as `permit` allows the attempt to begin.
     pub(super) async fn acquire_connection(
         &self,
         server: &ServerId,
         address: SocketAddr,
         permit: &AttemptPermit,
-        is_short_of_resources: &Cell<bool>,
+        has_local_shortage: &Cell<bool>,
     ) -> Result<AcquiredConnection, ConnectFailure> {
         loop {
             if let Some(idle) = self.take_idle(server) {
@@ -54,13 +57,13 @@
                     idle_time: None,
                 });
             }
-            is_short_of_resources.set(true);
+            has_local_shortage.set(true);
             permit.check().map_err(ConnectFailure::Denied)?;
             self.wait_for_reconnect().await;
         }
     }
 
-    /// Makes a new connection. Returns `None` if this machine lacks the resources for it.
+    /// Makes a new connection. Returns `None` in a local shortage.
     async fn try_connect(
         &self,
         server: &ServerId,
--- a/crates/http1/src/backend/upstream.rs
+++ b/crates/http1/src/backend/upstream.rs
@@ -50,7 +50,7 @@
     open_connections: Rc<Cell<usize>>,
     pub(super) counters: Rc<RequestCounters>,
     pub(super) staleness: RefCell<StalenessEstimator>,
-    /// Earliest time of the next retry of a connection that this machine lacked the resources to make.
+    /// Earliest time of the next retry to connect after a local shortage (see [`super::connect`]).
     pub(super) next_reconnect_at: Cell<Instant>,
     long_request_bytes_available: Arc<AtomicUsize>,
 }
@@ -76,7 +76,7 @@
     }
 
     /// Returns an empty reservation for the body of a long request.
-    pub(crate) fn reserve_body_memory(&self) -> BodyReservation {
+    pub(crate) fn new_body_reservation(&self) -> BodyReservation {
         BodyReservation::new(self.long_request_bytes_available.clone())
     }
 
@@ -102,13 +102,13 @@
     pub(super) fn take_idle(&self, server: &ServerId) -> Option<IdleConnection> {
         let mut table = self.table.borrow_mut();
         let idle = &mut table.servers.get_mut(server)?.idle;
-        let max_age = self.max_idle_age();
+        let max_idle_time = self.max_idle_time();
         while let Some(index) = idle
             .iter()
             .rposition(|i| i.idle_since.elapsed() >= MIN_IDLE_BEFORE_REUSE)
         {
             let candidate = idle.remove(index);
-            if candidate.is_usable(Instant::now(), max_age) {
+            if candidate.is_usable(Instant::now(), max_idle_time) {
                 return Some(candidate);
             }
         }
@@ -168,18 +168,21 @@
     }
 
     /// Returns the idle time from which on a connection is not reused.
-    fn max_idle_age(&self) -> Duration {
-        let learned_limit = self.staleness.borrow().max_idle_age();
+    fn max_idle_time(&self) -> Duration {
+        let learned_limit = self.staleness.borrow().max_idle_time();
         self.limits.idle_timeout.min(learned_limit)
     }
 
-    /// Closes the idle connections that are too old or not reusable. Called once per [`STALE_CHECK_INTERVAL`].
+    /// Decays the counts of lost requests, and closes the idle connections that have been idle for too long or are not
+    /// reusable. Must be called once per [`STALE_CHECK_INTERVAL`].
     fn close_stale_connections(&self) {
         self.staleness.borrow_mut().decay();
         let now = Instant::now();
-        let max_age = self.max_idle_age();
+        let max_idle_time = self.max_idle_time();
         for server in self.table.borrow_mut().servers.values_mut() {
-            server.idle.retain(|idle| idle.is_usable(now, max_age));
+            server
+                .idle
+                .retain(|idle| idle.is_usable(now, max_idle_time));
         }
     }
 }
--- a/crates/http1/src/chunked.rs
+++ b/crates/http1/src/chunked.rs
@@ -7,9 +7,9 @@
 const MAX_SIZE_LINE_BYTES: usize = 4 << 10;
 /// Maximum length of a line of the trailer section.
 const MAX_TRAILER_LINE_BYTES: usize = 16 << 10;
-/// Maximum number of bytes of size lines, chunk ends and trailers, unless [`MAX_OVERHEAD_RATIO`] allows more.
+/// Maximum number of overhead bytes (size lines, chunk ends, trailers), unless [`MAX_OVERHEAD_RATIO`] allows more.
 const MAX_OVERHEAD_BYTES: usize = 256 << 10;
-/// Maximum ratio of these bytes to the bytes of data, where it allows more than [`MAX_OVERHEAD_BYTES`].
+/// Maximum ratio of overhead bytes to data bytes. Applies if it allows more than [`MAX_OVERHEAD_BYTES`].
 const MAX_OVERHEAD_RATIO: usize = 4;
 
 /// The element of the body that is decoded next.
@@ -35,7 +35,7 @@
 
 impl ChunkedDecoder {
     /// Removes encoded bytes from the start of `input` and appends the decoded data to `body`. Returns whether the body
-    /// is complete. Incomplete elements, and the bytes after the body, stay in `input`.
+    /// is complete. Incomplete size lines, chunk ends and trailer lines, and the bytes after the body, stay in `input`.
     ///
     /// # Errors
     /// Fails if the input is not a chunked body, or its overhead exceeds the limits.
@@ -53,7 +53,7 @@
         is_complete
     }
 
-    /// Decodes the complete elements of `input` and adds their lengths to `decoded_input_bytes`.
+    /// Decodes as much of `input` as possible and adds its length to `decoded_input_bytes`.
     fn decode_available(
         &mut self,
         input: &[u8],
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Decodes a size line. Like the other steps, returns the number of bytes consumed, or `None` if more input is
-    /// needed.
+    /// Decodes a size line. Like the other `decode_*` methods, returns the number of bytes consumed, or `None` if more
+    /// input is needed.
     fn decode_size(&mut self, rest: &[u8]) -> Result<Option<usize>, MessageError> {
         let parsed = httparse::parse_chunk_size(rest).map_err(|_| MessageError::ChunkSize)?;
         let Status::Complete((line_bytes, size)) = parsed else {
--- a/crates/http1/src/chunked/tests.rs
+++ b/crates/http1/src/chunked/tests.rs
@@ -47,7 +47,7 @@
     ] {
         assert!(
             decode_in_parts(text, 7).is_err(),
-            "{:?} is malformed",
+            "decoding {:?} fails",
             String::from_utf8_lossy(text)
         );
     }
@@ -60,6 +60,6 @@
         decode_in_parts(&tiny_chunks, 4_096)
             .map(|_| ())
             .map_err(|error| error.to_string()),
-        Err("too much chunk overhead".to_string())
+        Err("chunk overhead exceeds both 256 KiB and 4 times the data".to_string())
     );
 }
--- a/crates/http1/src/conn.rs
+++ b/crates/http1/src/conn.rs
@@ -31,7 +31,7 @@
     Begun,
 }
 
-/// Request to write to a server, and the callbacks that observe the writing.
+/// Request to write to a server, with the callback that permits each write and the callback for the end of the writing.
 pub struct Sending<'a> {
     /// Head and body.
     pub request: [&'a [u8]; 2],
--- a/crates/http1/src/conn/body.rs
+++ b/crates/http1/src/conn/body.rs
@@ -81,8 +81,8 @@
     let following = buffer.split_off(missing_bytes);
     body.append(buffer);
     *buffer = following;
-    // If the declared length is too short, the rest of the body follows it. Only the start of another response is known
-    // not to belong to this body.
+    // If the server declared too short a length, the bytes after it are the rest of the body. They are accepted only if
+    // they can be the start of another response.
     if !could_start_response(buffer) {
         return Err(MessageError::BodyExceedsLength);
     }
--- a/crates/http1/src/conn/response.rs
+++ b/crates/http1/src/conn/response.rs
@@ -11,7 +11,8 @@
 
 /// Header with the server's load report.
 const LOAD_METRICS_HEADER: &str = "endpoint-load-metrics";
-/// Header with the used percentage of a metered limit.
+/// Header with the customer's use over all gateways, as the server meters it, as a percentage of the customer's rate
+/// limit or concurrency limit.
 const METERED_USE_HEADER: &str = "x-ratelimit-used";
 /// Header by which a server guarantees, with the value `1`, that it has not executed the request.
 const NEVER_RAN_HEADER: &str = "x-never-ran";
@@ -25,7 +26,8 @@
     pub body: Bytes,
     /// Whether the server guarantees that the request was not executed.
     pub never_ran: bool,
-    /// Used fraction of a metered limit, if the server reports it.
+    /// The customer's use over all gateways as a fraction of its rate limit or concurrency limit, if the server reports
+    /// it.
     pub metered_use: Option<f64>,
     /// Load metrics that the server reports.
     pub load_report: Vec<(LoadMetric, f64)>,
--- a/crates/http1/src/conn/response/tests.rs
+++ b/crates/http1/src/conn/response/tests.rs
@@ -1,9 +1,9 @@
 use super::{parse_load_report, LOAD_METRICS_HEADER, METERED_USE_HEADER, NEVER_RAN_HEADER};
 use frosthatch_traffic_control::LoadMetric;
 
-/// The platform defines the names and the format of the headers.
+/// The names and the format must equal those that the platform's servers send.
 #[test]
-fn the_platforms_load_report_and_header_names_are_understood() {
+fn load_report_is_parsed_and_header_names_match_the_platforms() {
     let report = parse_load_report("TEXT inflight=7, queue=2, latency_ms=12.5, other=1");
     assert_eq!(
         report,
--- a/crates/http1/src/error.rs
+++ b/crates/http1/src/error.rs
@@ -14,8 +14,8 @@
     /// A line of the trailer section is not a field, or is too long.
     #[error("invalid trailer section")]
     Trailer,
-    /// Size lines, chunk ends and trailers take far more bytes than the data of the chunks.
-    #[error("too much chunk overhead")]
+    /// Size lines, chunk ends and trailers exceed both `MAX_OVERHEAD_BYTES` and `MAX_OVERHEAD_RATIO` times the data.
+    #[error("chunk overhead exceeds both 256 KiB and 4 times the data")]
     ChunkOverhead,
     /// The head is not a valid response head.
     #[error("invalid response head")]
@@ -27,7 +27,7 @@
     #[error("ambiguous or unsupported body framing")]
     Framing,
     /// The body exceeds [`MAX_LONG_BODY_BYTES`](crate::limits::MAX_LONG_BODY_BYTES).
-    #[error("body exceeds the size limit")]
+    #[error("body exceeds 32 MiB")]
     BodyTooLong,
     /// A body of declared length is followed by bytes that are not the start of a response.
     #[error("body is longer than its declared length")]
@@ -37,10 +37,10 @@
     Unsolicited,
     /// There are too many interim responses, or a complete head is longer than
     /// [`MAX_HEAD_BYTES`](crate::limits::MAX_HEAD_BYTES).
-    #[error("too many interim responses, or a head that is too long")]
+    #[error("more than 16 interim responses, or a response head over 16 KiB")]
     TooManyHeads,
     /// The head is incomplete after [`MAX_HEAD_BYTES`](crate::limits::MAX_HEAD_BYTES).
-    #[error("no end of the response head within the size limit")]
+    #[error("incomplete response head exceeds 16 KiB")]
     HeadTooLong,
 }
 
--- a/crates/http1/src/server/bad_request.rs
+++ b/crates/http1/src/server/bad_request.rs
@@ -1,4 +1,5 @@
-//! Errors for which a request is rejected before it is submitted to the engine, or by the engine as a duplicate.
+//! Reasons why requests are rejected: by the checks before the engine, or by the engine because a request with the same
+//! identifier is in flight.
 
 use std::time::Duration;
 
@@ -35,7 +36,7 @@
     /// The request was not completely received in time.
     #[error("the request came too slowly")]
     TooSlow,
-    /// The process ends before the request, which is still incomplete, could be answered.
+    /// The request is still incomplete at the request deadline of the shutdown.
     #[error("this gateway ends")]
     ShuttingDown,
     /// A request with the same identifier is in flight.
--- a/crates/http1/src/server/client.rs
+++ b/crates/http1/src/server/client.rs
@@ -26,8 +26,8 @@
 const MAX_LINGER_BYTES: usize = 256 << 10;
 /// Maximum time for which bytes are discarded before a connection is closed.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
-/// Interval at which the input of a client is read and discarded once it has sent more than is buffered. It must be
-/// read on, as only reading shows that the client has disconnected.
+/// Interval at which a client's input is read and discarded while the client waits for a response and more than
+/// [`MAX_HEAD_BYTES`] are buffered: only reading shows that the client has disconnected.
 const OVERFLOW_READ_INTERVAL: Duration = Duration::from_millis(5);
 /// Number of bytes after which one check for a disconnection stops reading.
 const MAX_DISCONNECT_CHECK_BYTES: usize = 64 << 10;
@@ -50,8 +50,8 @@
     pub(super) buffer: Vec<u8>,
     /// Whether the connection has carried a request.
     pub(super) has_served: bool,
-    /// Whether the client has sent more than is buffered. Bytes may have been discarded, so no further request can be
-    /// read.
+    /// Whether more than [`MAX_HEAD_BYTES`] arrived while the client waited for a response. Further bytes are
+    /// discarded, so no further request can be read.
     pub(super) has_input_overflowed: bool,
     /// Earliest time at which the last of the buffered bytes may have arrived.
     pub(super) received_at: Instant,
@@ -138,8 +138,8 @@
         matches!(result, Ok(0) | Err(_))
     }
 
-    /// Reads from the socket by system calls, without waiting for the runtime's readiness. Returns whether the client has
-    /// disconnected. Buffers the received bytes unless the input has overflowed.
+    /// Reads from the socket by system calls, without waiting for the runtime's readiness. Returns whether the client
+    /// has disconnected. Buffers the received bytes unless the input has overflowed.
     pub(super) fn detect_disconnect(&mut self) -> bool {
         let socket = SockRef::from(&self.stream);
         let mut chunk = [0; READ_CHUNK_BYTES];
@@ -183,7 +183,8 @@
     }
 
     /// Closes the connection gracefully: shuts down its sending side, then discards the client's input until the client
-    /// closes, for at most [`LINGER_TIMEOUT`]. The client sees that a request in the discarded input was not accepted.
+    /// closes, for at most [`LINGER_TIMEOUT`]. As the connection closes without a response, the client
+    /// knows that a request in the discarded input was not executed.
     pub(super) async fn linger_and_close(mut self) {
         self.shut_down_writes();
         let _ = timeout(LINGER_TIMEOUT, self.discard_input()).await;
--- a/crates/http1/src/server/http_server.rs
+++ b/crates/http1/src/server/http_server.rs
@@ -1,6 +1,6 @@
 //! State shared by the connections of all clients.
 
-use super::idle_connection::IdleConnection;
+use super::idle_connection::WaitingConnection;
 use crate::backend::Upstream;
 use frosthatch_engine::{Engine, RequestPlugins};
 use frosthatch_traffic_control::Settings;
@@ -10,9 +10,10 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Divisor for the share of connections that is reserved for connections without a request in flight. If requests in
-/// flight take more than the rest, new requests are rejected at once, as requests on further connections would wait
-/// unread past their deadlines.
+/// Divisor of the maximum number of connections: the quotient is the number reserved for connections without a request
+/// in flight. If the connections with a request in flight exceed the unreserved number, new requests are rejected at
+/// once: if all connections were taken, requests on connections not yet accepted would wait unread past their
+/// deadlines.
 const RESERVED_DIVISOR: usize = 8;
 
 /// HTTP/1.1 server of the gateway, shared by the connections of all clients.
@@ -26,8 +27,8 @@
     pub(super) shutdown_request_deadline: Cell<Option<Instant>>,
     /// Time at which the gateway began to drain; `None` if it is not draining.
     pub(super) draining_since: Cell<Option<Instant>>,
-    /// Connections that wait for a request or for the rest of one, by connection number.
-    pub(super) idle: RefCell<HashMap<u64, IdleConnection>>,
+    /// Connections whose next request has not been completely received, by connection number.
+    pub(super) waiting_connections: RefCell<HashMap<u64, WaitingConnection>>,
     pub(super) open_connections: Cell<usize>,
     /// Number of open connections that only wait for their clients to read the last response.
     pub(super) lingering_connections: Cell<usize>,
@@ -54,7 +55,7 @@
             plugins,
             shutdown_request_deadline: Cell::new(None),
             draining_since: Cell::new(None),
-            idle: RefCell::default(),
+            waiting_connections: RefCell::default(),
             open_connections: Cell::new(0),
             lingering_connections: Cell::new(0),
             max_connections: Cell::new(max_connections),
@@ -93,9 +94,9 @@
     /// Returns whether connections with a request in flight take more than the unreserved share of all connections.
     pub(super) fn is_over_capacity(&self) -> bool {
         let max_connections = self.max_connections.get();
-        let idle_connections = self.idle.borrow().len();
+        let waiting_connections = self.waiting_connections.borrow().len();
         let busy_connections =
-            self.open_connections() - self.lingering_connections.get() - idle_connections;
+            self.open_connections() - self.lingering_connections.get() - waiting_connections;
         busy_connections > max_connections - max_connections / RESERVED_DIVISOR
     }
 
--- a/crates/http1/src/server/idle_connection.rs
+++ b/crates/http1/src/server/idle_connection.rs
@@ -1,13 +1,14 @@
-//! Server's record of a client connection without a request in flight.
+//! Record of a client's connection that waits for a complete request.
 
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Connection that waits for a request, or for the rest of one.
-pub(super) struct IdleConnection {
-    /// Time since when the connection waits for this request.
+/// Connection whose next request has not been completely received.
+pub(super) struct WaitingConnection {
+    /// Time at which the gateway began to wait for the request. If the connection has carried a request before,
+    /// replaced by the time at which the first bytes arrive.
     pub(super) waiting_since: Instant,
     /// Whether the connection has carried a request before.
     pub(super) has_served: bool,
@@ -17,11 +18,20 @@
     pub(super) close_notify: Rc<Notify>,
 }
 
-impl IdleConnection {
-    /// Returns whether the connection has been idle for at least `if_served`, or for at least `if_new` if it has
-    /// carried no request yet.
-    pub(super) fn is_idle_for(&self, now: Instant, if_served: Duration, if_new: Duration) -> bool {
-        let min_idle = if self.has_served { if_served } else { if_new };
-        now - self.waiting_since >= min_idle
+impl WaitingConnection {
+    /// Returns whether the connection has waited for at least `min_wait_served`, or for at least `min_wait_new` if it
+    /// has carried no request yet.
+    pub(super) fn has_waited_for(
+        &self,
+        now: Instant,
+        min_wait_served: Duration,
+        min_wait_new: Duration,
+    ) -> bool {
+        let min_wait = if self.has_served {
+            min_wait_served
+        } else {
+            min_wait_new
+        };
+        now - self.waiting_since >= min_wait
     }
 }
--- a/crates/http1/src/server/listener.rs
+++ b/crates/http1/src/server/listener.rs
@@ -14,9 +14,10 @@
 
 /// Delay before a failed accept is retried.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
-/// Interval of the checks whether another connection may be accepted, while none can be closed to make room for it.
+/// Interval at which the number of open connections is checked while it is at the limit and none may be closed.
 const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// Divisor for the share of connections that may linger; it is subtracted from the connections that may be in use.
+/// Divisor of the maximum number of connections: the quotient is the number of connections that may linger, and is not
+/// available for connections in use.
 const LINGERING_DIVISOR: usize = 16;
 
 /// Result of an accept.
@@ -61,7 +62,7 @@
             >= self.max_connections.get() - self.max_connections.get() / LINGERING_DIVISOR
         {
             backlog_since.get_or_insert_with(Instant::now);
-            if self.evict_idle() {
+            if self.evict_waiting() {
                 yield_now().await;
             } else {
                 sleep(CAPACITY_POLL_INTERVAL).await;
@@ -76,7 +77,7 @@
         self.open_connections.set(self.open_connections() + 1);
         tokio::task::spawn_local(async move {
             server.serve(client).await;
-            server.idle.borrow_mut().remove(&number);
+            server.waiting_connections.borrow_mut().remove(&number);
             server.open_connections.set(server.open_connections() - 1);
         });
     }
--- a/crates/http1/src/server/request.rs
+++ b/crates/http1/src/server/request.rs
@@ -32,7 +32,7 @@
 /// Complete and valid request.
 pub(super) struct ReceivedRequest {
     pub(super) target: RequestTarget,
-    /// Whether the client requests that the connection is closed after the response.
+    /// Whether the connection must be closed after the response: the client requests it, or speaks HTTP/1.0.
     pub(super) closes_connection: bool,
     /// Whether the client speaks HTTP/1.0, which has no chunked encoding.
     pub(super) is_http_1_0: bool,
@@ -68,8 +68,8 @@
 }
 
 impl PartialRequest {
-    /// Converts a request whose body is complete. `received_at` is the time at which its last byte arrived, from which
-    /// on the client waits.
+    /// Converts a request whose body is complete. `received_at` is the earliest time at which its last byte may have
+    /// arrived; the client's timeout is counted from it.
     pub(super) fn into_received(self, received_at: Instant) -> ReceivedRequest {
         let mut target = self.target;
         if let RequestTarget::Server(request) = &mut target {
--- a/crates/http1/src/server/request_body.rs
+++ b/crates/http1/src/server/request_body.rs
@@ -43,7 +43,7 @@
     fn reserve_body_memory(&self, request: &mut PartialRequest) -> Result<(), BadRequest> {
         let reservation = request
             .body_memory
-            .get_or_insert_with(|| self.upstream.reserve_body_memory());
+            .get_or_insert_with(|| self.upstream.new_body_reservation());
         if reservation.try_grow_to(request.body.capacity()) {
             return Ok(());
         }
--- a/crates/http1/src/server/request_head.rs
+++ b/crates/http1/src/server/request_head.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Maximum time, in seconds, for which a client may declare to wait for a response.
+/// Maximum value of `X-Expires-In`, in seconds.
 const MAX_CLIENT_TIMEOUT_S: f64 = 3_600.0;
 /// Exclusive upper bound of customer identifiers.
 const CUSTOMER_ID_END: u64 = 1 << 33;
@@ -47,7 +47,7 @@
         let mut head = httparse::Request::new(&mut headers);
         let head_bytes = match head.parse(buffer) {
             Ok(Status::Complete(head_bytes)) => head_bytes,
-            // The head is partial if the detected end of a head was only empty lines before it.
+            // `contains_head_end` also matches empty lines before the request line; the head after them may be partial.
             Ok(Status::Partial) | Err(_) => return Err(BadRequest::Malformed),
         };
         if head_bytes > MAX_HEAD_BYTES {
@@ -135,24 +135,24 @@
 
 impl<'a> CallHeaders<'a> {
     fn parse(headers: &[Header<'a>], settings: &'a Settings) -> Result<Self, BadRequest> {
-        let trace_id = required_header(headers, "X-Trace-Id")?;
+        let trace_id = single_printable_header(headers, "X-Trace-Id")?;
         let request_id = parse_hex16(trace_id).ok_or(BadRequest::header("X-Trace-Id"))?;
-        let customer = required_header(headers, "X-Api-Key")?;
+        let customer = single_printable_header(headers, "X-Api-Key")?;
         parse_hex16(customer)
             .filter(|&id| id < CUSTOMER_ID_END)
             .ok_or(BadRequest::header("X-Api-Key"))?;
-        let plan_name = required_header(headers, "X-Tier")?;
+        let plan_name = single_printable_header(headers, "X-Tier")?;
         let plan = settings
             .plans
             .iter()
             .find(|plan| plan.name == plan_name)
             .ok_or(BadRequest::header("X-Tier"))?;
-        let client_timeout_s = required_header(headers, "X-Expires-In")?
+        let client_timeout_s = single_printable_header(headers, "X-Expires-In")?
             .parse::<f64>()
             .ok()
             .filter(|&s| s > 0.0 && s <= MAX_CLIENT_TIMEOUT_S)
             .ok_or(BadRequest::header("X-Expires-In"))?;
-        let terms = CallTerms::parse(required_header(headers, "X-Call-Terms")?, settings)
+        let terms = CallTerms::parse(single_printable_header(headers, "X-Call-Terms")?, settings)
             .ok_or(BadRequest::header("X-Call-Terms"))?;
         Ok(CallHeaders {
             trace_id,
@@ -221,7 +221,7 @@
     class: &RequestClass,
     is_repeatable: bool,
 ) -> Result<(), BadRequest> {
-    if required_header(parts.headers, "X-Qos")? != class.name {
+    if single_printable_header(parts.headers, "X-Qos")? != class.name {
         return Err(BadRequest::header("X-Qos"));
     }
     let expected_method = if is_repeatable { "GET" } else { "POST" };
@@ -244,25 +244,28 @@
     let headers = parts.headers;
     let method = parts.method;
     let path = parts.path;
-    let host = required_header(headers, "Host").unwrap_or("backend.local");
+    let host = single_printable_header(headers, "Host").unwrap_or("backend.local");
     let mut head =
         format!("{method} {path} HTTP/1.1\r\nHost: {host}\r\nX-Trace-Id: {trace_id}\r\n");
     // A class whose servers deduplicate requests by key requires a key. In the other classes with a body it is optional
     // and forwarded unchanged. No key is generated: that would not make a request repeatable.
     let requires_key = matches!(class.effect, Effect::Keyed { .. });
     if requires_key || !is_repeatable && find_header(headers, "Idempotency-Key").is_some() {
-        let key = required_header(headers, "Idempotency-Key")?;
+        let key = single_printable_header(headers, "Idempotency-Key")?;
         let _ = write!(head, "Idempotency-Key: {key}\r\n");
     }
-    if let Ok(content_type) = required_header(headers, "Content-Type") {
+    if let Ok(content_type) = single_printable_header(headers, "Content-Type") {
         let _ = write!(head, "Content-Type: {content_type}\r\n");
     }
     Ok(head)
 }
 
-/// Returns the value of a header, which must occur exactly once and consist of printable ASCII, so that it can be
-/// forwarded unchanged.
-fn required_header<'a>(headers: &[Header<'a>], name: &'static str) -> Result<&'a str, BadRequest> {
+/// Returns the value of a header. The header must occur exactly once, and its value must be non-empty printable ASCII,
+/// so that it can be forwarded unchanged.
+fn single_printable_header<'a>(
+    headers: &[Header<'a>],
+    name: &'static str,
+) -> Result<&'a str, BadRequest> {
     let mut values = headers
         .iter()
         .filter(|h| h.name.eq_ignore_ascii_case(name))
--- a/crates/http1/src/server/request_reader.rs
+++ b/crates/http1/src/server/request_reader.rs
@@ -3,7 +3,7 @@
 use super::bad_request::BadRequest;
 use super::client::{ClientConnection, ReadSize};
 use super::http_server::HttpServer;
-use super::idle_connection::IdleConnection;
+use super::idle_connection::WaitingConnection;
 use super::request::{PartialRequest, ReceivedRequest};
 use super::request_head::contains_head_end;
 use crate::limits::MAX_HEAD_BYTES;
@@ -12,8 +12,8 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, Instant};
 
-/// Time within which a head must be complete, from its first byte, or from the accept for a connection's first head. A
-/// client must get an error response or a close within 3 s.
+/// Time within which a head must be complete. It begins with the head's first byte; for the first head of a connection,
+/// with the accept. A client must get an error response or a close within 3 s.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Time within which a body must be complete after its head, extended by the time that the received bytes take at
 /// [`MIN_BODY_BYTES_PER_S`]. Also the maximum pause within a body.
@@ -25,7 +25,8 @@
 
 /// State of reading one request.
 struct RequestReader {
-    /// Deadline of the head, or of the body without the extension for the received bytes.
+    /// Deadline of the current phase: the first byte, the head, or the body without the extension for the received
+    /// bytes.
     deadline: Instant,
     /// Notified when the connection is to be closed.
     close_notify: Rc<Notify>,
@@ -37,7 +38,7 @@
     request: Option<PartialRequest>,
     /// Whether the deadline has passed or the connection is to be closed: only bytes that have already arrived are
     /// still read.
-    is_last_read: bool,
+    reads_only_arrived_bytes: bool,
 }
 
 impl RequestReader {
@@ -64,22 +65,22 @@
 
 impl HttpServer {
     /// Reads and checks the next request. Returns `None` if the connection is to be closed without a response. Lists
-    /// the connection as idle in the meantime.
+    /// the connection as waiting until the request is complete.
     pub(super) async fn read_request(
         &self,
         client: &mut ClientConnection,
     ) -> Result<Option<ReceivedRequest>, BadRequest> {
         let idle_since = Instant::now();
         let close_notify = Rc::new(Notify::new());
-        let idle_connection = IdleConnection {
+        let waiting_connection = WaitingConnection {
             waiting_since: idle_since,
             has_served: client.has_served,
             has_request_begun: false,
             close_notify: close_notify.clone(),
         };
-        self.idle
+        self.waiting_connections
             .borrow_mut()
-            .insert(client.number, idle_connection);
+            .insert(client.number, waiting_connection);
         let timeout = if client.has_served {
             KEEPALIVE_TIMEOUT
         } else {
@@ -91,10 +92,10 @@
             has_request_begun: false,
             scanned_bytes: 0,
             request: None,
-            is_last_read: false,
+            reads_only_arrived_bytes: false,
         };
         let result = self.read_until_complete(client, &mut reader).await;
-        self.idle.borrow_mut().remove(&client.number);
+        self.waiting_connections.borrow_mut().remove(&client.number);
         result
     }
 
@@ -122,7 +123,7 @@
                 }
             }
             let deadline = reader.current_deadline();
-            if reader.is_last_read && !client.has_unread_bytes() {
+            if reader.reads_only_arrived_bytes && !client.has_unread_bytes() {
                 return self.end_incomplete(reader);
             }
             tokio::select! {
@@ -131,17 +132,21 @@
                         client.close_reason = "ended_by_client";
                         return Ok(None);
                     }
-                    // A request that begins with this read gets the time to be completed.
-                    reader.is_last_read &= reader.has_request_begun;
+                    // If this read received the first bytes of a request, the idle timeout or the notification no
+                    // longer applies: the request gets its own deadline.
+                    reader.reads_only_arrived_bytes &= reader.has_request_begun;
                 }
-                () = reader.close_notify.notified(), if !reader.is_last_read => reader.is_last_read = true,
-                () = sleep_until(deadline), if !reader.is_last_read => reader.is_last_read = true,
+                () = reader.close_notify.notified(), if !reader.reads_only_arrived_bytes =>
+                    reader.reads_only_arrived_bytes = true,
+                () = sleep_until(deadline), if !reader.reads_only_arrived_bytes =>
+                    reader.reads_only_arrived_bytes = true,
             }
         }
     }
 
-    /// Records that the first bytes of a request have arrived, so that the connection is no longer idle. Replaces its
-    /// `close_notify`, as a notification of the previous one was meant for an idle connection.
+    /// Records that the first bytes of a request have arrived, so that the connection is no longer idle. Replaces the
+    /// connection's `close_notify`: a notification that is still pending was sent because the connection had no
+    /// request, and must not end this one.
     fn begin_request(&self, client: &ClientConnection, reader: &mut RequestReader) {
         let now = Instant::now();
         reader.has_request_begun = true;
@@ -149,7 +154,11 @@
             reader.deadline = now + HEAD_TIMEOUT;
         }
         reader.close_notify = Rc::default();
-        if let Some(connection) = self.idle.borrow_mut().get_mut(&client.number) {
+        if let Some(connection) = self
+            .waiting_connections
+            .borrow_mut()
+            .get_mut(&client.number)
+        {
             connection.has_request_begun = true;
             connection.close_notify = reader.close_notify.clone();
             if connection.has_served {
@@ -178,15 +187,15 @@
         Ok(())
     }
 
-    /// Returns the outcome of a request that is incomplete when its time is over: an error, or `None` if it has not
-    /// begun.
+    /// Returns the outcome of a request that is incomplete when its deadline passes or the connection is to be closed:
+    /// an error, or `None` if the request has not begun.
     fn end_incomplete(
         &self,
         reader: &RequestReader,
     ) -> Result<Option<ReceivedRequest>, BadRequest> {
         if !reader.has_request_begun {
             Ok(None)
-        } else if self.is_too_late_for_requests() {
+        } else if self.is_past_request_deadline() {
             Err(BadRequest::ShuttingDown)
         } else {
             Err(BadRequest::TooSlow)
--- a/crates/http1/src/server/response.rs
+++ b/crates/http1/src/server/response.rs
@@ -14,7 +14,8 @@
     },
 }
 
-/// Encodes a response of the engine. A streamed response, which is relayed instead, is encoded as a failure.
+/// Encodes a response of the engine. Must not be called with [`Response::Streaming`], which is relayed; encodes it as
+/// 502.
 pub(super) fn encode_engine_response(
     response: &Response,
     closes_connection: bool,
--- a/crates/http1/src/staleness.rs
+++ b/crates/http1/src/staleness.rs
@@ -3,46 +3,52 @@
 use std::time::Duration;
 
 const BUCKET_COUNT: usize = 12;
-/// Idle time at which the first bucket begins: bucket `i` covers the idle times from `2^i` times this to twice that.
-/// The first bucket also covers all shorter idle times, the last one all longer ones.
-const FIRST_BUCKET_AGE: Duration = Duration::from_millis(12);
-/// Minimum number of lost requests at which a bucket is too old: some requests are lost at any idle time.
+/// Idle time at which the first bucket begins. Bucket `i` covers idle times from `FIRST_BUCKET_IDLE_TIME * 2^i` up to
+/// `FIRST_BUCKET_IDLE_TIME * 2^(i + 1)`. The first bucket also covers all shorter idle times, the last one all longer
+/// ones.
+const FIRST_BUCKET_IDLE_TIME: Duration = Duration::from_millis(12);
+/// Minimum decayed number of lost requests at which connections with a bucket's idle times are no longer reused: some
+/// requests are lost at any idle time.
 const MIN_LOST: f64 = 3.0;
-/// Minimum fraction of a bucket's requests that are lost at which the bucket is too old.
+/// Minimum lost fraction of a bucket's requests at which connections with its idle times are no longer reused.
 const MIN_LOST_FRACTION: f64 = 0.12;
-/// Factor on the counts each second, so that an idle time that was too old is tried again.
+/// Factor by which [`StalenessEstimator::decay`] multiplies the counts once a second, so that idle times with too many
+/// lost requests are tried again.
 const DECAY_PER_SECOND: f64 = 0.93;
 
-/// Estimator of the maximum idle time, from the outcomes of requests on reused connections by their idle time.
+/// Estimates the idle time from which on connections fail too often, from the outcomes of requests on reused
+/// connections.
 ///
-/// A server may close an idle connection sooner than it should, without the gateway noticing: it then answers the next
-/// request with a reset, and may have executed it.
+/// A server may close an idle connection sooner than it should, without the gateway noticing: the server then
+/// answers the next request with a reset, and may have executed the request.
 #[derive(Default)]
 pub struct StalenessEstimator {
-    buckets: [AgeBucket; BUCKET_COUNT],
+    buckets: [IdleTimeBucket; BUCKET_COUNT],
 }
 
 /// Decayed counts of the requests on connections within a range of idle times.
 #[derive(Default, Clone, Copy)]
-struct AgeBucket {
+struct IdleTimeBucket {
     requests: f64,
     lost_requests: f64,
 }
 
-impl AgeBucket {
+impl IdleTimeBucket {
     /// Returns whether too many requests of this bucket were lost.
-    fn is_too_old(&self) -> bool {
+    fn loses_too_many(&self) -> bool {
         self.lost_requests >= MIN_LOST && self.lost_requests >= self.requests * MIN_LOST_FRACTION
     }
 }
 
 impl StalenessEstimator {
-    /// Maximum time from the start of a request to a reset that is attributed to a stale connection.
-    pub const STALE_RESET_WINDOW: Duration = Duration::from_millis(10);
+    /// Maximum time from the start of a request to a failure of its connection, mostly a reset, that is attributed to
+    /// the connection's idle time.
+    pub const STALE_FAILURE_WINDOW: Duration = Duration::from_millis(10);
 
-    /// Records a request on a connection that was idle for `idle`; `is_lost` states whether it was lost to a reset.
-    pub fn record_use(&mut self, idle: Duration, is_lost: bool) {
-        let doublings = (idle.as_secs_f64() / FIRST_BUCKET_AGE.as_secs_f64())
+    /// Records a request on a connection that was idle for `idle_time`; `is_lost` states whether the connection failed
+    /// within [`Self::STALE_FAILURE_WINDOW`].
+    pub fn record_use(&mut self, idle_time: Duration, is_lost: bool) {
+        let doublings = (idle_time.as_secs_f64() / FIRST_BUCKET_IDLE_TIME.as_secs_f64())
             .max(1.0)
             .log2() as usize;
         let last_bucket = self.buckets.len() - 1;
@@ -60,9 +66,9 @@
     }
 
     /// Returns the idle time from which on too many requests are lost, or `Duration::MAX` if there is none.
-    pub fn max_idle_age(&self) -> Duration {
-        match self.buckets.iter().position(AgeBucket::is_too_old) {
-            Some(index) => FIRST_BUCKET_AGE * (1 << index),
+    pub fn max_idle_time(&self) -> Duration {
+        match self.buckets.iter().position(IdleTimeBucket::loses_too_many) {
+            Some(index) => FIRST_BUCKET_IDLE_TIME * (1 << index),
             None => Duration::MAX,
         }
     }
