--- a/crates/http1/src/backend/connect.rs
+++ b/crates/http1/src/backend/connect.rs
@@ -1,4 +1,7 @@
-//! Finds or makes the connection for an attempt.
+//! Acquires the connection for an attempt: an idle one from the pool, or a new one.
+//!
+//! A new connection may be impossible because of a *local shortage*: the pool is at its limit without an idle
+//! connection, or the operating system lacks the resources for a connection. It does not count against the server.
 
 use super::pooled_connection::PooledConnection;
 use super::upstream::Upstream;
@@ -11,41 +14,41 @@
 use tokio::time::{sleep_until, timeout, Instant};
 use tracing::debug;
 
-/// A connection that this machine could not make is retried after this...
+/// Minimum delay before an attempt retries to connect after a local shortage.
 const RECONNECT_DELAY: Duration = Duration::from_millis(5);
-/// ...and all of them together no more often than this.
+/// Minimum interval between such retries of all attempts together.
 const MIN_RECONNECT_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Why an attempt got no connection.
+/// Reason why an attempt got no connection.
 pub(super) enum ConnectFailure {
-    /// The server refused, or did not answer in time.
+    /// The server refused the connection, or did not accept it within the connect timeout.
     Unreachable,
-    /// This machine could not connect before the attempt was too late.
-    Withheld(WriteDenied),
+    /// The permit denied the attempt while it waited for the end of a local shortage.
+    Denied(WriteDenied),
 }
 
-/// The connection of an attempt.
+/// Connection for an attempt.
 pub(super) struct AcquiredConnection {
     pub(super) connection: PooledConnection,
-    /// How long it had been idle; none if it is new.
+    /// Time for which the connection was idle; `None` if it is new.
     pub(super) idle_time: Option<Duration>,
 }
 
 impl Upstream {
-    /// A connection without a request on it. Where this machine lacks the resources for a new one, it retries for as long
-    /// as `permit` allows the attempt to begin, and sets `is_short_of_resources`.
+    /// Acquires a connection without a request on it. During a local shortage, sets `has_local_shortage` and
+    /// retries for as long as `permit` allows the attempt to begin.
     pub(super) async fn acquire_connection(
         &self,
         server: &ServerId,
         address: SocketAddr,
         permit: &AttemptPermit,
-        is_short_of_resources: &Cell<bool>,
+        has_local_shortage: &Cell<bool>,
     ) -> Result<AcquiredConnection, ConnectFailure> {
         loop {
             if let Some(idle) = self.take_idle(server) {
                 return Ok(AcquiredConnection {
                     connection: idle.connection,
-                    idle_time: Some(idle.since.elapsed()),
+                    idle_time: Some(idle.idle_since.elapsed()),
                 });
             }
             if let Some(connection) = self.try_connect(server, address).await? {
@@ -54,13 +57,13 @@
                     idle_time: None,
                 });
             }
-            is_short_of_resources.set(true);
-            permit.check().map_err(ConnectFailure::Withheld)?;
+            has_local_shortage.set(true);
+            permit.check().map_err(ConnectFailure::Denied)?;
             self.wait_for_reconnect().await;
         }
     }
 
-    /// Makes a new connection; none if this machine lacks the resources for it.
+    /// Makes a new connection. Returns `None` in a local shortage.
     async fn try_connect(
         &self,
         server: &ServerId,
@@ -79,6 +82,7 @@
         }
     }
 
+    /// Waits until this attempt may retry to connect.
     async fn wait_for_reconnect(&self) {
         let earliest = Instant::now() + RECONNECT_DELAY;
         let reconnect_at = earliest.max(self.next_reconnect_at.get());
--- a/crates/http1/src/conn/response/tests.rs
+++ b/crates/http1/src/conn/response/tests.rs
@@ -1,9 +1,9 @@
 use super::{parse_load_report, LOAD_METRICS_HEADER, METERED_USE_HEADER, NEVER_RAN_HEADER};
 use frosthatch_traffic_control::LoadMetric;
 
-/// The form of the header is given by the platform.
+/// The names and the format must equal those that the platform's servers send.
 #[test]
-fn a_load_report_is_parsed_by_the_names_of_its_header() {
+fn load_report_is_parsed_and_header_names_match_the_platforms() {
     let report = parse_load_report("TEXT inflight=7, queue=2, latency_ms=12.5, other=1");
     assert_eq!(
         report,
--- a/crates/http1/src/server/request_reader.rs
+++ b/crates/http1/src/server/request_reader.rs
@@ -1,9 +1,9 @@
-//! Reads the requests of one connection, and ends a connection that stays idle.
+//! Reads the requests of one connection, with timeouts for idle connections and slow requests.
 
 use super::bad_request::BadRequest;
 use super::client::{ClientConnection, ReadSize};
 use super::http_server::HttpServer;
-use super::idle_connection::IdleConnection;
+use super::idle_connection::WaitingConnection;
 use super::request::{PartialRequest, ReceivedRequest};
 use super::request_head::contains_head_end;
 use crate::limits::MAX_HEAD_BYTES;
@@ -12,42 +12,48 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, Instant};
 
-/// A head is complete this long after its first byte, the first of a connection this long after it was accepted: an error
-/// or a close is owed within 3 s.
+/// Time within which a head must be complete. It begins with the head's first byte; for the first head of a connection,
+/// with the accept. A client must get an error response or a close within 3 s.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// A body is complete this long after its head, and longer by what has arrived of it at the slowest rate allowed.
+/// Time within which a body must be complete after its head, extended by the time that the received bytes take at
+/// [`MIN_BODY_BYTES_PER_S`]. Also the maximum pause within a body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(2);
-/// Half of the rate at which clients send.
+/// Minimum rate at which a body must arrive: half of the rate at which clients send.
 const MIN_BODY_BYTES_PER_S: f64 = 32_000.0;
-/// A connection that has served stays open for so long without a request.
+/// Time after which an idle connection that has carried a request is closed.
 const KEEPALIVE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The state of reading one request.
+/// State of reading one request.
 struct RequestReader {
-    /// When the head, or the body without what it gains by its length, is late.
+    /// Deadline of the current phase: the first byte, the head, or the body without the extension for the received
+    /// bytes.
     deadline: Instant,
-    /// Ends the connection while no request has begun.
-    end: Rc<Notify>,
-    has_begun: bool,
-    /// Bytes of the buffer that hold no end of a head.
+    /// Notified when the connection is to be closed.
+    close_notify: Rc<Notify>,
+    /// Whether the first byte of the request has arrived.
+    has_request_begun: bool,
+    /// Number of bytes at the start of the buffer that are known not to contain the end of a head.
     scanned_bytes: usize,
-    /// The request, once its head is complete.
+    /// Request, once its head is complete.
     request: Option<PartialRequest>,
-    /// The time is over, or the connection is to end: what has arrived by now is still read.
-    is_last_read: bool,
+    /// Whether the deadline has passed or the connection is to be closed: only bytes that have already arrived are
+    /// still read.
+    reads_only_arrived_bytes: bool,
 }
 
 impl RequestReader {
-    /// A body may take longer the more of it has arrived, but no pause in it longer than the timeout.
+    /// Returns the deadline of the next read. The deadline of a body is extended by the bytes received, but is at most
+    /// [`BODY_TIMEOUT`] from now.
     fn current_deadline(&self) -> Instant {
         let Some(request) = &self.request else {
             return self.deadline;
         };
-        let earned_s = request.body.len() as f64 / MIN_BODY_BYTES_PER_S;
-        let extended_deadline = self.deadline + Duration::from_secs_f64(earned_s);
+        let extension_s = request.body.len() as f64 / MIN_BODY_BYTES_PER_S;
+        let extended_deadline = self.deadline + Duration::from_secs_f64(extension_s);
         extended_deadline.min(Instant::now() + BODY_TIMEOUT)
     }
 
+    /// Returns the size of the next read.
     fn read_size(&self) -> ReadSize {
         if self.request.is_some() {
             ReadSize::Bulk
@@ -58,22 +64,23 @@
 }
 
 impl HttpServer {
-    /// Reads and checks the next request; none if the connection is over. Until then the connection is listed as idle.
+    /// Reads and checks the next request. Returns `None` if the connection is to be closed without a response. Lists
+    /// the connection as waiting until the request is complete.
     pub(super) async fn read_request(
         &self,
         client: &mut ClientConnection,
     ) -> Result<Option<ReceivedRequest>, BadRequest> {
         let idle_since = Instant::now();
-        let end = Rc::new(Notify::new());
-        let idle_connection = IdleConnection {
-            since: idle_since,
+        let close_notify = Rc::new(Notify::new());
+        let waiting_connection = WaitingConnection {
+            waiting_since: idle_since,
             has_served: client.has_served,
-            request_begun: false,
-            end: end.clone(),
+            has_request_begun: false,
+            close_notify: close_notify.clone(),
         };
-        self.idle
+        self.waiting_connections
             .borrow_mut()
-            .insert(client.number, idle_connection);
+            .insert(client.number, waiting_connection);
         let timeout = if client.has_served {
             KEEPALIVE_TIMEOUT
         } else {
@@ -81,24 +88,25 @@
         };
         let mut reader = RequestReader {
             deadline: idle_since + timeout,
-            end,
-            has_begun: false,
+            close_notify,
+            has_request_begun: false,
             scanned_bytes: 0,
             request: None,
-            is_last_read: false,
+            reads_only_arrived_bytes: false,
         };
         let result = self.read_until_complete(client, &mut reader).await;
-        self.idle.borrow_mut().remove(&client.number);
+        self.waiting_connections.borrow_mut().remove(&client.number);
         result
     }
 
+    /// Reads until the request is complete, it is too late, or the connection is to be closed.
     async fn read_until_complete(
         &self,
         client: &mut ClientConnection,
         reader: &mut RequestReader,
     ) -> Result<Option<ReceivedRequest>, BadRequest> {
         loop {
-            if !reader.has_begun && !client.buffer.is_empty() {
+            if !reader.has_request_begun && !client.buffer.is_empty() {
                 self.begin_request(client, reader);
             }
             if reader.request.is_none() {
@@ -115,7 +123,7 @@
                 }
             }
             let deadline = reader.current_deadline();
-            if reader.is_last_read && !client.has_unread_bytes() {
+            if reader.reads_only_arrived_bytes && !client.has_unread_bytes() {
                 return self.end_incomplete(reader);
             }
             tokio::select! {
@@ -124,34 +132,42 @@
                         client.close_reason = "ended_by_client";
                         return Ok(None);
                     }
-                    // A request that has just begun has time to be completed.
-                    reader.is_last_read &= reader.has_begun;
+                    // If this read received the first bytes of a request, the idle timeout or the notification no
+                    // longer applies: the request gets its own deadline.
+                    reader.reads_only_arrived_bytes &= reader.has_request_begun;
                 }
-                () = reader.end.notified(), if !reader.is_last_read => reader.is_last_read = true,
-                () = sleep_until(deadline), if !reader.is_last_read => reader.is_last_read = true,
+                () = reader.close_notify.notified(), if !reader.reads_only_arrived_bytes =>
+                    reader.reads_only_arrived_bytes = true,
+                () = sleep_until(deadline), if !reader.reads_only_arrived_bytes =>
+                    reader.reads_only_arrived_bytes = true,
             }
         }
     }
 
-    /// The first bytes of a request have arrived: the connection is idle no longer. It gets a new `end`, as whoever
-    /// notified the old one took it for idle.
+    /// Records that the first bytes of a request have arrived, so that the connection is no longer idle. Replaces the
+    /// connection's `close_notify`: a notification that is still pending was sent because the connection had no
+    /// request, and must not end this one.
     fn begin_request(&self, client: &ClientConnection, reader: &mut RequestReader) {
         let now = Instant::now();
-        reader.has_begun = true;
+        reader.has_request_begun = true;
         if client.has_served {
             reader.deadline = now + HEAD_TIMEOUT;
         }
-        reader.end = Rc::default();
-        if let Some(connection) = self.idle.borrow_mut().get_mut(&client.number) {
-            connection.request_begun = true;
-            connection.end = reader.end.clone();
+        reader.close_notify = Rc::default();
+        if let Some(connection) = self
+            .waiting_connections
+            .borrow_mut()
+            .get_mut(&client.number)
+        {
+            connection.has_request_begun = true;
+            connection.close_notify = reader.close_notify.clone();
             if connection.has_served {
-                connection.since = now;
+                connection.waiting_since = now;
             }
         }
     }
 
-    /// Takes the head off the buffer, if it is complete.
+    /// Parses the head and removes it from the buffer, if it is complete.
     fn take_head(
         &self,
         buffer: &mut Vec<u8>,
@@ -171,14 +187,15 @@
         Ok(())
     }
 
-    /// The outcome for a request that is not complete in time: an error, unless it has not begun.
+    /// Returns the outcome of a request that is incomplete when its deadline passes or the connection is to be closed:
+    /// an error, or `None` if the request has not begun.
     fn end_incomplete(
         &self,
         reader: &RequestReader,
     ) -> Result<Option<ReceivedRequest>, BadRequest> {
-        if !reader.has_begun {
+        if !reader.has_request_begun {
             Ok(None)
-        } else if self.is_too_late_for_requests() {
+        } else if self.is_past_request_deadline() {
             Err(BadRequest::ShuttingDown)
         } else {
             Err(BadRequest::TooSlow)
