--- a/crates/discovery/src/dnssd/browser/answers.rs
+++ b/crates/discovery/src/dnssd/browser/answers.rs
@@ -1,4 +1,5 @@
-//! Replies to queries: which are accepted, which lead to a further query, and where their records go.
+//! Processing of DNS replies: matches each reply to its pending query, sends a follow-up query for a truncated reply or
+//! an alias, and stores the records.
 
 use super::detail_queue::{Detail, QueuePosition};
 use super::events::{Output, Transport};
@@ -7,19 +8,20 @@
 use crate::dnssd::wire::{parse_reply, Name, Record, RecordData, RecordType, Reply, ResponseCode};
 use std::net::SocketAddr;
 
-/// What follows from a reply.
+/// The next step after a reply to a pending query.
 enum ReplyOutcome {
-    /// The query counts as failed.
+    /// The reply is unusable: the query counts as failed.
     Failed,
-    /// RFC 7766 section 5: a truncated reply is requested again over TCP.
+    /// The UDP reply is truncated: the query is repeated over TCP (RFC 7766 section 5).
     RetryOverTcp,
-    /// The answer is an alias whose target has to be queried.
+    /// The answer is a CNAME whose target has to be queried; holds the target.
     QueryAlias(Name),
-    /// The records of this name are the answer.
+    /// The records owned by this name are the answer.
     Answer(Name),
 }
 
 impl Browser {
+    /// Handles a datagram that arrived on the socket of a query.
     pub(super) fn handle_datagram(
         &mut self,
         now_us: u64,
@@ -48,22 +50,24 @@
         };
         match reply {
             Some(reply) => self.handle_reply(now_us, query_id, reply, out),
-            // It may be forged: the query stays open for the true reply.
+            // The datagram may be forged, so the query stays open for the genuine reply.
             None => self.count_dropped_datagram(now_us, out),
         }
     }
 
+    /// Counts a dropped datagram, and logs the count at every power of ten.
     fn count_dropped_datagram(&mut self, now_us: u64, out: &mut Vec<Output>) {
         self.dropped_datagrams += 1;
         if is_power_of_ten(self.dropped_datagrams) {
             let line = format!(
-                "dns-sd: {} answers dropped that fit no question or cannot be read",
+                "dns-sd: dropped {} datagrams that match no pending query or are malformed",
                 self.dropped_datagrams
             );
-            self.log.log(now_us, line, out);
+            self.log_limiter.log(now_us, line, out);
         }
     }
 
+    /// Handles the reply on a query's TCP connection.
     pub(super) fn handle_stream(
         &mut self,
         now_us: u64,
@@ -89,7 +93,7 @@
         }
     }
 
-    /// Closes a query without a usable reply.
+    /// Closes a query that has received no usable reply, and records the failure in its round.
     pub(super) fn fail_query(&mut self, now_us: u64, query_id: u64, out: &mut Vec<Output>) {
         let Some(question) = self.close_query(query_id, out) else {
             return;
@@ -133,17 +137,18 @@
             ReplyOutcome::QueryAlias(target) => {
                 let question = Question {
                     name: target,
-                    hops: question.hops + 1,
+                    alias_hops: question.alias_hops + 1,
                     ..question
                 };
                 self.send_query(now_us, question, out);
             }
-            ReplyOutcome::Answer(name) => self.use_answer(now_us, &question, &name, reply, out),
+            ReplyOutcome::Answer(name) => self.process_answer(now_us, &question, &name, reply, out),
         }
     }
 
-    /// Takes in the records that the reply holds under `name`.
-    fn use_answer(
+    /// Processes the records that a reply holds under `name`: adds them to the round, or stores them if they answer a
+    /// detail query.
+    fn process_answer(
         &mut self,
         now_us: u64,
         question: &Question,
@@ -165,20 +170,21 @@
                 for record in reply.answer {
                     match record.data {
                         RecordData::Ptr(instance) if record.owner == *name => {
-                            round.ttl_s = round.ttl_s.min(record.ttl_s);
-                            round.names.insert(instance);
+                            round.min_ttl_s = round.min_ttl_s.min(record.ttl_s);
+                            round.instance_names.insert(instance);
                         }
                         _ => {}
                     }
                 }
-                round.additional.extend(reply.additional);
+                round.additional_records.extend(reply.additional);
             }),
-            QueryPurpose::Detail => self.use_detail(now_us, question, name, reply),
+            QueryPurpose::Detail => self.store_detail_answer(now_us, question, name, reply),
         }
     }
 
-    /// Stores an answer's records under the name that was originally queried. An answer without records removes nothing.
-    fn use_detail(&mut self, now_us: u64, question: &Question, name: &Name, reply: Reply) {
+    /// Stores the records of a detail reply under the name that was originally queried. An answer without records
+    /// removes no stored record.
+    fn store_detail_answer(&mut self, now_us: u64, question: &Question, name: &Name, reply: Reply) {
         let owner = &question.owner;
         let answer = reply.answer.into_iter();
         let mut records: Vec<Record> = answer
@@ -191,7 +197,7 @@
         if records.is_empty() {
             match question.record_type {
                 RecordType::A => self.query_ipv6_address(owner),
-                // RFC 6763 section 6.1: no TXT record is the same as an empty one.
+                // A missing TXT record is equivalent to an empty one (RFC 6763 section 6.1).
                 RecordType::Txt if reply.code == ResponseCode::NoError => records.push(Record {
                     owner: owner.clone(),
                     ttl_s: 0,
@@ -204,18 +210,19 @@
         self.store_records(now_us, records);
     }
 
-    /// Queues an AAAA query for a host without an IPv4 address.
+    /// Queues an AAAA query for a host that has no IPv4 address.
     fn query_ipv6_address(&mut self, host: &Name) {
         if self.hosts.get(host).is_some_and(|h| h.ipv4.is_empty()) {
             let detail = Detail {
                 name: host.clone(),
                 record_type: RecordType::Aaaa,
             };
-            self.details.push(detail, QueuePosition::Front);
+            self.detail_queue.push(detail, QueuePosition::Front);
         }
     }
 }
 
+/// Decides the next step after a reply to `question`.
 fn classify_reply(question: &Question, reply: &Reply) -> ReplyOutcome {
     if reply.is_truncated {
         return match question.transport {
@@ -237,7 +244,7 @@
         name != question.name && !has_records && reply.code == ResponseCode::NoError;
     if !is_unresolved_alias {
         ReplyOutcome::Answer(name)
-    } else if question.hops >= MAX_ALIAS_HOPS {
+    } else if question.alias_hops >= MAX_ALIAS_HOPS {
         ReplyOutcome::Failed
     } else {
         ReplyOutcome::QueryAlias(name)
--- a/crates/discovery/src/dnssd/browser/cache.rs
+++ b/crates/discovery/src/dnssd/browser/cache.rs
@@ -1,14 +1,14 @@
-//! What is known of instances and of the hosts they run on.
+//! Cached data of service instances and of the hosts that they run on.
 
 use crate::dnssd::instance_records::{preferred_address, InstanceAttributes, ServiceLocation};
 use crate::dnssd::wire::Name;
 use std::collections::BTreeSet;
 use std::net::IpAddr;
 
-/// A value from a record, with the time of the last query or reply that it depends on.
+/// A value from a DNS record, with the time at which the record was last received or queried.
 pub(super) struct Cached<T> {
     pub(super) value: Option<T>,
-    /// When it was last received or queried; 0: never.
+    /// When the record was last received or queried; 0: never.
     pub(super) refreshed_at_us: u64,
 }
 
@@ -21,28 +21,29 @@
     }
 }
 
-/// One instance of the service.
+/// One instance of the browsed service.
 #[derive(Default)]
 pub(super) struct Instance {
     pub(super) first_seen_us: u64,
-    /// Whether it was part of the first list.
+    /// Whether the instance was in the first list that the browser received.
     pub(super) is_initial: bool,
     pub(super) location: Cached<ServiceLocation>,
     pub(super) attributes: Cached<InstanceAttributes>,
-    /// Whether its current TXT record is invalid; this has been logged.
-    pub(super) has_invalid_text: bool,
-    /// Set once its PTR record is gone: when it is forgotten. Until then its requests may finish.
+    /// Whether the instance's current TXT record is invalid, which has been logged.
+    pub(super) has_invalid_txt: bool,
+    /// When the instance is forgotten; set once its PTR record is removed. Requests in flight may finish until then.
     pub(super) forget_at_us: Option<u64>,
-    /// When push last reported it as added or removed.
+    /// When the push server last reported the instance's PTR record as added or removed; 0: never.
     pub(super) pushed_at_us: u64,
 }
 
 impl Instance {
-    /// Whether its PTR record exists as far as is known.
+    /// Returns whether the instance's PTR record exists, as far as the browser knows.
     pub(super) fn is_present(&self) -> bool {
         self.forget_at_us.is_none()
     }
 
+    /// Returns whether the instance's TXT record marks it as draining.
     pub(super) fn is_draining_by_attributes(&self) -> bool {
         self.attributes
             .value
@@ -51,19 +52,19 @@
     }
 }
 
-/// A host that SRV records point at.
+/// A host that is the target of SRV records.
 #[derive(Default)]
 pub(super) struct Host {
     pub(super) ipv4: Vec<IpAddr>,
     pub(super) ipv6: Vec<IpAddr>,
-    /// When its addresses were last received or queried; 0: never.
+    /// When the host's addresses were last received or queried; 0: never.
     pub(super) refreshed_at_us: u64,
-    /// Instances whose SRV record points here.
+    /// Instances whose SRV record has this host as its target.
     pub(super) instances: BTreeSet<Name>,
 }
 
 impl Host {
-    /// The address that is used: IPv4 before IPv6.
+    /// Returns the address that the gateway uses, IPv4 before IPv6.
     pub(super) fn address(&self) -> Option<IpAddr> {
         preferred_address(&self.ipv4).or(preferred_address(&self.ipv6))
     }
--- a/crates/discovery/src/dnssd/browser/detail_queue.rs
+++ b/crates/discovery/src/dnssd/browser/detail_queue.rs
@@ -1,29 +1,30 @@
-//! Queue of the single records that still have to be queried, with a token bucket that bounds the rate.
+//! Queue of detail queries: queries for single record sets of instances and hosts. A token bucket limits their rate.
 
 use crate::dnssd::wire::{Name, RecordType};
 use std::collections::{BTreeSet, VecDeque};
 
-/// One record set to query.
+/// A record set to query: the records of one type under one name.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Detail {
     pub(super) name: Name,
     pub(super) record_type: RecordType,
 }
 
-/// Which end of the queue a detail joins.
+/// The end of the queue at which a detail is added.
 #[derive(Clone, Copy)]
 pub(super) enum QueuePosition {
-    /// Before all others: nothing is known of it yet.
+    /// Before all others: no value of the record set is known yet.
     Front,
-    /// After all others: a refresh of something known.
+    /// After all others: a refresh of a known value.
     Back,
 }
 
+/// The queued detail queries and the token bucket that limits their rate.
 pub(super) struct DetailQueue {
     queue: VecDeque<Detail>,
-    /// The members of `queue`.
+    /// The entries of `queue` as a set, for duplicate detection.
     queued: BTreeSet<Detail>,
-    /// Queries that may be sent now.
+    /// Number of queries that may be sent now.
     tokens: f64,
     refilled_at_us: u64,
 }
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Adds a detail unless it is queued already.
+    /// Adds a detail, unless the same one is already queued.
     pub(super) fn push(&mut self, detail: Detail, position: QueuePosition) {
         if self.queued.insert(detail.clone()) {
             match position {
@@ -48,16 +49,16 @@
         }
     }
 
-    /// Adds the tokens earned since the last call.
+    /// Adds the tokens for the time since the last call, at `rate_per_s` tokens per second.
     pub(super) fn refill(&mut self, now_us: u64, rate_per_s: f64) {
         let elapsed_us = now_us.saturating_sub(self.refilled_at_us);
         let saved = self.tokens + rate_per_s * elapsed_us as f64 / 1e6;
-        // A tenth of a second's worth at most, but never so little that a whole token cannot be saved.
+        // The bucket holds the tokens of a tenth of a second, but at least one whole token, even at a low rate.
         self.tokens = saved.min(rate_per_s / 10.0).max(1.0f64.min(saved));
         self.refilled_at_us = now_us;
     }
 
-    /// The next detail, if there is one and a token for it.
+    /// Removes and returns the next detail; `None` while the queue is empty or no token is available.
     pub(super) fn pop(&mut self) -> Option<Detail> {
         if self.tokens < 1.0 {
             return None;
@@ -68,7 +69,7 @@
         Some(detail)
     }
 
-    /// When the next detail may be taken; `None` while the queue is empty.
+    /// Returns the time at which [`DetailQueue::pop`] next yields a detail; `None` while the queue is empty.
     pub(super) fn next_pop_at_us(&self, rate_per_s: f64) -> Option<u64> {
         if self.queue.is_empty() {
             return None;
--- a/crates/discovery/src/dnssd/browser/events.rs
+++ b/crates/discovery/src/dnssd/browser/events.rs
@@ -1,80 +1,80 @@
-//! Inputs and outputs of the browser.
+//! Inputs and outputs of the browser, which connect it to the driver.
 
 use frosthatch_engine::Endpoint;
 use frosthatch_traffic_control::ListKind;
 use std::net::SocketAddr;
 
-/// What the driver received.
+/// An event that the driver passes to the browser.
 pub enum Input<'a> {
-    /// A datagram arrived on the socket of this query.
+    /// A datagram arrived on the socket of a query.
     Datagram {
-        /// Number of the query, as in [`Output::SendQuery`].
+        /// The query's id from [`Output::SendQuery`].
         query_id: u64,
-        /// The sender's address.
+        /// The datagram's source address.
         from: SocketAddr,
         /// The whole datagram.
         bytes: &'a [u8],
     },
-    /// The reply arrived on the TCP connection of this query.
+    /// The reply arrived on the TCP connection of a query.
     Stream {
-        /// Number of the query, as in [`Output::SendQuery`].
+        /// The query's id from [`Output::SendQuery`].
         query_id: u64,
-        /// The message without its length prefix.
+        /// The DNS message without its length prefix.
         bytes: &'a [u8],
     },
-    /// The query's socket or connection failed.
+    /// The socket or TCP connection of a query failed.
     QueryFailed {
-        /// Number of the query, as in [`Output::SendQuery`].
+        /// The query's id from [`Output::SendQuery`].
         query_id: u64,
     },
     /// The connection to the push server is established.
     PushOpened,
-    /// A message from the push server, without its length prefix.
+    /// A message arrived from the push server; holds it without its length prefix.
     PushMessage(&'a [u8]),
-    /// The connection to the push server could not be established, or has ended.
+    /// The connection to the push server could not be established, or was closed.
     PushClosed,
 }
 
-/// How a query is sent.
+/// The transport protocol of a query.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Transport {
-    /// One datagram each way.
+    /// UDP: one datagram each way.
     Udp,
-    /// A connection for this query alone (RFC 7766).
+    /// TCP, with a connection for each query (RFC 7766).
     Tcp,
 }
 
-/// What the driver has to do, in this order.
+/// An action that the browser requests of the driver. The driver carries out the actions in order.
 #[derive(Debug)]
 pub enum Output {
-    /// Send a query from a socket of its own, from a random port (RFC 5452 section 9.2).
+    /// Send a query from a new socket with a random port (RFC 5452 section 9.2).
     SendQuery {
-        /// Number that the inputs for this query carry.
+        /// Identifies the query in the inputs that belong to it.
         query_id: u64,
-        /// The resolver.
+        /// The resolver's address.
         to: SocketAddr,
-        /// Over UDP or TCP.
+        /// Whether the query is sent over UDP or TCP.
         transport: Transport,
-        /// The message without a length prefix.
+        /// The DNS message without a length prefix.
         bytes: Vec<u8>,
     },
-    /// Close the query's socket: no reply is expected any more.
+    /// Close the query's socket, as no further reply is expected.
     CloseQuery {
-        /// Number of the query.
+        /// The query's id from [`Output::SendQuery`].
         query_id: u64,
     },
-    /// Pass this endpoint list or change of the list on.
+    /// Pass an endpoint list, or a change to it, to the endpoint registry.
     UpdateEndpoints {
-        /// Whether the list is complete or holds only what changed.
+        /// Whether `endpoints` is the complete list or holds only the endpoints that changed.
         kind: ListKind,
-        /// The endpoints.
+        /// The complete list or the changed endpoints.
         endpoints: Vec<Endpoint>,
     },
-    /// Connect to this push server, in place of any other session.
+    /// Connect to this push server and close any other push connection.
     ConnectPush(SocketAddr),
-    /// Write a message to the push session.
+    /// Write this message, given without a length prefix, to the push connection.
     WritePush(Vec<u8>),
-    /// Close the push session.
+    /// Close the push connection.
     ClosePush,
     /// Write a line to the log.
     Log(String),
--- a/crates/discovery/src/dnssd/browser/loss.rs
+++ b/crates/discovery/src/dnssd/browser/loss.rs
@@ -1,5 +1,5 @@
-//! Detection of losses, with hysteresis: when an answer that lacks instances is trusted to remove them, and when a zone
-//! that seems to have gone back in time is trusted at all.
+//! Loss detection, with hysteresis: decides when an answer that lacks known instances may remove them, and when a zone
+//! with an older serial is accepted.
 
 use super::events::Output;
 use super::query::BrowseRound;
@@ -7,8 +7,9 @@
 use crate::dnssd::wire::Name;
 
 impl Browser {
-    /// Whether a round with this serial is used. A zone older than the newest one seen comes from a resolver that is
-    /// behind; it is accepted only once it has stayed so for `loss_hold`.
+    /// Returns whether a round with this zone serial is used. A serial older than the newest one seen comes from a
+    /// resolver with an outdated zone; it is accepted only after replies have had an older serial for
+    /// `mass_loss_hold`.
     pub(super) fn accept_serial(
         &mut self,
         now_us: u64,
@@ -27,21 +28,21 @@
         }
         if self.serial.regressed_since_us.is_none() {
             let line = format!(
-                "dns-sd: the zone's serial went back from {newest} to {received}; not believed"
+                "dns-sd: zone serial went back from {newest} to {received}; ignoring the older zone"
             );
-            self.log.log(now_us, line, out);
+            self.log_limiter.log(now_us, line, out);
         }
         let since_us = *self.serial.regressed_since_us.get_or_insert(now_us);
-        let is_lasting = now_us - since_us >= self.config.mass_loss_hold.as_micros() as u64;
-        if is_lasting {
+        let has_persisted = now_us - since_us >= self.config.mass_loss_hold.as_micros() as u64;
+        if has_persisted {
             self.serial.newest = serial;
             self.serial.regressed_since_us = None;
             self.removals.must_confirm = true;
         }
-        is_lasting
+        has_persisted
     }
 
-    /// Removes the instances that the round lacks, as far as the round is trusted to do so.
+    /// Drains the instances that a round lacks, once their removal is trusted.
     pub(super) fn handle_missing_instances(
         &mut self,
         now_us: u64,
@@ -51,48 +52,49 @@
         let missing = self.missing_instances(round);
         self.removals
             .missing_since_us
-            .retain(|name, _| !round.names.contains(name));
+            .retain(|name, _| !round.instance_names.contains(name));
         if missing.is_empty() {
             self.removals.mass_loss_since_us = None;
             self.removals.must_confirm = false;
             return;
         }
         if !round.is_authoritative && !self.config.trusts_cached_answers {
-            let line = "dns-sd: answers are not authoritative; nothing is removed by them";
-            self.log.log_once(now_us, line, out);
+            let line = "dns-sd: answers are not authoritative; they remove no instances";
+            self.log_limiter.log_once(now_us, line, out);
             return;
         }
-        let is_held = self.hold_mass_loss(now_us, missing.len(), out);
-        let must_confirm = self.removals.must_confirm || round.names.is_empty();
-        let confirm_us = self.config.confirmation_time.as_micros() as u64;
+        let is_loss_held = self.hold_mass_loss(now_us, missing.len(), out);
+        let must_confirm = self.removals.must_confirm || round.instance_names.is_empty();
+        let confirmation_us = self.config.confirmation_time.as_micros() as u64;
         for name in missing {
             let missing_since = &mut self.removals.missing_since_us;
             let since_us = *missing_since.entry(name.clone()).or_insert(now_us);
-            let is_confirmed = !must_confirm || now_us - since_us >= confirm_us;
-            if is_confirmed && !is_held {
+            let is_confirmed = !must_confirm || now_us - since_us >= confirmation_us;
+            if is_confirmed && !is_loss_held {
                 self.drain_instance(now_us, &name);
-                self.expect_push_of(now_us, &name);
+                self.expect_pushed_change(now_us, &name);
             }
         }
     }
 
-    /// Instances that the round lacks. Those that push reported after the round began do not count.
+    /// Returns the instances that a round lacks, except those that push reported after the round began.
     fn missing_instances(&self, round: &BrowseRound) -> Vec<Name> {
         self.instances
             .iter()
             .filter(|(name, instance)| {
                 instance.is_present()
                     && instance.pushed_at_us < round.started_at_us
-                    && !round.names.contains(*name)
+                    && !round.instance_names.contains(*name)
             })
             .map(|(name, _)| name.clone())
             .collect()
     }
 
-    /// Whether removals wait because more than `loss_share` of the instances are missing at once.
-    fn hold_mass_loss(&mut self, now_us: u64, missing: usize, out: &mut Vec<Output>) -> bool {
-        let present = self.instances.values().filter(|i| i.is_present()).count();
-        let is_mass_loss = missing as f64 > self.config.max_loss_share * present as f64;
+    /// Returns whether removals are held back because more than `max_loss_share` of the instances are missing at once.
+    /// The hold lasts `mass_loss_hold`.
+    fn hold_mass_loss(&mut self, now_us: u64, missing_count: usize, out: &mut Vec<Output>) -> bool {
+        let present_count = self.instances.values().filter(|i| i.is_present()).count();
+        let is_mass_loss = missing_count as f64 > self.config.max_loss_share * present_count as f64;
         if !is_mass_loss {
             self.removals.mass_loss_since_us = None;
             return false;
@@ -100,9 +102,9 @@
         if self.removals.mass_loss_since_us.is_none() {
             let hold_s = self.config.mass_loss_hold.as_secs_f64();
             let line = format!(
-                "dns-sd: {missing} of {present} instances are missing at once; held for {hold_s} s"
+                "dns-sd: {missing_count} of {present_count} instances are missing at once; holding their removal for {hold_s} s"
             );
-            self.log.log(now_us, line, out);
+            self.log_limiter.log(now_us, line, out);
         }
         let since_us = *self.removals.mass_loss_since_us.get_or_insert(now_us);
         now_us - since_us < self.config.mass_loss_hold.as_micros() as u64
--- a/crates/discovery/src/dnssd/browser/loss_state.rs
+++ b/crates/discovery/src/dnssd/browser/loss_state.rs
@@ -1,36 +1,36 @@
-//! State of the detection of losses.
+//! State of the loss detection: the zone's serial, and the removals that are not trusted yet.
 
 use crate::dnssd::wire::Name;
 use std::collections::BTreeMap;
 
-/// The zone's serial number (RFC 1982).
+/// State of the zone's serial number (RFC 1982).
 pub(super) struct SerialState {
-    /// The serial is not queried before this time.
-    pub(super) query_at_us: u64,
-    /// The newest serial seen.
+    /// The earliest time of the next serial query.
+    pub(super) next_query_at_us: u64,
+    /// The newest serial seen; `None` before the first one.
     pub(super) newest: Option<u32>,
-    /// Since when replies have had an older serial.
+    /// Since when replies have had a serial older than `newest`; `None` while they have not.
     pub(super) regressed_since_us: Option<u64>,
 }
 
 impl SerialState {
     pub(super) fn new(now_us: u64) -> Self {
         SerialState {
-            query_at_us: now_us,
+            next_query_at_us: now_us,
             newest: None,
             regressed_since_us: None,
         }
     }
 }
 
-/// Removals that are not trusted yet.
+/// State of the removals that are not trusted yet.
 #[derive(Default)]
 pub(super) struct RemovalState {
-    /// Since when each instance has been missing from the rounds.
+    /// Since when each missing instance has been absent from the rounds.
     pub(super) missing_since_us: BTreeMap<Name, u64>,
-    /// Since when a large share of the instances has been missing.
+    /// Since when more than `max_loss_share` of the instances have been missing; `None` while they are not.
     pub(super) mass_loss_since_us: Option<u64>,
-    /// Whether the last list came from another resolver or an older zone: what is missing may still exist, so a second
-    /// answer has to confirm it.
+    /// Whether another resolver leads, or an older zone was accepted, since the last list without missing instances.
+    /// Instances that are missing may still exist, so a second answer has to confirm each removal.
     pub(super) must_confirm: bool,
 }
--- a/crates/discovery/src/dnssd/browser/push_state.rs
+++ b/crates/discovery/src/dnssd/browser/push_state.rs
@@ -1,4 +1,4 @@
-//! State of the push connection, and of the check that push brings all changes.
+//! State of the push connection, and of the check that the push server reports every change.
 
 use crate::dnssd::config::DnsSdConfig;
 use crate::dnssd::push::PushSession;
@@ -6,19 +6,21 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A session that has not pushed a change this long after a round found it is ended.
+/// A session ends if it has not pushed a change this many microseconds after a round found the change.
 pub(super) const MISSED_PUSH_TIMEOUT_US: u64 = 1_000_000;
 
+/// The push session with its servers, and the changes that it has not pushed yet.
 pub(super) struct PushState {
-    /// `None`: push is not configured.
+    /// The push session; `None`: push is not configured.
     pub(super) session: Option<PushSession>,
     pub(super) servers: Vec<SocketAddr>,
-    /// Counts the connections that failed or ended; selects the next server.
+    /// Number of push connections that failed or ended; selects the server of the next connection.
     pub(super) server_index: usize,
-    /// Whether a connection is being made or is up.
+    /// Whether the push connection is being established or is open.
     pub(super) is_connecting: bool,
     pub(super) established_at_us: u64,
-    /// Changes that rounds found and push has not brought, with the time they were found.
+    /// Instances that a round added or removed and the session has not pushed, with the time at which the round found
+    /// each change.
     pub(super) unpushed_changes: BTreeMap<Name, u64>,
 }
 
@@ -35,21 +37,21 @@
         }
     }
 
-    /// Whether every service is subscribed to.
+    /// Returns whether the server has granted the subscriptions to all services.
     pub(super) fn is_established(&self) -> bool {
         self.session
             .as_ref()
             .is_some_and(PushSession::is_established)
     }
 
-    /// Whether changes of this name's records are pushed.
+    /// Returns whether the server pushes changes to the records of `name`.
     pub(super) fn covers(&self, name: &Name) -> bool {
         self.session
             .as_ref()
             .is_some_and(|session| session.covers(name))
     }
 
-    /// When the next step is due.
+    /// Returns the time of the next timer or connection attempt; `None` if push is not configured.
     pub(super) fn next_wakeup_us(&self) -> Option<u64> {
         let oldest_unpushed = self.unpushed_changes.values().min();
         let missed_push = oldest_unpushed.map(|at_us| at_us + MISSED_PUSH_TIMEOUT_US);
@@ -63,6 +65,7 @@
         missed_push.into_iter().chain(session).min()
     }
 
+    /// Returns whether a change that a round found has not been pushed within [`MISSED_PUSH_TIMEOUT_US`].
     pub(super) fn has_missed_push(&self, now_us: u64) -> bool {
         self.unpushed_changes
             .values()
--- a/crates/discovery/src/dnssd/browser/push_updates.rs
+++ b/crates/discovery/src/dnssd/browser/push_updates.rs
@@ -1,5 +1,5 @@
-//! The browser's use of DNS Push Notifications: the connection, the changes it brings, and the check that it brings all
-//! of them.
+//! Use of DNS Push Notifications by the browser: manages the connection, applies pushed changes, and checks that the
+//! server pushes all changes.
 
 use super::events::Output;
 use super::push_state::MISSED_PUSH_TIMEOUT_US;
@@ -9,8 +9,8 @@
 use std::collections::VecDeque;
 
 impl Browser {
-    /// Notes that a round found a change, which a working push session brings as well.
-    pub(super) fn expect_push_of(&mut self, now_us: u64, name: &Name) {
+    /// Records that a round added or removed an instance, so that the session's push of the same change is expected.
+    pub(super) fn expect_pushed_change(&mut self, now_us: u64, name: &Name) {
         let settled_at_us = self.push.established_at_us + MISSED_PUSH_TIMEOUT_US;
         if self.push.is_established() && now_us >= settled_at_us {
             let unpushed_changes = &mut self.push.unpushed_changes;
@@ -18,13 +18,18 @@
         }
     }
 
-    pub(super) fn run_due_push(&mut self, now_us: u64, out: &mut Vec<Output>) {
+    /// Ends a session that has missed a change, runs the session's timers, and connects when a new connection is due.
+    pub(super) fn perform_due_push_work(&mut self, now_us: u64, out: &mut Vec<Output>) {
         if self.push.has_missed_push(now_us) {
-            self.drive_push(now_us, out, |session, events| {
-                session.end(now_us, "it did not tell a change", events);
+            self.step_push_session(now_us, out, |session, events| {
+                session.end(
+                    now_us,
+                    "the server did not push a change that a round found",
+                    events,
+                );
             });
         }
-        self.drive_push(now_us, out, |session, events| {
+        self.step_push_session(now_us, out, |session, events| {
             session.handle_timer(now_us, events);
         });
         let Some(session) = &self.push.session else {
@@ -38,10 +43,10 @@
         }
     }
 
-    /// Handles a connection that could not be established, or has ended.
+    /// Handles a push connection that could not be established, or was closed.
     pub(super) fn handle_push_closed(&mut self, now_us: u64, out: &mut Vec<Output>) {
-        self.drive_push(now_us, out, |session, events| {
-            session.end(now_us, "the connection ended", events);
+        self.step_push_session(now_us, out, |session, events| {
+            session.end(now_us, "the connection was closed", events);
         });
         if std::mem::take(&mut self.push.is_connecting) {
             self.push.server_index += 1;
@@ -51,8 +56,8 @@
         }
     }
 
-    /// Runs one step of the session, if push is configured, and handles the events that come of it.
-    pub(super) fn drive_push(
+    /// Runs one step of the push session, if push is configured, and handles the resulting events.
+    pub(super) fn step_push_session(
         &mut self,
         now_us: u64,
         out: &mut Vec<Output>,
@@ -70,7 +75,11 @@
                 SessionEvent::Change(change) => self.apply_pushed_change(now_us, change, out),
                 SessionEvent::Established => {
                     self.push.established_at_us = now_us;
-                    self.log.log(now_us, "dns-sd: push in force".into(), out);
+                    self.log_limiter.log(
+                        now_us,
+                        "dns-sd: push in force; every service is subscribed to".into(),
+                        out,
+                    );
                     events.extend(self.subscribe_all(now_us));
                 }
                 SessionEvent::Ended(reason) => self.handle_session_end(now_us, &reason, out),
@@ -78,7 +87,7 @@
         }
     }
 
-    /// Subscribes to the records of all instances and hosts.
+    /// Subscribes to the records of all instances and hosts, and returns the session's events.
     fn subscribe_all(&mut self, now_us: u64) -> Vec<SessionEvent> {
         let mut events = Vec::new();
         let names = self.instances.keys().chain(self.hosts.keys());
@@ -91,8 +100,8 @@
     }
 
     fn handle_session_end(&mut self, now_us: u64, reason: &str, out: &mut Vec<Output>) {
-        let line = format!("dns-sd: push is over: {reason}; asking as before");
-        self.log.log(now_us, line, out);
+        let line = format!("dns-sd: push session ended: {reason}; polling the resolvers");
+        self.log_limiter.log(now_us, line, out);
         out.push(Output::ClosePush);
         self.push.is_connecting = false;
         self.push.server_index += 1;
@@ -114,7 +123,7 @@
                 }
                 self.mark_pushed(now_us, &name);
             }
-            // Removals of single records are deliberate, however many there are.
+            // Removals of single records are deliberate, so a large number of them is not held back.
             RecordChange::Removed(Record {
                 owner,
                 data: RecordData::Ptr(name),
@@ -124,18 +133,19 @@
                 self.drain_instance(now_us, &name);
                 self.mark_pushed(now_us, &name);
             }
-            // The removal of all is no more trusted than an empty answer: a round follows.
+            // The removal of all records is not trusted, like an empty answer, so a round checks it.
             RecordChange::AllRemoved(name, None | Some(RecordType::Ptr))
                 if self.is_service(&name) =>
             {
                 self.next_round_at_us = now_us;
             }
             RecordChange::Added(record) => self.store_records(now_us, vec![record]),
-            // A detail stays in use until it is replaced.
+            // The records of an instance or host stay in use until others replace them.
             RecordChange::Removed(_) | RecordChange::AllRemoved(..) => {}
         }
     }
 
+    /// Records that the session pushed a change to the instance's PTR record.
     fn mark_pushed(&mut self, now_us: u64, name: &Name) {
         if let Some(instance) = self.instances.get_mut(name) {
             instance.pushed_at_us = now_us;
--- a/crates/discovery/src/dnssd/browser/query.rs
+++ b/crates/discovery/src/dnssd/browser/query.rs
@@ -1,54 +1,56 @@
-//! Queries in flight, and the round of browsing that some of them belong to.
+//! Queries in flight, and the browsing round that some of them belong to.
 
 use super::events::Transport;
 use crate::dnssd::wire::{Name, Record, RecordData, RecordType};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// CNAMEs that are followed for one question at most.
+/// Maximum number of CNAMEs that are followed for one question.
 pub(super) const MAX_ALIAS_HOPS: u8 = 8;
 
-/// What the reply to a query is used for.
+/// The purpose of a query, which decides how its reply is used.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum QueryPurpose {
-    /// PTR records of the service, in a round.
+    /// Lists the instances of a service name (PTR), as part of a round.
     Browse,
-    /// The zone's serial, in a round.
+    /// Reads the zone's serial (SOA), as part of a round.
     Serial,
-    /// A record set of one instance or host.
+    /// Reads a record set of one instance or host, outside rounds.
     Detail,
 }
 
+/// The content of a query: the record set, the resolver that it is sent to, and its purpose.
 pub(super) struct Question {
     pub(super) name: Name,
     pub(super) record_type: RecordType,
     pub(super) resolver: SocketAddr,
     pub(super) transport: Transport,
     pub(super) purpose: QueryPurpose,
-    /// CNAMEs followed so far with queries of their own.
-    pub(super) hops: u8,
-    /// The name that the records are stored under; differs from `name` once a CNAME was followed.
+    /// Number of CNAMEs followed so far, each with a further query.
+    pub(super) alias_hops: u8,
+    /// The name under which the records are stored; differs from `name` after a CNAME was followed.
     pub(super) owner: Name,
 }
 
+/// A query without a reply.
 pub(super) struct PendingQuery {
-    /// The id in the DNS header.
+    /// The message id in the DNS header.
     pub(super) message_id: u16,
     pub(super) deadline_us: u64,
     pub(super) question: Question,
 }
 
-/// One round of browsing, while its replies come in.
+/// A browsing round whose replies are being collected.
 pub(super) struct BrowseRound {
     pub(super) started_at_us: u64,
     pub(super) outstanding_queries: u32,
     pub(super) has_failed: bool,
-    /// Whether all replies so far had the AA bit.
+    /// Whether all replies to the PTR queries so far have the AA bit.
     pub(super) is_authoritative: bool,
-    pub(super) names: BTreeSet<Name>,
-    pub(super) additional: Vec<Record>,
-    /// The lowest TTL of the PTR records.
-    pub(super) ttl_s: u32,
+    pub(super) instance_names: BTreeSet<Name>,
+    pub(super) additional_records: Vec<Record>,
+    /// The lowest TTL of the PTR records, in seconds.
+    pub(super) min_ttl_s: u32,
     pub(super) serial: Option<u32>,
 }
 
@@ -59,15 +61,16 @@
             outstanding_queries,
             has_failed: false,
             is_authoritative: true,
-            names: BTreeSet::new(),
-            additional: Vec::new(),
-            ttl_s: u32::MAX,
+            instance_names: BTreeSet::new(),
+            additional_records: Vec::new(),
+            min_ttl_s: u32::MAX,
             serial: None,
         }
     }
 }
 
-/// The name at the end of the CNAMEs in an answer section; `None` where they form a loop.
+/// Returns the name at the end of the CNAME chain in an answer section; `None` if the chain is longer than
+/// [`MAX_ALIAS_HOPS`] or a loop.
 pub(super) fn follow_aliases(from: &Name, answer: &[Record]) -> Option<Name> {
     let mut current = from.clone();
     for _ in 0..=MAX_ALIAS_HOPS {
--- a/crates/discovery/src/dnssd/browser/ranking.rs
+++ b/crates/discovery/src/dnssd/browser/ranking.rs
@@ -1,11 +1,11 @@
-//! Counts of ready instances by SRV priority and weight, kept up to date instance by instance: a pass over thousands of
-//! instances for each reply would delay everything else.
+//! Counts of the ready instances by SRV priority and weight. They are updated instance by instance, because a pass over
+//! thousands of instances for each reply would delay all other work.
 
 use crate::dnssd::instance_records::ServiceLocation;
 use crate::dnssd::wire::Name;
 use std::collections::BTreeMap;
 
-/// The part of an SRV record that depends on those of other instances.
+/// The part of an instance's SRV record whose effect depends on the records of other instances.
 #[derive(Clone, Copy)]
 pub(super) struct InstanceRank {
     priority: u16,
@@ -21,29 +21,29 @@
     }
 }
 
-/// What all ready instances together say: the lowest priority of which one is ready serves, the others stand by (RFC 2782).
+/// Summary of the ready instances. Those with the lowest priority value serve; the others are on standby (RFC 2782).
 #[derive(Clone, Copy, Default, PartialEq)]
 pub(super) struct RankSummary {
-    /// The lowest priority of any ready instance.
+    /// The lowest priority value of any ready instance; `None` while none is ready.
     pub(super) serving_priority: Option<u16>,
-    /// Whether any ready instance has a weight above 0.
+    /// Whether any ready instance has an SRV weight above 0.
     pub(super) has_weights: bool,
 }
 
-/// Ready instances by priority and weight.
+/// Counts of the ready instances by priority and weight.
 #[derive(Default)]
 pub(super) struct InstanceRanking {
     ready_by_priority: BTreeMap<u16, usize>,
     ready_with_weight: usize,
-    counted: BTreeMap<Name, InstanceRank>,
+    counted_ranks: BTreeMap<Name, InstanceRank>,
 }
 
 impl InstanceRanking {
-    /// Counts an instance under its rank; `None`: it is not ready.
+    /// Replaces an instance's rank in the counts; `None`: the instance is not ready and is not counted.
     pub(super) fn update(&mut self, name: &Name, rank: Option<InstanceRank>) {
         let previous = match rank {
-            Some(rank) => self.counted.insert(name.clone(), rank),
-            None => self.counted.remove(name),
+            Some(rank) => self.counted_ranks.insert(name.clone(), rank),
+            None => self.counted_ranks.remove(name),
         };
         if let Some(previous) = previous {
             self.subtract(previous);
--- a/crates/discovery/src/dnssd/browser/reporting.rs
+++ b/crates/discovery/src/dnssd/browser/reporting.rs
@@ -1,4 +1,5 @@
-//! Reports of changes: the endpoint of each instance as the gateway uses it, and which endpoints have to be reported.
+//! Endpoint reports: converts each instance to the endpoint that the gateway uses, and reports the endpoints that
+//! changed.
 
 use super::cache::Instance;
 use super::events::Output;
@@ -10,26 +11,28 @@
 use frosthatch_traffic_control::ListKind;
 use std::net::SocketAddr;
 
-/// SRV weight that corresponds to an endpoint's weight of 1.
+/// The SRV weight that corresponds to an endpoint weight of 1.
 const SRV_WEIGHT_UNIT: f64 = 100.0;
-/// RFC 2782: beside others, a weight of 0 has a very small chance of being selected.
+/// Endpoint weight of an SRV weight of 0 where other instances have a weight above 0: RFC 2782 requires a very small
+/// chance of being selected.
 const ZERO_SRV_WEIGHT: f64 = 0.01;
 
 impl Browser {
-    /// Reports the endpoints that differ from the last report; the first time, all of them once they are complete.
+    /// Reports the endpoints that differ from the last report. The first report holds the complete list; it waits
+    /// until the records of all instances are known or [`COMPLETION_TIMEOUT_US`] has passed.
     pub(super) fn report_changes(&mut self, now_us: u64, out: &mut Vec<Output>) {
         let Some(first_list_at_us) = self.first_list_at_us else {
             return;
         };
-        let mut changed = std::mem::take(&mut self.changed);
+        let mut changed = std::mem::take(&mut self.changed_instances);
         for name in &changed {
             self.update_rank(now_us, name);
             if self.is_settled(now_us, name) {
-                self.incomplete.remove(name);
+                self.incomplete_instances.remove(name);
             }
         }
-        let is_complete =
-            self.incomplete.is_empty() || now_us >= first_list_at_us + COMPLETION_TIMEOUT_US;
+        let is_complete = self.incomplete_instances.is_empty()
+            || now_us >= first_list_at_us + COMPLETION_TIMEOUT_US;
         if !self.has_reported && !is_complete {
             return;
         }
@@ -40,13 +43,13 @@
         }
         let mut endpoints = Vec::new();
         for name in changed {
-            // An incomplete instance is marked as changed again by its records or by its deadline.
+            // An incomplete instance is marked as changed again when its records arrive or its deadline passes.
             let Some(endpoint) = self.endpoint(now_us, &name) else {
                 continue;
             };
-            if self.reported.get(&name) != Some(&endpoint) {
+            if self.reported_endpoints.get(&name) != Some(&endpoint) {
                 endpoints.push(endpoint.clone());
-                self.reported.insert(name, endpoint);
+                self.reported_endpoints.insert(name, endpoint);
             }
         }
         let kind = if std::mem::replace(&mut self.has_reported, true) {
@@ -59,16 +62,16 @@
         }
     }
 
-    /// Whether nothing more is awaited of an instance.
+    /// Returns whether no further record of an instance is awaited.
     fn is_settled(&self, now_us: u64, name: &Name) -> bool {
         let is_unusable = self
             .instances
             .get(name)
-            .is_none_or(|instance| instance.has_invalid_text);
+            .is_none_or(|instance| instance.has_invalid_txt);
         is_unusable || self.endpoint(now_us, name).is_some()
     }
 
-    /// Counts an instance among those that are ready, or takes it out.
+    /// Updates the ranking's entry for an instance, which is counted while the instance is ready.
     pub(super) fn update_rank(&mut self, now_us: u64, name: &Name) {
         let instance = self.instances.get(name).filter(|instance| {
             instance.is_present()
@@ -79,12 +82,12 @@
         self.ranking.update(name, location.map(InstanceRank::from));
     }
 
-    /// Where the instance is reached; `None` while not all that this takes is known.
+    /// Returns the address and port of an instance; `None` while a required record is missing.
     fn socket_address(&self, now_us: u64, instance: &Instance) -> Option<SocketAddr> {
         let location = instance.location.value.as_ref()?;
         let is_overdue = now_us >= instance.first_seen_us + COMPLETION_TIMEOUT_US;
         let is_described =
-            instance.attributes.value.is_some() || is_overdue && !instance.has_invalid_text;
+            instance.attributes.value.is_some() || is_overdue && !instance.has_invalid_txt;
         if !is_described || location.port == 0 {
             return None;
         }
@@ -92,12 +95,12 @@
         Some(SocketAddr::new(address, location.port))
     }
 
-    /// The instance as an endpoint of the gateway; `None` while too little of it is known.
+    /// Returns the endpoint of an instance; `None` while too few of its records are known.
     fn endpoint(&self, now_us: u64, name: &Name) -> Option<Endpoint> {
         let instance = self.instances.get(name)?;
         let uid = split_first_label(name)?.0;
         if !instance.is_present() {
-            return self.reported.get(name).map(draining);
+            return self.reported_endpoints.get(name).map(draining);
         }
         match self.socket_address(now_us, instance) {
             Some(address) => self.resolved_endpoint(now_us, uid, instance, address),
@@ -105,7 +108,8 @@
         }
     }
 
-    /// An instance without an address: as last reported, or for some time as known from before browsing began.
+    /// Returns the endpoint of an instance without an address: the last reported one, or else, once
+    /// [`COMPLETION_TIMEOUT_US`] has passed since the first list, the one known before browsing began.
     fn unresolved_endpoint(
         &self,
         now_us: u64,
@@ -114,7 +118,7 @@
         instance: &Instance,
     ) -> Option<Endpoint> {
         let location = instance.location.value.as_ref();
-        if let Some(reported) = self.reported.get(name) {
+        if let Some(reported) = self.reported_endpoints.get(name) {
             return if location.is_some_and(ServiceLocation::is_unavailable) {
                 Some(draining(reported))
             } else {
@@ -131,6 +135,7 @@
         }
     }
 
+    /// Returns the endpoint of an instance whose address is known.
     fn resolved_endpoint(
         &self,
         now_us: u64,
@@ -161,6 +166,7 @@
         })
     }
 
+    /// Converts an SRV weight to an endpoint weight.
     fn endpoint_weight(&self, location: &ServiceLocation) -> f64 {
         match location.weight {
             0 if !self.reported_ranks.has_weights => 1.0,
@@ -169,7 +175,8 @@
         }
     }
 
-    /// When the instance started, as Unix time in milliseconds; 0: long ago. Decides whether it is warming up.
+    /// Returns when the instance started, as Unix time in milliseconds, which decides whether its endpoint warms up;
+    /// 0: long ago.
     fn started_ms(
         &self,
         now_us: u64,
@@ -181,14 +188,14 @@
             return boot_ms.min(now_us / 1_000);
         }
         if instance.is_initial {
-            // Instances that were there when this gateway started are not warming up.
+            // Instances that existed when this gateway started are not warming up.
             let previous = self.previous_endpoint(uid, instance);
             return previous.map_or(0, |endpoint| endpoint.started_ms);
         }
         instance.first_seen_us / 1_000
     }
 
-    /// The endpoint of an initial instance as known before browsing began.
+    /// Returns the endpoint of an initial instance as it was known before browsing began.
     fn previous_endpoint(&self, uid: &str, instance: &Instance) -> Option<&Endpoint> {
         self.previous_endpoints
             .get(uid)
--- a/crates/discovery/src/dnssd/browser/resolution.rs
+++ b/crates/discovery/src/dnssd/browser/resolution.rs
@@ -1,5 +1,5 @@
-//! Resolution of instances: what SRV, TXT and address records say of instances and hosts that are known. Records of
-//! other names are ignored.
+//! Resolution of instances: stores the SRV, TXT and address records of known instances and hosts. Records of other
+//! names are ignored.
 
 use super::state::Browser;
 use crate::dnssd::instance_records::{preferred_location, InstanceAttributes, ServiceLocation};
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-/// The addresses that one reply gives for a host.
+/// The addresses of one host in one reply.
 #[derive(Default)]
 struct HostAddresses {
     ipv4: Vec<IpAddr>,
@@ -15,6 +15,7 @@
 }
 
 impl Browser {
+    /// Stores the SRV, TXT and address records among `records`, and refreshes each instance whose location changed.
     pub(super) fn store_records(&mut self, now_us: u64, records: Vec<Record>) {
         let mut locations: BTreeMap<Name, Vec<ServiceLocation>> = BTreeMap::new();
         let mut addresses: BTreeMap<Name, HostAddresses> = BTreeMap::new();
@@ -33,7 +34,7 @@
                         target,
                     });
                 }
-                RecordData::Txt(strings) => self.store_text(now_us, &owner, &strings),
+                RecordData::Txt(strings) => self.store_txt(now_us, &owner, &strings),
                 RecordData::A(address) => {
                     let host = addresses.entry(owner).or_default();
                     host.ipv4.push(address.into());
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Stores an instance's location; returns whether it has changed.
+    /// Stores an instance's location and returns whether it changed.
     fn store_location(
         &mut self,
         now_us: u64,
@@ -83,7 +84,7 @@
                 host.instances.insert(name.clone());
             }
         }
-        self.changed.insert(name.clone());
+        self.changed_instances.insert(name.clone());
         true
     }
 
@@ -100,36 +101,37 @@
             host.ipv6 = received.ipv6;
         }
         if previous_address != host.address() {
-            self.changed.extend(host.instances.iter().cloned());
+            self.changed_instances
+                .extend(host.instances.iter().cloned());
         }
     }
 
-    fn store_text(&mut self, now_us: u64, name: &Name, strings: &[Vec<u8>]) {
+    fn store_txt(&mut self, now_us: u64, name: &Name, strings: &[Vec<u8>]) {
         let Some(instance) = self.instances.get_mut(name) else {
             return;
         };
         instance.attributes.refreshed_at_us = now_us;
         match InstanceAttributes::parse(strings) {
             Ok(attributes) => {
-                instance.has_invalid_text = false;
+                instance.has_invalid_txt = false;
                 if instance.attributes.value.as_ref() != Some(&attributes) {
                     instance.attributes.value = Some(attributes);
-                    self.changed.insert(name.clone());
+                    self.changed_instances.insert(name.clone());
                 }
             }
-            // The last valid record stays in use; without one the instance is left out.
+            // The last valid record stays in use; an instance without one is not reported.
             Err(error) => {
-                if !std::mem::replace(&mut instance.has_invalid_text, true) {
-                    self.changed.insert(name.clone());
-                    self.log.defer(format!(
-                        "dns-sd: {name}: {error}; the entry is left as it was"
+                if !std::mem::replace(&mut instance.has_invalid_txt, true) {
+                    self.changed_instances.insert(name.clone());
+                    self.log_limiter.defer(format!(
+                        "dns-sd: instance {name}: {error}; ignoring its TXT record"
                     ));
                 }
             }
         }
     }
 
-    /// Removes an instance from those of a host; a host without instances is dropped.
+    /// Removes an instance from its host's set, and removes the host once it has no instances.
     pub(super) fn unlink_host(&mut self, target: Option<Name>, instance: &Name) {
         let Some(target) = target else { return };
         if let Some(host) = self.hosts.get_mut(&target) {
--- a/crates/discovery/src/dnssd/browser/scheduling.rs
+++ b/crates/discovery/src/dnssd/browser/scheduling.rs
@@ -1,4 +1,4 @@
-//! Which queries are sent, and when.
+//! Scheduling of queries: starts rounds, refreshes details, and handles timeouts and deadlines.
 
 use super::detail_queue::{Detail, QueuePosition};
 use super::events::{Output, Transport};
@@ -9,18 +9,19 @@
 use rand_pcg::rand_core::RngCore;
 use std::net::SocketAddr;
 
-/// Refresh interval of records that a push subscription covers: the server pushes their changes (RFC 8765 section 6.3).
+/// Refresh interval of records that a push subscription covers, in microseconds. It is long because the server pushes
+/// changes to these records (RFC 8765 section 6.3).
 const SUBSCRIBED_REFRESH_INTERVAL_US: u64 = 300_000_000;
 
-/// A detail that is unknown or out of date.
+/// A detail whose value is unknown or out of date.
 struct StaleDetail {
     detail: Detail,
     is_unknown: bool,
 }
 
 impl Browser {
-    /// Does everything whose time has come.
-    pub(super) fn run_due(&mut self, now_us: u64, out: &mut Vec<Output>) {
+    /// Performs all work that is due: query timeouts, push, rounds, deadlines of instances, and detail queries.
+    pub(super) fn perform_due_work(&mut self, now_us: u64, out: &mut Vec<Output>) {
         let timed_out: Vec<u64> = self
             .queries
             .iter()
@@ -30,7 +31,7 @@
         for query_id in timed_out {
             self.fail_query(now_us, query_id, out);
         }
-        self.run_due_push(now_us, out);
+        self.perform_due_push_work(now_us, out);
         if self.round.is_none() && self.next_round_at_us <= now_us {
             self.start_round(now_us, out);
         }
@@ -46,11 +47,12 @@
                 break;
             }
             self.completion_deadlines.remove(&(at_us, name.clone()));
-            self.changed.insert(name);
+            self.changed_instances.insert(name);
         }
         self.send_detail_queries(now_us, out);
     }
 
+    /// Sends a query and adds it to the pending ones.
     pub(super) fn send_query(&mut self, now_us: u64, question: Question, out: &mut Vec<Output>) {
         let message_id = self.rng.next_u32() as u16;
         let deadline_us = now_us + self.config.query_timeout.as_micros() as u64;
@@ -72,12 +74,12 @@
         self.queries.insert(self.last_query_id, query);
     }
 
-    /// The resolver that leads.
+    /// Returns the address of the leading resolver.
     pub(super) fn leading_resolver(&self) -> SocketAddr {
         self.config.resolvers[self.leading_resolver % self.config.resolvers.len()]
     }
 
-    /// A question to the leading resolver.
+    /// Builds a question to the leading resolver, over UDP.
     fn question(&self, name: &Name, record_type: RecordType, purpose: QueryPurpose) -> Question {
         Question {
             name: name.clone(),
@@ -85,36 +87,37 @@
             resolver: self.leading_resolver(),
             transport: Transport::Udp,
             purpose,
-            hops: 0,
+            alias_hops: 0,
             owner: name.clone(),
         }
     }
 
+    /// Sends the queries of a new round.
     fn start_round(&mut self, now_us: u64, out: &mut Vec<Output>) {
         if self.config.resolvers.is_empty() {
             self.next_round_at_us = u64::MAX;
             return;
         }
         let services = self.config.services.clone();
-        let queries_serial = self.serial.query_at_us <= now_us;
-        let outstanding_queries = services.len() as u32 + u32::from(queries_serial);
+        let is_serial_query_due = self.serial.next_query_at_us <= now_us;
+        let outstanding_queries = services.len() as u32 + u32::from(is_serial_query_due);
         self.round = Some(BrowseRound::new(now_us, outstanding_queries));
         for name in services {
             let question = self.question(&name, RecordType::Ptr, QueryPurpose::Browse);
             self.send_query(now_us, question, out);
         }
-        if queries_serial {
+        if is_serial_query_due {
             let question = self.question(&self.domain, RecordType::Soa, QueryPurpose::Serial);
             self.send_query(now_us, question, out);
         }
     }
 
-    /// Sends queued detail queries, within the bounds on their rate and number.
+    /// Sends queued detail queries, within the limits on the query rate and on the number of queries in flight.
     fn send_detail_queries(&mut self, now_us: u64, out: &mut Vec<Output>) {
-        self.details
+        self.detail_queue
             .refill(now_us, f64::from(self.config.queries_per_s));
         while self.queries.len() < MAX_OUTSTANDING_QUERIES {
-            let Some(Detail { name, record_type }) = self.details.pop() else {
+            let Some(Detail { name, record_type }) = self.detail_queue.pop() else {
                 return;
             };
             let question = self.question(&name, record_type, QueryPurpose::Detail);
@@ -122,11 +125,11 @@
         }
     }
 
-    /// Queues queries for the records of an instance that are unknown or out of date.
+    /// Queues queries for those records of an instance that are unknown or out of date.
     pub(super) fn refresh_instance(&mut self, now_us: u64, name: &Name) {
         for stale in self.stale_details(now_us, name) {
             let Detail { name, record_type } = &stale.detail;
-            // A query counts as a refresh, so that what gets no reply is not queried all the time.
+            // A query counts as a refresh, so that a record set without a reply is not queried continuously.
             match record_type {
                 RecordType::Txt => {
                     if let Some(instance) = self.instances.get_mut(name) {
@@ -145,10 +148,11 @@
             } else {
                 QueuePosition::Back
             };
-            self.details.push(stale.detail, position);
+            self.detail_queue.push(stale.detail, position);
         }
     }
 
+    /// Returns the record sets of an instance and its host that are unknown or out of date.
     fn stale_details(&self, now_us: u64, name: &Name) -> Vec<StaleDetail> {
         let Some(instance) = self.instances.get(name).filter(|i| i.is_present()) else {
             return Vec::new();
@@ -191,6 +195,7 @@
         stale
     }
 
+    /// Returns whether the records of `name`, last refreshed at `refreshed_at_us`, are out of date.
     fn is_stale(&self, now_us: u64, name: &Name, refreshed_at_us: u64) -> bool {
         let interval_us = if self.push.covers(name) {
             SUBSCRIBED_REFRESH_INTERVAL_US
--- a/crates/discovery/src/dnssd/config.rs
+++ b/crates/discovery/src/dnssd/config.rs
@@ -1,49 +1,52 @@
-//! Configuration of DNS-SD; the operator's file gives the values.
+//! Configuration of DNS-SD discovery, with values from the operator's file.
 
 use super::wire::{parse_name, Name};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Limit on the names that the service is browsed by. One reply holds some 2,500 instances.
+/// Maximum number of names under which the service is browsed. One reply holds about 2,500 instances.
 pub const MAX_SERVICES: usize = 8;
-/// Limit on the number of resolvers, and of push servers.
+/// Maximum number of resolvers, and of push servers.
 pub const MAX_RESOLVERS: usize = 4;
-/// Limit on the queries in flight; each has a socket of its own.
+/// Maximum number of queries in flight; each uses its own socket.
 pub(super) const MAX_OUTSTANDING_QUERIES: usize = 16;
-/// The push session's socket, and the one that replaces it.
+/// Maximum number of sockets for push: the session's, and the one that replaces it.
 const PUSH_SOCKETS: usize = 2;
 
-/// How endpoints are found with DNS-SD.
+/// Settings of endpoint discovery with DNS-SD.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DnsSdConfig {
-    /// Names of the PTR queries: the service itself or subtypes of it (RFC 6763 section 7.1).
+    /// Names that the PTR queries ask for: the service itself or subtypes of it (RFC 6763 section 7.1).
     pub services: Vec<Name>,
-    /// Service and domain that every instance is under.
+    /// Service and domain of every instance, as `_service._proto.domain`.
     pub base: Name,
-    /// Resolvers, in the order of preference.
+    /// Resolvers, in order of preference.
     pub resolvers: Vec<SocketAddr>,
-    /// The shortest interval between rounds; between the bounds, the TTL of the records decides.
+    /// The minimum interval between rounds. Between this bound and `max_poll_interval`, the TTL of the PTR records is
+    /// the interval.
     pub min_poll_interval: Duration,
-    /// The longest interval between rounds.
+    /// The maximum interval between rounds.
     pub max_poll_interval: Duration,
     /// How long the reply to a query is awaited.
     pub query_timeout: Duration,
-    /// Limit on the rate of queries for single records that the additional sections leave out, per second.
+    /// Maximum number of queries per second for single records that the additional sections leave out.
     pub queries_per_s: u32,
-    /// How long an empty list, or a loss seen only after a change of the resolver, has to last before it is used.
+    /// How long an empty list, or a loss found after a change of the resolver or of the zone's serial to an older one,
+    /// has to last before it is used.
     pub confirmation_time: Duration,
-    /// The share of the instances, from 0 to 1, above which a simultaneous loss is held back.
+    /// The share of the instances, from 0 to 1, above which the removal of instances that are missing at once is held
+    /// back.
     pub max_loss_share: f64,
-    /// How long such a loss is held back.
+    /// How long a loss above `max_loss_share` is held back, and an older serial is ignored.
     pub mass_loss_hold: Duration,
-    /// How long an instance drains after its record is removed.
+    /// How long an instance drains after its PTR record is removed.
     pub drain_time: Duration,
-    /// Whether replies without the AA bit, from a cache, may remove instances as well.
+    /// Whether replies without the AA bit, which come from a cache, may remove instances too.
     pub trusts_cached_answers: bool,
-    /// Limit on the number of instances.
+    /// Maximum number of instances.
     pub max_instances: u32,
-    /// DNS Push Notifications; `None`: the service is only polled.
+    /// Settings of DNS Push Notifications; `None`: the service is only polled.
     pub push: Option<PushConfig>,
 }
 
@@ -69,13 +72,15 @@
 }
 
 impl DnsSdConfig {
-    /// Adds the names that the service is browsed by.
+    /// Adds names under which the service is browsed.
     ///
     /// # Errors
-    /// A name is not valid, is not a service, or belongs to another service or domain than the ones before it.
+    /// Returns a message if a name is invalid, is not a service, or belongs to another service or domain than the names
+    /// before it.
     pub fn add_services(&mut self, names: &[&str]) -> Result<(), String> {
         for text in names {
-            let name = parse_name(text).map_err(|e| format!("{text:?} is no domain name: {e}"))?;
+            let name = parse_name(text)
+                .map_err(|e| format!("{text:?} is not a valid domain name: {e}"))?;
             let base: Name = match name.split_once("._sub.") {
                 Some((_, base)) => base.into(),
                 None => name.clone(),
@@ -83,12 +88,12 @@
             let has_protocol = base.contains("._tcp.") || base.contains("._udp.");
             if !base.starts_with('_') || !has_protocol {
                 return Err(format!(
-                    "{text:?} is no service and domain (RFC 6763 section 4.1)"
+                    "{text:?} is not a service name followed by a domain (RFC 6763 section 4.1)"
                 ));
             }
             if !self.base.is_empty() && self.base != base {
                 return Err(format!(
-                    "{text:?} is of another service or domain than {}",
+                    "{text:?} belongs to another service or domain than {}",
                     self.base
                 ));
             }
@@ -98,22 +103,23 @@
         Ok(())
     }
 
-    /// The largest number of file descriptors in use at once.
+    /// Returns the maximum number of sockets in use at once, each with one file descriptor.
     pub fn max_sockets(&self) -> usize {
         MAX_OUTSTANDING_QUERIES + PUSH_SOCKETS
     }
 }
 
-/// DNS Push Notifications (RFC 8765): changes are received as they happen.
+/// Settings of DNS Push Notifications (RFC 8765), with which the server pushes changes as they happen.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PushConfig {
     /// The push servers, used in turn.
     pub servers: Vec<SocketAddr>,
-    /// The interval of rounds while push is established; they check that it brings all changes.
+    /// The interval between rounds while push is established; the rounds check that the server pushes all changes.
     pub check_interval: Duration,
-    /// The interval of keepalive requests.
+    /// The interval between keepalive requests.
     pub keepalive_interval: Duration,
-    /// The file of the root certificate, and the server's name. `None`: plain TCP, allowed on loopback only.
+    /// The PEM file of the root certificate, and the server's name in its certificate. `None`: plain TCP, allowed on
+    /// loopback only.
     pub tls: Option<(PathBuf, String)>,
 }
 
--- a/crates/discovery/src/dnssd/driver/events.rs
+++ b/crates/discovery/src/dnssd/driver/events.rs
@@ -1,9 +1,9 @@
-//! What the tasks of the driver report, and the inputs of the browser that these become.
+//! Events that the driver's tasks report, and their conversion to inputs of the browser.
 
 use crate::dnssd::browser::Input;
 use std::net::SocketAddr;
 
-/// What the driver's tasks report.
+/// An event from one of the driver's tasks.
 pub(super) enum DriverEvent {
     Query(QueryEvent),
     Push {
@@ -12,7 +12,7 @@
     },
 }
 
-/// What happened on a query's socket.
+/// An event on the socket of a query.
 pub(super) enum QueryEvent {
     Datagram {
         query_id: u64,
@@ -51,7 +51,7 @@
     }
 }
 
-/// What happened on the connection.
+/// An event on a push connection.
 pub(super) enum PushConnectionEvent {
     Opened,
     Message(Vec<u8>),
--- a/crates/discovery/src/dnssd/driver/mod.rs
+++ b/crates/discovery/src/dnssd/driver/mod.rs
@@ -1,5 +1,5 @@
-//! The sockets and timers of a browser: a socket or connection for each query, and one push connection. It takes no
-//! decisions.
+//! Driver of a browser: runs its timers, a socket or connection for each query, and one push connection. All decisions
+//! are made by the browser.
 
 mod events;
 mod push_connection;
@@ -20,10 +20,10 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::sleep;
 
-/// Events that wait for the browser; beyond that, sockets wait.
+/// Maximum number of events queued for the browser; while the queue is full, the tasks read no further messages.
 const MAX_QUEUED_EVENTS: usize = 256;
 
-/// Runs a browser for as long as the future is polled, and passes what it finds to the registry.
+/// Runs a browser for as long as the future is polled, and passes its endpoint updates to the registry.
 pub(crate) async fn follow(config: Arc<DnsSdConfig>, seed: u64, registry: &EndpointRegistry) {
     let mut browser = Browser::new(
         (*config).clone(),
@@ -48,12 +48,13 @@
     }
 }
 
+/// The tasks that run the sockets of a browser.
 struct Driver<'a> {
     config: Arc<DnsSdConfig>,
     registry: &'a EndpointRegistry,
     event_sender: mpsc::Sender<DriverEvent>,
     events: mpsc::Receiver<DriverEvent>,
-    /// All tasks; they are aborted when the driver is dropped.
+    /// All tasks, which are aborted when the driver is dropped.
     tasks: JoinSet<()>,
     queries: HashMap<u64, AbortHandle>,
     push: Option<PushConnection>,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// The next event, or `None` once the time is over.
+    /// Returns the next event, or `None` after `wait`.
     async fn next_event(&mut self, wait: Duration) -> Option<DriverEvent> {
         tokio::select! {
             event = self.events.recv() => event,
@@ -83,7 +84,8 @@
         }
     }
 
-    /// The browser's input for an event; `None` if the event is of a push connection that was replaced or closed.
+    /// Converts an event to the browser's input; `None` if the event belongs to a push connection that was replaced or
+    /// closed.
     fn to_input<'e>(&self, event: &'e DriverEvent) -> Option<Input<'e>> {
         match event {
             DriverEvent::Query(event) => Some(event.to_input()),
--- a/crates/discovery/src/dnssd/driver/push_connection.rs
+++ b/crates/discovery/src/dnssd/driver/push_connection.rs
@@ -1,4 +1,4 @@
-//! The connection to a push server, over TLS where a root certificate is configured (RFC 8765 section 4).
+//! The connection to a push server, over TLS if a root certificate is configured (RFC 8765 section 4).
 
 use super::events::{DriverEvent, PushConnectionEvent};
 use super::query_socket::{add_length_prefix, read_message};
@@ -18,12 +18,12 @@
 use tokio::time::timeout;
 use tokio_rustls::TlsConnector;
 
-/// Limit on the time to connect, and again on that of the TLS handshake.
+/// Maximum time to connect, and separately for the TLS handshake.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(3);
-/// Messages that wait to be written; further ones are dropped.
+/// Maximum number of messages queued for writing; further ones are dropped.
 const MAX_QUEUED_MESSAGES: usize = 256;
 
-/// Handle of the task that runs a connection.
+/// Handle to the task that runs a push connection.
 pub(super) struct PushConnection {
     pub(super) id: u64,
     task: AbortHandle,
@@ -31,6 +31,7 @@
 }
 
 impl PushConnection {
+    /// Spawns a task that connects to `server` and reports the connection's events to `events`.
     pub(super) fn spawn(
         tasks: &mut JoinSet<()>,
         id: u64,
@@ -50,7 +51,7 @@
         PushConnection { id, task, messages }
     }
 
-    /// Queues a message. Where the queue is full it is dropped: a server that does not read does not respond either, which
+    /// Queues a message, or drops it if the queue is full: a server that does not read does not respond either, which
     /// ends the session.
     pub(super) fn write(&self, bytes: Vec<u8>) {
         let _ = self.messages.try_send(bytes);
@@ -61,14 +62,14 @@
     }
 }
 
-/// Sends the connection's events to the driver.
+/// Sends the events of one connection to the driver.
 struct EventReporter {
     connection_id: u64,
     events: mpsc::Sender<DriverEvent>,
 }
 
 impl EventReporter {
-    /// Fails once the driver is gone.
+    /// Sends an event; fails once the driver has been dropped.
     async fn report(
         &self,
         event: PushConnectionEvent,
@@ -81,12 +82,13 @@
     }
 }
 
-/// What a TLS handshake takes.
+/// Parameters of the TLS handshake.
 struct TlsSettings {
     connector: TlsConnector,
     server_name: ServerName<'static>,
 }
 
+/// Connects to `server` and exchanges messages until the connection ends.
 async fn run(
     server: SocketAddr,
     config: &PushConfig,
@@ -110,7 +112,7 @@
     let stream = timeout(OPEN_TIMEOUT, handshake)
         .await
         .map_err(|_| io::ErrorKind::TimedOut)?
-        .inspect_err(|e| log_line!("dns-sd: push: {e}"))?;
+        .inspect_err(|e| log_line!("dns-sd: push: TLS handshake with {server} failed: {e}"))?;
     exchange_messages(stream, reporter, messages).await
 }
 
@@ -134,7 +136,7 @@
     io::Error::new(io::ErrorKind::InvalidInput, message)
 }
 
-/// Reads and writes messages until one of the two directions ends.
+/// Reads and writes messages until one direction of the stream ends.
 async fn exchange_messages(
     stream: impl AsyncRead + AsyncWrite,
     reporter: &EventReporter,
--- a/crates/discovery/src/dnssd/driver/query_socket.rs
+++ b/crates/discovery/src/dnssd/driver/query_socket.rs
@@ -1,4 +1,4 @@
-//! Sends one query over a socket of its own and reports what is received on it.
+//! Sends one query over its own socket and reports the messages that the socket receives.
 
 use super::events::{DriverEvent, QueryEvent};
 use frosthatch_sockets::{connect, Uninterrupted};
@@ -8,10 +8,11 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 
-/// Size of the receive buffer: more than a query allows its reply (EDNS(0)). A longer datagram is cut off and malformed.
+/// Size of the receive buffer, more than the reply size that a query allows (EDNS(0)). A longer datagram is cut off and
+/// thus malformed.
 const DATAGRAM_BUFFER_BYTES: usize = 4_096;
 
-/// Sends the query and reports every datagram that arrives until the task is aborted.
+/// Sends a query over UDP, and reports every datagram that arrives until the task is aborted.
 pub(super) async fn query_over_udp(
     query_id: u64,
     to: SocketAddr,
@@ -22,7 +23,7 @@
         SocketAddr::V4(_) => Ipv4Addr::UNSPECIFIED.into(),
         SocketAddr::V6(_) => Ipv6Addr::UNSPECIFIED.into(),
     };
-    // Port 0: the system selects a random one (RFC 5452 section 9.2).
+    // With port 0 the system selects a random port (RFC 5452 section 9.2).
     let socket = UdpSocket::bind((unspecified, 0)).await?;
     socket.send_to(bytes, to).await?;
     let mut buffer = vec![0; DATAGRAM_BUFFER_BYTES];
@@ -39,7 +40,7 @@
     }
 }
 
-/// Sends the query over a new connection and reports the reply.
+/// Sends a query over a new TCP connection and reports the reply.
 pub(super) async fn query_over_tcp(
     query_id: u64,
     to: SocketAddr,
@@ -54,13 +55,13 @@
     Ok(())
 }
 
-/// A message as it is sent over a stream (RFC 1035 section 4.2.2).
+/// Prefixes a message with its length, as sent over a stream (RFC 1035 section 4.2.2).
 pub(super) fn add_length_prefix(bytes: &[u8]) -> Vec<u8> {
     let length = (bytes.len() as u16).to_be_bytes();
     [&length[..], bytes].concat()
 }
 
-/// Reads the next message of a stream. Memory is allocated as its bytes arrive.
+/// Reads the next message of a stream. Memory is allocated as the bytes arrive, not from the announced length.
 pub(super) async fn read_message(stream: &mut (impl AsyncRead + Unpin)) -> io::Result<Vec<u8>> {
     let length = u64::from(stream.read_u16().await?);
     let mut bytes = Vec::new();
--- a/crates/discovery/src/dnssd/instance_records.rs
+++ b/crates/discovery/src/dnssd/instance_records.rs
@@ -1,58 +1,58 @@
-//! What the records of one instance mean for the gateway.
+//! Interpretation of an instance's SRV, TXT and address records.
 
 use super::wire::Name;
 use frosthatch_engine::Protocol;
 use std::fmt;
 use std::net::IpAddr;
 
-/// Longest value of a TXT key.
+/// Maximum length of a TXT key's value.
 const MAX_VALUE_BYTES: usize = 64;
-/// The TXT keys that are used; others are ignored.
+/// The TXT keys that the gateway uses; others are ignored.
 const KNOWN_KEYS: [&str; 5] = ["zone", "cell", "state", "boot", "proto"];
 
-/// Where an instance is, by its SRV record (RFC 2782).
+/// Location of an instance, from its SRV record (RFC 2782).
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServiceLocation {
-    /// Instances of the lowest priority are used first.
+    /// Instances with the lowest priority value are used first.
     pub priority: u16,
-    /// Share of the load among instances of the same priority.
+    /// Relative share of the load among instances with the same priority.
     pub weight: u16,
-    /// The port; 0 is not usable.
+    /// The port that the instance listens on; 0 is not usable.
     pub port: u16,
-    /// Name of the host. Empty: the service is decidedly not available there.
+    /// Name of the host; empty (the root): the record states that the service is not available.
     pub target: Name,
 }
 
 impl ServiceLocation {
-    /// Whether the record says that the service is not available (RFC 2782: the target is the root).
+    /// Returns whether the record states that the service is not available (RFC 2782: the target is the root).
     pub fn is_unavailable(&self) -> bool {
         self.target.is_empty()
     }
 }
 
-/// The attributes of an instance, by its TXT record (RFC 6763 section 6).
+/// Attributes of an instance, from its TXT record (RFC 6763 section 6).
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct InstanceAttributes {
     /// Availability zone; empty: unknown.
     pub zone: String,
-    /// Number of the cell.
+    /// Number of the instance's cell.
     pub cell: u64,
     /// Whether the instance takes no new requests.
     pub is_draining: bool,
     /// When the instance started, as Unix time in milliseconds.
     pub boot_ms: Option<u64>,
-    /// The protocol that it serves.
+    /// The protocol that the instance serves.
     pub protocol: Protocol,
 }
 
-/// A TXT key with an invalid value.
+/// Error for a TXT key with an invalid value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttributeError {
     /// The key, in lower case.
     pub key: String,
-    /// The value; empty where it is not UTF-8.
+    /// The value; empty if it is not UTF-8.
     pub value: String,
-    /// What would be valid.
+    /// Description of the valid values.
     pub expected: &'static str,
 }
 
@@ -63,18 +63,18 @@
             value,
             expected,
         } = self;
-        write!(f, "TXT key {key} is {value:?}, not {expected}")
+        write!(f, "TXT key {key} has value {value:?}, expected {expected}")
     }
 }
 
 impl std::error::Error for AttributeError {}
 
 impl InstanceAttributes {
-    /// Reads the strings of a TXT record. Unknown keys are skipped; of a key that occurs twice the first counts (RFC 6763
-    /// section 6.4).
+    /// Parses the strings of a TXT record. Unknown keys are skipped; if a key occurs more than once, its first value
+    /// is used (RFC 6763 section 6.4).
     ///
     /// # Errors
-    /// The first key with an invalid value.
+    /// Returns the first key with an invalid value.
     pub fn parse(strings: &[Vec<u8>]) -> Result<InstanceAttributes, AttributeError> {
         let mut attributes = InstanceAttributes::default();
         let mut seen_keys = Vec::new();
@@ -92,7 +92,7 @@
         Ok(attributes)
     }
 
-    /// Sets the attribute of a known key.
+    /// Sets the attribute of a key in [`KNOWN_KEYS`].
     fn set(&mut self, key: &str, value: &[u8]) -> Result<(), AttributeError> {
         let is_plain = value.len() <= MAX_VALUE_BYTES && value.iter().all(u8::is_ascii_graphic);
         let value = std::str::from_utf8(value).unwrap_or_default();
@@ -125,13 +125,14 @@
     }
 }
 
-/// Of several SRV records of one instance the one that RFC 2782 would try first, the same on every gateway.
+/// Returns the one of an instance's SRV records that is used: the lowest priority value, then the highest weight (RFC
+/// 2782). The choice is the same on every gateway.
 pub fn preferred_location(mut locations: Vec<ServiceLocation>) -> Option<ServiceLocation> {
     locations.sort_by(|a, b| (a.priority, b.weight, a).cmp(&(b.priority, a.weight, b)));
     locations.into_iter().next()
 }
 
-/// The lowest usable address, the same on every gateway.
+/// Returns the lowest usable address, which is the same on every gateway.
 pub fn preferred_address(addresses: &[IpAddr]) -> Option<IpAddr> {
     addresses
         .iter()
--- a/crates/discovery/src/dnssd/instance_records/tests.rs
+++ b/crates/discovery/src/dnssd/instance_records/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the meaning of SRV, TXT and address records.
+//! Tests of the interpretation of SRV, TXT and address records.
 
 use super::{
     preferred_address, preferred_location, AttributeError, InstanceAttributes, ServiceLocation,
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn an_invalid_value_is_reported_with_what_is_expected() {
+fn an_invalid_value_is_reported_with_the_expected_values() {
     for (string, expected) in [
         ("cell=x", "whole number"),
         ("state=busy", "ready or draining"),
@@ -48,7 +48,7 @@
     ] {
         assert!(
             parse(&[string]).is_err_and(|error| error.to_string().contains(expected)),
-            "{string}"
+            "the error for {string:?} does not name {expected:?}"
         );
     }
 }
@@ -71,7 +71,9 @@
     reversed.reverse();
     assert_eq!(preferred_location(all), Some(location(1, 7, 3)));
     assert_eq!(preferred_location(reversed), Some(location(1, 7, 3)));
-    let v6: IpAddr = "::1".parse().expect("v6");
-    let v4: IpAddr = "127.0.0.2".parse().expect("v4");
+    let v6: IpAddr = "::1".parse().expect("the literal is a valid IPv6 address");
+    let v4: IpAddr = "127.0.0.2"
+        .parse()
+        .expect("the literal is a valid IPv4 address");
     assert_eq!(preferred_address(&[v6, v4]), Some(v4));
 }
--- a/crates/discovery/src/dnssd/mod.rs
+++ b/crates/discovery/src/dnssd/mod.rs
@@ -1,11 +1,12 @@
-//! Endpoints found with unicast DNS-SD (RFC 6763): PTR records name the instances of a service, SRV and TXT records
-//! describe each of them, A and AAAA records give its address.
+//! Endpoint discovery with unicast DNS-SD (RFC 6763): PTR records name the instances of a service, SRV and TXT records
+//! describe each instance, A and AAAA records give its address.
 //!
-//! [`browser`] decides what is queried, what a reply changes and whether it is trusted; [`push`] is the state of a session
-//! of DNS Push Notifications (RFC 8765). Both do no I/O. `driver` holds the sockets and timers, [`wire`] is the codec.
+//! [`browser`] decides which queries are sent, what a reply changes and whether it is trusted; [`push`] holds the
+//! state of a session of DNS Push Notifications (RFC 8765). Neither performs I/O. `driver` runs the sockets and
+//! timers, and [`wire`] is the codec.
 //!
-//! `docs/dns-sd.md` compares the designs that were considered; `docs/operators/dns-sd.md` has the rules as an operator
-//! sees them.
+//! `docs/dns-sd.md` compares the designs that were considered; `docs/operators/dns-sd.md` describes the behavior for
+//! operators.
 
 pub mod browser;
 mod config;
--- a/crates/discovery/src/dnssd/push.rs
+++ b/crates/discovery/src/dnssd/push.rs
@@ -1,5 +1,5 @@
-//! One session of DNS Push Notifications (RFC 8765) over DNS Stateful Operations (RFC 8490): its subscriptions, which of
-//! them are granted, and whether the server still responds. It does no I/O.
+//! State machine of a DNS Push Notifications session (RFC 8765) over DNS Stateful Operations (RFC 8490): tracks the
+//! subscriptions, which of them are granted, and whether the server still responds. It performs no I/O.
 //!
 //! ```text
 //!   closed --opened--> open, nothing granted --every service granted--> established --> closed
@@ -13,36 +13,38 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A request without a response for this long ends the session.
+/// Time to wait for a response, in microseconds; a request without one ends the session.
 const RESPONSE_TIMEOUT_US: u64 = 2_000_000;
-/// Backoff between sessions; doubled each time a session ends before it is established.
+/// Initial backoff between sessions, in microseconds; doubled each time a session ends before it is established.
 const MIN_BACKOFF_US: u64 = 500_000;
+/// Maximum backoff between sessions, in microseconds; also limits a retry delay that the server requests.
 const MAX_BACKOFF_US: u64 = 60_000_000;
-/// Requests without a response at once.
+/// Maximum number of requests without a response.
 const MAX_OUTSTANDING_REQUESTS: usize = 64;
-/// The shortest keepalive interval that a server may set (RFC 8490 section 6.5.2).
+/// The minimum keepalive interval that a server may set, in milliseconds (RFC 8490 section 6.5.2).
 const MIN_SERVER_KEEPALIVE_INTERVAL_MS: u32 = 10_000;
 
-/// What the session wants done, or has received.
+/// An action that the session requests, or a change in the session or in the records.
 #[derive(Debug, PartialEq, Eq)]
 pub enum SessionEvent {
-    /// Write this message.
+    /// Write this message, given without a length prefix, to the connection.
     Write(Vec<u8>),
-    /// A record has changed.
+    /// The server pushed a change to a record.
     Change(RecordChange),
-    /// Every service is subscribed to.
+    /// The server has granted the subscriptions to all services.
     Established,
-    /// The session is over, for this reason; the connection has to be closed.
+    /// The session ended, for this reason; the connection has to be closed.
     Ended(String),
 }
 
-/// A name and the type of its records whose changes are wanted.
+/// A subscription to the changes of the records of one name and type.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct Subscription {
     name: Name,
     record_type: RecordType,
 }
 
+/// The kind of a request to the server.
 enum RequestKind {
     Subscribe(Subscription),
     Keepalive,
@@ -54,14 +56,14 @@
     kind: RequestKind,
 }
 
-/// The session's state, which outlives its connections. All times are in microseconds.
+/// State of a push session, which spans consecutive connections. All times are in microseconds.
 pub struct PushSession {
     services: Vec<Name>,
     keepalive_interval_us: u64,
     is_open: bool,
     pending_requests: BTreeMap<u16, PendingRequest>,
     last_request_id: u16,
-    /// Subscriptions that were not requested yet.
+    /// Subscriptions that have not been requested yet.
     queued: Vec<Subscription>,
     /// All subscriptions, whether queued, requested, granted or refused.
     wanted: BTreeSet<Subscription>,
@@ -73,7 +75,7 @@
 }
 
 impl PushSession {
-    /// A closed session for these services; `keepalive` is the interval of keepalive requests.
+    /// Creates a closed session for these services; `keepalive` is the interval between keepalive requests.
     pub fn new(services: &[Name], keepalive: Duration) -> Self {
         PushSession {
             services: services.to_vec(),
@@ -91,22 +93,22 @@
         }
     }
 
-    /// Whether every service is subscribed to.
+    /// Returns whether the server has granted the subscriptions to all services.
     pub fn is_established(&self) -> bool {
         self.is_established
     }
 
-    /// Whether changes of this name's records are pushed.
+    /// Returns whether the server pushes changes to the records of `name`.
     pub fn covers(&self, name: &Name) -> bool {
         self.is_established && self.granted.contains(&all_records(name))
     }
 
-    /// No new connection is made before this time.
+    /// Returns the earliest time of the next connection.
     pub fn reconnect_at_us(&self) -> u64 {
         self.reconnect_at_us
     }
 
-    /// The connection is established.
+    /// Handles an established connection: subscribes to all services.
     pub fn handle_opened(&mut self, now_us: u64, events: &mut Vec<SessionEvent>) {
         self.is_open = true;
         self.keepalive_at_us = now_us + self.keepalive_interval_us;
@@ -124,6 +126,7 @@
         }
     }
 
+    /// Queues a subscription unless the session already has it.
     fn enqueue(&mut self, subscription: Subscription) {
         if self.wanted.insert(subscription.clone()) {
             self.queued.push(subscription);
@@ -139,6 +142,7 @@
         }
     }
 
+    /// Sends queued subscriptions, within [`MAX_OUTSTANDING_REQUESTS`].
     fn send_queued(&mut self, now_us: u64, events: &mut Vec<SessionEvent>) {
         while self.is_open && self.pending_requests.len() < MAX_OUTSTANDING_REQUESTS {
             let Some(subscription) = self.queued.pop() else {
@@ -163,9 +167,9 @@
             return;
         }
         match parse_dso_message(bytes) {
-            None => self.end(now_us, "a message that makes no sense", events),
+            None => self.end(now_us, "invalid message from the server", events),
             Some(DsoMessage::RetryDelay(delay_ms)) => {
-                self.end(now_us, "the server wants it to end", events);
+                self.end(now_us, "the server sent a retry delay", events);
                 self.reconnect_at_us = self
                     .reconnect_at_us
                     .max(now_us + u64::from(delay_ms) * 1_000)
@@ -179,8 +183,8 @@
                 code,
                 keepalive_ms,
             }) => match self.pending_requests.remove(&id) {
-                // RFC 8490 section 5.4.1: a response without a request is fatal.
-                None => self.end(now_us, "a response to nothing", events),
+                // A response without a matching request is a fatal error (RFC 8490 section 5.4.1).
+                None => self.end(now_us, "response to an unknown request", events),
                 Some(request) => match request.kind {
                     RequestKind::Keepalive => self.shorten_keepalive(keepalive_ms),
                     RequestKind::Subscribe(subscription) => {
@@ -192,6 +196,7 @@
         }
     }
 
+    /// Adopts the keepalive interval of a response, if the interval is valid and shorter than the current one.
     fn shorten_keepalive(&mut self, interval_ms: Option<u32>) {
         let Some(interval_ms) = interval_ms else {
             return;
@@ -202,6 +207,7 @@
         }
     }
 
+    /// Handles the response to a subscription. A refused subscription to a service ends the session.
     fn handle_subscribed(
         &mut self,
         now_us: u64,
@@ -217,11 +223,12 @@
                 events.push(SessionEvent::Established);
             }
         } else if subscription.record_type == RecordType::Ptr {
-            let reason = format!("a subscription was refused, code {code}");
+            let reason = format!("subscription to a service refused, code {code}");
             self.end(now_us, &reason, events);
             return;
         }
-        // The records of a refused name are queried, as without push.
+        // If the server refuses the subscription to an instance or a host, its records are queried as they are without
+        // push.
         self.send_queued(now_us, events);
     }
 
@@ -231,7 +238,7 @@
             .all(|service| self.granted.contains(&instances_of(service)))
     }
 
-    /// When [`PushSession::handle_timer`] is due; `None` while the session is not open.
+    /// Returns when [`PushSession::handle_timer`] is due; `None` while the session is not open.
     pub fn next_wakeup_us(&self) -> Option<u64> {
         if !self.is_open {
             return None;
@@ -243,7 +250,7 @@
         timeouts.chain([self.keepalive_at_us]).min()
     }
 
-    /// Ends a session whose server does not respond, and sends the keepalive when it is due.
+    /// Ends the session if the server has not responded in time; otherwise sends the keepalive when it is due.
     pub fn handle_timer(&mut self, now_us: u64, events: &mut Vec<SessionEvent>) {
         if !self.is_open {
             return;
@@ -253,7 +260,7 @@
             .values()
             .any(|request| request.sent_at_us + RESPONSE_TIMEOUT_US <= now_us);
         if is_unresponsive {
-            self.end(now_us, "it has fallen silent", events);
+            self.end(now_us, "no response from the server", events);
             return;
         }
         if self.keepalive_at_us <= now_us {
@@ -269,7 +276,7 @@
         }
     }
 
-    /// Ends the session; none of its subscriptions holds any more.
+    /// Ends the session and drops its subscriptions. Reports `reason` if the session was open.
     pub fn end(&mut self, now_us: u64, reason: &str, events: &mut Vec<SessionEvent>) {
         let was_open = self.is_open;
         self.reset_with_backoff(now_us);
@@ -278,7 +285,7 @@
         }
     }
 
-    /// Closes the session, also where the connection was never established, and starts the backoff.
+    /// Resets the session, which may never have been open, and starts the backoff.
     pub fn reset_with_backoff(&mut self, now_us: u64) {
         self.reconnect_at_us = now_us + self.backoff_us;
         self.backoff_us = (self.backoff_us * 2).min(MAX_BACKOFF_US);
@@ -291,7 +298,7 @@
     }
 }
 
-/// The subscription to the instances of a service.
+/// Returns the subscription to the PTR records of a service, which name its instances.
 fn instances_of(service: &Name) -> Subscription {
     Subscription {
         name: service.clone(),
@@ -299,7 +306,7 @@
     }
 }
 
-/// The subscription to all records of an instance or a host.
+/// Returns the subscription to all records of an instance or a host.
 fn all_records(name: &Name) -> Subscription {
     Subscription {
         name: name.clone(),
--- a/crates/discovery/src/dnssd/push/tests.rs
+++ b/crates/discovery/src/dnssd/push/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of a push session.
+//! Tests of the push session's state machine.
 
 use super::{PushSession, SessionEvent, RESPONSE_TIMEOUT_US};
 use crate::dnssd::wire::{Name, HEADER_BYTES};
@@ -34,12 +34,12 @@
 }
 
 #[test]
-fn a_refusal_an_unexpected_response_an_invalid_message_or_silence_ends_the_session() {
+fn a_refusal_an_unexpected_response_an_invalid_message_or_no_response_ends_the_session() {
     for (bytes, reason) in [
         (Some(response(1, 5)), "refused, code 5"),
-        (Some(response(9, 0)), "response to nothing"),
-        (Some(vec![1, 2, 3]), "no sense"),
-        (None, "silent"),
+        (Some(response(9, 0)), "response to an unknown request"),
+        (Some(vec![1, 2, 3]), "invalid message"),
+        (None, "no response"),
     ] {
         let (mut session, mut events) = opened_session();
         events.clear();
@@ -48,14 +48,17 @@
             None => session.handle_timer(RESPONSE_TIMEOUT_US, &mut events),
         }
         let [SessionEvent::Ended(text)] = &events[..] else {
-            panic!("{events:?}")
+            panic!("the session ends with one event: {events:?}")
         };
-        assert!(text.contains(reason), "{text}");
+        assert!(
+            text.contains(reason),
+            "the reason {text:?} does not contain {reason:?}"
+        );
         assert!(session.reconnect_at_us() > 0 && session.next_wakeup_us().is_none());
     }
 }
 
-/// A server that is gone without closing the connection answers no keepalive.
+/// A server that stops without closing the connection does not respond to keepalives.
 #[test]
 fn a_session_without_a_keepalive_response_ends() {
     let (mut session, mut events) = opened_session();
@@ -66,6 +69,6 @@
     session.handle_timer(1_000_000 + RESPONSE_TIMEOUT_US, &mut events);
     assert!(
         matches!(&events[1..], [SessionEvent::Ended(_)]),
-        "{events:?}"
+        "the session did not end: {events:?}"
     );
 }
--- a/crates/discovery/src/dnssd/wire/dso.rs
+++ b/crates/discovery/src/dnssd/wire/dso.rs
@@ -1,4 +1,4 @@
-//! Frames of DNS Stateful Operations (RFC 8490) and DNS Push Notifications (RFC 8765).
+//! Codec of the messages of DNS Stateful Operations (RFC 8490) and DNS Push Notifications (RFC 8765).
 
 use super::name::{canonical_name, Name};
 use super::record::{parse_record, Record, RecordType};
@@ -10,20 +10,20 @@
 use std::ops::Range;
 use std::str::FromStr;
 
-/// Length of a DNS header.
+/// Length of a DNS message header.
 pub const HEADER_BYTES: usize = 12;
-/// Length of a TLV's type and length.
+/// Length of a TLV header, which holds the type and the length.
 const TLV_HEADER_BYTES: usize = 4;
 
 const TLV_KEEPALIVE: u16 = 1;
 const TLV_RETRY_DELAY: u16 = 2;
 const TLV_SUBSCRIBE: u16 = 0x40;
 const TLV_PUSH: u16 = 0x41;
-/// In place of a TTL: this one record was removed (RFC 8765 section 6.3.1).
+/// Value of the TTL field for the removal of a single record (RFC 8765 section 6.3.1).
 const TTL_REMOVED: u32 = 0xFFFF_FFFF;
-/// In place of a TTL: all records of the name and type were removed; those of any type, where the type is ANY.
+/// Value of the TTL field for the removal of all records of the name and type, or of any type if the type is ANY.
 const TTL_ALL_REMOVED: u32 = 0xFFFF_FFFE;
-/// Types of which the removal of all records is recognized.
+/// Record types for which the removal of all records is reported.
 const REMOVABLE_TYPES: [RecordType; 6] = [
     RecordType::Ptr,
     RecordType::Srv,
@@ -33,44 +33,44 @@
     RecordType::Soa,
 ];
 
-/// One change that was pushed.
+/// A pushed change to a record or record set.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecordChange {
-    /// The record was added, or exists when the subscription begins.
+    /// The record was added, or existed when the subscription began.
     Added(Record),
     /// The record was removed.
     Removed(Record),
-    /// All records of the name and of that type were removed; `None`: of any type.
+    /// All records of the name and type were removed; `None`: of any type.
     AllRemoved(Name, Option<RecordType>),
 }
 
-/// A message of a stateful session.
+/// A message that a DSO session received.
 #[derive(Debug, PartialEq, Eq)]
 pub enum DsoMessage {
     /// The response to a request.
     Response {
         /// The request's id.
         id: u16,
-        /// The RCODE; 0: granted.
+        /// The RCODE; 0: the server granted the request.
         code: u8,
-        /// In the response to a keepalive: the interval in milliseconds that the server asks for.
+        /// In the response to a keepalive: the keepalive interval that the server requires, in milliseconds.
         keepalive_ms: Option<u32>,
     },
-    /// Changes of records that are subscribed to.
+    /// Changes to records of the client's subscriptions.
     Push(Vec<RecordChange>),
-    /// The server ends the session and accepts no new one for so many milliseconds.
+    /// The server ends the session and accepts no new one for this many milliseconds.
     RetryDelay(u32),
-    /// A message that is not used.
+    /// A message that the client ignores.
     Other,
 }
 
-/// A type-length-value element: its type and where its value is in the message.
+/// A type-length-value element: its type and the range of its value in the message.
 struct Tlv {
     tlv_type: u16,
     value: Range<usize>,
 }
 
-/// Encodes a subscription to changes of a name's records (RFC 8765 section 6.2.1); `None` if the name is not valid.
+/// Encodes a subscription to changes to a name's records (RFC 8765 section 6.2.1); `None` if the name is invalid.
 pub fn encode_subscribe(id: u16, name: &str, record_type: RecordType) -> Option<Vec<u8>> {
     let name = WireName::<Vec<u8>>::from_str(name).ok()?;
     let mut value = name.as_slice().to_vec();
@@ -79,7 +79,7 @@
     Some(encode_request(id, TLV_SUBSCRIBE, &value))
 }
 
-/// Encodes a keepalive (RFC 8490 section 7.1): no inactivity time-out, and a keepalive interval.
+/// Encodes a keepalive request with no inactivity timeout and this keepalive interval (RFC 8490 section 7.1).
 pub fn encode_keepalive(id: u16, interval_ms: u32) -> Vec<u8> {
     let mut value = u32::MAX.to_be_bytes().to_vec();
     value.extend(interval_ms.to_be_bytes());
@@ -96,7 +96,7 @@
     message
 }
 
-/// Parses a message of a session. `None`: it is invalid, which ends the session (RFC 8490 section 5.4.1).
+/// Parses a DSO message; `None` if it is invalid, which ends the session (RFC 8490 section 5.4.1).
 pub fn parse_dso_message(bytes: &[u8]) -> Option<DsoMessage> {
     let message = Message::from_octets(bytes).ok()?;
     let header = message.header();
@@ -135,7 +135,7 @@
     }
 }
 
-/// The keepalive interval in a keepalive TLV, which follows the inactivity time-out.
+/// Returns the interval in milliseconds from a keepalive TLV, where it follows the inactivity timeout.
 fn keepalive_interval_ms(bytes: &[u8], tlv: Option<&Tlv>) -> Option<u32> {
     let tlv = tlv?;
     if tlv.tlv_type != TLV_KEEPALIVE || tlv.value.len() != 8 {
@@ -158,7 +158,7 @@
     Some(u32::from_be_bytes(bytes.get(at..at + 4)?.try_into().ok()?))
 }
 
-/// Parses the records of a PUSH message, which begin at `start`; `None` if one is malformed.
+/// Parses the records of a PUSH message, which begin at `start`; `None` if a record is malformed.
 fn parse_changes(bytes: &[u8], start: usize) -> Option<Vec<RecordChange>> {
     let mut parser = Parser::from_ref(&bytes);
     parser.seek(start).ok()?;
@@ -182,7 +182,7 @@
     Some(changes)
 }
 
-/// The removal of all records of a name; `None` if records of the type are not used.
+/// Parses the removal of all records of a name; `None` if the record type is not used.
 fn parse_removal_of_all(record: &ParsedRecord<'_, &[u8]>) -> Option<RecordChange> {
     let record_type = REMOVABLE_TYPES
         .into_iter()
--- a/crates/discovery/src/dnssd/wire/mod.rs
+++ b/crates/discovery/src/dnssd/wire/mod.rs
@@ -1,7 +1,7 @@
-//! Codec of the DNS messages that service discovery exchanges.
+//! Codec of the DNS messages that service discovery sends and receives.
 //!
-//! Ordinary messages (RFC 1035, 2782, 6891) are read and written by the `domain` library. No library covers the frames
-//! of DNS Stateful Operations (RFC 8490 section 5.4), so these are read and written here.
+//! The `domain` library parses and encodes ordinary messages (RFC 1035, 2782, 6891). No library covers the message
+//! format of DNS Stateful Operations (RFC 8490 section 5.4), which `dso` implements.
 
 mod dso;
 mod name;
--- a/crates/discovery/src/dnssd/wire/name.rs
+++ b/crates/discovery/src/dnssd/wire/name.rs
@@ -5,14 +5,14 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// A domain name in its one canonical form: lower case, `\.` and `\\` and `\DDD` as in RFC 1035 section 5.1 (a space is
-/// `\032`), no dot at the end. Names that are the same in DNS are the same text.
+/// A domain name in canonical form: lower case, with the escapes `\.`, `\\` and `\DDD` of RFC 1035 section 5.1 (a
+/// space is `\032`), without a trailing dot. Names that are equal in DNS have equal canonical forms.
 pub type Name = Arc<str>;
 
 /// Parses a name in presentation form and returns its canonical form.
 ///
 /// # Errors
-/// Why the text is no domain name.
+/// Returns an error if the text is not a valid domain name.
 pub fn parse_name(text: &str) -> Result<Name, FromStrError> {
     let name = WireName::<Vec<u8>>::from_str(text)?;
     Ok(canonical_name(name.iter_labels()))
@@ -33,6 +33,7 @@
     None
 }
 
+/// Returns the canonical form of the name with these labels.
 pub(super) fn canonical_name<'a>(labels: impl Iterator<Item = &'a Label>) -> Name {
     let labels: Vec<String> = labels
         .filter(|label| !label.is_root())
@@ -41,7 +42,7 @@
     labels.join(".").into()
 }
 
-/// The canonical form of one label.
+/// Returns the canonical form of one label.
 fn escape_label(label: &[u8]) -> String {
     let mut text = String::with_capacity(label.len());
     for byte in label {
--- a/crates/discovery/src/dnssd/wire/record.rs
+++ b/crates/discovery/src/dnssd/wire/record.rs
@@ -1,4 +1,4 @@
-//! Resource records: the types and data that service discovery uses.
+//! Resource records of the types that service discovery uses.
 
 use super::name::{canonical_name, Name};
 use domain::base::iana::{Class, Rtype};
@@ -7,7 +7,7 @@
 use domain::rdata::{Aaaa, Cname, Ptr, Soa, Srv, Txt, A};
 use std::net::{Ipv4Addr, Ipv6Addr};
 
-/// The type of a query or subscription.
+/// The record type of a query or subscription.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RecordType {
     /// Names of instances (RFC 6763).
@@ -20,9 +20,9 @@
     A,
     /// IPv6 address.
     Aaaa,
-    /// Start of authority, for its serial.
+    /// Start of authority (SOA), queried for the zone's serial.
     Soa,
-    /// Any type; in subscriptions only (RFC 8765 section 6.2.1).
+    /// Any type; used only in subscriptions (RFC 8765 section 6.2.1).
     Any,
 }
 
@@ -40,31 +40,31 @@
     }
 }
 
-/// The data of a record; records of other types are skipped when a message is parsed.
+/// The data of a record. Records of other types are skipped when a message is parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecordData {
     /// Name of an instance.
     Ptr(Name),
     /// Location of an instance.
     Srv {
-        /// Lower values are used first.
+        /// Records with lower values are used first.
         priority: u16,
-        /// Share of the load among records of the same priority.
+        /// Relative share of the load among records with the same priority.
         weight: u16,
-        /// The port.
+        /// The port of the instance.
         port: u16,
-        /// Name of the host; empty: not available.
+        /// Name of the host; empty (the root): the service is not available.
         target: Name,
     },
-    /// Strings of attributes.
+    /// Attribute strings of an instance.
     Txt(Vec<Vec<u8>>),
     /// IPv4 address of a host.
     A(Ipv4Addr),
     /// IPv6 address of a host.
     Aaaa(Ipv6Addr),
-    /// The name that this one is an alias of.
+    /// The target of an alias: the name that the owner is an alias of.
     Cname(Name),
-    /// Start of a zone.
+    /// Start of authority of a zone.
     Soa {
         /// Serial number of the zone's version (RFC 1982).
         serial: u32,
@@ -74,18 +74,18 @@
 /// A resource record of class IN.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// The name that the record belongs to.
+    /// The name that owns the record.
     pub owner: Name,
     /// Time to live in seconds.
     pub ttl_s: u32,
-    /// Type and data.
+    /// The record's type and data.
     pub data: RecordData,
 }
 
-/// The data of a record does not have the form of its type.
+/// Error for a record whose data is invalid for its type.
 pub(super) struct MalformedRecord;
 
-/// Parses a record; `None` if its type or class is not used.
+/// Parses a record; `None` if the record's type or class is not used.
 pub(super) fn parse_record(
     record: &ParsedRecord<'_, &[u8]>,
 ) -> Result<Option<Record>, MalformedRecord> {
@@ -99,6 +99,7 @@
     }))
 }
 
+/// Returns whether service discovery uses records of this type.
 fn is_used(rtype: Rtype) -> bool {
     matches!(
         rtype,
@@ -106,7 +107,7 @@
     )
 }
 
-/// The data of a record whose type is used; `None` if it is malformed.
+/// Parses the data of a record whose type is used; `None` if the data is malformed.
 fn parse_data(record: &ParsedRecord<'_, &[u8]>) -> Option<RecordData> {
     match record.rtype() {
         Rtype::PTR => {
--- a/crates/discovery/src/dnssd/wire/reply.rs
+++ b/crates/discovery/src/dnssd/wire/reply.rs
@@ -1,4 +1,4 @@
-//! Queries and their replies (RFC 1035, RFC 6891).
+//! Codec of DNS queries and their replies (RFC 1035, RFC 6891).
 
 use super::name::canonical_name;
 use super::record::{parse_record, MalformedRecord, Record, RecordType};
@@ -8,47 +8,47 @@
 use domain::base::{Message, MessageBuilder};
 use std::str::FromStr;
 
-/// Largest UDP reply that is accepted: passes everywhere without fragmentation (DNS flag day 2020).
+/// Maximum size of a UDP reply; datagrams of this size are not fragmented on common paths (DNS flag day 2020).
 const MAX_UDP_REPLY_BYTES: u16 = 1_232;
 
-/// How a query was answered (RFC 1035 section 4.1.1).
+/// The response code of a reply (RFC 1035 section 4.1.1).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseCode {
     /// The name exists, with or without records of the type.
     NoError,
     /// The name does not exist.
     NxDomain,
-    /// SERVFAIL, REFUSED and all others, by number.
+    /// SERVFAIL, REFUSED or any other code, by number.
     Other(u8),
 }
 
-/// A reply that was parsed to its end.
+/// A parsed reply; complete unless `is_truncated`.
 #[derive(Debug)]
 pub struct Reply {
-    /// How the query was answered.
+    /// The response code.
     pub code: ResponseCode,
-    /// The AA bit: the reply is not from a cache.
+    /// The AA bit: the reply comes from an authoritative server, not from a cache.
     pub is_authoritative: bool,
-    /// The TC bit: the reply was too long for its datagram.
+    /// The TC bit: the reply was too long for its datagram and was cut off.
     pub is_truncated: bool,
-    /// Records that answer the question.
+    /// Records of the answer section.
     pub answer: Vec<Record>,
-    /// Records of the zone's authority.
+    /// Records of the authority section.
     pub authority: Vec<Record>,
-    /// Records that the resolver added of its own.
+    /// Records of the additional section, which the resolver adds unasked.
     pub additional: Vec<Record>,
 }
 
-/// Why a message is not accepted as a reply.
+/// Error for a message that is not accepted as the reply to a query.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ReplyError {
-    /// It does not belong to the query: another id, another question, or no response at all.
+    /// The message does not belong to the query: its id or question differs, or it is not a response.
     Unrelated,
-    /// It belongs to the query and is not a valid message.
+    /// The message belongs to the query but is malformed.
     Malformed,
 }
 
-/// The record sections of a message, in their order.
+/// The record sections of a message, in message order.
 #[derive(Default)]
 struct Sections {
     answer: Vec<Record>,
@@ -56,7 +56,7 @@
     additional: Vec<Record>,
 }
 
-/// Encodes a recursive query with EDNS(0) (RFC 6891); `None` if the name is not valid.
+/// Encodes a recursive query with EDNS(0) (RFC 6891); `None` if the name is invalid.
 pub fn encode_query(id: u16, name: &str, record_type: RecordType) -> Option<Vec<u8>> {
     let name = WireName::<Vec<u8>>::from_str(name).ok()?;
     let mut message = MessageBuilder::new_vec();
@@ -74,10 +74,10 @@
     Some(additional.finish())
 }
 
-/// Parses the reply to the query with this id and question.
+/// Parses the reply to the query with this message id and question.
 ///
 /// # Errors
-/// The message does not belong to the query, or is malformed.
+/// Returns an error if the message does not belong to the query or is malformed.
 pub fn parse_reply(
     bytes: &[u8],
     id: u16,
@@ -104,7 +104,7 @@
     };
     let mut sections = Sections::default();
     let parsed = parse_sections(&message, &mut sections);
-    // A truncated reply may end anywhere; the query is repeated over TCP.
+    // A truncated reply may end within a record, and its query is repeated over TCP, so it is not an error.
     if parsed.is_err() && !header.tc() {
         return Err(ReplyError::Malformed);
     }
--- a/crates/discovery/src/dnssd/wire/tests.rs
+++ b/crates/discovery/src/dnssd/wire/tests.rs
@@ -8,11 +8,13 @@
 use std::net::Ipv4Addr;
 
 #[test]
-fn a_name_has_one_form_regardless_of_case_and_escapes() {
-    let name = parse_name("Node\\0321\\.A._Topup._TCP.Example.ORG.").expect("a name");
+fn a_name_has_one_canonical_form_regardless_of_case_and_escapes() {
+    let name = parse_name("Node\\0321\\.A._Topup._TCP.Example.ORG.")
+        .expect("the name has valid labels and escapes");
     assert_eq!(&*name, "node\\0321\\.a._topup._tcp.example.org");
     assert_eq!(
-        parse_name("node\\ 1\\046a._topup._tcp.example.org").expect("a name"),
+        parse_name("node\\ 1\\046a._topup._tcp.example.org")
+            .expect("the name has valid labels and escapes"),
         name
     );
     assert_eq!(
@@ -22,7 +24,7 @@
     assert!(parse_name("a..b").is_err() && parse_name(&"a".repeat(64)).is_err());
 }
 
-/// Worked out by hand from RFC 1035 sections 4.1 and 2782.
+/// The message was encoded by hand from RFC 1035 section 4.1 and RFC 2782.
 #[test]
 fn a_hand_written_reply_is_parsed() {
     let mut message = vec![0x12, 0x34, 0x84, 0, 0, 1, 0, 1, 0, 0, 0, 0];
@@ -36,7 +38,8 @@
     message.pop();
     let at = message.len() - 11;
     message[at] = 0x0a;
-    let reply = parse_reply(&message, 0x1234, "s.t", RecordType::Srv).expect("an answer");
+    let reply =
+        parse_reply(&message, 0x1234, "s.t", RecordType::Srv).expect("the reply is well-formed");
     let data = RecordData::Srv {
         priority: 1,
         weight: 2,
@@ -64,7 +67,8 @@
     }
 }
 
-/// A pointer that points at itself, or ahead, ends the reading (RFC 1035 section 4.1.4: a prior occurrence).
+/// A compression pointer to itself or to a later position is rejected: it must refer to a prior occurrence of a name
+/// (RFC 1035 section 4.1.4).
 #[test]
 fn compression_loops_are_rejected() {
     for pointer in [0x0c, 0x10, 0xff] {
@@ -87,7 +91,7 @@
     message[14..16].copy_from_slice(&length.to_be_bytes());
     let a = |last| RecordData::A(Ipv4Addr::new(127, 0, 0, last));
     let Some(DsoMessage::Push(changes)) = parse_dso_message(&message) else {
-        panic!("a push")
+        panic!("the message does not parse as a push")
     };
     assert_eq!(
         changes[0],
@@ -120,7 +124,7 @@
         let _ = parse_dso_message(&bytes);
     }
 
-    /// Arbitrary records behind a valid header.
+    /// Arbitrary records after a valid header cause no panic.
     #[test]
     fn arbitrary_records_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..600), count in 0u8..40) {
         let mut message = vec![0, 1, 0x84, 0, 0, 1, 0, count, 0, 0, 0, count];
--- a/crates/discovery/src/endpoint_table.rs
+++ b/crates/discovery/src/endpoint_table.rs
@@ -1,20 +1,21 @@
-//! The endpoints that are listed, the marks of operators on them, and the takeover by another source. No I/O.
+//! Table of the listed endpoints: applies list updates and operator marks, and handles the takeover by another source.
+//! It performs no I/O.
 
 use frosthatch_engine::{Endpoint, EndpointState};
 use frosthatch_traffic_control::ListKind;
 use std::collections::{HashMap, HashSet};
 
-/// How long an endpoint drains that a new source does not list, in microseconds: longer than any request takes.
+/// How long an endpoint that a new source does not list drains, in microseconds; longer than any request takes.
 const TAKEOVER_DRAIN_US: u64 = 10_000_000;
-/// Limit on the marks; those on endpoints that are no longer listed are dropped first.
+/// Maximum number of marks. Marks on endpoints that are no longer listed are dropped first.
 const MAX_MARKS: usize = 4_096;
 
-/// What an operator has done to an endpoint by hand.
+/// Record that an operator took an endpoint out of service by hand, and whether it was put back.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OperatorMark {
-    /// When it was taken out, as Unix time in milliseconds.
+    /// When the endpoint was taken out, as Unix time in milliseconds.
     pub out_ms: u64,
-    /// When it was put back; `None`: it is out.
+    /// When the endpoint was put back, as Unix time in milliseconds; `None`: it is still out.
     pub back_ms: Option<u64>,
 }
 
@@ -24,42 +25,43 @@
     }
 }
 
-/// An endpoint that the present source does not list, after a takeover.
+/// An endpoint that drains after a takeover because the current source does not list it.
 struct DrainingEndpoint {
     uid: String,
     remove_at_us: u64,
 }
 
-/// The endpoints as the source lists them, with the marks that change how the engine gets them.
+/// The endpoints that the source lists, and the operator marks that modify the endpoints passed to the engine.
 #[derive(Default)]
 pub struct EndpointTable {
     listed: HashMap<String, Endpoint>,
     marks: HashMap<String, OperatorMark>,
-    /// Whether the next complete list is the first of another source.
+    /// Whether the next complete list is the first list from another source.
     is_taking_over: bool,
     draining: Vec<DrainingEndpoint>,
 }
 
 impl EndpointTable {
-    /// The next complete list comes from another source: endpoints that it lacks drain instead of being removed.
+    /// Prepares for another source: endpoints that its first complete list lacks drain instead of being removed at
+    /// once.
     pub fn begin_takeover(&mut self) {
         self.is_taking_over = !self.listed.is_empty();
     }
 
-    /// All listed endpoints as the source gave them.
+    /// Returns all listed endpoints as received from the source.
     pub fn source_endpoints(&self) -> impl Iterator<Item = &Endpoint> {
         self.listed.values()
     }
 
-    /// All listed endpoints with the marks applied, as the engine gets them.
+    /// Returns all listed endpoints with the marks applied, as passed to the engine.
     pub fn effective_endpoints(&self) -> impl Iterator<Item = Endpoint> + '_ {
         self.listed
             .values()
             .map(|endpoint| self.with_mark(endpoint.clone()))
     }
 
-    /// Takes an endpoint out until it is put back, whatever the source lists. Returns the update for the engine, or `None`
-    /// if no such endpoint is known.
+    /// Takes an endpoint out of service until it is put back, whatever state the source lists. Returns the update for
+    /// the engine, or `None` if the endpoint is neither listed nor out.
     pub fn take_out(&mut self, now_us: u64, uid: &str) -> Option<Vec<Endpoint>> {
         let is_out = self.marks.get(uid).is_some_and(OperatorMark::is_out);
         if is_out {
@@ -75,8 +77,8 @@
         Some(self.set_mark(uid, mark))
     }
 
-    /// Puts an endpoint back, however often it was taken out. Returns the update for the engine, or `None` if no such
-    /// endpoint is known.
+    /// Puts an endpoint back into service, however often it was taken out. Returns the update for the engine, or
+    /// `None` if the endpoint is neither listed nor out.
     pub fn put_back(&mut self, now_us: u64, uid: &str) -> Option<Vec<Endpoint>> {
         match self.marks.get_mut(uid).filter(|mark| mark.is_out()) {
             Some(mark) => mark.back_ms = Some(now_us / 1_000),
@@ -86,17 +88,17 @@
         Some(self.effective_endpoint(uid))
     }
 
-    /// The mark on an endpoint.
+    /// Returns the mark on an endpoint.
     pub fn mark(&self, uid: &str) -> Option<OperatorMark> {
         self.marks.get(uid).copied()
     }
 
-    /// All marks, by uid.
+    /// Returns all marks, by the uid of the endpoint.
     pub fn marks(&self) -> impl Iterator<Item = (&String, &OperatorMark)> {
         self.marks.iter()
     }
 
-    /// Sets a mark and returns the update for the engine.
+    /// Sets the mark on an endpoint and returns the update for the engine.
     pub fn set_mark(&mut self, uid: &str, mark: OperatorMark) -> Vec<Endpoint> {
         if !self.marks.contains_key(uid) {
             self.make_room_for_mark();
@@ -105,7 +107,7 @@
         self.effective_endpoint(uid)
     }
 
-    /// One endpoint with its mark applied; empty if it is not listed.
+    /// Returns an endpoint with its mark applied; empty if the endpoint is not listed.
     fn effective_endpoint(&self, uid: &str) -> Vec<Endpoint> {
         self.listed
             .get(uid)
@@ -114,7 +116,8 @@
             .collect()
     }
 
-    /// Drops marks that have no effect any more, and then the oldest, those on endpoints that are not listed first.
+    /// Makes room for a mark if the table is full: drops marks without effect, then the oldest, those on unlisted
+    /// endpoints first.
     fn make_room_for_mark(&mut self) {
         if self.marks.len() < MAX_MARKS {
             return;
@@ -134,7 +137,7 @@
         }
     }
 
-    /// An endpoint with the effect of its mark.
+    /// Applies the mark on an endpoint, if there is one.
     fn with_mark(&self, mut endpoint: Endpoint) -> Endpoint {
         let Some(mark) = self.marks.get(&endpoint.uid) else {
             return endpoint;
@@ -145,8 +148,8 @@
                     endpoint.state = EndpointState::Draining;
                 }
             }
-            // The endpoint may have been restarted while it was out, which the list may show only later. Until then it
-            // counts as started when it was put back, so that it warms up.
+            // The endpoint may have restarted while it was out, which the list may show only later. Until then the
+            // time at which it was put back serves as its start time, so that it warms up.
             Some(back_ms) => {
                 if endpoint.started_ms < mark.out_ms {
                     endpoint.started_ms = back_ms;
@@ -156,7 +159,7 @@
         endpoint
     }
 
-    /// Applies a list, or a change of the list, from the present source. Returns the update for the engine.
+    /// Applies a list, or a change to the list, from the current source. Returns the update for the engine.
     pub fn apply_update(
         &mut self,
         now_us: u64,
@@ -177,7 +180,7 @@
                 self.listed.insert(endpoint.uid.clone(), endpoint.clone());
             }
         }
-        // One that the new source lists as ready stays.
+        // An endpoint that the new source lists as ready is not removed.
         let listed = &self.listed;
         self.draining.retain(|draining| {
             listed
@@ -190,14 +193,14 @@
             .collect()
     }
 
-    /// Lets the endpoints drain that a new source's first list lacks: the sources may use different uids for the same
-    /// endpoint, and removal would cut off its requests in flight.
+    /// Starts to drain the endpoints that a new source's first list lacks, and returns them. The sources may use
+    /// different uids for the same endpoint, and immediate removal would cut off its requests in flight.
     fn drain_unlisted(&mut self, now_us: u64, new_list: &[Endpoint]) -> Vec<Endpoint> {
-        let named: HashSet<&str> = new_list.iter().map(|e| e.uid.as_str()).collect();
+        let new_uids: HashSet<&str> = new_list.iter().map(|e| e.uid.as_str()).collect();
         let unlisted: Vec<Endpoint> = self
             .listed
             .values()
-            .filter(|endpoint| !named.contains(endpoint.uid.as_str()))
+            .filter(|endpoint| !new_uids.contains(endpoint.uid.as_str()))
             .map(|endpoint| Endpoint {
                 state: EndpointState::Draining,
                 ..endpoint.clone()
@@ -212,7 +215,7 @@
         unlisted
     }
 
-    /// Removes the endpoints whose time to drain is over, and returns them as gone.
+    /// Removes the endpoints whose drain time is over, and returns them as gone.
     pub fn remove_drained(&mut self, now_us: u64) -> Vec<Endpoint> {
         let is_due = |draining: &mut DrainingEndpoint| draining.remove_at_us <= now_us;
         let due: Vec<DrainingEndpoint> = self.draining.extract_if(.., is_due).collect();
--- a/crates/discovery/src/endpoint_table/tests.rs
+++ b/crates/discovery/src/endpoint_table/tests.rs
@@ -63,7 +63,7 @@
     assert!(table.remove_drained(u64::MAX).is_empty());
 }
 
-/// A list may still give the endpoint as ready, and it may have been restarted while it was out.
+/// While an endpoint is out, the source's list may still show it as ready, and it may restart.
 #[test]
 fn an_endpoint_taken_out_by_hand_drains_until_it_is_put_back_and_warms_up_then() {
     let mut table = EndpointTable::default();
@@ -73,12 +73,16 @@
         vec![ready_endpoint("a"), ready_endpoint("b")],
     );
     assert_eq!(table.take_out(5_000_000, "nobody"), None);
-    let update = table.take_out(5_000_000, "a").expect("known");
+    let update = table
+        .take_out(5_000_000, "a")
+        .expect("the endpoint is listed");
     assert_eq!(
         (update[0].uid.as_str(), update[0].state),
         ("a", EndpointState::Draining)
     );
-    table.take_out(6_000_000, "a").expect("a second call out");
+    table
+        .take_out(6_000_000, "a")
+        .expect("the endpoint is already out");
     for list in [
         vec![ready_endpoint("a")],
         vec![Endpoint {
@@ -91,12 +95,12 @@
             assert_ne!(endpoint.state, EndpointState::Ready);
         }
     }
-    let update = table.put_back(9_000_000, "a").expect("known");
+    let update = table.put_back(9_000_000, "a").expect("the endpoint is out");
     assert_eq!(
         (update[0].state, update[0].started_ms),
         (EndpointState::Ready, 9_000)
     );
-    // The start time in the list counts once it is later than the mark.
+    // The start time in the list is used once it is later than the time of the mark.
     let update = table.apply_update(
         0,
         ListKind::Partial,
@@ -108,7 +112,10 @@
     assert_eq!(update[0].started_ms, 8_000);
     assert_eq!(table.put_back(9_000_000, "nobody"), None);
     assert_eq!(
-        table.put_back(9_000_000, "b").expect("known")[0].started_ms,
+        table
+            .put_back(9_000_000, "b")
+            .expect("the endpoint is listed")[0]
+            .started_ms,
         0
     );
 }
@@ -121,7 +128,9 @@
         let listed = ready_endpoint("kept");
         table.apply_update(0, ListKind::Complete, vec![listed, ready_endpoint(&uid)]);
         table.take_out(n as u64, "kept");
-        table.take_out(n as u64, &uid).expect("known");
+        table
+            .take_out(n as u64, &uid)
+            .expect("the endpoint is listed");
     }
     assert_eq!(table.marks.len(), MAX_MARKS);
     assert_eq!(
@@ -133,9 +142,9 @@
     );
 }
 
-/// Without a takeover a complete list replaces the one before.
+/// Without a takeover, a complete list replaces the previous list.
 #[test]
-fn a_complete_list_of_the_same_source_removes_what_it_lacks() {
+fn a_complete_list_of_the_same_source_removes_the_endpoints_that_it_lacks() {
     let mut table = EndpointTable::default();
     table.apply_update(
         0,
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,8 +1,9 @@
-//! Endpoint discovery: where the servers are.
+//! Endpoint discovery: provides the engine with the endpoints of the servers.
 //!
-//! [`list`] is the client of a list agent, [`dnssd`] finds endpoints with DNS-SD. [`run`] follows whichever [`Source`] is
-//! configured. Both pass lists and changes to the [`EndpointRegistry`], which applies the marks of operators, lets
-//! endpoints drain when one source takes over from another, and passes the result to the engine.
+//! There are two sources: [`list`] is the client of a list agent, and [`dnssd`] finds endpoints with DNS-SD. [`run`]
+//! runs the [`Source`] that is configured. Both sources pass lists and changes to the [`EndpointRegistry`], which
+//! applies operator marks, drains endpoints when one source takes over from another, and passes the result to the
+//! engine.
 
 pub mod dnssd;
 mod endpoint_table;
--- a/crates/discovery/src/list/client.rs
+++ b/crates/discovery/src/list/client.rs
@@ -1,4 +1,4 @@
-//! One call to the list agent over HTTP/1.1.
+//! HTTP/1.1 calls to the list agent; each requests an endpoint list.
 
 use super::server_list::ServerList;
 use frosthatch_http1::conn::{Sending, ServerConnection};
@@ -6,51 +6,51 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Limit on the size of a list.
+/// Maximum size of a list in a response.
 const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// Asks for nothing but what is newer than a version of the list.
+/// Restricts a request to changes newer than a version of the list.
 #[derive(Clone, Copy)]
 pub(super) struct NewerThan {
     pub(super) version: u64,
-    /// How long the agent may delay the response until there is something newer; 0: not at all.
+    /// How long the agent may delay the response until a newer version exists, in milliseconds; 0: not at all.
     pub(super) hold_ms: u64,
 }
 
-/// A list, and the connection it came over if that can be used again.
+/// A received list, and the call's connection if it can be reused.
 pub(super) struct ListResponse {
     pub(super) list: ServerList,
     pub(super) connection: Option<ServerConnection>,
 }
 
-/// Why a call brought no list.
+/// Error of a call that yielded no list.
 pub(super) enum CallError {
-    /// There was no response in time.
+    /// No response arrived in time.
     Timeout,
     /// The connection failed.
     Io(std::io::Error),
-    /// The response has another status than 200.
+    /// The response has a status other than 200.
     Status(u16),
-    /// The response is no list.
+    /// The response body is not a valid list.
     Malformed(serde_json::Error),
-    /// The response is longer than [`MAX_LIST_BYTES`].
+    /// The response body is longer than [`MAX_LIST_BYTES`].
     TooLong,
 }
 
 impl fmt::Display for CallError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            CallError::Timeout => write!(f, "no answer"),
+            CallError::Timeout => write!(f, "no response in time"),
             CallError::Io(error) => write!(f, "{error}"),
-            CallError::Status(status) => write!(f, "status {status}"),
-            CallError::TooLong => write!(f, "a list of more than {MAX_LIST_BYTES} bytes"),
+            CallError::Status(status) => write!(f, "response status is {status}, not 200"),
+            CallError::TooLong => write!(f, "response exceeds {MAX_LIST_BYTES} bytes"),
             CallError::Malformed(error) => write!(f, "malformed list: {error}"),
         }
     }
 }
 
-/// Requests the complete list, or what is newer than a version. Uses `connection` if it is still usable, otherwise a new
-/// one.
+/// Requests the complete list, or the changes newer than a version. Uses `connection` if it is still usable, otherwise
+/// a new one.
 pub(super) async fn request_list(
     address: SocketAddr,
     connection: Option<ServerConnection>,
--- a/crates/discovery/src/list/mod.rs
+++ b/crates/discovery/src/list/mod.rs
@@ -1,4 +1,4 @@
-//! The list agent's client: a long poll that follows the endpoint list of one agent.
+//! Client of the list agent: follows the endpoint list of one agent by long polling.
 
 mod client;
 mod server_list;
@@ -19,24 +19,26 @@
 use tokio::time::{interval, sleep_until, timeout, Instant, MissedTickBehavior};
 use tracing::debug;
 
-/// How long the agent may hold a long poll. Short, so that a connection that has failed silently is noticed soon.
-const HOLD_MS: u64 = 1_000;
-/// How long a response is awaited after the time that the agent may hold the call.
+/// How long the agent may hold a long poll, in milliseconds. A short time, so that a connection that failed without
+/// being closed is detected soon.
+const LONG_POLL_HOLD_MS: u64 = 1_000;
+/// How long a response is awaited in addition to the time that the agent may hold the call.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Interval of the further calls, each over a new connection, after one that failed.
+/// Interval between retries after a failed call; each retry uses a new connection.
 const RETRY_INTERVAL: Duration = Duration::from_millis(150);
-/// Limit on the calls in flight after a failure. At the limit a new call replaces the second oldest: the oldest stays, as
-/// an overloaded agent may answer late...
+/// Maximum number of calls in flight after a failure. At the limit, a new call replaces the second oldest one. The
+/// oldest is kept until it reaches [`MAX_CALL_AGE`], as an overloaded agent may respond late.
 const MAX_CALLS_IN_FLIGHT: usize = 6;
-/// ...until it is this old. A change has to be known within 6 s, of which the long poll before has taken up to 1.5 s.
+/// Age at which the oldest call in flight is replaced. A change has to be known within 6 s, of which the preceding long
+/// poll has taken up to 1.5 s.
 const MAX_CALL_AGE: Duration = Duration::from_secs(4);
-/// The shortest interval between calls, whatever the agent answers.
+/// Minimum interval between calls, whatever the agent responds.
 const MIN_CALL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Follows the list of one agent for as long as the future is polled. The last list stays in use while calls fail; a
-/// broken long poll continues from its version.
+/// Follows the list of one agent for as long as the future is polled. While calls fail, the last list stays in use; the
+/// calls after a failed long poll continue from the last list's version.
 pub(crate) async fn follow(address: SocketAddr, registry: &EndpointRegistry) {
-    let mut watch = Watch {
+    let mut poller = ListPoller {
         address,
         connection: None,
         version: None,
@@ -44,10 +46,10 @@
         next_call_at: Instant::now(),
     };
     loop {
-        sleep_until(watch.next_call_at).await;
-        watch.next_call_at = Instant::now() + MIN_CALL_INTERVAL;
-        let list = watch.next_list().await;
-        if watch.accept_version(&list) {
+        sleep_until(poller.next_call_at).await;
+        poller.next_call_at = Instant::now() + MIN_CALL_INTERVAL;
+        let list = poller.next_list().await;
+        if poller.accept_version(&list) {
             let kind = if list.all {
                 ListKind::Complete
             } else {
@@ -58,19 +60,20 @@
     }
 }
 
-struct Watch {
+/// Polls the list of one agent, and tracks the list's version.
+struct ListPoller {
     address: SocketAddr,
-    /// Open connection of the last call, if it can be used again.
+    /// The last call's connection, if it can be reused.
     connection: Option<ServerConnection>,
-    /// Version of the list that is known; `None`: the next call asks for the complete list.
+    /// Version of the last accepted list; `None`: the next call requests the complete list.
     version: Option<u64>,
-    /// Whether the last call failed; this has been logged.
+    /// Whether the last long poll failed, which has been logged.
     is_failing: bool,
     next_call_at: Instant,
 }
 
-impl Watch {
-    /// The list from the next call that succeeds.
+impl ListPoller {
+    /// Returns the list from the next successful call.
     async fn next_list(&mut self) -> ServerList {
         let response = match self.long_poll().await {
             Ok(response) => {
@@ -88,10 +91,11 @@
         response.list
     }
 
+    /// Calls the agent, which may hold the call for [`LONG_POLL_HOLD_MS`] if a version is known.
     async fn long_poll(&mut self) -> Result<ListResponse, CallError> {
         let newer_than = self.version.map(|version| NewerThan {
             version,
-            hold_ms: HOLD_MS,
+            hold_ms: LONG_POLL_HOLD_MS,
         });
         let hold_ms = newer_than.map_or(0, |newer_than| newer_than.hold_ms);
         let call = request_list(self.address, self.connection.take(), newer_than);
@@ -99,15 +103,18 @@
         response.unwrap_or(Err(CallError::Timeout))
     }
 
+    /// Logs the first of consecutive failures.
     fn report_failure(&mut self, error: &CallError) {
         debug!(address = %self.address, reason = %error, "endpoint_list.poll_failed");
         if !std::mem::replace(&mut self.is_failing, true) {
-            log_line!("discovery: {error}; keeping the last list");
+            log_line!(
+                "discovery: long poll of the list agent failed: {error}; keeping the last list"
+            );
         }
     }
 
-    /// Whether the list applies to the version that is known. A change that leads to an older version comes from an agent
-    /// that has restarted, and is a change of another list; then the complete list is requested.
+    /// Returns whether a received list applies to the known version, and records its version. A change to an older
+    /// version comes from an agent that restarted and refers to another list; the complete list is then requested.
     fn accept_version(&mut self, list: &ServerList) -> bool {
         let is_older = self.version.is_none_or(|version| list.rev < version);
         if !list.all && is_older {
@@ -132,8 +139,8 @@
     call: Pin<Box<F>>,
 }
 
-/// Calls, without letting the agent hold them, until one succeeds. A further call starts at each interval, because those
-/// in flight may never be answered.
+/// Calls the agent, which may not hold these calls, until one call succeeds. A further call starts at each
+/// [`RETRY_INTERVAL`], because those in flight may never receive a response.
 async fn retry_until_response(address: SocketAddr, version: Option<u64>) -> ListResponse {
     let newer_than = version.map(|version| NewerThan {
         version,
@@ -146,7 +153,7 @@
         tokio::select! {
             _ = retry.tick() => {
                 if pending.len() >= MAX_CALLS_IN_FLIGHT {
-                    drop_one_call(&mut pending);
+                    evict_call(&mut pending);
                 }
                 pending.push_back(PendingCall {
                     started_at: Instant::now(),
@@ -155,23 +162,24 @@
             }
             (index, result) = first_completed(&mut pending), if !pending.is_empty() => match result {
                 Ok(response) => return response,
-                // The next call waits for its interval, so that an agent that answers with errors is not called more often.
+                // The next call starts at its interval, so that an agent that responds with errors is not called more
+                // often.
                 Err(_) => drop(pending.remove(index)),
             }
         }
     }
 }
 
-/// Drops the oldest call if it is too old, otherwise the second oldest.
-fn drop_one_call<F>(pending: &mut VecDeque<PendingCall<F>>) {
-    let is_oldest_lost = pending
+/// Drops the oldest call if its age has reached [`MAX_CALL_AGE`], otherwise the second oldest.
+fn evict_call<F>(pending: &mut VecDeque<PendingCall<F>>) {
+    let is_oldest_expired = pending
         .front()
         .is_some_and(|oldest| oldest.started_at.elapsed() >= MAX_CALL_AGE);
-    let index = if is_oldest_lost { 0 } else { 1 };
+    let index = if is_oldest_expired { 0 } else { 1 };
     pending.remove(index);
 }
 
-/// The index and the result of the first call that completes.
+/// Waits for the first call that completes, and returns its index and result.
 async fn first_completed<F: Future>(pending: &mut VecDeque<PendingCall<F>>) -> (usize, F::Output) {
     poll_fn(|context| {
         for (index, pending) in pending.iter_mut().enumerate() {
--- a/crates/discovery/src/list/server_list.rs
+++ b/crates/discovery/src/list/server_list.rs
@@ -1,4 +1,4 @@
-//! The JSON form of an endpoint list. The names of fields and states are those of the list agent's interface.
+//! JSON format of an endpoint list. The names of its fields and states are defined by the list agent's interface.
 
 use frosthatch_engine::{Endpoint, EndpointState, Protocol};
 use frosthatch_log::log_line;
@@ -7,19 +7,19 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// A complete endpoint list, or a change of it.
+/// A complete endpoint list, or a change to one.
 #[derive(Debug, Deserialize, Default)]
 pub struct ServerList {
-    /// The version of the list that this leads to.
+    /// Version of the endpoint list once this list or change is applied.
     pub rev: u64,
     /// Whether the list is complete; otherwise it holds only the endpoints that have changed.
     pub all: bool,
-    /// The endpoints. An invalid entry is logged and left out; the rest of the list is used.
+    /// The listed or changed endpoints. Invalid entries are logged and left out; the other entries are used.
     #[serde(deserialize_with = "deserialize_valid_targets")]
     pub targets: Vec<Endpoint>,
 }
 
-/// One entry of the list.
+/// An entry of the list.
 #[derive(Deserialize)]
 struct Target {
     uid: String,
@@ -65,7 +65,7 @@
     }
 }
 
-/// The invalid entries of a list, each by its index, and why.
+/// Returns the index of each invalid entry of a list, with a description of the error.
 pub fn unreadable(list: &Value) -> Vec<(usize, String)> {
     let Some(entries) = list.get("targets").and_then(Value::as_array) else {
         return Vec::new();
@@ -87,7 +87,7 @@
     for entry in entries {
         match Target::deserialize(&entry) {
             Ok(target) => endpoints.push(Endpoint::from(target)),
-            Err(e) => log_line!("a server in the list makes no sense: {e}"),
+            Err(e) => log_line!("discovery: ignoring an invalid entry of the endpoint list: {e}"),
         }
     }
     Ok(endpoints)
@@ -96,7 +96,7 @@
 fn deserialize_protocol<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Protocol, D::Error> {
     let name = String::deserialize(deserializer)?;
     Protocol::from_name(&name)
-        .ok_or_else(|| D::Error::custom(format!("proto {name:?} is not spoken here")))
+        .ok_or_else(|| D::Error::custom(format!("proto {name:?} is not supported")))
 }
 
 fn default_weight() -> f64 {
--- a/crates/discovery/src/registry.rs
+++ b/crates/discovery/src/registry.rs
@@ -1,4 +1,4 @@
-//! The endpoint lists of the source that is followed and the marks of operators, on their way to the engine.
+//! Registry of the listed endpoints: combines the source's lists with operator marks and updates the engine.
 
 use crate::endpoint_table::{EndpointTable, OperatorMark};
 use frosthatch_engine::{Endpoint, EndpointState, Engine};
@@ -6,14 +6,14 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Holds the endpoints that are listed and what operators did to them, and passes every change to the engine.
+/// Holds the listed endpoints and the operator marks, and passes every change to the engine.
 pub struct EndpointRegistry {
     engine: Rc<Engine>,
     table: RefCell<EndpointTable>,
 }
 
 impl EndpointRegistry {
-    /// An empty registry in front of this engine.
+    /// Creates an empty registry that passes changes to `engine`.
     pub fn new(engine: Rc<Engine>) -> Rc<EndpointRegistry> {
         Rc::new(EndpointRegistry {
             engine,
@@ -21,24 +21,26 @@
         })
     }
 
-    /// Takes an endpoint out by hand; returns whether it is known. The engine has it as draining when this returns.
+    /// Takes an endpoint out of service; returns whether the endpoint is known. The engine has applied the change when
+    /// the method returns.
     pub fn take_out(&self, uid: &str) -> bool {
-        // Wall clock, because it is compared with the start times in lists.
+        // Wall-clock time, because the mark's time is compared with the start times in lists.
         let now_us = self.engine.wall_clock_us();
         let update = self.table.borrow_mut().take_out(now_us, uid);
-        self.pass_on_mark(update)
+        self.apply_mark_update(update)
     }
 
-    /// Puts an endpoint back; returns whether it is known.
+    /// Puts an endpoint back into service; returns whether the endpoint is known.
     pub fn put_back(&self, uid: &str) -> bool {
-        // Wall clock, because it is compared with the start times in lists.
+        // Wall-clock time, because the mark's time is compared with the start times in lists.
         let now_us = self.engine.wall_clock_us();
         let update = self.table.borrow_mut().put_back(now_us, uid);
-        self.pass_on_mark(update)
+        self.apply_mark_update(update)
     }
 
-    /// Passes the effect of a mark to the engine; returns whether the endpoint is known.
-    fn pass_on_mark(&self, update: Option<Vec<Endpoint>>) -> bool {
+    /// Passes the update after a change of a mark to the engine; returns whether there is one, which means that the
+    /// endpoint is known.
+    fn apply_mark_update(&self, update: Option<Vec<Endpoint>>) -> bool {
         let Some(endpoints) = update else {
             return false;
         };
@@ -46,25 +48,25 @@
         true
     }
 
-    /// The mark of an operator on an endpoint.
+    /// Returns the operator mark on an endpoint.
     pub fn mark(&self, uid: &str) -> Option<OperatorMark> {
         self.table.borrow().mark(uid)
     }
 
-    /// All marks, by the uid of the endpoint.
+    /// Returns all operator marks, by the uid of the endpoint.
     pub fn marks(&self) -> Vec<(String, OperatorMark)> {
         let table = self.table.borrow();
         let marks = table.marks();
         marks.map(|(uid, mark)| (uid.clone(), *mark)).collect()
     }
 
-    /// Sets a mark that was made in another process of this gateway.
+    /// Sets a mark that was made in another process of this gateway, which a hot restart passes on.
     pub fn set_mark(&self, uid: &str, mark: OperatorMark) {
         let endpoints = self.table.borrow_mut().set_mark(uid, mark);
         self.engine.update_endpoints(ListKind::Partial, endpoints);
     }
 
-    /// The number of endpoints that are listed, and how many of them are not ready.
+    /// Returns the number of listed endpoints, and the number of those that are not ready.
     pub fn listed(&self) -> (usize, usize) {
         let table = self.table.borrow();
         let listed = table.source_endpoints().count();
@@ -75,7 +77,7 @@
         (listed, not_ready)
     }
 
-    /// Applies a list, or a change of the list, from the source.
+    /// Applies a list, or a change to the list, from the source.
     pub(crate) fn update_endpoints(&self, kind: ListKind, endpoints: Vec<Endpoint>) {
         let now_us = self.engine.now_us();
         let endpoints = self
@@ -85,22 +87,22 @@
         self.engine.update_endpoints(kind, endpoints);
     }
 
-    /// The engine's monotonic time in microseconds.
+    /// Returns the engine's monotonic time in microseconds.
     pub(crate) fn now_us(&self) -> u64 {
         self.engine.now_us()
     }
 
-    /// The endpoints that are listed, as the source gave them.
+    /// Returns the listed endpoints as received from the source.
     pub(crate) fn source_endpoints(&self) -> Vec<Endpoint> {
         self.table.borrow().source_endpoints().cloned().collect()
     }
 
-    /// Prepares for another source, whose first list is a complete one.
+    /// Prepares for another source, whose first list is complete.
     pub(crate) fn begin_takeover(&self) {
         self.table.borrow_mut().begin_takeover();
     }
 
-    /// Removes endpoints that the previous source listed and the present one does not, once they had time to drain.
+    /// Removes endpoints that only the previous source listed and whose drain time is over.
     pub(crate) fn remove_drained(&self) {
         let gone = self.table.borrow_mut().remove_drained(self.engine.now_us());
         self.engine.update_endpoints(ListKind::Partial, gone);
--- a/crates/discovery/src/source.rs
+++ b/crates/discovery/src/source.rs
@@ -1,4 +1,4 @@
-//! Runs the source of endpoints that is configured, and switches between sources.
+//! Runs the configured endpoint source, and switches between sources.
 
 use crate::dnssd;
 use crate::list;
@@ -12,27 +12,27 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// How often drained endpoints of a previous source are removed.
+/// Interval at which drained endpoints of a previous source are removed.
 const REMOVE_DRAINED_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Where endpoint lists come from.
+/// A source of endpoint lists.
 #[derive(Clone, PartialEq)]
 pub enum Source {
-    /// The list agent at this address.
+    /// A list agent, by its address.
     List(SocketAddr),
-    /// DNS-SD records.
+    /// DNS-SD records, found with this configuration.
     DnsSd(Arc<dnssd::DnsSdConfig>),
 }
 
-/// Follows whichever source is configured; returns once `sources` is closed. `known` are the endpoints from before the
-/// start; `seed` is the only source of randomness.
+/// Runs the source that `sources` holds, and switches when it changes; returns once `sources` is closed.
+/// `persisted_endpoints` are the endpoints known before the start; `seed` is the only source of randomness.
 pub async fn run(
     mut sources: watch::Receiver<Source>,
-    known: Vec<Endpoint>,
+    persisted_endpoints: Vec<Endpoint>,
     seed: u64,
     registry: Rc<EndpointRegistry>,
 ) {
-    registry.update_endpoints(ListKind::Persisted, known);
+    registry.update_endpoints(ListKind::Persisted, persisted_endpoints);
     tokio::task::spawn_local(remove_drained_periodically(registry.clone()));
     loop {
         let source = sources.borrow_and_update().clone();
@@ -44,7 +44,7 @@
         };
         let changed = tokio::select! {
             () = follow => return,
-            // A position in the old source's list means nothing in the new one, which begins with a complete list.
+            // The old source's list version has no meaning for the new source, which begins with a complete list.
             changed = sources.wait_for(|current| *current != source) => {
                 changed.map(|current| current.clone())
             }
@@ -52,7 +52,7 @@
         let Ok(new_source) = changed else {
             return;
         };
-        // Another agent of the same list uses the same uids.
+        // List agents serve the same list with the same uids, so a change of the agent is not a takeover.
         let is_same_list =
             matches!(source, Source::List(_)) && matches!(new_source, Source::List(_));
         if !is_same_list {
--- a/crates/discovery/tests/browsing/lists.rs
+++ b/crates/discovery/tests/browsing/lists.rs
@@ -1,4 +1,4 @@
-//! The list of endpoints: first list, added, changed and removed instances.
+//! Tests of the endpoint list: the first list, and added, changed and removed instances.
 
 use crate::world::{
     config, instance_address, zone, World, MILLISECOND_US, PROPAGATION_US, SECOND_US, SERVICE,
@@ -47,10 +47,11 @@
         world.endpoints.keys().collect::<Vec<_>>(),
         ["till\\0321\\.a"]
     );
-    assert_eq!(world.ready(), 1);
+    assert_eq!(world.ready_count(), 1);
 }
 
-/// It gets no new requests at once, those in flight may finish, and then it is gone.
+/// An instance whose PTR record is removed stops receiving new requests at once, and is gone after the drain time, in
+/// which requests in flight may finish.
 #[test]
 fn a_removed_instance_drains_and_is_then_gone() {
     let mut world = World::new(config(1), vec![zone(10)]);
@@ -59,12 +60,12 @@
     let since_us = world.now_us;
     world.run(PROPAGATION_US);
     assert_eq!(
-        (world.state("n4"), world.ready()),
+        (world.endpoint_state("n4"), world.ready_count()),
         (Some(EndpointState::Draining), 9)
     );
     assert!(world.updates[1].0 - since_us <= PROPAGATION_US);
     world.run(10 * SECOND_US);
-    assert_eq!(world.state("n4"), None);
+    assert_eq!(world.endpoint_state("n4"), None);
     assert!(
         matches!(&world.updates[2].2[..], [endpoint] if endpoint.uid == "n4" && endpoint.state == EndpointState::Gone)
     );
@@ -78,15 +79,15 @@
     world.zones[0].remove(&name, |record| matches!(record, Rr::Txt(_)));
     world.zones[0].add(&name, Rr::Txt(vec!["state=draining".into()]));
     world.run(PROPAGATION_US);
-    assert_eq!(world.state("n1"), Some(EndpointState::Draining));
+    assert_eq!(world.endpoint_state("n1"), Some(EndpointState::Draining));
     world.zones[0].remove_instance(SERVICE, "n1");
     world.run(PROPAGATION_US);
-    assert_eq!(world.state("n1"), Some(EndpointState::Draining));
+    assert_eq!(world.endpoint_state("n1"), Some(EndpointState::Draining));
     assert!(!world.updates.iter().any(|(_, _, endpoints)| endpoints
         .iter()
         .any(|endpoint| endpoint.state == EndpointState::Gone)));
     world.run(11 * SECOND_US);
-    assert_eq!((world.state("n1"), world.ready()), (None, 2));
+    assert_eq!((world.endpoint_state("n1"), world.ready_count()), (None, 2));
 }
 
 #[test]
@@ -111,13 +112,13 @@
     let started_ms = |uid: &str| world.endpoints[uid].started_ms;
     assert!(
         (since_ms..=since_ms + 400).contains(&started_ms("new")),
-        "{} {since_ms}",
+        "start time {} is not within 400 ms after {since_ms}",
         started_ms("new")
     );
     assert_eq!(started_ms("old"), 1_600_000_000_000);
     assert!(
         started_ms("ahead") <= world.now_us / MILLISECOND_US,
-        "nothing has booted later than now"
+        "a boot time in the future is capped to the current time"
     );
     // A new address of the same instance does not make it warm up again.
     let before = started_ms("new");
@@ -127,7 +128,9 @@
     world.run(PROPAGATION_US);
     assert_eq!(
         world.endpoints["new"].address,
-        "127.1.9.9:8080".parse().expect("an address")
+        "127.1.9.9:8080"
+            .parse()
+            .expect("the literal is a valid socket address")
     );
     assert_eq!(world.endpoints["new"].started_ms, before);
 }
@@ -142,15 +145,22 @@
         world.zones[0].add_instance(SERVICE, new, instance_address(1), &[]);
         world.run(PROPAGATION_US);
         assert_eq!(
-            (world.state(old), world.state(new)),
+            (world.endpoint_state(old), world.endpoint_state(new)),
             (Some(EndpointState::Draining), Some(EndpointState::Ready))
         );
-        assert!(world.endpoints[new].started_ms >= since_ms, "{new} is cold");
+        assert!(
+            world.endpoints[new].started_ms >= since_ms,
+            "{new} warms up as a new instance"
+        );
         assert_eq!(world.endpoints[new].address, instance_address(1));
     }
     world.run(20 * SECOND_US);
     assert_eq!(
-        (world.state("m1"), world.state("n1"), world.ready()),
+        (
+            world.endpoint_state("m1"),
+            world.endpoint_state("n1"),
+            world.ready_count()
+        ),
         (None, Some(EndpointState::Ready), 3)
     );
 }
@@ -164,16 +174,21 @@
     world.zones[0].add(&name, Rr::Srv(0, 0, 9090, "moved.example.org".into()));
     world.run(5 * SECOND_US);
     assert_eq!(
-        (world.endpoints["n1"].address, world.state("n1")),
+        (world.endpoints["n1"].address, world.endpoint_state("n1")),
         (instance_address(1), Some(EndpointState::Ready))
     );
     world.zones[0].add("moved.example.org", Rr::A([127, 1, 8, 8].into()));
     world.run(PROPAGATION_US);
     assert_eq!(
         world.endpoints["n1"].address,
-        "127.1.8.8:9090".parse().expect("an address")
+        "127.1.8.8:9090"
+            .parse()
+            .expect("the literal is a valid socket address")
+    );
+    assert_eq!(
+        world.endpoints["n1"].started_ms, 0,
+        "a new address does not make the instance warm up"
     );
-    assert_eq!(world.endpoints["n1"].started_ms, 0, "it has only moved");
 }
 
 #[test]
@@ -190,7 +205,7 @@
         );
     }
     world.run(SECOND_US);
-    assert_eq!(world.ready(), 50);
+    assert_eq!(world.ready_count(), 50);
     assert_eq!(
         world
             .endpoints
@@ -211,14 +226,20 @@
         vec![zone(2_000)],
     );
     world.run(3 * SECOND_US);
-    assert_eq!(world.ready(), 2_000);
-    assert!(world.tcp_queries > 0, "it takes TCP");
+    assert_eq!(world.ready_count(), 2_000);
+    assert!(
+        world.tcp_queries > 0,
+        "a reply with 2,000 instances requires TCP"
+    );
     let before = world.updates.len();
     world.zones[0].remove_instance(SERVICE, "n777");
     let since_us = world.now_us;
     world.run(PROPAGATION_US);
     let [(updated_at_us, ListKind::Partial, endpoints)] = &world.updates[before..] else {
-        panic!("{} tellings", world.updates.len() - before)
+        panic!(
+            "expected one partial update, found {} updates",
+            world.updates.len() - before
+        )
     };
     assert!(
         matches!(&endpoints[..], [endpoint] if endpoint.uid == "n777" && endpoint.state == EndpointState::Draining)
@@ -226,7 +247,7 @@
     assert!(updated_at_us - since_us <= PROPAGATION_US);
 }
 
-/// An instance that is known from before and not resolved yet is reported as it was.
+/// An instance that was known before the start and is not resolved yet is reported as it was known.
 #[test]
 fn a_known_instance_without_an_address_yet_stays_in_the_first_list() {
     let known = Endpoint {
@@ -244,7 +265,7 @@
     world.run(2 * SECOND_US);
     assert_eq!(
         (
-            world.ready(),
+            world.ready_count(),
             world.endpoints["n1"].address,
             world.endpoints["n1"].started_ms
         ),
@@ -252,7 +273,8 @@
     );
 }
 
-/// When the gateway starts, a resolver may have no records yet, or a zone may be loaded in part.
+/// When the gateway starts, a resolver may have no records yet or may have loaded only part of the zone. An empty first
+/// list must not remove the known endpoints at once.
 #[test]
 fn an_empty_first_list_does_not_remove_known_endpoints_at_once() {
     let known = Endpoint {
@@ -277,8 +299,8 @@
     world.zones[0].add_instance(SERVICE, "n1", instance_address(1), &[]);
     world.run(SECOND_US);
     assert_eq!(
-        (world.ready(), world.endpoints["n1"].started_ms),
+        (world.ready_count(), world.endpoints["n1"].started_ms),
         (1, 0),
-        "it is the first list, and warm"
+        "an instance of the first list is not warming up"
     );
 }
--- a/crates/discovery/tests/browsing/main.rs
+++ b/crates/discovery/tests/browsing/main.rs
@@ -1,4 +1,5 @@
-//! Browsing with DNS-SD, in virtual time: the queries, what a reply changes, and how far it is trusted.
+//! Tests of DNS-SD browsing in virtual time: the queries that are sent, the effect of replies, and the extent to which
+//! they are trusted.
 
 mod lists;
 mod push;
--- a/crates/discovery/tests/browsing/push.rs
+++ b/crates/discovery/tests/browsing/push.rs
@@ -1,4 +1,4 @@
-//! DNS Push Notifications beside the rounds.
+//! Tests of DNS Push Notifications together with browsing rounds.
 
 use crate::world::{
     config_with_push, instance_address, ptr_record, push_message, resolver_address, zone, World,
@@ -20,31 +20,31 @@
     world.run(20 * SECOND_US);
     assert!(
         world.queries_sent_at_us.len() < 10 * 2 + 20,
-        "{}",
+        "queries within 20 s: {}",
         world.queries_sent_at_us.len()
     );
     world.change_zone(|zone| zone.remove_instance(SERVICE, "n4"));
     world.run(5 * MILLISECOND_US);
-    assert_eq!(world.state("n4"), Some(EndpointState::Draining));
+    assert_eq!(world.endpoint_state("n4"), Some(EndpointState::Draining));
     world.change_zone(|zone| zone.add_instance(SERVICE, "new", instance_address(60), &[]));
     world.run(50 * MILLISECOND_US);
-    assert_eq!(world.state("new"), Some(EndpointState::Ready));
+    assert_eq!(world.endpoint_state("new"), Some(EndpointState::Ready));
     assert!(world.endpoints["new"].started_ms > 0);
     world.run(60 * SECOND_US);
     assert_eq!(world.push_connections, 1, "{:?}", world.log);
 }
 
-/// Removals of single records are deliberate, however many there are.
+/// Removals of single records are deliberate, so a large number of them is not held back.
 #[test]
 fn pushed_removals_of_most_instances_one_by_one_take_effect_at_once() {
     let mut world = World::new(config_with_push(1), vec![zone(10)]);
     world.run(2 * SECOND_US);
     world.change_zone(|zone| (0..8).for_each(|n| zone.remove_instance(SERVICE, &format!("n{n}"))));
     world.run(5 * MILLISECOND_US);
-    assert_eq!(world.ready(), 2);
+    assert_eq!(world.ready_count(), 2);
 }
 
-/// The removal of all records at once is trusted no more than an empty answer.
+/// The removal of all records at once is not trusted, like an empty answer.
 #[test]
 fn a_pushed_removal_of_all_records_leads_to_a_round() {
     let mut world = World::new(config_with_push(1), vec![zone(10)]);
@@ -56,7 +56,7 @@
     all.extend([0, 0]);
     world.send_push_message(push_message(&[all]));
     world.run(5 * SECOND_US);
-    assert_eq!(world.ready(), 10);
+    assert_eq!(world.ready_count(), 10);
 }
 
 #[test]
@@ -68,7 +68,11 @@
     ]));
     world.run(2 * SECOND_US);
     assert_eq!(
-        (world.ready(), world.updates.len(), world.push_connections),
+        (
+            world.ready_count(),
+            world.updates.len(),
+            world.push_connections
+        ),
         (3, 1, 1)
     );
 }
@@ -85,15 +89,15 @@
     world.push_server_is_up = false;
     world.run(PROPAGATION_US);
     assert_eq!(
-        (world.state("n1"), world.state("n2")),
+        (world.endpoint_state("n1"), world.endpoint_state("n2")),
         (Some(EndpointState::Draining), Some(EndpointState::Draining))
     );
     world.zones[0].remove_instance(SERVICE, "n3");
     world.run(PROPAGATION_US);
     assert_eq!(
-        world.state("n3"),
+        world.endpoint_state("n3"),
         Some(EndpointState::Draining),
-        "asked as before"
+        "without push, rounds find the removal"
     );
     world.push_server_is_up = true;
     world.run(30 * SECOND_US);
@@ -105,7 +109,7 @@
     assert_eq!(sessions, 2, "{:?}", world.log);
 }
 
-/// Rounds beside push find changes that were not pushed.
+/// Rounds during a push session find changes that the server did not push.
 #[test]
 fn a_session_that_pushes_nothing_is_detected() {
     let mut world = World::new(config_with_push(1), vec![zone(10)]);
@@ -114,25 +118,25 @@
     world.change_zone(|zone| zone.remove_instance(SERVICE, "n1"));
     world.run(2_100 * MILLISECOND_US);
     assert_eq!(
-        world.state("n1"),
+        world.endpoint_state("n1"),
         Some(EndpointState::Draining),
-        "within a check"
+        "a check round finds the removal"
     );
     world.run(1_100 * MILLISECOND_US);
     assert!(
         world
             .log
             .iter()
-            .any(|line| line.contains("did not tell a change")),
+            .any(|line| line.contains("did not push a change")),
         "{:?}",
         world.log
     );
     world.change_zone(|zone| zone.remove_instance(SERVICE, "n2"));
     world.run(PROPAGATION_US);
     assert_eq!(
-        world.state("n2"),
+        world.endpoint_state("n2"),
         Some(EndpointState::Draining),
-        "asked as before"
+        "without push, rounds find the removal"
     );
 }
 
@@ -143,10 +147,10 @@
     world.run(600 * SECOND_US);
     assert!(
         (8..=20).contains(&world.push_connections),
-        "{}",
+        "connections within 600 s: {}",
         world.push_connections
     );
-    assert_eq!(world.ready(), 3);
+    assert_eq!(world.ready_count(), 3);
 }
 
 #[test]
@@ -158,20 +162,24 @@
     ]);
     world.run(10 * MILLISECOND_US);
     assert!(
-        world.log.iter().any(|line| line.contains("makes no sense")),
+        world
+            .log
+            .iter()
+            .any(|line| line.contains("invalid message from the server")),
         "{:?}",
         world.log
     );
     world.run(10 * SECOND_US);
-    assert_eq!((world.ready(), world.push_connections), (3, 2));
+    assert_eq!((world.ready_count(), world.push_connections), (3, 2));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// Arbitrary bytes from the push server and on the sockets of queries cause no panic, no loss and no flood of log lines.
+    /// Arbitrary bytes from the push server and on the sockets of queries cause no panic, no loss of endpoints and no
+    /// flood of log lines.
     #[test]
-    fn arbitrary_input_harms_nothing(
+    fn arbitrary_input_does_not_change_the_endpoints(
         noise in proptest::collection::vec((1u64..40, proptest::collection::vec(any::<u8>(), 0..200)), 1..60),
     ) {
         let mut world = World::new(config_with_push(1), vec![zone(5)]);
@@ -181,7 +189,7 @@
             world.inject_datagram(query_id, resolver_address(0), bytes);
             world.run(20 * MILLISECOND_US);
         }
-        prop_assert_eq!(world.ready(), 5);
+        prop_assert_eq!(world.ready_count(), 5);
         prop_assert!(world.log.len() < 40);
     }
 }
--- a/crates/discovery/tests/browsing/records.rs
+++ b/crates/discovery/tests/browsing/records.rs
@@ -1,4 +1,4 @@
-//! What the records of instances and services mean.
+//! Tests of the interpretation of the records of instances and services.
 
 use crate::world::{
     config, instance_address, ptr_record, resolver_address, zone, World, PROPAGATION_US, SECOND_US,
@@ -14,8 +14,8 @@
     zone_without_additional.additional = false;
     let mut world = World::new(config(1), vec![zone_without_additional]);
     world.run(SECOND_US);
-    assert_eq!(world.ready(), 10);
-    assert_eq!(world.updates.len(), 1, "whole at once");
+    assert_eq!(world.ready_count(), 10);
+    assert_eq!(world.updates.len(), 1, "the first report is complete");
 }
 
 #[test]
@@ -27,7 +27,7 @@
     world.zones[0].add(&name, Rr::Srv(5, 0, 8080, "spare.host.example.org".into()));
     world.run(SECOND_US);
     assert_eq!(
-        (world.state("n0"), world.state("spare")),
+        (world.endpoint_state("n0"), world.endpoint_state("spare")),
         (Some(EndpointState::Ready), Some(EndpointState::Draining))
     );
     for n in ["n0", "n1"] {
@@ -37,7 +37,7 @@
     }
     world.run(PROPAGATION_US);
     assert_eq!(
-        (world.state("n0"), world.state("spare")),
+        (world.endpoint_state("n0"), world.endpoint_state("spare")),
         (Some(EndpointState::Draining), Some(EndpointState::Ready))
     );
 }
@@ -63,7 +63,10 @@
     let mut world = World::new(config(1), vec![zone(3)]);
     world.zones[0].add_instance(SERVICE, "bad", instance_address(80), &["cell=many"]);
     world.run(10 * SECOND_US);
-    assert_eq!((world.ready(), world.state("bad")), (3, None));
+    assert_eq!(
+        (world.ready_count(), world.endpoint_state("bad")),
+        (3, None)
+    );
     assert_eq!(
         world
             .log
@@ -82,7 +85,7 @@
 }
 
 #[test]
-fn loops_of_aliases_and_targets_end() {
+fn loops_of_aliases_and_targets_end_after_a_bounded_number_of_queries() {
     let mut world = World::new(config(1), vec![zone(2)]);
     let zone = &mut world.zones[0];
     // An SRV record whose target is the instance itself, one whose target is the service, and a loop of CNAMEs.
@@ -100,11 +103,11 @@
     zone.add("a.example.org", Rr::Cname("b.example.org".into()));
     zone.add("b.example.org", Rr::Cname("a.example.org".into()));
     world.run(10 * SECOND_US);
-    assert_eq!(world.ready(), 2);
-    // Per round two queries for the service, and at most A and AAAA for each of three hosts.
+    assert_eq!(world.ready_count(), 2);
+    // Each round sends two queries for the service, and at most an A and an AAAA query for each of three hosts.
     assert!(
         world.queries_sent_at_us.len() < 51 * (2 + 3 * 2 + 8),
-        "{}",
+        "queries within 10 s: {}",
         world.queries_sent_at_us.len()
     );
 }
@@ -116,7 +119,7 @@
     let mut world = World::new(config, vec![zone(3)]);
     world.zones[0].add("_alias._tcp.example.org", Rr::Cname(SERVICE.into()));
     world.run(SECOND_US);
-    assert_eq!(world.ready(), 3);
+    assert_eq!(world.ready_count(), 3);
 }
 
 #[test]
@@ -129,7 +132,7 @@
     let subtype_b = format!("_b._sub.{SERVICE}");
     config
         .add_services(&[&subtype_a, &subtype_b])
-        .expect("subtypes of one service");
+        .expect("the names are subtypes of one service");
     assert!(config
         .clone()
         .add_services(&["_other._tcp.example.org"])
@@ -161,7 +164,7 @@
     );
     world.zones[0].add(SERVICE, Rr::Ptr("evil._topup._tcp.example.net".into()));
     world.run(SECOND_US);
-    assert_eq!(world.ready(), 3);
+    assert_eq!(world.ready_count(), 3);
     assert!(
         world
             .log
--- a/crates/discovery/tests/browsing/resolvers.rs
+++ b/crates/discovery/tests/browsing/resolvers.rs
@@ -1,4 +1,4 @@
-//! Queries to resolvers, and how far their replies are trusted.
+//! Tests of the queries to resolvers, and of the extent to which their replies are trusted.
 
 use crate::world::{
     config, instance_address, zone, ResolverBehavior, World, MILLISECOND_US, SECOND_US, SERVICE,
@@ -9,7 +9,6 @@
 use frosthatch_traffic_control::ListKind;
 use std::time::Duration;
 
-/// The interval of rounds is bounded, whatever the TTL.
 #[test]
 fn the_interval_of_rounds_is_within_bounds_whatever_the_ttl() {
     for (ttl, interval_us) in [
@@ -24,12 +23,12 @@
         world.run(SECOND_US);
         world.queries_sent_at_us.clear();
         world.run(10 * SECOND_US);
-        // A round is a PTR and a SOA query.
+        // A round sends one PTR and one SOA query.
         let rounds = 10 * SECOND_US / interval_us;
         let queries = world.queries_sent_at_us.len() as u64 / 2;
         assert!(
             queries <= rounds && queries >= rounds * 9 / 10,
-            "TTL {ttl}: {queries} of {rounds}"
+            "TTL {ttl}: {queries} rounds, expected 90% to 100% of {rounds}"
         );
     }
 }
@@ -46,10 +45,10 @@
         vec![zone_without_additional],
     );
     world.run(10 * SECOND_US);
-    // Besides, five times per second: PTR over UDP, PTR over TCP, and SOA.
+    // In addition, five rounds per second each send a PTR query over UDP, one over TCP, and a SOA query.
     assert!(
         world.queries_sent_at_us.len() <= 100 * 10 + 3 * 5 * 10 + 40,
-        "{}",
+        "queries within 10 s: {}",
         world.queries_sent_at_us.len()
     );
 }
@@ -70,7 +69,7 @@
         world.zones[0].remove_instance(SERVICE, "n1");
         world.run(60 * SECOND_US);
         assert_eq!(
-            (world.ready(), world.updates.len()),
+            (world.ready_count(), world.updates.len()),
             (10, 1),
             "{behavior:?}"
         );
@@ -83,21 +82,21 @@
         assert!(world.log.len() < 12, "{behavior:?}: {:?}", world.log);
         world.resolver_behaviors[0] = ResolverBehavior::Normal;
         world.run(2 * SECOND_US);
-        assert_eq!(world.ready(), 9, "{behavior:?}");
+        assert_eq!(world.ready_count(), 9, "{behavior:?}");
     }
 }
 
 #[test]
-fn spoofed_replies_are_dropped_and_counted_and_the_true_one_is_used() {
+fn spoofed_replies_are_dropped_and_counted_and_the_genuine_one_is_used() {
     let mut world = World::new(config(1), vec![zone(10)]);
     world.resolver_behaviors[0] = ResolverBehavior::Spoofed;
     world.run(5 * SECOND_US);
-    assert_eq!((world.ready(), world.updates.len()), (10, 1));
+    assert_eq!((world.ready_count(), world.updates.len()), (10, 1));
     assert!(
         world
             .log
             .iter()
-            .any(|line| line.contains("1 answers dropped")),
+            .any(|line| line.contains("dropped 1 datagrams")),
         "{:?}",
         world.log
     );
@@ -105,7 +104,7 @@
         world
             .log
             .iter()
-            .any(|line| line.contains("100 answers dropped")),
+            .any(|line| line.contains("dropped 100 datagrams")),
         "{:?}",
         world.log
     );
@@ -120,7 +119,7 @@
     world.resolver_behaviors[0] = ResolverBehavior::Normal;
     world.run(SECOND_US);
     assert_eq!(
-        (world.updates[0].1, world.ready()),
+        (world.updates[0].1, world.ready_count()),
         (ListKind::Complete, 10)
     );
     assert!(
@@ -128,12 +127,12 @@
             .endpoints
             .values()
             .all(|endpoint| endpoint.started_ms == 0),
-        "a restarted gateway's fleet is warm"
+        "the endpoints of the first list are not warming up"
     );
 }
 
 #[test]
-fn a_zone_whose_serial_goes_back_is_used_only_once_it_stays_so() {
+fn a_zone_whose_serial_goes_back_is_used_only_once_the_older_serial_has_lasted() {
     let mut world = World::new(config(1), vec![zone(10)]);
     world.run(SECOND_US);
     let serial = world.zones[0].serial;
@@ -145,7 +144,7 @@
     world.zones[0].serial = serial - 5;
     world.run(5 * SECOND_US);
     assert_eq!(
-        (world.state("n1"), world.state("late")),
+        (world.endpoint_state("n1"), world.endpoint_state("late")),
         (Some(EndpointState::Ready), None)
     );
     assert_eq!(
@@ -160,7 +159,7 @@
     );
     world.run(10 * SECOND_US);
     assert_eq!(
-        (world.state("n1"), world.state("late")),
+        (world.endpoint_state("n1"), world.endpoint_state("late")),
         (Some(EndpointState::Draining), Some(EndpointState::Ready))
     );
 }
@@ -176,7 +175,7 @@
             vec![zone(4)],
         );
         if !nxdomain {
-            // The name stays: NOERROR and no records.
+            // A record below the service's name keeps that name in the zone: the answer is NOERROR without records.
             world.zones[0].add(&format!("keeps.{SERVICE}"), Rr::A([127, 0, 0, 9].into()));
         }
         world.run(SECOND_US);
@@ -184,15 +183,23 @@
             world.zones[0].remove_instance(SERVICE, &format!("n{n}"));
         }
         world.run(2_900 * MILLISECOND_US);
-        assert_eq!(world.ready(), 4, "held");
+        assert_eq!(
+            world.ready_count(),
+            4,
+            "an empty answer is held back at first"
+        );
         world.run(SECOND_US);
-        assert_eq!(world.ready(), 0, "and then believed");
+        assert_eq!(
+            world.ready_count(),
+            0,
+            "an empty answer that has lasted is used"
+        );
     }
 }
 
-/// An empty answer has to be confirmed by a second one.
+/// A second empty answer has to confirm the first.
 #[test]
-fn an_empty_answer_for_a_moment_changes_nothing() {
+fn a_momentary_empty_answer_changes_nothing() {
     let mut world = World::new(
         DnsSdConfig {
             mass_loss_hold: Duration::ZERO,
@@ -206,7 +213,7 @@
     world.run(500 * MILLISECOND_US);
     world.zones[0] = full_zone;
     world.run(5 * SECOND_US);
-    assert_eq!((world.ready(), world.updates.len()), (4, 1));
+    assert_eq!((world.ready_count(), world.updates.len()), (4, 1));
 }
 
 #[test]
@@ -217,7 +224,7 @@
         world.zones[0].remove_instance(SERVICE, &format!("n{n}"));
     }
     world.run(9 * SECOND_US);
-    assert_eq!(world.ready(), 10);
+    assert_eq!(world.ready_count(), 10);
     assert_eq!(
         world
             .log
@@ -229,10 +236,11 @@
         world.log
     );
     world.run(2 * SECOND_US);
-    assert_eq!(world.ready(), 4);
+    assert_eq!(world.ready_count(), 4);
 }
 
-/// One resolver leads. Instances that its successor lacks are removed once a second answer has confirmed it.
+/// When another resolver takes the lead, instances that it lacks are removed once a second answer has confirmed that
+/// they are missing.
 #[test]
 fn of_two_resolvers_that_disagree_the_leading_one_is_used() {
     let mut other = zone(10);
@@ -241,19 +249,19 @@
     let mut world = World::new(config(2), vec![zone(10), other]);
     world.run(5 * SECOND_US);
     assert_eq!(
-        (world.state("n9"), world.state("n10")),
+        (world.endpoint_state("n9"), world.endpoint_state("n10")),
         (Some(EndpointState::Ready), None),
-        "the first leads"
+        "the first resolver leads"
     );
     world.resolver_behaviors[0] = ResolverBehavior::Silent;
     world.run(900 * MILLISECOND_US);
     assert_eq!(
-        (world.state("n9"), world.state("n10")),
+        (world.endpoint_state("n9"), world.endpoint_state("n10")),
         (Some(EndpointState::Ready), Some(EndpointState::Ready))
     );
     world.run(2 * SECOND_US);
     assert_eq!(
-        (world.state("n9"), world.state("n10")),
+        (world.endpoint_state("n9"), world.endpoint_state("n10")),
         (Some(EndpointState::Draining), Some(EndpointState::Ready))
     );
     world.resolver_behaviors[0] = ResolverBehavior::Normal;
@@ -262,18 +270,18 @@
     assert_eq!(
         world.updates.len(),
         before,
-        "the second leads until it fails"
+        "the second resolver leads until it fails"
     );
 }
 
 #[test]
 fn answers_from_a_cache_remove_instances_only_if_configured() {
-    for cached_answers in [false, true] {
+    for trusts_cached_answers in [false, true] {
         let mut zone = zone(10);
         zone.authoritative = false;
         let mut world = World::new(
             DnsSdConfig {
-                trusts_cached_answers: cached_answers,
+                trusts_cached_answers,
                 ..config(1)
             },
             vec![zone],
@@ -282,13 +290,13 @@
         world.zones[0].remove_instance(SERVICE, "n1");
         world.zones[0].add_instance(SERVICE, "new", instance_address(60), &[]);
         world.run(5 * SECOND_US);
-        let state = if cached_answers {
+        let state = if trusts_cached_answers {
             EndpointState::Draining
         } else {
             EndpointState::Ready
         };
         assert_eq!(
-            (world.state("n1"), world.state("new")),
+            (world.endpoint_state("n1"), world.endpoint_state("new")),
             (Some(state), Some(EndpointState::Ready))
         );
     }
--- a/crates/discovery/tests/browsing/world/exchange.rs
+++ b/crates/discovery/tests/browsing/world/exchange.rs
@@ -1,10 +1,10 @@
-//! What passes between the browser and the simulated servers.
+//! Messages and events between the browser and the simulated servers.
 
 use frosthatch_discovery::dnssd::browser::{Input, Transport};
 use frosthatch_test_doubles::ZoneChange;
 use std::net::SocketAddr;
 
-/// What reaches the browser.
+/// An event that reaches the browser; its variants correspond to those of [`Input`].
 pub enum Arrival {
     Datagram {
         query_id: u64,
@@ -49,23 +49,27 @@
     }
 }
 
-/// How a resolver treats queries.
+/// Behavior of a simulated resolver.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum ResolverBehavior {
+    /// Answers from its zone.
     Normal,
+    /// Sends no replies.
     Silent,
-    /// Answers with this response code.
+    /// Replies with this response code and no records.
     Code(u8),
+    /// Replies with invalid bytes after the header.
     Garbage,
-    /// Replies end in the middle.
+    /// Replies with the first half of each message.
     CutOff,
-    /// Replies are truncated over UDP, and TCP fails.
+    /// Sends truncated replies over UDP; TCP fails.
     OnlyTruncated,
-    /// Before the reply arrive forged ones: from another address, with another id, and to another question.
+    /// Forged replies arrive before the genuine one: from another address, with another message id, and to another
+    /// question.
     Spoofed,
 }
 
-/// A query that the browser has sent.
+/// A query that the browser sent.
 pub struct SentQuery {
     pub query_id: u64,
     pub to: SocketAddr,
@@ -73,14 +77,14 @@
     pub bytes: Vec<u8>,
 }
 
-/// What the client of a session has subscribed to.
+/// A subscription of the push client.
 pub struct Subscription {
     pub name: String,
     pub record_type: u16,
 }
 
 impl Subscription {
-    /// From a SUBSCRIBE message: an uncompressed name, type and class.
+    /// Parses a SUBSCRIBE message, which holds an uncompressed name, a type and a class.
     pub fn parse(message: &[u8]) -> Subscription {
         let mut labels = Vec::new();
         let mut at = 16;
@@ -96,7 +100,7 @@
         }
     }
 
-    /// Whether the change is of the subscription's name and type; type 255 stands for all types.
+    /// Returns whether a change matches the subscription's name and type; type 255 (ANY) matches all types.
     pub fn covers(&self, change: &ZoneChange) -> bool {
         let record_type = change.rr.rtype().to_int();
         self.name.eq_ignore_ascii_case(&change.owner)
--- a/crates/discovery/tests/browsing/world/mod.rs
+++ b/crates/discovery/tests/browsing/world/mod.rs
@@ -1,4 +1,4 @@
-//! A browser between simulated resolvers and a simulated push server, in virtual time. The seed is the only source of
+//! Simulation of a browser with resolvers and a push server, in virtual time. The seed is the only source of
 //! randomness.
 
 mod exchange;
--- a/crates/discovery/tests/browsing/world/push_server.rs
+++ b/crates/discovery/tests/browsing/world/push_server.rs
@@ -1,4 +1,4 @@
-//! The simulated push server, which serves the first zone.
+//! Simulated push server, which serves the first zone.
 
 use super::exchange::{Arrival, Subscription};
 use super::fixtures::ONE_WAY_DELAY_US;
@@ -6,7 +6,7 @@
 use frosthatch_test_doubles::Zone;
 
 impl World {
-    /// Accepts or refuses a connection.
+    /// Accepts or refuses a connection, as `push_server_is_up` says.
     pub fn handle_push_connection(&mut self) {
         self.push_connections += 1;
         let result = if self.push_server_is_up {
@@ -18,7 +18,7 @@
         self.schedule(2 * ONE_WAY_DELAY_US, result);
     }
 
-    /// Responds to a request of the session's client.
+    /// Responds to a request from the push client, and pushes the existing records of a subscription.
     pub fn handle_push_request(&mut self, request: &[u8]) {
         if self.push_server_is_silent || self.subscriptions.is_none() {
             return;
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Changes the first zone and pushes the changes that are subscribed to.
+    /// Changes the first zone, and pushes those changes that match a subscription.
     pub fn change_zone(&mut self, change: impl FnOnce(&mut Zone)) {
         change(&mut self.zones[0]);
         let changes = self.zones[0].take_changes();
@@ -72,18 +72,19 @@
         }
     }
 
-    /// Sends a message to the client, whether valid or not.
+    /// Sends a message to the push client; it may be invalid.
     pub fn send_push_message(&mut self, message: Vec<u8>) {
         self.schedule(ONE_WAY_DELAY_US, Arrival::PushMessage(message));
     }
 
+    /// Closes the push connection from the server's side.
     pub fn drop_push_connection(&mut self) {
         self.subscriptions = None;
         self.schedule(ONE_WAY_DELAY_US, Arrival::PushClosed);
     }
 }
 
-/// A PUSH message with these records.
+/// Encodes a PUSH message with these records.
 pub fn push_message(records: &[Vec<u8>]) -> Vec<u8> {
     let data = records.concat();
     let mut message = vec![0, 0, 6 << 3, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0x41];
--- a/crates/discovery/tests/browsing/world/resolver.rs
+++ b/crates/discovery/tests/browsing/world/resolver.rs
@@ -1,4 +1,4 @@
-//! Simulated resolvers: what they answer to a query, and what else arrives.
+//! Simulated resolvers: their replies to queries, and forged replies.
 
 use super::exchange::{Arrival, ResolverBehavior, SentQuery};
 use super::fixtures::{resolver_address, ONE_WAY_DELAY_US};
@@ -7,6 +7,7 @@
 use std::net::SocketAddr;
 
 impl World {
+    /// Schedules the replies to a query, according to its resolver's behavior.
     pub fn answer_query(&mut self, query: SentQuery) {
         let SentQuery {
             query_id,
@@ -23,7 +24,7 @@
         };
         let mut answer = self.zones[index]
             .answer(&bytes, max_bytes)
-            .expect("a query that can be read");
+            .expect("the browser sends well-formed queries");
         match self.resolver_behaviors[index] {
             ResolverBehavior::Normal => {}
             ResolverBehavior::Silent => return,
--- a/crates/discovery/tests/browsing/world/simulation.rs
+++ b/crates/discovery/tests/browsing/world/simulation.rs
@@ -1,4 +1,4 @@
-//! The simulation's state, its clock, and what the browser reports.
+//! State and clock of the simulation, and the browser's reports.
 
 use super::exchange::{Arrival, ResolverBehavior, SentQuery, Subscription};
 use super::fixtures::SECOND_US;
@@ -10,24 +10,25 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// One report of the browser: its time in microseconds, its kind, and the endpoints.
+/// One endpoint update from the browser: its time in microseconds, its kind, and the endpoints.
 pub type EndpointUpdate = (u64, ListKind, Vec<Endpoint>);
 
+/// A browser with its simulated servers, and a record of its outputs.
 pub struct World {
     pub browser: Browser,
     pub now_us: u64,
     /// The zone of each resolver.
     pub zones: Vec<Zone>,
     pub resolver_behaviors: Vec<ResolverBehavior>,
-    /// The push server refuses connections while false.
+    /// Whether the push server accepts connections.
     pub push_server_is_up: bool,
-    /// The push server accepts requests without a response, and pushes nothing.
+    /// Whether the push server sends neither responses nor changes.
     pub push_server_is_silent: bool,
-    /// Of the session that is open.
+    /// The subscriptions of the open session; `None`: no session is open.
     pub subscriptions: Option<Vec<Subscription>>,
-    /// What is under way to the browser, by the time it arrives.
+    /// Events in transit to the browser, with their arrival time in microseconds, in order of arrival.
     arrivals: VecDeque<(u64, Arrival)>,
-    /// Endpoints as the reports so far leave them, by uid.
+    /// The endpoints after all updates so far, by uid.
     pub endpoints: BTreeMap<String, Endpoint>,
     pub updates: Vec<EndpointUpdate>,
     pub log: Vec<String>,
@@ -44,11 +45,11 @@
     pub fn with_known_endpoints(
         config: DnsSdConfig,
         zones: Vec<Zone>,
-        known: Vec<Endpoint>,
+        known_endpoints: Vec<Endpoint>,
     ) -> World {
         let now_us = 1_700_000_000 * SECOND_US;
         World {
-            browser: Browser::new(config, known, 7, now_us),
+            browser: Browser::new(config, known_endpoints, 7, now_us),
             now_us,
             resolver_behaviors: vec![ResolverBehavior::Normal; zones.len()],
             zones,
@@ -65,13 +66,16 @@
         }
     }
 
-    /// Lets this much time pass.
+    /// Runs the simulation for this much virtual time.
     pub fn run(&mut self, duration_us: u64) {
         let until_us = self.now_us + duration_us;
         let mut steps = 0;
         loop {
             steps += 1;
-            assert!(steps < 2_000_000, "it goes round and round");
+            assert!(
+                steps < 2_000_000,
+                "the browser must not need 2,000,000 steps in one run"
+            );
             let arrival_at_us = self.arrivals.front().map(|(at_us, _)| *at_us);
             let next_us = self
                 .browser
@@ -102,7 +106,7 @@
         }
     }
 
-    /// Lets a datagram arrive on the socket of a query.
+    /// Delivers a datagram on the socket of a query.
     pub fn inject_datagram(&mut self, query_id: u64, from: SocketAddr, bytes: Vec<u8>) {
         let arrival = Arrival::Datagram {
             query_id,
@@ -112,6 +116,7 @@
         self.schedule(0, arrival);
     }
 
+    /// Schedules an event to reach the browser after `delay_us`.
     pub fn schedule(&mut self, delay_us: u64, arrival: Arrival) {
         let at_us = self.now_us + delay_us;
         let index = self
@@ -159,12 +164,12 @@
         self.updates.push((self.now_us, kind, endpoints));
     }
 
-    pub fn state(&self, uid: &str) -> Option<EndpointState> {
+    pub fn endpoint_state(&self, uid: &str) -> Option<EndpointState> {
         self.endpoints.get(uid).map(|endpoint| endpoint.state)
     }
 
-    /// The number of endpoints that are ready.
-    pub fn ready(&self) -> usize {
+    /// Returns the number of ready endpoints.
+    pub fn ready_count(&self) -> usize {
         self.endpoints
             .values()
             .filter(|endpoint| endpoint.state == EndpointState::Ready)
