--- a/crates/discovery/src/dnssd/browser/answers.rs
+++ b/crates/discovery/src/dnssd/browser/answers.rs
@@ -93,7 +93,8 @@
         }
     }
 
-    /// Closes a query that has received no usable reply, and records the failure in its round.
+    /// Closes a query that received no usable reply. A failed PTR query fails its round; a failed SOA query leaves its
+    /// round without a serial.
     pub(super) fn fail_query(&mut self, now_us: u64, query_id: u64, out: &mut Vec<Output>) {
         let Some(question) = self.close_query(query_id, out) else {
             return;
@@ -182,8 +183,8 @@
         }
     }
 
-    /// Stores the records of a detail reply under the name that was originally queried. An answer without records
-    /// removes no stored record.
+    /// Stores the records of a detail reply under the name that was originally queried. An answer without SRV or
+    /// address records leaves the stored ones in place; one without TXT records is stored as an empty TXT record.
     fn store_detail_answer(&mut self, now_us: u64, question: &Question, name: &Name, reply: Reply) {
         let owner = &question.owner;
         let answer = reply.answer.into_iter();
--- a/crates/discovery/src/dnssd/browser/cache.rs
+++ b/crates/discovery/src/dnssd/browser/cache.rs
@@ -5,10 +5,10 @@
 use std::collections::BTreeSet;
 use std::net::IpAddr;
 
-/// A value from a DNS record, with the time at which the record was last received or queried.
+/// A value from a DNS record, with the time at which the record was last received or a query for it was last queued.
 pub(super) struct Cached<T> {
     pub(super) value: Option<T>,
-    /// When the record was last received or queried; 0: never.
+    /// When the record was last received or a query for it was last queued; 0: never.
     pub(super) refreshed_at_us: u64,
 }
 
@@ -25,7 +25,7 @@
 #[derive(Default)]
 pub(super) struct Instance {
     pub(super) first_seen_us: u64,
-    /// Whether the instance was in the first list that the browser received.
+    /// Whether the instance was in the first accepted list, or was pushed before the first report.
     pub(super) is_initial: bool,
     pub(super) location: Cached<ServiceLocation>,
     pub(super) attributes: Cached<InstanceAttributes>,
@@ -57,7 +57,7 @@
 pub(super) struct Host {
     pub(super) ipv4: Vec<IpAddr>,
     pub(super) ipv6: Vec<IpAddr>,
-    /// When the host's addresses were last received or queried; 0: never.
+    /// When the host's addresses were last received or a query for them was last queued; 0: never.
     pub(super) refreshed_at_us: u64,
     /// Instances whose SRV record has this host as its target.
     pub(super) instances: BTreeSet<Name>,
--- a/crates/discovery/src/dnssd/browser/detail_queue.rs
+++ b/crates/discovery/src/dnssd/browser/detail_queue.rs
@@ -53,7 +53,8 @@
     pub(super) fn refill(&mut self, now_us: u64, rate_per_s: f64) {
         let elapsed_us = now_us.saturating_sub(self.refilled_at_us);
         let saved = self.tokens + rate_per_s * elapsed_us as f64 / 1e6;
-        // The bucket holds the tokens of a tenth of a second, but at least one whole token, even at a low rate.
+        // The capacity is the tokens of a tenth of a second, and at least 1, so that a whole token can accumulate at
+        // rates below 10 per second.
         self.tokens = saved.min(rate_per_s / 10.0).max(1.0f64.min(saved));
         self.refilled_at_us = now_us;
     }
--- a/crates/discovery/src/dnssd/browser/instances.rs
+++ b/crates/discovery/src/dnssd/browser/instances.rs
@@ -8,7 +8,8 @@
 use frosthatch_traffic_control::ListKind;
 
 impl Browser {
-    /// Adds a new instance, or restarts one that is draining and whose PTR record is back.
+    /// Adds an instance as new, also one that is draining and whose PTR record is back. Ignores instances outside
+    /// `config.base` or beyond `max_instances`.
     pub(super) fn add_instance(
         &mut self,
         now_us: u64,
--- a/crates/discovery/src/dnssd/browser/loss.rs
+++ b/crates/discovery/src/dnssd/browser/loss.rs
@@ -28,7 +28,7 @@
         }
         if self.serial.regressed_since_us.is_none() {
             let line = format!(
-                "dns-sd: zone serial went back from {newest} to {received}; ignoring the older zone"
+                "dns-sd: zone serial went back from {newest} to {received}; ignoring the older zone until it has lasted for loss_hold_ms"
             );
             self.log_limiter.log(now_us, line, out);
         }
@@ -42,7 +42,8 @@
         has_persisted
     }
 
-    /// Drains the instances that a round lacks, once their removal is trusted.
+    /// Drains the instances that a round lacks, once the confirmation time, if one is required, and the hold of a mass
+    /// loss are over.
     pub(super) fn handle_missing_instances(
         &mut self,
         now_us: u64,
@@ -59,7 +60,7 @@
             return;
         }
         if !round.is_authoritative && !self.config.trusts_cached_answers {
-            let line = "dns-sd: answers are not authoritative; they remove no instances";
+            let line = "dns-sd: replies lack the AA bit and cached_answers is false; ignoring missing instances";
             self.log_limiter.log_once(now_us, line, out);
             return;
         }
--- a/crates/discovery/src/dnssd/browser/loss_state.rs
+++ b/crates/discovery/src/dnssd/browser/loss_state.rs
@@ -1,4 +1,4 @@
-//! State of the loss detection: the zone's serial, and the removals that are not trusted yet.
+//! State of the loss detection: the zone's serial, and the pending removals.
 
 use crate::dnssd::wire::Name;
 use std::collections::BTreeMap;
@@ -23,14 +23,15 @@
     }
 }
 
-/// State of the removals that are not trusted yet.
+/// Pending removals: instances that are missing but not yet removed.
 #[derive(Default)]
 pub(super) struct RemovalState {
     /// Since when each missing instance has been absent from the rounds.
     pub(super) missing_since_us: BTreeMap<Name, u64>,
     /// Since when more than `max_loss_share` of the instances have been missing; `None` while they are not.
     pub(super) mass_loss_since_us: Option<u64>,
-    /// Whether another resolver leads, or an older zone was accepted, since the last list without missing instances.
-    /// Instances that are missing may still exist, so a second answer has to confirm each removal.
+    /// Whether, since the last list without missing instances, another resolver has taken the lead or a zone with an
+    /// older serial was accepted. Missing instances may then still exist, so they are removed only after missing for
+    /// `confirmation_time`.
     pub(super) must_confirm: bool,
 }
--- a/crates/discovery/src/dnssd/browser/mod.rs
+++ b/crates/discovery/src/dnssd/browser/mod.rs
@@ -9,7 +9,7 @@
 //! ```text
 //!   scheduling ──query──> resolver ──reply──> answers ──records──> resolution ──> reporting ──> endpoint update
 //!       ^                                       └─ PTR ─> rounds ──> instances ───────^
-//!       └── rounds, refresh                               loss (trusted removals)
+//!       └── rounds, refresh                               loss (removals)
 //! ```
 
 mod answers;
--- a/crates/discovery/src/dnssd/browser/push_state.rs
+++ b/crates/discovery/src/dnssd/browser/push_state.rs
@@ -15,9 +15,9 @@
     pub(super) session: Option<PushSession>,
     pub(super) servers: Vec<SocketAddr>,
     /// Number of push connections that failed or ended; selects the server of the next connection.
-    pub(super) server_index: usize,
+    pub(super) ended_connections: usize,
     /// Whether the push connection is being established or is open.
-    pub(super) is_connecting: bool,
+    pub(super) has_connection: bool,
     pub(super) established_at_us: u64,
     /// Instances that a round added or removed and the session has not pushed, with the time at which the round found
     /// each change.
@@ -30,8 +30,8 @@
         PushState {
             session: push.map(|push| PushSession::new(&config.services, push.keepalive_interval)),
             servers: push.map_or_else(Vec::new, |push| push.servers.clone()),
-            server_index: 0,
-            is_connecting: false,
+            ended_connections: 0,
+            has_connection: false,
             established_at_us: 0,
             unpushed_changes: BTreeMap::new(),
         }
@@ -44,19 +44,21 @@
             .is_some_and(PushSession::is_established)
     }
 
-    /// Returns whether the server pushes changes to the records of `name`.
+    /// Returns whether the session is established and the server has granted the subscription to all records of
+    /// `name`, an instance or a host.
     pub(super) fn covers(&self, name: &Name) -> bool {
         self.session
             .as_ref()
             .is_some_and(|session| session.covers(name))
     }
 
-    /// Returns the time of the next timer or connection attempt; `None` if push is not configured.
+    /// Returns the earliest of the missed-push deadline, the session's next timer and the next connection attempt;
+    /// `None` if none of them is set.
     pub(super) fn next_wakeup_us(&self) -> Option<u64> {
         let oldest_unpushed = self.unpushed_changes.values().min();
         let missed_push = oldest_unpushed.map(|at_us| at_us + MISSED_PUSH_TIMEOUT_US);
         let session = self.session.as_ref().and_then(|session| {
-            if self.is_connecting {
+            if self.has_connection {
                 session.next_wakeup_us()
             } else {
                 Some(session.reconnect_at_us())
--- a/crates/discovery/src/dnssd/browser/push_updates.rs
+++ b/crates/discovery/src/dnssd/browser/push_updates.rs
@@ -9,7 +9,8 @@
 use std::collections::VecDeque;
 
 impl Browser {
-    /// Records that a round added or removed an instance, so that the session's push of the same change is expected.
+    /// Records that a round added or removed an instance; the server has to push the same change within
+    /// [`MISSED_PUSH_TIMEOUT_US`]. Has no effect until push has been established for that time.
     pub(super) fn expect_pushed_change(&mut self, now_us: u64, name: &Name) {
         let settled_at_us = self.push.established_at_us + MISSED_PUSH_TIMEOUT_US;
         if self.push.is_established() && now_us >= settled_at_us {
@@ -35,10 +36,10 @@
         let Some(session) = &self.push.session else {
             return;
         };
-        if !self.push.is_connecting && session.reconnect_at_us() <= now_us {
-            self.push.is_connecting = true;
+        if !self.push.has_connection && session.reconnect_at_us() <= now_us {
+            self.push.has_connection = true;
             let servers = &self.push.servers;
-            let server = servers[self.push.server_index % servers.len()];
+            let server = servers[self.push.ended_connections % servers.len()];
             out.push(Output::ConnectPush(server));
         }
     }
@@ -48,8 +49,8 @@
         self.step_push_session(now_us, out, |session, events| {
             session.end(now_us, "the connection was closed", events);
         });
-        if std::mem::take(&mut self.push.is_connecting) {
-            self.push.server_index += 1;
+        if std::mem::take(&mut self.push.has_connection) {
+            self.push.ended_connections += 1;
             if let Some(session) = &mut self.push.session {
                 session.reset_with_backoff(now_us);
             }
@@ -103,8 +104,8 @@
         let line = format!("dns-sd: push session ended: {reason}; polling the resolvers");
         self.log_limiter.log(now_us, line, out);
         out.push(Output::ClosePush);
-        self.push.is_connecting = false;
-        self.push.server_index += 1;
+        self.push.has_connection = false;
+        self.push.ended_connections += 1;
         self.push.unpushed_changes.clear();
         self.next_round_at_us = now_us;
     }
@@ -133,7 +134,7 @@
                 self.drain_instance(now_us, &name);
                 self.mark_pushed(now_us, &name);
             }
-            // The removal of all records is not trusted, like an empty answer, so a round checks it.
+            // Like an empty answer, a pushed removal of all records does not take effect at once; a round checks it.
             RecordChange::AllRemoved(name, None | Some(RecordType::Ptr))
                 if self.is_service(&name) =>
             {
--- a/crates/discovery/src/dnssd/browser/query.rs
+++ b/crates/discovery/src/dnssd/browser/query.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Maximum number of CNAMEs that are followed for one question.
+/// Maximum number of CNAMEs followed within one answer, and maximum number of follow-up queries for one question.
 pub(super) const MAX_ALIAS_HOPS: u8 = 8;
 
 /// The purpose of a query, which decides how its reply is used.
@@ -26,13 +26,13 @@
     pub(super) resolver: SocketAddr,
     pub(super) transport: Transport,
     pub(super) purpose: QueryPurpose,
-    /// Number of CNAMEs followed so far, each with a further query.
+    /// Number of follow-up queries sent so far, each for a CNAME target that the reply before did not resolve.
     pub(super) alias_hops: u8,
     /// The name under which the records are stored; differs from `name` after a CNAME was followed.
     pub(super) owner: Name,
 }
 
-/// A query without a reply.
+/// A query in flight.
 pub(super) struct PendingQuery {
     /// The message id in the DNS header.
     pub(super) message_id: u16,
--- a/crates/discovery/src/dnssd/browser/ranking.rs
+++ b/crates/discovery/src/dnssd/browser/ranking.rs
@@ -1,5 +1,6 @@
-//! Counts of the ready instances by SRV priority and weight. They are updated instance by instance, because a pass over
-//! thousands of instances for each reply would delay all other work.
+//! Counts of the ready instances by SRV priority and weight: those with a PTR record and a known address that are not
+//! marked as draining, on standby or not. The counts are updated instance by instance, because a pass over thousands
+//! of instances for each reply would delay all other work.
 
 use crate::dnssd::instance_records::ServiceLocation;
 use crate::dnssd::wire::Name;
--- a/crates/discovery/src/dnssd/browser/reporting.rs
+++ b/crates/discovery/src/dnssd/browser/reporting.rs
@@ -13,8 +13,8 @@
 
 /// The SRV weight that corresponds to an endpoint weight of 1.
 const SRV_WEIGHT_UNIT: f64 = 100.0;
-/// Endpoint weight of an SRV weight of 0 where other instances have a weight above 0: RFC 2782 requires a very small
-/// chance of being selected.
+/// Endpoint weight for SRV weight 0 if any ready instance has an SRV weight above 0 (RFC 2782: a very small chance of
+/// being selected).
 const ZERO_SRV_WEIGHT: f64 = 0.01;
 
 impl Browser {
@@ -71,7 +71,8 @@
         is_unusable || self.endpoint(now_us, name).is_some()
     }
 
-    /// Updates the ranking's entry for an instance, which is counted while the instance is ready.
+    /// Updates the ranking's entry for an instance. An instance counts as ready while it is present, not marked as
+    /// draining in its TXT record, and has a known address.
     pub(super) fn update_rank(&mut self, now_us: u64, name: &Name) {
         let instance = self.instances.get(name).filter(|instance| {
             instance.is_present()
@@ -108,8 +109,9 @@
         }
     }
 
-    /// Returns the endpoint of an instance without an address: the last reported one, or else, once
-    /// [`COMPLETION_TIMEOUT_US`] has passed since the first list, the one known before browsing began.
+    /// Returns the endpoint of an instance whose address is unknown: the last reported endpoint, as draining if the
+    /// SRV record states that the service is not available. If no endpoint was reported: `None` until
+    /// [`COMPLETION_TIMEOUT_US`] after the first list, then the endpoint known before browsing began.
     fn unresolved_endpoint(
         &self,
         now_us: u64,
--- a/crates/discovery/src/dnssd/browser/rounds.rs
+++ b/crates/discovery/src/dnssd/browser/rounds.rs
@@ -10,7 +10,8 @@
 
 /// Number of consecutive failed rounds after which the next resolver takes the lead.
 const MAX_FAILED_ROUNDS: u32 = 2;
-/// Interval of serial queries while the resolver's replies lack the serial, in microseconds.
+/// Time from a completed round without a serial to the next serial query, in microseconds. Every round without a
+/// serial restarts it, including a round that sent no serial query.
 const SERIAL_RETRY_INTERVAL_US: u64 = 30_000_000;
 
 impl Browser {
@@ -110,8 +111,8 @@
         self.handle_missing_instances(now_us, &round, out);
     }
 
-    /// Returns whether an empty first list is used: a second empty list has to confirm it, after a longer time if
-    /// endpoints are known from before browsing began.
+    /// Returns whether an empty first list is used: empty lists have to persist for `confirmation_time`, or for
+    /// `mass_loss_hold` if that is longer and endpoints were known before browsing began.
     fn is_empty_start_confirmed(&mut self, now_us: u64) -> bool {
         let hold = if self.previous_endpoints.is_empty() {
             Duration::ZERO
--- a/crates/discovery/src/dnssd/browser/scheduling.rs
+++ b/crates/discovery/src/dnssd/browser/scheduling.rs
@@ -129,7 +129,7 @@
     pub(super) fn refresh_instance(&mut self, now_us: u64, name: &Name) {
         for stale in self.stale_details(now_us, name) {
             let Detail { name, record_type } = &stale.detail;
-            // A query counts as a refresh, so that a record set without a reply is not queried continuously.
+            // Queueing a query counts as a refresh, so that a record set without a reply is not queried continuously.
             match record_type {
                 RecordType::Txt => {
                     if let Some(instance) = self.instances.get_mut(name) {
--- a/crates/discovery/src/dnssd/browser/state.rs
+++ b/crates/discovery/src/dnssd/browser/state.rs
@@ -22,7 +22,8 @@
 /// Maximum time between two calls of [`Browser::handle`], in microseconds.
 const MAX_WAKEUP_INTERVAL_US: u64 = 1_000_000;
 
-/// State machine that browses a service; the module's documentation describes it. All times are in microseconds.
+/// State machine that browses a service; the module's documentation describes it. All times are in microseconds, on a
+/// monotonic clock that starts at the Unix time of the process start.
 pub struct Browser {
     pub(super) config: DnsSdConfig,
     /// The domain of the service, whose serial is queried.
@@ -53,7 +54,7 @@
     pub(super) changed_instances: BTreeSet<Name>,
     /// Instances with too few known records to be reported.
     pub(super) incomplete_instances: BTreeSet<Name>,
-    /// When each new instance is reported even without the TXT record that it lacks.
+    /// Deadline after which each new instance is reported even if its TXT record is missing.
     pub(super) completion_deadlines: BTreeSet<(u64, Name)>,
     pub(super) ranking: InstanceRanking,
     /// The ranking's summary at the time of the last report.
--- a/crates/discovery/src/dnssd/config.rs
+++ b/crates/discovery/src/dnssd/config.rs
@@ -5,11 +5,13 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Maximum number of names under which the service is browsed. One reply holds about 2,500 instances.
+/// Maximum number of names under which the service is browsed. One reply holds about 2,500 instances, so a service
+/// with more is browsed by several names, its subtypes.
 pub const MAX_SERVICES: usize = 8;
 /// Maximum number of resolvers, and of push servers.
 pub const MAX_RESOLVERS: usize = 4;
-/// Maximum number of queries in flight; each uses its own socket.
+/// Number of queries in flight at which no further detail query is sent; each query uses its own socket. The queries
+/// of a round are sent regardless.
 pub(super) const MAX_OUTSTANDING_QUERIES: usize = 16;
 /// Maximum number of sockets for push: the session's, and the one that replaces it.
 const PUSH_SOCKETS: usize = 2;
@@ -23,22 +25,24 @@
     pub base: Name,
     /// Resolvers, in order of preference.
     pub resolvers: Vec<SocketAddr>,
-    /// The minimum interval between rounds. Between this bound and `max_poll_interval`, the TTL of the PTR records is
-    /// the interval.
+    /// The minimum interval between rounds. The interval is the lowest TTL of the PTR records, limited to
+    /// `min_poll_interval`..=`max_poll_interval`.
     pub min_poll_interval: Duration,
     /// The maximum interval between rounds.
     pub max_poll_interval: Duration,
     /// How long the reply to a query is awaited.
     pub query_timeout: Duration,
-    /// Maximum number of queries per second for single records that the additional sections leave out.
+    /// Maximum rate of detail queries per second: queries for single record sets that are missing or out of date.
     pub queries_per_s: u32,
-    /// How long an empty list, or a loss found after a change of the resolver or of the zone's serial to an older one,
-    /// has to last before it is used.
+    /// How long instances have to stay missing before they are removed if the list is empty, another resolver took the
+    /// lead, or a zone with an older serial was accepted. Also how long an empty first list has to persist before it
+    /// is used.
     pub confirmation_time: Duration,
-    /// The share of the instances, from 0 to 1, above which the removal of instances that are missing at once is held
-    /// back.
+    /// Maximum share of the instances, from 0 to 1, that may be removed at once. If more are missing, their removal is
+    /// held back for `mass_loss_hold`.
     pub max_loss_share: f64,
-    /// How long a loss above `max_loss_share` is held back, and an older serial is ignored.
+    /// How long a loss above `max_loss_share` is held back, a zone with an older serial is ignored, and an empty first
+    /// list is ignored if endpoints were known before.
     pub mass_loss_hold: Duration,
     /// How long an instance drains after its PTR record is removed.
     pub drain_time: Duration,
@@ -103,7 +107,8 @@
         Ok(())
     }
 
-    /// Returns the maximum number of sockets in use at once, each with one file descriptor.
+    /// Returns the number of sockets, each with one file descriptor, that detail queries at their limit and push use
+    /// at once. Queries of a round that is sent while detail queries are at their limit are not counted.
     pub fn max_sockets(&self) -> usize {
         MAX_OUTSTANDING_QUERIES + PUSH_SOCKETS
     }
--- a/crates/discovery/src/dnssd/driver/push_connection.rs
+++ b/crates/discovery/src/dnssd/driver/push_connection.rs
@@ -51,8 +51,8 @@
         PushConnection { id, task, messages }
     }
 
-    /// Queues a message, or drops it if the queue is full: a server that does not read does not respond either, which
-    /// ends the session.
+    /// Queues a message, or drops it if the queue is full. A dropped message needs no error: a server that does not
+    /// read does not respond either, and the response timeout ends the session.
     pub(super) fn write(&self, bytes: Vec<u8>) {
         let _ = self.messages.try_send(bytes);
     }
--- a/crates/discovery/src/dnssd/instance_records.rs
+++ b/crates/discovery/src/dnssd/instance_records.rs
@@ -102,7 +102,7 @@
             expected,
         };
         if !is_plain || value.is_empty() {
-            return Err(invalid("up to 64 visible ASCII characters"));
+            return Err(invalid("1 to 64 visible ASCII characters"));
         }
         match key {
             "zone" => self.zone = value.into(),
@@ -125,8 +125,8 @@
     }
 }
 
-/// Returns the one of an instance's SRV records that is used: the lowest priority value, then the highest weight (RFC
-/// 2782). The choice is the same on every gateway.
+/// Selects an instance's SRV record: the lowest priority value (RFC 2782), then the highest weight, then the smallest
+/// port and target, so that every gateway selects the same record.
 pub fn preferred_location(mut locations: Vec<ServiceLocation>) -> Option<ServiceLocation> {
     locations.sort_by(|a, b| (a.priority, b.weight, a).cmp(&(b.priority, a.weight, b)));
     locations.into_iter().next()
--- a/crates/discovery/src/dnssd/push.rs
+++ b/crates/discovery/src/dnssd/push.rs
@@ -15,11 +15,12 @@
 
 /// Time to wait for a response, in microseconds; a request without one ends the session.
 const RESPONSE_TIMEOUT_US: u64 = 2_000_000;
-/// Initial backoff between sessions, in microseconds; doubled each time a session ends before it is established.
+/// Initial backoff between sessions, in microseconds; doubled after each session and reset once a session is
+/// established.
 const MIN_BACKOFF_US: u64 = 500_000;
 /// Maximum backoff between sessions, in microseconds; also limits a retry delay that the server requests.
 const MAX_BACKOFF_US: u64 = 60_000_000;
-/// Maximum number of requests without a response.
+/// Maximum number of requests in flight.
 const MAX_OUTSTANDING_REQUESTS: usize = 64;
 /// The minimum keepalive interval that a server may set, in milliseconds (RFC 8490 section 6.5.2).
 const MIN_SERVER_KEEPALIVE_INTERVAL_MS: u32 = 10_000;
@@ -50,13 +51,14 @@
     Keepalive,
 }
 
-/// A request without a response.
+/// A request in flight, for which a response is pending.
 struct PendingRequest {
     sent_at_us: u64,
     kind: RequestKind,
 }
 
-/// State of a push session, which spans consecutive connections. All times are in microseconds.
+/// State machine for consecutive push sessions, each on its own connection. The services, the keepalive interval and
+/// the backoff are kept between sessions. All times are in microseconds.
 pub struct PushSession {
     services: Vec<Name>,
     keepalive_interval_us: u64,
@@ -98,7 +100,8 @@
         self.is_established
     }
 
-    /// Returns whether the server pushes changes to the records of `name`.
+    /// Returns whether the session is established and the server has granted the subscription to all records of
+    /// `name`, an instance or a host.
     pub fn covers(&self, name: &Name) -> bool {
         self.is_established && self.granted.contains(&all_records(name))
     }
@@ -227,7 +230,7 @@
             self.end(now_us, &reason, events);
             return;
         }
-        // If the server refuses the subscription to an instance or a host, its records are queried as they are without
+        // The records of an instance or host whose subscription is refused are queried in the same way as without
         // push.
         self.send_queued(now_us, events);
     }
--- a/crates/discovery/src/dnssd/wire/reply.rs
+++ b/crates/discovery/src/dnssd/wire/reply.rs
@@ -8,7 +8,8 @@
 use domain::base::{Message, MessageBuilder};
 use std::str::FromStr;
 
-/// Maximum size of a UDP reply; datagrams of this size are not fragmented on common paths (DNS flag day 2020).
+/// Size of a UDP reply that a query accepts with EDNS(0). Datagrams of this size are not fragmented on common paths
+/// (DNS flag day 2020).
 const MAX_UDP_REPLY_BYTES: u16 = 1_232;
 
 /// The response code of a reply (RFC 1035 section 4.1.1).
@@ -42,9 +43,10 @@
 /// Error for a message that is not accepted as the reply to a query.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ReplyError {
-    /// The message does not belong to the query: its id or question differs, or it is not a response.
+    /// The message does not belong to the query: its id or question differs, its header or question is malformed, or
+    /// it is not a response.
     Unrelated,
-    /// The message belongs to the query but is malformed.
+    /// The message belongs to the query but its records are malformed.
     Malformed,
 }
 
--- a/crates/discovery/src/endpoint_table.rs
+++ b/crates/discovery/src/endpoint_table.rs
@@ -5,7 +5,7 @@
 use frosthatch_traffic_control::ListKind;
 use std::collections::{HashMap, HashSet};
 
-/// How long an endpoint that a new source does not list drains, in microseconds; longer than any request takes.
+/// Drain time of endpoints that a new source does not list, in microseconds; longer than any request takes.
 const TAKEOVER_DRAIN_US: u64 = 10_000_000;
 /// Maximum number of marks. Marks on endpoints that are no longer listed are dropped first.
 const MAX_MARKS: usize = 4_096;
@@ -62,7 +62,7 @@
 
     /// Takes an endpoint out of service until it is put back, whatever state the source lists. Returns the update for
     /// the engine, or `None` if the endpoint is neither listed nor out.
-    pub fn take_out(&mut self, now_us: u64, uid: &str) -> Option<Vec<Endpoint>> {
+    pub fn take_out(&mut self, wall_clock_us: u64, uid: &str) -> Option<Vec<Endpoint>> {
         let is_out = self.marks.get(uid).is_some_and(OperatorMark::is_out);
         if is_out {
             return Some(self.effective_endpoint(uid));
@@ -71,7 +71,7 @@
             return None;
         }
         let mark = OperatorMark {
-            out_ms: now_us / 1_000,
+            out_ms: wall_clock_us / 1_000,
             back_ms: None,
         };
         Some(self.set_mark(uid, mark))
@@ -79,9 +79,9 @@
 
     /// Puts an endpoint back into service, however often it was taken out. Returns the update for the engine, or
     /// `None` if the endpoint is neither listed nor out.
-    pub fn put_back(&mut self, now_us: u64, uid: &str) -> Option<Vec<Endpoint>> {
+    pub fn put_back(&mut self, wall_clock_us: u64, uid: &str) -> Option<Vec<Endpoint>> {
         match self.marks.get_mut(uid).filter(|mark| mark.is_out()) {
-            Some(mark) => mark.back_ms = Some(now_us / 1_000),
+            Some(mark) => mark.back_ms = Some(wall_clock_us / 1_000),
             None if !self.listed.contains_key(uid) => return None,
             None => {}
         }
--- a/crates/discovery/src/list/mod.rs
+++ b/crates/discovery/src/list/mod.rs
@@ -113,8 +113,9 @@
         }
     }
 
-    /// Returns whether a received list applies to the known version, and records its version. A change to an older
-    /// version comes from an agent that restarted and refers to another list; the complete list is then requested.
+    /// Returns whether a received list applies to the known version, and records its version. A change whose version
+    /// is older than the known one comes from an agent that restarted. The change belongs to another list, so the
+    /// complete list is requested, as it is if no version is known.
     fn accept_version(&mut self, list: &ServerList) -> bool {
         let is_older = self.version.is_none_or(|version| list.rev < version);
         if !list.all && is_older {
@@ -133,7 +134,7 @@
     }
 }
 
-/// A call without a response.
+/// A call in flight.
 struct PendingCall<F> {
     started_at: Instant,
     call: Pin<Box<F>>,
@@ -162,8 +163,8 @@
             }
             (index, result) = first_completed(&mut pending), if !pending.is_empty() => match result {
                 Ok(response) => return response,
-                // The next call starts at its interval, so that an agent that responds with errors is not called more
-                // often.
+                // A failed call is not replaced at once: the next one starts at the next tick, so that an agent that
+                // responds with errors is not called more often.
                 Err(_) => drop(pending.remove(index)),
             }
         }
--- a/crates/discovery/src/registry.rs
+++ b/crates/discovery/src/registry.rs
@@ -25,21 +25,21 @@
     /// the method returns.
     pub fn take_out(&self, uid: &str) -> bool {
         // Wall-clock time, because the mark's time is compared with the start times in lists.
-        let now_us = self.engine.wall_clock_us();
-        let update = self.table.borrow_mut().take_out(now_us, uid);
+        let wall_clock_us = self.engine.wall_clock_us();
+        let update = self.table.borrow_mut().take_out(wall_clock_us, uid);
         self.apply_mark_update(update)
     }
 
     /// Puts an endpoint back into service; returns whether the endpoint is known.
     pub fn put_back(&self, uid: &str) -> bool {
         // Wall-clock time, because the mark's time is compared with the start times in lists.
-        let now_us = self.engine.wall_clock_us();
-        let update = self.table.borrow_mut().put_back(now_us, uid);
+        let wall_clock_us = self.engine.wall_clock_us();
+        let update = self.table.borrow_mut().put_back(wall_clock_us, uid);
         self.apply_mark_update(update)
     }
 
-    /// Passes the update after a change of a mark to the engine; returns whether there is one, which means that the
-    /// endpoint is known.
+    /// Passes the update that results from a changed mark to the engine. Returns whether there is an update; `None`
+    /// means that the endpoint is unknown.
     fn apply_mark_update(&self, update: Option<Vec<Endpoint>>) -> bool {
         let Some(endpoints) = update else {
             return false;
@@ -60,7 +60,7 @@
         marks.map(|(uid, mark)| (uid.clone(), *mark)).collect()
     }
 
-    /// Sets a mark that was made in another process of this gateway, which a hot restart passes on.
+    /// Sets a mark that another process of this gateway passed on in a hot restart.
     pub fn set_mark(&self, uid: &str, mark: OperatorMark) {
         let endpoints = self.table.borrow_mut().set_mark(uid, mark);
         self.engine.update_endpoints(ListKind::Partial, endpoints);
@@ -87,7 +87,7 @@
         self.engine.update_endpoints(kind, endpoints);
     }
 
-    /// Returns the engine's monotonic time in microseconds.
+    /// Returns the engine's monotonic time in microseconds, which starts at the Unix time of the process start.
     pub(crate) fn now_us(&self) -> u64 {
         self.engine.now_us()
     }
--- a/crates/discovery/tests/browsing/push.rs
+++ b/crates/discovery/tests/browsing/push.rs
@@ -1,77 +1,88 @@
 //! Tests of DNS Push Notifications together with browsing rounds.
 
 use crate::world::{
-    config_with_push, instance_address, ptr_record, push_message, resolver_address, zone, World,
-    MILLISECOND_US, PROPAGATION_US, SECOND_US, SERVICE,
+    config_with_push, instance_address, ptr_record, push_message, resolver_address, zone,
+    Simulation, MILLISECOND_US, PROPAGATION_US, SECOND_US, SERVICE,
 };
 use frosthatch_engine::EndpointState;
 use proptest::prelude::{any, prop_assert, prop_assert_eq, proptest, ProptestConfig};
 
 #[test]
 fn a_pushed_change_is_reported_at_once_and_rounds_are_rare() {
-    let mut world = World::new(config_with_push(1), vec![zone(10)]);
-    world.run(2 * SECOND_US);
+    let mut simulation = Simulation::new(config_with_push(1), vec![zone(10)]);
+    simulation.run(2 * SECOND_US);
     assert!(
-        world.log.iter().any(|line| line.contains("push in force")),
-        "{:?}",
-        world.log
+        simulation
+            .log
+            .iter()
+            .any(|line| line.contains("push in force")),
+        "the established session is logged: {:?}",
+        simulation.log
     );
-    world.queries_sent_at_us.clear();
-    world.run(20 * SECOND_US);
+    simulation.queries_sent_at_us.clear();
+    simulation.run(20 * SECOND_US);
     assert!(
-        world.queries_sent_at_us.len() < 10 * 2 + 20,
-        "queries within 20 s: {}",
-        world.queries_sent_at_us.len()
+        simulation.queries_sent_at_us.len() < 10 * 2 + 20,
+        "expected fewer than 40 queries within 20 s, found {}",
+        simulation.queries_sent_at_us.len()
+    );
+    simulation.change_zone(|zone| zone.remove_instance(SERVICE, "n4"));
+    simulation.run(5 * MILLISECOND_US);
+    assert_eq!(
+        simulation.endpoint_state("n4"),
+        Some(EndpointState::Draining)
+    );
+    simulation.change_zone(|zone| zone.add_instance(SERVICE, "new", instance_address(60), &[]));
+    simulation.run(50 * MILLISECOND_US);
+    assert_eq!(simulation.endpoint_state("new"), Some(EndpointState::Ready));
+    assert!(simulation.endpoints["new"].started_ms > 0);
+    simulation.run(60 * SECOND_US);
+    assert_eq!(
+        simulation.push_connections, 1,
+        "the first session stays open: {:?}",
+        simulation.log
     );
-    world.change_zone(|zone| zone.remove_instance(SERVICE, "n4"));
-    world.run(5 * MILLISECOND_US);
-    assert_eq!(world.endpoint_state("n4"), Some(EndpointState::Draining));
-    world.change_zone(|zone| zone.add_instance(SERVICE, "new", instance_address(60), &[]));
-    world.run(50 * MILLISECOND_US);
-    assert_eq!(world.endpoint_state("new"), Some(EndpointState::Ready));
-    assert!(world.endpoints["new"].started_ms > 0);
-    world.run(60 * SECOND_US);
-    assert_eq!(world.push_connections, 1, "{:?}", world.log);
 }
 
 /// Removals of single records are deliberate, so a large number of them is not held back.
 #[test]
 fn pushed_removals_of_most_instances_one_by_one_take_effect_at_once() {
-    let mut world = World::new(config_with_push(1), vec![zone(10)]);
-    world.run(2 * SECOND_US);
-    world.change_zone(|zone| (0..8).for_each(|n| zone.remove_instance(SERVICE, &format!("n{n}"))));
-    world.run(5 * MILLISECOND_US);
-    assert_eq!(world.ready_count(), 2);
+    let mut simulation = Simulation::new(config_with_push(1), vec![zone(10)]);
+    simulation.run(2 * SECOND_US);
+    simulation
+        .change_zone(|zone| (0..8).for_each(|n| zone.remove_instance(SERVICE, &format!("n{n}"))));
+    simulation.run(5 * MILLISECOND_US);
+    assert_eq!(simulation.ready_count(), 2);
 }
 
-/// The removal of all records at once is not trusted, like an empty answer.
+/// Like an empty answer, a pushed removal of all records does not take effect at once.
 #[test]
 fn a_pushed_removal_of_all_records_leads_to_a_round() {
-    let mut world = World::new(config_with_push(1), vec![zone(10)]);
-    world.run(2 * SECOND_US);
+    let mut simulation = Simulation::new(config_with_push(1), vec![zone(10)]);
+    simulation.run(2 * SECOND_US);
     let mut all = ptr_record("n0").pushed(SERVICE, u32::MAX - 1);
     // RDLENGTH 0 and no data (RFC 8765 section 6.3.1).
     let owner = 1 + SERVICE.len() + 1;
     all.truncate(owner + 8);
     all.extend([0, 0]);
-    world.send_push_message(push_message(&[all]));
-    world.run(5 * SECOND_US);
-    assert_eq!(world.ready_count(), 10);
+    simulation.send_push_message(push_message(&[all]));
+    simulation.run(5 * SECOND_US);
+    assert_eq!(simulation.ready_count(), 10);
 }
 
 #[test]
 fn a_pushed_removal_of_an_unknown_instance_changes_nothing() {
-    let mut world = World::new(config_with_push(1), vec![zone(3)]);
-    world.run(2 * SECOND_US);
-    world.send_push_message(push_message(&[
+    let mut simulation = Simulation::new(config_with_push(1), vec![zone(3)]);
+    simulation.run(2 * SECOND_US);
+    simulation.send_push_message(push_message(&[
         ptr_record("nobody").pushed(SERVICE, u32::MAX)
     ]));
-    world.run(2 * SECOND_US);
+    simulation.run(2 * SECOND_US);
     assert_eq!(
         (
-            world.ready_count(),
-            world.updates.len(),
-            world.push_connections
+            simulation.ready_count(),
+            simulation.updates.len(),
+            simulation.push_connections
         ),
         (3, 1, 1)
     );
@@ -79,62 +90,69 @@
 
 #[test]
 fn changes_lost_with_a_session_are_found_by_rounds() {
-    let mut world = World::new(config_with_push(1), vec![zone(10)]);
-    world.run(2 * SECOND_US);
-    world.zones[0].remove_instance(SERVICE, "n1");
-    world.zones[0].remove_instance(SERVICE, "n2");
+    let mut simulation = Simulation::new(config_with_push(1), vec![zone(10)]);
+    simulation.run(2 * SECOND_US);
+    simulation.zones[0].remove_instance(SERVICE, "n1");
+    simulation.zones[0].remove_instance(SERVICE, "n2");
     // Only the first of two removals is pushed before the connection ends.
-    world.send_push_message(push_message(&[ptr_record("n1").pushed(SERVICE, u32::MAX)]));
-    world.drop_push_connection();
-    world.push_server_is_up = false;
-    world.run(PROPAGATION_US);
+    simulation.send_push_message(push_message(&[ptr_record("n1").pushed(SERVICE, u32::MAX)]));
+    simulation.drop_push_connection();
+    simulation.push_server_is_up = false;
+    simulation.run(PROPAGATION_US);
     assert_eq!(
-        (world.endpoint_state("n1"), world.endpoint_state("n2")),
+        (
+            simulation.endpoint_state("n1"),
+            simulation.endpoint_state("n2")
+        ),
         (Some(EndpointState::Draining), Some(EndpointState::Draining))
     );
-    world.zones[0].remove_instance(SERVICE, "n3");
-    world.run(PROPAGATION_US);
+    simulation.zones[0].remove_instance(SERVICE, "n3");
+    simulation.run(PROPAGATION_US);
     assert_eq!(
-        world.endpoint_state("n3"),
+        simulation.endpoint_state("n3"),
         Some(EndpointState::Draining),
         "without push, rounds find the removal"
     );
-    world.push_server_is_up = true;
-    world.run(30 * SECOND_US);
-    let sessions = world
+    simulation.push_server_is_up = true;
+    simulation.run(30 * SECOND_US);
+    let sessions = simulation
         .log
         .iter()
         .filter(|line| line.contains("push in force"))
         .count();
-    assert_eq!(sessions, 2, "{:?}", world.log);
+    assert_eq!(
+        sessions, 2,
+        "two sessions are established: {:?}",
+        simulation.log
+    );
 }
 
 /// Rounds during a push session find changes that the server did not push.
 #[test]
 fn a_session_that_pushes_nothing_is_detected() {
-    let mut world = World::new(config_with_push(1), vec![zone(10)]);
-    world.run(3 * SECOND_US);
-    world.push_server_is_silent = true;
-    world.change_zone(|zone| zone.remove_instance(SERVICE, "n1"));
-    world.run(2_100 * MILLISECOND_US);
+    let mut simulation = Simulation::new(config_with_push(1), vec![zone(10)]);
+    simulation.run(3 * SECOND_US);
+    simulation.push_server_is_silent = true;
+    simulation.change_zone(|zone| zone.remove_instance(SERVICE, "n1"));
+    simulation.run(2_100 * MILLISECOND_US);
     assert_eq!(
-        world.endpoint_state("n1"),
+        simulation.endpoint_state("n1"),
         Some(EndpointState::Draining),
         "a check round finds the removal"
     );
-    world.run(1_100 * MILLISECOND_US);
+    simulation.run(1_100 * MILLISECOND_US);
     assert!(
-        world
+        simulation
             .log
             .iter()
             .any(|line| line.contains("did not push a change")),
-        "{:?}",
-        world.log
+        "the end of the session is logged: {:?}",
+        simulation.log
     );
-    world.change_zone(|zone| zone.remove_instance(SERVICE, "n2"));
-    world.run(PROPAGATION_US);
+    simulation.change_zone(|zone| zone.remove_instance(SERVICE, "n2"));
+    simulation.run(PROPAGATION_US);
     assert_eq!(
-        world.endpoint_state("n2"),
+        simulation.endpoint_state("n2"),
         Some(EndpointState::Draining),
         "without push, rounds find the removal"
     );
@@ -142,35 +160,38 @@
 
 #[test]
 fn connections_to_a_push_server_that_refuses_back_off() {
-    let mut world = World::new(config_with_push(1), vec![zone(3)]);
-    world.push_server_is_up = false;
-    world.run(600 * SECOND_US);
+    let mut simulation = Simulation::new(config_with_push(1), vec![zone(3)]);
+    simulation.push_server_is_up = false;
+    simulation.run(600 * SECOND_US);
     assert!(
-        (8..=20).contains(&world.push_connections),
-        "connections within 600 s: {}",
-        world.push_connections
+        (8..=20).contains(&simulation.push_connections),
+        "expected 8 to 20 connections within 600 s, found {}",
+        simulation.push_connections
     );
-    assert_eq!(world.ready_count(), 3);
+    assert_eq!(simulation.ready_count(), 3);
 }
 
 #[test]
 fn an_invalid_message_ends_the_session_and_nothing_else() {
-    let mut world = World::new(config_with_push(1), vec![zone(3)]);
-    world.run(2 * SECOND_US);
-    world.send_push_message(vec![
+    let mut simulation = Simulation::new(config_with_push(1), vec![zone(3)]);
+    simulation.run(2 * SECOND_US);
+    simulation.send_push_message(vec![
         0, 0, 0x30, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0x41, 0xff, 0xff, 1,
     ]);
-    world.run(10 * MILLISECOND_US);
+    simulation.run(10 * MILLISECOND_US);
     assert!(
-        world
+        simulation
             .log
             .iter()
             .any(|line| line.contains("invalid message from the server")),
-        "{:?}",
-        world.log
+        "the end of the session is logged: {:?}",
+        simulation.log
+    );
+    simulation.run(10 * SECOND_US);
+    assert_eq!(
+        (simulation.ready_count(), simulation.push_connections),
+        (3, 2)
     );
-    world.run(10 * SECOND_US);
-    assert_eq!((world.ready_count(), world.push_connections), (3, 2));
 }
 
 proptest! {
@@ -182,14 +203,14 @@
     fn arbitrary_input_does_not_change_the_endpoints(
         noise in proptest::collection::vec((1u64..40, proptest::collection::vec(any::<u8>(), 0..200)), 1..60),
     ) {
-        let mut world = World::new(config_with_push(1), vec![zone(5)]);
-        world.run(2 * SECOND_US);
+        let mut simulation = Simulation::new(config_with_push(1), vec![zone(5)]);
+        simulation.run(2 * SECOND_US);
         for (query_id, bytes) in noise {
-            world.send_push_message(bytes.clone());
-            world.inject_datagram(query_id, resolver_address(0), bytes);
-            world.run(20 * MILLISECOND_US);
+            simulation.send_push_message(bytes.clone());
+            simulation.inject_datagram(query_id, resolver_address(0), bytes);
+            simulation.run(20 * MILLISECOND_US);
         }
-        prop_assert_eq!(world.ready_count(), 5);
-        prop_assert!(world.log.len() < 40);
+        prop_assert_eq!(simulation.ready_count(), 5);
+        prop_assert!(simulation.log.len() < 40);
     }
 }
--- a/crates/discovery/tests/browsing/resolvers.rs
+++ b/crates/discovery/tests/browsing/resolvers.rs
@@ -1,7 +1,8 @@
 //! Tests of the queries to resolvers, and of the extent to which their replies are trusted.
 
 use crate::world::{
-    config, instance_address, zone, ResolverBehavior, World, MILLISECOND_US, SECOND_US, SERVICE,
+    config, instance_address, zone, ResolverBehavior, Simulation, MILLISECOND_US, SECOND_US,
+    SERVICE,
 };
 use frosthatch_discovery::dnssd::DnsSdConfig;
 use frosthatch_engine::EndpointState;
@@ -19,13 +20,13 @@
     ] {
         let mut zone = zone(5);
         zone.ttl = ttl;
-        let mut world = World::new(config(1), vec![zone]);
-        world.run(SECOND_US);
-        world.queries_sent_at_us.clear();
-        world.run(10 * SECOND_US);
+        let mut simulation = Simulation::new(config(1), vec![zone]);
+        simulation.run(SECOND_US);
+        simulation.queries_sent_at_us.clear();
+        simulation.run(10 * SECOND_US);
         // A round sends one PTR and one SOA query.
         let rounds = 10 * SECOND_US / interval_us;
-        let queries = world.queries_sent_at_us.len() as u64 / 2;
+        let queries = simulation.queries_sent_at_us.len() as u64 / 2;
         assert!(
             queries <= rounds && queries >= rounds * 9 / 10,
             "TTL {ttl}: {queries} rounds, expected 90% to 100% of {rounds}"
@@ -37,19 +38,20 @@
 fn the_rate_of_detail_queries_is_bounded() {
     let mut zone_without_additional = zone(500);
     zone_without_additional.additional = false;
-    let mut world = World::new(
+    let mut simulation = Simulation::new(
         DnsSdConfig {
             queries_per_s: 100,
             ..config(1)
         },
         vec![zone_without_additional],
     );
-    world.run(10 * SECOND_US);
-    // In addition, five rounds per second each send a PTR query over UDP, one over TCP, and a SOA query.
+    simulation.run(10 * SECOND_US);
+    // In addition to the detail queries, five rounds per second each send a PTR query over UDP, one over TCP, and a
+    // SOA query. The last term is a margin.
     assert!(
-        world.queries_sent_at_us.len() <= 100 * 10 + 3 * 5 * 10 + 40,
-        "queries within 10 s: {}",
-        world.queries_sent_at_us.len()
+        simulation.queries_sent_at_us.len() <= 100 * 10 + 3 * 5 * 10 + 40,
+        "expected at most 1,190 queries within 10 s, found {}",
+        simulation.queries_sent_at_us.len()
     );
 }
 
@@ -63,67 +65,82 @@
         ResolverBehavior::CutOff,
         ResolverBehavior::OnlyTruncated,
     ] {
-        let mut world = World::new(config(1), vec![zone(10)]);
-        world.run(SECOND_US);
-        world.resolver_behaviors[0] = behavior;
-        world.zones[0].remove_instance(SERVICE, "n1");
-        world.run(60 * SECOND_US);
+        let mut simulation = Simulation::new(config(1), vec![zone(10)]);
+        simulation.run(SECOND_US);
+        simulation.resolver_behaviors[0] = behavior;
+        simulation.zones[0].remove_instance(SERVICE, "n1");
+        simulation.run(60 * SECOND_US);
         assert_eq!(
-            (world.ready_count(), world.updates.len()),
+            (simulation.ready_count(), simulation.updates.len()),
             (10, 1),
-            "{behavior:?}"
+            "{behavior:?}: the last list stays in use"
         );
-        let logged = world
+        let logged = simulation
             .log
             .iter()
             .filter(|line| line.contains("keeping the last list"))
             .count();
-        assert_eq!(logged, 1, "{behavior:?}: {:?}", world.log);
-        assert!(world.log.len() < 12, "{behavior:?}: {:?}", world.log);
-        world.resolver_behaviors[0] = ResolverBehavior::Normal;
-        world.run(2 * SECOND_US);
-        assert_eq!(world.ready_count(), 9, "{behavior:?}");
+        assert_eq!(
+            logged, 1,
+            "{behavior:?}: the use of the last list is logged once: {:?}",
+            simulation.log
+        );
+        assert!(
+            simulation.log.len() < 12,
+            "{behavior:?}: fewer than 12 lines are logged: {:?}",
+            simulation.log
+        );
+        simulation.resolver_behaviors[0] = ResolverBehavior::Normal;
+        simulation.run(2 * SECOND_US);
+        assert_eq!(
+            simulation.ready_count(),
+            9,
+            "{behavior:?}: complete replies are used again"
+        );
     }
 }
 
 #[test]
 fn spoofed_replies_are_dropped_and_counted_and_the_genuine_one_is_used() {
-    let mut world = World::new(config(1), vec![zone(10)]);
-    world.resolver_behaviors[0] = ResolverBehavior::Spoofed;
-    world.run(5 * SECOND_US);
-    assert_eq!((world.ready_count(), world.updates.len()), (10, 1));
+    let mut simulation = Simulation::new(config(1), vec![zone(10)]);
+    simulation.resolver_behaviors[0] = ResolverBehavior::Spoofed;
+    simulation.run(5 * SECOND_US);
+    assert_eq!(
+        (simulation.ready_count(), simulation.updates.len()),
+        (10, 1)
+    );
     assert!(
-        world
+        simulation
             .log
             .iter()
             .any(|line| line.contains("dropped 1 datagrams")),
-        "{:?}",
-        world.log
+        "the first dropped datagram is logged: {:?}",
+        simulation.log
     );
     assert!(
-        world
+        simulation
             .log
             .iter()
             .any(|line| line.contains("dropped 100 datagrams")),
-        "{:?}",
-        world.log
+        "the hundredth dropped datagram is logged: {:?}",
+        simulation.log
     );
 }
 
 #[test]
 fn nothing_is_reported_until_a_resolver_responds_for_the_first_time() {
-    let mut world = World::new(config(1), vec![zone(10)]);
-    world.resolver_behaviors[0] = ResolverBehavior::Silent;
-    world.run(60 * SECOND_US);
-    assert!(world.updates.is_empty());
-    world.resolver_behaviors[0] = ResolverBehavior::Normal;
-    world.run(SECOND_US);
+    let mut simulation = Simulation::new(config(1), vec![zone(10)]);
+    simulation.resolver_behaviors[0] = ResolverBehavior::Silent;
+    simulation.run(60 * SECOND_US);
+    assert!(simulation.updates.is_empty());
+    simulation.resolver_behaviors[0] = ResolverBehavior::Normal;
+    simulation.run(SECOND_US);
     assert_eq!(
-        (world.updates[0].1, world.ready_count()),
+        (simulation.updates[0].1, simulation.ready_count()),
         (ListKind::Complete, 10)
     );
     assert!(
-        world
+        simulation
             .endpoints
             .values()
             .all(|endpoint| endpoint.started_ms == 0),
@@ -133,33 +150,39 @@
 
 #[test]
 fn a_zone_whose_serial_goes_back_is_used_only_once_the_older_serial_has_lasted() {
-    let mut world = World::new(config(1), vec![zone(10)]);
-    world.run(SECOND_US);
-    let serial = world.zones[0].serial;
-    world.resolver_behaviors[0] = ResolverBehavior::Silent;
-    world.run(60 * SECOND_US);
-    world.resolver_behaviors[0] = ResolverBehavior::Normal;
-    world.zones[0].remove_instance(SERVICE, "n1");
-    world.zones[0].add_instance(SERVICE, "late", instance_address(60), &[]);
-    world.zones[0].serial = serial - 5;
-    world.run(5 * SECOND_US);
+    let mut simulation = Simulation::new(config(1), vec![zone(10)]);
+    simulation.run(SECOND_US);
+    let serial = simulation.zones[0].serial;
+    simulation.resolver_behaviors[0] = ResolverBehavior::Silent;
+    simulation.run(60 * SECOND_US);
+    simulation.resolver_behaviors[0] = ResolverBehavior::Normal;
+    simulation.zones[0].remove_instance(SERVICE, "n1");
+    simulation.zones[0].add_instance(SERVICE, "late", instance_address(60), &[]);
+    simulation.zones[0].serial = serial - 5;
+    simulation.run(5 * SECOND_US);
     assert_eq!(
-        (world.endpoint_state("n1"), world.endpoint_state("late")),
+        (
+            simulation.endpoint_state("n1"),
+            simulation.endpoint_state("late")
+        ),
         (Some(EndpointState::Ready), None)
     );
     assert_eq!(
-        world
+        simulation
             .log
             .iter()
             .filter(|line| line.contains("serial went back"))
             .count(),
         1,
-        "{:?}",
-        world.log
+        "the older serial is logged once: {:?}",
+        simulation.log
     );
-    world.run(10 * SECOND_US);
+    simulation.run(10 * SECOND_US);
     assert_eq!(
-        (world.endpoint_state("n1"), world.endpoint_state("late")),
+        (
+            simulation.endpoint_state("n1"),
+            simulation.endpoint_state("late")
+        ),
         (Some(EndpointState::Draining), Some(EndpointState::Ready))
     );
 }
@@ -167,7 +190,7 @@
 #[test]
 fn an_empty_answer_is_used_once_it_has_lasted() {
     for nxdomain in [false, true] {
-        let mut world = World::new(
+        let mut simulation = Simulation::new(
             DnsSdConfig {
                 mass_loss_hold: Duration::from_secs(3),
                 ..config(1)
@@ -176,21 +199,21 @@
         );
         if !nxdomain {
             // A record below the service's name keeps that name in the zone: the answer is NOERROR without records.
-            world.zones[0].add(&format!("keeps.{SERVICE}"), Rr::A([127, 0, 0, 9].into()));
+            simulation.zones[0].add(&format!("keeps.{SERVICE}"), Rr::A([127, 0, 0, 9].into()));
         }
-        world.run(SECOND_US);
+        simulation.run(SECOND_US);
         for n in 0..4 {
-            world.zones[0].remove_instance(SERVICE, &format!("n{n}"));
+            simulation.zones[0].remove_instance(SERVICE, &format!("n{n}"));
         }
-        world.run(2_900 * MILLISECOND_US);
+        simulation.run(2_900 * MILLISECOND_US);
         assert_eq!(
-            world.ready_count(),
+            simulation.ready_count(),
             4,
             "an empty answer is held back at first"
         );
-        world.run(SECOND_US);
+        simulation.run(SECOND_US);
         assert_eq!(
-            world.ready_count(),
+            simulation.ready_count(),
             0,
             "an empty answer that has lasted is used"
         );
@@ -200,43 +223,43 @@
 /// A second empty answer has to confirm the first.
 #[test]
 fn a_momentary_empty_answer_changes_nothing() {
-    let mut world = World::new(
+    let mut simulation = Simulation::new(
         DnsSdConfig {
             mass_loss_hold: Duration::ZERO,
             ..config(1)
         },
         vec![zone(4)],
     );
-    world.run(SECOND_US);
-    let full_zone = std::mem::replace(&mut world.zones[0], Zone::new("example.org"));
-    world.zones[0].serial = full_zone.serial;
-    world.run(500 * MILLISECOND_US);
-    world.zones[0] = full_zone;
-    world.run(5 * SECOND_US);
-    assert_eq!((world.ready_count(), world.updates.len()), (4, 1));
+    simulation.run(SECOND_US);
+    let full_zone = std::mem::replace(&mut simulation.zones[0], Zone::new("example.org"));
+    simulation.zones[0].serial = full_zone.serial;
+    simulation.run(500 * MILLISECOND_US);
+    simulation.zones[0] = full_zone;
+    simulation.run(5 * SECOND_US);
+    assert_eq!((simulation.ready_count(), simulation.updates.len()), (4, 1));
 }
 
 #[test]
 fn a_sudden_loss_of_most_instances_is_held_back_and_then_used() {
-    let mut world = World::new(config(1), vec![zone(10)]);
-    world.run(SECOND_US);
+    let mut simulation = Simulation::new(config(1), vec![zone(10)]);
+    simulation.run(SECOND_US);
     for n in 0..6 {
-        world.zones[0].remove_instance(SERVICE, &format!("n{n}"));
+        simulation.zones[0].remove_instance(SERVICE, &format!("n{n}"));
     }
-    world.run(9 * SECOND_US);
-    assert_eq!(world.ready_count(), 10);
+    simulation.run(9 * SECOND_US);
+    assert_eq!(simulation.ready_count(), 10);
     assert_eq!(
-        world
+        simulation
             .log
             .iter()
             .filter(|line| line.contains("6 of 10"))
             .count(),
         1,
-        "{:?}",
-        world.log
+        "the loss of 6 of 10 instances is logged once: {:?}",
+        simulation.log
     );
-    world.run(2 * SECOND_US);
-    assert_eq!(world.ready_count(), 4);
+    simulation.run(2 * SECOND_US);
+    assert_eq!(simulation.ready_count(), 4);
 }
 
 /// When another resolver takes the lead, instances that it lacks are removed once a second answer has confirmed that
@@ -246,29 +269,38 @@
     let mut other = zone(10);
     other.remove_instance(SERVICE, "n9");
     other.add_instance(SERVICE, "n10", instance_address(10), &[]);
-    let mut world = World::new(config(2), vec![zone(10), other]);
-    world.run(5 * SECOND_US);
+    let mut simulation = Simulation::new(config(2), vec![zone(10), other]);
+    simulation.run(5 * SECOND_US);
     assert_eq!(
-        (world.endpoint_state("n9"), world.endpoint_state("n10")),
+        (
+            simulation.endpoint_state("n9"),
+            simulation.endpoint_state("n10")
+        ),
         (Some(EndpointState::Ready), None),
         "the first resolver leads"
     );
-    world.resolver_behaviors[0] = ResolverBehavior::Silent;
-    world.run(900 * MILLISECOND_US);
+    simulation.resolver_behaviors[0] = ResolverBehavior::Silent;
+    simulation.run(900 * MILLISECOND_US);
     assert_eq!(
-        (world.endpoint_state("n9"), world.endpoint_state("n10")),
+        (
+            simulation.endpoint_state("n9"),
+            simulation.endpoint_state("n10")
+        ),
         (Some(EndpointState::Ready), Some(EndpointState::Ready))
     );
-    world.run(2 * SECOND_US);
+    simulation.run(2 * SECOND_US);
     assert_eq!(
-        (world.endpoint_state("n9"), world.endpoint_state("n10")),
+        (
+            simulation.endpoint_state("n9"),
+            simulation.endpoint_state("n10")
+        ),
         (Some(EndpointState::Draining), Some(EndpointState::Ready))
     );
-    world.resolver_behaviors[0] = ResolverBehavior::Normal;
-    let before = world.updates.len();
-    world.run(5 * SECOND_US);
+    simulation.resolver_behaviors[0] = ResolverBehavior::Normal;
+    let before = simulation.updates.len();
+    simulation.run(5 * SECOND_US);
     assert_eq!(
-        world.updates.len(),
+        simulation.updates.len(),
         before,
         "the second resolver leads until it fails"
     );
@@ -279,24 +311,27 @@
     for trusts_cached_answers in [false, true] {
         let mut zone = zone(10);
         zone.authoritative = false;
-        let mut world = World::new(
+        let mut simulation = Simulation::new(
             DnsSdConfig {
                 trusts_cached_answers,
                 ..config(1)
             },
             vec![zone],
         );
-        world.run(SECOND_US);
-        world.zones[0].remove_instance(SERVICE, "n1");
-        world.zones[0].add_instance(SERVICE, "new", instance_address(60), &[]);
-        world.run(5 * SECOND_US);
+        simulation.run(SECOND_US);
+        simulation.zones[0].remove_instance(SERVICE, "n1");
+        simulation.zones[0].add_instance(SERVICE, "new", instance_address(60), &[]);
+        simulation.run(5 * SECOND_US);
         let state = if trusts_cached_answers {
             EndpointState::Draining
         } else {
             EndpointState::Ready
         };
         assert_eq!(
-            (world.endpoint_state("n1"), world.endpoint_state("new")),
+            (
+                simulation.endpoint_state("n1"),
+                simulation.endpoint_state("new")
+            ),
             (Some(state), Some(EndpointState::Ready))
         );
     }
--- a/crates/discovery/tests/browsing/world/mod.rs
+++ b/crates/discovery/tests/browsing/world/mod.rs
@@ -13,4 +13,4 @@
     PROPAGATION_US, SECOND_US, SERVICE,
 };
 pub use push_server::push_message;
-pub use simulation::World;
+pub use simulation::Simulation;
--- a/crates/discovery/tests/browsing/world/push_server.rs
+++ b/crates/discovery/tests/browsing/world/push_server.rs
@@ -2,11 +2,11 @@
 
 use super::exchange::{Arrival, Subscription};
 use super::fixtures::ONE_WAY_DELAY_US;
-use super::simulation::World;
+use super::simulation::Simulation;
 use frosthatch_test_doubles::Zone;
 
-impl World {
-    /// Accepts or refuses a connection, as `push_server_is_up` says.
+impl Simulation {
+    /// Accepts the connection if `push_server_is_up`, otherwise refuses it.
     pub fn handle_push_connection(&mut self) {
         self.push_connections += 1;
         let result = if self.push_server_is_up {
--- a/crates/discovery/tests/browsing/world/resolver.rs
+++ b/crates/discovery/tests/browsing/world/resolver.rs
@@ -2,11 +2,11 @@
 
 use super::exchange::{Arrival, ResolverBehavior, SentQuery};
 use super::fixtures::{resolver_address, ONE_WAY_DELAY_US};
-use super::simulation::World;
+use super::simulation::Simulation;
 use frosthatch_discovery::dnssd::browser::Transport;
 use std::net::SocketAddr;
 
-impl World {
+impl Simulation {
     /// Schedules the replies to a query, according to its resolver's behavior.
     pub fn answer_query(&mut self, query: SentQuery) {
         let SentQuery {
--- a/crates/discovery/tests/browsing/world/simulation.rs
+++ b/crates/discovery/tests/browsing/world/simulation.rs
@@ -14,7 +14,7 @@
 pub type EndpointUpdate = (u64, ListKind, Vec<Endpoint>);
 
 /// A browser with its simulated servers, and a record of its outputs.
-pub struct World {
+pub struct Simulation {
     pub browser: Browser,
     pub now_us: u64,
     /// The zone of each resolver.
@@ -37,18 +37,18 @@
     pub push_connections: usize,
 }
 
-impl World {
-    pub fn new(config: DnsSdConfig, zones: Vec<Zone>) -> World {
-        World::with_known_endpoints(config, zones, Vec::new())
+impl Simulation {
+    pub fn new(config: DnsSdConfig, zones: Vec<Zone>) -> Simulation {
+        Simulation::with_known_endpoints(config, zones, Vec::new())
     }
 
     pub fn with_known_endpoints(
         config: DnsSdConfig,
         zones: Vec<Zone>,
         known_endpoints: Vec<Endpoint>,
-    ) -> World {
+    ) -> Simulation {
         let now_us = 1_700_000_000 * SECOND_US;
-        World {
+        Simulation {
             browser: Browser::new(config, known_endpoints, 7, now_us),
             now_us,
             resolver_behaviors: vec![ResolverBehavior::Normal; zones.len()],
