--- a/crates/discovery/tests/browsing/world/mod.rs
+++ b/crates/discovery/tests/browsing/world/mod.rs
@@ -1,4 +1,4 @@
-//! A browser between simulated resolvers and a simulated push server, in virtual time. The seed is the only source of
+//! Simulation of a browser with resolvers and a push server, in virtual time. The seed is the only source of
 //! randomness.
 
 mod exchange;
@@ -13,4 +13,4 @@
     PROPAGATION_US, SECOND_US, SERVICE,
 };
 pub use push_server::push_message;
-pub use simulation::World;
+pub use simulation::Simulation;
