--- a/crates/diameter/src/codec.rs
+++ b/crates/diameter/src/codec.rs
@@ -1,7 +1,7 @@
-//! Messages and AVPs on the wire (RFC 6733 sections 3 and 4).
+//! Encodes and decodes Diameter messages and AVPs (RFC 6733 sections 3 and 4).
 //!
-//! No length field is trusted before its bytes have arrived, and none determines an allocation. Unknown AVPs are kept
-//! unchanged and in order.
+//! A length field is used only after the bytes that it covers have arrived, and no allocation is sized by one. Unknown
+//! AVPs are kept unchanged and in order.
 
 mod avp;
 mod big_endian;
@@ -13,7 +13,7 @@
 mod validation;
 
 pub use avp::{find, Avp};
-pub use fault::{Fault, Unreadable};
+pub use fault::{DecodeError, Fault};
 pub use frame::{frame, MAX_MESSAGE_BYTES};
 pub use header::{flag, Header, HEADER_BYTES};
 pub use message::Message;
--- a/crates/diameter/src/codec/fault.rs
+++ b/crates/diameter/src/codec/fault.rs
@@ -1,10 +1,10 @@
-//! What is wrong with a message.
+//! Faults in received messages, and the error of a message that cannot be decoded.
 
 use super::avp::Avp;
 use super::header::Header;
-use crate::dictionary::{self, result, Kind};
+use crate::dictionary::{self, result, DataFormat};
 
-/// What is wrong with a message, as its answer reports it.
+/// A protocol violation in a message, in the form that the answer reports it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
     /// Result-Code of the answer.
@@ -14,7 +14,7 @@
 }
 
 impl Fault {
-    /// A fault of the message, not of one AVP.
+    /// Creates a fault of the message as a whole, without a Failed-AVP.
     pub fn new(result_code: u32) -> Fault {
         Fault {
             result_code,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// A fault of this AVP.
+    /// Creates a fault of `avp`, which becomes the content of the Failed-AVP.
     pub fn in_avp(result_code: u32, avp: &Avp) -> Fault {
         Fault {
             result_code,
@@ -30,13 +30,13 @@
         }
     }
 
-    /// A required AVP is missing. The Failed-AVP has an example of it, with zeros of the least length (RFC 6733 section
-    /// 7.5).
+    /// Creates the fault of a missing required AVP. The Failed-AVP contains an example of that AVP, with zeros of the
+    /// minimum length (RFC 6733 section 7.5).
     pub fn missing_avp(code: u32) -> Fault {
-        let min_data_bytes = match dictionary::kind(code) {
-            Some(Kind::Integer32 | Kind::Unsigned32 | Kind::Time) => 4,
-            Some(Kind::Integer64 | Kind::Unsigned64) => 8,
-            Some(Kind::Address) => 6,
+        let min_data_bytes = match dictionary::data_format(code) {
+            Some(DataFormat::Integer32 | DataFormat::Unsigned32 | DataFormat::Time) => 4,
+            Some(DataFormat::Integer64 | DataFormat::Unsigned64) => 8,
+            Some(DataFormat::Address) => 6,
             _ => 0,
         };
         let example = Avp::new(code, vec![0; min_data_bytes]);
@@ -47,11 +47,11 @@
     }
 }
 
-/// A message that could not be decoded, with the header that an answer to it needs.
+/// The error of a message that cannot be decoded, with the header that an answer to the message needs.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Unreadable {
-    /// All zeros if not even the header was complete.
+pub struct DecodeError {
+    /// Header of the message; all zeros if the message is shorter than a header.
     pub header: Header,
-    /// What is wrong with it.
+    /// The fault that prevented decoding.
     pub fault: Fault,
 }
--- a/crates/diameter/src/codec/frame.rs
+++ b/crates/diameter/src/codec/frame.rs
@@ -1,18 +1,19 @@
-//! Splits the byte stream of a connection into messages.
+//! Finds message boundaries in the byte stream of a connection.
 
 use super::big_endian::u24_at;
 use super::fault::Fault;
 use super::header::HEADER_BYTES;
 use crate::dictionary::result;
 
-/// Longest message that is accepted. A longer one ends the connection, because to find its end up to 16 MB would have to
-/// be read.
+/// Maximum length of an accepted message. A longer message ends the connection, because up to 16 MB would have to be
+/// read to find its end.
 pub const MAX_MESSAGE_BYTES: usize = 64 << 10;
 
-/// The length of the first message in the buffer; `None` while it is incomplete.
+/// Returns the length of the first message in the buffer, or `None` while the message is incomplete.
 ///
 /// # Errors
-/// Another version, or an impossible length: the stream cannot be read any further.
+/// Returns a fault if the protocol version is not 1 or the length is invalid. The rest of the stream cannot be split into
+/// messages then.
 pub fn frame(buffer: &[u8]) -> Result<Option<usize>, Fault> {
     if buffer.first().is_some_and(|&version| version != 1) {
         return Err(Fault::new(result::UNSUPPORTED_VERSION));
--- a/crates/diameter/src/codec/header.rs
+++ b/crates/diameter/src/codec/header.rs
@@ -1,23 +1,23 @@
-//! The header of a message (RFC 6733 section 3).
+//! Header of a Diameter message (RFC 6733 section 3).
 
-/// Length of a message's header.
+/// Length of a message header.
 pub const HEADER_BYTES: usize = 20;
 
-/// The command flags (RFC 6733 section 3).
+/// Command flags (RFC 6733 section 3).
 pub mod flag {
-    /// R: a request, not an answer.
+    /// R: the message is a request, not an answer.
     pub const REQUEST: u8 = 0x80;
-    /// P: may be proxied, relayed or redirected.
+    /// P: the message may be proxied, relayed or redirected.
     pub const PROXIABLE: u8 = 0x40;
-    /// E: an answer with a protocol error.
+    /// E: the message is an answer that reports a protocol error.
     pub const ERROR: u8 = 0x20;
-    /// T: potentially retransmitted.
+    /// T: the request is potentially a retransmission.
     pub const RETRANSMITTED: u8 = 0x10;
-    /// Bits without a meaning; they have to be zero.
+    /// Reserved bits, which must be zero.
     pub const RESERVED: u8 = 0x0f;
 }
 
-/// A message's header without version and length.
+/// A message header without its version and length fields.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Header {
     /// Command flags, see [`flag`].
@@ -26,14 +26,14 @@
     pub command: u32,
     /// Application-Id, see [`application`](crate::dictionary::application).
     pub application: u32,
-    /// Matches an answer with its request on one connection.
+    /// Hop-by-Hop Identifier, which matches an answer to its request on one connection.
     pub hop_by_hop: u32,
-    /// With the Origin-Host, identifies duplicates of a request.
+    /// End-to-End Identifier, which identifies duplicates of a request together with the Origin-Host.
     pub end_to_end: u32,
 }
 
 impl Header {
-    /// Whether any of these flags is set.
+    /// Returns whether any of the flags in `flag` is set.
     pub fn has(&self, flag: u8) -> bool {
         self.flags & flag != 0
     }
--- a/crates/diameter/src/codec/message.rs
+++ b/crates/diameter/src/codec/message.rs
@@ -1,25 +1,25 @@
-//! Messages: header and AVPs (RFC 6733 section 3).
+//! Diameter messages, which consist of a header and AVPs (RFC 6733 section 3).
 
 use super::avp::{find, Avp};
 use super::big_endian::{u24_at, u32_at};
-use super::fault::{Fault, Unreadable};
+use super::fault::{DecodeError, Fault};
 use super::header::{flag, Header, HEADER_BYTES};
-use super::read_avp::read_all;
+use super::read_avp::decode_all;
 use super::validation;
 use crate::dictionary::{code, result};
 use bytes::Bytes;
 
-/// A request or an answer.
+/// A Diameter request or answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Message {
-    /// Flags, command and identifiers.
+    /// Command flags, command code, application and identifiers.
     pub header: Header,
-    /// All AVPs in their order on the wire, unknown ones included.
+    /// All AVPs in wire order, including unknown ones.
     pub avps: Vec<Avp>,
 }
 
 impl Message {
-    /// A message without AVPs.
+    /// Creates a message without AVPs.
     pub fn new(header: Header) -> Message {
         Message {
             header,
@@ -27,13 +27,13 @@
         }
     }
 
-    /// Reads one message, framed by [`frame`](super::frame()).
+    /// Decodes one message, whose length was determined by [`frame`](super::frame()).
     ///
     /// # Errors
-    /// What is wrong with it, and its header.
-    pub fn decode(bytes: Bytes) -> Result<Message, Unreadable> {
+    /// Returns the message's header and first fault if the message cannot be decoded.
+    pub fn decode(bytes: Bytes) -> Result<Message, DecodeError> {
         if bytes.len() < HEADER_BYTES {
-            return Err(Unreadable {
+            return Err(DecodeError {
                 header: Header::default(),
                 fault: Fault::new(result::INVALID_MESSAGE_LENGTH),
             });
@@ -45,17 +45,17 @@
             hop_by_hop: u32_at(&bytes, 12),
             end_to_end: u32_at(&bytes, 16),
         };
-        let unreadable = |fault| Unreadable { header, fault };
-        // The E bit is for answers only (RFC 6733 section 3).
+        let decode_error = |fault| DecodeError { header, fault };
+        // Only answers may have the E bit (RFC 6733 section 3).
         let is_erroneous_request = header.has(flag::REQUEST) && header.has(flag::ERROR);
         if header.has(flag::RESERVED) || is_erroneous_request {
-            return Err(unreadable(Fault::new(result::INVALID_HDR_BITS)));
+            return Err(decode_error(Fault::new(result::INVALID_HDR_BITS)));
         }
-        let avps = read_all(bytes.slice(HEADER_BYTES..)).map_err(unreadable)?;
+        let avps = decode_all(bytes.slice(HEADER_BYTES..)).map_err(decode_error)?;
         Ok(Message { header, avps })
     }
 
-    /// The message's bytes on the wire.
+    /// Returns the message in wire format.
     pub fn encode(&self) -> Vec<u8> {
         let mut out = vec![1, 0, 0, 0, self.header.flags];
         out.extend(&self.header.command.to_be_bytes()[1..]);
@@ -68,7 +68,8 @@
         out
     }
 
-    /// An answer to this request that has only its Session-Id, which comes first (RFC 6733 section 6.2).
+    /// Creates an answer to this request that contains only the request's Session-Id, which comes first (RFC 6733 section
+    /// 6.2).
     pub fn answer(&self) -> Message {
         let flags = self.header.flags & flag::PROXIABLE;
         let mut answer = Message::new(Header {
@@ -79,41 +80,42 @@
         answer
     }
 
-    /// The first AVP with that code and without a vendor.
+    /// Returns the first AVP that has this code and no Vendor-Id.
     pub fn find(&self, code: u32) -> Option<&Avp> {
         find(&self.avps, code)
     }
 
-    /// The message with one more AVP at its end.
+    /// Appends an AVP to the message.
     pub fn with(mut self, avp: Avp) -> Message {
         self.avps.push(avp);
         self
     }
 
-    /// The text of an AVP; `None` if it is missing or not UTF-8.
+    /// Returns the text of the AVP with this code, or `None` if the AVP is missing or not UTF-8.
     pub fn text(&self, code: u32) -> Option<&str> {
         std::str::from_utf8(&self.find(code)?.data).ok()
     }
 
-    /// The value of an Unsigned32 AVP; `None` if it is missing or of another length.
+    /// Returns the value of the Unsigned32 AVP with this code, or `None` if the AVP is missing or its data is not 4 bytes
+    /// long.
     pub fn number(&self, code: u32) -> Option<u32> {
         self.find(code)?.u32().ok()
     }
 
-    /// The Result-Code.
+    /// Returns the Result-Code, or `None` if the message has none that is valid.
     pub fn result(&self) -> Option<u32> {
         self.number(code::RESULT_CODE)
     }
 
-    /// Checks that every AVP of a known kind has data of that kind, and that every mandatory AVP is known.
+    /// Checks that every known AVP has data in its data format, and that every mandatory AVP is known.
     ///
     /// # Errors
-    /// The first fault, in the order of the AVPs.
+    /// Returns the first fault in the order of the AVPs.
     pub fn validate(&self) -> Result<(), Fault> {
         validation::validate(&self.avps, 0)
     }
 
-    /// Approximate memory that the AVPs take, in bytes.
+    /// Returns the approximate memory use of the AVPs in bytes.
     pub(crate) fn memory_bytes(&self) -> usize {
         self.avps
             .iter()
--- a/crates/diameter/src/codec/read_avp.rs
+++ b/crates/diameter/src/codec/read_avp.rs
@@ -1,4 +1,4 @@
-//! Reads AVPs and their data (RFC 6733 section 4).
+//! Decodes AVPs and their data (RFC 6733 section 4).
 
 use super::avp::{Avp, AVP_HEADER_BYTES, VENDOR_AVP_HEADER_BYTES, VENDOR_SPECIFIC};
 use super::big_endian::{u24_at, u32_at};
@@ -6,17 +6,17 @@
 use crate::dictionary::result;
 use bytes::{Buf, Bytes};
 
-/// AVP flags without a meaning; they have to be zero.
+/// Reserved AVP flags, which must be zero.
 const RESERVED: u8 = 0x1f;
 
-/// Bytes of a truncated AVP's data that its Failed-AVP repeats.
-const MAX_FAILED_DATA_BYTES: usize = 64;
+/// Maximum number of data bytes of a truncated AVP that the Failed-AVP repeats.
+const MAX_FAILED_AVP_DATA_BYTES: usize = 64;
 
 impl Avp {
-    /// The data as Unsigned32.
+    /// Decodes the data as Unsigned32.
     ///
     /// # Errors
-    /// `INVALID_AVP_LENGTH` if the data is not of 4 bytes.
+    /// Returns `INVALID_AVP_LENGTH` if the data is not 4 bytes long.
     pub fn u32(&self) -> Result<u32, Fault> {
         let bytes = self.data[..]
             .try_into()
@@ -24,10 +24,10 @@
         Ok(u32::from_be_bytes(bytes))
     }
 
-    /// The data as Unsigned64.
+    /// Decodes the data as Unsigned64.
     ///
     /// # Errors
-    /// `INVALID_AVP_LENGTH` if the data is not of 8 bytes.
+    /// Returns `INVALID_AVP_LENGTH` if the data is not 8 bytes long.
     pub fn u64(&self) -> Result<u64, Fault> {
         let bytes = self.data[..]
             .try_into()
@@ -35,36 +35,36 @@
         Ok(u64::from_be_bytes(bytes))
     }
 
-    /// The data as text.
+    /// Decodes the data as text.
     ///
     /// # Errors
-    /// `INVALID_AVP_VALUE` if the data is not UTF-8.
+    /// Returns `INVALID_AVP_VALUE` if the data is not UTF-8.
     pub fn text(&self) -> Result<&str, Fault> {
         std::str::from_utf8(&self.data).map_err(|_| Fault::in_avp(result::INVALID_AVP_VALUE, self))
     }
 
-    /// The AVPs of a group.
+    /// Decodes the members of a grouped AVP.
     ///
     /// # Errors
-    /// What is wrong with the first member that cannot be read, or that does not fit into the group.
+    /// Returns the fault of the first member that cannot be decoded or that extends beyond the group.
     pub fn group(&self) -> Result<Vec<Avp>, Fault> {
-        read_all(self.data.clone())
+        decode_all(self.data.clone())
     }
 }
 
-/// Reads a sequence of AVPs that fills `bytes` exactly.
-pub(super) fn read_all(mut bytes: Bytes) -> Result<Vec<Avp>, Fault> {
+/// Decodes a sequence of AVPs that fills `bytes` exactly.
+pub(super) fn decode_all(mut bytes: Bytes) -> Result<Vec<Avp>, Fault> {
     let mut avps = Vec::new();
     while !bytes.is_empty() {
-        avps.push(read_next(&mut bytes)?);
+        avps.push(decode_next(&mut bytes)?);
     }
     Ok(avps)
 }
 
-/// Takes the first AVP and its padding off `bytes`.
-fn read_next(bytes: &mut Bytes) -> Result<Avp, Fault> {
+/// Decodes the first AVP and removes it, with its padding, from `bytes`.
+fn decode_next(bytes: &mut Bytes) -> Result<Avp, Fault> {
     if bytes.len() < AVP_HEADER_BYTES {
-        return Err(truncated(0, 0, bytes));
+        return Err(truncated_avp_fault(0, 0, bytes));
     }
     let code = u32_at(bytes, 0);
     let flags = bytes[4];
@@ -77,8 +77,12 @@
     };
     let padded_length = length.next_multiple_of(4);
     if length < header_bytes || padded_length > bytes.len() {
-        let rest = bytes.slice(AVP_HEADER_BYTES..);
-        return Err(truncated(code, flags & !VENDOR_SPECIFIC, &rest));
+        let remaining = bytes.slice(AVP_HEADER_BYTES..);
+        return Err(truncated_avp_fault(
+            code,
+            flags & !VENDOR_SPECIFIC,
+            &remaining,
+        ));
     }
     let avp = Avp {
         code,
@@ -93,14 +97,14 @@
     Ok(avp)
 }
 
-/// The fault of an AVP whose length does not fit. Its Failed-AVP has what is left of the data, with a correct length
-/// (RFC 6733 section 7.1.5).
-fn truncated(code: u32, flags: u8, rest: &Bytes) -> Fault {
+/// Returns the fault of an AVP whose length is too short for its header or exceeds the remaining bytes. The Failed-AVP
+/// contains the remaining data, with a correct length (RFC 6733 section 7.1.5).
+fn truncated_avp_fault(code: u32, flags: u8, remaining: &Bytes) -> Fault {
     let avp = Avp {
         code,
         flags,
         vendor: None,
-        data: rest.slice(..rest.len().min(MAX_FAILED_DATA_BYTES)),
+        data: remaining.slice(..remaining.len().min(MAX_FAILED_AVP_DATA_BYTES)),
     };
     Fault::in_avp(result::INVALID_AVP_LENGTH, &avp)
 }
--- a/crates/diameter/src/credit.rs
+++ b/crates/diameter/src/credit.rs
@@ -1,5 +1,7 @@
-//! Credit control (RFC 8506) between clients and the decisions of the gateway: reads requests, assigns them to sessions,
-//! detects duplicates, and interprets result codes. No I/O and no clock: times are microseconds, handed in.
+//! Credit control (RFC 8506): validates requests, assigns them to sessions, detects duplicates, and classifies result
+//! codes. [`front`](crate::front) passes the resulting [`CreditRequest`]s to the engine.
+//!
+//! This module does no I/O and reads no clock: the caller passes the time in microseconds.
 
 mod duplicates;
 mod forwarding;
@@ -18,37 +20,37 @@
 use request::{CcrFields, RequestType};
 use sessions::{Account, Session, SessionTable};
 
-/// A credit-control request in the terms of the gateway's decisions.
+/// A credit-control request, mapped to the customer, plan, class and units that the engine decides on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CreditRequest {
-    /// The customer's number in 16 hexadecimal digits.
+    /// Customer number in 16 hexadecimal digits.
     pub customer: String,
-    /// The customer's plan.
+    /// Plan of the customer.
     pub plan: String,
-    /// The request class.
+    /// Class of the request.
     pub class: String,
-    /// Requested units.
+    /// Number of requested units.
     pub units: f64,
-    /// The server that has the state of its session.
+    /// Server that holds the state of the request's session, if any.
     pub sticky_server: Option<String>,
-    /// Whether another server may be tried if that one is lost.
+    /// Whether another server may be tried if `sticky_server` is unavailable.
     pub may_fail_over: bool,
 }
 
-/// What is to be done with a request that was received.
+/// The action to take for a received request.
 #[derive(Debug, PartialEq)]
 pub enum Disposition {
-    /// Submit it; its answer goes to [`CreditControl::complete`].
+    /// Submit the request to the engine and pass its answer to [`CreditControl::complete`].
     Submit(RequestKey, CreditRequest),
-    /// It duplicates a request in flight, and gets the same answer.
+    /// Do nothing: the request duplicates one in flight, and its client gets the same answer.
     Joined,
-    /// It duplicates a request that has this answer.
+    /// Send this cached answer: the request duplicates one that was answered.
     Answered(Message),
-    /// Answer it with this fault.
+    /// Answer the request with this fault.
     Rejected(Fault),
 }
 
-/// Sessions, and requests in flight. `C` identifies a waiting client.
+/// Tracks sessions, requests in flight and cached answers. `C` identifies a waiting client.
 pub struct CreditControl<C> {
     mapping: Mapping,
     sessions: SessionTable,
@@ -56,7 +58,7 @@
 }
 
 impl<C> CreditControl<C> {
-    /// Without sessions or requests.
+    /// Creates a tracker without sessions or requests.
     pub fn new(mapping: Mapping) -> Self {
         CreditControl {
             mapping,
@@ -65,18 +67,18 @@
         }
     }
 
-    /// Changes the mapping for requests from now on. Open sessions keep their plans.
+    /// Replaces the mapping for subsequent requests. Open sessions keep their plans.
     pub fn set_mapping(&mut self, mapping: Mapping) {
         self.duplicates.shrink_to(mapping.max_cached_answer_bytes);
         self.mapping = mapping;
     }
 
-    /// Sessions that are stored.
+    /// Returns the number of stored sessions, including expired ones that are not removed yet.
     pub fn session_count(&self) -> usize {
         self.sessions.len()
     }
 
-    /// Accepts a Credit-Control-Request from a client.
+    /// Handles a Credit-Control-Request from a client.
     pub fn accept(&mut self, now_us: u64, ccr: &Message, client: C) -> Disposition {
         self.duplicates.evict_expired(now_us);
         let key = match RequestKey::read(ccr) {
@@ -93,7 +95,7 @@
         if !self.duplicates.make_room(self.mapping.max_tracked_requests) {
             return Disposition::Rejected(Fault::new(result::TOO_BUSY));
         }
-        match self.read(now_us, ccr) {
+        match self.read_request(now_us, ccr) {
             Ok(request) => {
                 self.duplicates.insert_in_flight(key.clone(), client);
                 Disposition::Submit(key, request)
@@ -102,29 +104,34 @@
         }
     }
 
-    /// Removes clients that have gone. Their request stays in flight, because a duplicate may come over another connection
-    /// (RFC 6733 section 5.5.4).
-    pub fn remove_clients(&mut self, key: &RequestKey, has_gone: impl Fn(&C) -> bool) {
+    /// Removes disconnected clients from a request. The request stays in flight, because a duplicate may arrive on another
+    /// connection (RFC 6733 section 5.5.4).
+    pub fn remove_clients(&mut self, key: &RequestKey, is_disconnected: impl Fn(&C) -> bool) {
         if let Some(clients) = self.duplicates.waiting_clients(key) {
-            clients.retain(|client| !has_gone(client));
+            clients.retain(|client| !is_disconnected(client));
         }
     }
 
-    /// Removes clients that have gone, and their request if none remains. Returns whether it was removed.
-    pub fn cancel_for_clients(&mut self, key: &RequestKey, has_gone: impl Fn(&C) -> bool) -> bool {
+    /// Removes disconnected clients from a request, and the request itself if no client remains. Returns whether the
+    /// request was removed.
+    pub fn cancel_for_clients(
+        &mut self,
+        key: &RequestKey,
+        is_disconnected: impl Fn(&C) -> bool,
+    ) -> bool {
         let Some(clients) = self.duplicates.waiting_clients(key) else {
             return false;
         };
-        clients.retain(|client| !has_gone(client));
-        let is_unwanted = clients.is_empty();
-        if is_unwanted {
+        clients.retain(|client| !is_disconnected(client));
+        let has_no_clients = clients.is_empty();
+        if has_no_clients {
             self.duplicates.remove(key);
         }
-        is_unwanted
+        has_no_clients
     }
 
-    /// Records the answer of a request in flight, and returns the clients that get it. `server`: the one that answered;
-    /// `None` if the gateway did.
+    /// Records the answer to a request in flight, and returns the clients to send the answer to. `server` is the server
+    /// that answered, `None` if the gateway did.
     pub fn complete(
         &mut self,
         now_us: u64,
@@ -136,7 +143,8 @@
         let Some(clients) = self.duplicates.remove(key) else {
             return Vec::new();
         };
-        // A rejected request was not executed: the client repeats it with the same identifiers, and it is executed then.
+        // A rejected request was not executed. A cached rejection would answer the client's retry, which has the same
+        // identifiers and has to be executed.
         if answer.result() != Some(result::TOO_BUSY) {
             self.duplicates
                 .cache_answer(now_us, key, answer, &self.mapping);
@@ -147,18 +155,18 @@
         clients
     }
 
-    /// Removes the sessions of a server that has restarted, and has lost them (RFC 6733 section 8.16).
+    /// Removes the sessions of a server that has restarted and lost their state (RFC 6733 section 8.16).
     pub fn remove_sessions_of(&mut self, server: &str) {
         self.sessions.remove_sessions_of(server);
     }
 
-    /// Reads a request and finds or opens its session.
-    fn read(&mut self, now_us: u64, ccr: &Message) -> Result<CreditRequest, Fault> {
+    /// Validates a request and finds or opens its session.
+    fn read_request(&mut self, now_us: u64, ccr: &Message) -> Result<CreditRequest, Fault> {
         let fields = CcrFields::read(ccr, &self.mapping)?;
         let session = self
             .sessions
-            .active(now_us, fields.session_id, &self.mapping);
-        let account = account(&fields, session, &self.mapping)?;
+            .find_active(now_us, fields.session_id, &self.mapping);
+        let account = resolve_account(&fields, session, &self.mapping)?;
         let mut request = CreditRequest {
             customer: account.customer.clone(),
             plan: account.plan.clone(),
@@ -185,8 +193,9 @@
     }
 }
 
-/// The customer's account. Only the first request of a session has to identify the customer (RFC 8506 section 3.1).
-fn account(
+/// Returns the account of the request's customer, from the request or from its session. Only the first request of a
+/// session has to identify the customer (RFC 8506 section 3.1).
+fn resolve_account(
     fields: &CcrFields,
     session: Option<&Session>,
     mapping: &Mapping,
--- a/crates/diameter/src/credit/duplicates.rs
+++ b/crates/diameter/src/credit/duplicates.rs
@@ -1,26 +1,30 @@
-//! Detection of duplicate requests (RFC 6733 section 3): which requests are in flight, and cached answers.
+//! Detects duplicate requests (RFC 6733 section 3) by tracking requests in flight and cached answers.
 
 use super::mapping::Mapping;
 use super::request::RequestKey;
 use crate::codec::Message;
 use std::collections::{BTreeMap, VecDeque};
 
+/// The state of a tracked request.
 enum Entry<C> {
-    /// The clients that wait for the answer.
+    /// The request is in flight; these clients wait for its answer.
     InFlight(Vec<C>),
+    /// The request was answered; duplicates get this cached answer.
     Answered(Message),
 }
 
+/// The time at which the cached answer to a request expires.
 struct Expiry {
-    at_us: u64,
+    expires_at_us: u64,
     key: RequestKey,
 }
 
-/// Requests that are in flight or were answered lately, with the clients `C` that wait for them.
+/// Requests in flight with the clients `C` that wait for them, and cached answers of completed requests.
 pub(super) struct DuplicateTable<C> {
     entries: BTreeMap<RequestKey, Entry<C>>,
-    /// Of cached answers, oldest first.
+    /// Expiry times of cached answers, oldest first.
     expiries: VecDeque<Expiry>,
+    /// Approximate memory use of all cached answers.
     cached_bytes: usize,
 }
 
@@ -33,7 +37,7 @@
         }
     }
 
-    /// The clients that wait for a request in flight.
+    /// Returns the clients that wait for a request in flight, or `None` if it is not in flight.
     pub(super) fn waiting_clients(&mut self, key: &RequestKey) -> Option<&mut Vec<C>> {
         match self.entries.get_mut(key) {
             Some(Entry::InFlight(clients)) => Some(clients),
@@ -41,6 +45,7 @@
         }
     }
 
+    /// Returns the cached answer to a request.
     pub(super) fn cached_answer(&self, key: &RequestKey) -> Option<&Message> {
         match self.entries.get(key) {
             Some(Entry::Answered(answer)) => Some(answer),
@@ -48,16 +53,19 @@
         }
     }
 
-    /// Makes room for one more request, and returns whether there is any. Requests in flight are never evicted.
+    /// Makes room for one more request, if necessary by evicting the oldest cached answer, and returns whether there is
+    /// room. Requests in flight are never evicted.
     pub(super) fn make_room(&mut self, max_entries: usize) -> bool {
         self.entries.len() < max_entries || self.evict_oldest_answer()
     }
 
+    /// Inserts a request in flight that one client waits for.
     pub(super) fn insert_in_flight(&mut self, key: RequestKey, client: C) {
         self.entries.insert(key, Entry::InFlight(vec![client]));
     }
 
-    /// Removes a request, also if it was answered. Returns the clients that wait for it, `None` if it is not in flight.
+    /// Removes a request in flight or its cached answer. Returns the clients that wait for the request, or `None` if it is
+    /// not in flight.
     pub(super) fn remove(&mut self, key: &RequestKey) -> Option<Vec<C>> {
         match self.entries.remove(key) {
             Some(Entry::InFlight(clients)) => Some(clients),
@@ -65,7 +73,7 @@
         }
     }
 
-    /// Caches an answer for duplicates of its request.
+    /// Caches the answer to a request for duplicates of that request.
     pub(super) fn cache_answer(
         &mut self,
         now_us: u64,
@@ -77,28 +85,29 @@
         self.entries
             .insert(key.clone(), Entry::Answered(answer.clone()));
         self.expiries.push_back(Expiry {
-            at_us: now_us + mapping.duplicate_window_us,
+            expires_at_us: now_us + mapping.duplicate_window_us,
             key: key.clone(),
         });
         self.shrink_to(mapping.max_cached_answer_bytes);
     }
 
-    /// Evicts the oldest answers until the others fit into so many bytes.
+    /// Evicts the oldest cached answers until the remaining ones take at most `max_bytes`.
     pub(super) fn shrink_to(&mut self, max_bytes: usize) {
         while self.cached_bytes > max_bytes && self.evict_oldest_answer() {}
     }
 
+    /// Evicts the cached answers that have expired.
     pub(super) fn evict_expired(&mut self, now_us: u64) {
         while self
             .expiries
             .front()
-            .is_some_and(|expiry| expiry.at_us <= now_us)
+            .is_some_and(|expiry| expiry.expires_at_us <= now_us)
         {
             self.evict_oldest_answer();
         }
     }
 
-    /// Returns whether there was any.
+    /// Evicts the oldest cached answer. Returns `false` if there is none.
     fn evict_oldest_answer(&mut self) -> bool {
         let Some(Expiry { key, .. }) = self.expiries.pop_front() else {
             return false;
--- a/crates/diameter/src/credit/forwarding.rs
+++ b/crates/diameter/src/credit/forwarding.rs
@@ -1,16 +1,16 @@
-//! Requests on their way to a server, and what a server's answer means for the attempt.
+//! Prepares requests for forwarding to a server, and classifies the server's answers.
 
 use crate::codec::{flag, Avp, Message};
 use crate::dictionary::{code, result};
 
-/// The outcome of an attempt by its answer.
+/// The outcome of an attempt, as indicated by the server's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerClass {
-    /// The server executed the request, or decided on it; its answer goes to the client unchanged.
+    /// The server executed the request or decided against it; the client gets the answer unchanged.
     Final,
-    /// The server states that it did not execute the request.
+    /// The answer states that the request was not executed.
     Rejected,
-    /// The server may have executed the request.
+    /// The server failed, and may have executed the request.
     Failed,
 }
 
@@ -25,8 +25,8 @@
     }
 }
 
-/// The request as it is sent to a server: with the Hop-by-Hop Identifier of that connection, and the client's host in its
-/// Route-Record. `is_retransmission`: an earlier attempt may have been executed.
+/// Creates the request to send to a server, with the Hop-by-Hop Identifier of the server's connection and a Route-Record
+/// that names the client's host. `is_retransmission` is set if an earlier attempt may have been executed.
 pub fn forwarded_request(
     ccr: &Message,
     client_host: &str,
@@ -41,7 +41,7 @@
     request.with(Avp::of_text(code::ROUTE_RECORD, client_host))
 }
 
-/// Whether the request has passed through `own_host` before (RFC 6733 section 6.1.3).
+/// Returns whether the request has already passed through `own_host` (RFC 6733 section 6.1.3).
 pub fn has_loop(ccr: &Message, own_host: &str) -> bool {
     let mut records = ccr.avps.iter().filter(|avp| avp.code == code::ROUTE_RECORD);
     records.any(|record| {
--- a/crates/diameter/src/credit/mapping.rs
+++ b/crates/diameter/src/credit/mapping.rs
@@ -1,28 +1,29 @@
-//! What the operator configures of credit control.
+//! Configuration of credit control.
 
 use std::collections::BTreeMap;
 
-/// Maps the terms of credit control to classes and plans of the gateway, and bounds what is stored.
+/// Maps credit-control requests to the gateway's classes and plans, and limits stored sessions, requests and answers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Mapping {
     /// Class of `CHECK_BALANCE` and `PRICE_ENQUIRY` events, which are idempotent.
     pub check_class: String,
-    /// Class of `DIRECT_DEBITING` and `REFUND_ACCOUNT` events, and of sessions: idempotent by their key only.
+    /// Class of `DIRECT_DEBITING` and `REFUND_ACCOUNT` events and of all session requests, which are idempotent only by
+    /// their request key.
     pub charge_class: String,
-    /// Plans of customers, by their number.
+    /// Plans of customers, by customer number.
     pub plans: BTreeMap<u64, String>,
-    /// Plan of all other customers; `None`: they are unknown.
+    /// Plan of customers that are not in `plans`; `None` rejects them as unknown.
     pub default_plan: Option<String>,
-    /// Most units of one request.
+    /// Maximum number of units of one request.
     pub max_units: f64,
-    /// Microseconds after which a session without successful requests expires.
+    /// Time after which a session without successful requests expires, in microseconds.
     pub session_timeout_us: u64,
-    /// Microseconds for which an answer is cached for duplicates of its request.
+    /// Time for which an answer is cached for duplicates of its request, in microseconds.
     pub duplicate_window_us: u64,
-    /// Most sessions.
+    /// Maximum number of sessions.
     pub max_sessions: usize,
-    /// Most requests that are in flight or whose answers are cached.
+    /// Maximum number of requests that are in flight or have a cached answer.
     pub max_tracked_requests: usize,
-    /// Most bytes of cached answers.
+    /// Maximum memory use of cached answers in bytes.
     pub max_cached_answer_bytes: usize,
 }
--- a/crates/diameter/src/credit/request.rs
+++ b/crates/diameter/src/credit/request.rs
@@ -1,62 +1,66 @@
-//! Reads Credit-Control-Requests.
+//! Validates Credit-Control-Requests and extracts their fields.
 
 use super::mapping::Mapping;
 use super::units::requested_units;
 use crate::codec::{find, Avp, Fault, Message};
 use crate::dictionary::{application, code, result};
 
-/// Longest Session-Id or Origin-Host: they are stored.
-const MAX_NAME_BYTES: usize = 256;
-/// Customers' numbers are below this, as over HTTP.
+/// Maximum length of a Session-Id or Origin-Host, as both are stored.
+const MAX_IDENTIFIER_BYTES: usize = 256;
+/// Exclusive upper bound of customer numbers, the same as over HTTP.
 const CUSTOMER_NUMBER_LIMIT: u64 = 1 << 33;
 
-/// Values of Subscription-Id-Type (RFC 8506 section 8.47).
+/// Subscription-Id-Type of a telephone number (RFC 8506 section 8.47).
 const END_USER_E164: u32 = 0;
+/// Subscription-Id-Type of a private identifier (RFC 8506 section 8.47).
 const END_USER_PRIVATE: u32 = 4;
-/// Digits of an `END_USER_PRIVATE`.
+/// Number of hexadecimal digits of an `END_USER_PRIVATE` identifier.
 const PRIVATE_ID_DIGITS: usize = 16;
 
-/// Values of Requested-Action (RFC 8506 section 8.41).
+// Values of Requested-Action (RFC 8506 section 8.41).
 const DIRECT_DEBITING: u32 = 0;
 const REFUND_ACCOUNT: u32 = 1;
 const CHECK_BALANCE: u32 = 2;
 const PRICE_ENQUIRY: u32 = 3;
 
-/// Identifies a request and its duplicates (RFC 6733 section 3: Origin-Host and End-to-End Identifier).
+/// Identifies a request and its duplicates by Origin-Host and End-to-End Identifier (RFC 6733 section 3).
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestKey {
-    /// The client's Origin-Host in lower case.
+    /// Origin-Host of the client in lower case.
     pub host: String,
-    /// The client's End-to-End Identifier.
+    /// End-to-End Identifier that the client assigned.
     pub end_to_end: u32,
 }
 
 impl RequestKey {
+    /// Reads the key of a request.
+    ///
     /// # Errors
-    /// The Origin-Host is missing or invalid.
+    /// Returns a fault if the Origin-Host is missing or invalid.
     pub(super) fn read(ccr: &Message) -> Result<RequestKey, Fault> {
-        let host = required(ccr, code::ORIGIN_HOST)?;
+        let host = required_avp(ccr, code::ORIGIN_HOST)?;
         Ok(RequestKey {
-            host: name(host)?.to_ascii_lowercase(),
+            host: bounded_text(host)?.to_ascii_lowercase(),
             end_to_end: ccr.header.end_to_end,
         })
     }
 }
 
-/// CC-Request-Type (RFC 8506 section 8.3).
+/// Values of CC-Request-Type (RFC 8506 section 8.3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RequestType {
-    /// Opens a session.
+    /// The request opens a session.
     Initial,
-    /// Within a session.
+    /// The request belongs to an open session.
     Update,
-    /// Ends a session.
+    /// The request ends a session.
     Termination,
-    /// Without a session.
+    /// The request belongs to no session.
     Event,
 }
 
 impl RequestType {
+    /// Returns the request type with this CC-Request-Type value.
     pub(super) fn from_code(code: u32) -> Option<RequestType> {
         match code {
             1 => Some(RequestType::Initial),
@@ -68,36 +72,39 @@
     }
 
     fn read(ccr: &Message) -> Result<RequestType, Fault> {
-        let avp = required(ccr, code::CC_REQUEST_TYPE)?;
+        let avp = required_avp(ccr, code::CC_REQUEST_TYPE)?;
         RequestType::from_code(avp.u32()?)
             .ok_or_else(|| Fault::in_avp(result::INVALID_AVP_VALUE, avp))
     }
 }
 
-/// A valid request, before its session is known.
+/// The fields of a valid request, before its session is looked up.
 pub(super) struct CcrFields<'a> {
     pub(super) session_id: &'a str,
     pub(super) request_type: RequestType,
-    /// The request class of the gateway.
+    /// The gateway's class for the request.
     pub(super) class: String,
+    /// Number of requested units.
     pub(super) units: f64,
-    /// The customer's number, if the request has one.
+    /// Customer number, if the request has a Subscription-Id.
     pub(super) customer_number: Option<u64>,
 }
 
 impl CcrFields<'_> {
+    /// Validates a request and reads its fields.
+    ///
     /// # Errors
-    /// The first AVP that is missing or invalid.
+    /// Returns the fault of the first AVP that is missing or invalid.
     pub(super) fn read<'a>(ccr: &'a Message, mapping: &Mapping) -> Result<CcrFields<'a>, Fault> {
-        let session_id = name(required(ccr, code::SESSION_ID)?)?;
-        required(ccr, code::ORIGIN_REALM)?;
-        required(ccr, code::DESTINATION_REALM)?;
-        required(ccr, code::SERVICE_CONTEXT_ID)?;
-        let application_id = required(ccr, code::AUTH_APPLICATION_ID)?;
+        let session_id = bounded_text(required_avp(ccr, code::SESSION_ID)?)?;
+        required_avp(ccr, code::ORIGIN_REALM)?;
+        required_avp(ccr, code::DESTINATION_REALM)?;
+        required_avp(ccr, code::SERVICE_CONTEXT_ID)?;
+        let application_id = required_avp(ccr, code::AUTH_APPLICATION_ID)?;
         if application_id.u32()? != application::CREDIT_CONTROL {
             return Err(Fault::in_avp(result::INVALID_AVP_VALUE, application_id));
         }
-        required(ccr, code::CC_REQUEST_NUMBER)?.u32()?;
+        required_avp(ccr, code::CC_REQUEST_NUMBER)?.u32()?;
         let request_type = RequestType::read(ccr)?;
         let class = match request_type {
             RequestType::Event => event_class(ccr, mapping)?,
@@ -107,14 +114,15 @@
             session_id,
             request_type,
             class,
-            units: units(ccr, request_type, mapping.max_units)?,
+            units: read_units(ccr, request_type, mapping.max_units)?,
             customer_number: customer_number(ccr)?,
         })
     }
 }
 
+/// Returns the class of an event, according to its Requested-Action.
 fn event_class(ccr: &Message, mapping: &Mapping) -> Result<String, Fault> {
-    let action = required(ccr, code::REQUESTED_ACTION)?;
+    let action = required_avp(ccr, code::REQUESTED_ACTION)?;
     match action.u32()? {
         DIRECT_DEBITING | REFUND_ACCOUNT => Ok(mapping.charge_class.clone()),
         CHECK_BALANCE | PRICE_ENQUIRY => Ok(mapping.check_class.clone()),
@@ -122,7 +130,8 @@
     }
 }
 
-fn units(ccr: &Message, request_type: RequestType, max_units: f64) -> Result<f64, Fault> {
+/// Returns the requested units, which default to 1 for an event and 0 for a session request.
+fn read_units(ccr: &Message, request_type: RequestType, max_units: f64) -> Result<f64, Fault> {
     let default_units = if request_type == RequestType::Event {
         1.0
     } else {
@@ -141,10 +150,13 @@
     Ok(units)
 }
 
-/// The customer's number, from the first Subscription-Id that has one (RFC 8506 section 8.46).
+/// Reads the customer number from the first Subscription-Id that contains one (RFC 8506 section 8.46).
 fn customer_number(ccr: &Message) -> Result<Option<u64>, Fault> {
     let mut fault = None;
-    let subscriptions = ccr.avps.iter().filter(|avp| avp.is(code::SUBSCRIPTION_ID));
+    let subscriptions = ccr
+        .avps
+        .iter()
+        .filter(|avp| avp.is_base_avp(code::SUBSCRIPTION_ID));
     for avp in subscriptions {
         let number = subscription_number(avp)?;
         if number.is_some() {
@@ -155,7 +167,8 @@
     fault.map_or(Ok(None), Err)
 }
 
-/// `END_USER_E164` in decimal digits, or `END_USER_PRIVATE` as the 16 hexadecimal digits of the key over HTTP.
+/// Reads the customer number from a Subscription-Id: an `END_USER_E164` in decimal digits, or an `END_USER_PRIVATE` of 16
+/// hexadecimal digits, the format of customer keys over HTTP.
 fn subscription_number(subscription: &Avp) -> Result<Option<u64>, Fault> {
     let group = subscription.group()?;
     let member = |code| find(&group, code).ok_or_else(|| Fault::missing_avp(code));
@@ -172,14 +185,18 @@
     Ok(number.filter(|&number| number < CUSTOMER_NUMBER_LIMIT))
 }
 
-fn required(ccr: &Message, code: u32) -> Result<&Avp, Fault> {
+/// Returns the AVP with this code.
+///
+/// # Errors
+/// Returns `MISSING_AVP` if the request does not contain the AVP.
+fn required_avp(ccr: &Message, code: u32) -> Result<&Avp, Fault> {
     ccr.find(code).ok_or_else(|| Fault::missing_avp(code))
 }
 
-/// A text that is neither empty nor too long to be stored.
-fn name(avp: &Avp) -> Result<&str, Fault> {
+/// Returns the text of an AVP, which must not be empty and must be at most [`MAX_IDENTIFIER_BYTES`] long.
+fn bounded_text(avp: &Avp) -> Result<&str, Fault> {
     let text = avp.text()?;
-    if text.is_empty() || text.len() > MAX_NAME_BYTES {
+    if text.is_empty() || text.len() > MAX_IDENTIFIER_BYTES {
         return Err(Fault::in_avp(result::INVALID_AVP_VALUE, avp));
     }
     Ok(text)
--- a/crates/diameter/src/credit/sessions.rs
+++ b/crates/diameter/src/credit/sessions.rs
@@ -1,4 +1,4 @@
-//! Credit-control sessions: whose they are, and which server has their state.
+//! Credit-control sessions, with the account of each and the server that holds its state.
 
 use super::mapping::Mapping;
 use super::request::RequestType;
@@ -6,41 +6,46 @@
 use crate::dictionary::{code, result};
 use std::collections::HashMap;
 
-/// CC-Session-Failover (RFC 8506 section 8.4).
+/// CC-Session-Failover value: another server can continue the session (RFC 8506 section 8.4).
 const FAILOVER_SUPPORTED: u32 = 1;
-/// Credit-Control-Failure-Handling (section 8.14): the session ends with its server. The default without the AVP.
+/// Credit-Control-Failure-Handling value (RFC 8506 section 8.14): the session ends if its server fails. This is the
+/// default without the AVP.
 const TERMINATE: u32 = 0;
 
-/// A customer with its plan.
+/// A customer and the customer's plan.
 #[derive(Clone)]
 pub(super) struct Account {
     pub(super) customer: String,
     pub(super) plan: String,
 }
 
+/// An open credit-control session.
 pub(super) struct Session {
     pub(super) account: Account,
-    /// The server that answered last with success.
+    /// Server that sent the last successful answer, `None` before the first one.
     pub(super) server: Option<String>,
-    /// CC-Session-Failover of the last answer that had one.
+    /// Whether CC-Session-Failover, in the last successful answer that contained it, is `FAILOVER_SUPPORTED`.
     supports_failover: bool,
-    /// Whether Credit-Control-Failure-Handling of the last answer that had one allows another server.
+    /// Whether Credit-Control-Failure-Handling, in the last successful answer that contained it, is not `TERMINATE`.
     continues_on_failure: bool,
+    /// Time of the last successful answer, or of the session's opening before the first one.
     updated_us: u64,
 }
 
 impl Session {
-    /// Whether another server may be tried if its own is lost (RFC 8506 sections 5.7 and 8.14).
+    /// Returns whether another server may be tried if the session's server is unavailable (RFC 8506 sections 5.7 and
+    /// 8.14).
     pub(super) fn may_fail_over(&self) -> bool {
         self.supports_failover && self.continues_on_failure
     }
 
+    /// Returns whether the session has not expired.
     fn is_active(&self, now_us: u64, timeout_us: u64) -> bool {
         now_us < self.updated_us + timeout_us
     }
 }
 
-/// All sessions, by their Session-Id.
+/// All sessions by Session-Id.
 #[derive(Default)]
 pub(super) struct SessionTable {
     sessions: HashMap<String, Session>,
@@ -51,8 +56,8 @@
         self.sessions.len()
     }
 
-    /// The session, unless it has expired.
-    pub(super) fn active(
+    /// Returns the session with this Session-Id, unless it has expired.
+    pub(super) fn find_active(
         &self,
         now_us: u64,
         session_id: &str,
@@ -63,10 +68,10 @@
             .filter(|session| session.is_active(now_us, mapping.session_timeout_us))
     }
 
-    /// Opens a session that no server has answered yet.
+    /// Opens a session, which no server has answered yet.
     ///
     /// # Errors
-    /// `TOO_BUSY` if there are too many.
+    /// Returns `TOO_BUSY` if `max_sessions` unexpired sessions exist.
     pub(super) fn open(
         &mut self,
         now_us: u64,
@@ -92,7 +97,7 @@
         Ok(())
     }
 
-    /// Updates the session of `ccr` by a server's answer.
+    /// Updates or removes the session of `ccr` according to the server's answer.
     pub(super) fn apply_answer(
         &mut self,
         now_us: u64,
@@ -113,6 +118,7 @@
         }
     }
 
+    /// Updates a session after a successful answer. Removes it if the server does not know it or never opened it.
     fn update(&mut self, now_us: u64, session_id: &str, answer: &Message, server: &str) {
         let Some(session) = self.sessions.get_mut(session_id) else {
             return;
@@ -132,7 +138,7 @@
         }
     }
 
-    /// Removes the sessions whose state a server has lost.
+    /// Removes the sessions whose state `server` held.
     pub(super) fn remove_sessions_of(&mut self, server: &str) {
         self.sessions
             .retain(|_, session| session.server.as_deref() != Some(server));
--- a/crates/diameter/src/credit/units.rs
+++ b/crates/diameter/src/credit/units.rs
@@ -1,18 +1,19 @@
-//! How many units a request asks for (RFC 8506 sections 8.16 and 8.18).
+//! Reads the number of units that a request asks for (RFC 8506 sections 8.16 and 8.18).
 
 use crate::codec::{find, Avp, Fault, Message};
 use crate::dictionary::{code, result};
 
-/// Amounts of money are below this: they are exact to a part of the currency unit as f64.
+/// Exclusive upper bound of amounts of money. Below it, an `f64` is precise to a fraction
+/// of the currency unit.
 const MONEY_LIMIT: f64 = 1e15;
-/// Largest power of ten that an amount of money is scaled by, in both directions.
+/// Maximum absolute value of the power of ten that an amount of money is scaled by.
 const MAX_EXPONENT: i32 = 18;
 
-/// The sum over the request and all its services, in service-specific units or whole currency units; `None` if nothing is
-/// requested.
+/// Returns the sum of the units requested by the request and all its services, in service-specific units or whole
+/// currency units, or `None` if no units are requested.
 ///
 /// # Errors
-/// The first AVP that cannot be read.
+/// Returns the fault of the first AVP that cannot be decoded.
 pub(super) fn requested_units(ccr: &Message) -> Result<Option<f64>, Fault> {
     let mut sum = None;
     add_units(&ccr.avps, &mut sum)?;
@@ -26,27 +27,30 @@
     Ok(sum)
 }
 
+/// Adds the units of every Requested-Service-Unit in `avps` to `sum`.
 fn add_units(avps: &[Avp], sum: &mut Option<f64>) -> Result<(), Fault> {
     let requested = avps
         .iter()
-        .filter(|avp| avp.is(code::REQUESTED_SERVICE_UNIT));
+        .filter(|avp| avp.is_base_avp(code::REQUESTED_SERVICE_UNIT));
     for avp in requested {
         *sum = Some(sum.unwrap_or(0.0) + service_units(&avp.group()?)?);
     }
     Ok(())
 }
 
+/// Returns the units of one Requested-Service-Unit.
 fn service_units(group: &[Avp]) -> Result<f64, Fault> {
     if let Some(units) = find(group, code::CC_SERVICE_SPECIFIC_UNITS) {
         Ok(units.u64()? as f64)
     } else if let Some(money) = find(group, code::CC_MONEY) {
         money_amount(money)
     } else {
-        // Without a number the server decides how much it grants (section 8.18).
+        // Without a number, the server decides how many units it grants (RFC 8506 section 8.18).
         Ok(1.0)
     }
 }
 
+/// Returns an amount of money in whole currency units.
 fn money_amount(money: &Avp) -> Result<f64, Fault> {
     let group = money.group()?;
     let value = find(&group, code::UNIT_VALUE)
--- a/crates/diameter/src/dictionary.rs
+++ b/crates/diameter/src/dictionary.rs
@@ -1,55 +1,55 @@
-//! Codes of AVPs, commands, applications and results that the gateway knows (RFC 6733 section 4.5, RFC 8506 section 8,
-//! RFC 7683 section 7).
+//! Dictionary of the AVPs, commands, applications and result codes that the gateway knows (RFC 6733 section 4.5, RFC 8506
+//! section 8, RFC 7683 section 7).
 
-use Kind::{
+use DataFormat::{
     Address, Grouped, Integer32, Integer64, OctetString, Time, Unsigned32, Unsigned64, Utf8String,
 };
 
 /// Data format of an AVP (RFC 6733 sections 4.2 and 4.3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum DataFormat {
     /// Arbitrary bytes.
     OctetString,
     /// 4 bytes, signed.
     Integer32,
     /// 8 bytes, signed.
     Integer64,
-    /// 4 bytes, unsigned. Enumerated AVPs as well.
+    /// 4 bytes, unsigned. Also used for Enumerated AVPs.
     Unsigned32,
     /// 8 bytes, unsigned.
     Unsigned64,
-    /// UTF-8. Identities and URIs are validated as this, too.
+    /// UTF-8 text. Also used for DiameterIdentity and DiameterURI.
     Utf8String,
-    /// 2 bytes of address family, then the address.
+    /// 2 bytes of address family, followed by the address.
     Address,
-    /// 4 bytes: seconds since 1900.
+    /// 4 bytes, seconds since 1900.
     Time,
     /// A sequence of AVPs.
     Grouped,
 }
 
-/// An AVP without a vendor.
+/// Dictionary entry of an AVP without a Vendor-Id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AvpDefinition {
     /// AVP code.
     pub code: u32,
-    /// Name as in the RFCs, in upper case with underscores.
+    /// Name from the RFCs, in upper case with underscores.
     pub name: &'static str,
     /// Data format.
-    pub kind: Kind,
+    pub data_format: DataFormat,
 }
 
 macro_rules! dictionary {
-    ($($name:ident = $code:literal $kind:ident,)*) => {
-        /// The codes of known AVPs, by their names in the RFCs.
+    ($($name:ident = $code:literal $data_format:ident,)*) => {
+        /// Codes of the known AVPs, under their names from the RFCs.
         pub mod code {
             $(#[allow(missing_docs)] pub const $name: u32 = $code;)*
         }
-        /// Known AVPs.
+        /// Definitions of the known AVPs.
         pub const AVPS: &[AvpDefinition] = &[$(AvpDefinition {
             code: $code,
             name: stringify!($name),
-            kind: $kind,
+            data_format: $data_format,
         },)*];
     };
 }
@@ -154,11 +154,11 @@
     REDIRECT_SERVER_EXTENSION = 665 Grouped,
 }
 
-/// The data format of an AVP without a vendor; `None` if it is not known.
-pub fn kind(code: u32) -> Option<Kind> {
+/// Returns the data format of the AVP without a Vendor-Id that has this code, or `None` if the AVP is not known.
+pub fn data_format(code: u32) -> Option<DataFormat> {
     AVPS.iter()
         .find(|definition| definition.code == code)
-        .map(|definition| definition.kind)
+        .map(|definition| definition.data_format)
 }
 
 /// Command codes (RFC 6733 section 3.1, RFC 8506 section 3).
@@ -173,13 +173,13 @@
     pub const DISCONNECT_PEER: u32 = 282;
 }
 
-/// Application ids.
+/// Application-Ids.
 pub mod application {
-    /// The base protocol's own messages.
+    /// Messages of the base protocol.
     pub const COMMON: u32 = 0;
     /// Credit control (RFC 8506 section 1.3).
     pub const CREDIT_CONTROL: u32 = 4;
-    /// What a relay advertises (RFC 6733 section 2.4).
+    /// All applications, as advertised by a relay (RFC 6733 section 2.4).
     pub const RELAY: u32 = 0xFFFF_FFFF;
 }
 
@@ -191,13 +191,13 @@
     pub const COMMAND_UNSUPPORTED: u32 = 3001;
     /// The request could not be delivered to its destination.
     pub const UNABLE_TO_DELIVER: u32 = 3002;
-    /// The request was rejected because of load; another peer may be tried.
+    /// The receiver is overloaded and did not execute the request; another peer may be tried.
     pub const TOO_BUSY: u32 = 3004;
-    /// The Route-Record contains the receiver.
+    /// A Route-Record names the receiver.
     pub const LOOP_DETECTED: u32 = 3005;
     /// The application is not known.
     pub const APPLICATION_UNSUPPORTED: u32 = 3007;
-    /// Command flags have an invalid combination.
+    /// The command flags have an invalid combination.
     pub const INVALID_HDR_BITS: u32 = 3008;
     /// Reserved AVP flags are set.
     pub const INVALID_AVP_BITS: u32 = 3009;
@@ -219,7 +219,7 @@
     pub const NO_COMMON_APPLICATION: u32 = 5010;
     /// The protocol version is not 1.
     pub const UNSUPPORTED_VERSION: u32 = 5011;
-    /// The request failed for an unspecified reason.
+    /// The request failed for a reason that no other code covers.
     pub const UNABLE_TO_COMPLY: u32 = 5012;
     /// An AVP has an invalid length.
     pub const INVALID_AVP_LENGTH: u32 = 5014;
--- a/crates/diameter/src/front.rs
+++ b/crates/diameter/src/front.rs
@@ -1,4 +1,4 @@
-//! The clients' side: accepts connections of clients, and gives each of their requests its one answer.
+//! Accepts connections from clients, submits their requests to the engine, and answers each request once.
 
 mod in_flight;
 mod requests;
@@ -20,42 +20,42 @@
 use tokio::time::{sleep, timeout};
 use tokio_rustls::TlsAcceptor;
 
-/// Pause before the number of clients is checked again while there are too many.
+/// Interval at which the number of clients is checked while it is at `max_clients`.
 const CAPACITY_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Pause after a connection could not be accepted.
+/// Delay before the next attempt to accept a connection after one failed.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Configuration of the clients' side.
+/// Configuration of a [`Front`].
 pub struct FrontConfig {
-    /// Identity of the gateway.
+    /// Identity that the gateway sends to clients.
     pub identity: Identity,
-    /// Watchdog interval in microseconds.
+    /// Watchdog interval Tw in microseconds.
     pub watchdog_interval_us: u64,
-    /// Classes, plans, and bounds of credit control.
+    /// Classes, plans and limits of credit control.
     pub mapping: Mapping,
-    /// How long clients wait for an answer, by class (RFC 8506 section 13: the Tx timer).
+    /// Time that clients wait for an answer, by class (the Tx timer of RFC 8506 section 13).
     pub transaction_timeouts: HashMap<String, Duration>,
-    /// Gateways that a customer's requests may come in through: all, from the first on.
+    /// Number of gateways that a customer's requests may arrive at: all gateways, starting with number 0.
     pub gateway_count: u32,
-    /// Most connections.
+    /// Maximum number of client connections.
     pub max_clients: usize,
-    /// TLS from the start of a connection (RFC 6733 section 13.1); without it, plain TCP.
+    /// TLS configuration, applied from the start of a connection (RFC 6733 section 13.1); `None` for plain TCP.
     pub tls: Option<Arc<rustls::ServerConfig>>,
-    /// Most bytes of requests in flight; further ones are answered with `TOO_BUSY`.
+    /// Maximum memory use of requests in flight, in bytes. Requests beyond it are answered with `TOO_BUSY`.
     pub max_request_bytes: usize,
-    /// Most bytes that wait to be written to all clients.
+    /// Maximum number of bytes queued for writing to all clients.
     pub max_queued_bytes: usize,
-    /// Seed of request ids, and of each connection's identifiers and timers.
+    /// Seed for request ids and for each connection's identifiers and timers.
     pub seed: u64,
 }
 
-/// A client that waits for an answer, and the Hop-by-Hop Identifier of its request.
+/// A client that waits for an answer, with the Hop-by-Hop Identifier of its request.
 struct WaitingClient {
     client_id: u64,
     hop_by_hop: u32,
 }
 
-/// The clients' side.
+/// Serves the Diameter clients of the gateway.
 pub struct Front {
     config: RefCell<Rc<FrontConfig>>,
     budget: Rc<WriteBudget>,
@@ -67,11 +67,11 @@
     in_flight: RefCell<InFlightRequests>,
     last_request_id: Cell<u64>,
     next_client_id: Cell<u64>,
-    is_leaving: Cell<bool>,
+    is_draining: Cell<bool>,
 }
 
 impl Front {
-    /// The clients' side without connections.
+    /// Creates a `Front` without connections, which removes a server's sessions when `servers` reports its restart.
     pub fn new(config: FrontConfig, engine: Rc<Engine>, servers: Rc<Servers>) -> Rc<Front> {
         let front = Rc::new(Front {
             budget: WriteBudget::new(config.max_queued_bytes),
@@ -83,11 +83,11 @@
             in_flight: RefCell::default(),
             last_request_id: Cell::new(config.seed),
             next_client_id: Cell::new(0),
-            is_leaving: Cell::new(false),
+            is_draining: Cell::new(false),
             config: RefCell::new(Rc::new(config)),
         });
         let weak_front = Rc::downgrade(&front);
-        servers.on_restart(move |server| {
+        servers.set_restart_callback(move |server| {
             if let Some(front) = weak_front.upgrade() {
                 front.credit.borrow_mut().remove_sessions_of(&server.0);
             }
@@ -95,7 +95,7 @@
         front
     }
 
-    /// Applies a new configuration to requests and connections from now on.
+    /// Applies a new configuration to subsequent requests and connections.
     pub fn reload(&self, config: FrontConfig) {
         self.budget.set_max_bytes(config.max_queued_bytes);
         self.credit.borrow_mut().set_mapping(config.mapping.clone());
@@ -106,14 +106,14 @@
         self.config.borrow().clone()
     }
 
-    /// Requests in flight.
+    /// Returns the number of requests in flight.
     pub fn in_flight_count(&self) -> usize {
         self.in_flight.borrow().len()
     }
 
-    /// Rejects all requests from now on.
+    /// Rejects all subsequent requests.
     pub fn start_draining(&self) {
-        self.is_leaving.set(true);
+        self.is_draining.set(true);
     }
 
     /// Disconnects all clients.
@@ -124,7 +124,7 @@
             .for_each(|link| link.disconnect(DisconnectCause::Rebooting));
     }
 
-    /// Accepts connections, forever.
+    /// Accepts connections until the future is dropped.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
             while self.clients.borrow().len() >= self.config().max_clients {
@@ -153,7 +153,7 @@
             false,
             config.seed ^ client_id,
         );
-        let (link, to_write) =
+        let (link, queued_messages) =
             Link::new(peer, Rc::new(move || engine.now_us()), self.budget.clone());
         self.clients.borrow_mut().insert(client_id, link.clone());
         let client_host = RefCell::new(String::new());
@@ -162,36 +162,37 @@
             Event::Request(ccr) => {
                 self.handle_request(client_id, &link, &client_host.borrow(), ccr);
             }
-            // No requests are sent to clients, so that neither failovers nor answers matter.
+            // The gateway sends no requests to clients, so failovers and answers have no effect.
             _ => {}
         };
         if let Some(tls) = config.tls.clone() {
             let handshake = TlsAcceptor::from(tls).accept(stream);
             if let Ok(Ok(stream)) = timeout(TLS_HANDSHAKE_TIMEOUT, handshake).await {
-                let _ = link.run(stream, to_write, on_event).await;
+                let _ = link.run(stream, queued_messages, on_event).await;
             }
         } else {
-            let _ = link.run(stream, to_write, on_event).await;
+            let _ = link.run(stream, queued_messages, on_event).await;
         }
         self.clients.borrow_mut().remove(&client_id);
         self.cancel_requests_of(client_id);
     }
 
-    /// Cancels the requests that only this client waits for.
+    /// Removes the client from the requests that it waits for, and cancels those requests that no other client waits for and
+    /// that are not charges.
     fn cancel_requests_of(&self, client_id: u64) {
-        let has_gone = |client: &WaitingClient| client.client_id == client_id;
+        let is_disconnected = |client: &WaitingClient| client.client_id == client_id;
         let in_flight = self.in_flight.borrow().snapshot();
         for (id, request) in in_flight {
             if request.is_charge {
-                // It may have been executed already. Were it cancelled, the client's retry could be executed on another
-                // server as well; so it continues, and the retry gets its answer.
+                // A charge may have been executed already. If it were cancelled, the client's retry could be executed on
+                // another server as well. It therefore continues, and the retry gets its answer.
                 self.credit
                     .borrow_mut()
-                    .remove_clients(&request.key, has_gone);
+                    .remove_clients(&request.key, is_disconnected);
             } else if self
                 .credit
                 .borrow_mut()
-                .cancel_for_clients(&request.key, has_gone)
+                .cancel_for_clients(&request.key, is_disconnected)
             {
                 self.in_flight.borrow_mut().remove(id);
                 self.engine.client_gone(id);
--- a/crates/diameter/src/front/in_flight.rs
+++ b/crates/diameter/src/front/in_flight.rs
@@ -1,20 +1,20 @@
-//! Requests that have been submitted and are not answered yet.
+//! Requests that have been submitted to the engine and are not answered yet.
 
 use crate::credit::RequestKey;
 use frosthatch_traffic_control::RequestId;
 use std::collections::HashMap;
 
-/// One of them.
+/// A request in flight.
 #[derive(Clone)]
 pub(super) struct InFlightRequest {
     pub(super) key: RequestKey,
-    /// It is of the class that is idempotent by its key only.
+    /// Whether the request is of the `charge_class`, which is idempotent only by the request key.
     pub(super) is_charge: bool,
-    /// Approximate memory of its AVPs.
+    /// Approximate memory use of the request's AVPs.
     pub(super) bytes: usize,
 }
 
-/// All of them, with the sum of their memory.
+/// All requests in flight, with the sum of their memory use.
 #[derive(Default)]
 pub(super) struct InFlightRequests {
     requests: HashMap<RequestId, InFlightRequest>,
@@ -22,10 +22,12 @@
 }
 
 impl InFlightRequests {
+    /// Returns the number of requests in flight.
     pub(super) fn len(&self) -> usize {
         self.requests.len()
     }
 
+    /// Returns the approximate memory use of all requests in flight.
     pub(super) fn bytes(&self) -> usize {
         self.bytes
     }
@@ -41,7 +43,7 @@
         }
     }
 
-    /// A copy, for changes while going through them.
+    /// Returns a copy of all requests, so that requests can be removed while iterating over the copy.
     pub(super) fn snapshot(&self) -> Vec<(RequestId, InFlightRequest)> {
         self.requests
             .iter()
--- a/crates/diameter/src/front/requests.rs
+++ b/crates/diameter/src/front/requests.rs
@@ -1,4 +1,4 @@
-//! The path of a client's request: accepted, submitted to the engine, answered.
+//! Handles a client's request: validates it, submits it to the engine, and sends its answer.
 
 use super::in_flight::InFlightRequest;
 use super::{Front, WaitingClient};
@@ -16,35 +16,38 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// How long clients wait for an answer in classes without a configured time (RFC 8506 section 13: Tx).
-const DEFAULT_TX: Duration = Duration::from_secs(10);
-/// Increment of the sequence of request ids.
+/// Time that clients wait for an answer in classes without a configured timeout (Tx in RFC 8506 section 13).
+const DEFAULT_TRANSACTION_TIMEOUT: Duration = Duration::from_secs(10);
+/// Increment of the generator of request ids; odd, so that the generator has the full period.
 const REQUEST_ID_INCREMENT: u64 = 0x1405_7B7E_F767_814F;
 
-/// What completing a submitted request needs.
+/// A submitted request, with the data that its completion needs.
 struct Submission {
     id: RequestId,
     key: RequestKey,
     ccr: Rc<Message>,
+    /// Server that sent the answer; set by the attempt.
     answered_by: Rc<RefCell<Option<ServerId>>>,
-    /// The answer if no server gives one.
+    /// Answer to send if no server answers.
     error_answer: Message,
 }
 
-/// Where a request of a session is to go.
+/// The servers that a request may be sent to.
 enum Routing {
+    /// The request needs no particular server.
     AnyServer,
-    /// The server that has the session's state, and whether another may be tried if it is lost.
+    /// The request belongs to a session whose state `server` holds. `may_fail_over`: another server may be tried if
+    /// `server` is unavailable.
     Sticky {
         server: ServerId,
         may_fail_over: bool,
     },
-    /// Its server accepts no requests, and no other may be tried.
+    /// The session's server accepts no requests, and no other server may be tried.
     Undeliverable,
 }
 
 impl Front {
-    /// Handles a request of a client: it is answered now, or submitted.
+    /// Handles a client's request, which is either answered immediately or submitted to the engine.
     pub(super) fn handle_request(
         self: &Rc<Self>,
         client_id: u64,
@@ -54,12 +57,12 @@
     ) {
         let config = self.config();
         let in_flight_bytes = self.in_flight.borrow().bytes();
-        if self.is_leaving.get() || in_flight_bytes + ccr.memory_bytes() > config.max_request_bytes
+        if self.is_draining.get() || in_flight_bytes + ccr.memory_bytes() > config.max_request_bytes
         {
-            return link.send_answer(&link.own_answer(&ccr, result::TOO_BUSY));
+            return link.send_answer(&link.gateway_answer(&ccr, result::TOO_BUSY));
         }
         if has_loop(&ccr, &config.identity.host) {
-            return link.send_answer(&link.own_answer(&ccr, result::LOOP_DETECTED));
+            return link.send_answer(&link.gateway_answer(&ccr, result::LOOP_DETECTED));
         }
         let client = WaitingClient {
             client_id,
@@ -80,6 +83,7 @@
         }
     }
 
+    /// Submits a request to the engine and completes it when the engine responds.
     fn submit(
         self: &Rc<Self>,
         link: &Link,
@@ -95,13 +99,13 @@
                 may_fail_over,
             } => Some((server, may_fail_over)),
             Routing::Undeliverable => {
-                let answer = link.own_answer(&ccr, result::UNABLE_TO_DELIVER);
+                let answer = link.gateway_answer(&ccr, result::UNABLE_TO_DELIVER);
                 return self.deliver(&key, &ccr, &answer, None);
             }
         };
         let submission = Submission {
             id: self.next_request_id(),
-            error_answer: link.own_answer(&ccr, result::UNABLE_TO_COMPLY),
+            error_answer: link.gateway_answer(&ccr, result::UNABLE_TO_COMPLY),
             key,
             ccr: Rc::new(ccr),
             answered_by: Rc::default(),
@@ -126,13 +130,14 @@
         };
         let front = self.clone();
         spawn_local(async move {
-            // Without a response the request was cancelled, because its clients have gone.
+            // The sender is dropped without a response if the request was cancelled because its clients disconnected.
             if let Ok(response) = response.await {
                 front.complete(submission, response);
             }
         });
     }
 
+    /// Determines which servers a request may be sent to.
     fn route(&self, request: &CreditRequest) -> Routing {
         match &request.sticky_server {
             Some(server) if self.servers.accepts_requests(server) => Routing::Sticky {
@@ -144,13 +149,14 @@
         }
     }
 
+    /// Returns the next id of the pseudo-random sequence.
     fn next_request_id(&self) -> RequestId {
         let id = lcg::next(self.last_request_id.get(), REQUEST_ID_INCREMENT);
         self.last_request_id.set(id);
         RequestId(id)
     }
 
-    /// The request as the engine takes it.
+    /// Creates the request to submit to the engine.
     fn incoming_request(
         &self,
         submission: &Submission,
@@ -159,8 +165,11 @@
         sticky_server: Option<(ServerId, bool)>,
     ) -> IncomingRequest {
         let config = self.config();
-        let tx = config.transaction_timeouts.get(&credit_request.class);
-        let gone_at = Instant::now() + tx.copied().unwrap_or(DEFAULT_TX);
+        let transaction_timeout = config.transaction_timeouts.get(&credit_request.class);
+        let client_timeout_at = Instant::now()
+            + transaction_timeout
+                .copied()
+                .unwrap_or(DEFAULT_TRANSACTION_TIMEOUT);
         let request = Request {
             id: submission.id,
             customer: CustomerId(credit_request.customer.as_str().into()),
@@ -179,16 +188,16 @@
             client_host: client_host.into(),
             servers: self.servers.clone(),
             answered_by: submission.answered_by.clone(),
-            may_have_run: Rc::default(),
+            may_have_executed: Rc::default(),
         };
         IncomingRequest {
             request,
-            client_leaves_at: gone_at,
+            client_leaves_at: client_timeout_at,
             payload: Box::new(payload),
         }
     }
 
-    /// Answers a submitted request by the engine's response.
+    /// Answers a submitted request according to the engine's response.
     fn complete(&self, submission: Submission, response: Response) {
         let Submission {
             id,
@@ -203,7 +212,7 @@
         let mut answer = match response {
             Response::Served(bytes) => Message::decode(bytes).unwrap_or(error_answer),
             Response::Rejected { retry_after } => rejection(error_answer, retry_after),
-            // Only HTTP has streaming responses.
+            // Only HTTP requests have streaming responses.
             Response::Failed { .. } | Response::Streaming(..) => error_answer,
         };
         let now_us = self.engine.now_us();
@@ -214,7 +223,8 @@
         self.deliver(&key, &ccr, &answer, answered_by.as_ref());
     }
 
-    /// Sends the one answer of a request to all clients that wait for it. `server`: the one that answered.
+    /// Records the answer to a request and sends it to all clients that wait for it. `server` is the server that answered,
+    /// `None` if the gateway did.
     fn deliver(
         &self,
         key: &RequestKey,
@@ -239,8 +249,8 @@
     }
 }
 
-/// The answer to a request that was not executed: `DIAMETER_TOO_BUSY` (RFC 6733 section 7.1.3), with the time after which
-/// to retry.
+/// Turns `answer` into the answer to a request that was not executed: `DIAMETER_TOO_BUSY` (RFC 6733 section 7.1.3), with
+/// the time after which to retry.
 fn rejection(mut answer: Message, retry_after: Duration) -> Message {
     answer.avps.retain(|avp| avp.code != code::RESULT_CODE);
     answer.header.flags |= flag::ERROR;
--- a/crates/diameter/src/link.rs
+++ b/crates/diameter/src/link.rs
@@ -1,14 +1,14 @@
-//! The driver of one connection: reads, writes, and calls the state machine of [`peer`](crate::peer) when its timers
-//! expire. It contains no rules of the protocol.
+//! Drives one connection: reads and writes messages, and calls the state machine of [`peer`](crate::peer) when its timers
+//! expire. All protocol rules are in the state machine.
 
 mod end;
 mod write_queue;
 
-pub use end::LinkEnd;
+pub use end::LinkEndReason;
 pub use write_queue::{QueuedMessage, SentAttempt, WriteBudget};
 
 use crate::codec::{self, Fault, Message};
-use crate::peer::{DisconnectCause, Input, Output, Peer, Remote};
+use crate::peer::{DisconnectCause, Input, Output, Peer, RemoteIdentity};
 use bytes::{Bytes, BytesMut};
 use frosthatch_engine::AttemptPermit;
 use frosthatch_sockets::Uninterrupted;
@@ -20,56 +20,60 @@
 use tokio::time::sleep;
 use write_queue::QueuedAttempt;
 
-/// For the TLS handshake, on both sides.
+/// Timeout of the TLS handshake, with clients and with servers.
 pub(crate) const TLS_HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Messages that may wait to be written on one connection.
+/// Maximum number of messages queued for writing on one connection.
 const MAX_QUEUED_MESSAGES: usize = 1_024;
-/// Space for one read.
+/// Buffer space reserved for one read.
 const READ_CHUNK_BYTES: usize = 8 << 10;
-/// Longest time between two checks of the timers.
+/// Maximum time between two checks of the state machine's timers.
 const MAX_TIMER_WAIT_US: u64 = 1_000_000;
-/// Before a connection is closed its queue is checked so often, at this interval, for whether all is written.
-const FLUSH_CHECKS: usize = 20;
+/// Maximum number of checks whether the write queue is empty before a connection is closed.
+const MAX_FLUSH_CHECKS: usize = 20;
+/// Interval between two of these checks.
 const FLUSH_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What a connection's user has to know.
+/// An event that [`Link::run`] reports to the owner of a connection.
 pub enum Event {
-    /// Capabilities have been exchanged.
-    Up(Remote),
-    /// Send new requests to other peers.
+    /// Capabilities have been exchanged with the peer.
+    Up(RemoteIdentity),
+    /// Send new requests to other peers: the peer does not answer watchdog requests, or has reconnected and has not
+    /// answered enough of them yet.
     Failover,
-    /// The peer accepts requests again.
+    /// The peer answers again and may get requests.
     Failback,
-    /// The peer accepts no new requests and will close the connection.
+    /// The peer accepts no new requests and is about to close the connection.
     PeerClosing,
-    /// A request was received.
+    /// A valid credit-control request was received.
     Request(Message),
     /// An answer was received.
     Answer(Message),
 }
 
-/// The handle of a connection.
+/// Handle of a connection, for sending messages and closing the connection.
 pub struct Link {
     peer: RefCell<Peer>,
     budget: Rc<WriteBudget>,
     write_queue: mpsc::Sender<QueuedMessage>,
-    /// Bytes that were queued since the start.
+    /// Total number of bytes queued since the connection was created.
     queued_bytes: Cell<u64>,
-    /// Those of them that were written or discarded.
+    /// Number of the queued bytes that have been written or discarded.
     written_bytes: Cell<u64>,
+    /// Notified to end the connection without waiting for the peer.
     abandoned: Notify,
+    /// Returns the current time in microseconds.
     clock: Rc<dyn Fn() -> u64>,
 }
 
 impl Link {
-    /// A connection's handle, and the queue that [`run`](Self::run) is to write. `clock`: microseconds.
+    /// Creates a connection's handle and the queue of messages that [`run`](Self::run) writes. `clock` returns microseconds.
     pub fn new(
         peer: Peer,
         clock: Rc<dyn Fn() -> u64>,
         budget: Rc<WriteBudget>,
     ) -> (Rc<Link>, mpsc::Receiver<QueuedMessage>) {
-        let (write_queue, to_write) = mpsc::channel(MAX_QUEUED_MESSAGES);
+        let (write_queue, queued_messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
         let link = Link {
             peer: RefCell::new(peer),
             budget,
@@ -79,35 +83,37 @@
             abandoned: Notify::new(),
             clock,
         };
-        (Rc::new(link), to_write)
+        (Rc::new(link), queued_messages)
     }
 
-    /// Whether requests may be exchanged.
+    /// Returns whether requests may be exchanged.
     pub fn is_open(&self) -> bool {
         self.peer.borrow().is_open()
     }
 
-    /// Assigns the next Hop-by-Hop Identifier.
+    /// Assigns the next Hop-by-Hop Identifier of this connection.
     pub fn next_hop_by_hop(&self) -> u32 {
         self.peer.borrow_mut().next_hop_by_hop()
     }
 
-    /// An answer from the gateway itself; it is not sent.
-    pub fn own_answer(&self, request: &Message, result_code: u32) -> Message {
+    /// Creates, but does not send, an answer from the gateway itself.
+    pub fn gateway_answer(&self, request: &Message, result_code: u32) -> Message {
         self.peer.borrow().answer(request, result_code)
     }
 
-    /// The answer that reports a fault of a request; it is not sent.
+    /// Creates, but does not send, the answer that reports a fault of a request.
     pub fn fault_answer(&self, request: &Message, fault: &Fault) -> Message {
         self.peer.borrow().fault_answer(request, fault)
     }
 
-    /// Queues a message. Returns the position of its end in the byte stream; `None` if too much is queued already.
+    /// Queues a message. Returns the position of the message's end in the byte stream, or `None` if the write budget or the
+    /// queue has no room for the message.
     pub fn send(&self, message: &Message) -> Option<u64> {
         self.queue_within_budget(message.encode(), None)
     }
 
-    /// Queues an attempt's message. It is written only if `permit` still allows it when its turn comes.
+    /// Queues the message of an attempt, which is written only if `permit` still allows the write when the message reaches
+    /// the head of the queue. Returns `None` under the same conditions as [`send`](Self::send).
     pub fn send_attempt(&self, message: &Message, permit: AttemptPermit) -> Option<SentAttempt> {
         let (sender, denied) = oneshot::channel();
         let attempt = QueuedAttempt {
@@ -118,19 +124,20 @@
         Some(SentAttempt { end, denied })
     }
 
-    /// Queues an answer. The connection of a client that does not read its answers is abandoned.
+    /// Queues an answer. Abandons the connection if the answer cannot be queued because the client does not read fast enough.
     pub fn send_answer(&self, answer: &Message) {
         if self.send(answer).is_none() {
             self.abandoned.notify_one();
         }
     }
 
-    /// Whether the byte stream has been written up to this position.
+    /// Returns whether the byte stream has been written up to the position `end`.
     pub fn has_written(&self, end: u64) -> bool {
         self.written_bytes.get() >= end
     }
 
-    /// Sends a disconnect request. The connection ends with its answer or its timeout.
+    /// Queues a disconnect request. The connection ends when the peer answers or the answer times out. A connection that is
+    /// not open ends at once.
     pub fn disconnect(&self, cause: DisconnectCause) {
         let mut out = Vec::new();
         self.handle(Input::Disconnect(cause), &mut out);
@@ -143,30 +150,30 @@
         }
     }
 
-    /// Drives the connection until it ends.
+    /// Drives the connection until it ends, and reports events to `on_event`.
     pub async fn run(
         &self,
         stream: impl AsyncRead + AsyncWrite + Unpin,
-        to_write: mpsc::Receiver<QueuedMessage>,
+        queued_messages: mpsc::Receiver<QueuedMessage>,
         on_event: impl FnMut(Event),
-    ) -> LinkEnd {
+    ) -> LinkEndReason {
         let (reader, writer) = io::split(Uninterrupted(stream));
         tokio::select! {
             end = self.read_messages(reader, on_event) => end,
-            () = self.write_messages(writer, to_write) => LinkEnd::WriteFailed,
+            () = self.write_messages(writer, queued_messages) => LinkEndReason::WriteFailed,
         }
     }
 
-    /// Writes queued messages until that fails.
+    /// Writes queued messages until a write fails.
     async fn write_messages(
         &self,
         mut writer: impl AsyncWrite + Unpin,
-        mut to_write: mpsc::Receiver<QueuedMessage>,
+        mut queued_messages: mpsc::Receiver<QueuedMessage>,
     ) {
-        while let Some(QueuedMessage { bytes, attempt }) = to_write.recv().await {
+        while let Some(QueuedMessage { bytes, attempt }) = queued_messages.recv().await {
             let mut permit = None;
             if let Some(attempt) = attempt {
-                // The message may have waited for long while the peer was slow to read.
+                // The permit may have lapsed while the message was queued because the peer was slow to read.
                 if let Err(denied) = attempt.permit.check() {
                     let _ = attempt.denied.send(denied);
                     self.release(bytes.len());
@@ -177,7 +184,7 @@
             if writer.write_all(&bytes).await.is_err() {
                 return;
             }
-            // Without an await after the last byte: what has been sent never counts as not written.
+            // There is no await between the last byte and this line, so that a sent message never counts as unwritten.
             if let Some(permit) = permit {
                 permit.record_written(None);
             }
@@ -188,12 +195,12 @@
         }
     }
 
-    /// Reads messages, and handles timers, until the connection ends.
+    /// Reads messages and handles timers until the connection ends.
     async fn read_messages(
         &self,
         mut reader: impl AsyncRead + Unpin,
         mut on_event: impl FnMut(Event),
-    ) -> LinkEnd {
+    ) -> LinkEndReason {
         let mut buffer = BytesMut::new();
         let mut out = Vec::new();
         self.handle(Input::Connected, &mut out);
@@ -211,32 +218,39 @@
                 Ok(None) => {}
                 Err(fault) => {
                     let code = fault.result_code;
-                    return LinkEnd::InvalidFrame { code };
+                    return LinkEndReason::InvalidFrame { code };
                 }
             }
             buffer.reserve(READ_CHUNK_BYTES);
             tokio::select! {
                 read = reader.read_buf(&mut buffer) => if !matches!(read, Ok(length) if length > 0) {
-                    return LinkEnd::ConnectionEnded;
+                    return LinkEndReason::ConnectionEnded;
                 },
                 () = sleep(self.timer_wait()) => {
                     self.peer.borrow_mut().handle_timeout((self.clock)(), &mut out);
                 }
-                () = self.abandoned.notified() => return LinkEnd::Abandoned,
+                () = self.abandoned.notified() => return LinkEndReason::Abandoned,
             }
         }
     }
 
+    /// Executes an output of the state machine.
+    ///
     /// # Errors
-    /// The connection ends.
-    async fn apply(&self, output: Output, on_event: &mut impl FnMut(Event)) -> Result<(), LinkEnd> {
+    /// Returns the reason if the connection ends.
+    async fn apply(
+        &self,
+        output: Output,
+        on_event: &mut impl FnMut(Event),
+    ) -> Result<(), LinkEndReason> {
         match output {
             Output::Send(message) => {
-                self.send_control(&message).ok_or(LinkEnd::PeerNotReading)?;
+                self.send_control(&message)
+                    .ok_or(LinkEndReason::PeerNotReading)?;
             }
             Output::Close(reason) => {
                 self.flush().await;
-                return Err(LinkEnd::Closed(reason));
+                return Err(LinkEndReason::Closed(reason));
             }
             Output::Up(remote) => on_event(Event::Up(remote)),
             Output::Failover => on_event(Event::Failover),
@@ -248,10 +262,10 @@
         Ok(())
     }
 
-    /// Waits, for a bounded time, until what is queued now has been written.
+    /// Waits until the currently queued messages have been written, at most `MAX_FLUSH_CHECKS * FLUSH_CHECK_INTERVAL`.
     async fn flush(&self) {
         let end = self.queued_bytes.get();
-        for _ in 0..FLUSH_CHECKS {
+        for _ in 0..MAX_FLUSH_CHECKS {
             if self.has_written(end) {
                 break;
             }
@@ -259,15 +273,18 @@
         }
     }
 
+    /// Passes an input to the state machine.
     fn handle(&self, input: Input, out: &mut Vec<Output>) {
         self.peer.borrow_mut().handle((self.clock)(), input, out);
     }
 
+    /// Returns the time until the state machine's timers are to be checked.
     fn timer_wait(&self) -> Duration {
         let wait_us = self.peer.borrow().due_us().saturating_sub((self.clock)());
         Duration::from_micros(wait_us.min(MAX_TIMER_WAIT_US))
     }
 
+    /// Queues a message if the write budget allows it.
     fn queue_within_budget(&self, bytes: Vec<u8>, attempt: Option<QueuedAttempt>) -> Option<u64> {
         if !self
             .budget
@@ -278,7 +295,8 @@
         self.queue(QueuedMessage { bytes, attempt })
     }
 
-    /// Queues a message of the connection itself; the budget does not apply, so that application messages cannot block it.
+    /// Queues a message of the connection itself. The write budget does not apply, so that application messages cannot block
+    /// it.
     fn send_control(&self, message: &Message) -> Option<u64> {
         self.queue(QueuedMessage {
             bytes: message.encode(),
@@ -286,6 +304,8 @@
         })
     }
 
+    /// Appends a message to the queue. Returns the position of the message's end in the byte stream, or `None` if the
+    /// queue is full.
     fn queue(&self, message: QueuedMessage) -> Option<u64> {
         let length = message.bytes.len();
         self.write_queue.try_send(message).ok()?;
@@ -295,13 +315,14 @@
         Some(end)
     }
 
-    /// Records that a message of this length left the queue.
+    /// Records that a message of this length was written or discarded.
     fn release(&self, bytes: usize) {
         self.written_bytes
             .set(self.written_bytes.get() + bytes as u64);
         self.budget.release(bytes);
     }
 
+    /// Returns the number of queued bytes that have been neither written nor discarded.
     fn unwritten_bytes(&self) -> usize {
         (self.queued_bytes.get() - self.written_bytes.get()) as usize
     }
@@ -313,7 +334,7 @@
     }
 }
 
-/// Takes the first message's bytes off the buffer; `None` while it is incomplete.
+/// Removes and returns the first message in the buffer, or returns `None` while the message is incomplete.
 fn next_message(buffer: &mut BytesMut) -> Result<Option<Bytes>, Fault> {
     let length = codec::frame(buffer)?;
     Ok(length.map(|length| buffer.split_to(length).freeze()))
@@ -322,7 +343,7 @@
 fn decode(bytes: Bytes) -> Input {
     match Message::decode(bytes) {
         Ok(message) => Input::Message(message),
-        Err(unreadable) => Input::Unreadable(unreadable),
+        Err(decode_error) => Input::Undecodable(decode_error),
     }
 }
 
--- a/crates/diameter/src/link/end.rs
+++ b/crates/diameter/src/link/end.rs
@@ -1,35 +1,35 @@
-//! Why a connection ended.
+//! The reasons for which a connection ends.
 
 use crate::peer::CloseReason;
 
-/// Why a connection ended; the text is for the log.
+/// The reason for which a connection ended, with the text that the log shows.
 #[derive(Debug, thiserror::Error)]
-pub enum LinkEnd {
-    /// The state machine closed it.
+pub enum LinkEndReason {
+    /// The state machine closed the connection.
     #[error(transparent)]
     Closed(#[from] CloseReason),
-    /// Too many messages wait to be written.
-    #[error("it does not read")]
+    /// The write queue has no room for a message of the state machine.
+    #[error("write queue is full because the peer does not read fast enough")]
     PeerNotReading,
-    /// The stream cannot be split into messages.
-    #[error("its stream cannot be followed, {code}")]
+    /// The byte stream cannot be split into messages.
+    #[error("invalid message version or length, result code {code}")]
     InvalidFrame {
-        /// Result code of the fault.
+        /// Result-Code of the fault.
         code: u32,
     },
     /// The peer closed the transport, or reading from it failed.
-    #[error("the connection ended")]
+    #[error("connection closed by the peer or failed while reading")]
     ConnectionEnded,
-    /// The gateway abandoned it.
-    #[error("it is left")]
+    /// The gateway ended the connection without waiting for the peer.
+    #[error("connection abandoned by the gateway")]
     Abandoned,
     /// Writing to the transport failed.
-    #[error("it cannot be written to")]
+    #[error("write to the connection failed")]
     WriteFailed,
     /// The TLS handshake failed.
     #[error(transparent)]
     TlsFailed(#[from] std::io::Error),
-    /// The TLS handshake took too long.
-    #[error("no TLS in time")]
+    /// The TLS handshake did not complete within `TLS_HANDSHAKE_TIMEOUT`.
+    #[error("TLS handshake timed out")]
     TlsTimeout,
 }
--- a/crates/diameter/src/link/tests.rs
+++ b/crates/diameter/src/link/tests.rs
@@ -11,11 +11,11 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{timeout, Instant};
 
-/// Bytes that the transport buffers before the peer reads.
+/// Bytes that the transport buffers until the peer reads.
 const TRANSPORT_BUFFER_BYTES: usize = 16;
 
 fn link() -> (Rc<Link>, mpsc::Receiver<QueuedMessage>) {
-    let address = "127.0.0.1".parse().expect("an address");
+    let address = "127.0.0.1".parse().expect("valid IP address");
     let identity = Identity {
         host: "g".into(),
         realm: "example.org".into(),
@@ -53,25 +53,25 @@
     String::from_utf8_lossy(&bytes).into()
 }
 
-/// Guards against an attempt that is written although its client left while it waited behind others.
+/// Guards against writing an attempt whose client disconnected while the attempt was queued behind others.
 #[tokio::test]
 async fn an_attempt_whose_client_left_while_it_was_queued_is_not_written() {
     let test = async {
-        let (link, to_write) = link();
+        let (link, queued_messages) = link();
         let (near_end, far_end) = tokio::io::duplex(TRANSPORT_BUFFER_BYTES);
         let running = link.clone();
-        spawn_local(async move { running.run(near_end, to_write, |_| ()).await });
+        spawn_local(async move { running.run(near_end, queued_messages, |_| ()).await });
         let staying_client = ClientPresence::default();
         let leaving_client = ClientPresence::default();
         let first = link
             .send_attempt(&message("session-one"), permit(&staying_client))
-            .expect("room");
+            .expect("write queue has room");
         let second = link
             .send_attempt(&message("session-two"), permit(&leaving_client))
-            .expect("room");
+            .expect("write queue has room");
         let third = link
             .send_attempt(&message("session-three"), permit(&staying_client))
-            .expect("room");
+            .expect("write queue has room");
         tokio::task::yield_now().await;
         leaving_client.record_gone();
         let read = read_all(far_end).await;
--- a/crates/diameter/src/link/write_queue.rs
+++ b/crates/diameter/src/link/write_queue.rs
@@ -1,21 +1,21 @@
-//! What bounds and describes the messages that wait to be written.
+//! Messages queued for writing, and the budget that limits their size.
 
 use frosthatch_engine::{AttemptPermit, WriteDenied};
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// Part of the budget that one connection may use: the budget divided by this.
+/// One connection may use the budget divided by this number.
 const CONNECTION_SHARE_DIVISOR: usize = 2;
 
-/// Bounds the bytes that wait to be written on all connections of one side.
+/// Limits the bytes queued for writing on all connections to clients, or on all connections to servers.
 pub struct WriteBudget {
     max_bytes: Cell<usize>,
     queued_bytes: Cell<usize>,
 }
 
 impl WriteBudget {
-    /// An unused budget of so many bytes.
+    /// Creates an unused budget of `max_bytes`.
     pub fn new(max_bytes: usize) -> Rc<WriteBudget> {
         Rc::new(WriteBudget {
             max_bytes: Cell::new(max_bytes),
@@ -23,45 +23,49 @@
         })
     }
 
-    /// Changes the bound for messages from now on.
+    /// Changes the limit for subsequent messages.
     pub fn set_max_bytes(&self, max_bytes: usize) {
         self.max_bytes.set(max_bytes);
     }
 
-    /// Whether `bytes` more fit into the budget, and into the part of a connection on which `connection_bytes` wait.
+    /// Returns whether `bytes` more fit into the budget and into the share of a connection that has `connection_bytes`
+    /// queued.
     pub(super) fn has_capacity(&self, connection_bytes: usize, bytes: usize) -> bool {
         let max_bytes = self.max_bytes.get();
         connection_bytes + bytes <= max_bytes / CONNECTION_SHARE_DIVISOR
             && self.queued_bytes.get() + bytes <= max_bytes
     }
 
+    /// Records that `bytes` were queued.
     pub(super) fn add(&self, bytes: usize) {
         self.queued_bytes.set(self.queued_bytes.get() + bytes);
     }
 
+    /// Records that `bytes` were written or discarded.
     pub(super) fn release(&self, bytes: usize) {
         self.queued_bytes.set(self.queued_bytes.get() - bytes);
     }
 }
 
-/// A message that waits to be written.
+/// An encoded message that is queued for writing.
 pub struct QueuedMessage {
     pub(super) bytes: Vec<u8>,
+    /// Attempt that the message belongs to; `None` for answers and messages of the connection itself.
     pub(super) attempt: Option<QueuedAttempt>,
 }
 
 /// The attempt that a queued message belongs to.
 pub(super) struct QueuedAttempt {
-    /// Is checked immediately before the message is written.
+    /// Permission to write the message, checked immediately before the write.
     pub(super) permit: AttemptPermit,
-    /// Is notified if the message is not written.
+    /// Receives the reason if the message is not written.
     pub(super) denied: oneshot::Sender<WriteDenied>,
 }
 
-/// An attempt's message that was queued.
+/// The position and the result channel of an attempt's queued message.
 pub struct SentAttempt {
-    /// Position of its end in the byte stream, for [`Link::has_written`](super::Link::has_written).
+    /// Position of the message's end in the byte stream, for [`Link::has_written`](super::Link::has_written).
     pub end: u64,
-    /// Why the message was not written; closed without a value if it was.
+    /// Receives the reason if the message is not written; closed without a value if it is written.
     pub denied: oneshot::Receiver<WriteDenied>,
 }
--- a/crates/diameter/src/overload.rs
+++ b/crates/diameter/src/overload.rs
@@ -1,37 +1,43 @@
-//! Overload reports (Diameter Overload Indication Conveyance, RFC 7683) with the loss algorithm: [`OverloadReporter`]
-//! tells clients to send less while the gateway rejects requests, [`OverloadAbatement`] sends less to a server that reports
-//! overload. No I/O and no clock: times are microseconds, handed in.
+//! Overload reports with the loss algorithm (Diameter Overload Indication Conveyance, RFC 7683). [`OverloadReporter`]
+//! asks clients to reduce their requests while the gateway rejects requests, and [`OverloadAbatement`] reduces the requests
+//! to a server that reports overload.
+//!
+//! This module does no I/O and reads no clock: the caller passes the time in microseconds.
 
 use crate::codec::{find, Avp, Message};
 use crate::dictionary::code;
 use rand_pcg::rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
 
-/// OC-Feature-Vector: the loss algorithm (RFC 7683 section 7.2).
+/// OC-Feature-Vector bit of the loss algorithm (RFC 7683 section 7.2).
 const LOSS_ALGORITHM: u64 = 1;
-/// OC-Report-Type: about the host (section 7.6).
+/// OC-Report-Type of a report about a host (RFC 7683 section 7.6).
 const HOST_REPORT: u32 = 0;
-/// Time constant of the moving averages of requests and rejections.
+/// Time constant of the decaying counts of requests and rejections.
 const AVERAGING_TIME_US: f64 = 2_000_000.0;
-/// Validity of the gateway's reports.
+/// OC-Validity-Duration of the gateway's reports in seconds.
 const REPORT_VALIDITY_S: u32 = 5;
-/// Smallest change of the reduction, in percentage points, that makes a new report.
+/// Minimum change of the reduction, in percentage points, for which a new report is issued.
 const MIN_REDUCTION_CHANGE: u32 = 5;
-/// Largest reduction that a server can obtain: some requests still find out whether it has recovered.
+/// Maximum reduction applied to a server. The remaining requests detect whether the server has recovered.
 const MAX_REDUCTION_PERCENT: u32 = 90;
-/// Longest validity that is accepted from a server (section 7.5 allows a day).
+/// Maximum validity in seconds accepted from a server (RFC 7683 section 7.5 allows a day).
 const MAX_VALIDITY_S: u32 = 60;
-/// Validity of a report without an OC-Validity-Duration (section 7.5).
+/// Validity in seconds of a report without an OC-Validity-Duration (RFC 7683 section 7.5).
 const DEFAULT_VALIDITY_S: u32 = 30;
 
-/// Measures the share of rejected requests, and reports it to clients.
+/// Measures the share of rejected requests and reports it to clients.
 #[derive(Default)]
 pub struct OverloadReporter {
-    /// Exponentially decaying counts of answered requests, and of the rejected ones among them.
+    /// Exponentially decaying count of answered requests.
     requests: f64,
+    /// Exponentially decaying count of the rejected requests among them.
     rejected: f64,
+    /// Time of the last update of both counts.
     updated_us: u64,
+    /// Reduction in the last report.
     reported_percent: u32,
+    /// Sequence number of the last report, 0 before the first one.
     sequence_number: u64,
 }
 
@@ -45,38 +51,40 @@
         self.updated_us = now_us;
     }
 
-    /// The share by which clients should reduce their requests, in percent.
+    /// Returns the percentage by which clients should reduce their requests.
     fn reduction_percent(&self) -> u32 {
         (100.0 * self.rejected / self.requests.max(1.0))
             .round()
             .min(100.0) as u32
     }
 
-    /// Replaces overload AVPs of `answer` by those of the gateway, if the client's `request` announces support for them.
+    /// Removes a server's overload AVPs from `answer`, and adds those of the gateway if the client's `request` announces
+    /// support for them.
     pub fn add_report(&mut self, now_us: u64, request: &Message, answer: &mut Message) {
-        // A server's report is about the server; it is not for the clients of this gateway (section 5.1.2).
-        answer
-            .avps
-            .retain(|avp| !avp.is(code::OC_SUPPORTED_FEATURES) && !avp.is(code::OC_OLR));
+        // A server's report concerns the server and is not for the gateway's clients (RFC 7683 section 5.1.2).
+        answer.avps.retain(|avp| {
+            !avp.is_base_avp(code::OC_SUPPORTED_FEATURES) && !avp.is_base_avp(code::OC_OLR)
+        });
         if !supports_loss_algorithm(request) {
             return;
         }
         answer.avps.push(supported_features());
         let reduction_percent = self.reduction_percent();
-        let is_changed = reduction_percent.abs_diff(self.reported_percent) >= MIN_REDUCTION_CHANGE;
-        let is_over = reduction_percent == 0 && self.reported_percent > 0;
-        if is_changed || is_over {
+        let has_changed = reduction_percent.abs_diff(self.reported_percent) >= MIN_REDUCTION_CHANGE;
+        let has_ended = reduction_percent == 0 && self.reported_percent > 0;
+        if has_changed || has_ended {
             self.reported_percent = reduction_percent;
-            // Starting at the time makes it increase across restarts.
+            // Starting at the current time makes the sequence number increase across restarts.
             self.sequence_number = self.sequence_number.max(now_us) + 1;
         }
-        // A reduction of 0 % ends an earlier report; before the first report there is nothing to end.
+        // A report with a reduction of 0 % ends an earlier report. Before the first report there is nothing to end.
         if self.sequence_number > 0 {
-            answer.avps.push(self.report());
+            answer.avps.push(self.build_report());
         }
     }
 
-    fn report(&self) -> Avp {
+    /// Creates the OC-OLR AVP for the current reduction.
+    fn build_report(&self) -> Avp {
         let validity_s = if self.reported_percent > 0 {
             REPORT_VALIDITY_S
         } else {
@@ -92,6 +100,8 @@
     }
 }
 
+/// Returns whether the request's OC-Supported-Features include the loss algorithm, which is the default without a feature
+/// vector.
 fn supports_loss_algorithm(request: &Message) -> bool {
     let features = request.find(code::OC_SUPPORTED_FEATURES);
     let Some(features) = features.and_then(|avp| avp.group().ok()) else {
@@ -101,40 +111,44 @@
     vector.map_or(true, |vector| vector & LOSS_ALGORITHM != 0)
 }
 
+/// Creates the OC-Supported-Features AVP of the gateway.
 fn supported_features() -> Avp {
     let vector = [Avp::of_u64(code::OC_FEATURE_VECTOR, LOSS_ALGORITHM).optional()];
     Avp::of_group(code::OC_SUPPORTED_FEATURES, &vector).optional()
 }
 
-/// The latest overload report of one server, and the share of requests that it keeps from the server.
+/// The latest overload report of one server, and the reduction of requests that follows from the report.
 #[derive(Default)]
 pub struct OverloadAbatement {
+    /// Sequence number of the latest report.
     sequence_number: Option<u64>,
+    /// Percentage of requests not to send to the server.
     reduction_percent: u32,
+    /// Time at which the latest report expires.
     valid_until_us: u64,
 }
 
 impl OverloadAbatement {
-    /// Adopts the report in an answer, if there is one and it is newer than the last (section 5.2.1.2).
+    /// Applies the report in `answer` if it has one that is newer than the last report (RFC 7683 section 5.2.1.2).
     pub fn update(&mut self, now_us: u64, answer: &Message) {
         let Some(report) = answer.find(code::OC_OLR).and_then(|avp| avp.group().ok()) else {
             return;
         };
-        let number = |code| find(&report, code).and_then(|avp| avp.u32().ok());
+        let read_u32 = |code| find(&report, code).and_then(|avp| avp.u32().ok());
         let sequence_number = find(&report, code::OC_SEQUENCE_NUMBER);
         let Some(sequence_number) = sequence_number.and_then(|avp| avp.u64().ok()) else {
             return;
         };
-        let is_old = self
+        let is_outdated = self
             .sequence_number
             .is_some_and(|last| sequence_number <= last);
-        if number(code::OC_REPORT_TYPE) != Some(HOST_REPORT) || is_old {
+        if read_u32(code::OC_REPORT_TYPE) != Some(HOST_REPORT) || is_outdated {
             return;
         }
-        let validity_s = number(code::OC_VALIDITY_DURATION)
+        let validity_s = read_u32(code::OC_VALIDITY_DURATION)
             .unwrap_or(DEFAULT_VALIDITY_S)
             .min(MAX_VALIDITY_S);
-        let reduction_percent = number(code::OC_REDUCTION_PERCENTAGE)
+        let reduction_percent = read_u32(code::OC_REDUCTION_PERCENTAGE)
             .filter(|&percent| percent <= 100)
             .unwrap_or(0);
         self.sequence_number = Some(sequence_number);
@@ -142,13 +156,13 @@
         self.valid_until_us = now_us + u64::from(validity_s) * 1_000_000;
     }
 
-    /// Whether this request is not to be sent to the server, drawn at random by the reported reduction.
+    /// Decides at random, with the reported reduction as probability, whether a request is withheld from the server.
     pub fn draw_abated(&self, now_us: u64, rng: &mut Pcg64Mcg) -> bool {
         now_us < self.valid_until_us && rng.next_u32() % 100 < self.reduction_percent
     }
 }
 
-/// Announces to a server that its reports are acted on, unless the client's request already does.
+/// Adds OC-Supported-Features to a request for a server, unless the client's request already contains it.
 pub fn announce_support(request: &mut Message) {
     if request.find(code::OC_SUPPORTED_FEATURES).is_none() {
         request.avps.push(supported_features());
--- a/crates/diameter/src/overload/tests.rs
+++ b/crates/diameter/src/overload/tests.rs
@@ -6,7 +6,7 @@
 use rand_pcg::rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-const SECOND: u64 = 1_000_000;
+const SECOND_US: u64 = 1_000_000;
 
 fn request(announces_support: bool) -> Message {
     let mut message = Message::default();
@@ -16,60 +16,65 @@
     message
 }
 
-/// Sequence number, reduction and validity of the report in an answer.
+/// Returns the sequence number, reduction and validity of the report in an answer.
 fn report(
     reporter: &mut OverloadReporter,
-    now: u64,
+    now_us: u64,
     announces_support: bool,
 ) -> Option<(u64, u32, u32)> {
     let mut answer = Message::default();
-    reporter.add_report(now, &request(announces_support), &mut answer);
+    reporter.add_report(now_us, &request(announces_support), &mut answer);
     assert_eq!(
         answer.find(code::OC_SUPPORTED_FEATURES).is_some(),
         announces_support
     );
-    let group = answer.find(code::OC_OLR)?.group().expect("a group");
-    let number = |code| {
+    let group = answer
+        .find(code::OC_OLR)?
+        .group()
+        .expect("OC-OLR is a valid group");
+    let read_u32 = |code| {
         find(&group, code)
-            .expect("it is there")
+            .expect("report contains the AVP")
             .u32()
-            .expect("a number")
+            .expect("AVP is an Unsigned32")
     };
     let sequence = find(&group, code::OC_SEQUENCE_NUMBER)
-        .expect("a sequence")
+        .expect("report contains a sequence number")
         .u64()
-        .expect("a number");
+        .expect("sequence number is an Unsigned64");
     Some((
         sequence,
-        number(code::OC_REDUCTION_PERCENTAGE),
-        number(code::OC_VALIDITY_DURATION),
+        read_u32(code::OC_REDUCTION_PERCENTAGE),
+        read_u32(code::OC_VALIDITY_DURATION),
     ))
 }
 
 #[test]
 fn clients_that_announce_support_get_the_reduction() {
     let mut reporter = OverloadReporter::default();
-    reporter.record_answer(SECOND, false);
+    reporter.record_answer(SECOND_US, false);
     assert_eq!(
-        report(&mut reporter, SECOND, true),
+        report(&mut reporter, SECOND_US, true),
         None,
-        "nothing is refused"
+        "no report before the first rejection"
     );
-    (0..40).for_each(|n| reporter.record_answer(SECOND, n % 4 == 0));
-    let (first, percent, validity) = report(&mut reporter, SECOND, true).expect("a report");
+    (0..40).for_each(|n| reporter.record_answer(SECOND_US, n % 4 == 0));
+    let (first, percent, validity) =
+        report(&mut reporter, SECOND_US, true).expect("a report after rejections");
     assert!(
         (20..=28).contains(&percent) && validity == REPORT_VALIDITY_S,
         "{percent}"
     );
     assert_eq!(
-        report(&mut reporter, SECOND, true),
+        report(&mut reporter, SECOND_US, true),
         Some((first, percent, validity)),
-        "the same again"
+        "an unchanged reduction repeats the report"
     );
-    assert_eq!(report(&mut reporter, SECOND, false), None);
-    // The overload is over: one more report, of no reduction.
-    (0..400).for_each(|n| reporter.record_answer(20 * SECOND + n * 20_000, false));
-    let (second, percent, validity) = report(&mut reporter, 28 * SECOND, true).expect("an end");
+    assert_eq!(report(&mut reporter, SECOND_US, false), None);
+    // After the overload, one more report ends the reduction.
+    (0..400).for_each(|n| reporter.record_answer(20 * SECOND_US + n * 20_000, false));
+    let (second, percent, validity) =
+        report(&mut reporter, 28 * SECOND_US, true).expect("a report that ends the reduction");
     assert!(second > first && percent == 0 && validity == 0);
 }
 
@@ -87,31 +92,35 @@
 fn a_servers_report_applies_within_bounds_and_an_older_one_does_not() {
     let mut abatement = OverloadAbatement::default();
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    let mut count_abated = |abatement: &OverloadAbatement, now| {
+    let mut count_abated = |abatement: &OverloadAbatement, now_us| {
         let requests = 0..1_000;
         requests
-            .filter(|_| abatement.draw_abated(now, &mut rng))
+            .filter(|_| abatement.draw_abated(now_us, &mut rng))
             .count()
     };
     assert_eq!(count_abated(&abatement, 0), 0);
     abatement.update(0, &answer(5, 100, 86_400));
     assert!(
-        (850..950).contains(&count_abated(&abatement, SECOND)),
-        "never all of them"
+        (850..950).contains(&count_abated(&abatement, SECOND_US)),
+        "the reduction is at most MAX_REDUCTION_PERCENT"
     );
-    assert_eq!(count_abated(&abatement, 61 * SECOND), 0, "nor for a day");
-    abatement.update(SECOND, &answer(5, 0, 0));
+    assert_eq!(
+        count_abated(&abatement, 61 * SECOND_US),
+        0,
+        "the validity is at most MAX_VALIDITY_S"
+    );
+    abatement.update(SECOND_US, &answer(5, 0, 0));
     assert!(
-        count_abated(&abatement, 2 * SECOND) > 0,
-        "an older or the same one changes nothing"
+        count_abated(&abatement, 2 * SECOND_US) > 0,
+        "a report without a higher sequence number is ignored"
     );
-    abatement.update(2 * SECOND, &answer(6, 0, 0));
-    assert_eq!(count_abated(&abatement, 3 * SECOND), 0);
-    abatement.update(3 * SECOND, &answer(7, 5_000, 60));
+    abatement.update(2 * SECOND_US, &answer(6, 0, 0));
+    assert_eq!(count_abated(&abatement, 3 * SECOND_US), 0);
+    abatement.update(3 * SECOND_US, &answer(7, 5_000, 60));
     assert_eq!(
-        count_abated(&abatement, 4 * SECOND),
+        count_abated(&abatement, 4 * SECOND_US),
         0,
-        "a share that is none is none"
+        "an invalid percentage is treated as 0"
     );
 }
 
--- a/crates/diameter/src/peer.rs
+++ b/crates/diameter/src/peer.rs
@@ -1,12 +1,14 @@
-//! The state machine of one connection to a peer (RFC 6733 section 5): capabilities exchange, watchdog, disconnect. No I/O
-//! and no clock: times are microseconds, handed in.
+//! State machine of one connection to a peer (RFC 6733 section 5): capabilities exchange, watchdog and disconnection.
 //!
-//! A peer that connects to the gateway is a client, one that the gateway connects to is a server. There is one connection
-//! to each, and no election (section 5.6.4).
+//! This module does no I/O and reads no clock: the caller passes the time in microseconds. [`link`](crate::link) drives the
+//! state machine.
+//!
+//! A peer that connects to the gateway is a client; a peer that the gateway connects to is a server. Each peer has one
+//! connection, so there is no election (RFC 6733 section 5.6.4).
 //!
 //! ```text
 //!   accepted: WAIT_CER --CER--> OPEN          connected: (CER sent) WAIT_CEA --CEA 2001--> OPEN
-//!   OPEN --DPR from us--> CLOSING --DPA--> closed      OPEN --DPR from the peer--> PEER_CLOSING --it closes--> closed
+//!   OPEN --DPR sent--> CLOSING --DPA--> closed      OPEN --DPR received--> PEER_CLOSING --peer closes--> closed
 //! ```
 
 mod capabilities;
@@ -15,19 +17,19 @@
 
 pub use close_reason::CloseReason;
 
-use crate::codec::{flag, Avp, Fault, Header, Message, Unreadable};
+use crate::codec::{flag, Avp, DecodeError, Fault, Header, Message};
 use crate::dictionary::{application, code, command};
 use crate::watchdog::{Action, Watchdog};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::net::IpAddr;
 
-/// For the peer's capabilities, and for its answer to a disconnect request.
+/// Timeout of the capabilities exchange, and of the peer's answer to a disconnect request.
 const ANSWER_TIMEOUT_US: u64 = 5_000_000;
-/// For the peer to close the connection after its disconnect request.
+/// Timeout for the peer to close the connection after it sent a disconnect request.
 const PEER_CLOSE_TIMEOUT_US: u64 = 30_000_000;
 
-/// Disconnect-Cause (RFC 6733 section 5.4.3).
+/// Values of Disconnect-Cause (RFC 6733 section 5.4.3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DisconnectCause {
     /// The gateway restarts.
@@ -38,7 +40,7 @@
     DoNotWantToTalkToYou = 2,
 }
 
-/// How the gateway identifies itself to its peers.
+/// Identity that the gateway sends to its peers.
 #[derive(Clone, Debug)]
 pub struct Identity {
     /// Origin-Host.
@@ -51,9 +53,9 @@
     pub state_id: u32,
 }
 
-/// How a peer identifies itself.
+/// Identity that a peer sent in its capabilities.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Remote {
+pub struct RemoteIdentity {
     /// Origin-Host in lower case.
     pub host: String,
     /// Origin-Realm in lower case.
@@ -62,7 +64,7 @@
     pub state_id: Option<u32>,
 }
 
-/// The peer's role.
+/// Role of a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// The peer connected to the gateway.
@@ -71,74 +73,89 @@
     Server,
 }
 
-/// What happens to a connection.
+/// Input of the state machine.
 pub enum Input {
-    /// The transport is connected.
+    /// The transport connection is established.
     Connected,
     /// A message was received.
     Message(Message),
-    /// A message was received that cannot be decoded.
-    Unreadable(Unreadable),
-    /// The gateway disconnects; no requests are pending any more.
+    /// A message that cannot be decoded was received.
+    Undecodable(DecodeError),
+    /// The gateway disconnects, after all pending requests have ended.
     Disconnect(DisconnectCause),
 }
 
-/// What is to be done on a connection, or what its user has to know.
+/// Output of the state machine: an action on the connection, or an event for its owner.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Send a message.
+    /// Send this message.
     Send(Message),
-    /// Capabilities have been exchanged.
-    Up(Remote),
-    /// Send new requests to other peers.
+    /// Capabilities have been exchanged with the peer.
+    Up(RemoteIdentity),
+    /// Send new requests to other peers: the peer does not answer watchdog requests, or has reconnected and has not
+    /// answered enough of them yet.
     Failover,
-    /// The peer accepts requests again.
+    /// The peer answers again and may get requests.
     Failback,
-    /// The peer accepts no new requests and will close the connection.
+    /// The peer accepts no new requests and is about to close the connection.
     PeerClosing,
     /// A valid request of the credit-control application was received.
     Request(Message),
     /// An answer was received.
     Answer(Message),
-    /// Close the transport.
+    /// Close the transport connection.
     Close(CloseReason),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// States of the connection.
 enum State {
+    /// The transport connection is not established.
     Idle,
+    /// The connection was accepted; the client's CER has not arrived.
     WaitCer,
+    /// The gateway's CER was sent; the server's CEA has not arrived.
     WaitCea,
+    /// Capabilities have been exchanged.
     Open,
-    /// The gateway's DPR is not answered yet.
+    /// The gateway's DPR was sent and is not answered yet.
     Closing,
-    /// The peer's DPR was answered.
+    /// The peer's DPR was answered; the peer has not closed the connection yet.
     PeerClosing,
+    /// [`Output::Close`] was issued.
     Closed,
 }
 
-/// The state of one connection.
+/// State machine of one connection.
 pub struct Peer {
     identity: Identity,
     role: Role,
     state: State,
     watchdog: Watchdog,
     rng: Pcg64Mcg,
-    /// When the current state times out.
+    /// Time at which the current state times out; `u64::MAX` for never.
     due_us: u64,
+    /// Last End-to-End Identifier that was assigned.
     end_to_end: u32,
+    /// Last Hop-by-Hop Identifier that was assigned.
     hop_by_hop: u32,
 }
 
 impl Peer {
-    /// A connection that is not established yet. `tw_us`: the watchdog's interval. `was_up_before`: the peer was connected
-    /// earlier, and has to answer watchdog requests before it gets requests again (RFC 3539: REOPEN).
-    pub fn new(identity: Identity, role: Role, tw_us: u64, was_up_before: bool, seed: u64) -> Peer {
+    /// Creates the state machine of a connection that is not established yet. `was_connected_before`: the peer was
+    /// connected earlier, and has to answer watchdog requests before it gets requests again (REOPEN in RFC 3539).
+    pub fn new(
+        identity: Identity,
+        role: Role,
+        watchdog_interval_us: u64,
+        was_connected_before: bool,
+        seed: u64,
+    ) -> Peer {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let end_to_end = rng.next_u32();
         let hop_by_hop = rng.next_u32();
-        let mut watchdog = Watchdog::new(tw_us);
-        if was_up_before {
+        let mut watchdog = Watchdog::new(watchdog_interval_us);
+        if was_connected_before {
             watchdog.handle_down();
         }
         Peer {
@@ -153,12 +170,12 @@
         }
     }
 
-    /// Whether requests may be exchanged.
+    /// Returns whether requests may be exchanged.
     pub fn is_open(&self) -> bool {
         self.state == State::Open
     }
 
-    /// When [`handle_timeout`](Self::handle_timeout) is to be called; `u64::MAX` for never.
+    /// Returns the time at which to call [`handle_timeout`](Self::handle_timeout); `u64::MAX` for never.
     pub fn due_us(&self) -> u64 {
         if self.state == State::Open {
             self.due_us.min(self.watchdog.due_us())
@@ -173,7 +190,7 @@
         self.hop_by_hop
     }
 
-    /// An answer from the gateway itself to a request.
+    /// Creates an answer from the gateway itself to a request.
     pub fn answer(&self, request: &Message, result_code: u32) -> Message {
         let result = Avp::of_u32(code::RESULT_CODE, result_code);
         let mut answer = self.with_origin(request.answer().with(result));
@@ -183,7 +200,7 @@
         answer
     }
 
-    /// The answer that reports a fault of a request, with its Failed-AVP.
+    /// Creates the answer that reports a fault of a request, with the fault's Failed-AVP.
     pub fn fault_answer(&self, request: &Message, fault: &Fault) -> Message {
         let answer = self.answer(request, fault.result_code);
         match &fault.failed_avp {
@@ -192,13 +209,13 @@
         }
     }
 
-    /// Advances the state machine; what follows is appended to `out`.
+    /// Advances the state machine and appends its outputs to `out`.
     pub fn handle(&mut self, now_us: u64, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Connected if self.state == State::Idle => self.start(now_us, out),
             Input::Connected => {}
             Input::Message(message) => self.handle_message(now_us, message, out),
-            Input::Unreadable(unreadable) => self.handle_unreadable(&unreadable, out),
+            Input::Undecodable(decode_error) => self.handle_decode_error(&decode_error, out),
             Input::Disconnect(cause) if self.state == State::Open => {
                 let dpr = self.request(command::DISCONNECT_PEER);
                 let cause = Avp::of_u32(code::DISCONNECT_CAUSE, cause as u32);
@@ -210,7 +227,7 @@
         }
     }
 
-    /// Acts on timers that have expired.
+    /// Handles expired timers and appends the outputs to `out`.
     pub fn handle_timeout(&mut self, now_us: u64, out: &mut Vec<Output>) {
         if self.due_us <= now_us {
             let reason = match self.state {
@@ -227,6 +244,7 @@
         }
     }
 
+    /// Starts the capabilities exchange.
     fn start(&mut self, now_us: u64, out: &mut Vec<Output>) {
         self.due_us = now_us + ANSWER_TIMEOUT_US;
         match self.role {
@@ -239,17 +257,19 @@
         }
     }
 
-    fn open(&mut self, now_us: u64, remote: Remote, out: &mut Vec<Output>) {
+    /// Enters the state OPEN after the capabilities exchange.
+    fn open(&mut self, now_us: u64, remote: RemoteIdentity, out: &mut Vec<Output>) {
         self.state = State::Open;
         self.due_us = u64::MAX;
         out.push(Output::Up(remote));
         if let Some(action) = self.watchdog.handle_up(now_us, &mut self.rng) {
-            // A reopened connection gets no requests before the watchdog reports a failback.
+            // A peer that has reconnected gets no requests until the watchdog reports a failback.
             out.push(Output::Failover);
             self.apply_watchdog(action, out);
         }
     }
 
+    /// Closes the connection unless it is closed.
     fn close(&mut self, reason: CloseReason, out: &mut Vec<Output>) {
         if self.state != State::Closed {
             self.state = State::Closed;
@@ -258,6 +278,7 @@
         }
     }
 
+    /// Executes an action of the watchdog.
     fn apply_watchdog(&mut self, action: Action, out: &mut Vec<Output>) {
         match action {
             Action::SendRequest => {
@@ -270,7 +291,7 @@
         }
     }
 
-    /// A request of the base protocol.
+    /// Creates a request of the base protocol, with the next identifiers.
     fn request(&mut self, command: u32) -> Message {
         self.end_to_end = self.end_to_end.wrapping_add(1);
         let header = Header {
@@ -283,6 +304,7 @@
         self.with_origin(Message::new(header))
     }
 
+    /// Adds the gateway's Origin-Host and Origin-Realm to a message.
     fn with_origin(&self, message: Message) -> Message {
         message
             .with(Avp::of_text(code::ORIGIN_HOST, &self.identity.host))
--- a/crates/diameter/src/peer/capabilities.rs
+++ b/crates/diameter/src/peer/capabilities.rs
@@ -1,11 +1,11 @@
-//! Capabilities exchange (RFC 6733 section 5.3).
+//! Handles the capabilities exchange with a peer (RFC 6733 section 5.3).
 
-use super::{CloseReason, Output, Peer, Remote};
+use super::{CloseReason, Output, Peer, RemoteIdentity};
 use crate::codec::{Avp, Fault, Message};
 use crate::dictionary::{application, code, result};
 use std::net::IpAddr;
 
-/// Address families in an AVP of kind Address (RFC 6733 section 4.3.1).
+// Address families in AVPs with the data format Address (RFC 6733 section 4.3.1).
 const FAMILY_IPV4: u8 = 1;
 const FAMILY_IPV6: u8 = 2;
 
@@ -28,7 +28,7 @@
 
     /// Handles a Capabilities-Exchange-Request.
     pub(super) fn handle_cer(&mut self, now_us: u64, cer: &Message, out: &mut Vec<Output>) {
-        let remote = match remote(cer) {
+        let remote = match read_remote_identity(cer) {
             Ok(remote) => remote,
             Err(fault) => {
                 out.push(Output::Send(self.fault_answer(cer, &fault)));
@@ -51,7 +51,7 @@
         if result_code != result::SUCCESS {
             return self.close(CloseReason::CapabilitiesRejected { result_code }, out);
         }
-        match remote(cea) {
+        match read_remote_identity(cea) {
             Ok(remote) if has_common_application(&cea.avps) => self.open(now_us, remote, out),
             Ok(_) => self.close(CloseReason::NoCommonApplication, out),
             Err(_) => self.close(CloseReason::InvalidCapabilities, out),
@@ -59,6 +59,7 @@
     }
 }
 
+/// Encodes an address in the data format Address.
 fn address_data(address: IpAddr) -> Vec<u8> {
     let family = if address.is_ipv4() {
         FAMILY_IPV4
@@ -73,18 +74,18 @@
     data
 }
 
-/// Who the sender of a CER or CEA is.
-fn remote(message: &Message) -> Result<Remote, Fault> {
+/// Validates a CER or CEA and returns the identity of its sender.
+fn read_remote_identity(message: &Message) -> Result<RemoteIdentity, Fault> {
     message.validate()?;
-    Ok(Remote {
-        host: identity_text(message, code::ORIGIN_HOST)?,
-        realm: identity_text(message, code::ORIGIN_REALM)?,
+    Ok(RemoteIdentity {
+        host: read_identity(message, code::ORIGIN_HOST)?,
+        realm: read_identity(message, code::ORIGIN_REALM)?,
         state_id: message.number(code::ORIGIN_STATE_ID),
     })
 }
 
-/// A required DiameterIdentity in lower case.
-fn identity_text(message: &Message, code: u32) -> Result<String, Fault> {
+/// Returns the text of a required DiameterIdentity AVP in lower case.
+fn read_identity(message: &Message, code: u32) -> Result<String, Fault> {
     let avp = message.find(code).ok_or_else(|| Fault::missing_avp(code))?;
     let text = avp.text()?;
     if text.is_empty() {
@@ -93,7 +94,7 @@
     Ok(text.to_ascii_lowercase())
 }
 
-/// Whether credit control is among the advertised applications; a relay advertises all.
+/// Returns whether credit control is among the advertised applications. A relay advertises all applications.
 fn has_common_application(avps: &[Avp]) -> bool {
     avps.iter().any(|avp| match (avp.code, avp.vendor) {
         (code::AUTH_APPLICATION_ID, None) => is_credit_control(avp),
@@ -106,6 +107,7 @@
     })
 }
 
+/// Returns whether an Auth-Application-Id covers credit control.
 fn is_credit_control(application_id: &Avp) -> bool {
     matches!(
         application_id.u32(),
--- a/crates/diameter/src/peer/close_reason.rs
+++ b/crates/diameter/src/peer/close_reason.rs
@@ -1,43 +1,43 @@
-//! Why a peer's connection is closed.
+//! The reasons for which the gateway closes a peer's connection.
 
-/// Why the gateway closes a peer's connection; the text is for the log.
+/// The reason for which the gateway closes a peer's connection, with the text that the log shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CloseReason {
-    /// A message that cannot be decoded came before capabilities were exchanged, or after a disconnect request.
-    #[error("a message that cannot be read before capabilities")]
-    UnreadableMessage,
+    /// A message that cannot be decoded arrived before capabilities were exchanged, or after a disconnect request.
+    #[error("received a message that cannot be decoded while the connection was not open")]
+    UndecodableMessage,
     /// The gateway ends a connection that is not open.
-    #[error("it is left")]
+    #[error("gateway ended a connection that was not open")]
     Abandoned,
     /// The peer did not send its capabilities in time.
-    #[error("no capabilities in time")]
+    #[error("peer did not send its capabilities in time")]
     CapabilitiesTimeout,
     /// The peer did not answer the gateway's disconnect request in time.
-    #[error("no answer to the goodbye")]
+    #[error("peer did not answer the disconnect request in time")]
     DisconnectAnswerTimeout,
     /// The peer did not close the connection in time after its disconnect request.
-    #[error("it did not close after its goodbye")]
+    #[error("peer did not close the connection in time after its disconnect request")]
     PeerCloseTimeout,
     /// The peer did not answer watchdog requests.
-    #[error("its watchdog has fallen silent")]
+    #[error("peer did not answer watchdog requests")]
     WatchdogTimeout,
     /// The first message was not a capabilities exchange.
-    #[error("something else than capabilities came first")]
+    #[error("first message was not a capabilities exchange")]
     CapabilitiesExpected,
     /// The peer answered the gateway's disconnect request.
     #[error("goodbye")]
     Disconnected,
     /// The disconnect requests of both sides crossed.
-    #[error("goodbye from both sides")]
+    #[error("gateway and peer sent disconnect requests at the same time")]
     DisconnectedByBoth,
     /// The peer's capabilities are incomplete or invalid.
-    #[error("its capabilities are not in order")]
+    #[error("peer's capabilities are incomplete or invalid")]
     InvalidCapabilities,
     /// The peer does not support credit control.
-    #[error("it has no application in common")]
+    #[error("peer does not support credit control")]
     NoCommonApplication,
     /// The peer answered the capabilities exchange with an error.
-    #[error("it refuses, result {}", .result_code)]
+    #[error("peer rejected the capabilities, result code {}", .result_code)]
     CapabilitiesRejected {
         /// The answer's Result-Code, 0 if it had none.
         result_code: u32,
--- a/crates/diameter/src/peer/messages.rs
+++ b/crates/diameter/src/peer/messages.rs
@@ -1,10 +1,11 @@
-//! Messages that were received from a peer.
+//! Handles messages received from a peer.
 
 use super::{CloseReason, Output, Peer, State, PEER_CLOSE_TIMEOUT_US};
-use crate::codec::{flag, Message, Unreadable};
+use crate::codec::{flag, DecodeError, Message};
 use crate::dictionary::{application, command, result};
 
 impl Peer {
+    /// Handles a decoded message according to the connection's state.
     pub(super) fn handle_message(&mut self, now_us: u64, message: Message, out: &mut Vec<Output>) {
         let is_request = message.header.has(flag::REQUEST);
         if self.state == State::Open {
@@ -30,18 +31,24 @@
         }
     }
 
-    pub(super) fn handle_unreadable(&mut self, unreadable: &Unreadable, out: &mut Vec<Output>) {
+    /// Handles a message that cannot be decoded. On an open connection a request is answered with its fault.
+    pub(super) fn handle_decode_error(
+        &mut self,
+        decode_error: &DecodeError,
+        out: &mut Vec<Output>,
+    ) {
         if self.state != State::Open {
-            return self.close(CloseReason::UnreadableMessage, out);
+            return self.close(CloseReason::UndecodableMessage, out);
         }
-        // An answer that cannot be read is dropped (RFC 6733 section 7.2), and its request times out.
-        if unreadable.header.has(flag::REQUEST) {
-            let request = Message::new(unreadable.header);
-            let answer = self.fault_answer(&request, &unreadable.fault);
+        // An answer that cannot be decoded is dropped (RFC 6733 section 7.2), and its request times out.
+        if decode_error.header.has(flag::REQUEST) {
+            let request = Message::new(decode_error.header);
+            let answer = self.fault_answer(&request, &decode_error.fault);
             out.push(Output::Send(answer));
         }
     }
 
+    /// Handles the first message of a connection, which must be a CER from a client or a CEA from a server.
     fn handle_first_message(&mut self, now_us: u64, message: &Message, out: &mut Vec<Output>) {
         let is_request = message.header.has(flag::REQUEST);
         match (self.state, message.header.command, is_request) {
@@ -57,7 +64,8 @@
 
     fn handle_request(&mut self, now_us: u64, request: Message, out: &mut Vec<Output>) {
         match request.header.command {
-            // A second CER on an open connection changes nothing (RFC 6733 section 5.6: I-Rcv-CER is for new ones).
+            // A second CER does not change the state of an open connection (in RFC 6733 section 5.6, the event I-Rcv-CER
+            // occurs only on new connections).
             command::CAPABILITIES_EXCHANGE if self.state == State::Open => {
                 let cea = self.answer(&request, result::UNABLE_TO_COMPLY);
                 out.push(Output::Send(cea));
@@ -99,7 +107,8 @@
         if let Err(fault) = ccr.validate() {
             out.push(Output::Send(self.fault_answer(&ccr, &fault)));
         } else if self.state == State::Closing {
-            // It crossed the disconnect request and is not executed: the client may send it to another peer.
+            // The request crossed the gateway's disconnect request. It is not executed, so the client may send it to
+            // another peer.
             out.push(Output::Send(self.answer(&ccr, result::TOO_BUSY)));
         } else {
             out.push(Output::Request(ccr));
@@ -112,7 +121,7 @@
             command::DISCONNECT_PEER if self.state == State::Closing => {
                 self.close(CloseReason::Disconnected, out);
             }
-            // Whether it belongs to a pending request is known where those are kept.
+            // The owner of the connection matches the answer with a pending request.
             _ => out.push(Output::Answer(answer)),
         }
     }
--- a/crates/diameter/src/servers.rs
+++ b/crates/diameter/src/servers.rs
@@ -1,4 +1,5 @@
-//! The servers' side: a connection to each Diameter server, over which requests are sent and answered in any order.
+//! Maintains a connection to each Diameter server in the endpoint list, over which requests are sent and answered in any
+//! order.
 
 mod attempt;
 mod connection;
@@ -21,41 +22,42 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// Configuration of the servers' side.
+/// Configuration of [`Servers`].
 pub struct ServersConfig {
-    /// Identity of the gateway.
+    /// Identity that the gateway sends to servers.
     pub identity: Identity,
-    /// Watchdog interval in microseconds.
+    /// Watchdog interval Tw in microseconds.
     pub watchdog_interval_us: u64,
-    /// For a TCP connection to be established.
+    /// Timeout for establishing a TCP connection.
     pub connect_timeout: Duration,
-    /// Most pending requests at one server.
+    /// Maximum number of pending requests at one server.
     pub max_pending: usize,
-    /// TLS from the start of a connection, and the name that servers' certificates must have; without it, plain TCP.
+    /// TLS configuration, applied from the start of a connection, and the name that servers' certificates must have; `None`
+    /// for plain TCP.
     pub tls: Option<(Arc<rustls::ClientConfig>, ServerName<'static>)>,
-    /// Most bytes that wait to be written to all servers.
+    /// Maximum number of bytes queued for writing to all servers.
     pub max_queued_bytes: usize,
-    /// Seed of random draws, and of each connection's identifiers and timers.
+    /// Seed for random decisions and for each connection's identifiers and timers.
     pub seed: u64,
 }
 
-/// Is called when a server has restarted and lost its sessions.
+/// Callback for a server that has restarted and lost its sessions.
 type RestartCallback = Box<dyn Fn(&ServerId)>;
 
-/// The servers' side.
+/// The Diameter servers and the gateway's connections to them.
 pub struct Servers {
     config: RefCell<Rc<ServersConfig>>,
     budget: Rc<WriteBudget>,
     clock: Rc<dyn Fn() -> u64>,
     servers: RefCell<HashMap<ServerId, Rc<Server>>>,
-    on_restart: RefCell<Option<RestartCallback>>,
+    restart_callback: RefCell<Option<RestartCallback>>,
     rng: RefCell<Pcg64Mcg>,
-    /// For the tasks that it spawns.
+    /// Weak reference to this object, for the connection tasks that it spawns.
     weak_self: Weak<Servers>,
 }
 
 impl Servers {
-    /// The servers' side without servers. `clock`: microseconds since 1970.
+    /// Creates a `Servers` without servers. `clock` returns microseconds since 1970.
     pub fn new(config: ServersConfig, clock: Rc<dyn Fn() -> u64>) -> Rc<Servers> {
         let rng = Pcg64Mcg::seed_from_u64(config.seed);
         Rc::new_cyclic(|weak_self| Servers {
@@ -63,13 +65,13 @@
             config: RefCell::new(Rc::new(config)),
             clock,
             servers: RefCell::default(),
-            on_restart: RefCell::new(None),
+            restart_callback: RefCell::new(None),
             rng: RefCell::new(rng),
             weak_self: weak_self.clone(),
         })
     }
 
-    /// Applies a new configuration to connections from now on.
+    /// Applies a new configuration to subsequent connections.
     pub fn reload(&self, config: ServersConfig) {
         self.budget.set_max_bytes(config.max_queued_bytes);
         *self.config.borrow_mut() = Rc::new(config);
@@ -79,12 +81,12 @@
         self.config.borrow().clone()
     }
 
-    /// Sets what is called when a server has restarted and lost its sessions.
-    pub fn on_restart(&self, callback: impl Fn(&ServerId) + 'static) {
-        *self.on_restart.borrow_mut() = Some(Box::new(callback));
+    /// Sets the callback for a server that has restarted and lost its sessions.
+    pub fn set_restart_callback(&self, callback: impl Fn(&ServerId) + 'static) {
+        *self.restart_callback.borrow_mut() = Some(Box::new(callback));
     }
 
-    /// Whether new requests may be sent to this server.
+    /// Returns whether new requests may be sent to this server.
     pub fn accepts_requests(&self, server: &str) -> bool {
         self.servers
             .borrow()
@@ -92,7 +94,7 @@
             .is_some_and(|server| server.accepts_requests())
     }
 
-    /// Disconnects all servers; no requests are pending any more.
+    /// Disconnects all servers. To be called after all pending requests have ended.
     pub fn disconnect_all(&self) {
         for server in self.servers.borrow().values() {
             server.is_ready.set(false);
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Starts to connect to a server.
+    /// Creates the state of a server and starts the task that maintains its connection.
     fn add_server(&self, id: &ServerId, endpoint: &Endpoint) -> Rc<Server> {
         let server = Rc::new(Server::new(endpoint.address));
         if let Some(servers) = self.weak_self.upgrade() {
@@ -113,6 +115,7 @@
         server
     }
 
+    /// Adds, moves, drains or removes a server according to its entry in the endpoint list.
     fn apply_endpoint(&self, servers: &mut HashMap<ServerId, Rc<Server>>, endpoint: &Endpoint) {
         let id = ServerId(endpoint.uid.as_str().into());
         if endpoint.state == EndpointState::Gone {
--- a/crates/diameter/src/servers/attempt.rs
+++ b/crates/diameter/src/servers/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts: a request sent to one server, and its outcome.
+//! Attempts, each of which sends a request to one server and waits for the outcome.
 
 use super::server::{PendingRequest, Server};
 use super::Servers;
@@ -13,19 +13,19 @@
 use tokio::sync::oneshot;
 use tokio::time::{timeout_at, Instant};
 
-/// A client's request, which may be sent to several servers one after another.
+/// A client's request, which may be sent to several servers in succession.
 #[derive(Clone)]
 pub struct OutgoingRequest {
-    /// The request as the client sent it.
+    /// Request as received from the client.
     pub ccr: Rc<Message>,
-    /// The client's host, for the Route-Record.
+    /// Origin-Host of the client, for the Route-Record.
     pub client_host: String,
-    /// The servers' side.
+    /// Servers that the request may be sent to.
     pub servers: Rc<Servers>,
-    /// The server that answered last.
+    /// Server that sent the answer for the client, `None` before.
     pub answered_by: Rc<RefCell<Option<ServerId>>>,
     /// Whether an earlier attempt may have been executed.
-    pub may_have_run: Rc<Cell<bool>>,
+    pub may_have_executed: Rc<Cell<bool>>,
 }
 
 impl Payload for OutgoingRequest {
@@ -40,14 +40,15 @@
             if result.status == CompletionStatus::Served {
                 *request.answered_by.borrow_mut() = Some(server);
             }
-            let may_have_run = request.may_have_run.get() || !result.status.never_ran();
-            request.may_have_run.set(may_have_run);
+            let may_have_executed = request.may_have_executed.get() || !result.status.never_ran();
+            request.may_have_executed.set(may_have_executed);
             result
         })
     }
 }
 
 impl Servers {
+    /// Sends a request to a server and waits for the outcome.
     async fn attempt(
         &self,
         id: &ServerId,
@@ -56,15 +57,15 @@
         permit: AttemptPermit,
     ) -> AttemptResult {
         match self.send(id, request, permit) {
-            Ok(pending) => self.outcome(pending, deadline).await,
+            Ok(pending) => self.wait_for_outcome(pending, deadline).await,
             Err(status) => AttemptResult::without_response(status),
         }
     }
 
-    /// Sends a request to a server.
+    /// Queues a request on the connection to a server.
     ///
     /// # Errors
-    /// The end of the attempt if nothing was sent.
+    /// Returns the status of the attempt if the request was not queued.
     fn send(
         &self,
         id: &ServerId,
@@ -89,7 +90,7 @@
             &request.ccr,
             &request.client_host,
             hop_by_hop,
-            request.may_have_run.get(),
+            request.may_have_executed.get(),
         );
         announce_support(&mut message);
         if permit.check().is_err() {
@@ -115,26 +116,31 @@
         })
     }
 
-    /// Waits for the end of an attempt.
-    async fn outcome(&self, mut attempt: PendingAttempt, deadline: Instant) -> AttemptResult {
-        let answered = tokio::select! {
+    /// Waits until a sent attempt is answered, fails or times out.
+    async fn wait_for_outcome(
+        &self,
+        mut attempt: PendingAttempt,
+        deadline: Instant,
+    ) -> AttemptResult {
+        let received = tokio::select! {
             biased;
             Ok(_) = &mut attempt.denied => {
                 return AttemptResult::without_response(CompletionStatus::NotSent);
             }
-            answered = timeout_at(deadline, &mut attempt.answer) => answered,
+            received = timeout_at(deadline, &mut attempt.answer) => received,
         };
-        let status = match answered {
-            Ok(Ok(Some(answer))) => return self.answered(&attempt.server, &answer),
+        let status = match received {
+            Ok(Ok(Some(answer))) => return self.process_answer(&attempt.server, &answer),
             Ok(Ok(None)) => CompletionStatus::NoConnection,
             Ok(Err(_)) => CompletionStatus::ConnectionLost,
-            // Also if it is not written yet: it cannot be removed from the connection's queue.
+            // This status also applies to a request that is still queued, as it cannot be removed from the queue.
             Err(_) => CompletionStatus::NoAnswer,
         };
         AttemptResult::without_response(status)
     }
 
-    fn answered(&self, server: &Server, answer: &Message) -> AttemptResult {
+    /// Applies the overload report of an answer, and returns the attempt's result.
+    fn process_answer(&self, server: &Server, answer: &Message) -> AttemptResult {
         server.abatement.borrow_mut().update((self.clock)(), answer);
         let status = match classify_answer(answer) {
             AnswerClass::Final => CompletionStatus::Served,
@@ -148,7 +154,7 @@
     }
 }
 
-/// An attempt that was sent. Dropping it removes its pending request, so that a late answer is dropped.
+/// A sent attempt. Dropping it removes its pending request, so that a late answer is ignored.
 struct PendingAttempt {
     server: Rc<Server>,
     hop_by_hop: u32,
--- a/crates/diameter/src/servers/connection.rs
+++ b/crates/diameter/src/servers/connection.rs
@@ -1,11 +1,11 @@
-//! The connection to each server, opened again whenever it ends.
+//! Maintains the connection to a server, and reconnects whenever it ends.
 
 use super::server::Server;
 use super::{Servers, ServersConfig};
 use crate::dictionary::result;
 use crate::lcg;
-use crate::link::{Event, Link, LinkEnd, TLS_HANDSHAKE_TIMEOUT};
-use crate::peer::{Peer, Remote, Role};
+use crate::link::{Event, Link, LinkEndReason, TLS_HANDSHAKE_TIMEOUT};
+use crate::peer::{Peer, RemoteIdentity, Role};
 use frosthatch_log::log_line;
 use frosthatch_traffic_control::ServerId;
 use std::net::SocketAddr;
@@ -15,8 +15,9 @@
 use tokio::time::{sleep, timeout};
 use tokio_rustls::TlsConnector;
 
-/// Bounds of the exponential backoff between connection attempts (RFC 6733 section 2.1: Tc).
+/// Initial delay of the exponential backoff between connection attempts (Tc in RFC 6733 section 2.1).
 const MIN_RECONNECT_BACKOFF: Duration = Duration::from_millis(100);
+/// Maximum delay of the exponential backoff between connection attempts.
 const MAX_RECONNECT_BACKOFF: Duration = Duration::from_secs(30);
 
 impl Servers {
@@ -34,17 +35,17 @@
             let Some(server) = server.upgrade() else {
                 return;
             };
-            // A draining server gets no new connection.
+            // No connection is opened to a draining server.
             while !server.is_ready.get() {
                 sleep(MIN_RECONNECT_BACKOFF).await;
             }
             let config = self.config();
             let connect = frosthatch_sockets::connect(address);
             if let Ok(Ok(stream)) = timeout(config.connect_timeout, connect).await {
-                let was_up_before = server.was_up.get();
+                let was_connected_before = server.was_connected.get();
                 self.serve_connection(&id, &server, stream, &config, seed)
                     .await;
-                if server.was_up.get() && !was_up_before {
+                if server.was_connected.get() && !was_connected_before {
                     backoff = MIN_RECONNECT_BACKOFF;
                 }
             }
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Drives one connection until it ends.
+    /// Drives one connection to a server until it ends, then fails the server's pending requests.
     async fn serve_connection(
         &self,
         id: &ServerId,
@@ -67,42 +68,43 @@
             config.identity.clone(),
             Role::Server,
             config.watchdog_interval_us,
-            server.was_up.get(),
+            server.was_connected.get(),
             seed,
         );
-        let (link, to_write) = Link::new(peer, self.clock.clone(), self.budget.clone());
+        let (link, queued_messages) = Link::new(peer, self.clock.clone(), self.budget.clone());
         *server.link.borrow_mut() = Some(link.clone());
         let on_event = |event| self.handle_event(id, server, event);
-        let why = if let Some((tls, server_name)) = config.tls.clone() {
+        let end_reason = if let Some((tls, server_name)) = config.tls.clone() {
             let handshake = TlsConnector::from(tls).connect(server_name, stream);
             match timeout(TLS_HANDSHAKE_TIMEOUT, handshake).await {
-                Ok(Ok(stream)) => link.run(stream, to_write, on_event).await,
-                Ok(Err(error)) => LinkEnd::TlsFailed(error),
-                Err(_) => LinkEnd::TlsTimeout,
+                Ok(Ok(stream)) => link.run(stream, queued_messages, on_event).await,
+                Ok(Err(error)) => LinkEndReason::TlsFailed(error),
+                Err(_) => LinkEndReason::TlsTimeout,
             }
         } else {
-            link.run(stream, to_write, on_event).await
+            link.run(stream, queued_messages, on_event).await
         };
-        server.is_okay.set(false);
+        server.is_connection_usable.set(false);
         server.fail_pending();
         *server.link.borrow_mut() = None;
-        if server.was_okay.take() {
-            log_line!("diameter: server {}: {why}", id.0);
+        if server.was_connection_usable.take() {
+            log_line!("diameter: server {}: {end_reason}", id.0);
         }
     }
 
+    /// Handles an event on the connection to a server.
     fn handle_event(&self, id: &ServerId, server: &Server, event: Event) {
         match event {
             Event::Up(remote) => self.handle_up(id, server, &remote),
             Event::Failover => {
-                server.is_okay.set(false);
+                server.is_connection_usable.set(false);
                 server.fail_pending();
             }
             Event::Failback => {
-                server.is_okay.set(true);
-                server.was_okay.set(true);
+                server.is_connection_usable.set(true);
+                server.was_connection_usable.set(true);
             }
-            Event::PeerClosing => server.is_okay.set(false),
+            Event::PeerClosing => server.is_connection_usable.set(false),
             // An answer that no request waits for is dropped.
             Event::Answer(answer) => {
                 let pending = server
@@ -113,27 +115,28 @@
                     let _ = request.answer.send(Some(answer));
                 }
             }
-            // Requests of servers to clients (RAR, ASR) are not supported.
+            // Requests from servers to clients (RAR, ASR) are not supported.
             Event::Request(request) => {
                 if let Some(link) = &*server.link.borrow() {
-                    let answer = link.own_answer(&request, result::UNABLE_TO_DELIVER);
+                    let answer = link.gateway_answer(&request, result::UNABLE_TO_DELIVER);
                     let _ = link.send(&answer);
                 }
             }
         }
     }
 
-    fn handle_up(&self, id: &ServerId, server: &Server, remote: &Remote) {
+    /// Handles the completed capabilities exchange with a server.
+    fn handle_up(&self, id: &ServerId, server: &Server, remote: &RemoteIdentity) {
         let previous_state_id = server.state_id.replace(remote.state_id);
-        let was_up_before = server.was_up.replace(true);
-        // A changed Origin-State-Id: the server has restarted (RFC 6733 section 8.16).
-        if was_up_before && previous_state_id != remote.state_id {
-            if let Some(on_restart) = &*self.on_restart.borrow() {
-                on_restart(id);
+        let was_connected_before = server.was_connected.replace(true);
+        // A changed Origin-State-Id means that the server has restarted (RFC 6733 section 8.16).
+        if was_connected_before && previous_state_id != remote.state_id {
+            if let Some(restart_callback) = &*self.restart_callback.borrow() {
+                restart_callback(id);
             }
         }
-        // A reopened connection gets requests when the watchdog reports a failback.
-        server.is_okay.set(!was_up_before);
-        server.was_okay.set(!was_up_before);
+        // A server that has reconnected gets no requests until the watchdog reports a failback.
+        server.is_connection_usable.set(!was_connected_before);
+        server.was_connection_usable.set(!was_connected_before);
     }
 }
--- a/crates/diameter/src/servers/server.rs
+++ b/crates/diameter/src/servers/server.rs
@@ -1,4 +1,4 @@
-//! The state of one server.
+//! State of one Diameter server.
 
 use crate::codec::Message;
 use crate::link::Link;
@@ -11,33 +11,36 @@
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
 
-/// A request that waits for its answer.
+/// A request that was sent to a server and is not answered yet.
 pub(super) struct PendingRequest {
-    /// Receives the answer, or `None` if the request was never written. It is dropped if the server may have executed the
-    /// request and no answer is to be expected.
+    /// Receives the answer, or `None` if the request was never written. Dropped without a value if no answer is expected
+    /// any more and the server may have executed the request.
     pub(super) answer: oneshot::Sender<Option<Message>>,
     /// Position of the request's end in the connection's byte stream.
     pub(super) end: u64,
 }
 
-/// One server, whether it is connected or not.
+/// A Diameter server, connected or not.
 pub(super) struct Server {
     pub(super) address: SocketAddr,
-    /// The endpoint list allows new requests.
+    /// Whether the endpoint list allows new requests.
     pub(super) is_ready: Cell<bool>,
-    /// Its watchdog allows requests.
-    pub(super) is_okay: Cell<bool>,
-    /// Requests were allowed on this connection: its end is worth a log line.
-    pub(super) was_okay: Cell<bool>,
-    /// It was connected before.
-    pub(super) was_up: Cell<bool>,
-    /// The last Origin-State-Id.
+    /// Whether the connection allows new requests: capabilities have been exchanged, the watchdog reports no failover, and
+    /// the peer is not closing.
+    pub(super) is_connection_usable: Cell<bool>,
+    /// Whether the current connection has ever allowed requests. If so, its end is logged.
+    pub(super) was_connection_usable: Cell<bool>,
+    /// Whether capabilities have ever been exchanged with the server.
+    pub(super) was_connected: Cell<bool>,
+    /// Last Origin-State-Id that the server sent.
     pub(super) state_id: Cell<Option<u32>>,
+    /// Current connection, if any.
     pub(super) link: RefCell<Option<Rc<Link>>>,
-    /// By Hop-by-Hop Identifier.
+    /// Pending requests by Hop-by-Hop Identifier.
     pub(super) pending: RefCell<HashMap<u32, PendingRequest>>,
+    /// Reduction of requests that the server's overload reports call for.
     pub(super) abatement: RefCell<OverloadAbatement>,
-    /// The task that maintains the connection.
+    /// Task that maintains the connection.
     pub(super) task: RefCell<Option<AbortHandle>>,
 }
 
@@ -46,9 +49,9 @@
         Server {
             address,
             is_ready: Cell::new(false),
-            is_okay: Cell::new(false),
-            was_okay: Cell::new(false),
-            was_up: Cell::new(false),
+            is_connection_usable: Cell::new(false),
+            was_connection_usable: Cell::new(false),
+            was_connected: Cell::new(false),
             state_id: Cell::new(None),
             link: RefCell::default(),
             pending: RefCell::default(),
@@ -57,18 +60,18 @@
         }
     }
 
-    /// Whether new requests may be sent to it.
+    /// Returns whether new requests may be sent to the server.
     pub(super) fn accepts_requests(&self) -> bool {
-        self.is_ready.get() && self.is_okay.get()
+        self.is_ready.get() && self.is_connection_usable.get()
     }
 
-    /// Its connection, if requests may be sent on it.
+    /// Returns the connection to the server, if requests may be sent on it.
     pub(super) fn usable_link(&self) -> Option<Rc<Link>> {
         let link = self.link.borrow().clone();
         link.filter(|link| link.is_open() && self.accepts_requests())
     }
 
-    /// Ends the connection of a server that was removed or has moved to another address.
+    /// Ends the connection to a server that was removed or has moved to another address, and fails its pending requests.
     pub(super) fn stop(&self) {
         if let Some(task) = self.task.take() {
             task.abort();
@@ -76,7 +79,7 @@
         self.fail_pending();
     }
 
-    /// Disconnects a draining server once no requests are pending.
+    /// Disconnects the server if it is draining and no requests are pending.
     pub(super) fn disconnect_if_drained(&self) {
         if self.is_ready.get() || !self.pending.borrow().is_empty() {
             return;
@@ -87,14 +90,14 @@
         }
     }
 
-    /// Ends all pending requests. One that was written may have been executed.
+    /// Fails all pending requests. A request that was written may have been executed.
     pub(super) fn fail_pending(&self) {
         let link = self.link.borrow().clone();
         for (_, request) in self.pending.borrow_mut().drain() {
-            let may_have_run = link
+            let may_have_executed = link
                 .as_ref()
                 .is_none_or(|link| link.has_written(request.end));
-            if may_have_run {
+            if may_have_executed {
                 drop(request.answer);
             } else {
                 let _ = request.answer.send(None);
--- a/crates/diameter/src/watchdog.rs
+++ b/crates/diameter/src/watchdog.rs
@@ -1,4 +1,6 @@
-//! The watchdog of a connection (RFC 3539 section 3.4.1). No I/O and no clock: times are microseconds, handed in.
+//! Watchdog of a connection (RFC 3539 section 3.4.1).
+//!
+//! This module does no I/O and reads no clock: the caller passes the time in microseconds.
 //!
 //! ```text
 //!   INITIAL --up, first time--> OKAY <--3 answers-- REOPEN <--up, again-- DOWN
@@ -11,79 +13,84 @@
 use rand_pcg::rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
 
-/// Largest deviation of Tw from its configured value, drawn anew each time (RFC 3539 section 3.4.1: 2 s).
+/// Maximum deviation of Tw from its configured value, chosen at random for each interval (2 s in RFC 3539 section 3.4.1).
 const MAX_JITTER_US: u64 = 2_000_000;
-/// Watchdog answers that a reopened connection has to give before requests are sent on it.
-const REOPEN_ANSWERS: u8 = 3;
+/// Number of watchdog answers that a reconnected peer has to send before it gets requests.
+const MIN_REOPEN_ANSWERS: u8 = 3;
 
-/// The states of RFC 3539 section 3.4.1.
+/// States of the watchdog (RFC 3539 section 3.4.1).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// Never connected.
+    /// The peer has never been connected.
     Initial,
-    /// Connected; requests may be sent.
+    /// The peer is connected; requests may be sent.
     Okay,
-    /// A watchdog request has not been answered in time.
+    /// The peer is connected but did not answer a watchdog request in time.
     Suspect,
-    /// Not connected, but it was before.
+    /// The peer was connected earlier and is not connected now.
     Down,
-    /// Connected again, but not yet trusted with requests.
+    /// The peer has reconnected and gets no requests until it has answered `MIN_REOPEN_ANSWERS` watchdog requests.
     Reopen,
 }
 
-/// What the watchdog requires from the connection.
+/// Action that the watchdog requires on the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send a Device-Watchdog-Request.
     SendRequest,
-    /// Send new requests to other peers; pending ones may be sent to others as well.
+    /// Send new requests to other peers; pending requests may be sent to other peers as well.
     Failover,
-    /// The peer is back: it gets requests again.
+    /// Send requests to the peer again.
     Failback,
     /// Close the connection.
     Close,
 }
 
-/// The watchdog's state machine.
+/// State machine of the watchdog.
 pub struct Watchdog {
+    /// Mean time without a message after which a watchdog request is sent.
     tw_us: u64,
     status: Status,
+    /// Whether a watchdog request is not answered yet.
     is_answer_pending: bool,
-    /// Watchdog answers since the connection was reopened.
-    reopen_answers: u8,
+    /// Number of watchdog answers since the peer reconnected.
+    reopen_answer_count: u8,
+    /// Time at which Tw elapses; `u64::MAX` for never.
     due_us: u64,
 }
 
 impl Watchdog {
-    /// `tw_us`: the mean time without a message after which a watchdog request is sent, Tw in RFC 3539.
+    /// Creates the watchdog of a peer that has never been connected. `tw_us` is the mean time without a message after
+    /// which a watchdog request is sent, Tw in RFC 3539.
     pub fn new(tw_us: u64) -> Self {
         Watchdog {
             tw_us,
             status: Status::Initial,
             is_answer_pending: false,
-            reopen_answers: 0,
+            reopen_answer_count: 0,
             due_us: u64::MAX,
         }
     }
 
-    /// The current state.
+    /// Returns the current state.
     pub fn status(&self) -> Status {
         self.status
     }
 
-    /// When [`handle_timeout`](Self::handle_timeout) is to be called; `u64::MAX` for never.
+    /// Returns the time at which to call [`handle_timeout`](Self::handle_timeout); `u64::MAX` for never.
     pub fn due_us(&self) -> u64 {
         self.due_us
     }
 
+    /// Restarts the timer with a new random deviation.
     fn reset_timer(&mut self, now_us: u64, rng: &mut Pcg64Mcg) {
-        // RFC 3539 allows no Tw below 6 s. Shorter ones, as on loopback, get a jitter in proportion.
+        // RFC 3539 allows no Tw below 6 s. For a shorter Tw, as used on loopback, the jitter is proportional to Tw.
         let max_jitter_us = MAX_JITTER_US.min(self.tw_us / 5).max(1);
         let jitter_us = u64::from(rng.next_u32()) % (2 * max_jitter_us);
         self.due_us = now_us + self.tw_us - max_jitter_us + jitter_us;
     }
 
-    /// Capabilities have been exchanged.
+    /// Handles the completed capabilities exchange.
     pub fn handle_up(&mut self, now_us: u64, rng: &mut Pcg64Mcg) -> Option<Action> {
         self.reset_timer(now_us, rng);
         let is_reopened = self.status == Status::Down;
@@ -93,18 +100,18 @@
             Status::Okay
         };
         self.is_answer_pending = is_reopened;
-        self.reopen_answers = 0;
+        self.reopen_answer_count = 0;
         is_reopened.then_some(Action::SendRequest)
     }
 
-    /// The connection is closed.
+    /// Handles the end of the connection.
     pub fn handle_down(&mut self) {
         self.status = Status::Down;
         self.is_answer_pending = false;
         self.due_us = u64::MAX;
     }
 
-    /// A message was received; `is_watchdog_answer`: it was a Device-Watchdog-Answer.
+    /// Handles a received message. `is_watchdog_answer`: the message is a Device-Watchdog-Answer.
     pub fn handle_message(
         &mut self,
         now_us: u64,
@@ -125,8 +132,8 @@
                 Some(Action::Failback)
             }
             Status::Reopen if is_watchdog_answer => {
-                self.reopen_answers += 1;
-                if self.reopen_answers < REOPEN_ANSWERS {
+                self.reopen_answer_count += 1;
+                if self.reopen_answer_count < MIN_REOPEN_ANSWERS {
                     return None;
                 }
                 self.status = Status::Okay;
@@ -137,7 +144,7 @@
         }
     }
 
-    /// Acts on the timer if Tw has elapsed.
+    /// Handles the timer if Tw has elapsed.
     pub fn handle_timeout(&mut self, now_us: u64, rng: &mut Pcg64Mcg) -> Option<Action> {
         if now_us < self.due_us {
             return None;
--- a/crates/diameter/src/watchdog/tests.rs
+++ b/crates/diameter/src/watchdog/tests.rs
@@ -2,19 +2,19 @@
 use rand_pcg::rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-const TW: u64 = 30_000_000;
+const TW_US: u64 = 30_000_000;
 
-/// A watchdog and its random numbers.
+/// A watchdog and its random number generator.
 struct Harness(Watchdog, Pcg64Mcg);
 
 impl Harness {
     fn new_up() -> Harness {
-        let mut harness = Harness(Watchdog::new(TW), Pcg64Mcg::seed_from_u64(3));
+        let mut harness = Harness(Watchdog::new(TW_US), Pcg64Mcg::seed_from_u64(3));
         assert_eq!(harness.0.handle_up(0, &mut harness.1), None);
         harness
     }
 
-    /// Lets the timer expire: when that is, and what follows.
+    /// Lets the timer expire. Returns the time of expiry and the resulting action.
     fn expire(&mut self) -> (u64, Option<Action>) {
         let due_us = self.0.due_us();
         (due_us, self.0.handle_timeout(due_us, &mut self.1))
@@ -26,7 +26,7 @@
     let mut harness = Harness::new_up();
     let (due_us, action) = harness.expire();
     assert_eq!(action, Some(Action::SendRequest));
-    assert!((TW - MAX_JITTER_US..=TW + MAX_JITTER_US).contains(&due_us));
+    assert!((TW_US - MAX_JITTER_US..=TW_US + MAX_JITTER_US).contains(&due_us));
     assert_eq!(harness.expire().1, Some(Action::Failover));
     assert_eq!(harness.0.status(), Status::Suspect);
     assert_eq!(harness.expire().1, Some(Action::Close));
@@ -40,10 +40,10 @@
 fn any_message_restarts_tw_and_clears_a_suspicion() {
     let mut harness = Harness::new_up();
     assert_eq!(
-        harness.0.handle_message(TW / 2, false, &mut harness.1),
+        harness.0.handle_message(TW_US / 2, false, &mut harness.1),
         None
     );
-    assert!(harness.0.due_us() > TW);
+    assert!(harness.0.due_us() > TW_US);
     harness.expire();
     harness.expire();
     let now_us = harness.0.due_us() - 1;
@@ -52,7 +52,7 @@
         Some(Action::Failback)
     );
     assert_eq!(harness.0.status(), Status::Okay);
-    // The answer is still pending: no other request is sent before the peer is suspected again.
+    // The answer is still pending, so no other request is sent before the peer is suspected again.
     assert_eq!(harness.expire().1, Some(Action::Failover));
 }
 
@@ -78,6 +78,6 @@
     assert_eq!(
         harness.expire().1,
         Some(Action::Close),
-        "it does not even answer the first"
+        "a reconnected peer that does not answer the first watchdog request is disconnected"
     );
 }
--- a/crates/diameter/tests/codec.rs
+++ b/crates/diameter/tests/codec.rs
@@ -1,12 +1,12 @@
-//! The codec against messages encoded by hand from RFC 6733, and against arbitrary bytes.
+//! Tests the codec with messages encoded by hand from RFC 6733, and with arbitrary bytes.
 
 use bytes::Bytes;
 use frosthatch_diameter::codec::{flag, frame, Avp, Fault, Header, Message};
 use frosthatch_diameter::dictionary::{code, command, result};
 use proptest::prelude::{any, prop_assert_eq, proptest, Strategy};
 
-/// A DWR: version 1, 20 + 16 + 16 bytes, R bit, command 280, application 0; Origin-Host "a.b" (11 bytes and one of
-/// padding) and Origin-Realm "example" (15 and one).
+/// A DWR: version 1, 20 + 12 + 16 bytes, R bit, command 280, application 0; Origin-Host "a.b" (11 bytes and 1 of
+/// padding) and Origin-Realm "example" (15 bytes and 1 of padding).
 const DWR: &[u8] =
     b"\x01\x00\x00\x30\x80\x00\x01\x18\x00\x00\x00\x00\x00\x00\x00\x07\x00\x00\x00\x09\
     \x00\x00\x01\x08\x40\x00\x00\x0ba.b\x00\
@@ -31,13 +31,13 @@
         frame(DWR),
         Ok(Some(DWR.len())).map(|_: Option<usize>| Some(48))
     );
-    let message = Message::decode(Bytes::from_static(DWR)).expect("a message");
+    let message = Message::decode(Bytes::from_static(DWR)).expect("a well-formed message");
     assert_eq!(message, dwr());
     assert_eq!(message.encode(), DWR);
     assert_eq!(message.validate(), Ok(()));
 }
 
-/// Vendor-specific and unknown AVPs are forwarded unchanged and in order.
+/// Guards against dropping, changing or reordering vendor-specific and unknown AVPs, which the gateway forwards.
 #[test]
 fn unknown_avps_are_kept_unchanged() {
     let unknown = Avp {
@@ -48,21 +48,21 @@
     };
     let mut message = dwr();
     message.avps.insert(1, unknown.clone());
-    let read = Message::decode(message.encode().into()).expect("a message");
+    let read = Message::decode(message.encode().into()).expect("a well-formed message");
     assert_eq!(read.avps[1], unknown);
     assert_eq!(read.validate(), Ok(()));
     message.avps[1].flags = 0xc0;
     let fault = Message::decode(message.encode().into())
-        .expect("a message")
+        .expect("a well-formed message")
         .validate()
-        .expect_err("mandatory");
+        .expect_err("an unknown mandatory AVP is rejected");
     assert_eq!(
         (fault.result_code, fault.failed_avp.map(|a| a.code)),
         (result::AVP_UNSUPPORTED, Some(9_999))
     );
 }
 
-/// The gateway does not wait for 16 MB, and does not interpret other versions.
+/// Guards against waiting for up to 16 MB of an overlong message, and against decoding other protocol versions.
 #[test]
 fn impossible_lengths_and_versions_are_rejected_by_the_first_four_bytes() {
     for (bytes, code) in [
@@ -83,16 +83,20 @@
     // The length of Origin-Realm becomes 255 bytes.
     let mut bytes = DWR.to_vec();
     bytes[20 + 12 + 7] = 0xff;
-    let unreadable = Message::decode(bytes.into()).expect_err("it overruns the message");
+    let decode_error =
+        Message::decode(bytes.into()).expect_err("the AVP extends beyond the message");
     assert_eq!(
-        (unreadable.fault.result_code, unreadable.header.hop_by_hop),
+        (
+            decode_error.fault.result_code,
+            decode_error.header.hop_by_hop
+        ),
         (result::INVALID_AVP_LENGTH, 7)
     );
     assert_eq!(
-        unreadable.fault.failed_avp.map(|a| a.code),
+        decode_error.fault.failed_avp.map(|a| a.code),
         Some(code::ORIGIN_REALM)
     );
-    // The length of a member is more than its group has.
+    // The length of the member exceeds the length of its group.
     let mut group = Avp::of_group(
         code::SUBSCRIPTION_ID,
         &[Avp::of_u32(code::SUBSCRIPTION_ID_TYPE, 0)],
@@ -100,8 +104,11 @@
     let mut data = group.data.to_vec();
     data[7] = 40;
     group.data = data.into();
-    let read = Message::decode(dwr().with(group).encode().into()).expect("the outside is in order");
-    let fault = read.validate().expect_err("it overruns its group");
+    let read = Message::decode(dwr().with(group).encode().into())
+        .expect("the group itself is well-formed");
+    let fault = read
+        .validate()
+        .expect_err("the member extends beyond its group");
     assert_eq!(
         (fault.result_code, fault.failed_avp.map(|a| a.code)),
         (result::INVALID_AVP_LENGTH, Some(code::SUBSCRIPTION_ID))
@@ -110,26 +117,26 @@
 
 #[test]
 fn invalid_values_and_flags_are_rejected() {
-    let wrong = |avp: Avp| {
+    let result_code_of = |avp: Avp| {
         Message::decode(dwr().with(avp).encode().into())
-            .expect("a message")
+            .expect("a well-formed message")
             .validate()
-            .expect_err("wrong")
+            .expect_err("the AVP is invalid")
             .result_code
     };
     assert_eq!(
-        wrong(Avp::new(code::RESULT_CODE, vec![1, 2])),
+        result_code_of(Avp::new(code::RESULT_CODE, vec![1, 2])),
         result::INVALID_AVP_LENGTH
     );
     assert_eq!(
-        wrong(Avp::new(code::USER_NAME, vec![0xff, 0xfe])),
+        result_code_of(Avp::new(code::USER_NAME, vec![0xff, 0xfe])),
         result::INVALID_AVP_VALUE
     );
     let mut bits = DWR.to_vec();
     bits[4] = 0xa0;
     assert_eq!(
         Message::decode(bits.into())
-            .expect_err("a request with E")
+            .expect_err("a request must not have the E bit")
             .fault
             .result_code,
         result::INVALID_HDR_BITS
@@ -138,7 +145,7 @@
     bits[24] = 0x41;
     assert_eq!(
         Message::decode(bits.into())
-            .expect_err("a reserved bit")
+            .expect_err("reserved AVP flags must be zero")
             .fault
             .result_code,
         result::INVALID_AVP_BITS
@@ -151,7 +158,7 @@
     );
 }
 
-/// Recursion on received groups is bounded.
+/// Guards against unbounded recursion on received groups.
 #[test]
 fn too_deeply_nested_groups_are_rejected() {
     let mut avp = Avp::of_u32(code::RESULT_CODE, 1);
@@ -162,7 +169,7 @@
         dwr()
             .with(avp)
             .validate()
-            .expect_err("too deep")
+            .expect_err("the groups are nested too deeply")
             .result_code,
         result::INVALID_AVP_VALUE
     );
@@ -194,7 +201,7 @@
         let message = Message { header: Header { flags, command: 272, application: 4, hop_by_hop, end_to_end: 1 }, avps };
         let bytes = message.encode();
         prop_assert_eq!(frame(&bytes), Ok(Some(bytes.len())));
-        prop_assert_eq!(Message::decode(bytes.into()).expect("a message"), message);
+        prop_assert_eq!(Message::decode(bytes.into()).expect("a well-formed message"), message);
     }
 
     #[test]
@@ -205,7 +212,7 @@
         }
     }
 
-    /// The same after a valid header.
+    /// Arbitrary bytes after a valid header, so that AVP decoding is reached.
     #[test]
     fn arbitrary_avps_never_panic(tail in proptest::collection::vec(any::<u8>(), 0..400)) {
         let bytes = [&DWR[..20], &tail].concat();
--- a/crates/diameter/tests/crediting.rs
+++ b/crates/diameter/tests/crediting.rs
@@ -1,4 +1,4 @@
-//! Reading of credit-control requests, sessions and duplicates, in virtual time.
+//! Tests the validation of credit-control requests, sessions and duplicate detection, in virtual time.
 
 use frosthatch_diameter::codec::{flag, Avp, Header, Message};
 use frosthatch_diameter::credit::{
@@ -8,7 +8,7 @@
 use frosthatch_diameter::dictionary::{code, command, result};
 use std::collections::BTreeMap;
 
-const SECOND: u64 = 1_000_000;
+const SECOND_US: u64 = 1_000_000;
 
 fn mapping() -> Mapping {
     Mapping {
@@ -17,17 +17,17 @@
         plans: BTreeMap::from([(4_512_345_678, "stor".into())]),
         default_plan: Some("lille".into()),
         max_units: 100.0,
-        session_timeout_us: 60 * SECOND,
-        duplicate_window_us: 10 * SECOND,
+        session_timeout_us: 60 * SECOND_US,
+        duplicate_window_us: 10 * SECOND_US,
         max_sessions: 3,
         max_tracked_requests: 4,
         max_cached_answer_bytes: 10_000,
     }
 }
 
-fn subscription(kind: u32, data: &str) -> Avp {
+fn subscription(id_type: u32, data: &str) -> Avp {
     let group = [
-        Avp::of_u32(code::SUBSCRIPTION_ID_TYPE, kind),
+        Avp::of_u32(code::SUBSCRIPTION_ID_TYPE, id_type),
         Avp::of_text(code::SUBSCRIPTION_ID_DATA, data),
     ];
     Avp::of_group(code::SUBSCRIPTION_ID, &group)
@@ -40,8 +40,8 @@
     )
 }
 
-/// A request of this CC-Request-Type, without a subscription.
-fn ccr(session: &str, kind: u32, number: u32, end_to_end: u32) -> Message {
+/// Creates a request of this CC-Request-Type, without a Subscription-Id.
+fn ccr(session: &str, request_type: u32, number: u32, end_to_end: u32) -> Message {
     let flags = flag::REQUEST | flag::PROXIABLE;
     let header = Header {
         flags,
@@ -57,7 +57,7 @@
         .with(Avp::of_text(code::DESTINATION_REALM, "example.org"))
         .with(Avp::of_u32(code::AUTH_APPLICATION_ID, 4))
         .with(Avp::of_text(code::SERVICE_CONTEXT_ID, "topup@example.org"))
-        .with(Avp::of_u32(code::CC_REQUEST_TYPE, kind))
+        .with(Avp::of_u32(code::CC_REQUEST_TYPE, request_type))
         .with(Avp::of_u32(code::CC_REQUEST_NUMBER, number))
 }
 
@@ -71,19 +71,19 @@
     to.answer().with(Avp::of_u32(code::RESULT_CODE, result))
 }
 
-/// Accepts a request that is to be submitted.
+/// Accepts a request and expects it to be submitted.
 fn expect_submitted(
     credit: &mut CreditControl<u32>,
-    now: u64,
+    now_us: u64,
     ccr: &Message,
 ) -> (RequestKey, CreditRequest) {
-    match credit.accept(now, ccr, 1) {
+    match credit.accept(now_us, ccr, 1) {
         Disposition::Submit(key, request) => (key, request),
         other => panic!("{other:?}"),
     }
 }
 
-/// The result code that a request is rejected with.
+/// Accepts a request, expects it to be rejected, and returns the result code.
 fn expect_rejected(credit: &mut CreditControl<u32>, ccr: &Message) -> u32 {
     match credit.accept(0, ccr, 1) {
         Disposition::Rejected(fault) => fault.result_code,
@@ -91,11 +91,22 @@
     }
 }
 
-/// Accepts a request and completes it with a server's success.
-fn serve(credit: &mut CreditControl<u32>, now: u64, ccr: &Message, server: &str) -> CreditRequest {
-    let (key, request) = expect_submitted(credit, now, ccr);
+/// Accepts a request and completes it with a successful answer from `server`.
+fn serve(
+    credit: &mut CreditControl<u32>,
+    now_us: u64,
+    ccr: &Message,
+    server: &str,
+) -> CreditRequest {
+    let (key, request) = expect_submitted(credit, now_us, ccr);
     assert_eq!(
-        credit.complete(now, &key, ccr, &answer(ccr, result::SUCCESS), Some(server)),
+        credit.complete(
+            now_us,
+            &key,
+            ccr,
+            &answer(ccr, result::SUCCESS),
+            Some(server)
+        ),
         [1]
     );
     request
@@ -120,7 +131,7 @@
             (request.class.as_str(), request.plan.as_str(), request.units),
             (class, "stor", 7.0)
         );
-        // The customer's key over HTTP: one quota for both.
+        // The customer has the same key as over HTTP, so one quota applies to both protocols.
         assert_eq!(request.customer, "000000010cf4ee4e");
         assert_eq!(
             u64::from_str_radix(&request.customer, 16),
@@ -156,7 +167,7 @@
         .units,
         7.0
     );
-    // 1250 with exponent -2: 12.50.
+    // 1250 with exponent -2 is 12.50.
     let value = [
         Avp::of_u64(code::VALUE_DIGITS, 1_250),
         Avp::of_u32(code::EXPONENT, -2i32 as u32),
@@ -256,8 +267,9 @@
     );
 }
 
-/// CC-Session-Failover says whether another server can continue the session, Credit-Control-Failure-Handling whether it
-/// may (RFC 8506 sections 5.7, 8.4 and 8.14; without either AVP: not supported, TERMINATE).
+/// CC-Session-Failover states whether another server can continue the session, and Credit-Control-Failure-Handling whether
+/// another server may (RFC 8506 sections 5.7, 8.4 and 8.14). Without the AVPs, failover is not supported and the handling
+/// is TERMINATE.
 #[test]
 fn a_session_may_fail_over_if_its_server_supports_it_and_failure_handling_allows_it() {
     let cases = [
@@ -272,20 +284,21 @@
     for (n, (failover, handling, may_fail_over)) in cases.into_iter().enumerate() {
         let mut credit = CreditControl::new(mapping());
         let id = 10 * n as u32;
-        let open = ccr("a", 1, 0, id).with(subscription(0, "4512345678"));
-        let (key, _) = expect_submitted(&mut credit, 0, &open);
-        let with = |message: Message, code, value: Option<u32>| match value {
+        let initial_request = ccr("a", 1, 0, id).with(subscription(0, "4512345678"));
+        let (key, _) = expect_submitted(&mut credit, 0, &initial_request);
+        let with_u32 = |message: Message, code, value: Option<u32>| match value {
             Some(value) => message.with(Avp::of_u32(code, value)),
             None => message,
         };
-        let good = with(
-            answer(&open, result::SUCCESS),
+        let success = with_u32(
+            answer(&initial_request, result::SUCCESS),
             code::CC_SESSION_FAILOVER,
             failover,
         );
-        let good = with(good, code::CREDIT_CONTROL_FAILURE_HANDLING, handling);
-        credit.complete(0, &key, &open, &good, Some("s1"));
-        // Answers without either leave both as they were; after a failover the session stays with the new server.
+        let success = with_u32(success, code::CREDIT_CONTROL_FAILURE_HANDLING, handling);
+        credit.complete(0, &key, &initial_request, &success, Some("s1"));
+        // Answers without these AVPs leave both settings unchanged. After a failover, the session stays with the new
+        // server.
         let update = serve(&mut credit, 1, &ccr("a", 2, 1, id + 1), "s2");
         assert_eq!(
             (update.may_fail_over, update.sticky_server.as_deref()),
@@ -300,7 +313,7 @@
     }
 }
 
-/// A session keeps the plan that it was opened with.
+/// A session keeps the plan that it was opened with when the mapping changes.
 #[test]
 fn a_changed_mapping_applies_to_new_requests_only() {
     let mut credit = CreditControl::new(mapping());
@@ -319,8 +332,11 @@
         "lille"
     );
     assert_eq!(serve(&mut credit, 1, &ccr("a", 2, 1, 3), "s1").plan, "stor");
-    let more = ccr("b", 1, 0, 4).with(subscription(0, "4512345678"));
-    assert_eq!(expect_rejected(&mut credit, &more), result::TOO_BUSY);
+    let new_session_request = ccr("b", 1, 0, 4).with(subscription(0, "4512345678"));
+    assert_eq!(
+        expect_rejected(&mut credit, &new_session_request),
+        result::TOO_BUSY
+    );
 }
 
 #[test]
@@ -355,25 +371,28 @@
     duplicate.header.flags |= flag::RETRANSMITTED;
     duplicate.header.hop_by_hop = 99;
     assert_eq!(credit.accept(1, &duplicate, 2), Disposition::Joined);
-    let good = answer(&ccr, result::SUCCESS);
+    let success = answer(&ccr, result::SUCCESS);
     assert_eq!(
-        credit.complete(2, &key, &ccr, &good, Some("s")),
+        credit.complete(2, &key, &ccr, &success, Some("s")),
         [1, 2],
-        "one answer to each"
+        "each waiting client gets the answer once"
+    );
+    assert_eq!(
+        credit.accept(3, &duplicate, 3),
+        Disposition::Answered(success)
     );
-    assert_eq!(credit.accept(3, &duplicate, 3), Disposition::Answered(good));
     assert!(
         credit
             .complete(4, &key, &ccr, &answer(&ccr, 5012), None)
             .is_empty(),
-        "a late one is dropped"
+        "a late answer is dropped"
     );
     // Other clients may use the same identifiers.
     let mut other = ccr.clone();
     other.avps[1] = Avp::of_text(code::ORIGIN_HOST, "other.example.org");
     expect_submitted(&mut credit, 5, &other);
     // The cached answer expires.
-    expect_submitted(&mut credit, 2 + 10 * SECOND, &duplicate);
+    expect_submitted(&mut credit, 2 + 10 * SECOND_US, &duplicate);
 }
 
 /// A rejected request was not executed, so its retry is submitted again.
@@ -402,25 +421,25 @@
 #[test]
 fn cached_answers_are_bounded_in_bytes_and_the_oldest_are_evicted() {
     let mut credit = CreditControl::new(mapping());
-    let long = |n: u32| {
+    let large_exchange = |n: u32| {
         let ccr = event_ccr(0, n);
         let answer = answer(&ccr, result::SUCCESS).with(Avp::new(code::CLASS, vec![7; 4_000]));
         (ccr, answer)
     };
     for n in 1..=3 {
-        let (ccr, answer) = long(n);
+        let (ccr, answer) = large_exchange(n);
         let (key, _) = expect_submitted(&mut credit, 0, &ccr);
         credit.complete(0, &key, &ccr, &answer, Some("s"));
     }
     assert_eq!(
-        credit.accept(1, &long(3).0, 1),
-        Disposition::Answered(long(3).1)
+        credit.accept(1, &large_exchange(3).0, 1),
+        Disposition::Answered(large_exchange(3).1)
     );
     assert_eq!(
-        credit.accept(1, &long(2).0, 1),
-        Disposition::Answered(long(2).1)
+        credit.accept(1, &large_exchange(2).0, 1),
+        Disposition::Answered(large_exchange(2).1)
     );
-    expect_submitted(&mut credit, 1, &long(1).0);
+    expect_submitted(&mut credit, 1, &large_exchange(1).0);
 }
 
 #[test]
@@ -434,16 +453,19 @@
             "s",
         );
     }
-    let more = ccr("s9", 1, 0, 9).with(subscription(0, "1"));
-    assert_eq!(expect_rejected(&mut credit, &more), result::TOO_BUSY);
+    let new_session_request = ccr("s9", 1, 0, 9).with(subscription(0, "1"));
+    assert_eq!(
+        expect_rejected(&mut credit, &new_session_request),
+        result::TOO_BUSY
+    );
     // Expired sessions make room.
-    expect_submitted(&mut credit, 61 * SECOND, &more);
+    expect_submitted(&mut credit, 61 * SECOND_US, &new_session_request);
     // No more than four requests may be in flight.
     for n in 20..23 {
-        expect_submitted(&mut credit, 61 * SECOND, &event_ccr(2, n));
+        expect_submitted(&mut credit, 61 * SECOND_US, &event_ccr(2, n));
     }
-    let Disposition::Rejected(fault) = credit.accept(61 * SECOND, &event_ccr(2, 24), 1) else {
-        panic!("too many")
+    let Disposition::Rejected(fault) = credit.accept(61 * SECOND_US, &event_ccr(2, 24), 1) else {
+        panic!("a fifth request in flight must be rejected")
     };
     assert_eq!(fault.result_code, result::TOO_BUSY);
 }
--- a/crates/diameter/tests/golden_forms.rs
+++ b/crates/diameter/tests/golden_forms.rs
@@ -1,5 +1,5 @@
-//! The recorded dictionary: codes, names and kinds of AVPs, commands, applications and results are the RFCs'.
-//! `RECORD=1 cargo test --test golden_forms` records them anew.
+//! Compares the dictionary with the recorded one, whose codes, names and data formats of AVPs, commands, applications and
+//! results are those of the RFCs. `RECORD=1 cargo test --test golden_forms` records the dictionary again.
 
 use frosthatch_diameter::dictionary::{application, command, result, AvpDefinition, AVPS};
 use std::fmt::Write;
@@ -7,8 +7,14 @@
 #[test]
 fn the_dictionary_is_the_one_that_was_recorded() {
     let mut text = String::new();
-    for AvpDefinition { code, name, kind } in AVPS {
-        writeln!(text, "avp {code} {name} {kind:?}").expect("to memory");
+    for AvpDefinition {
+        code,
+        name,
+        data_format,
+    } in AVPS
+    {
+        writeln!(text, "avp {code} {name} {data_format:?}")
+            .expect("writing to a String cannot fail");
     }
     let commands = [
         command::CAPABILITIES_EXCHANGE,
@@ -16,13 +22,13 @@
         command::DEVICE_WATCHDOG,
         command::DISCONNECT_PEER,
     ];
-    writeln!(text, "commands {commands:?}").expect("to memory");
+    writeln!(text, "commands {commands:?}").expect("writing to a String cannot fail");
     let applications = [
         application::COMMON,
         application::CREDIT_CONTROL,
         application::RELAY,
     ];
-    writeln!(text, "applications {applications:?}").expect("to memory");
+    writeln!(text, "applications {applications:?}").expect("writing to a String cannot fail");
     let results = [
         result::SUCCESS,
         result::COMMAND_UNSUPPORTED,
@@ -46,14 +52,14 @@
         result::INVALID_MESSAGE_LENGTH,
         result::USER_UNKNOWN,
     ];
-    writeln!(text, "results {results:?}").expect("to memory");
+    writeln!(text, "results {results:?}").expect("writing to a String cannot fail");
     let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/dictionary.txt");
     if std::env::var_os("RECORD").is_some() {
-        return std::fs::write(path, text).expect("written");
+        return std::fs::write(path, text).expect("golden file is writable");
     }
     assert_eq!(
-        std::fs::read_to_string(path).expect("a recorded file"),
+        std::fs::read_to_string(path).expect("golden file exists"),
         text,
-        "recorded on the left"
+        "the recorded dictionary (left) differs from the current one (right)"
     );
 }
--- a/crates/diameter/tests/peers.rs
+++ b/crates/diameter/tests/peers.rs
@@ -1,13 +1,14 @@
-//! Two peers connected to each other in virtual time, and peers that violate the protocol.
+//! Tests the peer state machine in virtual time, with two peers connected to each other and with peers that violate the
+//! protocol.
 
 use frosthatch_diameter::codec::{flag, Avp, Header, Message};
 use frosthatch_diameter::dictionary::{application, code, command, result};
 use frosthatch_diameter::peer::{DisconnectCause, Identity, Input, Output, Peer, Role};
 
-const TW: u64 = 30_000_000;
+const TW_US: u64 = 30_000_000;
 
 fn identity(host: &str, state_id: u32) -> Identity {
-    let address = "127.0.0.1".parse().expect("an address");
+    let address = "127.0.0.1".parse().expect("valid IP address");
     Identity {
         host: host.into(),
         realm: "example.org".into(),
@@ -17,12 +18,12 @@
 }
 
 fn peer(host: &str, role: Role) -> Peer {
-    Peer::new(identity(host, 5), role, TW, false, 9)
+    Peer::new(identity(host, 5), role, TW_US, false, 9)
 }
 
-fn step(peer: &mut Peer, now: u64, input: Input) -> Vec<Output> {
+fn step(peer: &mut Peer, now_us: u64, input: Input) -> Vec<Output> {
     let mut out = Vec::new();
-    peer.handle(now, input, &mut out);
+    peer.handle(now_us, input, &mut out);
     out
 }
 
@@ -35,22 +36,22 @@
         .collect()
 }
 
-/// The gateway's answer to a request of its client.
+/// Returns the gateway's answer to a request from its client.
 fn answer_to(peer: &mut Peer, message: Message) -> Message {
     let out = step(peer, 1, Input::Message(message));
     sent(&out)
         .pop()
-        .unwrap_or_else(|| panic!("no answer: {out:?}"))
+        .unwrap_or_else(|| panic!("no answer sent: {out:?}"))
 }
 
-/// A client and the gateway, both open.
+/// Creates a client and a gateway that have exchanged capabilities with each other.
 fn open_pair() -> (Peer, Peer) {
     let mut client = peer("client.example.org", Role::Server);
     let mut gateway = peer("gateway.example.org", Role::Client);
     assert!(step(&mut gateway, 0, Input::Connected).is_empty());
     let cer = sent(&step(&mut client, 0, Input::Connected))
         .pop()
-        .expect("a CER");
+        .expect("a CER is sent");
     let out = step(&mut gateway, 0, Input::Message(cer));
     let Output::Up(remote) = &out[1] else {
         panic!("{out:?}")
@@ -59,7 +60,7 @@
         (remote.host.as_str(), remote.state_id),
         ("client.example.org", Some(5))
     );
-    let cea = sent(&out).pop().expect("a CEA");
+    let cea = sent(&out).pop().expect("a CEA is sent");
     assert_eq!(cea.result(), Some(result::SUCCESS));
     let out = step(&mut client, 0, Input::Message(cea));
     assert!(
@@ -90,7 +91,7 @@
         0,
         Input::Connected,
     );
-    let mut cer = sent(&out).pop().expect("a CER");
+    let mut cer = sent(&out).pop().expect("a CER is sent");
     change(&mut cer);
     cer
 }
@@ -129,7 +130,7 @@
         let mut gateway = peer("gateway.example.org", Role::Client);
         step(&mut gateway, 0, Input::Connected);
         let out = step(&mut gateway, 0, Input::Message(cer));
-        let cea = sent(&out).pop().expect("a CEA");
+        let cea = sent(&out).pop().expect("a CEA is sent");
         assert_eq!(cea.result(), Some(code));
         assert_eq!(
             cea.find(code::FAILED_AVP).is_some(),
@@ -149,7 +150,7 @@
     ));
 }
 
-/// A silent connection does not occupy resources forever.
+/// Guards against a silent connection that occupies resources forever.
 #[test]
 fn a_connection_without_capabilities_times_out() {
     let mut gateway = peer("gateway.example.org", Role::Client);
@@ -179,13 +180,13 @@
     let (mut client, mut gateway) = open_pair();
     let mut out = Vec::new();
     client.handle_timeout(client.due_us(), &mut out);
-    let dwr = sent(&out).pop().expect("a DWR");
+    let dwr = sent(&out).pop().expect("a DWR is sent");
     assert_eq!(
         (dwr.header.command, dwr.number(code::ORIGIN_STATE_ID)),
         (command::DEVICE_WATCHDOG, Some(5))
     );
     assert_eq!(answer_to(&mut gateway, dwr).result(), Some(result::SUCCESS));
-    // The client does not get the answer.
+    // The answer is not delivered to the client.
     let mut out = Vec::new();
     client.handle_timeout(client.due_us(), &mut out);
     assert_eq!(out, [Output::Failover]);
@@ -212,9 +213,9 @@
     let answer = answer_to(&mut gateway, ccr().with(Avp::new(9_999, vec![1])));
     let failed = answer
         .find(code::FAILED_AVP)
-        .expect("a Failed-AVP")
+        .expect("answer contains a Failed-AVP")
         .group()
-        .expect("a group");
+        .expect("Failed-AVP is a valid group");
     assert_eq!(
         (answer.result(), failed[0].code),
         (Some(result::AVP_UNSUPPORTED), 9_999)
@@ -235,16 +236,16 @@
         Input::Disconnect(DisconnectCause::Rebooting),
     ))
     .pop()
-    .expect("a DPR");
+    .expect("a DPR is sent");
     assert_eq!(dpr.number(code::DISCONNECT_CAUSE), Some(0));
-    // A request that crosses it is rejected.
+    // A request that crosses the disconnect request is rejected.
     assert_eq!(
         answer_to(&mut gateway, ccr()).result(),
         Some(result::TOO_BUSY)
     );
     let out = step(&mut client, 1, Input::Message(dpr));
     assert!(out.contains(&Output::PeerClosing) && !client.is_open());
-    let dpa = sent(&out).pop().expect("a DPA");
+    let dpa = sent(&out).pop().expect("a DPA is sent");
     assert!(matches!(
         &step(&mut gateway, 1, Input::Message(dpa))[..],
         [Output::Close(_)]
@@ -260,14 +261,14 @@
         Input::Disconnect(DisconnectCause::Busy),
     ))
     .pop()
-    .expect("a DPR");
+    .expect("a DPR is sent");
     let gateway_dpr = sent(&step(
         &mut gateway,
         1,
         Input::Disconnect(DisconnectCause::Rebooting),
     ))
     .pop()
-    .expect("a DPR");
+    .expect("a DPR is sent");
     for (peer, dpr) in [(&mut client, gateway_dpr), (&mut gateway, client_dpr)] {
         let out = step(peer, 2, Input::Message(dpr));
         assert!(
@@ -282,13 +283,13 @@
     let mut gateway = peer("gateway.example.org", Role::Server);
     let cer = sent(&step(&mut gateway, 0, Input::Connected))
         .pop()
-        .expect("a CER");
+        .expect("a CER is sent");
     let mut server = peer("server.example.org", Role::Client);
     step(&mut server, 0, Input::Connected);
     let cea = server.answer(&cer, result::UNKNOWN_PEER);
     let out = step(&mut gateway, 0, Input::Message(cea));
     assert!(
-        matches!(&out[..], [Output::Close(why)] if why.to_string().contains("3010")),
+        matches!(&out[..], [Output::Close(reason)] if reason.to_string().contains("3010")),
         "{out:?}"
     );
 }
