--- a/crates/diameter/src/codec.rs
+++ b/crates/diameter/src/codec.rs
@@ -1,7 +1,7 @@
 //! Encodes and decodes Diameter messages and AVPs (RFC 6733 sections 3 and 4).
 //!
-//! A length field is used only after the bytes that it covers have arrived, and no allocation is sized by one. Unknown
-//! AVPs are kept unchanged and in order.
+//! Length fields are checked against their limits and against the received bytes before data is read by them, and no
+//! length field determines the size of an allocation. Unknown AVPs are kept unchanged and in order.
 
 mod avp;
 mod big_endian;
--- a/crates/diameter/src/codec/avp.rs
+++ b/crates/diameter/src/codec/avp.rs
@@ -18,7 +18,7 @@
     pub code: u32,
     /// AVP flags as received. Encoding sets or clears the V flag according to `vendor`.
     pub flags: u8,
-    /// Vendor-Id of a vendor-specific AVP, `None` for an AVP of the IETF.
+    /// Vendor-Id of a vendor-specific AVP, `None` for an AVP defined by the IETF.
     pub vendor: Option<u32>,
     /// Data without padding. In a received AVP it is a slice of the message's buffer.
     pub data: Bytes,
@@ -64,7 +64,7 @@
     }
 
     /// Returns whether the AVP has this code and no Vendor-Id.
-    pub(crate) fn is_base_avp(&self, code: u32) -> bool {
+    pub(crate) fn is_ietf_avp(&self, code: u32) -> bool {
         self.code == code && self.vendor.is_none()
     }
 
@@ -87,5 +87,5 @@
 
 /// Returns the first AVP that has this code and no Vendor-Id.
 pub fn find(avps: &[Avp], code: u32) -> Option<&Avp> {
-    avps.iter().find(|avp| avp.is_base_avp(code))
+    avps.iter().find(|avp| avp.is_ietf_avp(code))
 }
--- a/crates/diameter/src/codec/read_avp.rs
+++ b/crates/diameter/src/codec/read_avp.rs
@@ -7,7 +7,7 @@
 use bytes::{Buf, Bytes};
 
 /// Reserved AVP flags, which must be zero.
-const RESERVED: u8 = 0x1f;
+const RESERVED_AVP_FLAGS: u8 = 0x1f;
 
 /// Maximum number of data bytes of a truncated AVP that the Failed-AVP repeats.
 const MAX_FAILED_AVP_DATA_BYTES: usize = 64;
@@ -90,7 +90,7 @@
         vendor: has_vendor.then(|| u32_at(bytes, AVP_HEADER_BYTES)),
         data: bytes.slice(header_bytes..length),
     };
-    if flags & RESERVED != 0 {
+    if flags & RESERVED_AVP_FLAGS != 0 {
         return Err(Fault::in_avp(result::INVALID_AVP_BITS, &avp));
     }
     bytes.advance(padded_length);
@@ -98,7 +98,7 @@
 }
 
 /// Returns the fault of an AVP whose length is too short for its header or exceeds the remaining bytes. The Failed-AVP
-/// contains the remaining data, with a correct length (RFC 6733 section 7.1.5).
+/// contains the remaining data up to `MAX_FAILED_AVP_DATA_BYTES`, with a correct length (RFC 6733 section 7.1.5).
 fn truncated_avp_fault(code: u32, flags: u8, remaining: &Bytes) -> Fault {
     let avp = Avp {
         code,
--- a/crates/diameter/src/codec/validation.rs
+++ b/crates/diameter/src/codec/validation.rs
@@ -35,7 +35,7 @@
     }
     match format {
         DataFormat::Utf8String => avp.text().map(|_| ()),
-        // A Failed-AVP contains an invalid AVP by definition.
+        // The members of a Failed-AVP are not validated, because it contains an invalid AVP by definition.
         DataFormat::Grouped if avp.code != code::FAILED_AVP => validate_group(avp, depth),
         _ => Ok(()),
     }
--- a/crates/diameter/src/credit.rs
+++ b/crates/diameter/src/credit.rs
@@ -78,8 +78,8 @@
         self.sessions.len()
     }
 
-    /// Handles a Credit-Control-Request from a client.
-    pub fn accept(&mut self, now_us: u64, ccr: &Message, client: C) -> Disposition {
+    /// Validates a Credit-Control-Request from a client, and returns the action to take for it.
+    pub fn handle_ccr(&mut self, now_us: u64, ccr: &Message, client: C) -> Disposition {
         self.duplicates.evict_expired(now_us);
         let key = match RequestKey::read(ccr) {
             Ok(key) => key,
@@ -143,8 +143,8 @@
         let Some(clients) = self.duplicates.remove(key) else {
             return Vec::new();
         };
-        // A rejected request was not executed. A cached rejection would answer the client's retry, which has the same
-        // identifiers and has to be executed.
+        // A request answered with `TOO_BUSY` was not executed. If that answer were cached, the client's retry, which has
+        // the same identifiers, would get it instead of being executed.
         if answer.result() != Some(result::TOO_BUSY) {
             self.duplicates
                 .cache_answer(now_us, key, answer, &self.mapping);
--- a/crates/diameter/src/credit/forwarding.rs
+++ b/crates/diameter/src/credit/forwarding.rs
@@ -6,11 +6,11 @@
 /// The outcome of an attempt, as indicated by the server's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerClass {
-    /// The server executed the request or decided against it; the client gets the answer unchanged.
+    /// The server executed the request or denied it, for example for lack of credit; the client gets the answer unchanged.
     Final,
     /// The answer states that the request was not executed.
     Rejected,
-    /// The server failed, and may have executed the request.
+    /// The answer has `UNABLE_TO_COMPLY` or no Result-Code; the server may have executed the request.
     Failed,
 }
 
--- a/crates/diameter/src/credit/mapping.rs
+++ b/crates/diameter/src/credit/mapping.rs
@@ -7,8 +7,8 @@
 pub struct Mapping {
     /// Class of `CHECK_BALANCE` and `PRICE_ENQUIRY` events, which are idempotent.
     pub check_class: String,
-    /// Class of `DIRECT_DEBITING` and `REFUND_ACCOUNT` events and of all session requests, which are idempotent only by
-    /// their request key.
+    /// Class of `DIRECT_DEBITING` and `REFUND_ACCOUNT` events and of all session requests. Repeating such a request is safe
+    /// only if the [`RequestKey`](super::RequestKey) identifies it as a duplicate.
     pub charge_class: String,
     /// Plans of customers, by customer number.
     pub plans: BTreeMap<u64, String>,
--- a/crates/diameter/src/credit/request.rs
+++ b/crates/diameter/src/credit/request.rs
@@ -5,9 +5,9 @@
 use crate::codec::{find, Avp, Fault, Message};
 use crate::dictionary::{application, code, result};
 
-/// Maximum length of a Session-Id or Origin-Host, as both are stored.
+/// Maximum length of a Session-Id or Origin-Host. Limits the memory of stored sessions and request keys.
 const MAX_IDENTIFIER_BYTES: usize = 256;
-/// Exclusive upper bound of customer numbers, the same as over HTTP.
+/// Exclusive upper bound of customer numbers; the HTTP interface has the same bound.
 const CUSTOMER_NUMBER_LIMIT: u64 = 1 << 33;
 
 /// Subscription-Id-Type of a telephone number (RFC 8506 section 8.47).
@@ -156,7 +156,7 @@
     let subscriptions = ccr
         .avps
         .iter()
-        .filter(|avp| avp.is_base_avp(code::SUBSCRIPTION_ID));
+        .filter(|avp| avp.is_ietf_avp(code::SUBSCRIPTION_ID));
     for avp in subscriptions {
         let number = subscription_number(avp)?;
         if number.is_some() {
--- a/crates/diameter/src/credit/sessions.rs
+++ b/crates/diameter/src/credit/sessions.rs
@@ -118,7 +118,8 @@
         }
     }
 
-    /// Updates a session after a successful answer. Removes it if the server does not know it or never opened it.
+    /// Updates a session after a successful answer. Removes the session after a failed answer if no server has opened the
+    /// session yet, or if the Result-Code is `UNKNOWN_SESSION_ID`.
     fn update(&mut self, now_us: u64, session_id: &str, answer: &Message, server: &str) {
         let Some(session) = self.sessions.get_mut(session_id) else {
             return;
--- a/crates/diameter/src/front.rs
+++ b/crates/diameter/src/front.rs
@@ -35,7 +35,7 @@
     pub mapping: Mapping,
     /// Time that clients wait for an answer, by class (the Tx timer of RFC 8506 section 13).
     pub transaction_timeouts: HashMap<String, Duration>,
-    /// Number of gateways that a customer's requests may arrive at: all gateways, starting with number 0.
+    /// Number of gateways. A customer's requests may arrive at any gateway from 0 to `gateway_count - 1`.
     pub gateway_count: u32,
     /// Maximum number of client connections.
     pub max_clients: usize,
--- a/crates/diameter/src/front/in_flight.rs
+++ b/crates/diameter/src/front/in_flight.rs
@@ -8,7 +8,7 @@
 #[derive(Clone)]
 pub(super) struct InFlightRequest {
     pub(super) key: RequestKey,
-    /// Whether the request is of the `charge_class`, which is idempotent only by the request key.
+    /// Whether the request is of the `charge_class`, so that only `key` makes a repetition safe.
     pub(super) is_charge: bool,
     /// Approximate memory use of the request's AVPs.
     pub(super) bytes: usize,
--- a/crates/diameter/src/front/requests.rs
+++ b/crates/diameter/src/front/requests.rs
@@ -47,7 +47,8 @@
 }
 
 impl Front {
-    /// Handles a client's request, which is either answered immediately or submitted to the engine.
+    /// Answers a client's request immediately, submits it to the engine, or adds the client to the request in flight that it
+    /// duplicates.
     pub(super) fn handle_request(
         self: &Rc<Self>,
         client_id: u64,
@@ -71,7 +72,7 @@
         let disposition = self
             .credit
             .borrow_mut()
-            .accept(self.engine.now_us(), &ccr, client);
+            .handle_ccr(self.engine.now_us(), &ccr, client);
         match disposition {
             Disposition::Joined => {}
             Disposition::Answered(mut answer) => {
--- a/crates/diameter/src/link.rs
+++ b/crates/diameter/src/link.rs
@@ -29,9 +29,9 @@
 const READ_CHUNK_BYTES: usize = 8 << 10;
 /// Maximum time between two checks of the state machine's timers.
 const MAX_TIMER_WAIT_US: u64 = 1_000_000;
-/// Maximum number of checks whether the write queue is empty before a connection is closed.
+/// Maximum number of checks whether the messages queued at closing have been written.
 const MAX_FLUSH_CHECKS: usize = 20;
-/// Interval between two of these checks.
+/// Interval between two checks whether the messages queued at closing have been written.
 const FLUSH_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// An event that [`Link::run`] reports to the owner of a connection.
@@ -39,7 +39,7 @@
     /// Capabilities have been exchanged with the peer.
     Up(RemoteIdentity),
     /// Send new requests to other peers: the peer does not answer watchdog requests, or has reconnected and has not
-    /// answered enough of them yet.
+    /// answered `MIN_REOPEN_ANSWERS` of them yet.
     Failover,
     /// The peer answers again and may get requests.
     Failback,
@@ -124,7 +124,8 @@
         Some(SentAttempt { end, denied })
     }
 
-    /// Queues an answer. Abandons the connection if the answer cannot be queued because the client does not read fast enough.
+    /// Queues an answer. Abandons the connection if the write budget or the queue has no room for the answer, usually because
+    /// the client does not read its answers.
     pub fn send_answer(&self, answer: &Message) {
         if self.send(answer).is_none() {
             self.abandoned.notify_one();
@@ -295,8 +296,8 @@
         self.queue(QueuedMessage { bytes, attempt })
     }
 
-    /// Queues a message of the connection itself. The write budget does not apply, so that application messages cannot block
-    /// it.
+    /// Queues a message of the state machine. The message counts towards the write budget but is not limited by it, so that
+    /// queued application messages cannot block it by their size. Only a full queue (`MAX_QUEUED_MESSAGES`) rejects it.
     fn send_control(&self, message: &Message) -> Option<u64> {
         self.queue(QueuedMessage {
             bytes: message.encode(),
--- a/crates/diameter/src/link/end.rs
+++ b/crates/diameter/src/link/end.rs
@@ -21,7 +21,7 @@
     #[error("connection closed by the peer or failed while reading")]
     ConnectionEnded,
     /// The gateway ended the connection without waiting for the peer.
-    #[error("connection abandoned by the gateway")]
+    #[error("gateway closed the connection because an answer could not be queued or the connection was not open")]
     Abandoned,
     /// Writing to the transport failed.
     #[error("write to the connection failed")]
--- a/crates/diameter/src/overload.rs
+++ b/crates/diameter/src/overload.rs
@@ -13,12 +13,12 @@
 const LOSS_ALGORITHM: u64 = 1;
 /// OC-Report-Type of a report about a host (RFC 7683 section 7.6).
 const HOST_REPORT: u32 = 0;
-/// Time constant of the decaying counts of requests and rejections.
+/// Time in microseconds in which the counts of requests and rejections decay to 1/e.
 const AVERAGING_TIME_US: f64 = 2_000_000.0;
 /// OC-Validity-Duration of the gateway's reports in seconds.
 const REPORT_VALIDITY_S: u32 = 5;
 /// Minimum change of the reduction, in percentage points, for which a new report is issued.
-const MIN_REDUCTION_CHANGE: u32 = 5;
+const MIN_REDUCTION_CHANGE_POINTS: u32 = 5;
 /// Maximum reduction applied to a server. The remaining requests detect whether the server has recovered.
 const MAX_REDUCTION_PERCENT: u32 = 90;
 /// Maximum validity in seconds accepted from a server (RFC 7683 section 7.5 allows a day).
@@ -63,14 +63,15 @@
     pub fn add_report(&mut self, now_us: u64, request: &Message, answer: &mut Message) {
         // A server's report concerns the server and is not for the gateway's clients (RFC 7683 section 5.1.2).
         answer.avps.retain(|avp| {
-            !avp.is_base_avp(code::OC_SUPPORTED_FEATURES) && !avp.is_base_avp(code::OC_OLR)
+            !avp.is_ietf_avp(code::OC_SUPPORTED_FEATURES) && !avp.is_ietf_avp(code::OC_OLR)
         });
         if !supports_loss_algorithm(request) {
             return;
         }
         answer.avps.push(supported_features());
         let reduction_percent = self.reduction_percent();
-        let has_changed = reduction_percent.abs_diff(self.reported_percent) >= MIN_REDUCTION_CHANGE;
+        let has_changed =
+            reduction_percent.abs_diff(self.reported_percent) >= MIN_REDUCTION_CHANGE_POINTS;
         let has_ended = reduction_percent == 0 && self.reported_percent > 0;
         if has_changed || has_ended {
             self.reported_percent = reduction_percent;
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Creates the OC-OLR AVP for the current reduction.
+    /// Creates the OC-OLR AVP with the last reported reduction.
     fn build_report(&self) -> Avp {
         let validity_s = if self.reported_percent > 0 {
             REPORT_VALIDITY_S
@@ -156,8 +157,9 @@
         self.valid_until_us = now_us + u64::from(validity_s) * 1_000_000;
     }
 
-    /// Decides at random, with the reported reduction as probability, whether a request is withheld from the server.
-    pub fn draw_abated(&self, now_us: u64, rng: &mut Pcg64Mcg) -> bool {
+    /// Decides at random whether a request is withheld from the server. Until the report expires, the probability is the
+    /// reported reduction, at most `MAX_REDUCTION_PERCENT`; afterwards it is 0.
+    pub fn should_abate(&self, now_us: u64, rng: &mut Pcg64Mcg) -> bool {
         now_us < self.valid_until_us && rng.next_u32() % 100 < self.reduction_percent
     }
 }
--- a/crates/diameter/src/overload/tests.rs
+++ b/crates/diameter/src/overload/tests.rs
@@ -95,7 +95,7 @@
     let mut count_abated = |abatement: &OverloadAbatement, now_us| {
         let requests = 0..1_000;
         requests
-            .filter(|_| abatement.draw_abated(now_us, &mut rng))
+            .filter(|_| abatement.should_abate(now_us, &mut rng))
             .count()
     };
     assert_eq!(count_abated(&abatement, 0), 0);
--- a/crates/diameter/src/peer.rs
+++ b/crates/diameter/src/peer.rs
@@ -24,9 +24,10 @@
 use rand_pcg::Pcg64Mcg;
 use std::net::IpAddr;
 
-/// Timeout of the capabilities exchange, and of the peer's answer to a disconnect request.
+/// Timeout of the capabilities exchange, and of the peer's answer to a disconnect request. The texts of [`CloseReason`]
+/// contain it.
 const ANSWER_TIMEOUT_US: u64 = 5_000_000;
-/// Timeout for the peer to close the connection after it sent a disconnect request.
+/// Timeout for the peer to close the connection after it sent a disconnect request. A text of [`CloseReason`] contains it.
 const PEER_CLOSE_TIMEOUT_US: u64 = 30_000_000;
 
 /// Values of Disconnect-Cause (RFC 6733 section 5.4.3).
@@ -81,7 +82,7 @@
     Message(Message),
     /// A message that cannot be decoded was received.
     Undecodable(DecodeError),
-    /// The gateway disconnects, after all pending requests have ended.
+    /// The gateway disconnects. The caller has to wait for pending requests first.
     Disconnect(DisconnectCause),
 }
 
@@ -93,7 +94,7 @@
     /// Capabilities have been exchanged with the peer.
     Up(RemoteIdentity),
     /// Send new requests to other peers: the peer does not answer watchdog requests, or has reconnected and has not
-    /// answered enough of them yet.
+    /// answered `MIN_REOPEN_ANSWERS` of them yet.
     Failover,
     /// The peer answers again and may get requests.
     Failback,
--- a/crates/diameter/src/peer/close_reason.rs
+++ b/crates/diameter/src/peer/close_reason.rs
@@ -10,13 +10,13 @@
     #[error("gateway ended a connection that was not open")]
     Abandoned,
     /// The peer did not send its capabilities in time.
-    #[error("peer did not send its capabilities in time")]
+    #[error("peer did not send its capabilities within 5 s")]
     CapabilitiesTimeout,
     /// The peer did not answer the gateway's disconnect request in time.
-    #[error("peer did not answer the disconnect request in time")]
+    #[error("peer did not answer the disconnect request within 5 s")]
     DisconnectAnswerTimeout,
     /// The peer did not close the connection in time after its disconnect request.
-    #[error("peer did not close the connection in time after its disconnect request")]
+    #[error("peer did not close the connection within 30 s after its disconnect request")]
     PeerCloseTimeout,
     /// The peer did not answer watchdog requests.
     #[error("peer did not answer watchdog requests")]
@@ -31,7 +31,7 @@
     #[error("gateway and peer sent disconnect requests at the same time")]
     DisconnectedByBoth,
     /// The peer's capabilities are incomplete or invalid.
-    #[error("peer's capabilities are incomplete or invalid")]
+    #[error("peer's capabilities lack a required AVP or contain an invalid one")]
     InvalidCapabilities,
     /// The peer does not support credit control.
     #[error("peer does not support credit control")]
--- a/crates/diameter/src/peer/messages.rs
+++ b/crates/diameter/src/peer/messages.rs
@@ -80,6 +80,7 @@
             {
                 self.handle_ccr(request, out);
             }
+            // Other requests, such as RAR and ASR from a server, are not supported.
             _ => {
                 let result_code = if request.header.application == application::COMMON {
                     result::COMMAND_UNSUPPORTED
--- a/crates/diameter/src/servers/attempt.rs
+++ b/crates/diameter/src/servers/attempt.rs
@@ -22,7 +22,7 @@
     pub client_host: String,
     /// Servers that the request may be sent to.
     pub servers: Rc<Servers>,
-    /// Server that sent the answer for the client, `None` before.
+    /// Server that sent the answer for the client; `None` until an attempt has served the request.
     pub answered_by: Rc<RefCell<Option<ServerId>>>,
     /// Whether an earlier attempt may have been executed.
     pub may_have_executed: Rc<Cell<bool>>,
@@ -81,7 +81,7 @@
         let is_abated = server
             .abatement
             .borrow()
-            .draw_abated((self.clock)(), &mut self.rng.borrow_mut());
+            .should_abate((self.clock)(), &mut self.rng.borrow_mut());
         if is_abated {
             return Err(CompletionStatus::Rejected);
         }
@@ -133,7 +133,8 @@
             Ok(Ok(Some(answer))) => return self.process_answer(&attempt.server, &answer),
             Ok(Ok(None)) => CompletionStatus::NoConnection,
             Ok(Err(_)) => CompletionStatus::ConnectionLost,
-            // This status also applies to a request that is still queued, as it cannot be removed from the queue.
+            // This status also applies to a request that is still queued: it cannot be removed from the queue, so it may
+            // still be written and executed.
             Err(_) => CompletionStatus::NoAnswer,
         };
         AttemptResult::without_response(status)
@@ -154,7 +155,8 @@
     }
 }
 
-/// A sent attempt. Dropping it removes its pending request, so that a late answer is ignored.
+/// A sent attempt. Dropping it removes its pending request, so that a late answer is ignored, and
+/// disconnects the server if it is draining and no other request is pending.
 struct PendingAttempt {
     server: Rc<Server>,
     hop_by_hop: u32,
--- a/crates/diameter/src/servers/connection.rs
+++ b/crates/diameter/src/servers/connection.rs
@@ -15,7 +15,8 @@
 use tokio::time::{sleep, timeout};
 use tokio_rustls::TlsConnector;
 
-/// Initial delay of the exponential backoff between connection attempts (Tc in RFC 6733 section 2.1).
+/// Initial delay of the exponential backoff between connection attempts (Tc in RFC 6733 section 2.1), and the interval at
+/// which a draining server is checked.
 const MIN_RECONNECT_BACKOFF: Duration = Duration::from_millis(100);
 /// Maximum delay of the exponential backoff between connection attempts.
 const MAX_RECONNECT_BACKOFF: Duration = Duration::from_secs(30);
@@ -115,7 +116,7 @@
                     let _ = request.answer.send(Some(answer));
                 }
             }
-            // Requests from servers to clients (RAR, ASR) are not supported.
+            // Only credit-control requests get here, and servers are not supposed to send them.
             Event::Request(request) => {
                 if let Some(link) = &*server.link.borrow() {
                     let answer = link.gateway_answer(&request, result::UNABLE_TO_DELIVER);
--- a/crates/diameter/src/servers/server.rs
+++ b/crates/diameter/src/servers/server.rs
@@ -13,8 +13,8 @@
 
 /// A request that was sent to a server and is not answered yet.
 pub(super) struct PendingRequest {
-    /// Receives the answer, or `None` if the request was never written. Dropped without a value if no answer is expected
-    /// any more and the server may have executed the request.
+    /// Receives the answer, or `None` if the request was never written. Closed without a value if, after the request was
+    /// written, the connection was lost or the watchdog reported a failover: the server may have executed the request.
     pub(super) answer: oneshot::Sender<Option<Message>>,
     /// Position of the request's end in the connection's byte stream.
     pub(super) end: u64,
--- a/crates/diameter/src/watchdog.rs
+++ b/crates/diameter/src/watchdog.rs
@@ -84,7 +84,8 @@
 
     /// Restarts the timer with a new random deviation.
     fn reset_timer(&mut self, now_us: u64, rng: &mut Pcg64Mcg) {
-        // RFC 3539 allows no Tw below 6 s. For a shorter Tw, as used on loopback, the jitter is proportional to Tw.
+        // RFC 3539 allows no Tw below 6 s, but a shorter one may be configured, as on loopback. The maximum jitter is
+        // Tw / 5 for a Tw below 10 s.
         let max_jitter_us = MAX_JITTER_US.min(self.tw_us / 5).max(1);
         let jitter_us = u64::from(rng.next_u32()) % (2 * max_jitter_us);
         self.due_us = now_us + self.tw_us - max_jitter_us + jitter_us;
--- a/crates/diameter/src/watchdog/tests.rs
+++ b/crates/diameter/src/watchdog/tests.rs
@@ -8,7 +8,7 @@
 struct Harness(Watchdog, Pcg64Mcg);
 
 impl Harness {
-    fn new_up() -> Harness {
+    fn new_connected() -> Harness {
         let mut harness = Harness(Watchdog::new(TW_US), Pcg64Mcg::seed_from_u64(3));
         assert_eq!(harness.0.handle_up(0, &mut harness.1), None);
         harness
@@ -23,7 +23,7 @@
 
 #[test]
 fn a_silent_peer_is_queried_then_suspected_then_disconnected() {
-    let mut harness = Harness::new_up();
+    let mut harness = Harness::new_connected();
     let (due_us, action) = harness.expire();
     assert_eq!(action, Some(Action::SendRequest));
     assert!((TW_US - MAX_JITTER_US..=TW_US + MAX_JITTER_US).contains(&due_us));
@@ -37,8 +37,8 @@
 }
 
 #[test]
-fn any_message_restarts_tw_and_clears_a_suspicion() {
-    let mut harness = Harness::new_up();
+fn any_message_restarts_tw_and_ends_the_suspect_state() {
+    let mut harness = Harness::new_connected();
     assert_eq!(
         harness.0.handle_message(TW_US / 2, false, &mut harness.1),
         None
@@ -52,13 +52,13 @@
         Some(Action::Failback)
     );
     assert_eq!(harness.0.status(), Status::Okay);
-    // The answer is still pending, so no other request is sent before the peer is suspected again.
+    // The watchdog request is still unanswered, so the next expiry leads to SUSPECT without another request.
     assert_eq!(harness.expire().1, Some(Action::Failover));
 }
 
 #[test]
-fn a_reopened_connection_is_trusted_after_three_answers() {
-    let mut harness = Harness::new_up();
+fn a_reconnected_peer_gets_requests_after_three_watchdog_answers() {
+    let mut harness = Harness::new_connected();
     harness.0.handle_down();
     assert_eq!(
         harness.0.handle_up(0, &mut harness.1),
@@ -72,7 +72,7 @@
         harness.0.handle_message(3, true, &mut harness.1),
         Some(Action::Failback)
     );
-    let mut harness = Harness::new_up();
+    let mut harness = Harness::new_connected();
     harness.0.handle_down();
     harness.0.handle_up(0, &mut harness.1);
     assert_eq!(
--- a/crates/diameter/tests/crediting.rs
+++ b/crates/diameter/tests/crediting.rs
@@ -71,27 +71,27 @@
     to.answer().with(Avp::of_u32(code::RESULT_CODE, result))
 }
 
-/// Accepts a request and expects it to be submitted.
+/// Handles a request and expects it to be submitted.
 fn expect_submitted(
     credit: &mut CreditControl<u32>,
     now_us: u64,
     ccr: &Message,
 ) -> (RequestKey, CreditRequest) {
-    match credit.accept(now_us, ccr, 1) {
+    match credit.handle_ccr(now_us, ccr, 1) {
         Disposition::Submit(key, request) => (key, request),
-        other => panic!("{other:?}"),
+        other => panic!("expected Disposition::Submit, got {other:?}"),
     }
 }
 
-/// Accepts a request, expects it to be rejected, and returns the result code.
+/// Handles a request, expects it to be rejected, and returns the result code.
 fn expect_rejected(credit: &mut CreditControl<u32>, ccr: &Message) -> u32 {
-    match credit.accept(0, ccr, 1) {
+    match credit.handle_ccr(0, ccr, 1) {
         Disposition::Rejected(fault) => fault.result_code,
-        other => panic!("{other:?}"),
+        other => panic!("expected Disposition::Rejected, got {other:?}"),
     }
 }
 
-/// Accepts a request and completes it with a successful answer from `server`.
+/// Handles a request and completes it with a successful answer from `server`.
 fn serve(
     credit: &mut CreditControl<u32>,
     now_us: u64,
@@ -267,8 +267,8 @@
     );
 }
 
-/// CC-Session-Failover states whether another server can continue the session, and Credit-Control-Failure-Handling whether
-/// another server may (RFC 8506 sections 5.7, 8.4 and 8.14). Without the AVPs, failover is not supported and the handling
+/// CC-Session-Failover states whether the servers support moving the session, and Credit-Control-Failure-Handling whether
+/// the session continues if its server fails (RFC 8506 sections 5.7, 8.4 and 8.14). Without the AVPs, failover is not supported and the handling
 /// is TERMINATE.
 #[test]
 fn a_session_may_fail_over_if_its_server_supports_it_and_failure_handling_allows_it() {
@@ -315,7 +315,7 @@
 
 /// A session keeps the plan that it was opened with when the mapping changes.
 #[test]
-fn a_changed_mapping_applies_to_new_requests_only() {
+fn a_changed_mapping_applies_to_events_and_new_sessions_only() {
     let mut credit = CreditControl::new(mapping());
     serve(
         &mut credit,
@@ -370,7 +370,7 @@
     let mut duplicate = ccr.clone();
     duplicate.header.flags |= flag::RETRANSMITTED;
     duplicate.header.hop_by_hop = 99;
-    assert_eq!(credit.accept(1, &duplicate, 2), Disposition::Joined);
+    assert_eq!(credit.handle_ccr(1, &duplicate, 2), Disposition::Joined);
     let success = answer(&ccr, result::SUCCESS);
     assert_eq!(
         credit.complete(2, &key, &ccr, &success, Some("s")),
@@ -378,7 +378,7 @@
         "each waiting client gets the answer once"
     );
     assert_eq!(
-        credit.accept(3, &duplicate, 3),
+        credit.handle_ccr(3, &duplicate, 3),
         Disposition::Answered(success)
     );
     assert!(
@@ -410,7 +410,7 @@
     let mut credit = CreditControl::new(mapping());
     let ccr = event_ccr(0, 1);
     let (key, _) = expect_submitted(&mut credit, 0, &ccr);
-    credit.accept(0, &ccr, 2);
+    credit.handle_ccr(0, &ccr, 2);
     assert!(!credit.cancel_for_clients(&key, |client| *client == 1));
     assert!(credit.cancel_for_clients(&key, |client| *client == 2));
     assert!(credit
@@ -432,11 +432,11 @@
         credit.complete(0, &key, &ccr, &answer, Some("s"));
     }
     assert_eq!(
-        credit.accept(1, &large_exchange(3).0, 1),
+        credit.handle_ccr(1, &large_exchange(3).0, 1),
         Disposition::Answered(large_exchange(3).1)
     );
     assert_eq!(
-        credit.accept(1, &large_exchange(2).0, 1),
+        credit.handle_ccr(1, &large_exchange(2).0, 1),
         Disposition::Answered(large_exchange(2).1)
     );
     expect_submitted(&mut credit, 1, &large_exchange(1).0);
@@ -464,7 +464,8 @@
     for n in 20..23 {
         expect_submitted(&mut credit, 61 * SECOND_US, &event_ccr(2, n));
     }
-    let Disposition::Rejected(fault) = credit.accept(61 * SECOND_US, &event_ccr(2, 24), 1) else {
+    let Disposition::Rejected(fault) = credit.handle_ccr(61 * SECOND_US, &event_ccr(2, 24), 1)
+    else {
         panic!("a fifth request in flight must be rejected")
     };
     assert_eq!(fault.result_code, result::TOO_BUSY);
--- a/crates/diameter/tests/peers.rs
+++ b/crates/diameter/tests/peers.rs
@@ -54,7 +54,7 @@
         .expect("a CER is sent");
     let out = step(&mut gateway, 0, Input::Message(cer));
     let Output::Up(remote) = &out[1] else {
-        panic!("{out:?}")
+        panic!("second output is not Output::Up: {out:?}")
     };
     assert_eq!(
         (remote.host.as_str(), remote.state_id),
@@ -186,7 +186,7 @@
         (command::DEVICE_WATCHDOG, Some(5))
     );
     assert_eq!(answer_to(&mut gateway, dwr).result(), Some(result::SUCCESS));
-    // The answer is not delivered to the client.
+    // The gateway's answer is not delivered to the client, which therefore sees a silent peer.
     let mut out = Vec::new();
     client.handle_timeout(client.due_us(), &mut out);
     assert_eq!(out, [Output::Failover]);
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn a_disconnect_request_has_its_cause_and_its_answer_closes_the_connection() {
+fn a_disconnect_request_contains_a_cause_and_the_answer_closes_the_connection() {
     let (mut client, mut gateway) = open_pair();
     let dpr = sent(&step(
         &mut gateway,
