--- a/crates/discovery/tests/browsing/push.rs
+++ b/crates/discovery/tests/browsing/push.rs
@@ -49,7 +49,7 @@
 fn a_pushed_removal_of_all_records_leads_to_a_round() {
     let mut world = World::new(config_with_push(1), vec![zone(10)]);
     world.run(2 * SECOND_US);
-    let mut all = ptr_record("n0").pushed(SERVICE, u32::MAX - 1);
+    let mut all = ptr_record("n0").encode_for_push(SERVICE, u32::MAX - 1);
     // RDLENGTH 0 and no data (RFC 8765 section 6.3.1).
     let owner = 1 + SERVICE.len() + 1;
     all.truncate(owner + 8);
@@ -64,7 +64,7 @@
     let mut world = World::new(config_with_push(1), vec![zone(3)]);
     world.run(2 * SECOND_US);
     world.send_push_message(push_message(&[
-        ptr_record("nobody").pushed(SERVICE, u32::MAX)
+        ptr_record("nobody").encode_for_push(SERVICE, u32::MAX)
     ]));
     world.run(2 * SECOND_US);
     assert_eq!(
@@ -80,7 +80,9 @@
     world.zones[0].remove_instance(SERVICE, "n1");
     world.zones[0].remove_instance(SERVICE, "n2");
     // Only the first of two removals is pushed before the connection ends.
-    world.send_push_message(push_message(&[ptr_record("n1").pushed(SERVICE, u32::MAX)]));
+    world.send_push_message(push_message(&[
+        ptr_record("n1").encode_for_push(SERVICE, u32::MAX)
+    ]));
     world.drop_push_connection();
     world.push_server_is_up = false;
     world.run(PROPAGATION_US);
--- a/crates/discovery/tests/browsing/world/push_server.rs
+++ b/crates/discovery/tests/browsing/world/push_server.rs
@@ -37,7 +37,7 @@
             .records(&subscription.name)
             .iter()
             .filter(|rr| record_type == 255 || rr.rtype().to_int() == record_type)
-            .map(|rr| rr.pushed(&subscription.name, 10))
+            .map(|rr| rr.encode_for_push(&subscription.name, 10))
             .collect();
         if let Some(subscriptions) = &mut self.subscriptions {
             subscriptions.push(subscription);
@@ -64,7 +64,7 @@
             .filter(|change| subscriptions.iter().any(|s| s.covers(change)))
             .map(|change| {
                 let ttl = if change.added { 10 } else { u32::MAX };
-                change.rr.pushed(&change.owner, ttl)
+                change.rr.encode_for_push(&change.owner, ttl)
             })
             .collect();
         if !records.is_empty() {
--- a/crates/frosthatch/tests/bulk.rs
+++ b/crates/frosthatch/tests/bulk.rs
@@ -57,12 +57,12 @@
 }
 
 fn gateway(server: SocketAddr) -> Gateway {
-    Gateway::alone(&Discovery::new(&target("a", server, 0, "Ready")))
+    Gateway::start_alone(&Discovery::new(&endpoint_entry("a", server, 0, "Ready")))
 }
 
 fn connect(gateway: &Gateway) -> TcpStream {
     let stream = TcpStream::connect(gateway.address).expect("the gateway accepts");
-    stream.set_read_timeout(Some(LONG)).expect("a time-out");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
     stream
 }
 
@@ -84,7 +84,9 @@
 }
 
 fn check_and_close() -> String {
-    ClientRequest::check().with("Connection", "close").text()
+    ClientRequest::check()
+        .with_header("Connection", "close")
+        .to_text()
 }
 
 fn long(n: usize) -> Vec<u8> {
@@ -97,7 +99,7 @@
         body: String::new(),
         ..ClientRequest::top_up()
     }
-    .text()
+    .to_text()
     .replace("Content-Length: 0\r\n", framing)
 }
 
@@ -198,21 +200,21 @@
     let mut client = gateway.client();
     let chunks = "4;a=b\r\nabcd\r\n3\r\nxyz\r\n0\r\nX-Trailer: 1\r\n\r\n";
     client.send(&(top_up("Transfer-Encoding: chunked\r\n") + chunks));
-    assert_eq!(client.answer().expect("an answer").body, "ok");
-    assert_eq!(told.recv_timeout(LONG).expect("a body"), b"abcdxyz");
+    assert_eq!(client.read_response().expect("an answer").body, "ok");
+    assert_eq!(told.recv_timeout(TIMEOUT).expect("a body"), b"abcdxyz");
     // Told to go on before it sends the body.
     client.send(&top_up(
         "Transfer-Encoding: chunked\r\nExpect: 100-continue\r\n",
     ));
-    assert_eq!(client.answer().expect("a word").status(), 100);
+    assert_eq!(client.read_response().expect("a word").status(), 100);
     client.send("1\r\nq\r\n0\r\n\r\n");
-    assert_eq!(client.answer().expect("an answer").body, "ok");
-    assert_eq!(told.recv_timeout(LONG).expect("a body"), b"q");
+    assert_eq!(client.read_response().expect("an answer").body, "ok");
+    assert_eq!(told.recv_timeout(TIMEOUT).expect("a body"), b"q");
     let whole = long(2_000_000);
     client.send(&top_up(&format!("Content-Length: {}\r\n", whole.len())));
     client.send(std::str::from_utf8(&whole).expect("letters"));
-    assert_eq!(client.answer().expect("an answer").body, "ok");
-    assert!(told.recv_timeout(LONG).expect("a body") == whole);
+    assert_eq!(client.read_response().expect("an answer").body, "ok");
+    assert!(told.recv_timeout(TIMEOUT).expect("a body") == whole);
 }
 
 /// Guards against time that runs while a body still comes, and against one that takes longer than a head may.
@@ -229,8 +231,8 @@
         thread::sleep(Duration::from_millis(500));
         client.send(std::str::from_utf8(part).expect("letters"));
     }
-    assert_eq!(client.answer().expect("an answer").body, "ok");
-    assert!(told.recv_timeout(LONG).expect("a body") == whole);
+    assert_eq!(client.read_response().expect("an answer").body, "ok");
+    assert!(told.recv_timeout(TIMEOUT).expect("a body") == whole);
 }
 
 /// Guards against bodies that would take more than there is.
@@ -240,7 +242,7 @@
     let mut gateway = gateway(reading_server(tell));
     let mut client = gateway.client();
     client.send(&top_up("Content-Length: 60000000\r\n"));
-    assert_eq!(client.answer().expect("an answer").status(), 413);
+    assert_eq!(client.read_response().expect("an answer").status(), 413);
     // A quarter of the 32 MB is for all long bodies: of these no two fit.
     let mut holders: Vec<Client> = (0..3).map(|_| gateway.client()).collect();
     let part = long(4_800_000);
@@ -250,14 +252,14 @@
     }
     let refused = holders
         .iter_mut()
-        .map(|h| h.answer().map_or(408, |m| m.status()))
+        .map(|h| h.read_response().map_or(408, |m| m.status()))
         .filter(|&s| s == 503)
         .count();
     assert!(refused >= 1, "two of three have no room");
     let mut client = gateway.client();
     client.send(&top_up("Content-Length: 3\r\n"));
     client.send("abc");
-    assert_eq!(client.answer().expect("an answer").body, "ok");
-    assert_eq!(told.recv_timeout(LONG).expect("a body"), b"abc");
-    assert!(gateway.runs());
+    assert_eq!(client.read_response().expect("an answer").body, "ok");
+    assert_eq!(told.recv_timeout(TIMEOUT).expect("a body"), b"abc");
+    assert!(gateway.is_running());
 }
--- a/crates/frosthatch/tests/choices.rs
+++ b/crates/frosthatch/tests/choices.rs
@@ -1,8 +1,10 @@
 //! Ten real processes that choose among twenty servers by each other's word, and faults between them.
 
-use frosthatch_lab::rig::{fleet_file, stage, Act, Process, Relay, Stage};
 use frosthatch_lab::site::Node;
-use frosthatch_test_doubles::{config_file, ok, status, target, ClientRequest, Discovery, Server};
+use frosthatch_lab::testbed::{fleet_file, processes, Process, Relay, Testbed, TimelineAction};
+use frosthatch_test_doubles::{
+    endpoint_entry, ok, status, write_config_file, ClientRequest, Discovery, Server,
+};
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -17,7 +19,7 @@
 const BLIND: usize = 9;
 
 struct Fleet {
-    stage: Stage,
+    testbed: Testbed,
     key: PathBuf,
     failing: Arc<AtomicBool>,
     /// Requests that the server that fails at times got.
@@ -54,12 +56,12 @@
             .and_then(|l| l.local_addr())
             .expect("a port");
         let list = |at: &dyn Fn(usize) -> std::net::SocketAddr| {
-            let one = |n| target(&format!("s{n}"), at(n), n as u64, "Ready");
+            let one = |n| endpoint_entry(&format!("s{n}"), at(n), n as u64, "Ready");
             Discovery::new(&(0..SERVERS).map(one).collect::<Vec<_>>().join(","))
         };
         let agents = [list(&|n| servers[n].address), list(&|_| nobody)];
         let relay = Relay::new(runtime.handle(), ALL, 5);
-        let key = config_file(&format!("1 {}\n", "k".repeat(40)));
+        let key = write_config_file(&format!("1 {}\n", "k".repeat(40)));
         let process = |n: usize| {
             let discovery = agents[usize::from(n == BLIND)].address;
             let node = Node {
@@ -72,9 +74,9 @@
             };
             Process::new(node, Some(fleet_file(&relay, n, &key, "")))
         };
-        let stage = Stage::new((0..ALL).map(process).collect(), relay);
+        let testbed = Testbed::new((0..ALL).map(process).collect(), relay);
         let mut fleet = Fleet {
-            stage,
+            testbed,
             key,
             failing,
             tried,
@@ -83,14 +85,15 @@
             _servers: servers,
             _runtime: runtime,
         };
-        fleet.stage.start_all();
-        fleet.stage.wait_found();
+        fleet.testbed.start_all();
+        fleet.testbed.wait_until_all_found();
         fleet
     }
 
     /// What a process says: gateways, servers used, servers left alone.
     fn says(&self, by: usize) -> Option<[u64; 3]> {
-        let (_, body) = stage::call(self.stage.processes[by].console()?, "GET", "/fleet", "")?;
+        let (_, body) =
+            processes::call_console(self.testbed.processes[by].console()?, "GET", "/fleet", "")?;
         let json: serde_json::Value = serde_json::from_str(&body).ok()?;
         let figure = |name: &str| json["choices"][name].as_u64();
         Some([
@@ -115,14 +118,18 @@
     fn ask(&self, who: &[usize], times: usize) -> usize {
         let mut served = 0;
         for n in who {
-            let mut client = self.stage.processes[*n].client();
+            let mut client = self.testbed.processes[*n].client();
             for _ in 0..times {
                 // Each of a customer of its own, so that no quota is in the way.
                 let customer = format!("{:016x}", self.asked.fetch_add(1, Ordering::SeqCst));
                 let ask = ClientRequest::check()
-                    .with("X-Tier", "mellem")
-                    .with("X-Api-Key", &customer);
-                served += usize::from(client.ask(&ask.text()).is_some_and(|m| m.status() == 200));
+                    .with_header("X-Tier", "mellem")
+                    .with_header("X-Api-Key", &customer);
+                served += usize::from(
+                    client
+                        .exchange(&ask.to_text())
+                        .is_some_and(|m| m.status() == 200),
+                );
             }
         }
         served
@@ -182,30 +189,34 @@
     // A turn takes 4 s; what was under way when it was found out comes beside.
     assert!(more <= 2 + 4, "{more} after {found_out}");
     // Who is stopped through its turns and goes on finds them over; who is cut off goes by itself, uses all servers, and serves.
-    fleet.stage.act(&Act::Stop { who: vec![1] });
-    fleet.stage.act(&Act::Cut {
+    fleet.testbed.apply(&TimelineAction::Stop { who: vec![1] });
+    fleet.testbed.apply(&TimelineAction::Cut {
         from: vec![2],
         to: (0..ALL).filter(|n| *n != 2).collect(),
     });
-    fleet.stage.act(&Act::Cut {
+    fleet.testbed.apply(&TimelineAction::Cut {
         from: (0..ALL).filter(|n| *n != 2).collect(),
         to: vec![2],
     });
     fleet.all_say(&[2], 1, SERVERS as u64);
     assert_eq!(fleet.ask(&[2], 40), 40);
-    fleet.stage.act(&Act::Continue { who: vec![1] });
-    fleet.stage.act(&Act::Heal);
+    fleet
+        .testbed
+        .apply(&TimelineAction::Continue { who: vec![1] });
+    fleet.testbed.apply(&TimelineAction::Heal);
     fleet.failing.store(false, Ordering::SeqCst);
     fleet.all_leave_alone(&seeing, 0);
     fleet.all_say(&(0..ALL).collect::<Vec<_>>(), 10, 7);
     assert_eq!(fleet.ask(&seeing, 20), 180);
 
     // Two killed: the others know it and use all between them; they come back, and all is dealt as before.
-    fleet.stage.act(&Act::Kill { who: vec![3, 4] });
+    fleet
+        .testbed
+        .apply(&TimelineAction::Kill { who: vec![3, 4] });
     let left: Vec<usize> = (0..ALL).filter(|n| ![3, 4].contains(n)).collect();
     fleet.all_say(&left, 8, SERVERS as u64);
-    fleet.stage.start(3);
-    fleet.stage.start(4);
+    fleet.testbed.start(3);
+    fleet.testbed.start(4);
     fleet.all_say(&(0..ALL).collect::<Vec<_>>(), 10, 7);
     assert_eq!(fleet.ask(&seeing, 20), 180);
 }
--- a/crates/frosthatch/tests/clocks.rs
+++ b/crates/frosthatch/tests/clocks.rs
@@ -45,8 +45,12 @@
         while EVERY * asked < time {
             thread::sleep((start + EVERY * asked).saturating_duration_since(Instant::now()));
             asked += 1;
-            let ask = ClientRequest::check().with("X-Expires-In", PATIENCE);
-            served += usize::from(client.ask(&ask.text()).is_some_and(|a| a.status() == 200));
+            let ask = ClientRequest::check().with_header("X-Expires-In", PATIENCE);
+            served += usize::from(
+                client
+                    .exchange(&ask.to_text())
+                    .is_some_and(|a| a.status() == 200),
+            );
         }
         (served, asked as usize)
     };
@@ -66,7 +70,7 @@
 
 fn listed(servers: &[(Server, Arc<AtomicUsize>)], boot_ms: i64) -> String {
     let one = |(n, (s, _)): (usize, &(Server, _))| {
-        started(
+        endpoint_entry_with_boot(
             &format!("s{n}"),
             s.address,
             0,
@@ -88,19 +92,19 @@
     let shim = Shim::new();
     let warm = servers(4, WORK);
     let discovery = Discovery::new(&listed(&warm, 0));
-    let gateway = Gateway::start_under(&config_text(discovery.address, None, 1, ""), &shim);
+    let gateway = Gateway::start_with_shim(&config_text(discovery.address, None, 1, ""), &shim);
     gateway.wait_ready();
     ask_for(&gateway, Duration::from_secs(1));
     shim.set(Fault::WallClockOffsetMs, step_ms);
     let cold = servers(1, WORK);
-    let told = started(
+    let told = endpoint_entry_with_boot(
         "cold",
         cold[0].0.address,
         0,
         "Ready",
         (wall_ms() + step_ms) as u128,
     );
-    discovery.tell(true, &[listed(&warm, 0), told].join(","));
+    discovery.publish_and_wait(true, &[listed(&warm, 0), told].join(","));
     ask_for(&gateway, Duration::from_secs(3));
     cold[0].1.load(Ordering::SeqCst)
 }
@@ -140,7 +144,7 @@
         shim.set(Fault::WallClockOffsetMs, step_ms);
         let warm = servers(4, WORK * 5 / 2);
         let discovery = Discovery::new(&listed(&warm, wall_ms() - 60_000));
-        let gateway = Gateway::start_under(&config_text(discovery.address, None, 1, ""), &shim);
+        let gateway = Gateway::start_with_shim(&config_text(discovery.address, None, 1, ""), &shim);
         gateway.wait_ready();
         ask_for(&gateway, Duration::from_millis(2_400))
     };
@@ -166,26 +170,26 @@
 /// others under the same names.
 #[test]
 fn gateways_on_either_side_of_a_step_count_under_the_same_names() {
-    let counter = Counter::new(|_, _| Some((Duration::ZERO, "ok 1".into())));
+    let counter = ScriptedCounter::new(|_, _| Some((Duration::ZERO, "ok 1".into())));
     let server = Server::new(|_| ok("served"));
-    let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
+    let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let text = config_text(discovery.address, Some(counter.address), 2, "");
     let start = |shim: &Shim| {
-        let gateway = Gateway::start_under(&text, shim);
+        let gateway = Gateway::start_with_shim(&text, shim);
         gateway.wait_ready();
         gateway
     };
     let names = |gateway: &Gateway| {
         let ask = ClientRequest::check()
-            .with("X-Tier", "small")
-            .with("X-Call-Terms", "units=3,spread=2,first=0");
+            .with_header("X-Tier", "small")
+            .with_header("X-Call-Terms", "units=3,spread=2,first=0");
         let since = Instant::now();
         let mut names = Vec::new();
         // The connection to the counter may not be up yet.
-        while names.len() < 2 && since.elapsed() < LONG {
-            gateway.ask(
+        while names.len() < 2 && since.elapsed() < TIMEOUT {
+            gateway.request(
                 &ask.clone()
-                    .with("X-Trace-Id", ClientRequest::check().header("X-Trace-Id")),
+                    .with_header("X-Trace-Id", ClientRequest::check().header("X-Trace-Id")),
             );
             names.extend(counter.lines.recv_timeout(Duration::from_millis(100)).ok());
         }
--- a/crates/frosthatch/tests/closes.rs
+++ b/crates/frosthatch/tests/closes.rs
@@ -10,7 +10,7 @@
 
 fn connect(gateway: &Gateway) -> TcpStream {
     let stream = TcpStream::connect(gateway.address).expect("the gateway accepts");
-    stream.set_read_timeout(Some(LONG)).expect("a time-out");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
     stream
 }
 
@@ -27,19 +27,19 @@
 #[test]
 fn an_answer_that_ends_its_connection_is_not_reset_by_what_came_behind_the_request() {
     for behind in [100, 40_000, 150_000] {
-        let (server, go) = Server::held(|| ok("served"));
-        let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
-        let gateway = Gateway::alone(&discovery);
+        let (server, go) = Server::gated(|| ok("served"));
+        let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
+        let gateway = Gateway::start_alone(&discovery);
         let mut client = connect(&gateway);
         client
             .write_all(
                 ClientRequest::check()
-                    .with("Connection", "close")
-                    .text()
+                    .with_header("Connection", "close")
+                    .to_text()
                     .as_bytes(),
             )
             .expect("sent");
-        server.request();
+        server.next_request();
         client
             .write_all("x".repeat(behind).as_bytes())
             .expect("sent");
@@ -49,16 +49,16 @@
             text.starts_with("HTTP/1.1 200") && text.ends_with("served"),
             "{behind}: {text}"
         );
-        assert_eq!(server.requests_so_far(), 0);
+        assert_eq!(server.drain_request_count(), 0);
     }
 }
 
 /// The same for what is turned away, as ever.
 #[test]
 fn an_error_is_not_reset_by_what_came_behind() {
-    let (server, _go) = Server::held(|| ok("served"));
-    let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
-    let gateway = Gateway::alone(&discovery);
+    let (server, _go) = Server::gated(|| ok("served"));
+    let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
+    let gateway = Gateway::start_alone(&discovery);
     let mut client = connect(&gateway);
     let nonsense = format!("nonsense\r\n\r\n{}", "x".repeat(60_000));
     client.write_all(nonsense.as_bytes()).expect("sent");
@@ -87,13 +87,13 @@
     };
     for _ in 0..20 {
         let server = Server::new(|_| ok("served"));
-        let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
-        let mut gateway = Gateway::alone(&discovery);
+        let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
+        let mut gateway = Gateway::start_alone(&discovery);
         let mut client = connect(&gateway);
         client
-            .write_all(ClientRequest::check().text().as_bytes())
+            .write_all(ClientRequest::check().to_text().as_bytes())
             .expect("sent");
-        server.request();
+        server.next_request();
         let mut answer = [0; 16];
         client.read_exact(&mut answer).expect("an answer");
         while client.read(&mut [0; 1]).expect("the rest") > 0 {
@@ -104,21 +104,21 @@
                 break;
             }
         }
-        client.set_read_timeout(Some(LONG)).expect("a time-out");
+        client.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
         gateway.terminate();
         let soon = ended(&mut client);
-        let sent = client.write_all(ClientRequest::check().text().as_bytes());
+        let sent = client.write_all(ClientRequest::check().to_text().as_bytes());
         if !soon {
             continue;
         }
         sent.expect("the connection takes it");
-        assert!(gateway.wait().success());
+        assert!(gateway.wait_for_exit().success());
         // A reset would stand here; a read tells of the end that came before it.
         assert!(
             client.take_error().expect("a connection").is_none(),
             "it was reset"
         );
-        assert_eq!(server.requests_so_far(), 0, "sent on behind the end");
+        assert_eq!(server.drain_request_count(), 0, "sent on behind the end");
         return;
     }
     panic!("the machine was too busy each time");
@@ -128,10 +128,10 @@
 #[test]
 fn a_request_that_is_half_there_when_the_process_is_told_to_end_is_served() {
     let server = Server::new(|_| ok("served"));
-    let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
-    let mut gateway = Gateway::alone(&discovery);
+    let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
+    let mut gateway = Gateway::start_alone(&discovery);
     let (mut idle, mut client) = (connect(&gateway), connect(&gateway));
-    let text = ClientRequest::top_up().text();
+    let text = ClientRequest::top_up().to_text();
     gateway.terminate();
     // Idle ones are closed a while after.
     thread::sleep(Duration::from_millis(300));
@@ -148,7 +148,7 @@
         answer.starts_with("HTTP/1.1 200") && answer.ends_with("served"),
         "{answer}"
     );
-    assert!(gateway.wait().success());
+    assert!(gateway.wait_for_exit().success());
 }
 
 /// Guards against a connection that the system has accepted and the process has not when it is about to end: it was stopped
@@ -156,16 +156,16 @@
 #[test]
 fn a_connection_that_still_waits_to_be_accepted_is_served_before_the_end() {
     let server = Server::new(|_| ok("served"));
-    let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
-    let mut gateway = Gateway::alone(&discovery);
+    let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
+    let mut gateway = Gateway::start_alone(&discovery);
     gateway.terminate();
-    while gateway.ready() {
+    while gateway.is_ready() {
         thread::sleep(Duration::from_millis(1));
     }
     gateway.signal("-STOP");
     let mut client = connect(&gateway);
     client
-        .write_all(ClientRequest::top_up().text().as_bytes())
+        .write_all(ClientRequest::top_up().to_text().as_bytes())
         .expect("sent");
     thread::sleep(Duration::from_millis(700));
     gateway.signal("-CONT");
@@ -174,28 +174,28 @@
         answer.starts_with("HTTP/1.1 200") && answer.ends_with("served"),
         "{answer}"
     );
-    assert!(gateway.wait().success());
+    assert!(gateway.wait_for_exit().success());
 }
 
 /// Guards against signals at odd moments: twice, before any list has come, and right behind a new configuration.
 #[test]
 fn it_ends_well_whenever_it_is_told_to() {
     let server = Server::new(|_| ok("served"));
-    let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
-    let mut twice = Gateway::alone(&discovery);
+    let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
+    let mut twice = Gateway::start_alone(&discovery);
     twice.terminate();
     twice.terminate();
-    assert!(twice.wait().success());
-    let mut moved = Gateway::alone(&discovery);
-    moved.configure(&config_text(discovery.address, None, 1, ""));
+    assert!(twice.wait_for_exit().success());
+    let mut moved = Gateway::start_alone(&discovery);
+    moved.replace_config(&config_text(discovery.address, None, 1, ""));
     moved.terminate();
     moved.signal("-HUP");
-    assert!(moved.wait().success());
+    assert!(moved.wait_for_exit().success());
     let quiet = Discovery::new("");
-    quiet.mood(Mood::Down);
+    quiet.set_mode(DiscoveryMode::Down);
     let mut early = Gateway::start(quiet.address, None, 1, "");
     early.terminate();
-    assert!(early.wait().success());
+    assert!(early.wait_for_exit().success());
 }
 
 /// Guards against a cut answer that looks whole to a client that reads no chunks: only the end of its connection tells it the
@@ -204,14 +204,14 @@
 fn a_long_answer_that_is_cut_ends_in_a_reset_where_its_end_would_be_taken_for_its_own() {
     let part = format!("{:x}\r\n{}\r\n", 100_000, "x".repeat(100_000));
     let text = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{part}");
-    let server = Server::new(move |_| Reply::Last(text.clone()));
-    let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
-    let gateway = Gateway::alone(&discovery);
+    let server = Server::new(move |_| Reply::BytesThenClose(text.clone()));
+    let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
+    let gateway = Gateway::start_alone(&discovery);
     let mut client = connect(&gateway);
     client
         .write_all(
             ClientRequest::check()
-                .text()
+                .to_text()
                 .replace("HTTP/1.1", "HTTP/1.0")
                 .as_bytes(),
         )
@@ -227,18 +227,18 @@
         "x".repeat(100_000)
     );
     let server = Server::new(move |_| Reply::Bytes(text.clone()));
-    let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
-    let gateway = Gateway::alone(&discovery);
+    let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
+    let gateway = Gateway::start_alone(&discovery);
     let mut client = connect(&gateway);
     client
-        .write_all(ClientRequest::check().text().as_bytes())
+        .write_all(ClientRequest::check().to_text().as_bytes())
         .expect("sent");
     client
         .read_exact(&mut [0; 100_000])
         .expect("all that has come");
     drop(client);
     let since = Instant::now();
-    server.closed();
+    server.wait_closed();
     assert!(
         since.elapsed() < Duration::from_secs(5),
         "{:?}",
--- a/crates/frosthatch/tests/command_line.rs
+++ b/crates/frosthatch/tests/command_line.rs
@@ -6,9 +6,9 @@
 use std::process::Output;
 
 fn run(config: &str, operator: Option<&str>, words: &[&str]) -> Output {
-    let config = config_file(config);
-    let operator = operator.map(config_file);
-    let mut command = command(&config);
+    let config = write_config_file(config);
+    let operator = operator.map(write_config_file);
+    let mut command = gateway_command(&config);
     command.args(words);
     if let Some(file) = &operator {
         command.arg("--operator").arg(file);
@@ -139,7 +139,7 @@
             .collect::<Vec<_>>()
     };
     let folder = std::env::temp_dir().join(format!("frosthatch-init-{}", std::process::id()));
-    let key = config_file(&"k".repeat(40));
+    let key = write_config_file(&"k".repeat(40));
     let table = |more: &str| {
         let fleet = format!(
             "[fleet]\nlisten = \"127.0.0.1:0\"\nkey_file = \"{}\"\n",
@@ -202,7 +202,7 @@
 
     // In order, but this gateway knows no such plan.
     let text = "version = 1\n[plans.none]\nrate = 1\nburst = 2\n[classes.none]\naim_ms = 5\nworth = 1\nlate_worth = 0\n";
-    let document = config_file(text);
+    let document = write_config_file(text);
     let check = run(
         &config,
         None,
--- a/crates/frosthatch/tests/common/tls.rs
+++ b/crates/frosthatch/tests/common/tls.rs
@@ -1,6 +1,6 @@
 //! Certificates made for a test, and TLS in front of stand-ins that know none.
 
-use frosthatch_test_doubles::config_file;
+use frosthatch_test_doubles::write_config_file;
 use rcgen::{BasicConstraints, Certificate, CertificateParams, IsCa, KeyPair};
 use std::future::Future;
 use std::net::SocketAddr;
@@ -163,7 +163,7 @@
 
 /// A folder of one's own.
 pub fn folder() -> PathBuf {
-    let folder = config_file("");
+    let folder = write_config_file("");
     std::fs::remove_file(&folder).expect("it was just written");
     std::fs::create_dir(&folder).expect("a folder");
     folder
--- a/crates/frosthatch/tests/console.rs
+++ b/crates/frosthatch/tests/console.rs
@@ -21,7 +21,7 @@
         let gateway =
             Gateway::start_with_log(&text, &[], move |line| drop(tell.send(line.to_string())));
         let console = loop {
-            let line = told.recv_timeout(LONG).expect("the console's address");
+            let line = told.recv_timeout(TIMEOUT).expect("the console's address");
             if let Some(at) = line.strip_prefix("console on ") {
                 break at.parse().expect("an address");
             }
@@ -32,7 +32,7 @@
 
     fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.console).expect("the console accepts");
-        stream.set_read_timeout(Some(LONG)).expect("a time-out");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
         stream
     }
 
@@ -78,8 +78,8 @@
 
 fn two(a: &Server, b: &Server) -> String {
     [
-        target("a", a.address, 0, "Ready"),
-        target("b", b.address, 0, "Ready"),
+        endpoint_entry("a", a.address, 0, "Ready"),
+        endpoint_entry("b", b.address, 0, "Ready"),
     ]
     .join(",")
 }
@@ -93,31 +93,35 @@
             ok("served")
         }
     });
-    let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
+    let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let site = Site::new(&discovery);
     for _ in 0..5 {
-        assert_eq!(site.gateway.ask(&ClientRequest::check()).status(), 200);
+        assert_eq!(site.gateway.request(&ClientRequest::check()).status(), 200);
     }
-    assert_eq!(site.gateway.ask(&ClientRequest::top_up()).status(), 200);
-    let failed = site.gateway.ask(&ClientRequest {
+    assert_eq!(site.gateway.request(&ClientRequest::top_up()).status(), 200);
+    let failed = site.gateway.request(&ClientRequest {
         path: "/top-up?bad",
         ..ClientRequest::top_up()
     });
     assert_eq!(failed.status(), 502);
     // The quota of `small` holds six units and hardly fills.
     let beyond = ClientRequest::check()
-        .with("X-Tier", "small")
-        .with("X-Call-Terms", "units=6,spread=1,first=0");
-    let again = |n: u32| beyond.clone().with("X-Trace-Id", &format!("{n:016x}"));
+        .with_header("X-Tier", "small")
+        .with_header("X-Call-Terms", "units=6,spread=1,first=0");
+    let again = |n: u32| {
+        beyond
+            .clone()
+            .with_header("X-Trace-Id", &format!("{n:016x}"))
+    };
     let refused = (1..4)
-        .filter(|&n| site.gateway.ask(&again(n)).status() == 429)
+        .filter(|&n| site.gateway.request(&again(n)).status() == 429)
         .count() as u64;
     assert!(refused > 0);
     assert_eq!(site.figure("success.balance-check"), 5 + (3 - refused));
     assert_eq!(site.figure("success.top-up"), 1);
     assert_eq!(site.figure("busy.balance-check"), refused);
     assert_eq!(site.figure("failure.top-up"), 1);
-    let attempts = server.requests_so_far() as u64;
+    let attempts = server.drain_request_count() as u64;
     assert_eq!(
         site.figure("backend_calls.balance-check") + site.figure("backend_calls.top-up"),
         attempts
@@ -133,11 +137,11 @@
 #[test]
 fn requests_that_are_held_are_in_flight() {
     let server = Server::new(|_| Reply::Silence);
-    let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
+    let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let site = Site::new(&discovery);
     let mut held = site.gateway.client();
-    held.send(&ClientRequest::check().text());
-    server.request();
+    held.send(&ClientRequest::check().to_text());
+    server.next_request();
     assert_eq!(
         (
             site.figure("inflight"),
@@ -161,17 +165,17 @@
         (site.figure("hosts_listed"), site.figure("hosts_down")),
         (2, 1)
     );
-    discovery.tell(true, &two(&a, &b));
-    discovery.tell(false, &target("a", a.address, 0, "Ready"));
+    discovery.publish_and_wait(true, &two(&a, &b));
+    discovery.publish_and_wait(false, &endpoint_entry("a", a.address, 0, "Ready"));
     for _ in 0..20 {
-        assert_eq!(site.gateway.ask(&ClientRequest::check()).body, "b");
+        assert_eq!(site.gateway.request(&ClientRequest::check()).body, "b");
     }
-    assert_eq!(a.requests_so_far(), 0);
+    assert_eq!(a.drain_request_count(), 0);
     assert_eq!(site.post("/servers/enable?id=a"), 200);
     assert_eq!(site.figure("hosts_down"), 0);
     let since = Instant::now();
-    while site.gateway.ask(&ClientRequest::check()).body != "a" {
-        assert!(since.elapsed() < LONG, "it is used again");
+    while site.gateway.request(&ClientRequest::check()).body != "a" {
+        assert!(since.elapsed() < TIMEOUT, "it is used again");
     }
 }
 
@@ -179,13 +183,13 @@
 #[test]
 fn an_emptied_gateway_serves_what_comes_lets_go_of_connections_and_comes_back() {
     let server = Server::new(|_| ok("served"));
-    let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
+    let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let mut site = Site::new(&discovery);
     let (mut idle, mut busy) = (site.gateway.client(), site.gateway.client());
     for client in [&mut idle, &mut busy] {
         assert_eq!(
             client
-                .ask(&ClientRequest::check().text())
+                .exchange(&ClientRequest::check().to_text())
                 .expect("an answer")
                 .status(),
             200
@@ -196,42 +200,42 @@
         (200, 200)
     );
     assert_eq!(site.call("GET", "/ready").0, 503);
-    assert!(!site.gateway.ready());
+    assert!(!site.gateway.is_ready());
     let answer = site
         .gateway
         .client()
-        .ask(&ClientRequest::check().text())
+        .exchange(&ClientRequest::check().to_text())
         .expect("a new client is served");
     assert_eq!(
         (answer.status(), answer.header("connection")),
         (200, Some("close"))
     );
     let answer = busy
-        .ask(&ClientRequest::check().text())
+        .exchange(&ClientRequest::check().to_text())
         .expect("a kept one too");
     assert_eq!(
         (answer.status(), answer.header("connection")),
         (200, Some("close"))
     );
-    assert!(idle.answer().is_none(), "what stays idle is closed");
+    assert!(idle.read_response().is_none(), "what stays idle is closed");
     // Twice is as once.
     assert_eq!((site.post("/drain"), site.post("/undrain")), (200, 200));
     assert_eq!(site.call("GET", "/ready").0, 200);
     let answer = site
         .gateway
         .client()
-        .ask(&ClientRequest::check().text())
+        .exchange(&ClientRequest::check().to_text())
         .expect("an answer");
     assert_eq!(answer.header("connection"), None);
     sleep(Duration::from_millis(10));
-    assert!(site.gateway.runs());
+    assert!(site.gateway.is_running());
 }
 
 /// Guards against callers that take all places and say nothing, or half of a call, or one after another.
 #[test]
 fn callers_that_hold_connections_keep_nobody_out() {
     let server = Server::new(|_| ok("served"));
-    let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
+    let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let mut site = Site::new(&discovery);
     let mut holders: Vec<TcpStream> = (0..80).map(|_| site.connect()).collect();
     for (n, holder) in holders.iter_mut().enumerate() {
@@ -257,5 +261,5 @@
         let _ = stream.write_all(nonsense.as_bytes());
         let _ = stream.read(&mut [0; 64]);
     }
-    assert!(site.gateway.runs());
+    assert!(site.gateway.is_running());
 }
--- a/crates/frosthatch/tests/diameter.rs
+++ b/crates/frosthatch/tests/diameter.rs
@@ -26,32 +26,32 @@
     }
 }
 
-fn member(uid: &str, server: &DServer, cell: u64, state: &str) -> String {
-    let plain = target(uid, server.address, cell, state);
+fn member(uid: &str, server: &DiameterServer, cell: u64, state: &str) -> String {
+    let plain = endpoint_entry(uid, server.address, cell, state);
     format!("{},\"proto\":\"diameter\"}}", plain.trim_end_matches('}'))
 }
 
 /// Two servers, the second in that cell; the first is in cell 0.
-fn both(a: &DServer, b: &DServer, cell: u64) -> String {
+fn both(a: &DiameterServer, b: &DiameterServer, cell: u64) -> String {
     [member("a", a, 0, "Ready"), member("b", b, cell, "Ready")].join(",")
 }
 
 /// A server of each protocol, and the one customer on that plan.
-fn both_protocols(plan: &str) -> (DServer, Server, Site, DClient, String) {
+fn both_protocols(plan: &str) -> (DiameterServer, Server, Site, DiameterClient, String) {
     let (server, web) = (
-        DServer::granting("s1.example.org"),
+        DiameterServer::granting("s1.example.org"),
         Server::new(|_| ok("web")),
     );
     let list = [
         member("s1", &server, 0, "Ready"),
-        target("w1", web.address, 0, "Ready"),
+        endpoint_entry("w1", web.address, 0, "Ready"),
     ]
     .join(",");
     let site = site(
         &list,
         &format!("[diameter.plans]\n\"4512345678\" = \"{plan}\"\n"),
     );
-    let client = DClient::new(site.address, "till.example.org");
+    let client = DiameterClient::new(site.address, "till.example.org");
     (
         server,
         web,
@@ -76,12 +76,13 @@
 fn site(list: &str, more: &str) -> Site {
     let discovery = Discovery::new(list);
     let address = own_address();
-    let file = config_file(&format!(
+    let file = write_config_file(&format!(
         "[diameter]\nlisten = \"{address}\"\nidentity = \"gw.example.org\"\nrealm = \"example.org\"\n\
          check_class = \"balance-check\"\ncharge_class = \"top-up\"\ntx_ms = 6000\ndefault_plan = \"lille\"\n{more}"
     ));
     let config = config_text(discovery.address, None, 1, "");
-    let gateway = Gateway::start_as(&config, &["--operator", file.to_str().expect("a path")]);
+    let gateway =
+        Gateway::start_with_args(&config, &["--operator", file.to_str().expect("a path")]);
     gateway.wait_ready();
     Site {
         gateway,
@@ -92,29 +93,29 @@
 }
 
 /// Asks until it is served: the gateway's connections to its servers come up a moment after its start.
-fn until_served(client: &mut DClient) {
+fn until_served(client: &mut DiameterClient) {
     let since = Instant::now();
-    while client.ask(&event(2)).result() != Some(result::SUCCESS) {
-        assert!(since.elapsed() < LONG, "a server is up");
+    while client.exchange(&event_request(2)).result() != Some(result::SUCCESS) {
+        assert!(since.elapsed() < TIMEOUT, "a server is up");
         sleep(Duration::from_millis(20));
     }
 }
 
 #[test]
 fn an_event_goes_to_a_server_and_its_answer_comes_back_with_the_clients_ids() {
-    let server = DServer::granting("s1.example.org");
+    let server = DiameterServer::granting("s1.example.org");
     let site = site(&member("s1", &server, 0, "Ready"), "");
-    let mut client = DClient::new(site.address, "till.example.org");
+    let mut client = DiameterClient::new(site.address, "till.example.org");
     until_served(&mut client);
-    server.so_far();
+    server.drain_request_count();
     let unknown = Avp {
         code: 9_999,
         flags: 0x80,
         vendor: Some(7),
         data: vec![1, 2, 3].into(),
     };
-    let ccr = event(0).with(unknown.clone());
-    let cca = client.ask(&ccr);
+    let ccr = event_request(0).with(unknown.clone());
+    let cca = client.exchange(&ccr);
     assert_eq!(
         (cca.result(), cca.header.has(flag::REQUEST)),
         (Some(result::SUCCESS), false)
@@ -124,7 +125,7 @@
         (ccr.header.hop_by_hop, ccr.header.end_to_end)
     );
     assert_eq!(cca.text(code::ORIGIN_HOST), Some("s1.example.org"));
-    let got = server.request();
+    let got = server.next_request();
     assert_eq!(got.header.end_to_end, ccr.header.end_to_end);
     assert_eq!(
         got.avps[..ccr.avps.len()],
@@ -140,12 +141,12 @@
     // The plan has 6 units and next to no more: four of them go by HTTP.
     let ask = || {
         ClientRequest::check()
-            .with("X-Api-Key", &key)
-            .with("X-Tier", "small")
-            .with("X-Call-Terms", "units=4,spread=1,first=0")
+            .with_header("X-Api-Key", &key)
+            .with_header("X-Tier", "small")
+            .with_header("X-Call-Terms", "units=4,spread=1,first=0")
     };
-    assert_eq!(site.gateway.ask(&ask()).body, "web");
-    let refused = client.ask(&units(event(0), 3));
+    assert_eq!(site.gateway.request(&ask()).body, "web");
+    let refused = client.exchange(&with_units(event_request(0), 3));
     assert_eq!(
         (refused.result(), refused.header.has(flag::ERROR)),
         (Some(result::TOO_BUSY), true)
@@ -153,13 +154,13 @@
     assert!(refused
         .text(code::ERROR_MESSAGE)
         .is_some_and(|t| t.contains("come back in")));
-    assert_eq!(server.so_far(), 0);
+    assert_eq!(server.drain_request_count(), 0);
     // Two are left, for whoever comes.
     let since = Instant::now();
-    while client.ask(&units(event(0), 2)).result() != Some(result::SUCCESS) {
-        assert!(since.elapsed() < LONG, "they are granted");
+    while client.exchange(&with_units(event_request(0), 2)).result() != Some(result::SUCCESS) {
+        assert!(since.elapsed() < TIMEOUT, "they are granted");
     }
-    assert_eq!(site.gateway.ask(&ask()).status(), 429);
+    assert_eq!(site.gateway.request(&ask()).status(), 429);
 }
 
 /// The class is keyed: what may have run goes only to the server's own cell, and says so.
@@ -168,40 +169,40 @@
     for (cell, result) in [(0, result::SUCCESS), (1, result::UNABLE_TO_COMPLY)] {
         let cutting = Arc::new(AtomicBool::new(false));
         let (cuts, host) = (cutting.clone(), "a.example.org");
-        let a = DServer::new(host, move |ccr| {
-            (!cuts.load(Ordering::SeqCst)).then(|| granted(ccr, host))
+        let a = DiameterServer::new(host, move |ccr| {
+            (!cuts.load(Ordering::SeqCst)).then(|| success_answer(ccr, host))
         });
-        let b = DServer::granting("b.example.org");
+        let b = DiameterServer::granting("b.example.org");
         let site = site(&both(&a, &b, cell), "");
-        let mut client = DClient::new(site.address, "till.example.org");
-        let both = |client: &mut DClient, host: &str| {
+        let mut client = DiameterClient::new(site.address, "till.example.org");
+        let both = |client: &mut DiameterClient, host: &str| {
             let since = Instant::now();
-            while client.ask(&event(2)).text(code::ORIGIN_HOST) != Some(host) {
-                assert!(since.elapsed() < LONG, "{host} serves");
+            while client.exchange(&event_request(2)).text(code::ORIGIN_HOST) != Some(host) {
+                assert!(since.elapsed() < TIMEOUT, "{host} serves");
             }
         };
         both(&mut client, "a.example.org");
         both(&mut client, "b.example.org");
-        a.so_far();
-        b.so_far();
+        a.drain_request_count();
+        b.drain_request_count();
         cutting.store(true, Ordering::SeqCst);
         // Until one is out at a.
         let since = Instant::now();
         loop {
-            assert!(since.elapsed() < LONG, "a is chosen");
-            let debit = event(0);
+            assert!(since.elapsed() < TIMEOUT, "a is chosen");
+            let debit = event_request(0);
             client.send(&debit);
-            match a.seen.recv_timeout(Duration::from_millis(200)) {
+            match a.requests.recv_timeout(Duration::from_millis(200)) {
                 Ok(got) => {
                     assert_eq!(got.header.end_to_end, debit.header.end_to_end);
-                    a.cut();
+                    a.close_connections();
                     assert_eq!(
                         client.answer().expect("one answer").result(),
                         Some(result),
                         "cell {cell}"
                     );
                     let repeats: Vec<Message> = b
-                        .seen
+                        .requests
                         .try_iter()
                         .filter(|m| m.header.end_to_end == debit.header.end_to_end)
                         .collect();
@@ -218,13 +219,13 @@
 #[test]
 fn a_session_stays_with_its_server_and_a_draining_one_gets_nothing_new() {
     let (a, b) = (
-        DServer::granting("a.example.org"),
-        DServer::granting("b.example.org"),
+        DiameterServer::granting("a.example.org"),
+        DiameterServer::granting("b.example.org"),
     );
     let site = site(&both(&a, &b, 0), "");
-    let mut client = DClient::new(site.address, "till.example.org");
+    let mut client = DiameterClient::new(site.address, "till.example.org");
     until_served(&mut client);
-    let opened = client.ask(&opening("till;1;s"));
+    let opened = client.exchange(&initial_request("till;1;s"));
     let home = opened
         .text(code::ORIGIN_HOST)
         .expect("a server")
@@ -232,7 +233,7 @@
     for n in 1..6 {
         assert_eq!(
             client
-                .ask(&request("till;1;s", 2, n))
+                .exchange(&credit_control_request("till;1;s", 2, n))
                 .text(code::ORIGIN_HOST),
             Some(home.as_str())
         );
@@ -243,28 +244,28 @@
         (&b, "b")
     };
     site.discovery
-        .tell(false, &member(uid, server, 0, "Terminating"));
-    server.so_far();
+        .publish_and_wait(false, &member(uid, server, 0, "Terminating"));
+    server.drain_request_count();
     // It may not move: the rule on drains wins, and nothing is sent anywhere.
-    let lost = client.ask(&request("till;1;s", 2, 6));
+    let lost = client.exchange(&credit_control_request("till;1;s", 2, 6));
     assert_eq!(
-        (lost.result(), server.so_far()),
+        (lost.result(), server.drain_request_count()),
         (Some(result::UNABLE_TO_DELIVER), 0)
     );
     // New sessions open elsewhere.
     for n in 0..5 {
-        let other = client.ask(&opening(&format!("till;2;{n}")));
+        let other = client.exchange(&initial_request(&format!("till;2;{n}")));
         assert_eq!(other.result(), Some(result::SUCCESS));
         assert_ne!(other.text(code::ORIGIN_HOST), Some(home.as_str()));
     }
-    assert_eq!(server.so_far(), 0);
+    assert_eq!(server.drain_request_count(), 0);
 }
 
 /// A server that lets its sessions move, or not, by its Credit-Control-Failure-Handling; silent to updates while told so.
-fn moving(host: &'static str, handling: u32, silent: Arc<AtomicBool>) -> DServer {
-    DServer::new(host, move |ccr| {
+fn moving(host: &'static str, handling: u32, silent: Arc<AtomicBool>) -> DiameterServer {
+    DiameterServer::new(host, move |ccr| {
         let update = ccr.number(code::CC_REQUEST_TYPE) == Some(2);
-        let answer = granted(ccr, host)
+        let answer = success_answer(ccr, host)
             .with(Avp::of_u32(code::CC_SESSION_FAILOVER, 1))
             .with(Avp::of_u32(code::CREDIT_CONTROL_FAILURE_HANDLING, handling));
         (!(update && silent.load(Ordering::SeqCst))).then_some(answer)
@@ -278,27 +279,28 @@
         let silent = Arc::new(AtomicBool::new(false));
         let a = moving("a.example.org", handling, silent.clone());
         let site = site(&member("a", &a, 0, "Ready"), "tw_ms = 500\n");
-        let mut client = DClient::new(site.address, "till.example.org");
+        let mut client = DiameterClient::new(site.address, "till.example.org");
         until_served(&mut client);
         assert_eq!(
-            client.ask(&opening("till;1;f")).result(),
+            client.exchange(&initial_request("till;1;f")).result(),
             Some(result::SUCCESS)
         );
         let b = moving("b.example.org", handling, Arc::default());
-        site.discovery.tell(false, &member("b", &b, 0, "Ready"));
+        site.discovery
+            .publish_and_wait(false, &member("b", &b, 0, "Ready"));
         let since = Instant::now();
-        while client.ask(&event(2)).text(code::ORIGIN_HOST) != Some("b.example.org") {
-            assert!(since.elapsed() < LONG, "b serves");
+        while client.exchange(&event_request(2)).text(code::ORIGIN_HOST) != Some("b.example.org") {
+            assert!(since.elapsed() < TIMEOUT, "b serves");
         }
-        b.so_far();
-        a.so_far();
+        b.drain_request_count();
+        a.drain_request_count();
         silent.store(true, Ordering::SeqCst);
-        a.alive.store(false, Ordering::SeqCst);
-        client.send(&request("till;1;f", 2, 1));
-        assert!(!a.request().header.has(flag::RETRANSMITTED));
+        a.answers_watchdogs.store(false, Ordering::SeqCst);
+        client.send(&credit_control_request("till;1;f", 2, 1));
+        assert!(!a.next_request().header.has(flag::RETRANSMITTED));
         let cca = client.answer().expect("one answer");
         assert_eq!(cca.result(), Some(results));
-        let there: Vec<Message> = b.seen.try_iter().collect();
+        let there: Vec<Message> = b.requests.try_iter().collect();
         let retransmitted = there.iter().all(|m| m.header.has(flag::RETRANSMITTED));
         assert_eq!(
             (there.len(), retransmitted),
@@ -315,24 +317,24 @@
         moving("b.example.org", 1, Arc::default()),
     );
     let site = site(&both(&a, &b, 0), "");
-    let mut client = DClient::new(site.address, "till.example.org");
+    let mut client = DiameterClient::new(site.address, "till.example.org");
     until_served(&mut client);
-    let opened = client.ask(&opening("till;1;m"));
+    let opened = client.exchange(&initial_request("till;1;m"));
     let home = opened
         .text(code::ORIGIN_HOST)
         .expect("a server")
         .to_string();
-    if home.starts_with('a') { &a } else { &b }.leave();
+    if home.starts_with('a') { &a } else { &b }.send_disconnect_requests();
     let since = Instant::now();
     let mut n = 0;
     loop {
         n += 1;
-        let cca = client.ask(&request("till;1;m", 2, n));
+        let cca = client.exchange(&credit_control_request("till;1;m", 2, n));
         assert_eq!(cca.result(), Some(result::SUCCESS));
         if cca.text(code::ORIGIN_HOST) != Some(home.as_str()) {
             break;
         }
-        assert!(since.elapsed() < LONG, "it moves");
+        assert!(since.elapsed() < TIMEOUT, "it moves");
     }
 }
 
@@ -341,20 +343,21 @@
 fn a_server_whose_watchdog_falls_silent_loses_what_is_out_there() {
     let mute = Arc::new(AtomicBool::new(false));
     let (muted, host) = (mute.clone(), "a.example.org");
-    let a = DServer::new(host, move |ccr| {
-        (!muted.load(Ordering::SeqCst)).then(|| granted(ccr, host))
+    let a = DiameterServer::new(host, move |ccr| {
+        (!muted.load(Ordering::SeqCst)).then(|| success_answer(ccr, host))
     });
     let site = site(&member("a", &a, 0, "Ready"), "tw_ms = 500\n");
-    let mut client = DClient::new(site.address, "till.example.org");
+    let mut client = DiameterClient::new(site.address, "till.example.org");
     until_served(&mut client);
-    let b = DServer::granting("b.example.org");
+    let b = DiameterServer::granting("b.example.org");
     mute.store(true, Ordering::SeqCst);
-    a.alive.store(false, Ordering::SeqCst);
-    a.so_far();
-    let debit = event(0);
+    a.answers_watchdogs.store(false, Ordering::SeqCst);
+    a.drain_request_count();
+    let debit = event_request(0);
     client.send(&debit);
-    let held = a.request();
-    site.discovery.tell(false, &member("b", &b, 0, "Ready"));
+    let held = a.next_request();
+    site.discovery
+        .publish_and_wait(false, &member("b", &b, 0, "Ready"));
     let cca = client.answer().expect("one answer");
     assert_eq!(cca.header.end_to_end, debit.header.end_to_end);
     assert_eq!(
@@ -363,10 +366,10 @@
     );
     // Now the old one answers after all.
     for s in a.streams.lock().expect("streams").iter_mut() {
-        let _ = s.write_all(&granted(&held, host).encode());
+        let _ = s.write_all(&success_answer(&held, host).encode());
     }
     assert_eq!(
-        client.ask(&event(2)).text(code::ORIGIN_HOST),
+        client.exchange(&event_request(2)).text(code::ORIGIN_HOST),
         Some("b.example.org"),
         "nothing else came between"
     );
@@ -376,8 +379,8 @@
 /// same cell, within the client's time.
 #[test]
 fn a_server_that_answers_the_watchdog_but_no_request_costs_no_request_its_answer() {
-    let mute = DServer::new("mute.example.org", |_| None);
-    let b = DServer::granting("b.example.org");
+    let mute = DiameterServer::new("mute.example.org", |_| None);
+    let b = DiameterServer::granting("b.example.org");
     let site = site(
         &[
             member("mute", &mute, 0, "Ready"),
@@ -386,16 +389,16 @@
         .join(","),
         "tw_ms = 300\n",
     );
-    let mut client = DClient::new(site.address, "till.example.org");
+    let mut client = DiameterClient::new(site.address, "till.example.org");
     until_served(&mut client);
     let (mut tried, start) = (0, Instant::now());
     // It may have been left alone for some seconds because it was not connected yet.
     for (n, action) in [0, 2].into_iter().cycle().enumerate() {
-        assert!(start.elapsed() < LONG, "it is tried");
+        assert!(start.elapsed() < TIMEOUT, "it is tried");
         sleep(Duration::from_millis(10));
-        let ccr = event(action);
+        let ccr = event_request(action);
         let since = Instant::now();
-        let cca = client.ask(&ccr);
+        let cca = client.exchange(&ccr);
         assert_eq!(cca.header.end_to_end, ccr.header.end_to_end);
         // A check may be refused whatever became of it; of a charge that may have run nothing is promised.
         let fine = match cca.result() {
@@ -404,7 +407,7 @@
         };
         assert!(fine, "{action}: {:?}", cca.result());
         assert!(since.elapsed() < Duration::from_secs(8), "within its time");
-        tried += mute.so_far();
+        tried += mute.drain_request_count();
         if n >= 3 && tried > 0 {
             return;
         }
@@ -415,22 +418,22 @@
 fn a_repeat_through_another_connection_joins_or_gets_the_same_answer() {
     let release = Arc::new(AtomicBool::new(false));
     let (released, host) = (release.clone(), "a.example.org");
-    let a = DServer::new(host, move |ccr| {
+    let a = DiameterServer::new(host, move |ccr| {
         while ccr.number(code::REQUESTED_ACTION) == Some(0) && !released.load(Ordering::SeqCst) {
             sleep(Duration::from_millis(5));
         }
-        Some(granted(ccr, host))
+        Some(success_answer(ccr, host))
     });
     let site = site(&member("a", &a, 0, "Ready"), "");
     let (mut one, mut two) = (
-        DClient::new(site.address, "till.example.org"),
-        DClient::new(site.address, "till.example.org"),
+        DiameterClient::new(site.address, "till.example.org"),
+        DiameterClient::new(site.address, "till.example.org"),
     );
     until_served(&mut one);
-    a.so_far();
-    let debit = event(0);
+    a.drain_request_count();
+    let debit = event_request(0);
     one.send(&debit);
-    a.request();
+    a.next_request();
     let mut again = debit.clone();
     again.header.flags |= flag::RETRANSMITTED;
     again.header.hop_by_hop = 7;
@@ -449,60 +452,64 @@
         (first.header.hop_by_hop, second.header.hop_by_hop),
         (debit.header.hop_by_hop, 7)
     );
-    assert_eq!(two.ask(&again).result(), Some(result::SUCCESS));
-    assert_eq!(a.so_far(), 0, "it ran once");
+    assert_eq!(two.exchange(&again).result(), Some(result::SUCCESS));
+    assert_eq!(a.drain_request_count(), 0, "it ran once");
     // Another client with the same End-to-End id is another request.
-    let mut other = event(0);
+    let mut other = event_request(0);
     other.header.end_to_end = debit.header.end_to_end;
     other.avps[1] = Avp::of_text(code::ORIGIN_HOST, "kiosk.example.org");
-    assert_eq!(two.ask(&other).result(), Some(result::SUCCESS));
-    assert_eq!(a.so_far(), 1);
+    assert_eq!(two.exchange(&other).result(), Some(result::SUCCESS));
+    assert_eq!(a.drain_request_count(), 1);
 }
 
 #[test]
 fn a_restarted_server_has_lost_its_sessions() {
-    let a = DServer::granting("a.example.org");
+    let a = DiameterServer::granting("a.example.org");
     let site = site(&member("a", &a, 0, "Ready"), "tw_ms = 300\n");
-    let mut client = DClient::new(site.address, "till.example.org");
+    let mut client = DiameterClient::new(site.address, "till.example.org");
     until_served(&mut client);
     assert_eq!(
-        client.ask(&opening("till;1;r")).result(),
+        client.exchange(&initial_request("till;1;r")).result(),
         Some(result::SUCCESS)
     );
     assert_eq!(
-        client.ask(&request("till;1;r", 2, 1)).result(),
+        client
+            .exchange(&credit_control_request("till;1;r", 2, 1))
+            .result(),
         Some(result::SUCCESS)
     );
     a.state_id.store(2, Ordering::SeqCst);
-    a.cut();
+    a.close_connections();
     until_served(&mut client);
     assert_eq!(
-        client.ask(&request("till;1;r", 2, 2)).result(),
+        client
+            .exchange(&credit_control_request("till;1;r", 2, 2))
+            .result(),
         Some(result::UNKNOWN_SESSION_ID)
     );
 }
 
 #[test]
 fn what_no_peer_sends_ends_its_own_connection_and_no_other() {
-    let a = DServer::granting("a.example.org");
+    let a = DiameterServer::granting("a.example.org");
     let site = site(&member("a", &a, 0, "Ready"), "");
-    let mut good = DClient::new(site.address, "till.example.org");
+    let mut good = DiameterClient::new(site.address, "till.example.org");
     until_served(&mut good);
     // A length of 16 MB, another protocol, half a message and the end, a request before capabilities.
     for bytes in [
         &b"\x01\xff\xff\xff"[..],
         b"GET / HTTP/1.1\r\n\r\n",
-        &event(0).encode(),
+        &event_request(0).encode(),
     ] {
-        let mut bad = DClient::raw(site.address);
+        let mut bad = DiameterClient::connect(site.address);
         let _ = bad.stream.write_all(bytes);
         assert!(bad.answer().is_none(), "it ends");
     }
-    let mut half = DClient::new(site.address, "till.example.org");
-    let _ = half.stream.write_all(&event(0).encode()[..40]);
+    let mut half = DiameterClient::new(site.address, "till.example.org");
+    let _ = half.stream.write_all(&event_request(0).encode()[..40]);
     drop(half);
     // An AVP that overruns its group, an answer to nothing, capabilities twice.
-    let mut odd = DClient::new(site.address, "odd.example.org");
+    let mut odd = DiameterClient::new(site.address, "odd.example.org");
     let mut group = Avp::of_group(
         code::SUBSCRIPTION_ID,
         &[Avp::of_u32(code::SUBSCRIPTION_ID_TYPE, 0)],
@@ -511,20 +518,20 @@
     data[7] = 40;
     group.data = data.into();
     assert_eq!(
-        odd.ask(&event(0).with(group)).result(),
+        odd.exchange(&event_request(0).with(group)).result(),
         Some(result::INVALID_AVP_LENGTH)
     );
-    let mut stray = event(0).answer();
+    let mut stray = event_request(0).answer();
     stray.header.hop_by_hop = 424_242;
     odd.send(&stray);
     assert_eq!(
-        odd.ask(&cer("odd.example.org")).result(),
+        odd.exchange(&cer("odd.example.org")).result(),
         Some(result::UNABLE_TO_COMPLY)
     );
-    let back = event(0).with(Avp::of_text(code::ROUTE_RECORD, "gw.example.org"));
-    assert_eq!(odd.ask(&back).result(), Some(result::LOOP_DETECTED));
+    let back = event_request(0).with(Avp::of_text(code::ROUTE_RECORD, "gw.example.org"));
+    assert_eq!(odd.exchange(&back).result(), Some(result::LOOP_DETECTED));
     // Thousands at once are each answered.
-    let many: Vec<Message> = (0..2_000).map(|_| event(2)).collect();
+    let many: Vec<Message> = (0..2_000).map(|_| event_request(2)).collect();
     let mut writer = odd.stream.try_clone().expect("a clone");
     let bytes: Vec<u8> = many.iter().flat_map(Message::encode).collect();
     let writing = thread::spawn(move || writer.write_all(&bytes));
@@ -541,28 +548,34 @@
         answered,
         many.iter().map(|m| m.header.end_to_end).collect::<Vec<_>>()
     );
-    assert_eq!(good.ask(&event(2)).result(), Some(result::SUCCESS));
+    assert_eq!(
+        good.exchange(&event_request(2)).result(),
+        Some(result::SUCCESS)
+    );
 }
 
 /// A client that goes takes its request along; a server is told nothing more for it.
 #[test]
 fn a_client_that_disconnects_with_a_request_out_harms_nobody() {
     let host = "a.example.org";
-    let a = DServer::new(host, move |ccr| {
-        (ccr.number(code::REQUESTED_ACTION) == Some(2)).then(|| granted(ccr, host))
+    let a = DiameterServer::new(host, move |ccr| {
+        (ccr.number(code::REQUESTED_ACTION) == Some(2)).then(|| success_answer(ccr, host))
     });
     let site = site(&member("a", &a, 0, "Ready"), "");
-    let mut client = DClient::new(site.address, "till.example.org");
+    let mut client = DiameterClient::new(site.address, "till.example.org");
     until_served(&mut client);
-    a.so_far();
-    let debit = event(0);
+    a.drain_request_count();
+    let debit = event_request(0);
     client.send(&debit);
-    a.request();
+    a.next_request();
     drop(client);
-    let mut client = DClient::new(site.address, "till.example.org");
-    assert_eq!(client.ask(&event(2)).result(), Some(result::SUCCESS));
+    let mut client = DiameterClient::new(site.address, "till.example.org");
+    assert_eq!(
+        client.exchange(&event_request(2)).result(),
+        Some(result::SUCCESS)
+    );
     assert!(a
-        .seen
+        .requests
         .try_iter()
         .all(|m| m.header.end_to_end != debit.header.end_to_end));
 }
@@ -571,43 +584,43 @@
 #[test]
 fn a_debit_goes_on_without_its_client_and_the_repeat_gets_its_answer() {
     let host = "a.example.org";
-    let a = DServer::new(host, move |ccr| {
+    let a = DiameterServer::new(host, move |ccr| {
         if ccr.number(code::REQUESTED_ACTION) == Some(0) {
             sleep(Duration::from_millis(600));
         }
-        Some(granted(ccr, host))
+        Some(success_answer(ccr, host))
     });
     let site = site(&member("a", &a, 0, "Ready"), "");
-    let mut client = DClient::new(site.address, "till.example.org");
+    let mut client = DiameterClient::new(site.address, "till.example.org");
     until_served(&mut client);
-    a.so_far();
-    let mut debit = event(0);
+    a.drain_request_count();
+    let mut debit = event_request(0);
     client.send(&debit);
-    a.request();
+    a.next_request();
     drop(client);
-    let mut client = DClient::new(site.address, "till.example.org");
+    let mut client = DiameterClient::new(site.address, "till.example.org");
     debit.header.flags |= flag::RETRANSMITTED;
-    assert_eq!(client.ask(&debit).result(), Some(result::SUCCESS));
-    assert_eq!(a.so_far(), 0, "it ran once");
+    assert_eq!(client.exchange(&debit).result(), Some(result::SUCCESS));
+    assert_eq!(a.drain_request_count(), 0, "it ran once");
 }
 
 /// What is held is answered, then both sides hear goodbye with its cause, then the program ends.
 #[test]
 fn sigterm_answers_what_is_held_and_says_goodbye() {
     let host = "a.example.org";
-    let a = DServer::new(host, move |ccr| {
+    let a = DiameterServer::new(host, move |ccr| {
         if ccr.number(code::REQUESTED_ACTION) == Some(0) {
             sleep(Duration::from_millis(800));
         }
-        Some(granted(ccr, host))
+        Some(success_answer(ccr, host))
     });
     let mut site = site(&member("a", &a, 0, "Ready"), "");
-    let mut client = DClient::new(site.address, "till.example.org");
+    let mut client = DiameterClient::new(site.address, "till.example.org");
     until_served(&mut client);
-    a.so_far();
-    let debit = event(0);
+    a.drain_request_count();
+    let debit = event_request(0);
     client.send(&debit);
-    a.request();
+    a.next_request();
     site.gateway.terminate();
     let cca = client.answer().expect("an answer");
     assert_eq!(
@@ -619,8 +632,12 @@
         (dpr.header.command, dpr.number(code::DISCONNECT_CAUSE)),
         (command::DISCONNECT_PEER, Some(0))
     );
-    client.send(&with_result(&dpr, "till.example.org", result::SUCCESS));
-    assert!(site.gateway.wait().success());
+    client.send(&answer_with_result(
+        &dpr,
+        "till.example.org",
+        result::SUCCESS,
+    ));
+    assert!(site.gateway.wait_for_exit().success());
 }
 
 /// HTTP and Diameter together stay under the ceiling of one customer's plan.
@@ -632,16 +649,16 @@
     let mut served = [0.0, 0.0];
     while since.elapsed() < Duration::from_secs(3) {
         let ask = ClientRequest::check()
-            .with("X-Api-Key", &key)
-            .with("X-Tier", "capped");
+            .with_header("X-Api-Key", &key)
+            .with_header("X-Tier", "capped");
         served[0] += f64::from(u8::from(
             site.gateway
-                .ask(&ask.with("X-Call-Terms", "units=2,spread=1,first=0"))
+                .request(&ask.with_header("X-Call-Terms", "units=2,spread=1,first=0"))
                 .status()
                 == 200,
         )) * 2.0;
         served[1] += f64::from(u8::from(
-            client.ask(&units(event(0), 2)).result() == Some(result::SUCCESS),
+            client.exchange(&with_units(event_request(0), 2)).result() == Some(result::SUCCESS),
         )) * 2.0;
     }
     let most = 20.0 + 10.0 * since.elapsed().as_secs_f64() + 2.0;
@@ -660,31 +677,32 @@
         moving("b.example.org", 1, Arc::default()),
     );
     let site = site(&both(&a, &b, 0), "most_sessions = 10000\n");
-    let mut client = DClient::new(site.address, "till.example.org");
+    let mut client = DiameterClient::new(site.address, "till.example.org");
     until_served(&mut client);
     let session = |n: usize| format!("till.example.org;9;{n}");
     let mut opened = 0;
     for chunk in 0..100 {
-        (0..100).for_each(|n| client.send(&opening(&session(chunk * 100 + n))));
+        (0..100).for_each(|n| client.send(&initial_request(&session(chunk * 100 + n))));
         opened += (0..100)
             .filter(|_| client.answer().and_then(|m| m.result()) == Some(result::SUCCESS))
             .count();
     }
     assert_eq!(opened, 10_000);
     assert_eq!(
-        client.ask(&opening("one;more;1")).result(),
+        client.exchange(&initial_request("one;more;1")).result(),
         Some(result::TOO_BUSY)
     );
-    site.discovery.tell(false, &member("a", &a, 0, "Gone"));
-    a.so_far();
+    site.discovery
+        .publish_and_wait(false, &member("a", &a, 0, "Gone"));
+    a.drain_request_count();
     for n in (0..10_000).step_by(50) {
-        let cca = client.ask(&request(&session(n), 2, 1));
+        let cca = client.exchange(&credit_control_request(&session(n), 2, 1));
         assert_eq!(
             (cca.result(), cca.text(code::ORIGIN_HOST)),
             (Some(result::SUCCESS), Some("b.example.org"))
         );
     }
-    assert_eq!(a.so_far(), 0);
+    assert_eq!(a.drain_request_count(), 0);
 }
 
 /// Overload reports: for clients that announce support, and from servers.
@@ -699,19 +717,22 @@
         Avp::of_u32(code::OC_VALIDITY_DURATION, 60),
     ];
     let olr = Avp::of_group(code::OC_OLR, &report).optional();
-    let a = DServer::new(host, move |ccr| Some(granted(ccr, host).with(olr.clone())));
-    let b = DServer::granting(other);
+    let a = DiameterServer::new(host, move |ccr| {
+        Some(success_answer(ccr, host).with(olr.clone()))
+    });
+    let b = DiameterServer::granting(other);
     let list = [member("a", &a, 0, "Ready"), member("b", &b, 0, "Ready")].join(",");
     let site = site(
         &list,
         "[diameter.plans]\n\"4512345678\" = \"small\"\n\"1\" = \"lille\"\n",
     );
-    let mut client = DClient::new(site.address, "till.example.org");
-    let mut free = request("free;1;1", 4, 0).with(Avp::of_u32(code::REQUESTED_ACTION, 2));
-    free = of_customer(free, "1");
+    let mut client = DiameterClient::new(site.address, "till.example.org");
+    let mut free =
+        credit_control_request("free;1;1", 4, 0).with(Avp::of_u32(code::REQUESTED_ACTION, 2));
+    free = with_customer(free, "1");
     let mut ask = |announces: bool, message: &Message| {
         let mut message = message.clone();
-        let id = event(2).header;
+        let id = event_request(2).header;
         (message.header.hop_by_hop, message.header.end_to_end) = (id.hop_by_hop, id.end_to_end);
         if announces {
             let vector = [Avp::of_u64(code::OC_FEATURE_VECTOR, 1)];
@@ -719,18 +740,18 @@
                 .avps
                 .push(Avp::of_group(code::OC_SUPPORTED_FEATURES, &vector).optional());
         }
-        client.ask(&message)
+        client.exchange(&message)
     };
     let since = Instant::now();
     while ask(false, &free).text(code::ORIGIN_HOST) != Some(host) {
-        assert!(since.elapsed() < LONG, "a serves");
+        assert!(since.elapsed() < TIMEOUT, "a serves");
     }
     let to_a = (0..100)
         .filter(|_| ask(false, &free).text(code::ORIGIN_HOST) == Some(host))
         .count();
     assert!(to_a < 40, "{to_a}");
     // The small plan is soon used up: refusals, and in time a report of their share.
-    let debit = units(event(0), 6);
+    let debit = with_units(event_request(0), 6);
     loop {
         let answer = ask(true, &debit);
         assert!(answer.find(code::OC_SUPPORTED_FEATURES).is_some());
@@ -738,7 +759,7 @@
             assert_eq!(answer.result(), Some(result::TOO_BUSY));
             break;
         }
-        assert!(since.elapsed() < LONG, "a report comes");
+        assert!(since.elapsed() < TIMEOUT, "a report comes");
     }
     assert!(ask(false, &debit).find(code::OC_OLR).is_none());
 }
@@ -746,29 +767,29 @@
 /// After what is out there is answered.
 #[test]
 fn a_drained_server_hears_goodbye() {
-    let a = DServer::granting("a.example.org");
-    let b = DServer::granting("b.example.org");
+    let a = DiameterServer::granting("a.example.org");
+    let b = DiameterServer::granting("b.example.org");
     let site = site(&both(&a, &b, 0), "");
-    let mut client = DClient::new(site.address, "till.example.org");
+    let mut client = DiameterClient::new(site.address, "till.example.org");
     until_served(&mut client);
     site.discovery
-        .tell(false, &member("a", &a, 0, "Terminating"));
+        .publish_and_wait(false, &member("a", &a, 0, "Terminating"));
     let since = Instant::now();
-    while a.goodbyes() == 0 {
-        assert!(since.elapsed() < LONG, "it hears goodbye");
+    while a.received_disconnect_requests() == 0 {
+        assert!(since.elapsed() < TIMEOUT, "it hears goodbye");
         sleep(Duration::from_millis(5));
     }
     assert_eq!(
-        client.ask(&event(2)).text(code::ORIGIN_HOST),
+        client.exchange(&event_request(2)).text(code::ORIGIN_HOST),
         Some("b.example.org")
     );
 }
 
 #[test]
 fn sighup_moves_listener_and_plans_and_a_file_with_a_mistake_changes_nothing() {
-    let server = DServer::granting("s1.example.org");
+    let server = DiameterServer::granting("s1.example.org");
     let site = site(&member("s1", &server, 0, "Ready"), "");
-    let mut client = DClient::new(site.address, "till.example.org");
+    let mut client = DiameterClient::new(site.address, "till.example.org");
     until_served(&mut client);
     let first = std::fs::read_to_string(&site.file).expect("the file");
     let small = "[diameter.plans]\n\"4512345678\" = \"small\"\n";
@@ -788,7 +809,7 @@
         told(&wrong);
         sleep(Duration::from_millis(50));
         assert_eq!(
-            client.ask(&units(event(0), 6)).result(),
+            client.exchange(&with_units(event_request(0), 6)).result(),
             Some(result::SUCCESS),
             "{wrong}"
         );
@@ -796,21 +817,24 @@
     told(&(first.replace(&old, &format!("listen = \"{address}\"")) + small));
     // The new plan has 6 units and next to no more.
     let since = Instant::now();
-    while client.ask(&units(event(0), 6)).result() != Some(result::TOO_BUSY) {
-        assert!(since.elapsed() < LONG, "the new plan is in force");
+    while client.exchange(&with_units(event_request(0), 6)).result() != Some(result::TOO_BUSY) {
+        assert!(since.elapsed() < TIMEOUT, "the new plan is in force");
     }
-    let mut second = DClient::new(address, "other.example.org");
+    let mut second = DiameterClient::new(address, "other.example.org");
     let other = |n| {
-        let ccr = of_customer(request(&format!("till;8;{n}"), 4, 0), "4599999999");
+        let ccr = with_customer(
+            credit_control_request(&format!("till;8;{n}"), 4, 0),
+            "4599999999",
+        );
         ccr.with(Avp::of_u32(code::REQUESTED_ACTION, 2))
     };
-    assert_eq!(second.ask(&other(1)).result(), Some(result::SUCCESS));
+    assert_eq!(second.exchange(&other(1)).result(), Some(result::SUCCESS));
     assert!(
         std::net::TcpStream::connect(site.address).is_err(),
         "the old listener has gone"
     );
     // Who was connected stays so.
-    assert_eq!(client.ask(&other(2)).result(), Some(result::SUCCESS));
+    assert_eq!(client.exchange(&other(2)).result(), Some(result::SUCCESS));
 }
 
 /// Requests out are bounded in bytes by `limits`: a 32nd of 32 MB, so 16 of 60 kB fit and 20 do not.
@@ -818,13 +842,13 @@
 fn requests_out_are_bounded_in_bytes_and_any_more_are_refused_at_once() {
     let mute = Arc::new(AtomicBool::new(false));
     let (muted, host) = (mute.clone(), "s1.example.org");
-    let server = DServer::new(host, move |ccr| {
-        (!muted.load(Ordering::SeqCst)).then(|| granted(ccr, host))
+    let server = DiameterServer::new(host, move |ccr| {
+        (!muted.load(Ordering::SeqCst)).then(|| success_answer(ccr, host))
     });
     let site = site(&member("s1", &server, 0, "Ready"), "");
-    let mut client = DClient::new(site.address, "till.example.org");
+    let mut client = DiameterClient::new(site.address, "till.example.org");
     until_served(&mut client);
-    server.so_far();
+    server.drain_request_count();
     mute.store(true, Ordering::SeqCst);
     let long = Avp {
         code: 9_999,
@@ -833,7 +857,9 @@
         data: vec![0; 60_000].into(),
     };
     let since = Instant::now();
-    let sent: Vec<Message> = (0..20).map(|_| event(0).with(long.clone())).collect();
+    let sent: Vec<Message> = (0..20)
+        .map(|_| event_request(0).with(long.clone()))
+        .collect();
     sent.iter().for_each(|ccr| client.send(ccr));
     let refused = client.answer().expect("a refusal");
     assert_eq!(refused.result(), Some(result::TOO_BUSY));
--- a/crates/frosthatch/tests/diameter_over_tls.rs
+++ b/crates/frosthatch/tests/diameter_over_tls.rs
@@ -15,10 +15,10 @@
 #[test]
 fn both_sides_speak_tls_and_a_client_without_proof_is_not_heard() {
     let authority = Authority::new();
-    let server = DServer::granting("s1.example.org");
+    let server = DiameterServer::granting("s1.example.org");
     let front = acceptor(&authority.proof("servers.example.org"), Some(&authority));
     let at = terminator(front, server.address);
-    let plain = target("s1", at, 0, "Ready");
+    let plain = endpoint_entry("s1", at, 0, "Ready");
     let discovery = Discovery::new(&format!(
         "{},\"proto\":\"diameter\"}}",
         plain.trim_end_matches('}')
@@ -51,33 +51,35 @@
     );
     std::fs::write(&file, &text).expect("written");
     let config = config_text(discovery.address, None, 1, "");
-    let gateway = Gateway::start_as(&config, &["--operator", file.to_str().expect("a path")]);
+    let gateway =
+        Gateway::start_with_args(&config, &["--operator", file.to_str().expect("a path")]);
     gateway.wait_ready();
 
     let till = authority.proof("till.example.org");
-    let mut client = DClient::new(
+    let mut client = DiameterClient::new(
         originator(&authority, Some(&till), "gw.example.org", address),
         "till.example.org",
     );
     let since = Instant::now();
-    while client.ask(&event(0)).result() != Some(result::SUCCESS) {
-        assert!(since.elapsed() < LONG, "it is granted");
+    while client.exchange(&event_request(0)).result() != Some(result::SUCCESS) {
+        assert!(since.elapsed() < TIMEOUT, "it is granted");
         sleep(Duration::from_millis(20));
     }
     let stranger = Authority::new().proof("till.example.org");
     for proof in [None, Some(&stranger)] {
-        let mut client = DClient::raw(originator(&authority, proof, "gw.example.org", address));
+        let mut client =
+            DiameterClient::connect(originator(&authority, proof, "gw.example.org", address));
         client.send(&cer("till.example.org"));
         assert!(client.answer().is_none(), "it is not heard");
     }
-    let mut client = DClient::raw(address);
+    let mut client = DiameterClient::connect(address);
     client.send(&cer("till.example.org"));
     assert!(client.answer().is_none(), "nor without TLS");
 
     // A key of another certificate is a mistake that `check` tells.
     std::fs::write(folder.join("gw.key"), stranger.key.serialize_pem()).expect("written");
-    let config = config_file(&config);
-    let out = command(&config)
+    let config = write_config_file(&config);
+    let out = gateway_command(&config)
         .args(["check", "--operator"])
         .arg(&file)
         .output()
--- a/crates/frosthatch/tests/dns_sd.rs
+++ b/crates/frosthatch/tests/dns_sd.rs
@@ -24,7 +24,7 @@
 
 impl File {
     fn new(text: &str) -> File {
-        File(config_file(text))
+        File(write_config_file(text))
     }
 
     fn path(&self) -> &str {
@@ -58,7 +58,7 @@
 fn start(resolver: &Resolver, push: bool) -> (Gateway, File) {
     let file = File::new(&operator(resolver, push));
     let text = config_text(nobody(), None, 1, "");
-    let gateway = Gateway::start_as(&text, &["--operator", file.path()]);
+    let gateway = Gateway::start_with_args(&text, &["--operator", file.path()]);
     gateway.wait_ready();
     (gateway, file)
 }
@@ -66,7 +66,7 @@
 fn until(what: &str, holds: impl Fn() -> bool) {
     let since = Instant::now();
     while !holds() {
-        assert!(since.elapsed() < LONG, "{what}");
+        assert!(since.elapsed() < TIMEOUT, "{what}");
         sleep(Duration::from_millis(5));
     }
 }
@@ -79,20 +79,20 @@
         let resolver = Resolver::new(zone(&[("a", a.address), ("b", b.address)]));
         let (gateway, _file) = start(&resolver, push);
         if push {
-            until("it subscribes", || resolver.sessions() > 0);
+            until("it subscribes", || resolver.push_sessions() > 0);
         }
         until("a serves", || {
-            gateway.ask(&ClientRequest::check()).body == "a"
+            gateway.request(&ClientRequest::check()).body == "a"
         });
-        a.so_far();
-        resolver.change(|z| z.remove_instance(SERVICE, "a"));
+        a.drain_events();
+        resolver.change_zone(|z| z.remove_instance(SERVICE, "a"));
         // The end of its idle connection tells that the gateway knows.
-        a.closed();
-        a.so_far();
+        a.wait_closed();
+        a.drain_events();
         for _ in 0..20 {
-            assert_eq!(gateway.ask(&ClientRequest::check()).body, "b");
+            assert_eq!(gateway.request(&ClientRequest::check()).body, "b");
         }
-        assert_eq!(a.requests_so_far(), 0);
+        assert_eq!(a.drain_request_count(), 0);
     }
 }
 
@@ -118,18 +118,22 @@
                     path: "/balance-check?held",
                     ..ClientRequest::check()
                 }
-                .text(),
+                .to_text(),
             );
-            if a.seen.recv_timeout(Duration::from_millis(300)).is_ok() {
+            if a.events.recv_timeout(Duration::from_millis(300)).is_ok() {
                 break;
             }
-            assert_eq!(held.answer().expect("an answer").body, "b");
+            assert_eq!(held.read_response().expect("an answer").body, "b");
         }
-        resolver.change(|z| z.remove_instance(SERVICE, "a"));
+        resolver.change_zone(|z| z.remove_instance(SERVICE, "a"));
         // By then it is known.
         sleep(Duration::from_millis(500));
         release.store(true, Ordering::SeqCst);
-        assert_eq!(held.answer().expect("an answer").body, "a", "push: {push}");
+        assert_eq!(
+            held.read_response().expect("an answer").body,
+            "a",
+            "push: {push}"
+        );
     }
 }
 
@@ -142,11 +146,11 @@
         );
         let resolver = Resolver::new(zone(&[("a", a.address)]));
         let (gateway, _file) = start(&resolver, push);
-        assert_eq!(gateway.ask(&ClientRequest::check()).body, "a");
+        assert_eq!(gateway.request(&ClientRequest::check()).body, "a");
         // Booted long ago, so that it is not spared.
-        resolver.change(|z| z.add_instance(SERVICE, "b", b.address, &["boot=1600000000000"]));
+        resolver.change_zone(|z| z.add_instance(SERVICE, "b", b.address, &["boot=1600000000000"]));
         until("b serves", || {
-            gateway.ask(&ClientRequest::check()).body == "b"
+            gateway.request(&ClientRequest::check()).body == "b"
         });
     }
 }
@@ -156,18 +160,18 @@
 fn with_the_resolver_dead_at_the_start_the_known_servers_serve() {
     let (a, b) = (Server::new(|_| ok("a")), Server::new(|_| ok("b")));
     let resolver = Resolver::new(zone(&[("b", b.address)]));
-    resolver.mood(DnsMood::Silent);
+    resolver.set_mode(DnsMode::Silent);
     let file = File::new(&operator(&resolver, false));
-    let known = target("a", a.address, 0, "Ready");
-    let gateway = Gateway::start_as(
+    let known = endpoint_entry("a", a.address, 0, "Ready");
+    let gateway = Gateway::start_with_args(
         &config_text(nobody(), None, 1, &known),
         &["--operator", file.path()],
     );
     gateway.wait_ready();
-    assert_eq!(gateway.ask(&ClientRequest::check()).body, "a");
-    resolver.mood(DnsMood::Answering);
+    assert_eq!(gateway.request(&ClientRequest::check()).body, "a");
+    resolver.set_mode(DnsMode::Answering);
     until("the records are read", || {
-        gateway.ask(&ClientRequest::check()).body == "b"
+        gateway.request(&ClientRequest::check()).body == "b"
     });
 }
 
@@ -187,12 +191,12 @@
         .collect();
     let resolver = Resolver::new(zone(&all));
     let (gateway, _file) = start(&resolver, false);
-    assert!(resolver.streams() > 0);
+    assert!(resolver.tcp_queries() > 0);
     let mut seen = std::collections::BTreeSet::new();
     let since = Instant::now();
     while seen.len() < 40 {
-        seen.insert(gateway.ask(&ClientRequest::check()).body);
-        assert!(since.elapsed() < LONG, "only {} serve", seen.len());
+        seen.insert(gateway.request(&ClientRequest::check()).body);
+        assert!(since.elapsed() < TIMEOUT, "only {} serve", seen.len());
     }
 }
 
@@ -206,11 +210,14 @@
         })
     };
     let (a, b) = (slow("list"), slow("records"));
-    let agent = Discovery::new(&target("a", a.address, 0, "Ready"));
+    let agent = Discovery::new(&endpoint_entry("a", a.address, 0, "Ready"));
     let resolver = Resolver::new(zone(&[("b", b.address)]));
     let file = File::new("");
     let config = config_text(agent.address, None, 1, "");
-    let gateway = Arc::new(Gateway::start_as(&config, &["--operator", file.path()]));
+    let gateway = Arc::new(Gateway::start_with_args(
+        &config,
+        &["--operator", file.path()],
+    ));
     gateway.wait_ready();
     let stop = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> = (0..4)
@@ -221,7 +228,7 @@
                 let mut client = gateway.client();
                 while !stop.load(Ordering::SeqCst) {
                     let answer = client
-                        .ask(&ClientRequest::check().text())
+                        .exchange(&ClientRequest::check().to_text())
                         .expect("every request is answered");
                     assert_eq!(answer.status(), 200);
                     served.push(answer.body);
@@ -238,7 +245,7 @@
         std::fs::write(file.path(), text).expect("written");
         gateway.signal("-HUP");
         until("the new source serves", || {
-            gateway.ask(&ClientRequest::check()).body == serves
+            gateway.request(&ClientRequest::check()).body == serves
         });
     }
     stop.store(true, Ordering::SeqCst);
@@ -259,10 +266,10 @@
     gateway.signal("-HUP");
     std::fs::write(file.path(), "[membership]\nsource = \"dns\"\n").expect("written");
     sleep(Duration::from_millis(200));
-    assert_eq!(gateway.ask(&ClientRequest::check()).body, "a");
-    assert!(gateway.runs());
-    let config = config_file(&config_text(nobody(), None, 1, ""));
-    let out = command(&config)
+    assert_eq!(gateway.request(&ClientRequest::check()).body, "a");
+    assert!(gateway.is_running());
+    let config = write_config_file(&config_text(nobody(), None, 1, ""));
+    let out = gateway_command(&config)
         .args(["--operator", file.path()])
         .output()
         .expect("it runs");
@@ -277,11 +284,11 @@
     let (a, b) = (Server::new(|_| ok("a")), Server::new(|_| ok("b")));
     let resolver = Resolver::new(zone(&[("a", a.address), ("b", b.address)]));
     let (gateway, _file) = start(&resolver, true);
-    until("it subscribes", || resolver.sessions() > 0);
-    resolver.push_mood(PushMood::CutsNext);
-    resolver.change(|z| z.remove_instance(SERVICE, "a"));
+    until("it subscribes", || resolver.push_sessions() > 0);
+    resolver.set_push_mode(PushMode::CutsNextMessage);
+    resolver.change_zone(|z| z.remove_instance(SERVICE, "a"));
     until("the removal is known", || {
-        (0..10).all(|_| gateway.ask(&ClientRequest::check()).body == "b")
+        (0..10).all(|_| gateway.request(&ClientRequest::check()).body == "b")
     });
-    until("there is another session", || resolver.sessions() > 1);
+    until("there is another session", || resolver.push_sessions() > 1);
 }
--- a/crates/frosthatch/tests/golden_forms.rs
+++ b/crates/frosthatch/tests/golden_forms.rs
@@ -5,10 +5,10 @@
 mod common;
 use common::*;
 
-use frosthatch_lab::rig::agreed::{self, document, Agreed};
-use frosthatch_lab::rig::stage::call;
-use frosthatch_lab::rig::{fleet_file, Act, Process, Relay, Stage};
 use frosthatch_lab::site::Node;
+use frosthatch_lab::testbed::policy_fixture::{self, document, PolicyFixture};
+use frosthatch_lab::testbed::processes::call_console;
+use frosthatch_lab::testbed::{fleet_file, Process, Relay, Testbed, TimelineAction};
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::fmt::Write;
@@ -33,9 +33,9 @@
 
 /// What `check` prints, with the names of the files left out.
 fn check(config: &str, operator: Option<&str>) -> String {
-    let config = config_file(config);
-    let operator = operator.map(config_file);
-    let mut command = command(&config);
+    let config = write_config_file(config);
+    let operator = operator.map(write_config_file);
+    let mut command = gateway_command(&config);
     command.arg("check");
     if let Some(file) = &operator {
         command.arg("--operator").arg(file);
@@ -259,8 +259,8 @@
 
 #[test]
 fn the_schema_of_a_policy_is_as_recorded() {
-    let config = config_file(&fine());
-    let out = command(&config)
+    let config = write_config_file(&fine());
+    let out = gateway_command(&config)
         .args(["policy", "schema"])
         .output()
         .expect("it runs");
@@ -287,13 +287,13 @@
 }
 
 fn answer(console: SocketAddr, method: &str, path: &str, body: &str) -> (u16, String) {
-    call(console, method, path, body).expect("an answer of the console")
+    call_console(console, method, path, body).expect("an answer of the console")
 }
 
 fn until(what: &str, holds: impl Fn() -> bool) {
     let since = Instant::now();
     while !holds() {
-        assert!(since.elapsed() < LONG, "{what}");
+        assert!(since.elapsed() < TIMEOUT, "{what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
@@ -302,10 +302,10 @@
 fn metrics_and_answers_of_the_admin_api_are_as_recorded_and_so_is_the_audit() {
     let runtime = Runtime::new().expect("a runtime");
     let server = Server::new(|_| ok("done"));
-    let agent = Discovery::new(&target("s0", server.address, 1, "Ready"));
+    let agent = Discovery::new(&endpoint_entry("s0", server.address, 1, "Ready"));
     let relay = Relay::new(runtime.handle(), 3, 5);
-    let key = config_file(&format!("1 {}\n", "k".repeat(40)));
-    let agreed = Agreed::new("golden", 3, 500);
+    let key = write_config_file(&format!("1 {}\n", "k".repeat(40)));
+    let fixture = PolicyFixture::new("golden", 3, 500);
     let process = |n: usize| {
         let discovery = agent.address;
         let node = Node {
@@ -318,16 +318,16 @@
         };
         Process::new(
             node,
-            Some(fleet_file(&relay, n, &key, &agreed.table(n, ""))),
+            Some(fleet_file(&relay, n, &key, &fixture.policy_table(n, ""))),
         )
     };
     let processes = (0..3).map(process).collect();
-    let mut stage = Stage::new(processes, relay);
-    stage.start_all();
-    stage.wait_found();
-    let console = stage.processes[0].console().expect("a console");
+    let mut testbed = Testbed::new(processes, relay);
+    testbed.start_all();
+    testbed.wait_until_all_found();
+    let console = testbed.processes[0].console().expect("a console");
     until("the files' own policy is in force", || {
-        agreed::holds(&stage.processes[0]) == Some(0)
+        policy_fixture::version_in_force(&testbed.processes[0]) == Some(0)
     });
 
     let mut text = String::new();
@@ -351,17 +351,25 @@
     ] {
         plain("POST", path);
     }
-    let number = agreed::propose(console, &document(1, "", 100.0))
+    let number = policy_fixture::propose(console, &document(1, "", 100.0))
         .expect("an answer")
         .expect("a proposal");
     until("it is in force", || {
-        agreed::end(console, number).is_some_and(|(s, _)| s == "in force")
-            && stage.processes.iter().all(|p| agreed::holds(p) == Some(1))
+        policy_fixture::proposal_outcome(console, number).is_some_and(|(s, _)| s == "in force")
+            && testbed
+                .processes
+                .iter()
+                .all(|p| policy_fixture::version_in_force(p) == Some(1))
     });
     for n in 0..3 {
-        let ask = ClientRequest::check().with("X-Tier", "mellem").text();
+        let ask = ClientRequest::check()
+            .with_header("X-Tier", "mellem")
+            .to_text();
         assert_eq!(
-            stage.processes[n].client().ask(&ask).map(|m| m.status()),
+            testbed.processes[n]
+                .client()
+                .exchange(&ask)
+                .map(|m| m.status()),
             Some(200)
         );
     }
@@ -386,8 +394,8 @@
     writeln!(text, "POST /fleet/leave: {status} {body:?}").expect("to memory");
     compare_with_recorded("admin_api.txt", &text);
 
-    stage.act(&Act::Kill { who: vec![0, 1, 2] });
-    let folder = agreed.folder_of(0);
+    testbed.apply(&TimelineAction::Kill { who: vec![0, 1, 2] });
+    let folder = fixture.state_directory(0);
     let audit = std::fs::read_to_string(folder.parent().expect("one above").join("audit-0"))
         .expect("an audit");
     let line = audit.lines().last().expect("a line").to_string();
@@ -398,16 +406,16 @@
     );
     assert_eq!(
         (words[1], words[2]),
-        ("1", &agreed::digest(&document(1, "", 100.0))[..12]),
+        ("1", &policy_fixture::digest(&document(1, "", 100.0))[..12]),
         "{line}"
     );
-    assert_eq!(agreed.let_in(3).len(), audit_lines(&agreed));
+    assert_eq!(fixture.admitted_requests(3).len(), audit_lines(&fixture));
     let _ = std::fs::remove_file(key);
 }
 
 /// All lines that three processes wrote.
-fn audit_lines(agreed: &Agreed) -> usize {
-    let folder = agreed.folder_of(0);
+fn audit_lines(fixture: &PolicyFixture) -> usize {
+    let folder = fixture.state_directory(0);
     let of = |n: usize| {
         folder
             .parent()
--- a/crates/frosthatch/tests/late_bytes.rs
+++ b/crates/frosthatch/tests/late_bytes.rs
@@ -33,7 +33,7 @@
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let _ = tell.send(());
-                let _ = gone.recv_timeout(LONG);
+                let _ = gone.recv_timeout(TIMEOUT);
                 let _ = done.send(read_all(&stream));
             }
         });
@@ -47,7 +47,7 @@
 
     fn whole(&self) -> Option<(Message, Instant)> {
         self.whole
-            .recv_timeout(LONG)
+            .recv_timeout(TIMEOUT)
             .expect("the connection is read to its end")
     }
 }
@@ -66,7 +66,7 @@
         assert!(text.contains(from), "{from}");
         text = text.replace(from, to);
     }
-    let gateway = Gateway::start_with(&text);
+    let gateway = Gateway::start_from_config(&text);
     gateway.wait_ready();
     gateway
 }
@@ -81,21 +81,21 @@
 /// Guards against a second effect: the repeat begins within its window, its last byte would come after.
 #[test]
 fn a_keyed_repeat_is_not_whole_after_its_window() {
-    let (first, go) = Server::held(|| status("500 Internal Server Error"));
+    let (first, go) = Server::gated(|| status("500 Internal Server Error"));
     let second = Unread::new();
-    let discovery = Discovery::new(&target("a", first.address, 3, "Ready"));
+    let discovery = Discovery::new(&endpoint_entry("a", first.address, 3, "Ready"));
     let gateway = gateway(
         &discovery,
         &[("\"windowUs\":7500000", "\"windowUs\":1500000")],
     );
     let mut client = gateway.client();
-    client.send(&long_top_up().text());
-    first.request();
-    discovery.tell(false, &target("b", second.address, 3, "Ready"));
+    client.send(&long_top_up().to_text());
+    first.next_request();
+    discovery.publish_and_wait(false, &endpoint_entry("b", second.address, 3, "Ready"));
     let _ = go.send(());
     second
         .accepted
-        .recv_timeout(LONG)
+        .recv_timeout(TIMEOUT)
         .expect("the repeat is on its way");
     thread::sleep(Duration::from_millis(1_700));
     let _ = second.go.send(());
@@ -103,7 +103,7 @@
         second.whole().is_none(),
         "the repeat came whole after the servers had forgotten its key"
     );
-    assert!(client.answer().is_some_and(|a| a.status() != 200));
+    assert!(client.read_response().is_some_and(|a| a.status() != 200));
 }
 
 /// Guards against work for nobody, where attempts may not be called off: one that is not whole has not begun.
@@ -111,16 +111,16 @@
 fn what_is_not_whole_when_its_client_leaves_never_is() {
     for cancel in [true, false] {
         let server = Unread::new();
-        let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
+        let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
         let gateway = gateway(
             &discovery,
             &[("\"cancel\":true", &format!("\"cancel\":{cancel}"))],
         );
         let mut client = gateway.client();
-        client.send(&long_top_up().text());
+        client.send(&long_top_up().to_text());
         server
             .accepted
-            .recv_timeout(LONG)
+            .recv_timeout(TIMEOUT)
             .expect("it is on its way");
         thread::sleep(Duration::from_millis(50));
         drop(client);
@@ -137,15 +137,15 @@
 #[test]
 fn the_deadline_that_a_server_is_told_holds_at_the_last_byte() {
     let server = Unread::new();
-    let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
+    let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let gateway = gateway(&discovery, &[]);
     let mut client = gateway.client();
-    let text = long_top_up().with("X-Expires-In", "3.0").text();
+    let text = long_top_up().with_header("X-Expires-In", "3.0").to_text();
     client.send(&text);
     let gone_at = Instant::now() + Duration::from_secs(3);
     server
         .accepted
-        .recv_timeout(LONG)
+        .recv_timeout(TIMEOUT)
         .expect("it is on its way");
     thread::sleep(Duration::from_millis(1_500));
     let _ = server.go.send(());
@@ -162,18 +162,18 @@
 /// Guards against time that a request has spent unread: it counts from its last byte, not from when it is its turn.
 #[test]
 fn a_request_that_waited_behind_another_has_less_time() {
-    let (server, go) = Server::held(|| ok("served"));
-    let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
+    let (server, go) = Server::gated(|| ok("served"));
+    let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let gateway = gateway(&discovery, &[]);
     let mut client = gateway.client();
-    let second = ClientRequest::check().with("X-Expires-In", "2.0");
-    client.send(&(ClientRequest::check().text() + &second.text()));
+    let second = ClientRequest::check().with_header("X-Expires-In", "2.0");
+    client.send(&(ClientRequest::check().to_text() + &second.to_text()));
     let gone_at = Instant::now() + Duration::from_secs(2);
-    server.request();
+    server.next_request();
     thread::sleep(Duration::from_millis(800));
     let _ = go.send(());
-    client.answer().expect("the first answer");
-    let message = server.request();
+    client.read_response().expect("the first answer");
+    let message = server.next_request();
     let told: f64 = message
         .header("X-Expires-In")
         .and_then(|t| t.parse().ok())
@@ -182,7 +182,7 @@
         .saturating_duration_since(Instant::now())
         .as_secs_f64();
     let _ = go.send(());
-    client.answer().expect("the second answer");
+    client.read_response().expect("the second answer");
     assert!(told <= left + 0.15, "told {told} s with {left} s left");
 }
 
@@ -190,12 +190,14 @@
 #[test]
 fn a_request_that_is_whole_late_after_sigterm_is_answered() {
     let server = Server::new(|_| Reply::Silence);
-    let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
+    let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let mut gateway = gateway(
         &discovery,
         &[("\"deadlineUs\":8000000", "\"deadlineUs\":1000000")],
     );
-    let text = ClientRequest::check().with("X-Expires-In", "1.0").text();
+    let text = ClientRequest::check()
+        .with_header("X-Expires-In", "1.0")
+        .to_text();
     let mut clients: Vec<(Client, u64)> =
         (0..16).map(|n| (gateway.client(), 600 + 55 * n)).collect();
     let (head, rest) = text.split_at(text.len() - 4);
@@ -207,16 +209,16 @@
     let since = Instant::now();
     for (client, at) in &mut clients {
         thread::sleep(Duration::from_millis(*at).saturating_sub(since.elapsed()));
-        if !client.ended() {
+        if !client.is_closed() {
             client.send(rest);
             let sent = since.elapsed();
             assert!(
-                client.answer().is_some(),
+                client.read_response().is_some(),
                 "whole {sent:?} after SIGTERM, and no answer"
             );
         }
     }
-    assert!(gateway.wait().success());
+    assert!(gateway.wait_for_exit().success());
 }
 
 /// The same head with an id of its own.
@@ -238,20 +240,20 @@
 fn a_request_that_came_before_the_end_of_an_idle_connection_is_served() {
     const IDLE: Duration = Duration::from_secs(5);
     let server = Server::new(|_| ok("served"));
-    let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
+    let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let gateway = gateway(&discovery, &[]);
     let mut clients: Vec<Client> = (0..20).map(|_| gateway.client()).collect();
-    clients.iter_mut().for_each(|c| drop(c.ask_again()));
+    clients.iter_mut().for_each(|c| drop(c.check_again()));
     let since = Instant::now();
     thread::sleep(IDLE - Duration::from_millis(150));
     // Those that had their answer first would end first.
     gateway.signal("-STOP");
     clients
         .iter_mut()
-        .for_each(|c| c.send(&ClientRequest::check().text()));
+        .for_each(|c| c.send(&ClientRequest::check().to_text()));
     thread::sleep((IDLE + Duration::from_millis(50)).saturating_sub(since.elapsed()));
     gateway.signal("-CONT");
     for client in &mut clients {
-        assert_eq!(client.answer().map(|a| a.status()), Some(200));
+        assert_eq!(client.read_response().map(|a| a.status()), Some(200));
     }
 }
--- a/crates/frosthatch/tests/late_starts.rs
+++ b/crates/frosthatch/tests/late_starts.rs
@@ -20,7 +20,7 @@
         assert!(text.contains(from), "{from}");
         text = text.replace(from, to);
     }
-    let gateway = Gateway::start_with(&text);
+    let gateway = Gateway::start_from_config(&text);
     gateway.wait_ready();
     gateway
 }
@@ -29,30 +29,30 @@
 fn turns(gateway: &Gateway) {
     let since = Instant::now();
     while since.elapsed() < Duration::from_millis(150) {
-        gateway.ready();
+        gateway.is_ready();
     }
 }
 
 /// Guards against a second effect: servers remember a key for its window, and the connection for the repeat comes up later.
 #[test]
 fn a_keyed_repeat_does_not_begin_after_its_window() {
-    let (first, go) = Server::held(|| status("500 Internal Server Error"));
-    let late = Crowded::new();
-    let discovery = Discovery::new(&target("a", first.address, 3, "Ready"));
+    let (first, go) = Server::gated(|| status("500 Internal Server Error"));
+    let late = FullBacklog::new();
+    let discovery = Discovery::new(&endpoint_entry("a", first.address, 3, "Ready"));
     let gateway = patient(
         &discovery,
         &[("\"windowUs\":7500000", "\"windowUs\":600000")],
     );
     let mut client = gateway.client();
-    client.send(&ClientRequest::top_up().text());
-    first.request();
-    discovery.tell(false, &target("b", late.address(), 3, "Ready"));
+    client.send(&ClientRequest::top_up().to_text());
+    first.next_request();
+    discovery.publish_and_wait(false, &endpoint_entry("b", late.address(), 3, "Ready"));
     let since = Instant::now();
     let _ = go.send(());
     // The repeat is on its way now, and waits for its connection.
     thread::sleep(Duration::from_millis(700));
-    let late = late.open(|_| ok("twice"));
-    let answer = client.answer().expect("an answer");
+    let late = late.accept(|_| ok("twice"));
+    let answer = client.read_response().expect("an answer");
     assert!(matches!(answer.status(), 502 | 504), "{answer:?}");
     assert!(
         since.elapsed() > Duration::from_millis(500),
@@ -60,10 +60,10 @@
     );
     // Whatever was to come there has come before this one.
     let ask = ClientRequest::check();
-    discovery.tell(true, &target("b", late.address, 3, "Ready"));
-    assert_eq!(gateway.ask(&ask).status(), 200);
+    discovery.publish_and_wait(true, &endpoint_entry("b", late.address, 3, "Ready"));
+    assert_eq!(gateway.request(&ask).status(), 200);
     assert_eq!(
-        late.request().header("X-Trace-Id"),
+        late.next_request().header("X-Trace-Id"),
         Some(ask.header("X-Trace-Id"))
     );
 }
@@ -72,25 +72,25 @@
 #[test]
 fn nothing_begins_for_a_client_that_left_while_it_connected() {
     for cancel in [true, false] {
-        let late = Crowded::new();
-        let discovery = Discovery::new(&target("a", late.address(), 0, "Ready"));
+        let late = FullBacklog::new();
+        let discovery = Discovery::new(&endpoint_entry("a", late.address(), 0, "Ready"));
         let gateway = patient(
             &discovery,
             &[("\"cancel\":true", &format!("\"cancel\":{cancel}"))],
         );
         let mut client = gateway.client();
-        client.send(&ClientRequest::top_up().text());
+        client.send(&ClientRequest::top_up().to_text());
         turns(&gateway);
         drop(client);
         turns(&gateway);
-        let late = late.open(|_| ok("served"));
+        let late = late.accept(|_| ok("served"));
         if !cancel {
-            late.connected();
+            late.wait_connected();
         }
         let ask = ClientRequest::check();
-        assert_eq!(gateway.ask(&ask).status(), 200);
+        assert_eq!(gateway.request(&ask).status(), 200);
         assert_eq!(
-            late.request().header("X-Trace-Id"),
+            late.next_request().header("X-Trace-Id"),
             Some(ask.header("X-Trace-Id")),
             "cancel {cancel}"
         );
@@ -103,17 +103,17 @@
     for junk in [1_000, 20_000, 200_000] {
         let server = Server::new(|_| ok("served"));
         let discovery = Discovery::new("");
-        let gateway = Gateway::with(&discovery, None, 1);
+        let gateway = Gateway::start_ready(&discovery, None, 1);
         let mut client = gateway.client();
-        client.send(&(ClientRequest::top_up().text() + &"x".repeat(junk)));
+        client.send(&(ClientRequest::top_up().to_text() + &"x".repeat(junk)));
         turns(&gateway);
         drop(client);
         turns(&gateway);
         let ask = ClientRequest::check();
-        discovery.tell(false, &target("a", server.address, 0, "Ready"));
-        assert_eq!(gateway.ask(&ask).status(), 200);
+        discovery.publish_and_wait(false, &endpoint_entry("a", server.address, 0, "Ready"));
+        assert_eq!(gateway.request(&ask).status(), 200);
         assert_eq!(
-            server.request().header("X-Trace-Id"),
+            server.next_request().header("X-Trace-Id"),
             Some(ask.header("X-Trace-Id")),
             "{junk}"
         );
@@ -125,18 +125,18 @@
 fn a_client_that_left_before_it_was_heard_is_not_served() {
     for junk in [0, 20_000] {
         let server = Server::new(|_| ok("served"));
-        let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
-        let gateway = Gateway::alone(&discovery);
+        let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
+        let gateway = Gateway::start_alone(&discovery);
         gateway.signal("-STOP");
         let mut client = gateway.client();
-        client.send(&(ClientRequest::top_up().text() + &"x".repeat(junk)));
+        client.send(&(ClientRequest::top_up().to_text() + &"x".repeat(junk)));
         drop(client);
         thread::sleep(Duration::from_millis(200));
         gateway.signal("-CONT");
         let ask = ClientRequest::check();
-        assert_eq!(gateway.ask(&ask).status(), 200);
+        assert_eq!(gateway.request(&ask).status(), 200);
         assert_eq!(
-            server.request().header("X-Trace-Id"),
+            server.next_request().header("X-Trace-Id"),
             Some(ask.header("X-Trace-Id")),
             "{junk}"
         );
--- a/crates/frosthatch/tests/log_output.rs
+++ b/crates/frosthatch/tests/log_output.rs
@@ -25,8 +25,8 @@
             "\"listen\":\"127.0.0.1:0\"",
             &format!("\"listen\":\"{address}\""),
         );
-        let config = config_file(&text);
-        let child = command(&config)
+        let config = write_config_file(&text);
+        let child = gateway_command(&config)
             .stderr(log)
             .spawn()
             .expect("the gateway starts");
@@ -35,12 +35,12 @@
 
     fn serves(&mut self) -> bool {
         let since = Instant::now();
-        while since.elapsed() < LONG {
+        while since.elapsed() < TIMEOUT {
             if self.child.try_wait().expect("a child").is_some() {
                 return false;
             }
             if TcpStream::connect(self.address).is_ok() {
-                let answer = Client::at(self.address).ask(&ClientRequest::check().text());
+                let answer = Client::at(self.address).exchange(&ClientRequest::check().to_text());
                 if answer.is_some_and(|a| a.status() == 200) {
                     return true;
                 }
@@ -61,7 +61,7 @@
 #[test]
 fn a_full_disk_behind_the_log_does_not_keep_the_gateway_from_serving() {
     let server = Server::new(|_| ok("served"));
-    let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
+    let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let full = OpenOptions::new()
         .write(true)
         .open("/dev/full")
@@ -72,15 +72,15 @@
 #[test]
 fn a_reader_of_the_log_that_goes_takes_no_gateway_along() {
     let server = Server::new(|_| ok("served"));
-    let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
+    let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let mut process = Process::start(&discovery, Stdio::piped());
     let mut log = BufReader::new(process.child.stderr.take().expect("a log"));
     log.read_line(&mut String::new()).expect("a line");
     assert!(process.serves());
     drop(log);
     // A list that makes no sense is logged.
-    discovery.mood(Mood::Nonsense);
-    discovery.asked_again(3);
-    discovery.mood(Mood::Telling);
+    discovery.set_mode(DiscoveryMode::InvalidBody);
+    discovery.wait_for_calls(3);
+    discovery.set_mode(DiscoveryMode::Answering);
     assert!(process.serves());
 }
--- a/crates/frosthatch/tests/outcomes.rs
+++ b/crates/frosthatch/tests/outcomes.rs
@@ -19,20 +19,21 @@
             }
         })
     });
-    let entry = |i: usize| target(["a", "b"][i], servers[i].address, cells[i], "Ready");
+    let entry = |i: usize| endpoint_entry(["a", "b"][i], servers[i].address, cells[i], "Ready");
     (Discovery::new(&[entry(0), entry(1)].join(",")), servers)
 }
 
 fn requests(servers: &[Server]) -> usize {
-    servers.iter().map(Server::requests_so_far).sum()
+    servers.iter().map(Server::drain_request_count).sum()
 }
 
 fn failed(answer: &Message) -> bool {
     matches!(answer.status(), 502 | 504)
 }
 
-const CUT: fn() -> Reply = || Reply::Last("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nsec".into());
-const RESET: fn() -> Reply = || Reply::Last(String::new());
+const CUT: fn() -> Reply =
+    || Reply::BytesThenClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nsec".into());
+const RESET: fn() -> Reply = || Reply::BytesThenClose(String::new());
 const ERROR: fn() -> Reply = || status("500 Internal Server Error");
 const UNPROVEN: fn() -> Reply = || status("503 Service Unavailable");
 const NOISE: fn() -> Reply = || Reply::Bytes("\u{1}\u{2} no answer at all\r\n\r\n".into());
@@ -47,7 +48,7 @@
 fn a_safe_request_is_served_by_another_server_after_any_failure() {
     for first in [CUT, RESET, ERROR, UNPROVEN, NOISE, ENDLESS, never_ran] {
         let (discovery, servers) = pair([0, 1], first);
-        let answer = Gateway::alone(&discovery).ask(&ClientRequest::check());
+        let answer = Gateway::start_alone(&discovery).request(&ClientRequest::check());
         assert_eq!((answer.status(), answer.body.as_str()), (200, "second"));
         assert_eq!(requests(&servers), 2);
     }
@@ -58,11 +59,11 @@
 fn a_keyed_request_that_may_have_run_goes_to_no_other_cell_and_is_not_refused() {
     for first in [CUT, RESET, ERROR, UNPROVEN, NOISE, ENDLESS] {
         let (discovery, servers) = pair([0, 1], first);
-        let gateway = Gateway::alone(&discovery);
+        let gateway = Gateway::start_alone(&discovery);
         let ask = ClientRequest::top_up();
-        let answer = gateway.ask(&ask);
+        let answer = gateway.request(&ask);
         // The server that failed first shares its own cell and may be asked again.
-        let seen: Vec<usize> = servers.iter().map(Server::requests_so_far).collect();
+        let seen: Vec<usize> = servers.iter().map(Server::drain_request_count).collect();
         assert!(seen.contains(&0), "one cell only: {seen:?}");
         assert!(answer.status() == 200 || failed(&answer), "{answer:?}");
     }
@@ -71,7 +72,7 @@
 #[test]
 fn a_keyed_request_that_may_have_run_goes_on_in_its_cell() {
     let (discovery, servers) = pair([3, 3], RESET);
-    let answer = Gateway::alone(&discovery).ask(&ClientRequest::top_up());
+    let answer = Gateway::start_alone(&discovery).request(&ClientRequest::top_up());
     assert_eq!((answer.status(), answer.body.as_str()), (200, "second"));
     assert_eq!(requests(&servers), 2);
 }
@@ -79,7 +80,7 @@
 #[test]
 fn a_keyed_request_that_never_ran_goes_to_any_cell() {
     let (discovery, servers) = pair([0, 1], never_ran);
-    let answer = Gateway::alone(&discovery).ask(&ClientRequest::top_up());
+    let answer = Gateway::start_alone(&discovery).request(&ClientRequest::top_up());
     assert_eq!((answer.status(), answer.body.as_str()), (200, "second"));
     assert_eq!(requests(&servers), 2);
 }
@@ -87,8 +88,8 @@
 #[test]
 fn what_never_ran_is_refused_with_advice_when_nobody_takes_it() {
     let server = Server::new(|_| never_ran());
-    let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
-    let answer = Gateway::alone(&discovery).ask(&ClientRequest::top_up());
+    let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
+    let answer = Gateway::start_alone(&discovery).request(&ClientRequest::top_up());
     assert_eq!(answer.status(), 429);
     let wait: f64 = answer
         .header("Retry-After")
@@ -105,13 +106,13 @@
         .expect("a free port");
     let server = Server::new(|_| ok("here"));
     let entries = [
-        target("a", nobody, 0, "Ready"),
-        target("b", server.address, 1, "Ready"),
+        endpoint_entry("a", nobody, 0, "Ready"),
+        endpoint_entry("b", server.address, 1, "Ready"),
     ]
     .join(",");
-    let gateway = Gateway::alone(&Discovery::new(&entries));
+    let gateway = Gateway::start_alone(&Discovery::new(&entries));
     for _ in 0..8 {
-        let answer = gateway.ask(&ClientRequest::top_up());
+        let answer = gateway.request(&ClientRequest::top_up());
         assert_eq!((answer.status(), answer.body.as_str()), (200, "here"));
     }
 }
@@ -120,9 +121,9 @@
 #[test]
 fn silence_is_answered_before_the_client_leaves_and_never_doubled() {
     let (discovery, servers) = pair([0, 0], || Reply::Silence);
-    let gateway = Gateway::alone(&discovery);
+    let gateway = Gateway::start_alone(&discovery);
     let since = std::time::Instant::now();
-    let answer = gateway.ask(&ClientRequest::top_up().with("X-Expires-In", "0.8"));
+    let answer = gateway.request(&ClientRequest::top_up().with_header("X-Expires-In", "0.8"));
     assert!(
         since.elapsed().as_secs_f64() > 0.5,
         "an attempt has its time"
@@ -137,13 +138,13 @@
 #[test]
 fn a_client_that_leaves_ends_its_attempt() {
     let server = Server::new(|_| Reply::Silence);
-    let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
-    let gateway = Gateway::alone(&discovery);
+    let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
+    let gateway = Gateway::start_alone(&discovery);
     let mut client = gateway.client();
-    client.send(&ClientRequest::top_up().text());
-    server.request();
+    client.send(&ClientRequest::top_up().to_text());
+    server.next_request();
     drop(client);
-    server.closed();
+    server.wait_closed();
 }
 
 /// Guards against nonsense in figures that come with a good answer.
@@ -160,10 +161,10 @@
                 "HTTP/1.1 200 OK\r\n{odd}\r\nContent-Length: 2\r\n\r\nok"
             ))
         });
-        let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
-        let gateway = Gateway::alone(&discovery);
+        let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
+        let gateway = Gateway::start_alone(&discovery);
         for _ in 0..2 {
-            assert_eq!(gateway.ask(&ClientRequest::check()).body, "ok");
+            assert_eq!(gateway.request(&ClientRequest::check()).body, "ok");
         }
     }
 }
@@ -179,11 +180,11 @@
         );
         Reply::Bytes(once.repeat(2))
     });
-    let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
-    let gateway = Gateway::alone(&discovery);
+    let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
+    let gateway = Gateway::start_alone(&discovery);
     for _ in 0..5 {
         let ask = ClientRequest::check();
-        assert_eq!(gateway.ask(&ask).body, ask.header("X-Trace-Id"));
+        assert_eq!(gateway.request(&ask).body, ask.header("X-Trace-Id"));
     }
 }
 
@@ -196,13 +197,13 @@
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         );
-        Reply::Twice(once.clone(), once)
+        Reply::BytesInTwoParts(once.clone(), once)
     });
-    let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
-    let gateway = Gateway::alone(&discovery);
+    let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
+    let gateway = Gateway::start_alone(&discovery);
     for _ in 0..20 {
         let ask = ClientRequest::check();
-        assert_eq!(gateway.ask(&ask).body, ask.header("X-Trace-Id"));
+        assert_eq!(gateway.request(&ask).body, ask.header("X-Trace-Id"));
     }
 }
 
@@ -216,14 +217,14 @@
             let text = text.clone();
             let server = Server::new(move |_| {
                 if resets {
-                    Reply::Reset(text.clone())
+                    Reply::BytesThenReset(text.clone())
                 } else {
-                    Reply::Last(text.clone())
+                    Reply::BytesThenClose(text.clone())
                 }
             });
-            let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
-            let answer = Gateway::alone(&discovery)
-                .ask(&ClientRequest::top_up().with("X-Expires-In", "2.0"));
+            let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
+            let answer = Gateway::start_alone(&discovery)
+                .request(&ClientRequest::top_up().with_header("X-Expires-In", "2.0"));
             if resets {
                 assert!(failed(&answer), "{says:?}: {answer:?}");
             } else {
@@ -263,15 +264,15 @@
         let server = Server::new(move |_| Reply::Bytes(text.into()));
         let other = Server::new(|_| ok("other"));
         let entries = [
-            target("a", server.address, 0, "Ready"),
-            target("b", other.address, 1, "Ready"),
+            endpoint_entry("a", server.address, 0, "Ready"),
+            endpoint_entry("b", other.address, 1, "Ready"),
         ]
         .join(",");
-        let gateway = Gateway::alone(&Discovery::new(&entries));
+        let gateway = Gateway::start_alone(&Discovery::new(&entries));
         let (mut spoilt, mut served) = (0, 0);
         while spoilt == 0 || served == 0 {
-            let answer = gateway.ask(&ClientRequest::top_up());
-            if server.requests_so_far() == 0 {
+            let answer = gateway.request(&ClientRequest::top_up());
+            if server.drain_request_count() == 0 {
                 assert_eq!(answer.body, "other");
                 served += 1;
             } else {
@@ -296,11 +297,16 @@
         };
         let text = start.to_string() + &more.repeat(60_000);
         let server = Server::new(move |_| Reply::Bytes(text.clone()));
-        let gateway = Gateway::alone(&Discovery::new(&target("a", server.address, 0, "Ready")));
-        assert!(failed(
-            &gateway.ask(&ClientRequest::top_up().with("X-Expires-In", "6.0"))
-        ));
-        server.closed();
+        let gateway = Gateway::start_alone(&Discovery::new(&endpoint_entry(
+            "a",
+            server.address,
+            0,
+            "Ready",
+        )));
+        assert!(failed(&gateway.request(
+            &ClientRequest::top_up().with_header("X-Expires-In", "6.0")
+        )));
+        server.wait_closed();
     }
 }
 
@@ -311,14 +317,14 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1;x=y\r\nf\r\n3\r\nine\r\n0\r\n\r\n",
     ] {
         let server = Server::new(move |_| Reply::Bytes(text.into()));
-        let gateway = Gateway::alone(&Discovery::new(&target("a", server.address, 0, "Ready")));
+        let gateway = Gateway::start_alone(&Discovery::new(&endpoint_entry("a", server.address, 0, "Ready")));
         for _ in 0..3 {
-            assert_eq!(gateway.ask(&ClientRequest::check()).body, "fine");
+            assert_eq!(gateway.request(&ClientRequest::check()).body, "fine");
             // A connection rests for a moment after each answer.
             std::thread::sleep(std::time::Duration::from_millis(100));
         }
         // All on one connection.
-        assert_eq!(server.so_far().iter().filter(|s| matches!(s, Seen::Connected)).count(), 1);
+        assert_eq!(server.drain_events().iter().filter(|s| matches!(s, ServerEvent::Connected)).count(), 1);
     }
 }
 
@@ -327,19 +333,24 @@
 fn noise_behind_an_answer_spoils_no_other() {
     let server = Server::new(|m| {
         let id = m.header("X-Trace-Id").unwrap_or("");
-        Reply::Twice(
+        Reply::BytesInTwoParts(
             format!("HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\n{id}"),
             "\u{1}\u{2}\u{3}".into(),
         )
     });
-    let gateway = Gateway::alone(&Discovery::new(&target("a", server.address, 0, "Ready")));
+    let gateway = Gateway::start_alone(&Discovery::new(&endpoint_entry(
+        "a",
+        server.address,
+        0,
+        "Ready",
+    )));
     let mut client = gateway.client();
     for _ in 0..10 {
         // It has come before the next request does.
         std::thread::sleep(std::time::Duration::from_millis(50));
         let ask = ClientRequest::top_up();
         assert_eq!(
-            client.ask(&ask.text()).expect("an answer").body,
+            client.exchange(&ask.to_text()).expect("an answer").body,
             ask.header("X-Trace-Id")
         );
     }
--- a/crates/frosthatch/tests/plain.rs
+++ b/crates/frosthatch/tests/plain.rs
@@ -7,13 +7,13 @@
 #[test]
 fn a_request_goes_on_unchanged_and_its_answer_comes_back_unchanged() {
     let server = Server::new(|_| ok("balance 42"));
-    let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
-    let gateway = Gateway::alone(&discovery);
+    let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
+    let gateway = Gateway::start_alone(&discovery);
     let mut ask = ClientRequest::top_up();
     ask.path = "/top-up/card?unit=7&q=%20x";
-    let answer = gateway.ask(&ask);
+    let answer = gateway.request(&ask);
     assert_eq!((answer.status(), answer.body.as_str()), (200, "balance 42"));
-    let got = server.request();
+    let got = server.next_request();
     assert_eq!(got.line, "POST /top-up/card?unit=7&q=%20x HTTP/1.1");
     assert_eq!(got.body, ask.body);
     for name in ["X-Trace-Id", "Idempotency-Key"] {
@@ -43,10 +43,10 @@
             ok(&body(1))
         }
     });
-    let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
-    let gateway = Gateway::alone(&discovery);
+    let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
+    let gateway = Gateway::start_alone(&discovery);
     for (path, n) in [("/balance-check/plain", 1), ("/balance-check/chunks", 2)].repeat(4) {
-        let answer = gateway.ask(&ClientRequest {
+        let answer = gateway.request(&ClientRequest {
             path,
             ..ClientRequest::check()
         });
@@ -59,13 +59,13 @@
 fn a_connection_to_a_server_is_used_again_and_one_that_it_closed_is_not() {
     let server = Server::new(|m| {
         if m.line.contains("last") {
-            Reply::Last("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".into())
+            Reply::BytesThenClose("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".into())
         } else {
             ok("")
         }
     });
-    let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
-    let gateway = Gateway::alone(&discovery);
+    let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
+    let gateway = Gateway::start_alone(&discovery);
     let mut last = ClientRequest::check();
     last.path = "/balance-check?last";
     for ask in [
@@ -75,20 +75,28 @@
         ClientRequest::check(),
         ClientRequest::check(),
     ] {
-        assert_eq!(gateway.ask(&ask).status(), 200);
+        assert_eq!(gateway.request(&ask).status(), 200);
         // A connection rests for a moment after each answer.
         std::thread::sleep(Duration::from_millis(100));
         if ask.path.contains("last") {
-            server.closed();
+            server.wait_closed();
             // Its end has to cross to the gateway.
             std::thread::sleep(Duration::from_millis(100));
         }
     }
     // One more connection after the one that ended, for the two requests that were left.
-    let seen = server.so_far();
-    let count = |what: fn(&Seen) -> bool| seen.iter().filter(|s| what(s)).count();
-    assert_eq!(count(|s| matches!(s, Seen::Connected)), 1, "{seen:?}");
-    assert_eq!(count(|s| matches!(s, Seen::Request(_))), 2, "{seen:?}");
+    let seen = server.drain_events();
+    let count = |what: fn(&ServerEvent) -> bool| seen.iter().filter(|s| what(s)).count();
+    assert_eq!(
+        count(|s| matches!(s, ServerEvent::Connected)),
+        1,
+        "{seen:?}"
+    );
+    assert_eq!(
+        count(|s| matches!(s, ServerEvent::Request(_))),
+        2,
+        "{seen:?}"
+    );
 }
 
 /// Guards against servers that drop idle connections unseen, and sooner than the settings say: each request written to
@@ -97,21 +105,20 @@
 fn connections_that_servers_drop_unseen_when_idle_are_not_used_for_long() {
     let server = Server::new(|m| {
         if m.idle > Some(Duration::from_millis(80)) {
-            Reply::End
+            Reply::Close
         } else {
             ok("")
         }
     });
-    let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
-    let gateway = Gateway::alone(&discovery);
+    let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
+    let gateway = Gateway::start_alone(&discovery);
     let dropped = |asks: usize| {
         for _ in 0..asks {
-            gateway.ask(&ClientRequest::top_up());
+            gateway.request(&ClientRequest::top_up());
             std::thread::sleep(Duration::from_millis(150));
         }
-        let late =
-            |s: &Seen| matches!(s, Seen::Request(m) if m.idle > Some(Duration::from_millis(80)));
-        server.so_far().iter().filter(|s| late(s)).count()
+        let late = |s: &ServerEvent| matches!(s, ServerEvent::Request(m) if m.idle > Some(Duration::from_millis(80)));
+        server.drain_events().iter().filter(|s| late(s)).count()
     };
     assert!(dropped(8) >= 1, "nobody knows yet");
     assert_eq!(dropped(8), 0);
@@ -120,31 +127,31 @@
 #[test]
 fn it_is_ready_once_discovery_has_told_the_list() {
     let server = Server::new(|_| ok(""));
-    let entry = target("a", server.address, 0, "Ready");
+    let entry = endpoint_entry("a", server.address, 0, "Ready");
     let discovery = Discovery::new(&entry);
-    discovery.mood(Mood::Silent);
+    discovery.set_mode(DiscoveryMode::Silent);
     let gateway = Gateway::start(discovery.address, None, 1, "");
-    discovery.asked_again(1);
+    discovery.wait_for_calls(1);
     // Long enough for whatever is done now and then beside listening.
     std::thread::sleep(Duration::from_millis(700));
     assert!(
-        !gateway.ready(),
+        !gateway.is_ready(),
         "with no server known nothing can be served"
     );
-    discovery.mood(Mood::Telling);
+    discovery.set_mode(DiscoveryMode::Answering);
     gateway.wait_ready();
-    assert_eq!(gateway.ask(&ClientRequest::check()).status(), 200);
+    assert_eq!(gateway.request(&ClientRequest::check()).status(), 200);
 }
 
 #[test]
 fn with_discovery_down_it_serves_from_the_list_that_it_had() {
     let server = Server::new(|_| ok(""));
     let discovery = Discovery::new("");
-    discovery.mood(Mood::Silent);
-    let known = target("a", server.address, 0, "Ready");
+    discovery.set_mode(DiscoveryMode::Silent);
+    let known = endpoint_entry("a", server.address, 0, "Ready");
     let gateway = Gateway::start(discovery.address, None, 1, &known);
     gateway.wait_ready();
-    assert_eq!(gateway.ask(&ClientRequest::check()).status(), 200);
+    assert_eq!(gateway.request(&ClientRequest::check()).status(), 200);
 }
 
 #[test]
@@ -164,8 +171,8 @@
             "gateways",
         ),
     ] {
-        let path = config_file(&text);
-        let out = command(&path).output().expect("it runs");
+        let path = write_config_file(&text);
+        let out = gateway_command(&path).output().expect("it runs");
         let _ = std::fs::remove_file(path);
         let said = String::from_utf8_lossy(&out.stderr).to_string();
         assert_eq!(out.status.code(), Some(1), "{said}");
@@ -175,7 +182,7 @@
             "{said}"
         );
     }
-    let out = command(std::path::Path::new("/nowhere/config.json"))
+    let out = gateway_command(std::path::Path::new("/nowhere/config.json"))
         .output()
         .expect("it runs");
     assert_eq!(out.status.code(), Some(1));
--- a/crates/frosthatch/tests/plugins.rs
+++ b/crates/frosthatch/tests/plugins.rs
@@ -9,7 +9,7 @@
 
 /// A module with these parts beside memory, version and `alloc`.
 fn module(parts: &str) -> PathBuf {
-    config_file(&format!(
+    write_config_file(&format!(
         r#"(module (import "frosthatch" "now_ms" (func $now_ms (result i64))) (memory (export "memory") 1)
           (data (i32.const 16) "x-shop: seven\0a")
           (func (export "frosthatch_abi") (result i32) i32.const 1)
@@ -48,10 +48,11 @@
         }
         ok("served")
     });
-    let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
-    let file = config_file(text);
+    let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
+    let file = write_config_file(text);
     let config = config_text(discovery.address, None, 1, "");
-    let gateway = Gateway::start_as(&config, &["--operator", file.to_str().expect("a path")]);
+    let gateway =
+        Gateway::start_with_args(&config, &["--operator", file.to_str().expect("a path")]);
     gateway.wait_ready();
     Site {
         gateway,
@@ -62,7 +63,7 @@
 }
 
 fn of(plan: &str) -> ClientRequest {
-    ClientRequest::check().with("X-Tier", plan)
+    ClientRequest::check().with_header("X-Tier", plan)
 }
 
 #[test]
@@ -87,19 +88,19 @@
         ]
         .concat(),
     );
-    let served = site.gateway.ask(&of("lille"));
+    let served = site.gateway.request(&of("lille"));
     assert_eq!(
         (served.status(), served.header("x-shop"), &*served.body),
         (200, Some("seven"), "served")
     );
-    site.server.so_far();
-    let refused = site.gateway.ask(&of("small"));
+    site.server.drain_events();
+    let refused = site.gateway.request(&of("small"));
     assert_eq!(
         (refused.status(), refused.header("retry-after")),
         (429, Some("1.500"))
     );
-    assert_eq!(site.gateway.ask(&of("capped")).status(), 502);
-    assert_eq!(site.server.so_far().len(), 0, "nothing ran");
+    assert_eq!(site.gateway.request(&of("capped")).status(), 502);
+    assert_eq!(site.server.drain_events().len(), 0, "nothing ran");
 }
 
 /// Its requests get their one answer at once, by its policy; all others are served as if it were not there.
@@ -117,14 +118,14 @@
                     s.spawn(move || {
                         let since = Instant::now();
                         let got = gateway
-                            .ask(&of("small").with("X-Api-Key", &format!("{n:016x}")))
+                            .request(&of("small").with_header("X-Api-Key", &format!("{n:016x}")))
                             .status();
                         (got, since.elapsed())
                     })
                 })
                 .collect();
             for _ in 0..50 {
-                assert_eq!(site.gateway.ask(&of("lille")).status(), 200);
+                assert_eq!(site.gateway.request(&of("lille")).status(), 200);
             }
             for s in stuck {
                 let (got, took) = s.join().expect("an answer");
@@ -146,15 +147,15 @@
     let text = plugin("traps", &traps, "policy = \"fail\"\nplans = [\"small\"]\n");
     let site = site(&text);
     for _ in 0..20 {
-        assert_eq!(site.gateway.ask(&of("small")).status(), 502);
-        assert_eq!(site.gateway.ask(&of("lille")).status(), 200);
+        assert_eq!(site.gateway.request(&of("small")).status(), 502);
+        assert_eq!(site.gateway.request(&of("lille")).status(), 200);
     }
     // A new version of the file, and it is well.
     std::fs::copy(on_request(HEADER), &traps).expect("a copy");
     site.gateway.signal("-HUP");
     let since = Instant::now();
-    while site.gateway.ask(&of("small")).header("x-shop") != Some("seven") {
-        assert!(since.elapsed() < LONG, "the new version is asked");
+    while site.gateway.request(&of("small")).header("x-shop") != Some("seven") {
+        assert!(since.elapsed() < TIMEOUT, "the new version is asked");
         sleep(Duration::from_millis(20));
     }
 }
@@ -165,7 +166,7 @@
     let site = site(&plugin("adds", &file, ""));
     let asked = |site: &Site| {
         site.gateway
-            .ask(&of("lille"))
+            .request(&of("lille"))
             .header("x-shop")
             .map(String::from)
     };
@@ -191,7 +192,7 @@
     site.gateway.signal("-HUP");
     let since = Instant::now();
     while asked(&site).is_some() {
-        assert!(since.elapsed() < LONG, "it is gone");
+        assert!(since.elapsed() < TIMEOUT, "it is gone");
         sleep(Duration::from_millis(20));
     }
 }
@@ -205,29 +206,29 @@
     let mut site = site(&plugin("spins", &spins, more));
     // The client leaves: nothing is sent for it.
     let mut leaves = site.gateway.client();
-    leaves.send(&of("lille").text());
+    leaves.send(&of("lille").to_text());
     sleep(Duration::from_millis(50));
     drop(leaves);
     sleep(Duration::from_millis(600));
-    assert_eq!(site.server.so_far().len(), 0);
+    assert_eq!(site.server.drain_events().len(), 0);
     // Its server drains meanwhile: it gets nothing new, the other does.
     let other = Server::new(|_| ok("other"));
     let mut held = site.gateway.client();
-    held.send(&of("lille").text());
+    held.send(&of("lille").to_text());
     sleep(Duration::from_millis(50));
     let list = [
-        target("a", site.server.address, 0, "Terminating"),
-        target("b", other.address, 0, "Ready"),
+        endpoint_entry("a", site.server.address, 0, "Terminating"),
+        endpoint_entry("b", other.address, 0, "Ready"),
     ];
-    site.discovery.tell(false, &list.join(","));
-    assert_eq!(held.answer().expect("one answer").body, "other");
+    site.discovery.publish_and_wait(false, &list.join(","));
+    assert_eq!(held.read_response().expect("one answer").body, "other");
     // SIGTERM: what is held is answered, and the program ends in order.
     let mut held = site.gateway.client();
-    held.send(&of("lille").text());
+    held.send(&of("lille").to_text());
     sleep(Duration::from_millis(50));
     site.gateway.signal("-TERM");
-    assert_eq!(held.answer().expect("one answer").status(), 200);
-    assert!(site.gateway.wait().success());
+    assert_eq!(held.read_response().expect("one answer").status(), 200);
+    assert!(site.gateway.wait_for_exit().success());
 }
 
 #[test]
@@ -237,7 +238,7 @@
         .map(|n| {
             let header = format!("x-n{}: {n:02}\\0a", names(n));
             let file = std::fs::read_to_string(on_request(HEADER)).expect("text");
-            let file = config_file(
+            let file = write_config_file(
                 &file
                     .replace("x-shop: seven\\0a", &header)
                     .replace("0x000e0001", "0x000a0001")
@@ -251,7 +252,7 @@
         })
         .collect();
     let site = site(&text);
-    let answer = site.gateway.ask(&of("lille"));
+    let answer = site.gateway.request(&of("lille"));
     let order: Vec<&str> = answer
         .headers
         .iter()
@@ -263,7 +264,7 @@
 }
 
 fn run(words: &[&str]) -> Output {
-    Command::new(program())
+    Command::new(gateway_binary())
         .args(words)
         .output()
         .expect("it runs")
@@ -272,7 +273,7 @@
 #[test]
 fn a_module_can_be_tried_outside_the_gateway() {
     let good = on_request(HEADER);
-    let request = config_file(
+    let request = write_config_file(
         r#"{"customer":4512345678,"class":"top-up","plan":"lille","left_ms":700,"units":2}"#,
     );
     let path = |p: &Path| p.to_str().expect("a path").to_string();
@@ -298,7 +299,7 @@
         "run",
         &path(&good),
         "--request",
-        &path(&config_file("{}")),
+        &path(&write_config_file("{}")),
     ]);
     assert!(String::from_utf8_lossy(&out.stderr).contains("missing field"));
 }
@@ -306,9 +307,9 @@
 #[test]
 fn a_plugin_that_cannot_be_used_at_the_start_is_an_error_that_says_why() {
     let discovery = Discovery::new("");
-    let file = config_file(&plugin("bad", Path::new("/nowhere/bad.wasm"), ""));
-    let config = config_file(&config_text(discovery.address, None, 1, ""));
-    let out = command(&config)
+    let file = write_config_file(&plugin("bad", Path::new("/nowhere/bad.wasm"), ""));
+    let config = write_config_file(&config_text(discovery.address, None, 1, ""));
+    let out = gateway_command(&config)
         .args(["--operator", file.to_str().expect("a path")])
         .output()
         .expect("it runs");
@@ -323,8 +324,8 @@
         ("fuel_per_call = 5\n", "fuel_per_call is 5"),
         ("speed = 1\n", "speed is not known"),
     ] {
-        let file = config_file(&plugin("bad", &on_request(HEADER), more));
-        let out = command(&config)
+        let file = write_config_file(&plugin("bad", &on_request(HEADER), more));
+        let out = gateway_command(&config)
             .args(["--operator", file.to_str().expect("a path"), "check"])
             .output();
         let text = String::from_utf8_lossy(&out.expect("it runs").stdout).to_string();
--- a/crates/frosthatch/tests/policy.rs
+++ b/crates/frosthatch/tests/policy.rs
@@ -1,12 +1,14 @@
 //! Several real processes that agree on their policy, and faults between them.
 #![expect(clippy::too_many_lines)]
 
-use frosthatch_lab::rig::agreed::{self, document, Agreed};
-use frosthatch_lab::rig::{fleet_file, Act, Process, Relay, Stage};
 use frosthatch_lab::site::Node;
+use frosthatch_lab::testbed::policy_fixture::{self, document, PolicyFixture};
+use frosthatch_lab::testbed::{fleet_file, Process, Relay, Testbed, TimelineAction};
 use frosthatch_policy_consensus::record::{parse_file_name, AcceptorRecord};
 use frosthatch_policy_consensus::state_directory::StateDirectory;
-use frosthatch_test_doubles::{config_file, ok, target, Client, ClientRequest, Discovery, Server};
+use frosthatch_test_doubles::{
+    endpoint_entry, ok, write_config_file, Client, ClientRequest, Discovery, Server,
+};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -16,8 +18,8 @@
 const LONG: Duration = Duration::from_secs(40);
 
 struct Fleet {
-    stage: Stage,
-    agreed: Agreed,
+    testbed: Testbed,
+    fixture: PolicyFixture,
     key: PathBuf,
     _agent: Discovery,
     _server: Server,
@@ -44,10 +46,10 @@
     fn each(name: &str, processes: usize, more: impl Fn(usize) -> String) -> Fleet {
         let runtime = Runtime::new().expect("a runtime");
         let server = Server::new(|_| ok("done"));
-        let agent = Discovery::new(&target("s0", server.address, 1, "Ready"));
+        let agent = Discovery::new(&endpoint_entry("s0", server.address, 1, "Ready"));
         let relay = Relay::new(runtime.handle(), processes, 5);
-        let key = config_file(&format!("1 {}\n", "k".repeat(40)));
-        let agreed = Agreed::new(name, 3, 500);
+        let key = write_config_file(&format!("1 {}\n", "k".repeat(40)));
+        let fixture = PolicyFixture::new(name, 3, 500);
         let process = |n: usize| {
             let discovery = agent.address;
             let node = Node {
@@ -60,35 +62,40 @@
             };
             Process::new(
                 node,
-                Some(fleet_file(&relay, n, &key, &agreed.table(n, &more(n)))),
+                Some(fleet_file(
+                    &relay,
+                    n,
+                    &key,
+                    &fixture.policy_table(n, &more(n)),
+                )),
             )
         };
-        let stage = Stage::new((0..processes).map(process).collect(), relay);
+        let testbed = Testbed::new((0..processes).map(process).collect(), relay);
         let mut fleet = Fleet {
-            stage,
-            agreed,
+            testbed,
+            fixture,
             key,
             _agent: agent,
             _server: server,
             _runtime: runtime,
         };
-        fleet.stage.start_all();
-        fleet.stage.wait_found();
+        fleet.testbed.start_all();
+        fleet.testbed.wait_until_all_found();
         fleet.all_hold(0);
         fleet
     }
 
     /// A process gets another table, and starts anew with it.
     fn restart(&mut self, who: usize, more: &str) {
-        self.stage.act(&Act::Kill { who: vec![who] });
+        self.testbed.apply(&TimelineAction::Kill { who: vec![who] });
         let file = fleet_file(
-            &self.stage.relay,
+            &self.testbed.relay,
             who,
             &self.key,
-            &self.agreed.table(who, more),
+            &self.fixture.policy_table(who, more),
         );
-        self.stage.processes[who].rewrite(&file);
-        self.stage.start(who);
+        self.testbed.processes[who].replace_operator_file(&file);
+        self.testbed.start(who);
     }
 
     /// Starts it anew so that it dies at a step, once all serve under this version. Acceptors that are still brought together
@@ -98,14 +105,14 @@
         loop {
             self.all_keepers_store(version);
             self.restart(who, &format!("dies_at = {step:?}\ndies_after = {after}\n"));
-            while !self.stage.processes[who].ended() && !self.hold(version) {
+            while !self.testbed.processes[who].has_exited() && !self.hold(version) {
                 assert!(
                     since.elapsed() < LONG,
                     "not all hold {version} before {step} {after}"
                 );
                 std::thread::sleep(Duration::from_millis(20));
             }
-            if !self.stage.processes[who].ended() {
+            if !self.testbed.processes[who].has_exited() {
                 assert!((0..4).all(|n| self.asks(n) == 200), "before {step} {after}");
                 return;
             }
@@ -119,16 +126,16 @@
     }
 
     fn console(&self, by: usize) -> SocketAddr {
-        self.stage.processes[by].console().expect("a console")
+        self.testbed.processes[by].console().expect("a console")
     }
 
     fn until(&self, what: &str, holds: impl Fn(&Fleet) -> bool) {
         let since = Instant::now();
         while !holds(self) {
-            let all = &self.stage.processes;
+            let all = &self.testbed.processes;
             let says = || {
                 all.iter()
-                    .map(|p| p.console().and_then(agreed::status))
+                    .map(|p| p.console().and_then(policy_fixture::status))
                     .collect::<Vec<_>>()
             };
             assert!(since.elapsed() < LONG, "{what}: {:#?}", says());
@@ -137,8 +144,8 @@
     }
 
     fn hold(&self, version: u64) -> bool {
-        let mut running = self.stage.processes.iter().filter(|p| p.runs());
-        running.all(|p| agreed::holds(p) == Some(version))
+        let mut running = self.testbed.processes.iter().filter(|p| p.is_running());
+        running.all(|p| policy_fixture::version_in_force(p) == Some(version))
     }
 
     fn all_hold(&self, version: u64) {
@@ -149,25 +156,33 @@
     /// that is to die at a step may reach that step in doing so.
     fn all_keepers_store(&self, version: u64) {
         self.until(&format!("all keepers have accepted {version}"), |f| {
-            (0..f.agreed.keepers).all(|n| accepted_on_disk(&f.agreed.folder_of(n)) == Some(version))
+            (0..f.fixture.acceptors)
+                .all(|n| accepted_on_disk(&f.fixture.state_directory(n)) == Some(version))
         });
     }
 
     /// All that run see so many that are ready, themselves included: the rest is held dead.
     fn all_see(&self, ready: usize) {
-        let seen = |f: &Fleet| f.stage.views().iter().flatten().all(|v| v.ready == ready);
+        let seen = |f: &Fleet| {
+            f.testbed
+                .fleet_views()
+                .iter()
+                .flatten()
+                .all(|v| v.ready == ready)
+        };
         self.until("the others hold the rest dead", seen);
     }
 
     /// Proposes by a process, and waits for the end.
     fn propose(&self, by: usize, document: &str) -> (String, String) {
-        let number = match agreed::propose(self.console(by), document).expect("an answer") {
+        let number = match policy_fixture::propose(self.console(by), document).expect("an answer") {
             Ok(number) => number,
             Err(why) => return ("refused".into(), why),
         };
         let since = Instant::now();
         loop {
-            let (state, why) = agreed::end(self.console(by), number).expect("it is known");
+            let (state, why) =
+                policy_fixture::proposal_outcome(self.console(by), number).expect("it is known");
             if state != "open" {
                 return (state, why);
             }
@@ -177,15 +192,17 @@
     }
 
     fn asks(&self, by: usize) -> u16 {
-        let ask = ClientRequest::check().with("X-Tier", "mellem").text();
-        self.stage.processes[by]
+        let ask = ClientRequest::check()
+            .with_header("X-Tier", "mellem")
+            .to_text();
+        self.testbed.processes[by]
             .client()
-            .ask(&ask)
+            .exchange(&ask)
             .map_or(0, |m| m.status())
     }
 
     fn policy(&self, by: usize, words: &[&str]) -> (Option<i32>, String) {
-        let mut command = std::process::Command::new(frosthatch_test_doubles::program());
+        let mut command = std::process::Command::new(frosthatch_test_doubles::gateway_binary());
         let out = command
             .arg("policy")
             .args(words)
@@ -201,13 +218,13 @@
 
     /// I1, I2 and I5, by what each let in when.
     fn kept(&self, changes: usize) {
-        let all = self.agreed.let_in(self.stage.processes.len());
-        let (window, seen) = agreed::window(&all);
+        let all = self.fixture.admitted_requests(self.testbed.processes.len());
+        let (window, seen) = policy_fixture::stale_version_window(&all);
         assert!(
             window <= 250_000,
             "let in under an old version for {window} us"
         );
-        assert_eq!(agreed::forks(&all), 0);
+        assert_eq!(policy_fixture::count_conflicting_documents(&all), 0);
         assert!(
             seen >= changes,
             "{seen} changes seen in {} requests",
@@ -227,7 +244,7 @@
     let fleet = Fleet::new("change", 4, "");
     assert!((0..4).all(|n| fleet.asks(n) == 200));
     let first = document(1, "", 100.0);
-    let file = config_file(&first);
+    let file = write_config_file(&first);
     let (code, said) = fleet.policy(3, &["propose", file.to_str().expect("a path")]);
     assert_eq!(code, Some(0), "{said}");
     fleet.all_hold(1);
@@ -243,7 +260,7 @@
         0,
         &[
             "propose",
-            config_file(&document(1, "", 90.0))
+            write_config_file(&document(1, "", 90.0))
                 .to_str()
                 .expect("a path"),
         ],
@@ -253,16 +270,20 @@
         "{code:?} {said}"
     );
     // A mistake, with its place.
-    let wrong = document(2, &agreed::digest(&first), 50.0).replace("burst = 400", "burst = -4");
+    let wrong =
+        document(2, &policy_fixture::digest(&first), 50.0).replace("burst = 400", "burst = -4");
     let (code, said) = fleet.policy(
         2,
-        &["propose", config_file(&wrong).to_str().expect("a path")],
+        &[
+            "propose",
+            write_config_file(&wrong).to_str().expect("a path"),
+        ],
     );
     assert!(
         code == Some(2) && said.contains("line 6, column 9"),
         "{code:?} {said}"
     );
-    let second = document(2, &agreed::digest(&first), 50.0);
+    let second = document(2, &policy_fixture::digest(&first), 50.0);
     assert_eq!(fleet.propose(0, &second).0, "in force");
     fleet.all_hold(2);
     assert!((0..4).all(|n| fleet.asks(n) == 200));
@@ -278,30 +299,35 @@
     assert_eq!(fleet.propose(0, &first).0, "in force");
     fleet.all_hold(1);
     assert!((0..6).all(|n| fleet.asks(n) == 200));
-    fleet.stage.act(&Act::Kill { who: vec![3] });
-    fleet.stage.act(&Act::Stop { who: vec![4] });
+    fleet.testbed.apply(&TimelineAction::Kill { who: vec![3] });
+    fleet.testbed.apply(&TimelineAction::Stop { who: vec![4] });
     let others = vec![0, 1, 2];
-    fleet.stage.act(&Act::Split {
+    fleet.testbed.apply(&TimelineAction::Split {
         groups: vec![others.clone(), vec![3], vec![4], vec![5]],
     });
     // It goes on by its leases for as long as they last, and then refuses at once.
     fleet.until("who is cut off refuses", |f| f.asks(5) == 429);
     fleet.until("the others hold the rest dead", |f| {
-        f.stage.views()[..3].iter().flatten().all(|v| v.ready == 3)
+        f.testbed.fleet_views()[..3]
+            .iter()
+            .flatten()
+            .all(|v| v.ready == 3)
     });
-    let second = document(2, &agreed::digest(&first), 50.0);
+    let second = document(2, &policy_fixture::digest(&first), 50.0);
     assert_eq!(fleet.propose(1, &second).0, "in force");
     fleet.until("those that are there hold it", |f| {
-        (0..3).all(|n| agreed::holds(&f.stage.processes[n]) == Some(2))
+        (0..3).all(|n| policy_fixture::version_in_force(&f.testbed.processes[n]) == Some(2))
     });
     assert!((0..3).all(|n| fleet.asks(n) == 200));
     assert_eq!(fleet.asks(5), 429);
     // Back, with its very next request already there.
-    fleet.stage.act(&Act::Continue { who: vec![4] });
+    fleet
+        .testbed
+        .apply(&TimelineAction::Continue { who: vec![4] });
     let woken = fleet.asks(4);
     assert!(woken == 429, "{woken}: it has no lease any more");
-    fleet.stage.act(&Act::Heal);
-    fleet.stage.start(3);
+    fleet.testbed.apply(&TimelineAction::Heal);
+    fleet.testbed.start(3);
     fleet.all_hold(2);
     assert!((0..6).all(|n| fleet.asks(n) == 200));
     fleet.kept(2);
@@ -313,34 +339,36 @@
     let first = document(1, "", 100.0);
     assert_eq!(fleet.propose(3, &first).0, "in force");
     fleet.all_hold(1);
-    fleet.stage.act(&Act::Kill { who: vec![0] });
+    fleet.testbed.apply(&TimelineAction::Kill { who: vec![0] });
     let since = Instant::now();
     while since.elapsed() < Duration::from_millis(1_500) {
         assert!((1..4).all(|n| fleet.asks(n) == 200));
         std::thread::sleep(Duration::from_millis(40));
     }
-    let second = document(2, &agreed::digest(&first), 50.0);
+    let second = document(2, &policy_fixture::digest(&first), 50.0);
     fleet.all_see(3);
     assert_eq!(fleet.propose(3, &second).0, "in force");
     fleet.all_hold(2);
     // Without a majority nothing is let in, nor changed.
-    fleet.stage.act(&Act::Kill { who: vec![1] });
+    fleet.testbed.apply(&TimelineAction::Kill { who: vec![1] });
     fleet.until("refused at once", |f| f.asks(2) == 429 && f.asks(3) == 429);
     fleet.all_see(2);
-    let third = document(3, &agreed::digest(&second), 40.0);
+    let third = document(3, &policy_fixture::digest(&second), 40.0);
     let (state, why) = fleet.propose(3, &third);
     assert!(
         state == "refused" && why.contains("no majority"),
         "{state} {why}"
     );
-    fleet.stage.act(&Act::Kill { who: vec![2, 3] });
-    fleet.stage.start_all();
+    fleet
+        .testbed
+        .apply(&TimelineAction::Kill { who: vec![2, 3] });
+    fleet.testbed.start_all();
     fleet.all_hold(2);
     assert!((0..4).all(|n| fleet.asks(n) == 200));
     fleet.kept(2);
     // A state that was damaged is told, and nothing is guessed from it: the others do without this keeper.
-    fleet.stage.act(&Act::Kill { who: vec![0] });
-    let folder = fleet.agreed.folder_of(0);
+    fleet.testbed.apply(&TimelineAction::Kill { who: vec![0] });
+    let folder = fleet.fixture.state_directory(0);
     let files = std::fs::read_dir(&folder)
         .expect("a folder")
         .flatten()
@@ -353,9 +381,9 @@
     let middle = bytes.len() / 2;
     bytes[middle] ^= 4;
     std::fs::write(&last, bytes).expect("it is written");
-    fleet.stage.start(0);
+    fleet.testbed.start(0);
     fleet.all_hold(2);
-    let keeps = agreed::status(fleet.console(0)).expect("a status")["keeps"].to_string();
+    let keeps = policy_fixture::status(fleet.console(0)).expect("a status")["keeps"].to_string();
     assert!(keeps.contains("checksum"), "{keeps}");
 }
 
@@ -363,7 +391,7 @@
 fn a_member_that_cannot_take_it_keeps_it_from_all() {
     let mut fleet = Fleet::new("cannot", 3, "patience_ms = 3000\n");
     // Stopped, it says nothing, and it is not held dead yet: the change waits for it, and is nowhere in time.
-    fleet.stage.act(&Act::Cut {
+    fleet.testbed.apply(&TimelineAction::Cut {
         from: vec![2],
         to: vec![0],
     });
@@ -373,8 +401,10 @@
         state == "refused" && why.contains("n2") && why.contains("in time"),
         "{state} {why}"
     );
-    fleet.stage.act(&Act::Heal);
-    assert!((0..3).all(|n| agreed::holds(&fleet.stage.processes[n]) == Some(0)));
+    fleet.testbed.apply(&TimelineAction::Heal);
+    assert!(
+        (0..3).all(|n| policy_fixture::version_in_force(&fleet.testbed.processes[n]) == Some(0))
+    );
     // What no gateway can serve under is told before anybody is asked.
     let unknown = first.replace("plans.counted]", "plans.other]");
     let (state, why) = fleet.propose(0, &unknown);
@@ -393,34 +423,35 @@
     let first = document(1, "", 100.0);
     assert_eq!(fleet.propose(3, &first).0, "in force");
     fleet.all_hold(1);
-    fleet.stage.act(&Act::Kill { who: vec![0] });
-    let folder = fleet.agreed.folder_of(0);
+    fleet.testbed.apply(&TimelineAction::Kill { who: vec![0] });
+    let folder = fleet.fixture.state_directory(0);
     let old = folder.with_extension("old");
     std::fs::rename(&folder, &old).expect("it is moved");
     std::fs::create_dir(&folder).expect("a folder");
-    let keeps =
-        |f: &Fleet| agreed::status(f.console(0)).map_or(String::new(), |s| s["keeps"].to_string());
+    let keeps = |f: &Fleet| {
+        policy_fixture::status(f.console(0)).map_or(String::new(), |s| s["keeps"].to_string())
+    };
     // An empty folder is not taken for a new keeper's.
-    fleet.stage.start(0);
+    fleet.testbed.start(0);
     fleet.until("it is told", |f| keeps(f).contains("policy init"));
     fleet.all_hold(1);
-    fleet.stage.act(&Act::Kill { who: vec![0] });
+    fleet.testbed.apply(&TimelineAction::Kill { who: vec![0] });
     let made = StateDirectory::open(&folder).and_then(|f| f.init("n0", true));
     assert_eq!(made, Ok(()));
-    fleet.stage.start(0);
+    fleet.testbed.start(0);
     fleet.until("it has joined", |f| keeps(f).contains("state 2"));
     fleet.all_hold(1);
-    fleet.stage.act(&Act::Kill { who: vec![1] });
+    fleet.testbed.apply(&TimelineAction::Kill { who: vec![1] });
     fleet.all_see(3);
-    let second = document(2, &agreed::digest(&first), 50.0);
+    let second = document(2, &policy_fixture::digest(&first), 50.0);
     assert_eq!(fleet.propose(3, &second).0, "in force");
     fleet.all_hold(2);
-    fleet.stage.start(1);
+    fleet.testbed.start(1);
     fleet.all_hold(2);
-    fleet.stage.act(&Act::Kill { who: vec![0] });
+    fleet.testbed.apply(&TimelineAction::Kill { who: vec![0] });
     std::fs::remove_dir_all(&folder).expect("it is removed");
     std::fs::rename(&old, &folder).expect("it is put back");
-    fleet.stage.start(0);
+    fleet.testbed.start(0);
     fleet.until("it is told", |f| keeps(f).contains("put back from a copy"));
     fleet.all_hold(2);
     assert!((0..4).all(|n| fleet.asks(n) == 200));
@@ -436,12 +467,12 @@
     });
     let ending = std::sync::atomic::AtomicBool::new(false);
     std::thread::scope(|scope| {
-        for address in fleet.stage.addresses() {
+        for address in fleet.testbed.addresses() {
             let ending = &ending;
             scope.spawn(move || {
-                let text = ClientRequest::check().with("X-Tier", "mellem");
+                let text = ClientRequest::check().with_header("X-Tier", "mellem");
                 while !ending.load(std::sync::atomic::Ordering::Relaxed) {
-                    Client::at(address).ask(&text.text());
+                    Client::at(address).exchange(&text.to_text());
                     std::thread::sleep(Duration::from_millis(2));
                 }
             });
@@ -451,11 +482,11 @@
             let document = document(version, &parent, 1_000.0);
             assert_eq!(fleet.propose(version as usize % 5, &document).0, "in force");
             fleet.all_hold(version);
-            parent = agreed::digest(&document);
+            parent = policy_fixture::digest(&document);
         }
         ending.store(true, std::sync::atomic::Ordering::Relaxed);
     });
-    let (window, seen) = agreed::window(&fleet.agreed.let_in(5));
+    let (window, seen) = policy_fixture::stale_version_window(&fleet.fixture.admitted_requests(5));
     assert_eq!(
         (window, seen),
         (0, 6),
@@ -493,20 +524,20 @@
         let mut next = document(version + 1, &parent, 100.0 + turn as f64);
         // It may die before it has said that it took it up.
         let propose = |f: &Fleet, next: &str| {
-            agreed::propose(f.console(3), next).map(|n| n.expect("it can be proposed"))
+            policy_fixture::propose(f.console(3), next).map(|n| n.expect("it can be proposed"))
         };
         let mut number = propose(&fleet, &next);
         let since = Instant::now();
-        while !fleet.stage.processes[who].ended() {
+        while !fleet.testbed.processes[who].has_exited() {
             assert!(since.elapsed() < LONG, "nobody died at {step} {after}");
             // A keeper whose word came too late to be needed may not have got there: then with the next one.
             let ended = number
                 .filter(|_| who != 3)
-                .and_then(|n| agreed::end(fleet.console(3), n));
+                .and_then(|n| policy_fixture::proposal_outcome(fleet.console(3), n));
             if ended.is_some_and(|(state, _)| state == "in force") {
                 std::thread::sleep(Duration::from_millis(700));
-                if !fleet.stage.processes[who].ended() {
-                    (version, parent) = (version + 1, agreed::digest(&next));
+                if !fleet.testbed.processes[who].has_exited() {
+                    (version, parent) = (version + 1, policy_fixture::digest(&next));
                     next = document(version + 1, &parent, 100.0 + turn as f64);
                     number = propose(&fleet, &next);
                 }
@@ -515,27 +546,35 @@
         }
         let told = number
             .filter(|_| who != 3)
-            .and_then(|n| agreed::end(fleet.console(3), n));
+            .and_then(|n| policy_fixture::proposal_outcome(fleet.console(3), n));
         let told = told.is_some_and(|(state, _)| state == "in force");
         let all: Vec<usize> = (0..4).filter(|n| turn % 2 == 1 || *n == who).collect();
-        fleet.stage.act(&Act::Kill { who: all.clone() });
+        fleet
+            .testbed
+            .apply(&TimelineAction::Kill { who: all.clone() });
         if turn % 2 == 0 && who == 1 {
             // The others go on without it, and whoever proposed is told.
             let number = number.expect("it was taken up");
             fleet.until("told", |f| {
-                agreed::end(f.console(3), number).is_some_and(|(s, _)| s != "open")
+                policy_fixture::proposal_outcome(f.console(3), number)
+                    .is_some_and(|(s, _)| s != "open")
             });
         }
         let file = fleet_file(
-            &fleet.stage.relay,
+            &fleet.testbed.relay,
             who,
             &fleet.key,
-            &fleet.agreed.table(who, ""),
+            &fleet.fixture.policy_table(who, ""),
         );
-        fleet.stage.processes[who].rewrite(&file);
-        all.into_iter().for_each(|n| fleet.stage.start(n));
+        fleet.testbed.processes[who].replace_operator_file(&file);
+        all.into_iter().for_each(|n| fleet.testbed.start(n));
         let high = |f: &Fleet| {
-            let held: Vec<_> = f.stage.processes.iter().map(agreed::holds).collect();
+            let held: Vec<_> = f
+                .testbed
+                .processes
+                .iter()
+                .map(policy_fixture::version_in_force)
+                .collect();
             held.iter()
                 .all(|v| v.is_some() && *v == held[0])
                 .then(|| held[0])
@@ -550,7 +589,7 @@
             // It was there already, or half done and finished by the next one.
             fleet.until("all hold what was left", |f| high(f) == Some(version + 1));
             held = version + 1;
-            (version, parent) = (held, agreed::digest(&next));
+            (version, parent) = (held, policy_fixture::digest(&next));
             came += 1;
             again = document(version + 1, &parent, 300.0 + turn as f64);
             assert_eq!(
@@ -560,7 +599,7 @@
             );
         }
         assert!(held <= version, "{held} after {step} {after}");
-        (version, parent) = (version + 1, agreed::digest(&again));
+        (version, parent) = (version + 1, policy_fixture::digest(&again));
         fleet.all_hold(version);
         assert!((0..4).all(|n| fleet.asks(n) == 200));
     }
@@ -581,8 +620,8 @@
         (func (export "alloc") (param i32) (result i32) i32.const 1024)
         (func (export "on_request") (param i32 i32) (result i64) i64.const 0))"#;
     let (file, other) = (
-        config_file(module),
-        config_file(&module.replace("1024", "2048")),
+        write_config_file(module),
+        write_config_file(&module.replace("1024", "2048")),
     );
     let table = |file: &PathBuf| format!("[plugins.till]\nfile = {file:?}\n");
     let mut fleet = Fleet::each("nine", 9, |n| table(if n == 8 { &other } else { &file }));
@@ -600,20 +639,20 @@
         "{state} {why}"
     );
     assert!(fleet
-        .stage
+        .testbed
         .processes
         .iter()
-        .all(|p| agreed::holds(p) == Some(0)));
+        .all(|p| policy_fixture::version_in_force(p) == Some(0)));
     // One that joins in the middle of a change holds it, too.
     fleet.restart(8, &table(&file));
-    fleet.stage.act(&Act::Kill { who: vec![7] });
+    fleet.testbed.apply(&TimelineAction::Kill { who: vec![7] });
     fleet.all_see(8);
-    let number = agreed::propose(fleet.console(4), &first)
+    let number = policy_fixture::propose(fleet.console(4), &first)
         .expect("an answer")
         .expect("it can be proposed");
-    fleet.stage.start(7);
+    fleet.testbed.start(7);
     fleet.until("in force", |f| {
-        agreed::end(f.console(4), number).is_some_and(|(s, _)| s == "in force")
+        policy_fixture::proposal_outcome(f.console(4), number).is_some_and(|(s, _)| s == "in force")
     });
     fleet.all_hold(1);
     assert!((0..9).all(|n| fleet.asks(n) == 200));
--- a/crates/frosthatch/tests/push_over_tls.rs
+++ b/crates/frosthatch/tests/push_over_tls.rs
@@ -26,7 +26,7 @@
     let file = folder.join("operator.toml");
     std::fs::write(&file, text).expect("written");
     let nobody = "127.0.0.1:9".parse().expect("an address");
-    let gateway = Gateway::start_as(
+    let gateway = Gateway::start_with_args(
         &config_text(nobody, None, 1, ""),
         &["--operator", file.to_str().expect("a path")],
     );
@@ -58,15 +58,15 @@
         &authority.pem(),
     );
     let since = Instant::now();
-    while resolver.sessions() == 0 {
-        assert!(since.elapsed() < LONG, "a session comes up");
+    while resolver.push_sessions() == 0 {
+        assert!(since.elapsed() < TIMEOUT, "a session comes up");
         sleep(Duration::from_millis(5));
     }
     // Told as a change, or with what is there at the subscription: either way by push.
     sleep(Duration::from_millis(300));
-    resolver.change(|z| z.remove_instance(SERVICE, "a"));
-    while !(0..10).all(|_| gateway.ask(&ClientRequest::check()).body == "b") {
-        assert!(since.elapsed() < LONG, "the change is told");
+    resolver.change_zone(|z| z.remove_instance(SERVICE, "a"));
+    while !(0..10).all(|_| gateway.request(&ClientRequest::check()).body == "b") {
+        assert!(since.elapsed() < TIMEOUT, "the change is told");
     }
     let _ = std::fs::remove_dir_all(folder);
 }
@@ -90,10 +90,10 @@
         );
         // It tries again and again, and serves meanwhile.
         for _ in 0..20 {
-            assert_eq!(gateway.ask(&ClientRequest::check()).status(), 200);
+            assert_eq!(gateway.request(&ClientRequest::check()).status(), 200);
             sleep(Duration::from_millis(50));
         }
-        assert_eq!(resolver.sessions(), 0);
+        assert_eq!(resolver.push_sessions(), 0);
         let _ = std::fs::remove_dir_all(folder);
     }
 }
--- a/crates/frosthatch/tests/quiet_lists.rs
+++ b/crates/frosthatch/tests/quiet_lists.rs
@@ -14,8 +14,8 @@
 /// How long until requests go to another server.
 fn until_told(gateway: &Gateway, body: &str) -> Duration {
     let since = Instant::now();
-    while gateway.ask(&ClientRequest::check()).body != body {
-        assert!(since.elapsed() < LONG, "it is never told");
+    while gateway.request(&ClientRequest::check()).body != body {
+        assert!(since.elapsed() < TIMEOUT, "it is never told");
         sleep(Duration::from_millis(5));
     }
     since.elapsed()
@@ -25,14 +25,14 @@
 #[test]
 fn a_change_is_known_though_no_watch_is_ever_answered() {
     let (a, b) = servers();
-    let discovery = Discovery::new(&target("a", a.address, 0, "Ready"));
-    let gateway = Gateway::alone(&discovery);
-    discovery.mood(Mood::DeafToWatches);
+    let discovery = Discovery::new(&endpoint_entry("a", a.address, 0, "Ready"));
+    let gateway = Gateway::start_alone(&discovery);
+    discovery.set_mode(DiscoveryMode::IgnoresWatches);
     for (entry, body) in [
-        (target("b", b.address, 0, "Ready"), "b"),
-        (target("a", a.address, 0, "Ready"), "a"),
+        (endpoint_entry("b", b.address, 0, "Ready"), "b"),
+        (endpoint_entry("a", a.address, 0, "Ready"), "a"),
     ] {
-        discovery.post(true, &entry);
+        discovery.publish(true, &entry);
         assert!(until_told(&gateway, body) < Duration::from_secs(6));
     }
 }
@@ -42,17 +42,17 @@
 #[test]
 fn what_discovery_has_at_its_return_is_known_at_once() {
     let (a, b) = servers();
-    let discovery = Discovery::new(&target("a", a.address, 0, "Ready"));
-    let gateway = Gateway::alone(&discovery);
+    let discovery = Discovery::new(&endpoint_entry("a", a.address, 0, "Ready"));
+    let gateway = Gateway::start_alone(&discovery);
     for (entry, body) in [
-        (target("b", b.address, 0, "Ready"), "b"),
-        (target("a", a.address, 0, "Ready"), "a"),
+        (endpoint_entry("b", b.address, 0, "Ready"), "b"),
+        (endpoint_entry("a", a.address, 0, "Ready"), "a"),
     ] {
-        discovery.mood(Mood::Down);
+        discovery.set_mode(DiscoveryMode::Down);
         // The last of these has just come, and is lost.
-        discovery.asked_again(5);
-        discovery.post(true, &entry);
-        discovery.mood(Mood::Telling);
+        discovery.wait_for_calls(5);
+        discovery.publish(true, &entry);
+        discovery.set_mode(DiscoveryMode::Answering);
         let took = until_told(&gateway, body);
         assert!(took < Duration::from_secs(1), "{took:?}");
     }
@@ -64,8 +64,8 @@
     let (a, b) = servers();
     let anew = Arc::new(AtomicBool::new(false));
     let entries = [
-        target("a", a.address, 0, "Ready"),
-        target("b", b.address, 0, "Ready"),
+        endpoint_entry("a", a.address, 0, "Ready"),
+        endpoint_entry("b", b.address, 0, "Ready"),
     ];
     let began = anew.clone();
     let agent = Server::new(move |m| {
@@ -88,7 +88,7 @@
     });
     let gateway = Gateway::start(agent.address, None, 1, "");
     gateway.wait_ready();
-    assert_eq!(gateway.ask(&ClientRequest::check()).body, "a");
+    assert_eq!(gateway.request(&ClientRequest::check()).body, "a");
     anew.store(true, Ordering::SeqCst);
     assert!(until_told(&gateway, "b") < Duration::from_secs(6));
 }
@@ -99,7 +99,7 @@
 fn bad_answers_keep_the_list_and_are_not_asked_for_without_end() {
     let bad: [fn() -> Reply; 5] = [
         || status("500 Internal Server Error"),
-        || Reply::Last("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"rev\":7,".into()),
+        || Reply::BytesThenClose("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"rev\":7,".into()),
         || ok("{\"rev\":true}"),
         || ok("{\"rev\":1,\"all\":false,\"targets\":[]}"),
         || Reply::Silence,
@@ -108,8 +108,8 @@
         let (a, b) = servers();
         let (state, calls) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
         let entries = [
-            target("a", a.address, 0, "Ready"),
-            target("b", b.address, 0, "Ready"),
+            endpoint_entry("a", a.address, 0, "Ready"),
+            endpoint_entry("b", b.address, 0, "Ready"),
         ];
         let (now, called) = (state.clone(), calls.clone());
         let agent = Server::new(move |_| {
@@ -130,7 +130,7 @@
         sleep(Duration::from_secs(1));
         let calls = calls.load(Ordering::SeqCst) - before;
         assert!((1..60).contains(&calls), "{calls} calls in a second");
-        assert_eq!(gateway.ask(&ClientRequest::check()).body, "a");
+        assert_eq!(gateway.request(&ClientRequest::check()).body, "a");
         state.store(2, Ordering::SeqCst);
         assert!(until_told(&gateway, "b") < Duration::from_secs(6));
     }
@@ -141,18 +141,18 @@
 fn a_late_answer_of_an_agent_that_was_left_is_not_heard() {
     let (a, b) = servers();
     let (old, new) = (
-        Discovery::new(&target("a", a.address, 0, "Ready")),
-        Discovery::new(&target("b", b.address, 0, "Ready")),
+        Discovery::new(&endpoint_entry("a", a.address, 0, "Ready")),
+        Discovery::new(&endpoint_entry("b", b.address, 0, "Ready")),
     );
-    let gateway = Gateway::alone(&old);
-    old.mood(Mood::Silent);
-    old.asked_again(1);
-    gateway.configure(&config_text(new.address, None, 1, ""));
+    let gateway = Gateway::start_alone(&old);
+    old.set_mode(DiscoveryMode::Silent);
+    old.wait_for_calls(1);
+    gateway.replace_config(&config_text(new.address, None, 1, ""));
     assert!(until_told(&gateway, "b") < Duration::from_secs(4));
-    old.post(true, &target("a", a.address, 0, "Ready"));
-    old.mood(Mood::Telling);
-    new.asked_again(2);
-    assert_eq!(gateway.ask(&ClientRequest::check()).body, "b");
+    old.publish(true, &endpoint_entry("a", a.address, 0, "Ready"));
+    old.set_mode(DiscoveryMode::Answering);
+    new.wait_for_calls(2);
+    assert_eq!(gateway.request(&ClientRequest::check()).body, "b");
 }
 
 /// Guards against a crowd of idle clients that takes the descriptors which membership and servers need, and the places of those who
@@ -161,16 +161,16 @@
 fn a_crowd_of_idle_clients_leaves_room_for_discovery_when_it_is_back() {
     let (a, b) = servers();
     let discovery = Discovery::new("");
-    discovery.mood(Mood::Down);
-    let known = target("a", a.address, 0, "Ready");
+    discovery.set_mode(DiscoveryMode::Down);
+    let known = endpoint_entry("a", a.address, 0, "Ready");
     let text = config_text(discovery.address, None, 1, &known)
         .replace("\"sockets\":256", "\"sockets\":64");
-    let gateway = Gateway::start_with(&text);
+    let gateway = Gateway::start_from_config(&text);
     let crowd: Vec<Client> = (0..200).map(|_| gateway.client()).collect();
     gateway.wait_ready();
-    assert_eq!(gateway.ask(&ClientRequest::check()).body, "a");
-    discovery.post(true, &target("b", b.address, 0, "Ready"));
-    discovery.mood(Mood::Telling);
+    assert_eq!(gateway.request(&ClientRequest::check()).body, "a");
+    discovery.publish(true, &endpoint_entry("b", b.address, 0, "Ready"));
+    discovery.set_mode(DiscoveryMode::Answering);
     assert!(until_told(&gateway, "b") < Duration::from_secs(6));
     drop(crowd);
 }
@@ -180,29 +180,29 @@
 #[test]
 fn a_process_that_was_killed_is_ready_again_soon_whatever_is_down() {
     let (a, _b) = servers();
-    let discovery = Discovery::new(&target("a", a.address, 0, "Ready"));
-    let mut first = Gateway::alone(&discovery);
+    let discovery = Discovery::new(&endpoint_entry("a", a.address, 0, "Ready"));
+    let mut first = Gateway::start_alone(&discovery);
     let mut crowd: Vec<Client> = (0..50).map(|_| first.client()).collect();
-    crowd.iter_mut().for_each(|c| drop(c.ask_again()));
-    discovery.mood(Mood::Down);
+    crowd.iter_mut().for_each(|c| drop(c.check_again()));
+    discovery.set_mode(DiscoveryMode::Down);
     let counter = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let known = target("a", a.address, 0, "Ready");
+    let known = endpoint_entry("a", a.address, 0, "Ready");
     let text = config_text(discovery.address, counter.local_addr().ok(), 1, &known);
     let text = text.replace(
         "\"listen\":\"127.0.0.1:0\"",
         &format!("\"listen\":\"{}\"", first.address),
     );
     first.signal("-KILL");
-    first.wait();
+    first.wait_for_exit();
     let since = Instant::now();
-    let again = Gateway::start_with(&text);
+    let again = Gateway::start_from_config(&text);
     again.wait_ready();
     assert!(
         since.elapsed() < Duration::from_secs(10),
         "{:?}",
         since.elapsed()
     );
-    assert_eq!(again.ask(&ClientRequest::check()).body, "a");
+    assert_eq!(again.request(&ClientRequest::check()).body, "a");
     drop(crowd);
 }
 
@@ -214,20 +214,20 @@
     /// A server that drains gets nothing new after this.
     const GRACE: Duration = Duration::from_millis(500);
     let (first, second) = (Server::new(|_| ok("first")), Server::new(|_| ok("second")));
-    let discovery = Discovery::new(&target("a", first.address, 0, "Ready"));
-    discovery.delay(Duration::from_millis(1_300));
-    let gateway = Gateway::alone(&discovery);
-    assert_eq!(gateway.ask(&ClientRequest::check()).body, "first");
-    discovery.post(
+    let discovery = Discovery::new(&endpoint_entry("a", first.address, 0, "Ready"));
+    discovery.set_delay(Duration::from_millis(1_300));
+    let gateway = Gateway::start_alone(&discovery);
+    assert_eq!(gateway.request(&ClientRequest::check()).body, "first");
+    discovery.publish(
         true,
         &[
-            target("a", first.address, 0, "Terminating"),
-            target("b", second.address, 0, "Ready"),
+            endpoint_entry("a", first.address, 0, "Terminating"),
+            endpoint_entry("b", second.address, 0, "Ready"),
         ]
         .join(","),
     );
     sleep(TOLD_WITHIN + GRACE);
     for _ in 0..10 {
-        assert_eq!(gateway.ask(&ClientRequest::check()).body, "second");
+        assert_eq!(gateway.request(&ClientRequest::check()).body, "second");
     }
 }
--- a/crates/frosthatch/tests/quotas.rs
+++ b/crates/frosthatch/tests/quotas.rs
@@ -24,7 +24,7 @@
 impl Site {
     fn new(gateways: usize, counter: Option<SocketAddr>, operator: Option<PathBuf>) -> Site {
         let server = Server::new(|_| ok(""));
-        let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
+        let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
         let mut site = Site {
             gateways: Vec::new(),
             _server: server,
@@ -65,14 +65,14 @@
     /// Asks so many times for six units each, one after another; how many were granted.
     fn granted(&self, gateway: usize, customer: u32, plan: &str, asks: usize) -> usize {
         let ask = ClientRequest::check()
-            .with("X-Tier", plan)
-            .with("X-Api-Key", &format!("{customer:016x}"));
-        let ask = ask.with(
+            .with_header("X-Tier", plan)
+            .with_header("X-Api-Key", &format!("{customer:016x}"));
+        let ask = ask.with_header(
             "X-Call-Terms",
             &format!("units=6,spread={},first=0", self.gateways.len()),
         );
         let mut client = self.gateways[gateway].client();
-        let answers = (0..asks).filter_map(|_| client.ask(&ask.text()));
+        let answers = (0..asks).filter_map(|_| client.exchange(&ask.to_text()));
         answers.filter(|m| m.status() == 200).count()
     }
 
@@ -88,7 +88,10 @@
     fn until_logged(&self, text: &str, times: usize) {
         let since = Instant::now();
         while self.logged(text) < times {
-            assert!(since.elapsed() < LONG, "{text:?} is logged {times} times");
+            assert!(
+                since.elapsed() < TIMEOUT,
+                "{text:?} is logged {times} times"
+            );
             sleep(Duration::from_millis(10));
         }
     }
@@ -104,9 +107,9 @@
     // The rate is 500 units a second: what comes in meanwhile is used, too.
     while before * 6 < 1_000 + (since.elapsed().as_secs_f64() * 500.0) as usize - 60 {
         before += site.granted(0, 1, "lille", 20) + site.granted(1, 1, "lille", 20);
-        assert!(since.elapsed() < LONG, "the store is used up");
+        assert!(since.elapsed() < TIMEOUT, "the store is used up");
     }
-    counter.swap(false);
+    counter.replace(false);
     let since = Instant::now();
     let mut after = 0;
     while since.elapsed() < Duration::from_millis(700) {
@@ -135,10 +138,10 @@
     let counter = SharedCounter::new(3);
     let site = Site::new(2, Some(counter.sides[0]), None);
     site.granted(0, 1, "lille", 5);
-    counter.lose(None, true);
+    counter.set_silent(None, true);
     let (since, mut customers) = (Instant::now(), 2..);
     while site.logged("counter lost") == 0 {
-        assert!(since.elapsed() < LONG, "it is told");
+        assert!(since.elapsed() < TIMEOUT, "it is told");
         for customer in customers.by_ref().take(20) {
             let at = Instant::now();
             assert_eq!(site.granted(0, customer, "lille", 1), 1);
@@ -149,10 +152,10 @@
         site.granted(0, customer, "lille", 1);
     }
     assert_eq!(site.logged("counter lost"), 1);
-    counter.lose(None, false);
+    counter.set_silent(None, false);
     let since = Instant::now();
     while site.logged("counter answers again") == 0 {
-        assert!(since.elapsed() < LONG, "it is told");
+        assert!(since.elapsed() < TIMEOUT, "it is told");
         for customer in 0..20 {
             site.granted(0, customer, "small", 1);
         }
@@ -164,7 +167,7 @@
 #[test]
 fn a_total_that_is_no_number_costs_no_other_name() {
     let counter = SharedCounter::new(1);
-    counter.lie(Some((50, Lie::NoNumber)));
+    counter.set_answer_fault(Some((50, AnswerFault::NotANumber)));
     let site = Site::new(2, Some(counter.sides[0]), None);
     for customer in 0..100 {
         assert_eq!(site.granted(0, customer, "lille", 1), 1);
@@ -193,12 +196,12 @@
 }
 
 fn peers(gateways: u8) -> PathBuf {
-    let key = config_file("a key that is known to nobody but the test\n");
+    let key = write_config_file("a key that is known to nobody but the test\n");
     let addresses: Vec<String> = own_addresses(gateways)
         .iter()
         .map(|a| format!("\"{a}\""))
         .collect();
-    config_file(&format!(
+    write_config_file(&format!(
         "[peers]\ngateways = [{}]\nkey_file = \"{}\"\ntick_ms = 20\n",
         addresses.join(", "),
         key.display()
@@ -243,7 +246,7 @@
 #[test]
 fn a_peers_table_with_a_mistake_is_told_by_its_place() {
     let discovery = Discovery::new("");
-    let short = config_file("too short");
+    let short = write_config_file("too short");
     let cases = [
         ("gateways = [\"127.0.0.1:1\"]\n", "peers.gateways"),
         (
@@ -266,9 +269,9 @@
         ),
     ];
     for (text, says) in cases {
-        let file = config_file(&format!("[peers]\n{text}"));
-        let config = config_file(&config_text(discovery.address, None, 2, ""));
-        let out = command(&config)
+        let file = write_config_file(&format!("[peers]\n{text}"));
+        let config = write_config_file(&config_text(discovery.address, None, 2, ""));
+        let out = gateway_command(&config)
             .args(["--operator", file.to_str().expect("a path"), "check"])
             .output();
         let out = String::from_utf8_lossy(&out.expect("it runs").stdout).to_string();
--- a/crates/frosthatch/tests/rules.rs
+++ b/crates/frosthatch/tests/rules.rs
@@ -9,23 +9,23 @@
 fn nothing_new_goes_to_a_server_that_drains_is_gone_or_is_left_out() {
     let (a, b) = (Server::new(|_| ok("a")), Server::new(|_| ok("b")));
     let (here, other) = (
-        target("a", a.address, 0, "Ready"),
-        target("b", b.address, 0, "Ready"),
+        endpoint_entry("a", a.address, 0, "Ready"),
+        endpoint_entry("b", b.address, 0, "Ready"),
     );
     let both = [here.clone(), other.clone()].join(",");
     for (whole, news) in [
-        (false, target("a", a.address, 0, "Terminating")),
-        (false, target("a", a.address, 0, "Gone")),
+        (false, endpoint_entry("a", a.address, 0, "Terminating")),
+        (false, endpoint_entry("a", a.address, 0, "Gone")),
         (true, other.clone()),
     ] {
         let discovery = Discovery::new(&both);
-        let gateway = Gateway::alone(&discovery);
-        while gateway.ask(&ClientRequest::check()).body != "a" {}
-        discovery.tell(whole, &news);
+        let gateway = Gateway::start_alone(&discovery);
+        while gateway.request(&ClientRequest::check()).body != "a" {}
+        discovery.publish_and_wait(whole, &news);
         // Its idle connections go, and what comes now goes elsewhere.
-        a.closed();
+        a.wait_closed();
         for _ in 0..20 {
-            assert_eq!(gateway.ask(&ClientRequest::check()).body, "b");
+            assert_eq!(gateway.request(&ClientRequest::check()).body, "b");
         }
     }
 }
@@ -34,34 +34,34 @@
 #[test]
 fn a_server_that_moves_is_found_at_its_new_address() {
     let (old, new) = (Server::new(|_| ok("old")), Server::new(|_| ok("new")));
-    let discovery = Discovery::new(&target("a", old.address, 0, "Ready"));
-    let gateway = Gateway::alone(&discovery);
-    assert_eq!(gateway.ask(&ClientRequest::check()).body, "old");
-    discovery.tell(false, &target("a", new.address, 0, "Ready"));
-    assert_eq!(gateway.ask(&ClientRequest::check()).body, "new");
+    let discovery = Discovery::new(&endpoint_entry("a", old.address, 0, "Ready"));
+    let gateway = Gateway::start_alone(&discovery);
+    assert_eq!(gateway.request(&ClientRequest::check()).body, "old");
+    discovery.publish_and_wait(false, &endpoint_entry("a", new.address, 0, "Ready"));
+    assert_eq!(gateway.request(&ClientRequest::check()).body, "new");
 }
 
 /// Guards against a new server that is reached, or judged, under the name of the one whose address it has.
 #[test]
 fn a_server_at_the_address_of_another_has_connections_of_its_own() {
     let server = Server::new(|_| ok("here"));
-    let discovery = Discovery::new(&target("old", server.address, 0, "Ready"));
-    let gateway = Gateway::alone(&discovery);
-    assert_eq!(gateway.ask(&ClientRequest::check()).body, "here");
-    discovery.tell(false, &target("new", server.address, 1, "Ready"));
+    let discovery = Discovery::new(&endpoint_entry("old", server.address, 0, "Ready"));
+    let gateway = Gateway::start_alone(&discovery);
+    assert_eq!(gateway.request(&ClientRequest::check()).body, "here");
+    discovery.publish_and_wait(false, &endpoint_entry("new", server.address, 1, "Ready"));
     // The old one's connection goes, though nobody has said yet that it is gone.
-    server.closed();
-    server.so_far();
+    server.wait_closed();
+    server.drain_events();
     for _ in 0..4 {
-        assert_eq!(gateway.ask(&ClientRequest::top_up()).body, "here");
+        assert_eq!(gateway.request(&ClientRequest::top_up()).body, "here");
         // A connection rests for a moment after each answer.
         std::thread::sleep(std::time::Duration::from_millis(100));
     }
     assert_eq!(
         server
-            .so_far()
+            .drain_events()
             .iter()
-            .filter(|s| matches!(s, Seen::Connected))
+            .filter(|s| matches!(s, ServerEvent::Connected))
             .count(),
         1
     );
@@ -71,39 +71,39 @@
 #[test]
 fn an_attempt_at_a_server_that_is_gone_ends() {
     let (a, b) = (Server::new(|_| Reply::Silence), Server::new(|_| ok("b")));
-    let discovery = Discovery::new(&target("a", a.address, 0, "Ready"));
-    let gateway = Gateway::alone(&discovery);
+    let discovery = Discovery::new(&endpoint_entry("a", a.address, 0, "Ready"));
+    let gateway = Gateway::start_alone(&discovery);
     let mut client = gateway.client();
-    client.send(&ClientRequest::check().text());
-    a.request();
-    discovery.tell(true, &target("b", b.address, 0, "Ready"));
-    assert_eq!(client.answer().expect("an answer").body, "b");
+    client.send(&ClientRequest::check().to_text());
+    a.next_request();
+    discovery.publish_and_wait(true, &endpoint_entry("b", b.address, 0, "Ready"));
+    assert_eq!(client.read_response().expect("an answer").body, "b");
 }
 
 #[test]
 fn a_request_with_no_server_waits_for_the_list() {
     let server = Server::new(|_| ok("late"));
     let discovery = Discovery::new("");
-    let gateway = Gateway::with(&discovery, None, 1);
+    let gateway = Gateway::start_ready(&discovery, None, 1);
     let mut client = gateway.client();
-    client.send(&ClientRequest::check().text());
-    discovery.tell(false, &target("a", server.address, 0, "Ready"));
-    assert_eq!(client.answer().expect("an answer").body, "late");
+    client.send(&ClientRequest::check().to_text());
+    discovery.publish_and_wait(false, &endpoint_entry("a", server.address, 0, "Ready"));
+    assert_eq!(client.read_response().expect("an answer").body, "late");
 }
 
 #[test]
 fn silence_or_nonsense_from_discovery_keeps_the_last_list_until_it_is_back() {
     let (a, b) = (Server::new(|_| ok("a")), Server::new(|_| ok("b")));
-    let discovery = Discovery::new(&target("a", a.address, 0, "Ready"));
-    let gateway = Gateway::alone(&discovery);
-    for mood in [Mood::Nonsense, Mood::Silent] {
-        discovery.mood(mood);
-        discovery.asked_again(2);
-        assert_eq!(gateway.ask(&ClientRequest::check()).body, "a");
+    let discovery = Discovery::new(&endpoint_entry("a", a.address, 0, "Ready"));
+    let gateway = Gateway::start_alone(&discovery);
+    for mood in [DiscoveryMode::InvalidBody, DiscoveryMode::Silent] {
+        discovery.set_mode(mood);
+        discovery.wait_for_calls(2);
+        assert_eq!(gateway.request(&ClientRequest::check()).body, "a");
     }
-    discovery.mood(Mood::Telling);
-    discovery.tell(true, &target("b", b.address, 0, "Ready"));
-    assert_eq!(gateway.ask(&ClientRequest::check()).body, "b");
+    discovery.set_mode(DiscoveryMode::Answering);
+    discovery.publish_and_wait(true, &endpoint_entry("b", b.address, 0, "Ready"));
+    assert_eq!(gateway.request(&ClientRequest::check()).body, "b");
 }
 
 /// Guards against one entry that cannot be read: the rest of the list holds.
@@ -112,15 +112,15 @@
     let server = Server::new(|_| ok("fine"));
     let entries = [
         r#"{"uid":"x","endpoint":"nowhere","state":"Ready"}"#,
-        &target("a", server.address, 0, "Ready"),
+        &endpoint_entry("a", server.address, 0, "Ready"),
     ];
-    let gateway = Gateway::alone(&Discovery::new(&entries.join(",")));
-    assert_eq!(gateway.ask(&ClientRequest::check()).body, "fine");
+    let gateway = Gateway::start_alone(&Discovery::new(&entries.join(",")));
+    assert_eq!(gateway.request(&ClientRequest::check()).body, "fine");
 }
 
 fn how_many_reach_at_once(boot_ms: u128) -> usize {
     let server = Server::new(|_| Reply::Silence);
-    let gateway = Gateway::alone(&Discovery::new(&started(
+    let gateway = Gateway::start_alone(&Discovery::new(&endpoint_entry_with_boot(
         "a",
         server.address,
         0,
@@ -129,12 +129,16 @@
     )));
     let mut clients: Vec<Client> = (0..60).map(|_| gateway.client()).collect();
     for client in &mut clients {
-        client.send(&ClientRequest::check().with("X-Expires-In", "1.0").text());
+        client.send(
+            &ClientRequest::check()
+                .with_header("X-Expires-In", "1.0")
+                .to_text(),
+        );
     }
     for client in &mut clients {
-        client.answer().expect("each is answered");
+        client.read_response().expect("each is answered");
     }
-    server.requests_so_far()
+    server.drain_request_count()
 }
 
 #[test]
@@ -151,14 +155,19 @@
 #[test]
 fn a_ceiling_is_held_even_where_the_quota_has_room() {
     let server = Server::new(|_| ok(""));
-    let gateway = Gateway::alone(&Discovery::new(&target("a", server.address, 0, "Ready")));
+    let gateway = Gateway::start_alone(&Discovery::new(&endpoint_entry(
+        "a",
+        server.address,
+        0,
+        "Ready",
+    )));
     let since = std::time::Instant::now();
     let ask = || {
         ClientRequest::check()
-            .with("X-Tier", "capped")
-            .with("X-Call-Terms", "units=2,spread=1,first=0")
+            .with_header("X-Tier", "capped")
+            .with_header("X-Call-Terms", "units=2,spread=1,first=0")
     };
-    let answers: Vec<u16> = (0..60).map(|_| gateway.ask(&ask()).status()).collect();
+    let answers: Vec<u16> = (0..60).map(|_| gateway.request(&ask()).status()).collect();
     let served = answers.iter().filter(|&&s| s == 200).count();
     // The store holds 20 units and fills at 10 a second; a request may be a moment ahead of the clock here.
     let most = 20.0 + 10.0 * (since.elapsed().as_secs_f64() + 1.0);
@@ -180,14 +189,14 @@
     let address = deaf.local_addr().expect("an address");
     let server = Server::new(|_| ok("b"));
     let entries = [
-        target("a", address, 0, "Ready"),
-        target("b", server.address, 1, "Ready"),
+        endpoint_entry("a", address, 0, "Ready"),
+        endpoint_entry("b", server.address, 1, "Ready"),
     ]
     .join(",");
     let discovery = Discovery::new(&entries);
-    let gateway = Gateway::alone(&discovery);
+    let gateway = Gateway::start_alone(&discovery);
     drop(deaf);
     for _ in 0..6 {
-        assert_eq!(gateway.ask(&ClientRequest::top_up()).body, "b");
+        assert_eq!(gateway.request(&ClientRequest::top_up()).body, "b");
     }
 }
--- a/crates/frosthatch/tests/system_calls.rs
+++ b/crates/frosthatch/tests/system_calls.rs
@@ -11,13 +11,13 @@
 /// A gateway before one server, both of whose faults are up to the test.
 fn gateway_under(shim: &Shim, changes: &[(&str, &str)]) -> (Server, Discovery, Gateway) {
     let server = Server::new(|_| ok("served"));
-    let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
+    let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let mut text = config_text(discovery.address, None, 1, "");
     for (from, to) in changes {
         assert!(text.contains(from), "{from}");
         text = text.replace(from, to);
     }
-    let gateway = Gateway::start_under(&text, shim);
+    let gateway = Gateway::start_with_shim(&text, shim);
     gateway.wait_ready();
     (server, discovery, gateway)
 }
@@ -28,14 +28,14 @@
     let mut all = Vec::new();
     for n in 0..REQUESTS {
         let text = if n % 3 == 0 {
-            ClientRequest::top_up().text()
+            ClientRequest::top_up().to_text()
         } else {
-            ClientRequest::check().text()
+            ClientRequest::check().to_text()
         };
         let answer = if n % 2 == 0 {
-            gateway.client().ask(&text)
+            gateway.client().exchange(&text)
         } else {
-            kept.ask(&text)
+            kept.exchange(&text)
         };
         all.push(answer.as_ref().map_or(0, Message::status));
         if answer.is_none_or(|a| a.header("Connection") == Some("close")) {
@@ -103,10 +103,11 @@
     for fault in [Fault::Connect, Fault::Socket] {
         let shim = Shim::new();
         let servers: Vec<Server> = (0..3).map(|_| Server::new(closing)).collect();
-        let one = |(n, s): (usize, &Server)| target(&format!("s{n}"), s.address, 0, "Ready");
+        let one =
+            |(n, s): (usize, &Server)| endpoint_entry(&format!("s{n}"), s.address, 0, "Ready");
         let list: Vec<String> = servers.iter().enumerate().map(one).collect();
         let discovery = Discovery::new(&list.join(","));
-        let gateway = Gateway::start_under(&config_text(discovery.address, None, 1, ""), &shim);
+        let gateway = Gateway::start_with_shim(&config_text(discovery.address, None, 1, ""), &shim);
         gateway.wait_ready();
         shim.set(fault, 600);
         let all = statuses(&gateway);
@@ -134,11 +135,11 @@
         .and_then(|l| l.local_addr())
         .expect("a port");
     let list = [
-        target("a", served.address, 0, "Ready"),
-        target("b", refused, 0, "Ready"),
+        endpoint_entry("a", served.address, 0, "Ready"),
+        endpoint_entry("b", refused, 0, "Ready"),
     ];
     let discovery = Discovery::new(&list.join(","));
-    let gateway = Gateway::start_under(&config_text(discovery.address, None, 1, ""), &shim);
+    let gateway = Gateway::start_with_shim(&config_text(discovery.address, None, 1, ""), &shim);
     gateway.wait_ready();
     shim.set(Fault::Connect, 300);
     let all = statuses(&gateway);
@@ -151,9 +152,9 @@
     let shim = Shim::new();
     shim.set(Fault::Socket, 700);
     let server = Server::new(|_| ok("served"));
-    let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
+    let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     for _ in 0..5 {
-        let gateway = Gateway::start_under(&config_text(discovery.address, None, 1, ""), &shim);
+        let gateway = Gateway::start_with_shim(&config_text(discovery.address, None, 1, ""), &shim);
         gateway.wait_ready();
     }
 }
@@ -166,35 +167,35 @@
     /// What each limit on time allows the network.
     const SLACK: Duration = Duration::from_millis(50);
     let shim = Shim::new();
-    let (first, go) = Server::held(|| status("500 Internal Server Error"));
+    let (first, go) = Server::gated(|| status("500 Internal Server Error"));
     let second = Server::new(|_| ok("twice"));
     let both = [
-        target("a", first.address, 3, "Ready"),
-        target("b", second.address, 3, "Draining"),
+        endpoint_entry("a", first.address, 3, "Ready"),
+        endpoint_entry("b", second.address, 3, "Draining"),
     ]
     .join(",");
     let discovery = Discovery::new(&both.replace("Draining", "Terminating"));
     let text = config_text(discovery.address, None, 1, "")
         .replace("\"windowUs\":7500000", "\"windowUs\":600000");
-    let gateway = Gateway::start_under(&text, &shim);
+    let gateway = Gateway::start_with_shim(&text, &shim);
     gateway.wait_ready();
     let mut client = gateway.client();
-    client.send(&ClientRequest::top_up().text());
-    first.request();
+    client.send(&ClientRequest::top_up().to_text());
+    first.next_request();
     let since = Instant::now();
-    discovery.tell(false, &target("b", second.address, 3, "Ready"));
+    discovery.publish_and_wait(false, &endpoint_entry("b", second.address, 3, "Ready"));
     shim.set(Fault::StallMs, 145);
     shim.set(Fault::Stall, 1_000);
     thread::sleep((WINDOW - Duration::from_millis(50)).saturating_sub(since.elapsed()));
     let _ = go.send(());
     let came = loop {
-        match second.seen.recv_timeout(4 * WINDOW) {
-            Ok(Seen::Request(_)) => break Some(since.elapsed()),
+        match second.events.recv_timeout(4 * WINDOW) {
+            Ok(ServerEvent::Request(_)) => break Some(since.elapsed()),
             Ok(_) => {}
             Err(_) => break None,
         }
     };
-    client.answer().expect("an answer");
+    client.read_response().expect("an answer");
     assert!(
         came.is_none_or(|came| came < WINDOW + SLACK),
         "the repeat came {came:?} after the first"
