--- a/crates/frosthatch/tests/unsafe_classes.rs
+++ b/crates/frosthatch/tests/unsafe_classes.rs
@@ -13,7 +13,7 @@
         r#"{"aimUs":4000000,"deadlineUs":8000000,"effect":"once","name":"settle","worth":5.0},"#;
     let text = config_text(discovery.address, None, 1, "");
     let text = text.replace("\"services\":[", &format!("\"services\":[{class}"));
-    let gateway = Gateway::start_with(&text);
+    let gateway = Gateway::start_from_config(&text);
     gateway.wait_ready();
     (discovery, gateway)
 }
@@ -23,7 +23,8 @@
         path: "/settle",
         ..ClientRequest::top_up()
     };
-    ask.with("X-Qos", "settle").without("Idempotency-Key")
+    ask.with_header("X-Qos", "settle")
+        .without_header("Idempotency-Key")
 }
 
 /// The first request at either server gets `first`, all later ones are served.
@@ -39,21 +40,21 @@
             }
         })
     });
-    let entry = |i: usize| target(["a", "b"][i], servers[i].address, 0, "Ready");
+    let entry = |i: usize| endpoint_entry(["a", "b"][i], servers[i].address, 0, "Ready");
     ([entry(0), entry(1)].join(","), servers)
 }
 
 fn requests(servers: &[Server]) -> usize {
-    servers.iter().map(Server::requests_so_far).sum()
+    servers.iter().map(Server::drain_request_count).sum()
 }
 
 #[test]
 fn it_needs_no_key_and_none_is_made_up() {
     let server = Server::new(|_| ok("done"));
-    let (_discovery, gateway) = gateway(&target("a", server.address, 0, "Ready"));
-    let answer = gateway.ask(&settle());
+    let (_discovery, gateway) = gateway(&endpoint_entry("a", server.address, 0, "Ready"));
+    let answer = gateway.request(&settle());
     assert_eq!((answer.status(), answer.body.as_str()), (200, "done"));
-    let seen = server.request();
+    let seen = server.next_request();
     assert!(seen.line.starts_with("POST /settle "), "{}", seen.line);
     assert_eq!(
         (seen.header("Idempotency-Key"), seen.body.as_str()),
@@ -62,7 +63,7 @@
     // Where servers drop repeats by it, it is owed.
     assert_eq!(
         gateway
-            .ask(&ClientRequest::top_up().without("Idempotency-Key"))
+            .request(&ClientRequest::top_up().without_header("Idempotency-Key"))
             .status(),
         400
     );
@@ -71,8 +72,8 @@
 #[test]
 fn one_that_may_have_run_has_one_attempt_and_is_failed_not_refused() {
     let ways: [fn() -> Reply; 5] = [
-        || Reply::End,
-        || Reply::Last("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nsec".into()),
+        || Reply::Close,
+        || Reply::BytesThenClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nsec".into()),
         || status("500 Internal Server Error"),
         || status("503 Service Unavailable"),
         || Reply::Silence,
@@ -80,7 +81,7 @@
     for first in ways {
         let (entries, servers) = pair(first);
         let (_discovery, gateway) = gateway(&entries);
-        let answer = gateway.ask(&settle().with("X-Expires-In", "0.8"));
+        let answer = gateway.request(&settle().with_header("X-Expires-In", "0.8"));
         assert!(matches!(answer.status(), 502 | 504), "{answer:?}");
         assert_eq!(requests(&servers), 1);
     }
@@ -90,7 +91,7 @@
 fn one_that_surely_never_ran_is_tried_elsewhere() {
     let (entries, servers) = pair(never_ran);
     let (_discovery, gateway) = gateway(&entries);
-    let answer = gateway.ask(&settle());
+    let answer = gateway.request(&settle());
     assert_eq!((answer.status(), answer.body.as_str()), (200, "second"));
     assert_eq!(requests(&servers), 2);
 }
@@ -102,13 +103,13 @@
         .expect("a free port");
     let server = Server::new(|_| ok("here"));
     let entries = [
-        target("a", nobody, 0, "Ready"),
-        target("b", server.address, 0, "Ready"),
+        endpoint_entry("a", nobody, 0, "Ready"),
+        endpoint_entry("b", server.address, 0, "Ready"),
     ]
     .join(",");
     let (_discovery, gateway) = gateway(&entries);
     for _ in 0..8 {
-        let answer = gateway.ask(&settle());
+        let answer = gateway.request(&settle());
         assert_eq!((answer.status(), answer.body.as_str()), (200, "here"));
     }
 }
@@ -116,6 +117,6 @@
 #[test]
 fn one_that_all_turn_away_is_refused() {
     let server = Server::new(|_| never_ran());
-    let (_discovery, gateway) = gateway(&target("a", server.address, 0, "Ready"));
-    assert_eq!(gateway.ask(&settle()).status(), 429);
+    let (_discovery, gateway) = gateway(&endpoint_entry("a", server.address, 0, "Ready"));
+    assert_eq!(gateway.request(&settle()).status(), 429);
 }
--- a/crates/frosthatch/tests/upgrade.rs
+++ b/crates/frosthatch/tests/upgrade.rs
@@ -81,7 +81,7 @@
         loop {
             let line = self
                 .lines
-                .recv_timeout(LONG)
+                .recv_timeout(TIMEOUT)
                 .unwrap_or_else(|_| panic!("{what:?} is logged"));
             if line.contains(what) {
                 return line;
@@ -108,7 +108,7 @@
 fn until(what: &str, mut done: impl FnMut() -> bool) {
     let since = Instant::now();
     while !done() {
-        assert!(since.elapsed() < LONG, "{what}");
+        assert!(since.elapsed() < TIMEOUT, "{what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
@@ -120,7 +120,7 @@
         }
         ok("served")
     });
-    let discovery = Discovery::new(&target("a", server.address, 0, "Ready"));
+    let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     (server, discovery, Place::new(name))
 }
 
@@ -146,9 +146,9 @@
                     let mut stream = kept
                         .take()
                         .unwrap_or_else(|| TcpStream::connect(at).expect("never refused"));
-                    stream.set_read_timeout(Some(LONG)).expect("a time-out");
+                    stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
                     stream
-                        .write_all(ClientRequest::check().text().as_bytes())
+                        .write_all(ClientRequest::check().to_text().as_bytes())
                         .expect("never reset");
                     let mut read = std::io::BufReader::new(stream.try_clone().expect("a clone"));
                     match read_message(&mut read) {
@@ -200,7 +200,7 @@
         log.wait_ready();
         load.more();
         old.terminate();
-        assert!(old.wait().success());
+        assert!(old.wait_for_exit().success());
         load.more();
         log.until("the old process has ended");
         until("the next can call", || {
@@ -221,27 +221,27 @@
         ..ClientRequest::top_up()
     };
     let mut held = old.client();
-    held.send(&slow.text());
-    server.request();
+    held.send(&slow.to_text());
+    server.next_request();
     // Half of a request before the switch, and half after it.
-    let text = ClientRequest::check().text();
+    let text = ClientRequest::check().to_text();
     let mut halved = old.client();
     halved.send(&text[..text.len() / 2]);
     let (_new, log) = place.process(&discovery, old.address);
     log.wait_ready();
     old.terminate();
     halved.send(&text[text.len() / 2..]);
-    assert_eq!(halved.answer().expect("an answer").status(), 200);
-    assert_eq!(held.answer().expect("an answer").status(), 200);
+    assert_eq!(halved.read_response().expect("an answer").status(), 200);
+    assert_eq!(held.read_response().expect("an answer").status(), 200);
     assert!(
-        held.answer().is_none(),
+        held.read_response().is_none(),
         "one answer, and the end of the connection"
     );
-    assert!(old.wait().success());
+    assert!(old.wait_for_exit().success());
     let top_ups = server
-        .so_far()
+        .drain_events()
         .iter()
-        .filter(|s| matches!(s, Seen::Request(m) if m.line.contains("top-up")))
+        .filter(|s| matches!(s, ServerEvent::Request(m) if m.line.contains("top-up")))
         .count();
     assert_eq!(top_ups, 0, "the one was seen before");
 }
@@ -251,8 +251,8 @@
 fn marks_on_servers_hold_in_both_processes() {
     let (a, b) = (Server::new(|_| ok("a")), Server::new(|_| ok("b")));
     let both = [
-        target("a", a.address, 0, "Ready"),
-        target("b", b.address, 0, "Ready"),
+        endpoint_entry("a", a.address, 0, "Ready"),
+        endpoint_entry("b", b.address, 0, "Ready"),
     ]
     .join(",");
     let discovery = Discovery::new(&both);
@@ -261,7 +261,7 @@
     // Kept: it stays with the old process.
     let mut kept = old.client();
     assert_eq!(
-        kept.ask(&ClientRequest::check().text())
+        kept.exchange(&ClientRequest::check().to_text())
             .expect("an answer")
             .status(),
         200
@@ -272,7 +272,7 @@
     for _ in 0..20 {
         assert_eq!(
             new.client_at(old.address)
-                .ask(&ClientRequest::check().text())
+                .exchange(&ClientRequest::check().to_text())
                 .expect("an answer")
                 .body,
             "b"
@@ -281,12 +281,12 @@
     // What is marked at the new one counts at the old one.
     assert_eq!(new_log.call("POST /servers/enable?id=a"), 200);
     assert_eq!(new_log.call("POST /servers/disable?id=b"), 200);
-    until("the old one hears", || kept.ask_again() == "a");
+    until("the old one hears", || kept.check_again() == "a");
     for _ in 0..20 {
-        assert_eq!(kept.ask_again(), "a");
+        assert_eq!(kept.check_again(), "a");
     }
     old.terminate();
-    assert!(old.wait().success());
+    assert!(old.wait_for_exit().success());
 }
 
 /// Guards against a gateway that nobody accepts for: new processes that die at each step, or hang, or are none of ours.
@@ -311,7 +311,7 @@
     let welcomed = || loop {
         let mut stream = call();
         stream.write_all(&frame(&hello(1))).expect("written");
-        stream.set_read_timeout(Some(LONG)).expect("a time-out");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
         let mut said = [0; 512];
         let read = stream.read(&mut said).expect("an answer");
         if String::from_utf8_lossy(&said[..read]).contains("Welcome") {
@@ -336,7 +336,7 @@
     let refused = |bytes: &[u8]| {
         let mut stream = call();
         let _ = stream.write_all(bytes);
-        stream.set_read_timeout(Some(LONG)).expect("a time-out");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
         let mut said = Vec::new();
         let _ = stream.read_to_end(&mut said);
         String::from_utf8_lossy(&said).into_owned()
@@ -355,7 +355,7 @@
     let (_new, new_log) = place.process(&discovery, old.address);
     new_log.wait_ready();
     old.terminate();
-    assert!(old.wait().success());
+    assert!(old.wait_for_exit().success());
 }
 
 /// Guards against an old process that hangs: the new one listens beside it.
@@ -365,7 +365,7 @@
     let _hung = UnixListener::bind(place.socket()).expect("a socket");
     let (new, log) = place.process(&discovery, "127.0.0.1:0".parse().expect("an address"));
     log.wait_ready();
-    assert_eq!(new.ask(&ClientRequest::check()).status(), 200);
+    assert_eq!(new.request(&ClientRequest::check()).status(), 200);
 }
 
 /// Guards against a second upgrade while one runs, and against one process's death taking the other along.
@@ -376,16 +376,16 @@
     let (new, new_log) = place.process(&discovery, old.address);
     new_log.wait_ready();
     let mut third = UnixStream::connect(place.socket()).expect("called");
-    third.set_read_timeout(Some(LONG)).expect("a time-out");
+    third.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
     let mut said = Vec::new();
     let _ = third.read_to_end(&mut said);
     assert!(String::from_utf8_lossy(&said).contains("another upgrade is under way"));
     old.signal("-KILL");
-    old.wait();
+    old.wait_for_exit();
     new_log.until("the old process has ended");
     assert_eq!(
         new.client_at(old.address)
-            .ask(&ClientRequest::check().text())
+            .exchange(&ClientRequest::check().to_text())
             .expect("an answer")
             .status(),
         200
--- a/crates/lab/src/choices.rs
+++ b/crates/lab/src/choices.rs
@@ -3,12 +3,12 @@
 
 use crate::figures::Figures;
 use crate::fleet_site::{listed, Site};
-use crate::rig::stage::call;
-use crate::rig::Act;
 use crate::servers::{Mode, Server};
 use crate::site::pause;
+use crate::testbed::processes::call_console;
+use crate::testbed::TimelineAction;
 use frosthatch_load_balancing::fairness::{jain_index, min_to_mean_ratio};
-use frosthatch_test_doubles::{started, target, Discovery};
+use frosthatch_test_doubles::{endpoint_entry, endpoint_entry_with_boot, Discovery};
 use serde_json::Value;
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -105,7 +105,8 @@
 /// What each running gateway says it goes by: gateways, servers used, servers left alone.
 fn says(site: &Site) -> Vec<Option<[u64; 3]>> {
     let of = |console: SocketAddr| {
-        let json: Value = serde_json::from_str(&call(console, "GET", "/fleet", "")?.1).ok()?;
+        let json: Value =
+            serde_json::from_str(&call_console(console, "GET", "/fleet", "")?.1).ok()?;
         let figure = |name: &str| json["choices"][name].as_u64();
         Some([
             figure("gateways")?,
@@ -113,7 +114,7 @@
             figure("servers_out")?,
         ])
     };
-    let running = site.stage.processes.iter().filter(|p| p.runs());
+    let running = site.testbed.processes.iter().filter(|p| p.is_running());
     running.map(|p| p.console().and_then(of)).collect()
 }
 
@@ -148,7 +149,7 @@
         .and_then(|l| l.local_addr())
         .expect("a port");
     let wrong: Vec<String> = (0..SERVERS)
-        .map(|n| target(&format!("s{n}"), nobody, n as u64, "Ready"))
+        .map(|n| endpoint_entry(&format!("s{n}"), nobody, n as u64, "Ready"))
         .collect();
     let blind = Discovery::new(&wrong.join(","));
     let of = |n: usize| (n, format!("name = \"n{n}\"\nchoices = {with}\n"));
@@ -165,7 +166,7 @@
     };
 
     // Four, then all but the one that finds every server dead.
-    site.act(Act::Start {
+    site.act(TimelineAction::Start {
         who: (0..4).collect(),
     });
     site.agrees(4);
@@ -173,7 +174,7 @@
     site.load(on, 1);
     pause(Duration::from_secs(1));
     row.even[2] = evenness(&site, lasts);
-    site.act(Act::Start {
+    site.act(TimelineAction::Start {
         who: (4..ACCUSER).collect(),
     });
     site.agrees(ACCUSER);
@@ -200,15 +201,15 @@
 
     // Two halves that do not hear each other go on between them.
     let halves = vec![(0..6).collect(), (6..ALL).collect()];
-    site.act(Act::Split { groups: halves });
+    site.act(TimelineAction::Split { groups: halves });
     pause(Duration::from_secs(4));
     row.even[1] = evenness(&site, lasts);
-    site.act(Act::Heal);
+    site.act(TimelineAction::Heal);
     site.agrees(ACCUSER);
     dealt(&site, ACCUSER as u64);
 
     // A third dies at once.
-    site.act(Act::Kill { who: vec![0, 4, 8] });
+    site.act(TimelineAction::Kill { who: vec![0, 4, 8] });
     row.covered = dealt(&site, ACCUSER as u64 - 3);
     row.uncovered = {
         let since = Instant::now();
@@ -218,20 +219,21 @@
             .filter(|s| s.came_since(since) == 0)
             .count()
     };
-    site.act(Act::Start { who: vec![0, 4, 8] });
+    site.act(TimelineAction::Start { who: vec![0, 4, 8] });
     site.agrees(ACCUSER);
 
     // One that reaches no server: clients go to the others, it tells what it tells.
-    site.stage.act(&Act::Start { who: vec![ACCUSER] });
+    site.testbed
+        .apply(&TimelineAction::Start { who: vec![ACCUSER] });
     site.agrees(ALL);
-    let at = site.stage.processes[ACCUSER].address().expect("it runs");
+    let at = site.testbed.processes[ACCUSER].address().expect("it runs");
     let end = Instant::now() + lasts;
     while Instant::now() < end {
         for n in 0..40_u64 {
             let ask = frosthatch_test_doubles::ClientRequest::check()
-                .with("X-Tier", "mellem")
-                .with("X-Trace-Id", &format!("{n:016x}"));
-            let _ = frosthatch_test_doubles::Client::at(at).ask(&ask.text());
+                .with_header("X-Tier", "mellem")
+                .with_header("X-Trace-Id", &format!("{n:016x}"));
+            let _ = frosthatch_test_doubles::Client::at(at).exchange(&ask.to_text());
         }
         let others = says(&site)
             .into_iter()
@@ -241,7 +243,8 @@
         row.taken_out = row.taken_out.max(most.unwrap_or(0));
         pause(Duration::from_millis(100));
     }
-    site.stage.act(&Act::Kill { who: vec![ACCUSER] });
+    site.testbed
+        .apply(&TimelineAction::Kill { who: vec![ACCUSER] });
 
     // A cold one comes.
     let since = SystemTime::now()
@@ -253,8 +256,9 @@
         true,
         Some(site.meter.clone()),
     );
-    let newcomer = started("s-cold", cold.address, 999, "Ready", since.as_millis());
-    site.agent.post(
+    let newcomer =
+        endpoint_entry_with_boot("s-cold", cold.address, 999, "Ready", since.as_millis());
+    site.agent.publish(
         true,
         &listed(&site.servers, "Ready", &format!(",{newcomer}")),
     );
--- a/crates/lab/src/counter_faults.rs
+++ b/crates/lab/src/counter_faults.rs
@@ -5,7 +5,7 @@
 use crate::load::{apart, beyond, Got, Load, Shape, CHECK, TOP_UP};
 use crate::servers::{all_ready, Meter, Server, Use};
 use crate::site::{pause, Node, Peers};
-use frosthatch_test_doubles::{Discovery, Lie, SharedCounter};
+use frosthatch_test_doubles::{AnswerFault, Discovery, SharedCounter};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::sync::{Arc, Mutex};
@@ -114,63 +114,63 @@
     fault(
         "lost_1s",
         1,
-        |c, _| c.lose(None, true),
-        |c, _| c.lose(None, false),
+        |c, _| c.set_silent(None, true),
+        |c, _| c.set_silent(None, false),
     ),
     fault(
         "lost_10s",
         10,
-        |c, _| c.lose(None, true),
-        |c, _| c.lose(None, false),
+        |c, _| c.set_silent(None, true),
+        |c, _| c.set_silent(None, false),
     ),
     fault(
         "lost_60s",
         60,
-        |c, _| c.lose(None, true),
-        |c, _| c.lose(None, false),
+        |c, _| c.set_silent(None, true),
+        |c, _| c.set_silent(None, false),
     ),
     fault(
         "one_part_lost",
         10,
-        |c, _| c.lose(Some(0), true),
-        |c, _| c.lose(Some(0), false),
+        |c, _| c.set_silent(Some(0), true),
+        |c, _| c.set_silent(Some(0), false),
     ),
     fault("split", 60, |c, _| c.split(), |c, _| c.heal()),
     Fault {
         moves: true,
         ..fault("split_and_move", 20, |c, _| c.split(), |c, _| c.heal())
     },
-    fault("swapped", 10, |c, _| c.swap(false), |_, _| {}),
-    fault("swapped_broken", 10, |c, _| c.swap(true), |_, _| {}),
+    fault("swapped", 10, |c, _| c.replace(false), |_, _| {}),
+    fault("swapped_broken", 10, |c, _| c.replace(true), |_, _| {}),
     fault(
         "swapped_back",
         10,
-        |c, _| c.swap(false),
-        |c, _| c.swap_back(),
+        |c, _| c.replace(false),
+        |c, _| c.restore_original(),
     ),
     fault(
         "late_1s",
         10,
-        |c, _| c.delay(Duration::from_secs(1)),
-        |c, _| c.delay(Duration::ZERO),
+        |c, _| c.set_delay(Duration::from_secs(1)),
+        |c, _| c.set_delay(Duration::ZERO),
     ),
     fault(
         "lies_higher",
         10,
-        |c, _| c.lie(Some((30, Lie::Higher(500.0)))),
-        |c, _| c.lie(None),
+        |c, _| c.set_answer_fault(Some((30, AnswerFault::Higher(500.0)))),
+        |c, _| c.set_answer_fault(None),
     ),
     fault(
         "lies_lower",
         10,
-        |c, _| c.lie(Some((30, Lie::Lower(500.0)))),
-        |c, _| c.lie(None),
+        |c, _| c.set_answer_fault(Some((30, AnswerFault::Lower(500.0)))),
+        |c, _| c.set_answer_fault(None),
     ),
     fault(
         "no_number",
         10,
-        |c, _| c.lie(Some((30, Lie::NoNumber))),
-        |c, _| c.lie(None),
+        |c, _| c.set_answer_fault(Some((30, AnswerFault::NotANumber))),
+        |c, _| c.set_answer_fault(None),
     ),
     fault(
         "counter_and_meter_lost",
@@ -181,7 +181,7 @@
 ];
 
 fn lose_both(counter: &SharedCounter, meter: &Meter, lost: bool) {
-    counter.lose(None, lost);
+    counter.set_silent(None, lost);
     meter.lost.store(lost, std::sync::atomic::Ordering::SeqCst);
 }
 
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -4,7 +4,7 @@
 use crate::load::{percentile, Got, Load, Shot};
 use crate::servers::Server;
 use crate::site::{self, pause, Node};
-use frosthatch_test_doubles::{started, target, Discovery, SharedCounter};
+use frosthatch_test_doubles::{endpoint_entry, endpoint_entry_with_boot, Discovery, SharedCounter};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::runtime::Runtime;
 
@@ -20,7 +20,7 @@
     let list: Vec<String> = servers
         .iter()
         .enumerate()
-        .map(|(n, s)| target(&format!("s{n}"), s.address, 1, "Ready"))
+        .map(|(n, s)| endpoint_entry(&format!("s{n}"), s.address, 1, "Ready"))
         .collect();
     let agent = Discovery::new(&list.join(","));
     let counter = SharedCounter::new(1);
@@ -55,14 +55,17 @@
             servers[3].kill();
             note = "   <- server s3 dies; the list says so 1 s later";
         } else if second == DIES_AT + 1 {
-            agent.tell(false, &target("s3", servers[3].address, 1, "Gone"));
+            agent.publish_and_wait(false, &endpoint_entry("s3", servers[3].address, 1, "Gone"));
         } else if second == COMES_AT {
             let server = Server::start(on, true);
             let ms = SystemTime::now()
                 .duration_since(UNIX_EPOCH)
                 .unwrap_or_default()
                 .as_millis();
-            agent.tell(false, &started("new", server.address, 1, "Ready", ms));
+            agent.publish_and_wait(
+                false,
+                &endpoint_entry_with_boot("new", server.address, 1, "Ready", ms),
+            );
             servers.push(server);
             note = "   <- a cold server comes";
         }
--- a/crates/lab/src/diameter.rs
+++ b/crates/lab/src/diameter.rs
@@ -8,9 +8,10 @@
 use frosthatch_diameter::codec::{Avp, Message};
 use frosthatch_diameter::dictionary::{code, command, result};
 use frosthatch_test_doubles::diameter::{
-    event, granted, of_customer, read, request, units, with_result, DClient, DServer,
+    answer_with_result, credit_control_request, event_request, read_diameter_message,
+    success_answer, with_customer, with_units, DiameterClient, DiameterServer,
 };
-use frosthatch_test_doubles::{target, Discovery};
+use frosthatch_test_doubles::{endpoint_entry, Discovery};
 use std::collections::{HashMap, HashSet};
 use std::io::Write;
 use std::net::SocketAddr;
@@ -49,8 +50,8 @@
 
 type Log = Arc<Mutex<Vec<Ran>>>;
 
-fn server(n: usize, mute: Arc<AtomicBool>, log: Log) -> DServer {
-    DServer::new(HOSTS[n], move |ccr| {
+fn server(n: usize, mute: Arc<AtomicBool>, log: Log) -> DiameterServer {
+    DiameterServer::new(HOSTS[n], move |ccr| {
         let charge = ccr.number(code::REQUESTED_ACTION) != Some(2);
         let greedy = ccr
             .find(code::SUBSCRIPTION_ID)
@@ -63,7 +64,7 @@
             greedy,
         };
         log.lock().expect("log").push(ran);
-        let answer = granted(ccr, HOSTS[n]).with(Avp::of_u32(code::CC_SESSION_FAILOVER, 1));
+        let answer = success_answer(ccr, HOSTS[n]).with(Avp::of_u32(code::CC_SESSION_FAILOVER, 1));
         (!mute.load(Ordering::SeqCst)).then_some(answer)
     })
 }
@@ -72,8 +73,8 @@
     data.windows(GREEDY.len()).any(|w| w == GREEDY.as_bytes())
 }
 
-fn member(n: usize, server: &DServer, state: &str) -> String {
-    let plain = target(&format!("d{n}"), server.address, n as u64 / 2, state);
+fn member(n: usize, server: &DiameterServer, state: &str) -> String {
+    let plain = endpoint_entry(&format!("d{n}"), server.address, n as u64 / 2, state);
     format!("{},\"proto\":\"diameter\"}}", plain.trim_end_matches('}'))
 }
 
@@ -97,13 +98,13 @@
     length: Duration,
     per_s: u32,
 ) -> (thread::JoinHandle<()>, Arc<Mutex<Book>>) {
-    let mut client = DClient::new(address, host);
+    let mut client = DiameterClient::new(address, host);
     let book: Arc<Mutex<Book>> = Arc::default();
     let mut reader = client.stream.try_clone().expect("a clone");
     let answers = book.clone();
     thread::spawn(move || {
         let mut buffer = Vec::new();
-        while let Some(message) = read(&mut reader, &mut buffer) {
+        while let Some(message) = read_diameter_message(&mut reader, &mut buffer) {
             if message.header.command == command::CREDIT_CONTROL {
                 let (id, result) = (message.header.end_to_end, message.result().unwrap_or(0));
                 let mut book = answers.lock().expect("book");
@@ -112,7 +113,7 @@
                     .or_default()
                     .push((Instant::now(), result));
             } else if message.header.flags & 0x80 != 0 {
-                let answer = with_result(&message, "till.example.org", result::SUCCESS);
+                let answer = answer_with_result(&message, "till.example.org", result::SUCCESS);
                 let _ = reader.write_all(&answer.encode());
             }
         }
@@ -131,18 +132,21 @@
             // The brief's mix: 71 in 100 check, the others charge, some of them in sessions of three.
             let (message, tx) = match n % 100 {
                 0..71 => (plain(2, &customer), TX_CHECK),
-                71..76 => (units(plain(0, GREEDY), GREEDY_UNITS), TX_CHARGE),
+                71..76 => (with_units(plain(0, GREEDY), GREEDY_UNITS), TX_CHARGE),
                 76..91 => (plain(0, &customer), TX_CHARGE),
                 91..94 => {
                     let session = format!("{host};{n};1");
                     open.push((session.clone(), 0));
-                    (of_customer(request(&session, 1, 0), &customer), TX_CHARGE)
+                    (
+                        with_customer(credit_control_request(&session, 1, 0), &customer),
+                        TX_CHARGE,
+                    )
                 }
                 _ => match open.first_mut() {
                     Some((session, number)) => {
                         *number += 1;
                         let kind = if *number == 1 { 2 } else { 3 };
-                        let message = request(session, kind, *number);
+                        let message = credit_control_request(session, kind, *number);
                         if kind == 3 {
                             open.remove(0);
                         }
@@ -167,9 +171,9 @@
 
 /// An event of that customer: 0 debits, 2 checks.
 fn plain(action: u32, customer: &str) -> Message {
-    let mut message = event(action);
+    let mut message = event_request(action);
     message.avps.retain(|a| a.code != code::SUBSCRIPTION_ID);
-    of_customer(message, customer)
+    with_customer(message, customer)
 }
 
 fn operator(address: SocketAddr, more: &str) -> OperatorFile {
@@ -190,7 +194,7 @@
 fn under_load(length: Duration, figures: &mut Figures) {
     let log: Log = Arc::default();
     let mutes: Vec<Arc<AtomicBool>> = (0..4).map(|_| Arc::default()).collect();
-    let servers: Vec<DServer> = (0..4)
+    let servers: Vec<DiameterServer> = (0..4)
         .map(|n| server(n, mutes[n].clone(), log.clone()))
         .collect();
     let runtime = Runtime::new().expect("a runtime");
@@ -201,7 +205,7 @@
     list.extend(
         web.iter()
             .enumerate()
-            .map(|(n, s)| target(&format!("w{n}"), s.address, 9, "Ready")),
+            .map(|(n, s)| endpoint_entry(&format!("w{n}"), s.address, 9, "Ready")),
     );
     let agent = Discovery::new(&list.join(","));
     let address = free_port();
@@ -218,24 +222,24 @@
     // The connections to the servers come up.
     pause(Duration::from_millis(500));
 
-    let before = cpu(gateway.id());
+    let before = cpu(gateway.pid());
     let clients: Vec<_> = ["a.example.org", "b.example.org"]
         .map(|host| client(address, host, length, PER_S / 2))
         .into_iter()
         .collect();
     pause(length / 4);
     mutes[0].store(true, Ordering::SeqCst);
-    servers[0].alive.store(false, Ordering::SeqCst);
+    servers[0].answers_watchdogs.store(false, Ordering::SeqCst);
     pause(length / 4);
-    agent.tell(false, &member(1, &servers[1], "Terminating"));
+    agent.publish_and_wait(false, &member(1, &servers[1], "Terminating"));
     let drained = Instant::now();
     pause(length / 4);
     servers[2].state_id.fetch_add(1, Ordering::SeqCst);
-    servers[2].cut();
+    servers[2].close_connections();
     site::until("the clients end", || {
         clients.iter().all(|(c, _)| c.is_finished())
     });
-    let used = (cpu(gateway.id()) - before).as_secs_f64();
+    let used = (cpu(gateway.pid()) - before).as_secs_f64();
 
     let (mut asked, mut without, mut late, mut good, mut refused) = (0, 0, 0, 0, 0);
     for (_, book) in &clients {
@@ -303,7 +307,7 @@
     figures.show("cpu_a_diameter_request", cost, "us");
     drop(ran);
 
-    let before = cpu(gateway.id());
+    let before = cpu(gateway.pid());
     let (load, task) = Load::start(
         runtime.handle(),
         vec![gateway.address],
@@ -311,7 +315,7 @@
         Duration::from_secs(10),
     );
     site::until("the load ends", || task.is_finished());
-    let used = (cpu(gateway.id()) - before).as_secs_f64();
+    let used = (cpu(gateway.pid()) - before).as_secs_f64();
     let shots = load.shots.lock().expect("shots");
     let http = used / shots.len() as f64 * 1e6;
     figures.show("cpu_an_http_request", http, "us");
@@ -342,7 +346,7 @@
 
 /// Opens so many sessions, a hundred at a time, and tells what they take.
 fn sessions(count: u32, figures: &mut Figures) {
-    let server = DServer::granting(HOSTS[0]);
+    let server = DiameterServer::granting(HOSTS[0]);
     let agent = Discovery::new(&member(0, &server, "Ready"));
     let address = free_port();
     let operator = operator(address, "most_sessions = 200000\nmost_repeats = 1000\n");
@@ -356,15 +360,15 @@
     };
     let gateway = node.start(Some(operator.path()));
     pause(Duration::from_millis(500));
-    let mut client = DClient::new(address, "till.example.org");
-    let before = memory_mb(gateway.id());
+    let mut client = DiameterClient::new(address, "till.example.org");
+    let before = memory_mb(gateway.pid());
     let mut open = 0;
     let mut next = 0;
     while open < count {
         let some: Vec<Message> = (next..next + 100)
             .map(|n| {
-                of_customer(
-                    request(&format!("till.example.org;1;{n}"), 1, 0),
+                with_customer(
+                    credit_control_request(&format!("till.example.org;1;{n}"), 1, 0),
                     &format!("45{:08}", n % 20_000),
                 )
             })
@@ -377,7 +381,7 @@
         }
         assert!(next < 4 * count + 10_000, "sessions are opened");
     }
-    let grown = memory_mb(gateway.id()) - before;
+    let grown = memory_mb(gateway.pid()) - before;
     figures.show(&format!("sessions_{count}_memory"), grown, "MB");
     // What any traffic takes hides a few sessions.
     let least = if count >= 100_000 { 1_000.0 } else { 0.0 };
--- a/crates/lab/src/dns_sd.rs
+++ b/crates/lab/src/dns_sd.rs
@@ -62,7 +62,7 @@
         .map(|me| node(me).start(Some(operator.path())))
         .collect();
     if push {
-        site::until("both gateways subscribe", || resolver.sessions() >= 2);
+        site::until("both gateways subscribe", || resolver.push_sessions() >= 2);
         pause(Duration::from_secs(1));
     }
     let addresses = gateways.iter().map(|g| g.address).collect();
@@ -72,13 +72,13 @@
         pause(apart);
         if n % 2 == 0 {
             let (name, server) = (format!("new{n}"), Server::start(on, true));
-            resolver.change(|z| {
+            resolver.change_zone(|z| {
                 z.add_instance(SERVICE, &name, server.address, &["zone=hall-a", "cell=1"])
             });
             fleet.push((name, server));
         } else {
             let (name, server) = fleet.remove(0);
-            let changed = resolver.change(|z| z.remove_instance(SERVICE, &name));
+            let changed = resolver.change_zone(|z| z.remove_instance(SERVICE, &name));
             gone.push((name, server, changed));
         }
     }
--- a/crates/lab/src/fleet_site.rs
+++ b/crates/lab/src/fleet_site.rs
@@ -1,10 +1,10 @@
-//! Gateways that talk to each other, on the rig and under load: what the scenarios `members` and `policy` share.
+//! Gateways that talk to each other, on the testbed and under load: what the scenarios `members` and `policy` share.
 
 use crate::load::{self, Got, Load, Shape, CHECK, TOP_UP};
-use crate::rig::{fleet_file, Act, Process, Relay, Stage};
 use crate::servers::{Meter, Server};
 use crate::site::{pause, Node};
-use frosthatch_test_doubles::{config_file, target, Discovery};
+use crate::testbed::{fleet_file, Process, Relay, Testbed, TimelineAction};
+use frosthatch_test_doubles::{endpoint_entry, write_config_file, Discovery};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::net::SocketAddr;
@@ -25,7 +25,8 @@
 /// The list: each server remembers repeats for itself; the first one's state, and what else there is.
 pub fn listed(servers: &[Server], first: &str, more: &str) -> String {
     let state = |n| if n == 0 { first } else { "Ready" };
-    let one = |(n, s): (usize, &Server)| target(&format!("s{n}"), s.address, n as u64, state(n));
+    let one =
+        |(n, s): (usize, &Server)| endpoint_entry(&format!("s{n}"), s.address, n as u64, state(n));
     let list: Vec<String> = servers.iter().enumerate().map(one).collect();
     list.join(",") + more
 }
@@ -46,9 +47,9 @@
     pub unanswered: usize,
 }
 
-/// Gateways on the rig under load.
+/// Gateways on the testbed under load.
 pub struct Site {
-    pub stage: Stage,
+    pub testbed: Testbed,
     gateways: usize,
     places: Arc<Mutex<Vec<Place>>>,
     pub servers: Vec<Server>,
@@ -87,7 +88,7 @@
         let servers: Vec<Server> = (0..servers).map(server).collect();
         let agent = Discovery::new(&listed(&servers, "Ready", ""));
         let relay = Relay::new(on, processes, seed);
-        let key = config_file("a key of the lab's own, long enough for all");
+        let key = write_config_file("a key of the lab's own, long enough for all");
         let all = (0..processes).map(|n| {
             let (me, more) = of(n, &relay);
             let discovery = agents(n).unwrap_or(agent.address);
@@ -101,11 +102,11 @@
             };
             Process::new(node, Some(fleet_file(&relay, n, &key, &more)))
         });
-        let stage = Stage::new(all.collect(), relay);
+        let testbed = Testbed::new(all.collect(), relay);
         let places = Arc::new(Mutex::new(vec![Place { at: None, moves: 0 }; processes]));
         let (ending, shots) = (Arc::default(), Arc::default());
         Site {
-            stage,
+            testbed,
             gateways,
             places,
             servers,
@@ -146,9 +147,9 @@
             .lock()
             .expect("places")
             .iter_mut()
-            .zip(&self.stage.processes)
+            .zip(&self.testbed.processes)
         {
-            let at = p.address().filter(|_| p.runs());
+            let at = p.address().filter(|_| p.is_running());
             if at != place.at {
                 *place = Place {
                     at,
@@ -169,20 +170,23 @@
         });
     }
 
-    pub fn act(&mut self, act: Act) {
-        if let Act::Kill { who } | Act::Stop { who } | Act::Leave { who } = &act {
+    pub fn act(&mut self, act: TimelineAction) {
+        if let TimelineAction::Kill { who }
+        | TimelineAction::Stop { who }
+        | TimelineAction::Leave { who } = &act
+        {
             self.shut(who);
             // What was on its way has its answer.
-            if matches!(act, Act::Leave { .. }) {
+            if matches!(act, TimelineAction::Leave { .. }) {
                 pause(Duration::from_millis(20));
             }
         }
-        self.stage.act(&act);
-        if let Act::Start { who } = &act {
-            who.iter().for_each(|w| self.stage.wait_ready(*w));
+        self.testbed.apply(&act);
+        if let TimelineAction::Start { who } = &act {
+            who.iter().for_each(|w| self.testbed.wait_ready(*w));
             self.open();
         }
-        if let Act::Continue { .. } = &act {
+        if let TimelineAction::Continue { .. } = &act {
             self.open();
         }
     }
@@ -191,7 +195,7 @@
     pub fn known(&self, since: Duration, whom: &[usize], what: &str, by: usize) -> Option<f64> {
         let begun = Instant::now();
         loop {
-            let lines = self.stage.history.lines(what);
+            let lines = self.testbed.history.log_lines(what);
             let of = |n: &usize| {
                 let name = format!("member n{n}: ");
                 let mut seen: Vec<(Duration, usize)> = Vec::new();
@@ -221,7 +225,7 @@
     pub fn agrees(&self, ready: usize) -> f64 {
         let since = Instant::now();
         while since.elapsed() < KNOWN_WITHIN {
-            if self.stage.agrees(ready) {
+            if self.testbed.views_agree(ready) {
                 return since.elapsed().as_secs_f64();
             }
             pause(Duration::from_millis(30));
@@ -230,7 +234,7 @@
     }
 
     pub fn now(&self) -> Duration {
-        self.stage.history.now()
+        self.testbed.history.now()
     }
 
     /// Units of the greedy customer that do not fit its ceiling.
@@ -252,7 +256,7 @@
     }
 
     pub fn dead_lines(&self) -> Vec<(Duration, usize, String)> {
-        self.stage.history.lines(": dead")
+        self.testbed.history.log_lines(": dead")
     }
 }
 
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,4 +1,4 @@
-//! Whole installations on loopback: stand-ins of this repository round the real gateway, the scenarios, and the [`rig`] that puts
+//! Whole installations on loopback: stand-ins of this repository round the real gateway, the scenarios, and the [`testbed`] that puts
 //! faults between real processes. Everything is on ephemeral ports; what is started ends with the program.
 #![expect(
     clippy::default_trait_access,
@@ -27,8 +27,8 @@
 pub mod policy;
 pub mod policy_size;
 pub mod quota_links;
-pub mod rig;
 pub mod servers;
 pub mod site;
 pub mod soak;
+pub mod testbed;
 pub mod upgrade;
--- a/crates/lab/src/members.rs
+++ b/crates/lab/src/members.rs
@@ -3,10 +3,10 @@
 
 use crate::figures::Figures;
 use crate::fleet_site::{listed, Site, KNOWN_WITHIN, SERVERS};
-use crate::rig::{Act, Faults};
 use crate::servers::Server;
 use crate::site::{cpu, pause};
-use frosthatch_test_doubles::started;
+use crate::testbed::{Faults, TimelineAction};
+use frosthatch_test_doubles::endpoint_entry_with_boot;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::time::{Duration, Instant};
@@ -120,10 +120,10 @@
     });
     let mut row = Row::default();
     // All but two at once.
-    site.stage.act(&Act::Start {
+    site.testbed.apply(&TimelineAction::Start {
         who: (0..ALL - 2).collect(),
     });
-    (0..ALL - 2).for_each(|n| site.stage.wait_ready(n));
+    (0..ALL - 2).for_each(|n| site.testbed.wait_ready(n));
     site.agrees(ALL - 2);
     site.open();
     site.load(on, seed);
@@ -131,7 +131,7 @@
     // Joins.
     for n in [ALL - 2, ALL - 1] {
         let since = site.now();
-        site.act(Act::Start { who: vec![n] });
+        site.act(TimelineAction::Start { who: vec![n] });
         row.joins.push(
             site.known(since, &[n], ": ready", n)
                 .unwrap_or(f64::INFINITY),
@@ -139,10 +139,10 @@
     }
     // In health, what it costs.
     site.agrees(ALL);
-    let (sent, cpus, since) = (site.stage.relay.sent(), used(&site), Instant::now());
+    let (sent, cpus, since) = (site.testbed.relay.sent(), used(&site), Instant::now());
     pause(lasts / 2);
     let seconds = since.elapsed().as_secs_f64();
-    for (a, b) in sent.iter().zip(site.stage.relay.sent()) {
+    for (a, b) in sent.iter().zip(site.testbed.relay.sent()) {
         row.messages_s = row.messages_s.max((b.0 - a.0) as f64 / seconds);
         row.bytes_s = row.bytes_s.max((b.1 - a.1) as f64 / seconds);
     }
@@ -155,7 +155,7 @@
     // One leaves in good order, and comes back.
     let who = 3 + rng.next_u32() as usize % (ALL - 4);
     let since = site.now();
-    site.act(Act::Leave { who: vec![who] });
+    site.act(TimelineAction::Leave { who: vec![who] });
     row.leaves.push(
         site.known(since, &[who], ": draining", ALL - 1)
             .unwrap_or(f64::INFINITY),
@@ -163,7 +163,7 @@
     if site.known(since, &[who], ": left", ALL - 1).is_none() {
         row.leaves.push(f64::INFINITY);
     }
-    site.act(Act::Start { who: vec![who] });
+    site.act(TimelineAction::Start { who: vec![who] });
     site.agrees(ALL);
 
     // One dies; a seed, with the first of them.
@@ -172,19 +172,19 @@
         3 + rng.next_u32() as usize % (ALL - 3),
     ] {
         let since = site.now();
-        site.act(Act::Kill { who: vec![who] });
+        site.act(TimelineAction::Kill { who: vec![who] });
         row.deaths.push(
             site.known(since, &[who], ": dead", ALL - 1)
                 .unwrap_or(f64::INFINITY),
         );
-        site.act(Act::Start { who: vec![who] });
+        site.act(TimelineAction::Start { who: vec![who] });
         row.agreed.push(site.agrees(ALL));
     }
 
     // Loss.
     for (k, loss, jitter_ms) in [(0, 0.05, 20), (1, 0.3, 200)] {
         let before = site.dead_lines().len();
-        site.act(Act::Links {
+        site.act(TimelineAction::Links {
             faults: Faults {
                 loss,
                 jitter_ms,
@@ -204,7 +204,7 @@
         accused.sort();
         accused.dedup();
         row.accused[k] += accused.len();
-        site.act(Act::Heal);
+        site.act(TimelineAction::Heal);
         row.agreed.push(site.agrees(ALL));
     }
 
@@ -218,8 +218,8 @@
         true,
         Some(site.meter.clone()),
     );
-    let newcomer = started("s-cold", cold.address, 99, "Ready", since.as_millis());
-    site.agent.post(
+    let newcomer = endpoint_entry_with_boot("s-cold", cold.address, 99, "Ready", since.as_millis());
+    site.agent.publish(
         true,
         &listed(&site.servers, "Draining", &format!(",{newcomer}")),
     );
@@ -231,36 +231,36 @@
         .rev()
         .for_each(|k| order.swap(k, rng.next_u32() as usize % (k + 1)));
     let parts: Vec<Vec<usize>> = order.chunks(ALL / 3 + 1).map(<[usize]>::to_vec).collect();
-    site.act(Act::Split {
+    site.act(TimelineAction::Split {
         groups: parts.clone(),
     });
     pause(lasts);
-    site.act(Act::Split {
+    site.act(TimelineAction::Split {
         groups: vec![
             [parts[1].clone(), parts[2].clone()].concat(),
             parts[0].clone(),
         ],
     });
     pause(lasts / 2);
-    site.act(Act::Heal);
+    site.act(TimelineAction::Heal);
     row.agreed.push(site.agrees(ALL));
     // One way only.
     let (a, b) = (order[0], order[1]);
     let before = site.dead_lines().len();
-    site.act(Act::Cut {
+    site.act(TimelineAction::Cut {
         from: vec![a],
         to: vec![b],
     });
     pause(lasts / 2);
     row.accused[0] += site.dead_lines().len() - before;
-    site.act(Act::Heal);
+    site.act(TimelineAction::Heal);
 
     // Stopped for a while: nobody is accused by it.
     let who = order[2];
-    site.act(Act::Stop { who: vec![who] });
+    site.act(TimelineAction::Stop { who: vec![who] });
     pause(lasts);
     let since = site.now();
-    site.act(Act::Continue { who: vec![who] });
+    site.act(TimelineAction::Continue { who: vec![who] });
     row.agreed.push(site.agrees(ALL));
     let by_it = site
         .dead_lines()
@@ -271,22 +271,23 @@
     // A third killed at once and started at once.
     let third = order[..ALL / 3].to_vec();
     let since = site.now();
-    site.act(Act::Kill { who: third.clone() });
+    site.act(TimelineAction::Kill { who: third.clone() });
     row.deaths.push(
         site.known(since, &third, ": dead", ALL - third.len())
             .unwrap_or(f64::INFINITY),
     );
-    site.act(Act::Start { who: third });
+    site.act(TimelineAction::Start { who: third });
     row.agreed.push(site.agrees(ALL));
 
     // Two under one name.
     let since = Instant::now();
-    site.stage.act(&Act::Start { who: vec![TWIN] });
+    site.testbed
+        .apply(&TimelineAction::Start { who: vec![TWIN] });
     let told = || {
         !site
-            .stage
+            .testbed
             .history
-            .lines("a later process runs as n7")
+            .log_lines("a later process runs as n7")
             .is_empty()
     };
     while !told() && since.elapsed() < KNOWN_WITHIN {
@@ -297,7 +298,7 @@
     } else {
         f64::INFINITY
     };
-    site.stage.wait_ready(TWIN);
+    site.testbed.wait_ready(TWIN);
 
     let shots = site.end(&runtime);
     row.twice = site.meter.elsewhere();
@@ -309,7 +310,7 @@
     (row.asked, row.served, row.unanswered) = (shots.asked, shots.served, shots.unanswered);
     if let Some(folder) = std::env::var_os("FROSTHATCH_HISTORY") {
         let file = std::path::Path::new(&folder).join(format!("members-{seed}.jsonl"));
-        site.stage
+        site.testbed
             .history
             .write(&file)
             .expect("the history is written");
@@ -318,9 +319,9 @@
 }
 
 fn used(site: &Site) -> Vec<Duration> {
-    site.stage
+    site.testbed
         .processes
         .iter()
-        .map(|p| p.id().map_or(Duration::ZERO, cpu))
+        .map(|p| p.pid().map_or(Duration::ZERO, cpu))
         .collect()
 }
--- a/crates/lab/src/membership_size.rs
+++ b/crates/lab/src/membership_size.rs
@@ -4,7 +4,7 @@
 use crate::load::{Got, Load};
 use crate::servers::Server;
 use crate::site::{self, cpu, memory_mb, pause, Node, OperatorFile};
-use frosthatch_test_doubles::{target, Discovery, Resolver, Zone};
+use frosthatch_test_doubles::{endpoint_entry, Discovery, Resolver, Zone};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use tokio::runtime::Runtime;
@@ -72,7 +72,7 @@
         let list: Vec<String> = servers
             .iter()
             .enumerate()
-            .map(|(n, s)| target(&format!("s{n}"), s.address, 1, "Ready"))
+            .map(|(n, s)| endpoint_entry(&format!("s{n}"), s.address, 1, "Ready"))
             .collect();
         let agent = Discovery::new(&list.join(","));
         let address = agent.address;
@@ -127,20 +127,20 @@
     let name = |what: &str| format!("{}_{size}_{what}", source_name(by_list));
     let idle = used(&gateway, length);
     figures.show(&name("cpu_idle"), idle * 1e3, "ms/s");
-    figures.show(&name("memory"), memory_mb(gateway.id()), "MB");
+    figures.show(&name("memory"), memory_mb(gateway.pid()), "MB");
 
-    let (before, since) = (cpu(gateway.id()), Instant::now());
+    let (before, since) = (cpu(gateway.pid()), Instant::now());
     for n in 0..CHANGES as usize {
         let (n, drains) = (n / 2 % size, n % 2 == 0);
         match &source {
             Source::List(agent) => {
                 let state = if drains { "Terminating" } else { "Ready" };
-                agent.post(
+                agent.publish(
                     false,
-                    &target(&format!("s{n}"), servers[n].address, 1, state),
+                    &endpoint_entry(&format!("s{n}"), servers[n].address, 1, state),
                 );
             }
-            Source::DnsSd(resolver) => drop(resolver.change(|zone| {
+            Source::DnsSd(resolver) => drop(resolver.change_zone(|zone| {
                 let full = format!("s{n}.{SERVICE}");
                 let state = if drains {
                     "state=draining"
@@ -156,14 +156,14 @@
         }
         pause(APART);
     }
-    let spent = (cpu(gateway.id()) - before).as_secs_f64() - idle * since.elapsed().as_secs_f64();
+    let spent = (cpu(gateway.pid()) - before).as_secs_f64() - idle * since.elapsed().as_secs_f64();
     let change_ms = (spent / f64::from(CHANGES)).max(0.0) * 1e3;
     figures.at_most(&name("cpu_a_change"), change_ms, "ms", MOST_A_CHANGE_MS);
 
-    let before = cpu(gateway.id());
+    let before = cpu(gateway.pid());
     let (load, task) = Load::start(runtime.handle(), vec![gateway.address], PER_S, length);
     site::until("the load ends", || task.is_finished());
-    let spent = (cpu(gateway.id()) - before).as_secs_f64() - idle * length.as_secs_f64();
+    let spent = (cpu(gateway.pid()) - before).as_secs_f64() - idle * length.as_secs_f64();
     let shots = load.shots.lock().expect("shots");
     let served = shots.iter().filter(|s| s.got == Got::Served).count();
     figures.at_least(
@@ -179,7 +179,7 @@
 
 /// CPU a second that a gateway uses when nothing happens.
 fn used(gateway: &frosthatch_test_doubles::Gateway, length: Duration) -> f64 {
-    let before = cpu(gateway.id());
+    let before = cpu(gateway.pid());
     pause(length);
-    (cpu(gateway.id()) - before).as_secs_f64() / length.as_secs_f64()
+    (cpu(gateway.pid()) - before).as_secs_f64() / length.as_secs_f64()
 }
--- a/crates/lab/src/plugins.rs
+++ b/crates/lab/src/plugins.rs
@@ -4,7 +4,7 @@
 use crate::load::{percentile, Got, Load, Shape, CHECK, TOP_UP};
 use crate::servers::Server;
 use crate::site::{cpu, memory_mb, pause, Node, OperatorFile};
-use frosthatch_test_doubles::{config_file, target, Discovery, Gateway};
+use frosthatch_test_doubles::{endpoint_entry, write_config_file, Discovery, Gateway};
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -51,12 +51,12 @@
     let list: Vec<String> = servers
         .iter()
         .enumerate()
-        .map(|(n, s)| target(&format!("s{n}"), s.address, 1, "Ready"))
+        .map(|(n, s)| endpoint_entry(&format!("s{n}"), s.address, 1, "Ready"))
         .collect();
     let agent = Discovery::new(&list.join(","));
     let files: Vec<File> = plugins
         .iter()
-        .map(|(_, module, _)| File(config_file(module)))
+        .map(|(_, module, _)| File(write_config_file(module)))
         .collect();
     let named = plugins.iter().zip(&files);
     let text: String = named
@@ -185,10 +185,10 @@
     for (name, plugins) in cases {
         let runtime = Runtime::new().expect("a runtime");
         let site = site(runtime.handle(), &plugins);
-        let before = cpu(site.gateway.id());
+        let before = cpu(site.gateway.pid());
         let (load, task) = Load::start(runtime.handle(), vec![site.gateway.address], PER_S, length);
         runtime.block_on(async { drop(task.await) });
-        let used = cpu(site.gateway.id()) - before;
+        let used = cpu(site.gateway.pid()) - before;
         let shots = load.shots.lock().expect("shots");
         let us = used.as_secs_f64() * 1e6 / shots.len().max(1) as f64;
         let mut took: Vec<Duration> = shots.iter().map(|s| s.took).collect();
@@ -205,7 +205,7 @@
         figures.show(&format!("{name}_p50_more"), p50 - none.1, "ms");
         figures.show(
             &format!("{name}_memory"),
-            memory_mb(site.gateway.id()),
+            memory_mb(site.gateway.pid()),
             "MB",
         );
         figures.show(
--- a/crates/lab/src/policy.rs
+++ b/crates/lab/src/policy.rs
@@ -3,9 +3,11 @@
 
 use crate::figures::Figures;
 use crate::fleet_site::{Shots, Site, GREEDY, SERVERS};
-use crate::rig::agreed::{self, digest, document_with, Agreed, LetIn};
-use crate::rig::{Act, Faults};
 use crate::site::{cpu, pause};
+use crate::testbed::policy_fixture::{
+    self, digest, document_with_ceiling, AdmittedRequest, PolicyFixture,
+};
+use crate::testbed::{Faults, TimelineAction};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
@@ -178,7 +180,7 @@
 
 struct World {
     site: Site,
-    agreed: Agreed,
+    fixture: PolicyFixture,
     rng: Pcg64Mcg,
     /// By version: digest of what was told as in force; and digests of what was told to be nowhere.
     in_force: BTreeMap<u64, String>,
@@ -191,14 +193,14 @@
 
 impl World {
     fn new(on: &tokio::runtime::Handle, seed: u64, name: &str) -> World {
-        let agreed = Agreed::new(&format!("{name}-{seed}"), KEEPERS, LEASE_MS);
+        let fixture = PolicyFixture::new(&format!("{name}-{seed}"), KEEPERS, LEASE_MS);
         let mut site = Site::new(on, seed, (ALL, ALL), SERVERS, |n, _| {
-            (n, agreed.table(n, ""))
+            (n, fixture.policy_table(n, ""))
         });
-        site.stage.start_all();
+        site.testbed.start_all();
         let world = World {
             site,
-            agreed,
+            fixture,
             rng: Pcg64Mcg::seed_from_u64(seed),
             in_force: BTreeMap::new(),
             nowhere: BTreeSet::new(),
@@ -214,9 +216,9 @@
     }
 
     fn console(&self, by: usize) -> Option<SocketAddr> {
-        self.site.stage.processes[by]
+        self.site.testbed.processes[by]
             .console()
-            .filter(|_| self.site.stage.processes[by].runs())
+            .filter(|_| self.site.testbed.processes[by].is_running())
     }
 
     /// The version and digest that all that run hold, and none below what was told as in force; none: not within the time.
@@ -225,12 +227,12 @@
         let since = Instant::now();
         while since.elapsed() < PATIENCE {
             let running: Vec<usize> = (0..ALL)
-                .filter(|n| self.site.stage.processes[*n].runs())
+                .filter(|n| self.site.testbed.processes[*n].is_running())
                 .collect();
             let held: Vec<Option<(u64, String)>> = running
                 .iter()
                 .map(|n| {
-                    let status = agreed::status(self.console(*n)?)?;
+                    let status = policy_fixture::status(self.console(*n)?)?;
                     let held = (
                         status["version"].as_u64()?,
                         status["digest"].as_str()?.to_string(),
@@ -252,7 +254,7 @@
     fn end(&self, by: usize, number: u64) -> Option<(String, f64)> {
         let since = Instant::now();
         while since.elapsed() < PATIENCE {
-            match agreed::end(self.console(by)?, number) {
+            match policy_fixture::proposal_outcome(self.console(by)?, number) {
                 Some((state, _)) if state != "open" => {
                     return Some((state, since.elapsed().as_secs_f64()))
                 }
@@ -263,7 +265,7 @@
     }
 
     /// Units of the greedy customer that came to servers and do not fit the ceiling that was in force.
-    fn over_ceiling(&self, all: &[LetIn]) -> f64 {
+    fn over_ceiling(&self, all: &[AdmittedRequest]) -> f64 {
         let (now, unix) = (
             Instant::now(),
             SystemTime::now()
@@ -285,7 +287,7 @@
                 high = l.version;
                 let before = changes.last().map_or(20.0, |(_, c)| *c);
                 changes.push((
-                    l.at as f64 / 1e6,
+                    l.at_us as f64 / 1e6,
                     self.ceilings.get(&l.digest).copied().unwrap_or(before),
                 ));
             }
@@ -329,7 +331,7 @@
             continue;
         };
         let ceiling = [20.0, 12.0, 16.0][w.below(3)];
-        let document = document_with(version + 1, &parent, 100.0 + n as f64, ceiling);
+        let document = document_with_ceiling(version + 1, &parent, 100.0 + n as f64, ceiling);
         let before = w.site.shots().refused;
         *row.by_wrong.entry(wrong).or_default() += 1;
         let (end, took) = change(&mut w, wrong, version + 1, &document);
@@ -359,11 +361,11 @@
     }
     row.shots = w.site.end(&runtime);
     row.ends.clone_from(&w.ends);
-    let all = w.agreed.let_in(ALL);
+    let all = w.fixture.admitted_requests(ALL);
     row.let_in = all.len();
-    (row.window, row.seen) = agreed::window(&all);
-    row.forks = agreed::forks(&all);
-    let is = |l: &LetIn, digest: &String| digest.starts_with(&l.digest);
+    (row.window, row.seen) = policy_fixture::stale_version_window(&all);
+    row.forks = policy_fixture::count_conflicting_documents(&all);
+    let is = |l: &AdmittedRequest, digest: &String| digest.starts_with(&l.digest);
     row.told_nowhere_held = w
         .nowhere
         .iter()
@@ -381,7 +383,7 @@
     if let Some(folder) = std::env::var_os("FROSTHATCH_HISTORY") {
         let file = std::path::Path::new(&folder).join(format!("policy-{seed}.jsonl"));
         w.site
-            .stage
+            .testbed
             .history
             .write(&file)
             .expect("the history is written");
@@ -411,24 +413,24 @@
         Wrong::Keeper => {
             // Those that were cut off just now are keepers that are lost, too, until they have caught up.
             pause(Duration::from_millis(2 * LEASE_MS));
-            w.site.act(Act::Kill { who: vec![keeper] });
+            w.site.act(TimelineAction::Kill { who: vec![keeper] });
         }
-        Wrong::Stopped => w.site.act(Act::Stop { who: vec![plain] }),
+        Wrong::Stopped => w.site.act(TimelineAction::Stop { who: vec![plain] }),
         Wrong::CutOff => {
             w.site.shut(&[plain]);
-            w.site.stage.act(&Act::Split {
+            w.site.testbed.apply(&TimelineAction::Split {
                 groups: vec![others(plain), vec![plain]],
             });
         }
         Wrong::OneWay => {
             let to = (by + 1 + w.below(ALL - 1)) % ALL;
-            w.site.act(Act::Cut {
+            w.site.act(TimelineAction::Cut {
                 from: vec![by],
                 to: vec![to],
             });
         }
         Wrong::Loss => {
-            w.site.act(Act::Links {
+            w.site.act(TimelineAction::Links {
                 faults: Faults {
                     loss: 0.3,
                     jitter_ms: 200,
@@ -442,13 +444,13 @@
             let (a, b): (Vec<usize>, Vec<usize>) = (0..ALL).partition(in_a);
             w.site.shut(&b);
             by = a[0];
-            w.site.stage.act(&Act::Split {
+            w.site.testbed.apply(&TimelineAction::Split {
                 groups: vec![a, b.clone()],
             });
             // The other part changes it, too.
             let other = document.replace("rate = 6\n", "rate = 5\n");
             let at = w.console(b[0]);
-            if let Some(Ok(number)) = at.and_then(|at| agreed::propose(at, &other)) {
+            if let Some(Ok(number)) = at.and_then(|at| policy_fixture::propose(at, &other)) {
                 let end = w.end(b[0], number);
                 w.told(&other, version, end.as_ref().map(|(end, _)| end.as_str()));
             }
@@ -467,7 +469,7 @@
         }
         let name = format!("n{gone}");
         let dead = |n: &usize| {
-            let seen = w.console(*n).and_then(crate::rig::Seen::ask);
+            let seen = w.console(*n).and_then(crate::testbed::FleetView::fetch);
             seen.is_some_and(|s| s.states.get(&name).is_some_and(|s| s == "dead"))
         };
         let since = Instant::now();
@@ -477,7 +479,9 @@
     }
     let ended = propose(w, wrong, by, version, document);
     if wrong == Wrong::Stopped {
-        w.site.stage.act(&Act::Continue { who: vec![plain] });
+        w.site
+            .testbed
+            .apply(&TimelineAction::Continue { who: vec![plain] });
     }
     back(w);
     ended
@@ -495,7 +499,10 @@
         (by + 1 + w.below(ALL - 1)) % ALL,
         Duration::from_millis(w.below(250) as u64),
     );
-    let number = match w.console(by).and_then(|at| agreed::propose(at, document)) {
+    let number = match w
+        .console(by)
+        .and_then(|at| policy_fixture::propose(at, document))
+    {
         Some(Ok(number)) => number,
         // It has no lease, or too many are under way.
         Some(Err(_)) => return (Some("refused".into()), 0.0),
@@ -505,21 +512,21 @@
     match wrong {
         Wrong::Proposer => {
             pause(soon);
-            w.site.act(Act::Kill { who: vec![by] });
+            w.site.act(TimelineAction::Kill { who: vec![by] });
         }
         Wrong::Keepers => {
             pause(soon);
-            w.site.act(Act::Kill {
+            w.site.act(TimelineAction::Kill {
                 who: (0..KEEPERS).collect(),
             });
             pause(Duration::from_secs(1));
-            w.site.stage.act(&Act::Start {
+            w.site.testbed.apply(&TimelineAction::Start {
                 who: (0..KEEPERS).collect(),
             });
         }
         Wrong::Everybody => {
             pause(soon);
-            w.site.act(Act::Kill {
+            w.site.act(TimelineAction::Kill {
                 who: (0..ALL).collect(),
             });
         }
@@ -527,7 +534,7 @@
             let two = document.replace("rate = 6\n", "rate = 5\n");
             second = w
                 .console(other)
-                .and_then(|at| agreed::propose(at, &two))
+                .and_then(|at| policy_fixture::propose(at, &two))
                 .and_then(Result::ok)
                 .map(|n| (n, two));
         }
@@ -543,12 +550,14 @@
 
 /// All are there again, and clients go to them once they serve.
 fn back(w: &mut World) {
-    w.site.stage.act(&Act::Heal);
+    w.site.testbed.apply(&TimelineAction::Heal);
     let who: Vec<usize> = (0..ALL)
-        .filter(|n| !w.site.stage.processes[*n].runs())
+        .filter(|n| !w.site.testbed.processes[*n].is_running())
         .collect();
-    w.site.stage.act(&Act::Start { who: who.clone() });
-    who.iter().for_each(|n| w.site.stage.wait_ready(*n));
+    w.site
+        .testbed
+        .apply(&TimelineAction::Start { who: who.clone() });
+    who.iter().for_each(|n| w.site.testbed.wait_ready(*n));
     w.one_policy();
     w.site.agrees(ALL);
     w.site.open();
@@ -558,10 +567,10 @@
 fn cost(leases: bool) -> f64 {
     const GATEWAYS: usize = 3;
     let runtime = Runtime::new().expect("a runtime");
-    let agreed = Agreed::new(&format!("cost-{leases}"), GATEWAYS, 1_000);
+    let fixture = PolicyFixture::new(&format!("cost-{leases}"), GATEWAYS, 1_000);
     let table = |n: usize| {
         // What is let in is not written down: that is not for service.
-        let all = agreed.table(n, "");
+        let all = fixture.policy_table(n, "");
         let kept: Vec<&str> = all
             .lines()
             .filter(|l| leases && !l.starts_with("audit"))
@@ -575,14 +584,18 @@
         SERVERS,
         |n, _| (n, table(n)),
     );
-    site.stage.start_all();
+    site.testbed.start_all();
     site.agrees(GATEWAYS);
     // Beyond the first lease.
     pause(Duration::from_secs(3));
     site.open();
     site.load(runtime.handle(), 9);
     let used = |site: &Site| {
-        let all = site.stage.processes.iter().filter_map(|p| p.id().map(cpu));
+        let all = site
+            .testbed
+            .processes
+            .iter()
+            .filter_map(|p| p.pid().map(cpu));
         (all.sum::<Duration>(), site.shots().served)
     };
     pause(Duration::from_secs(1));
@@ -610,27 +623,27 @@
         {
             lost += 1;
         }
-        let document = document_with(version + 1, &parent, 100.0 + n as f64, 20.0);
+        let document = document_with_ceiling(version + 1, &parent, 100.0 + n as f64, 20.0);
         let by = w.below(ALL);
         let number = w
             .console(by)
-            .and_then(|at| agreed::propose(at, &document))
+            .and_then(|at| policy_fixture::propose(at, &document))
             .and_then(Result::ok);
         // From before the first word to after the last.
         pause(Duration::from_millis(w.below(120) as u64));
         let end = number
             .zip(w.console(by))
-            .and_then(|(n, at)| agreed::end(at, n))
+            .and_then(|(n, at)| policy_fixture::proposal_outcome(at, n))
             .map(|(end, _)| end);
-        w.site.stage.act(&Act::Kill {
+        w.site.testbed.apply(&TimelineAction::Kill {
             who: (0..ALL).collect(),
         });
         told += usize::from(end.as_deref() == Some("in force"));
         w.told(&document, version + 1, end.as_deref());
         torn += (0..KEEPERS)
-            .filter(|k| w.agreed.folder_of(*k).join("new").exists())
+            .filter(|k| w.fixture.state_directory(*k).join("new").exists())
             .count();
-        w.site.stage.start_all();
+        w.site.testbed.start_all();
         w.site.agrees(ALL);
     }
     let last = w.one_policy().map_or(0, |(v, _)| v);
--- a/crates/lab/src/policy_size.rs
+++ b/crates/lab/src/policy_size.rs
@@ -2,7 +2,7 @@
 //! change takes. What members say for themselves beside it is `members-size`'s.
 
 use crate::figures::Figures;
-use crate::rig::agreed::{digest, document};
+use crate::testbed::policy_fixture::{digest, document};
 use frosthatch_policy_consensus::node::{
     ConsensusNode, LeaseLossPolicy, NodeConfig, NodeOutput, ServingState,
 };
--- a/crates/lab/src/quota_links.rs
+++ b/crates/lab/src/quota_links.rs
@@ -4,10 +4,10 @@
 
 use crate::figures::Figures;
 use crate::load::{self, apart, Got, Load, Shape, CHECK};
-use crate::rig::{fleet_file, Act, Faults, Process, Relay, Stage};
 use crate::servers::{all_ready, Server};
 use crate::site::{pause, Node};
-use frosthatch_test_doubles::{config_file, Discovery};
+use crate::testbed::{fleet_file, Faults, Process, Relay, Testbed, TimelineAction};
+use frosthatch_test_doubles::{write_config_file, Discovery};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::sync::{Arc, Mutex};
@@ -28,62 +28,65 @@
 
 struct Fault {
     name: &'static str,
-    begin: Act,
-    end: Act,
+    begin: TimelineAction,
+    end: TimelineAction,
 }
 
 fn faults() -> Vec<Fault> {
-    let cut = |who: usize| Act::Split {
+    let cut = |who: usize| TimelineAction::Split {
         groups: vec![vec![who], (0..GATEWAYS).filter(|g| *g != who).collect()],
     };
     let loss = Faults {
         loss: 0.3,
         ..Faults::default()
     };
-    let one_way = Act::Cut {
+    let one_way = TimelineAction::Cut {
         from: vec![0],
         to: vec![1, 2, 3],
     };
-    let (kill, start) = (Act::Kill { who: vec![3] }, Act::Start { who: vec![3] });
+    let (kill, start) = (
+        TimelineAction::Kill { who: vec![3] },
+        TimelineAction::Start { who: vec![3] },
+    );
     vec![
         Fault {
             name: "nothing",
-            begin: Act::Heal,
-            end: Act::Heal,
+            begin: TimelineAction::Heal,
+            end: TimelineAction::Heal,
         },
         Fault {
             name: "cut_least",
             begin: cut(3),
-            end: Act::Heal,
+            end: TimelineAction::Heal,
         },
         Fault {
             name: "cut_most",
             begin: cut(0),
-            end: Act::Heal,
+            end: TimelineAction::Heal,
         },
         Fault {
             name: "cut_one_way",
             begin: one_way,
-            end: Act::Heal,
+            end: TimelineAction::Heal,
         },
         Fault {
             name: "one_link",
-            begin: Act::Split {
+            begin: TimelineAction::Split {
                 groups: vec![vec![0, 2, 3], vec![1, 2, 3]],
             },
-            end: Act::Heal,
+            end: TimelineAction::Heal,
         },
         Fault {
             name: "halves",
-            begin: Act::Split {
+            begin: TimelineAction::Split {
                 groups: vec![vec![0, 3], vec![1, 2]],
             },
-            end: Act::Heal,
+            end: TimelineAction::Heal,
         },
         Fault {
             name: "loss_30",
-            begin: Act::Links { faults: loss },
-            end: Act::Heal,
+            begin: TimelineAction::Links { faults: loss },
+            end: TimelineAction::Heal,
         },
         Fault {
             name: "killed",
@@ -92,8 +95,8 @@
         },
         Fault {
             name: "stopped",
-            begin: Act::Stop { who: vec![3] },
-            end: Act::Continue { who: vec![3] },
+            begin: TimelineAction::Stop { who: vec![3] },
+            end: TimelineAction::Continue { who: vec![3] },
         },
     ]
 }
@@ -160,7 +163,7 @@
     let servers: Vec<Server> = (0..8).map(|_| Server::start(on, false)).collect();
     let agent = Discovery::new(&all_ready(&servers));
     let relay = Relay::new(on, GATEWAYS, seed);
-    let key = config_file("a key of the lab's own, long enough for all");
+    let key = write_config_file("a key of the lab's own, long enough for all");
     let processes = (0..GATEWAYS).map(|me| {
         let discovery = agent.address;
         let node = Node {
@@ -173,10 +176,10 @@
         };
         Process::new(node, Some(fleet_file(&relay, me, &key, "")))
     });
-    let mut stage = Stage::new(processes.collect(), relay);
-    stage.start_all();
-    stage.wait_found();
-    let load = Load::to(stage.addresses());
+    let mut testbed = Testbed::new(processes.collect(), relay);
+    testbed.start_all();
+    testbed.wait_until_all_found();
+    let load = Load::to(testbed.addresses());
     let shots: Arc<Mutex<Vec<Shot>>> = Arc::default();
     let start = Instant::now() + Duration::from_millis(100);
     let length = BEFORE + lasts + AFTER;
@@ -187,23 +190,23 @@
         on.spawn(ask(load, shots, there, start, length, key, per_s, parts))
     });
     pause((start + BEFORE).saturating_duration_since(Instant::now()));
-    let tell = |stage: &Stage| {
-        for (n, p) in stage.processes.iter().enumerate() {
-            there.lock().expect("who is there")[n] = p.runs();
+    let tell = |testbed: &Testbed| {
+        for (n, p) in testbed.processes.iter().enumerate() {
+            there.lock().expect("who is there")[n] = p.is_running();
         }
     };
-    if let Act::Kill { who } | Act::Stop { who } = &fault.begin {
+    if let TimelineAction::Kill { who } | TimelineAction::Stop { who } = &fault.begin {
         who.iter()
             .for_each(|w| there.lock().expect("who is there")[*w] = false);
     }
-    stage.act(&fault.begin);
+    testbed.apply(&fault.begin);
     pause((start + BEFORE + lasts).saturating_duration_since(Instant::now()));
-    stage.act(&fault.end);
-    if let Act::Start { who } = &fault.end {
-        who.iter().for_each(|w| stage.wait_ready(*w));
-        *load.lock().expect("the load") = Load::to(stage.addresses());
+    testbed.apply(&fault.end);
+    if let TimelineAction::Start { who } = &fault.end {
+        who.iter().for_each(|w| testbed.wait_ready(*w));
+        *load.lock().expect("the load") = Load::to(testbed.addresses());
     }
-    tell(&stage);
+    tell(&testbed);
     runtime.block_on(async {
         for task in tasks {
             let _ = task.await;
--- a/crates/lab/src/servers.rs
+++ b/crates/lab/src/servers.rs
@@ -1,6 +1,6 @@
 //! Servers with cores: a request takes its work, longer while the server is cold, and waits while all cores are busy.
 
-use frosthatch_test_doubles::target;
+use frosthatch_test_doubles::endpoint_entry;
 use std::collections::hash_map::Entry;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -336,7 +336,7 @@
 
 /// The list in which all of them are ready, in one cell.
 pub fn all_ready(servers: &[Server]) -> String {
-    let one = |(n, s): (usize, &Server)| target(&format!("s{n}"), s.address, 1, "Ready");
+    let one = |(n, s): (usize, &Server)| endpoint_entry(&format!("s{n}"), s.address, 1, "Ready");
     servers
         .iter()
         .enumerate()
--- a/crates/lab/src/site.rs
+++ b/crates/lab/src/site.rs
@@ -1,6 +1,6 @@
 //! An installation: the gateways' files and processes, and what they share.
 
-use frosthatch_test_doubles::{program, Gateway};
+use frosthatch_test_doubles::{gateway_binary, Gateway};
 use std::net::{SocketAddr, UdpSocket};
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -28,7 +28,7 @@
 }
 
 fn program_there() -> bool {
-    std::panic::catch_unwind(program).is_ok()
+    std::panic::catch_unwind(gateway_binary).is_ok()
 }
 
 static ENDING: AtomicBool = AtomicBool::new(false);
@@ -131,7 +131,7 @@
         log: impl Fn(&str) + Send + 'static,
     ) -> Gateway {
         let gateway = self.launch(operator, log);
-        until("a gateway gets ready", || gateway.ready());
+        until("a gateway gets ready", || gateway.is_ready());
         gateway
     }
 
@@ -150,7 +150,7 @@
 
 impl OperatorFile {
     pub fn new(text: &str) -> Self {
-        OperatorFile(frosthatch_test_doubles::config_file(text))
+        OperatorFile(frosthatch_test_doubles::write_config_file(text))
     }
 
     pub fn path(&self) -> &Path {
@@ -205,8 +205,9 @@
             .collect();
         let at = |s: &UdpSocket| format!("\"{}\"", s.local_addr().expect("an address"));
         let addresses: Vec<String> = sockets.iter().map(at).collect();
-        let key =
-            frosthatch_test_doubles::config_file("a key of the lab's own, long enough for all");
+        let key = frosthatch_test_doubles::write_config_file(
+            "a key of the lab's own, long enough for all",
+        );
         let text = format!(
             "[peers]\ngateways = [{}]\nkey_file = \"{}\"\n",
             addresses.join(", "),
--- a/crates/lab/src/soak/gateways.rs
+++ b/crates/lab/src/soak/gateways.rs
@@ -2,7 +2,7 @@
 
 use super::record::History;
 use super::servers::WINDOW;
-use frosthatch_test_doubles::{config_file, program, Fault, Shim};
+use frosthatch_test_doubles::{gateway_binary, write_config_file, Fault, Shim};
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -96,7 +96,7 @@
             number,
             address,
             shim: Shim::new(),
-            config: config_file(&text[0]),
+            config: write_config_file(&text[0]),
             text,
             discovery: AtomicUsize::new(0),
             process: Mutex::default(),
@@ -128,7 +128,7 @@
 
     /// Starts the process; the front takes it in once it is ready.
     pub fn start(&self) {
-        let mut command = Command::new(program());
+        let mut command = Command::new(gateway_binary());
         command
             .env("NODE_CONFIG", &self.config)
             .env("FROSTHATCH_LOG", "debug");
--- a/crates/lab/src/upgrade.rs
+++ b/crates/lab/src/upgrade.rs
@@ -5,7 +5,7 @@
 use crate::servers::Server;
 use crate::site::{pause, Node, OperatorFile};
 use frosthatch_handover::message::{Message, VERSION};
-use frosthatch_test_doubles::{target, Discovery, Gateway, LONG};
+use frosthatch_test_doubles::{endpoint_entry, Discovery, Gateway, TIMEOUT};
 use std::io::{Read, Write};
 use std::os::unix::net::UnixStream;
 use std::path::{Path, PathBuf};
@@ -38,7 +38,7 @@
     fn says(&self, what: &str) {
         while !self
             .lines
-            .recv_timeout(LONG)
+            .recv_timeout(TIMEOUT)
             .unwrap_or_else(|_| panic!("{what:?} is logged"))
             .contains(what)
         {}
@@ -49,7 +49,7 @@
 fn fails(socket: &Path, step: usize, old: &Process) {
     let mut link = loop {
         let mut link = UnixStream::connect(socket).expect("the running process is called");
-        link.set_read_timeout(Some(LONG)).expect("a time-out");
+        link.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
         if step == 0 {
             return;
         }
@@ -87,7 +87,7 @@
     let list: Vec<String> = servers
         .iter()
         .enumerate()
-        .map(|(n, s)| target(&format!("s{n}"), s.address, 1, "Ready"))
+        .map(|(n, s)| endpoint_entry(&format!("s{n}"), s.address, 1, "Ready"))
         .collect();
     let agent = Discovery::new(&list.join(","));
     let socket: PathBuf =
@@ -128,7 +128,7 @@
         switches.push(begun.elapsed());
         running.gateway.terminate();
         assert!(
-            running.gateway.wait().success(),
+            running.gateway.wait_for_exit().success(),
             "the old process ends well"
         );
         new.says("the old process has ended");
--- a/crates/test-doubles/src/agent.rs
+++ b/crates/test-doubles/src/agent.rs
@@ -1,133 +1,173 @@
-//! The list agent, in whatever mood.
+//! Test double of the list agent, which serves the endpoint list to gateways.
 
-use crate::http::{read_message, LONG};
+use crate::http::{read_message, TIMEOUT};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How discovery behaves at the moment.
+/// How [`Discovery`] answers calls.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Mood {
-    Telling,
+pub enum DiscoveryMode {
+    /// Answers every call as the protocol says.
+    Answering,
+    /// Leaves calls open until the mode changes.
     Silent,
-    Nonsense,
-    /// Calls that may wait are never answered, others are.
-    DeafToWatches,
-    /// As one that is down: what is called now is never answered, also not later.
+    /// Answers with a body that is not an endpoint list.
+    InvalidBody,
+    /// Answers calls that don't wait for a change, and never answers calls that do (watches).
+    IgnoresWatches,
+    /// Never answers the calls that are open in this mode, also not once the mode has changed.
     Down,
 }
 
-struct Told {
+/// The published endpoint list and how it is served.
+struct DiscoveryState {
     rev: u64,
+    /// `targets` is the whole list; otherwise it holds changes to the previous revision.
     all: bool,
     targets: String,
-    mood: Mood,
+    mode: DiscoveryMode,
     calls: u64,
-    /// Each answer comes so much later.
+    /// Time by which each answer is delayed.
     delay: Duration,
 }
 
-/// Tells every watch the last thing that it was given.
+/// Test double of the discovery service: answers each call with the latest list or change that was published.
 pub struct Discovery {
     pub address: SocketAddr,
-    told: Arc<Mutex<Told>>,
+    state: Arc<Mutex<DiscoveryState>>,
 }
 
 impl Discovery {
+    /// Starts the service with a whole list of `targets`, JSON objects separated by commas.
     pub fn new(targets: &str) -> Discovery {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
-        let told = Told {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
+        let address = listener
+            .local_addr()
+            .expect("a bound listener has an address");
+        let state = DiscoveryState {
             rev: 1,
             all: true,
             targets: targets.into(),
-            mood: Mood::Telling,
+            mode: DiscoveryMode::Answering,
             calls: 0,
             delay: Duration::ZERO,
         };
-        let told = Arc::new(Mutex::new(told));
-        let shared = told.clone();
+        let state = Arc::new(Mutex::new(state));
+        let shared = state.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let told = shared.clone();
-                thread::spawn(move || tell_list(stream, &told));
+                let state = shared.clone();
+                thread::spawn(move || serve(stream, &state));
             }
         });
-        Discovery { address, told }
+        Discovery { address, state }
     }
 
-    pub fn mood(&self, mood: Mood) {
-        self.told.lock().expect("discovery").mood = mood;
+    /// Changes the mode, also for calls that are open.
+    pub fn set_mode(&self, mode: DiscoveryMode) {
+        self.state
+            .lock()
+            .expect("no thread panics while it holds the state")
+            .mode = mode;
     }
 
-    /// Each answer comes so much later from now on.
-    pub fn delay(&self, delay: Duration) {
-        self.told.lock().expect("discovery").delay = delay;
+    /// Delays each answer by this much from now on.
+    pub fn set_delay(&self, delay: Duration) {
+        self.state
+            .lock()
+            .expect("no thread panics while it holds the state")
+            .delay = delay;
     }
 
-    /// A change, or a whole list; returns once the gateway has been told and has asked again.
-    pub fn tell(&self, all: bool, targets: &str) {
-        self.post(all, targets);
-        self.asked_again(2);
+    /// Publishes a change, or a whole list if `all` is set, and waits until the gateway has fetched it and called
+    /// again.
+    pub fn publish_and_wait(&self, all: bool, targets: &str) {
+        self.publish(all, targets);
+        self.wait_for_calls(2);
     }
 
-    /// The same, and returns at once. A change that nobody asks for before the next is never told.
-    pub fn post(&self, all: bool, targets: &str) {
-        let mut told = self.told.lock().expect("discovery");
-        (told.rev, told.all, told.targets) = (told.rev + 1, all, targets.into());
+    /// Publishes a change or a whole list and returns at once. A change that is not fetched before the next one is
+    /// published is never sent.
+    pub fn publish(&self, all: bool, targets: &str) {
+        let mut state = self
+            .state
+            .lock()
+            .expect("no thread panics while it holds the state");
+        (state.rev, state.all, state.targets) = (state.rev + 1, all, targets.into());
     }
 
-    /// Waits until the gateway has asked so many times more.
-    pub fn asked_again(&self, times: u64) {
-        let calls = || self.told.lock().expect("discovery").calls;
-        let (before, since) = (calls(), Instant::now());
-        while calls() < before + times {
-            assert!(since.elapsed() < LONG, "discovery is asked again");
+    /// Waits until the gateway has made `times` more calls.
+    pub fn wait_for_calls(&self, times: u64) {
+        let calls = || {
+            self.state
+                .lock()
+                .expect("no thread panics while it holds the state")
+                .calls
+        };
+        let (calls_before, start) = (calls(), Instant::now());
+        while calls() < calls_before + times {
+            assert!(
+                start.elapsed() < TIMEOUT,
+                "the gateway calls discovery again within the time limit"
+            );
             thread::sleep(Duration::from_millis(5));
         }
     }
 }
 
-fn tell_list(stream: TcpStream, told: &Mutex<Told>) {
+/// Answers the calls of one connection as the current mode says.
+fn serve(stream: TcpStream, state: &Mutex<DiscoveryState>) {
     let Ok(mut write) = stream.try_clone() else {
         return;
     };
     let mut read = BufReader::new(stream);
     while let Some(message) = read_message(&mut read) {
-        told.lock().expect("discovery").calls += 1;
+        state
+            .lock()
+            .expect("no thread panics while it holds the state")
+            .calls += 1;
         let from = message
             .line
             .split_once("from=")
             .and_then(|(_, r)| r.split('&').next()?.parse::<u64>().ok());
-        let waits = from.is_some() && !message.line.contains("hold_ms=0 ");
-        let (since, mut lost) = (Instant::now(), false);
+        let is_watch = from.is_some() && !message.line.contains("hold_ms=0 ");
+        let (received, mut never_answered) = (Instant::now(), false);
         let body = loop {
-            let told = told.lock().expect("discovery");
-            let news = from.is_none_or(|from| from < told.rev);
-            match told.mood {
-                Mood::Down => lost = true,
-                Mood::DeafToWatches if waits => lost = true,
-                Mood::Nonsense => break "{\"rev\":true}".to_string(),
-                Mood::Telling | Mood::DeafToWatches if news && !lost => {
-                    let all = told.all || from.is_none();
+            let state = state
+                .lock()
+                .expect("no thread panics while it holds the state");
+            let has_update = from.is_none_or(|from| from < state.rev);
+            match state.mode {
+                DiscoveryMode::Down => never_answered = true,
+                DiscoveryMode::IgnoresWatches if is_watch => never_answered = true,
+                DiscoveryMode::InvalidBody => break "{\"rev\":true}".to_string(),
+                DiscoveryMode::Answering | DiscoveryMode::IgnoresWatches
+                    if has_update && !never_answered =>
+                {
+                    let all = state.all || from.is_none();
                     break format!(
                         "{{\"rev\":{},\"all\":{all},\"targets\":[{}]}}",
-                        told.rev, told.targets
+                        state.rev, state.targets
                     );
                 }
-                Mood::Telling | Mood::DeafToWatches
-                    if !lost && (!waits || since.elapsed() > Duration::from_millis(500)) =>
+                DiscoveryMode::Answering | DiscoveryMode::IgnoresWatches
+                    if !never_answered
+                        && (!is_watch || received.elapsed() > Duration::from_millis(500)) =>
                 {
-                    break format!("{{\"rev\":{},\"all\":false,\"targets\":[]}}", told.rev);
+                    break format!("{{\"rev\":{},\"all\":false,\"targets\":[]}}", state.rev);
                 }
                 _ => {}
             }
-            drop(told);
+            drop(state);
             thread::sleep(Duration::from_millis(5));
         };
-        let delay = told.lock().expect("discovery").delay;
+        let delay = state
+            .lock()
+            .expect("no thread panics while it holds the state")
+            .delay;
         thread::sleep(delay);
         let _ = write!(
             write,
@@ -137,11 +177,19 @@
     }
 }
 
-pub fn target(uid: &str, address: SocketAddr, cell: u64, state: &str) -> String {
-    started(uid, address, cell, state, 0)
+/// Returns the JSON object of an endpoint list entry with `boot_ms` 0.
+pub fn endpoint_entry(uid: &str, address: SocketAddr, cell: u64, state: &str) -> String {
+    endpoint_entry_with_boot(uid, address, cell, state, 0)
 }
 
-pub fn started(uid: &str, address: SocketAddr, cell: u64, state: &str, boot_ms: u128) -> String {
+/// Returns the JSON object of an endpoint list entry.
+pub fn endpoint_entry_with_boot(
+    uid: &str,
+    address: SocketAddr,
+    cell: u64,
+    state: &str,
+    boot_ms: u128,
+) -> String {
     format!(
         r#"{{"uid":"{uid}","endpoint":"{address}","az":"hall-a","model":"m","pod_group":{cell},"state":"{state}","capacity_hint":1.0,"boot_ms":{boot_ms}}}"#
     )
--- a/crates/test-doubles/src/diameter.rs
+++ b/crates/test-doubles/src/diameter.rs
@@ -1,7 +1,7 @@
-//! Diameter peers (RFC 6733, RFC 8506) that do as a test says. They use the gateway's codec, which is tested by vectors
-//! written by hand.
+//! Test doubles of Diameter peers (RFC 6733, RFC 8506) that behave as a test says. They use the gateway's codec,
+//! which is tested with hand-written vectors.
 
-use crate::http::LONG;
+use crate::http::TIMEOUT;
 use frosthatch_diameter::codec::{flag, frame, Avp, Header, Message};
 use frosthatch_diameter::dictionary::{code, command, result};
 use std::io::{Read, Write};
@@ -11,32 +11,38 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-pub fn read(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<Message> {
+/// Reads the next message; `None` if the connection ends or the message cannot be decoded.
+pub fn read_diameter_message(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<Message> {
     loop {
         if let Some(length) = frame(buffer).ok()? {
             let bytes: Vec<u8> = buffer.drain(..length).collect();
             return Message::decode(bytes.into()).ok();
         }
         let mut chunk = [0; 4_096];
-        let n = stream.read(&mut chunk).ok().filter(|&n| n > 0)?;
-        buffer.extend(&chunk[..n]);
+        let count = stream.read(&mut chunk).ok().filter(|&count| count > 0)?;
+        buffer.extend(&chunk[..count]);
     }
 }
 
-pub fn base(message: Message, host: &str) -> Message {
+/// Adds the AVPs of the sender, Origin-Host and Origin-Realm.
+pub fn with_origin(message: Message, host: &str) -> Message {
     message
         .with(Avp::of_text(code::ORIGIN_HOST, host))
         .with(Avp::of_text(code::ORIGIN_REALM, "example.org"))
 }
 
-pub fn with_result(to: &Message, host: &str, result: u32) -> Message {
-    base(
-        to.answer().with(Avp::of_u32(code::RESULT_CODE, result)),
+/// Builds an answer to `request` with a Result-Code.
+pub fn answer_with_result(request: &Message, host: &str, result: u32) -> Message {
+    with_origin(
+        request
+            .answer()
+            .with(Avp::of_u32(code::RESULT_CODE, result)),
         host,
     )
 }
 
-fn capabilities(message: Message, state_id: u32) -> Message {
+/// Adds the AVPs of a capabilities exchange for the credit-control application.
+fn with_capabilities(message: Message, state_id: u32) -> Message {
     message
         .with(Avp::new(code::HOST_IP_ADDRESS, vec![0, 1, 127, 0, 0, 1]))
         .with(Avp::of_u32(code::VENDOR_ID, 0))
@@ -45,71 +51,86 @@
         .with(Avp::of_u32(code::AUTH_APPLICATION_ID, 4))
 }
 
-/// A server of credit control: answers as a test says.
-pub struct DServer {
+/// Credit-control server that answers as a test says.
+pub struct DiameterServer {
     pub address: SocketAddr,
-    pub seen: Receiver<Message>,
-    /// Watchdogs are answered.
-    pub alive: Arc<AtomicBool>,
+    /// Credit-Control-Requests received.
+    pub requests: Receiver<Message>,
+    /// Whether Device-Watchdog-Requests are answered.
+    pub answers_watchdogs: Arc<AtomicBool>,
+    /// Origin-State-Id sent in capabilities exchanges.
     pub state_id: Arc<AtomicU32>,
+    /// Accepted connections.
     pub streams: Arc<Mutex<Vec<TcpStream>>>,
-    goodbyes: Arc<AtomicU32>,
+    disconnect_requests: Arc<AtomicU32>,
     host: String,
 }
 
-impl DServer {
-    /// `answer`: none is silence.
+impl DiameterServer {
+    /// Starts a server that answers each Credit-Control-Request with what `answer` returns; `None` means no answer.
     pub fn new(
         host: &str,
         answer: impl Fn(&Message) -> Option<Message> + Send + Sync + 'static,
-    ) -> DServer {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
-        let (tell, seen) = channel();
-        let alive = Arc::new(AtomicBool::new(true));
+    ) -> DiameterServer {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
+        let address = listener
+            .local_addr()
+            .expect("a bound listener has an address");
+        let (request_sender, requests) = channel();
+        let answers_watchdogs = Arc::new(AtomicBool::new(true));
         let state_id = Arc::new(AtomicU32::new(1));
         let streams: Arc<Mutex<Vec<TcpStream>>> = Arc::default();
-        let goodbyes = Arc::new(AtomicU32::new(0));
-        let (answer, lives, state, open, heard) = (
+        let disconnect_requests = Arc::new(AtomicU32::new(0));
+        let (answer, watchdogs_enabled, shared_state_id, open_streams, disconnect_counter) = (
             Arc::new(answer),
-            alive.clone(),
+            answers_watchdogs.clone(),
             state_id.clone(),
             streams.clone(),
-            goodbyes.clone(),
+            disconnect_requests.clone(),
         );
-        let name = host.to_string();
+        let origin_host = host.to_string();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let _ = stream.set_nodelay(true);
-                open.lock()
-                    .expect("streams")
-                    .push(stream.try_clone().expect("a clone"));
-                let (tell, answer, lives, state, name, byes) = (
-                    tell.clone(),
+                open_streams
+                    .lock()
+                    .expect("no thread panics while it holds the streams")
+                    .push(stream.try_clone().expect("a socket can be cloned"));
+                let (
+                    request_sender,
+                    answer,
+                    watchdogs_enabled,
+                    state_id,
+                    origin_host,
+                    disconnect_counter,
+                ) = (
+                    request_sender.clone(),
                     answer.clone(),
-                    lives.clone(),
-                    state.clone(),
-                    name.clone(),
-                    heard.clone(),
+                    watchdogs_enabled.clone(),
+                    shared_state_id.clone(),
+                    origin_host.clone(),
+                    disconnect_counter.clone(),
                 );
                 thread::spawn(move || {
                     let (mut stream, mut buffer) = (stream, Vec::new());
-                    while let Some(message) = read(&mut stream, &mut buffer) {
-                        let good = || with_result(&message, &name, result::SUCCESS);
+                    while let Some(message) = read_diameter_message(&mut stream, &mut buffer) {
+                        let success =
+                            || answer_with_result(&message, &origin_host, result::SUCCESS);
                         let reply =
                             match (message.header.command, message.header.has(flag::REQUEST)) {
-                                (command::CAPABILITIES_EXCHANGE, true) => {
-                                    Some(capabilities(good(), state.load(Ordering::SeqCst)))
-                                }
+                                (command::CAPABILITIES_EXCHANGE, true) => Some(with_capabilities(
+                                    success(),
+                                    state_id.load(Ordering::SeqCst),
+                                )),
                                 (command::DEVICE_WATCHDOG, true) => {
-                                    lives.load(Ordering::SeqCst).then(good)
+                                    watchdogs_enabled.load(Ordering::SeqCst).then(success)
                                 }
                                 (command::DISCONNECT_PEER, true) => {
-                                    byes.fetch_add(1, Ordering::SeqCst);
-                                    Some(good())
+                                    disconnect_counter.fetch_add(1, Ordering::SeqCst);
+                                    Some(success())
                                 }
                                 (command::CREDIT_CONTROL, true) => {
-                                    let _ = tell.send(message.clone());
+                                    let _ = request_sender.send(message.clone());
                                     answer(&message)
                                 }
                                 _ => None,
@@ -121,45 +142,50 @@
                 });
             }
         });
-        DServer {
+        DiameterServer {
             address,
-            seen,
-            alive,
+            requests,
+            answers_watchdogs,
             state_id,
             streams,
-            goodbyes,
+            disconnect_requests,
             host: host.into(),
         }
     }
 
-    /// One that grants all that is asked.
-    pub fn granting(host: &'static str) -> DServer {
-        DServer::new(host, move |ccr| Some(granted(ccr, host)))
+    /// Starts a server that answers every request with success.
+    pub fn granting(host: &'static str) -> DiameterServer {
+        DiameterServer::new(host, move |ccr| Some(success_answer(ccr, host)))
     }
 
-    pub fn request(&self) -> Message {
-        self.seen.recv_timeout(LONG).expect("a request comes")
+    /// Returns the next Credit-Control-Request received.
+    pub fn next_request(&self) -> Message {
+        self.requests
+            .recv_timeout(TIMEOUT)
+            .expect("the gateway sends a request within the time limit")
     }
 
-    /// Goodbyes that it has heard.
-    pub fn goodbyes(&self) -> u32 {
-        self.goodbyes.load(Ordering::SeqCst)
+    /// Returns the number of Disconnect-Peer-Requests received.
+    pub fn received_disconnect_requests(&self) -> u32 {
+        self.disconnect_requests.load(Ordering::SeqCst)
     }
 
-    pub fn so_far(&self) -> usize {
-        self.seen.try_iter().count()
+    /// Takes the Credit-Control-Requests received so far and returns their number.
+    pub fn drain_request_count(&self) -> usize {
+        self.requests.try_iter().count()
     }
 
-    pub fn cut(&self) {
+    /// Closes all connections.
+    pub fn close_connections(&self) {
         self.streams
             .lock()
-            .expect("streams")
+            .expect("no thread panics while it holds the streams")
             .drain(..)
-            .for_each(|s| drop(s.shutdown(Shutdown::Both)));
+            .for_each(|stream| drop(stream.shutdown(Shutdown::Both)));
     }
 
-    /// Says goodbye on every connection.
-    pub fn leave(&self) {
+    /// Sends a Disconnect-Peer-Request on every connection.
+    pub fn send_disconnect_requests(&self) {
         let header = Header {
             flags: flag::REQUEST,
             command: command::DISCONNECT_PEER,
@@ -167,17 +193,23 @@
             hop_by_hop: 1,
             end_to_end: 1,
         };
-        let dpr =
-            base(Message::new(header), &self.host).with(Avp::of_u32(code::DISCONNECT_CAUSE, 0));
-        for s in self.streams.lock().expect("streams").iter_mut() {
-            let _ = s.write_all(&dpr.encode());
+        let dpr = with_origin(Message::new(header), &self.host)
+            .with(Avp::of_u32(code::DISCONNECT_CAUSE, 0));
+        for stream in self
+            .streams
+            .lock()
+            .expect("no thread panics while it holds the streams")
+            .iter_mut()
+        {
+            let _ = stream.write_all(&dpr.encode());
         }
     }
 }
 
-pub fn granted(ccr: &Message, host: &str) -> Message {
-    let mut answer =
-        with_result(ccr, host, result::SUCCESS).with(Avp::of_u32(code::AUTH_APPLICATION_ID, 4));
+/// Builds a successful answer to a Credit-Control-Request.
+pub fn success_answer(ccr: &Message, host: &str) -> Message {
+    let mut answer = answer_with_result(ccr, host, result::SUCCESS)
+        .with(Avp::of_u32(code::AUTH_APPLICATION_ID, 4));
     answer.avps.extend(
         [code::CC_REQUEST_TYPE, code::CC_REQUEST_NUMBER]
             .iter()
@@ -186,11 +218,13 @@
     answer
 }
 
-pub struct DClient {
+/// Diameter client with one connection to a gateway.
+pub struct DiameterClient {
     pub stream: TcpStream,
     buffer: Vec<u8>,
 }
 
+/// Builds a Capabilities-Exchange-Request.
 pub fn cer(host: &str) -> Message {
     let header = Header {
         flags: flag::REQUEST,
@@ -199,24 +233,30 @@
         hop_by_hop: 1,
         end_to_end: 1,
     };
-    capabilities(base(Message::new(header), host), 1)
+    with_capabilities(with_origin(Message::new(header), host), 1)
 }
 
-impl DClient {
-    pub fn raw(address: SocketAddr) -> DClient {
-        let stream = TcpStream::connect(address).expect("it accepts");
-        stream.set_read_timeout(Some(LONG)).expect("a time-out");
+impl DiameterClient {
+    /// Connects without a capabilities exchange.
+    pub fn connect(address: SocketAddr) -> DiameterClient {
+        let stream = TcpStream::connect(address).expect("the gateway accepts connections");
+        stream
+            .set_read_timeout(Some(TIMEOUT))
+            .expect("the read timeout is not zero");
         let _ = stream.set_nodelay(true);
-        DClient {
+        DiameterClient {
             stream,
             buffer: Vec::new(),
         }
     }
 
-    pub fn new(address: SocketAddr, host: &str) -> DClient {
-        let mut client = DClient::raw(address);
+    /// Connects and exchanges capabilities.
+    pub fn new(address: SocketAddr, host: &str) -> DiameterClient {
+        let mut client = DiameterClient::connect(address);
         client.send(&cer(host));
-        let cea = client.answer().expect("capabilities");
+        let cea = client
+            .answer()
+            .expect("the gateway answers the Capabilities-Exchange-Request");
         assert_eq!(cea.result(), Some(result::SUCCESS));
         client
     }
@@ -225,29 +265,37 @@
         let _ = self.stream.write_all(&message.encode());
     }
 
-    /// The next message that is no watchdog, which is answered; none if the connection ends.
+    /// Returns the next message other than a watchdog message, answering watchdog requests meanwhile; `None` if the
+    /// connection ends.
     pub fn answer(&mut self) -> Option<Message> {
         loop {
-            let message = read(&mut self.stream, &mut self.buffer)?;
+            let message = read_diameter_message(&mut self.stream, &mut self.buffer)?;
             if message.header.command != command::DEVICE_WATCHDOG {
                 return Some(message);
             }
             if message.header.has(flag::REQUEST) {
-                self.send(&with_result(&message, "till.example.org", result::SUCCESS));
+                self.send(&answer_with_result(
+                    &message,
+                    "till.example.org",
+                    result::SUCCESS,
+                ));
             }
         }
     }
 
-    pub fn ask(&mut self, message: &Message) -> Message {
+    /// Sends a request and returns the next message received.
+    pub fn exchange(&mut self, message: &Message) -> Message {
         self.send(message);
-        self.answer().expect("an answer")
+        self.answer().expect("the gateway answers the request")
     }
 }
 
-static NEXT: AtomicU32 = AtomicU32::new(100);
+/// Next identifier of a request or a session.
+static NEXT_ID: AtomicU32 = AtomicU32::new(100);
 
-pub fn request(session: &str, kind: u32, number: u32) -> Message {
-    let id = NEXT.fetch_add(1, Ordering::SeqCst);
+/// Builds a Credit-Control-Request with this CC-Request-Type and CC-Request-Number.
+pub fn credit_control_request(session: &str, request_type: u32, number: u32) -> Message {
+    let id = NEXT_ID.fetch_add(1, Ordering::SeqCst);
     let flags = flag::REQUEST | flag::PROXIABLE;
     let header = Header {
         flags,
@@ -263,11 +311,12 @@
         .with(Avp::of_text(code::DESTINATION_REALM, "example.org"))
         .with(Avp::of_u32(code::AUTH_APPLICATION_ID, 4))
         .with(Avp::of_text(code::SERVICE_CONTEXT_ID, "topup@example.org"))
-        .with(Avp::of_u32(code::CC_REQUEST_TYPE, kind))
+        .with(Avp::of_u32(code::CC_REQUEST_TYPE, request_type))
         .with(Avp::of_u32(code::CC_REQUEST_NUMBER, number))
 }
 
-pub fn of_customer(message: Message, data: &str) -> Message {
+/// Adds a Subscription-Id with the customer's number.
+pub fn with_customer(message: Message, data: &str) -> Message {
     let group = [
         Avp::of_u32(code::SUBSCRIPTION_ID_TYPE, 0),
         Avp::of_text(code::SUBSCRIPTION_ID_DATA, data),
@@ -275,18 +324,23 @@
     message.with(Avp::of_group(code::SUBSCRIPTION_ID, &group))
 }
 
-pub fn units(message: Message, units: u64) -> Message {
+/// Adds a Requested-Service-Unit.
+pub fn with_units(message: Message, units: u64) -> Message {
     let group = [Avp::of_u64(code::CC_SERVICE_SPECIFIC_UNITS, units)];
     message.with(Avp::of_group(code::REQUESTED_SERVICE_UNIT, &group))
 }
 
-/// An event: 0 debits, 2 checks the balance.
-pub fn event(action: u32) -> Message {
-    let session = format!("till.example.org;1;{}", NEXT.fetch_add(1, Ordering::SeqCst));
-    of_customer(request(&session, 4, 0), "4512345678")
-        .with(Avp::of_u32(code::REQUESTED_ACTION, action))
+/// Builds an event request with this Requested-Action: 0 debits, 2 checks the balance.
+pub fn event_request(requested_action: u32) -> Message {
+    let session = format!(
+        "till.example.org;1;{}",
+        NEXT_ID.fetch_add(1, Ordering::SeqCst)
+    );
+    with_customer(credit_control_request(&session, 4, 0), "4512345678")
+        .with(Avp::of_u32(code::REQUESTED_ACTION, requested_action))
 }
 
-pub fn opening(session: &str) -> Message {
-    of_customer(request(session, 1, 0), "4512345678")
+/// Builds the initial request of a session.
+pub fn initial_request(session: &str) -> Message {
+    with_customer(credit_control_request(session, 1, 0), "4512345678")
 }
--- a/crates/test-doubles/src/http.rs
+++ b/crates/test-doubles/src/http.rs
@@ -1,4 +1,4 @@
-//! Servers that answer over HTTP/1.1 as a test says, and clients that read the answers.
+//! HTTP/1.1 servers that answer as a test says, and the message reader that servers and clients share.
 
 use socket2::{Domain, SockRef, Socket, Type};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -8,20 +8,23 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Nothing here takes this long, on however busy a machine.
-pub const LONG: Duration = Duration::from_secs(20);
+/// Time limit of every wait in the tests, longer than any of them takes on a busy machine.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// One message of HTTP/1.1, as it came.
+/// An HTTP/1.1 request or response as received.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
+    /// Request line or status line.
     pub line: String,
     pub headers: Vec<(String, String)>,
     pub body: String,
-    /// How long its connection had been idle; at a server only, and not for a connection's first.
+    /// Idle time of the connection before this request. Set only by servers, and not for the first request of a
+    /// connection.
     pub idle: Option<Duration>,
 }
 
 impl Message {
+    /// Returns the value of the first header with this name, without regard to case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -29,6 +32,7 @@
             .map(|(_, v)| v.as_str())
     }
 
+    /// Returns the status code of a response, or 0 if it has none.
     pub fn status(&self) -> u16 {
         self.line
             .split(' ')
@@ -38,7 +42,7 @@
     }
 }
 
-/// Reads one message; none if the connection ends first.
+/// Reads one message; `None` if the connection ends first.
 pub fn read_message(from: &mut impl BufRead) -> Option<Message> {
     let mut message = Message::default();
     let mut line = String::new();
@@ -67,7 +71,7 @@
     None
 }
 
-/// A body in chunks, without extensions or trailers; none if it is cut short.
+/// Reads a chunked body without extensions or trailers; `None` if it is incomplete.
 fn read_chunks(from: &mut impl BufRead) -> Option<Vec<u8>> {
     let mut body = Vec::new();
     loop {
@@ -83,22 +87,23 @@
     }
 }
 
-/// What a stand-in server does with a request.
+/// What a [`Server`] does with a request.
 pub enum Reply {
-    /// These bytes, then the next request.
+    /// Sends these bytes and reads the next request.
     Bytes(String),
-    /// These bytes, then, a little later, these.
-    Twice(String, String),
-    /// These bytes, then, a little later, the end of the connection.
-    Last(String),
-    /// These bytes, then, a little later, a reset.
-    Reset(String),
-    /// The end of the connection.
-    End,
-    /// Nothing, for as long as the gateway stays.
+    /// Sends the first bytes and, 2 ms later, the second.
+    BytesInTwoParts(String, String),
+    /// Sends these bytes and, 30 ms later, closes the connection.
+    BytesThenClose(String),
+    /// Sends these bytes and, 30 ms later, resets the connection.
+    BytesThenReset(String),
+    /// Closes the connection.
+    Close,
+    /// Sends nothing until the gateway closes the connection.
     Silence,
 }
 
+/// Returns a 200 response with this body.
 pub fn ok(body: &str) -> Reply {
     Reply::Bytes(format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
@@ -106,176 +111,210 @@
     ))
 }
 
+/// Returns a response without a body; `line` is its status line after the version.
 pub fn status(line: &str) -> Reply {
     Reply::Bytes(format!("HTTP/1.1 {line}\r\nContent-Length: 0\r\n\r\n"))
 }
 
+/// Returns a 503 response which states that the request was not executed.
 pub fn never_ran() -> Reply {
     status("503 Service Unavailable\r\nX-Never-Ran: 1")
 }
 
-/// What happens at a server, in order.
+/// An event at a [`Server`].
 #[derive(Debug)]
-pub enum Seen {
+pub enum ServerEvent {
+    /// A connection was accepted.
     Connected,
     Request(Message),
-    /// The gateway ended a connection.
+    /// A connection ended.
     Closed,
 }
 
+/// HTTP server that answers as a test says.
 pub struct Server {
     pub address: SocketAddr,
-    pub seen: Receiver<Seen>,
+    /// Events in the order in which they occur.
+    pub events: Receiver<ServerEvent>,
 }
 
 impl Server {
+    /// Starts a server on a port of its own.
     pub fn new(reply: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Server {
-        Server::at(TcpListener::bind("127.0.0.1:0").expect("a port"), reply)
+        Server::on_listener(
+            TcpListener::bind("127.0.0.1:0").expect("a loopback port is free"),
+            reply,
+        )
     }
 
-    /// The same at a listener that is there already.
-    pub fn at(
+    /// Starts a server on an existing listener.
+    pub fn on_listener(
         listener: TcpListener,
         reply: impl Fn(&Message) -> Reply + Send + Sync + 'static,
     ) -> Server {
-        let address = listener.local_addr().expect("an address");
-        let (tell, seen) = channel();
+        let address = listener
+            .local_addr()
+            .expect("a bound listener has an address");
+        let (event_sender, events) = channel();
         let reply = Arc::new(reply);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (tell, reply) = (tell.clone(), reply.clone());
-                let _ = tell.send(Seen::Connected);
+                let (event_sender, reply) = (event_sender.clone(), reply.clone());
+                let _ = event_sender.send(ServerEvent::Connected);
                 thread::spawn(move || {
-                    converse(stream, &tell, &*reply);
-                    let _ = tell.send(Seen::Closed);
+                    serve_connection(stream, &event_sender, &*reply);
+                    let _ = event_sender.send(ServerEvent::Closed);
                 });
             }
         });
-        Server { address, seen }
+        Server { address, events }
     }
 
-    /// One that answers each request like this, once it is told to.
-    pub fn held(reply: fn() -> Reply) -> (Server, Sender<()>) {
-        let (go, gone) = channel::<()>();
-        let gone = Mutex::new(gone);
+    /// Starts a server that answers one request with `reply` for each message on the returned channel.
+    pub fn gated(reply: fn() -> Reply) -> (Server, Sender<()>) {
+        let (release, released) = channel::<()>();
+        let released = Mutex::new(released);
         let server = Server::new(move |_| {
-            let _ = gone.lock().expect("one at a time").recv_timeout(LONG);
+            let _ = released
+                .lock()
+                .expect("no thread panics while it holds the receiver")
+                .recv_timeout(TIMEOUT);
             reply()
         });
-        (server, go)
+        (server, release)
     }
 
-    /// The next request, once it has come.
-    pub fn request(&self) -> Message {
+    /// Waits for the next request and returns it.
+    pub fn next_request(&self) -> Message {
         loop {
-            if let Seen::Request(m) = self.seen.recv_timeout(LONG).expect("a request comes") {
+            if let ServerEvent::Request(m) = self
+                .events
+                .recv_timeout(TIMEOUT)
+                .expect("a request arrives within the time limit")
+            {
                 return m;
             }
         }
     }
 
-    /// Waits until another connection has come up.
-    pub fn connected(&self) {
+    /// Waits until another connection has been accepted.
+    pub fn wait_connected(&self) {
         while !matches!(
-            self.seen.recv_timeout(LONG).expect("a connection comes up"),
-            Seen::Connected
+            self.events
+                .recv_timeout(TIMEOUT)
+                .expect("a connection is accepted within the time limit"),
+            ServerEvent::Connected
         ) {}
     }
 
-    /// Waits until the gateway ends a connection.
-    pub fn closed(&self) {
+    /// Waits until a connection has ended.
+    pub fn wait_closed(&self) {
         while !matches!(
-            self.seen.recv_timeout(LONG).expect("a connection ends"),
-            Seen::Closed
+            self.events
+                .recv_timeout(TIMEOUT)
+                .expect("a connection ends within the time limit"),
+            ServerEvent::Closed
         ) {}
     }
 
-    /// All that has happened so far.
-    pub fn so_far(&self) -> Vec<Seen> {
-        self.seen.try_iter().collect()
+    /// Takes the events that have occurred so far.
+    pub fn drain_events(&self) -> Vec<ServerEvent> {
+        self.events.try_iter().collect()
     }
 
-    pub fn requests_so_far(&self) -> usize {
-        self.so_far()
+    /// Takes the events that have occurred so far and returns the number of requests among them.
+    pub fn drain_request_count(&self) -> usize {
+        self.drain_events()
             .iter()
-            .filter(|s| matches!(s, Seen::Request(_)))
+            .filter(|s| matches!(s, ServerEvent::Request(_)))
             .count()
     }
 }
 
-/// A server to which connections come up late: its queue is full until it opens, and then the system tries again, a second
-/// after it did first and two after that.
-pub struct Crowded {
+/// Listener whose backlog is full until [`FullBacklog::accept`], so that connections are established late: the
+/// kernel retransmits a SYN 1 s after the first attempt and 2 s after that.
+pub struct FullBacklog {
     listener: TcpListener,
-    /// What fills the queue.
-    crowd: Vec<TcpStream>,
+    /// Connections that fill the backlog.
+    fillers: Vec<TcpStream>,
 }
 
-impl Crowded {
+impl FullBacklog {
+    /// Binds a listener and fills its backlog.
     #[allow(clippy::new_without_default)]
-    pub fn new() -> Crowded {
-        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
+    pub fn new() -> FullBacklog {
+        let socket =
+            Socket::new(Domain::IPV4, Type::STREAM, None).expect("a TCP socket can be created");
         socket
             .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
-            .expect("a port");
-        socket.listen(0).expect("it listens");
+            .expect("a loopback port is free");
+        socket.listen(0).expect("a bound socket can listen");
         let listener = TcpListener::from(socket);
-        let address = listener.local_addr().expect("an address");
-        let one = || TcpStream::connect_timeout(&address, Duration::from_millis(300)).ok();
-        let crowd = std::iter::from_fn(one).collect();
-        Crowded { listener, crowd }
+        let address = listener
+            .local_addr()
+            .expect("a bound listener has an address");
+        let connect = || TcpStream::connect_timeout(&address, Duration::from_millis(300)).ok();
+        let fillers = std::iter::from_fn(connect).collect();
+        FullBacklog { listener, fillers }
     }
 
     pub fn address(&self) -> SocketAddr {
-        self.listener.local_addr().expect("an address")
+        self.listener
+            .local_addr()
+            .expect("a bound listener has an address")
     }
 
-    /// Connections come up from now on.
-    pub fn open(self, reply: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Server {
-        let waited = self.crowd.len();
-        drop(self.crowd);
-        let server = Server::at(self.listener, reply);
-        (0..waited).for_each(|_| server.closed());
+    /// Starts a server that accepts connections from now on, and waits until those that filled the backlog have ended.
+    pub fn accept(self, reply: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Server {
+        let count = self.fillers.len();
+        drop(self.fillers);
+        let server = Server::on_listener(self.listener, reply);
+        (0..count).for_each(|_| server.wait_closed());
         server
     }
 }
 
-fn converse(stream: TcpStream, tell: &Sender<Seen>, reply: &dyn Fn(&Message) -> Reply) {
+/// Answers the requests of one connection.
+fn serve_connection(
+    stream: TcpStream,
+    event_sender: &Sender<ServerEvent>,
+    reply: &dyn Fn(&Message) -> Reply,
+) {
     let Ok(mut write) = stream.try_clone() else {
         return;
     };
     let mut read = BufReader::new(stream);
-    let mut since: Option<Instant> = None;
+    let mut idle_since: Option<Instant> = None;
     while let Some(mut message) = read_message(&mut read) {
-        message.idle = since.map(|s| s.elapsed());
-        let _ = tell.send(Seen::Request(message.clone()));
+        message.idle = idle_since.map(|s| s.elapsed());
+        let _ = event_sender.send(ServerEvent::Request(message.clone()));
         match reply(&message) {
             Reply::Bytes(bytes) => {
                 let _ = write.write_all(bytes.as_bytes());
             }
-            Reply::Twice(bytes, more) => {
+            Reply::BytesInTwoParts(bytes, rest) => {
                 let _ = write.write_all(bytes.as_bytes());
                 thread::sleep(Duration::from_millis(2));
-                let _ = write.write_all(more.as_bytes());
+                let _ = write.write_all(rest.as_bytes());
             }
-            Reply::Last(bytes) => {
+            Reply::BytesThenClose(bytes) => {
                 let _ = write.write_all(bytes.as_bytes());
                 thread::sleep(Duration::from_millis(30));
                 let _ = write.shutdown(std::net::Shutdown::Both);
                 return;
             }
-            Reply::Reset(bytes) => {
+            Reply::BytesThenReset(bytes) => {
                 let _ = write.write_all(bytes.as_bytes());
                 thread::sleep(Duration::from_millis(30));
                 let _ = SockRef::from(&write).set_linger(Some(Duration::ZERO));
                 return;
             }
-            Reply::End => return,
+            Reply::Close => return,
             Reply::Silence => {
                 let _ = read.read(&mut [0]);
                 return;
             }
         }
-        since = Some(Instant::now());
+        idle_since = Some(Instant::now());
     }
 }
--- a/crates/test-doubles/src/lib.rs
+++ b/crates/test-doubles/src/lib.rs
@@ -1,5 +1,6 @@
-//! Stand-ins on loopback: servers, list agents, counters, resolvers and clients that do as a test says, and the real
-//! program between them. Written from the protocol pages and RFCs; of the gateway's own code only the Diameter codec is used.
+//! Test doubles on loopback: servers, list agents, counters, resolvers and clients that behave as a test says, and
+//! a launcher for the gateway's binary. They are written from the protocol documents and RFCs; of the gateway's own
+//! code they use only the Diameter codec.
 #![expect(
     clippy::missing_panics_doc,
     clippy::single_match_else,
--- a/crates/test-doubles/src/program.rs
+++ b/crates/test-doubles/src/program.rs
@@ -1,7 +1,7 @@
-//! The real program: its files, its signals, its clients.
+//! Launcher for the gateway's binary: configuration files, signals and clients.
 
 use crate::agent::Discovery;
-use crate::http::{read_message, Message, LONG};
+use crate::http::{read_message, Message, TIMEOUT};
 use crate::shim::Shim;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -11,7 +11,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The settings of a small site: a safe class, a keyed one, a plain plan and one with a ceiling.
+/// Returns the settings of a small site: a repeatable class, a class with idempotency keys, plans without a ceiling
+/// and one with.
 pub fn settings(gateways: u32) -> String {
     format!(
         r#"{{"balancers":{gateways},"me":0,"zone":"hall-a","discovery":"pushed",
@@ -26,6 +27,8 @@
     )
 }
 
+/// Returns a boot configuration. `known` are the endpoint list entries that the gateway knows before its first call
+/// to discovery.
 pub fn config_text(
     discovery: SocketAddr,
     counter: Option<SocketAddr>,
@@ -41,112 +44,125 @@
     )
 }
 
+/// A gateway process, killed on drop.
 pub struct Gateway {
     child: Child,
+    /// Address for clients.
     pub address: SocketAddr,
     config: std::path::PathBuf,
 }
 
-static NEXT: AtomicU64 = AtomicU64::new(1);
+/// Next number for a configuration file or a trace id.
+static NEXT_ID: AtomicU64 = AtomicU64::new(1);
 
-pub fn config_file(text: &str) -> std::path::PathBuf {
+/// Writes a configuration to a new temporary file.
+pub fn write_config_file(text: &str) -> std::path::PathBuf {
     let name = format!(
         "frosthatch-{}-{}.json",
         std::process::id(),
-        NEXT.fetch_add(1, Ordering::SeqCst)
+        NEXT_ID.fetch_add(1, Ordering::SeqCst)
     );
     let path = std::env::temp_dir().join(name);
-    std::fs::write(&path, text).expect("the configuration is written");
+    std::fs::write(&path, text).expect("the temporary directory is writable");
     path
 }
 
-/// The gateway's binary, beside whatever runs this.
-pub fn program() -> PathBuf {
-    let here = std::env::current_exe().expect("a path of one's own");
-    let folder = here
+/// Returns the path of the gateway's binary, in the directory of the running executable or a parent of it.
+pub fn gateway_binary() -> PathBuf {
+    let executable = std::env::current_exe().expect("the running executable has a path");
+    let directory = executable
         .ancestors()
         .skip(1)
         .find(|d| d.join("frosthatch").is_file());
-    folder
-        .expect("the gateway is built beside its tests")
+    directory
+        .expect("the gateway is built in the target directory of its tests")
         .join("frosthatch")
 }
 
-pub fn command(config: &std::path::Path) -> Command {
-    let mut command = Command::new(program());
-    command
+/// Returns a command that runs the gateway with this configuration file.
+pub fn gateway_command(config: &std::path::Path) -> Command {
+    let mut gateway_command = Command::new(gateway_binary());
+    gateway_command
         .env("NODE_CONFIG", config)
         .stdin(Stdio::null())
         .stderr(Stdio::piped());
-    command
+    gateway_command
 }
 
 impl Gateway {
-    /// A gateway alone, without a counter, that is ready.
-    pub fn alone(discovery: &Discovery) -> Gateway {
-        Gateway::with(discovery, None, 1)
+    /// Starts the only gateway of a site without a counter, and waits until it is ready.
+    pub fn start_alone(discovery: &Discovery) -> Gateway {
+        Gateway::start_ready(discovery, None, 1)
     }
 
-    pub fn with(discovery: &Discovery, counter: Option<SocketAddr>, gateways: u32) -> Gateway {
+    /// Starts one of `gateways` gateways and waits until it is ready.
+    pub fn start_ready(
+        discovery: &Discovery,
+        counter: Option<SocketAddr>,
+        gateways: u32,
+    ) -> Gateway {
         let gateway = Gateway::start(discovery.address, counter, gateways, "");
         gateway.wait_ready();
         gateway
     }
 
-    /// A gateway that need not be ready yet; `known` are the servers that it knew before.
+    /// Starts a gateway without waiting until it is ready; `known` as for [`config_text`].
     pub fn start(
         discovery: SocketAddr,
         counter: Option<SocketAddr>,
         gateways: u32,
         known: &str,
     ) -> Gateway {
-        Gateway::start_with(&config_text(discovery, counter, gateways, known))
+        Gateway::start_from_config(&config_text(discovery, counter, gateways, known))
     }
 
-    pub fn start_with(text: &str) -> Gateway {
-        Gateway::start_as(text, &[])
+    /// Starts a gateway with this boot configuration.
+    pub fn start_from_config(text: &str) -> Gateway {
+        Gateway::start_with_args(text, &[])
     }
 
-    /// With these words on its command line.
-    pub fn start_as(text: &str, words: &[&str]) -> Gateway {
-        Gateway::start_with_log(text, words, |line| println!("gateway: {line}"))
+    /// Starts a gateway with these command-line arguments.
+    pub fn start_with_args(text: &str, args: &[&str]) -> Gateway {
+        Gateway::start_with_log(text, args, |line| println!("gateway: {line}"))
     }
 
-    /// What it logs goes line by line to `log`.
+    /// Starts a gateway and passes each line that it logs to `log`.
     pub fn start_with_log(
         text: &str,
-        words: &[&str],
+        args: &[&str],
         log: impl Fn(&str) + Send + 'static,
     ) -> Gateway {
-        Gateway::start_prepared(text, words, |_| {}, log)
+        Gateway::start_prepared(text, args, |_| {}, log)
     }
 
-    /// A gateway whose system calls fail as the shim says.
-    pub fn start_under(text: &str, shim: &Shim) -> Gateway {
-        let prepare = |command: &mut Command| {
-            shim.preload(command);
+    /// Starts a gateway whose system calls fail as the shim says.
+    pub fn start_with_shim(text: &str, shim: &Shim) -> Gateway {
+        let prepare = |gateway_command: &mut Command| {
+            shim.preload(gateway_command);
         };
         Gateway::start_prepared(text, &[], prepare, |line| println!("gateway: {line}"))
     }
 
-    /// The same as [`Gateway::start_with_log`], with a command that `prepare` may add to.
+    /// Like [`Gateway::start_with_log`], with a command that `prepare` may change before it runs.
     pub fn start_prepared(
         text: &str,
-        words: &[&str],
+        args: &[&str],
         prepare: impl FnOnce(&mut Command),
         log: impl Fn(&str) + Send + 'static,
     ) -> Gateway {
-        let config = config_file(text);
-        let mut command = command(&config);
-        prepare(command.args(words));
-        let mut child = command.spawn().expect("the gateway starts");
-        let mut lines = BufReader::new(child.stderr.take().expect("stderr"));
-        let mut ahead = String::new();
+        let config = write_config_file(text);
+        let mut gateway_command = gateway_command(&config);
+        prepare(gateway_command.args(args));
+        let mut child = gateway_command
+            .spawn()
+            .expect("the gateway's binary can be executed");
+        let mut lines = BufReader::new(child.stderr.take().expect("stderr is piped"));
+        let mut earlier_lines = String::new();
         let address = loop {
             let mut line = String::new();
             if lines.read_line(&mut line).unwrap_or(0) == 0 {
                 let _ = child.wait();
-                panic!("it ended before it listened: {ahead}");
+                panic!("the gateway exited before it listened: {earlier_lines}");
             }
             match line
                 .trim_end()
@@ -156,7 +172,7 @@
                 Some(address) => break address,
                 None => {
                     log(line.trim_end());
-                    ahead.push_str(&line);
+                    earlier_lines.push_str(&line);
                 }
             }
         };
@@ -168,67 +184,84 @@
         }
     }
 
-    pub fn ready(&self) -> bool {
+    /// Returns whether `GET /ready` answers 200.
+    pub fn is_ready(&self) -> bool {
         self.client()
-            .ask("GET /ready HTTP/1.1\r\nHost: g\r\n\r\n")
+            .exchange("GET /ready HTTP/1.1\r\nHost: g\r\n\r\n")
             .is_some_and(|m| m.status() == 200)
     }
 
+    /// Waits until the gateway is ready.
     pub fn wait_ready(&self) {
-        let since = Instant::now();
-        while !self.ready() {
-            assert!(since.elapsed() < LONG, "the gateway gets ready");
+        let start_time = Instant::now();
+        while !self.is_ready() {
+            assert!(
+                start_time.elapsed() < TIMEOUT,
+                "the gateway is ready within the time limit"
+            );
             thread::sleep(Duration::from_millis(10));
         }
     }
 
+    /// Connects a client to the gateway's own address.
     pub fn client(&self) -> Client {
         self.client_at(self.address)
     }
 
-    /// At an address that it shares with another process.
+    /// Connects a client to an address that the gateway shares with another process.
     pub fn client_at(&self, address: SocketAddr) -> Client {
         Client::at(address)
     }
 
-    pub fn ask(&self, request: &ClientRequest) -> Message {
-        self.client().ask(&request.text()).expect("an answer")
+    /// Sends a request over a new connection and returns the response.
+    pub fn request(&self, request: &ClientRequest) -> Message {
+        self.client()
+            .exchange(&request.to_text())
+            .expect("the gateway answers before it closes the connection")
     }
 
-    pub fn id(&self) -> u32 {
+    /// Returns the process id.
+    pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
+    /// Sends a signal, given as an option of `kill`.
     pub fn signal(&self, name: &str) {
         let kill = Command::new("kill")
             .arg(name)
             .arg(self.child.id().to_string())
             .status();
-        assert!(kill.expect("kill runs").success());
+        assert!(kill.expect("the kill command can be executed").success());
     }
 
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Replaces the file of the configuration and says so.
-    pub fn configure(&self, text: &str) {
-        std::fs::write(&self.config, text).expect("the configuration is written");
+    /// Replaces the configuration file and sends SIGHUP.
+    pub fn replace_config(&self, text: &str) {
+        std::fs::write(&self.config, text).expect("the temporary directory is writable");
         self.signal("-HUP");
     }
 
-    pub fn wait(&mut self) -> ExitStatus {
-        let since = Instant::now();
+    /// Waits until the process has exited.
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        let start_time = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().expect("the gateway is a child") {
                 return status;
             }
-            assert!(since.elapsed() < LONG, "the gateway ends");
+            assert!(
+                start_time.elapsed() < TIMEOUT,
+                "the gateway exits within the time limit"
+            );
             thread::sleep(Duration::from_millis(10));
         }
     }
 
-    pub fn runs(&mut self) -> bool {
+    /// Returns whether the process has not exited.
+    pub fn is_running(&mut self) -> bool {
         self.child
             .try_wait()
             .expect("the gateway is a child")
@@ -244,63 +277,73 @@
     }
 }
 
+/// HTTP client with one connection to a gateway.
 pub struct Client {
     write: TcpStream,
     read: BufReader<TcpStream>,
 }
 
 impl Client {
+    /// Connects to a gateway.
+    ///
     /// # Panics
-    /// If nobody accepts it there.
+    /// If the connection is not accepted.
     pub fn at(address: SocketAddr) -> Client {
-        let stream = TcpStream::connect(address).expect("the gateway accepts");
-        stream.set_read_timeout(Some(LONG)).expect("a time-out");
+        let stream = TcpStream::connect(address).expect("the gateway accepts connections");
+        stream
+            .set_read_timeout(Some(TIMEOUT))
+            .expect("the read timeout is not zero");
         Client {
-            write: stream.try_clone().expect("a clone"),
+            write: stream.try_clone().expect("a socket can be cloned"),
             read: BufReader::new(stream),
         }
     }
 
+    /// Sends `text` as it is.
     pub fn send(&mut self, text: &str) {
-        // The gateway may have answered and closed before it has read all.
+        // The gateway may have answered and closed the connection before it has read all of the text.
         let _ = self.write.write_all(text.as_bytes());
     }
 
-    /// Whether the gateway has ended the connection by now.
-    pub fn ended(&mut self) -> bool {
+    /// Returns whether the gateway has closed the connection.
+    pub fn is_closed(&mut self) -> bool {
         let _ = self.write.set_nonblocking(true);
-        let ended = match self.write.peek(&mut [0]) {
+        let is_closed = match self.write.peek(&mut [0]) {
             Ok(n) => n == 0,
             Err(e) => e.kind() != std::io::ErrorKind::WouldBlock,
         };
         let _ = self.write.set_nonblocking(false);
-        ended
+        is_closed
     }
 
-    /// None if the connection ends first; an answer that does not come at all is a failure of the test.
-    pub fn answer(&mut self) -> Option<Message> {
-        let waiting = self.read.fill_buf().map_err(|e| e.kind());
+    /// Reads the next response; `None` if the connection ends first.
+    ///
+    /// # Panics
+    /// If neither a response nor the end of the connection arrives within the time limit.
+    pub fn read_response(&mut self) -> Option<Message> {
+        let peeked = self.read.fill_buf().map_err(|e| e.kind());
         assert!(
-            waiting != Err(std::io::ErrorKind::WouldBlock),
-            "neither an answer nor an end"
+            peeked != Err(std::io::ErrorKind::WouldBlock),
+            "a response or the end of the connection arrives within the time limit"
         );
         read_message(&mut self.read)
     }
 
-    /// The body of the answer to another check, over the same connection.
-    pub fn ask_again(&mut self) -> String {
-        self.ask(&ClientRequest::check().text())
-            .expect("an answer")
+    /// Sends another balance check over the same connection and returns the body of the response.
+    pub fn check_again(&mut self) -> String {
+        self.exchange(&ClientRequest::check().to_text())
+            .expect("the gateway answers before it closes the connection")
             .body
     }
 
-    pub fn ask(&mut self, text: &str) -> Option<Message> {
+    /// Sends `text` and reads the response; `None` if the connection ends first.
+    pub fn exchange(&mut self, text: &str) -> Option<Message> {
         self.send(text);
-        self.answer()
+        self.read_response()
     }
 }
 
-/// A client's request that is in order, until a test changes it.
+/// A client's request, valid until a test changes it.
 #[derive(Clone)]
 pub struct ClientRequest {
     pub method: &'static str,
@@ -310,11 +353,12 @@
 }
 
 impl ClientRequest {
+    /// Creates a balance check with a new trace id.
     pub fn check() -> ClientRequest {
-        let id = format!("{:016x}", NEXT.fetch_add(1, Ordering::SeqCst));
+        let pid = format!("{:016x}", NEXT_ID.fetch_add(1, Ordering::SeqCst));
         let headers = vec![
             ("Host", "backend.local".into()),
-            ("X-Trace-Id", id),
+            ("X-Trace-Id", pid),
             ("X-Qos", "balance-check".into()),
             ("X-Tier", "lille".into()),
             ("X-Api-Key", "00000000b4d65521".into()),
@@ -329,24 +373,29 @@
         }
     }
 
+    /// Creates a top-up with an idempotency key.
     pub fn top_up() -> ClientRequest {
-        let mut ask = ClientRequest::check();
-        (ask.method, ask.path, ask.body) = ("POST", "/top-up", "amount=50".into());
-        ask.with("X-Qos", "top-up")
-            .with("Idempotency-Key", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
+        let mut request = ClientRequest::check();
+        (request.method, request.path, request.body) = ("POST", "/top-up", "amount=50".into());
+        request
+            .with_header("X-Qos", "top-up")
+            .with_header("Idempotency-Key", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
     }
 
-    pub fn with(mut self, name: &'static str, value: &str) -> ClientRequest {
+    /// Replaces or adds a header.
+    pub fn with_header(mut self, name: &'static str, value: &str) -> ClientRequest {
         self.headers.retain(|(n, _)| *n != name);
         self.headers.push((name, value.into()));
         self
     }
 
-    pub fn without(mut self, name: &str) -> ClientRequest {
+    /// Removes a header.
+    pub fn without_header(mut self, name: &str) -> ClientRequest {
         self.headers.retain(|(n, _)| *n != name);
         self
     }
 
+    /// Returns the value of a header, or an empty string if there is none.
     pub fn header(&self, name: &str) -> &str {
         self.headers
             .iter()
@@ -354,7 +403,8 @@
             .map_or("", |(_, v)| v)
     }
 
-    pub fn text(&self) -> String {
+    /// Returns the request as it is sent.
+    pub fn to_text(&self) -> String {
         let headers: String = self
             .headers
             .iter()
--- a/crates/test-doubles/src/shared_counter.rs
+++ b/crates/test-doubles/src/shared_counter.rs
@@ -1,6 +1,6 @@
-//! The count service as it should be, and as it should not: lost, split in two, replaced, slow, lying.
+//! Test double of the counter service with faults: silent, partitioned, replaced, slow, or with wrong answers.
 
-use crate::counter::parse;
+use crate::counter::parse_bump;
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -9,189 +9,213 @@
 use std::thread::{self, sleep};
 use std::time::{Duration, Instant};
 
-/// Totals by name, each with its end.
-type Book = HashMap<String, (f64, Instant)>;
+/// Totals by name, each with the time at which it expires.
+type Totals = HashMap<String, (f64, Instant)>;
 
-/// What is wrong with an answer.
+/// Fault of an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Lie {
+pub enum AnswerFault {
+    /// The total is too high by this amount.
     Higher(f64),
+    /// The total is too low by this amount.
     Lower(f64),
-    NoNumber,
+    /// The answer holds no number.
+    NotANumber,
 }
 
-struct World {
-    books: Vec<Book>,
-    /// The book of each side.
-    of_side: [usize; 2],
-    /// Parts that say nothing.
-    lost: Vec<bool>,
+/// State behind both addresses.
+struct CounterState {
+    /// Totals of the original service, of copies made by a partition, and of replacements.
+    all_totals: Vec<Totals>,
+    /// Index in `all_totals` of the totals that each side uses.
+    totals_of_side: [usize; 2],
+    /// Parts of the names for which calls are not answered.
+    silent: Vec<bool>,
     delay: Duration,
-    /// So many of 100 names get that.
-    lie: Option<(u64, Lie)>,
+    /// Percentage of names whose answers are wrong, and how.
+    answer_fault: Option<(u64, AnswerFault)>,
     streams: Vec<TcpStream>,
     calls: u64,
 }
 
-/// One count service with two addresses: gateways on either side meet the same totals, unless it is split.
+/// Counter service with two addresses, or sides, that share the same totals unless they are partitioned.
 pub struct SharedCounter {
     pub sides: [SocketAddr; 2],
-    world: Arc<Mutex<World>>,
+    state: Arc<Mutex<CounterState>>,
 }
 
 impl SharedCounter {
+    /// Starts the service; its names are divided into `parts` parts by hash.
     pub fn new(parts: usize) -> SharedCounter {
-        let world = Arc::new(Mutex::new(World {
-            books: vec![Book::new()],
-            of_side: [0, 0],
-            lost: vec![false; parts],
+        let state = Arc::new(Mutex::new(CounterState {
+            all_totals: vec![Totals::new()],
+            totals_of_side: [0, 0],
+            silent: vec![false; parts],
             delay: Duration::ZERO,
-            lie: None,
+            answer_fault: None,
             streams: Vec::new(),
             calls: 0,
         }));
         let sides = [0, 1].map(|side| {
-            let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-            let address = listener.local_addr().expect("an address");
-            let world = world.clone();
+            let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
+            let address = listener
+                .local_addr()
+                .expect("a bound listener has an address");
+            let state = state.clone();
             thread::spawn(move || {
                 for stream in listener.incoming().flatten() {
-                    let world = world.clone();
+                    let state = state.clone();
                     if let Ok(clone) = stream.try_clone() {
-                        world.lock().expect("a world").streams.push(clone);
+                        state
+                            .lock()
+                            .expect("no thread panics while it holds the state")
+                            .streams
+                            .push(clone);
                     }
-                    thread::spawn(move || serve(&stream, side, &world));
+                    thread::spawn(move || serve(&stream, side, &state));
                 }
             });
             address
         });
-        SharedCounter { sides, world }
+        SharedCounter { sides, state }
     }
 
-    fn world(&self) -> MutexGuard<'_, World> {
-        self.world.lock().expect("a world")
+    fn state(&self) -> MutexGuard<'_, CounterState> {
+        self.state
+            .lock()
+            .expect("no thread panics while it holds the state")
     }
 
-    /// Calls that came, answered or not.
+    /// Returns the number of calls received, answered or not.
     pub fn calls(&self) -> u64 {
-        self.world().calls
+        self.state().calls
     }
 
-    /// Connections that were ever made.
+    /// Returns the number of connections accepted since the start, or since they were last closed by
+    /// [`SharedCounter::replace`].
     pub fn connections(&self) -> usize {
-        self.world().streams.len()
+        self.state().streams.len()
     }
 
-    /// One part, or all, says nothing any more, or does again.
-    pub fn lose(&self, part: Option<usize>, lost: bool) {
-        let mut world = self.world();
-        let affected = world
-            .lost
+    /// Stops or resumes answering calls for one part, or for all.
+    pub fn set_silent(&self, part: Option<usize>, silent: bool) {
+        let mut state = self.state();
+        let affected = state
+            .silent
             .iter_mut()
             .enumerate()
             .filter(|(n, _)| part.is_none_or(|p| p == *n));
-        affected.for_each(|(_, l)| *l = lost);
+        affected.for_each(|(_, part_lost)| *part_lost = silent);
     }
 
-    /// The second side goes on with a copy of its own.
+    /// Partitions the sides: the second continues with a copy of the totals.
     pub fn split(&self) {
-        let mut world = self.world();
-        let copy = world.books[world.of_side[0]].clone();
-        world.books.push(copy);
-        world.of_side[1] = world.books.len() - 1;
+        let mut state = self.state();
+        let copy = state.all_totals[state.totals_of_side[0]].clone();
+        state.all_totals.push(copy);
+        state.totals_of_side[1] = state.all_totals.len() - 1;
     }
 
-    /// Both sides meet the first one's totals again: what the second added since is lost.
+    /// Ends the partition: both sides use the first side's totals, and what the second has added since is lost.
     pub fn heal(&self) {
-        let mut world = self.world();
-        world.of_side[1] = world.of_side[0];
+        let mut state = self.state();
+        state.totals_of_side[1] = state.totals_of_side[0];
     }
 
-    /// One that starts from zero takes its place, at the same addresses.
-    pub fn swap(&self, breaks: bool) {
-        let mut world = self.world();
-        world.books.push(Book::new());
-        world.of_side = [world.books.len() - 1; 2];
-        if breaks {
-            world
+    /// Replaces the service, at the same addresses, by one whose totals start at 0. Closes all connections if
+    /// `close_connections` is set.
+    pub fn replace(&self, close_connections: bool) {
+        let mut state = self.state();
+        state.all_totals.push(Totals::new());
+        state.totals_of_side = [state.all_totals.len() - 1; 2];
+        if close_connections {
+            state
                 .streams
                 .drain(..)
-                .for_each(|s| drop(s.shutdown(Shutdown::Both)));
+                .for_each(|stream| drop(stream.shutdown(Shutdown::Both)));
         }
     }
 
-    /// The one from the start is back.
-    pub fn swap_back(&self) {
-        self.world().of_side = [0, 0];
+    /// Returns to the totals of the original service.
+    pub fn restore_original(&self) {
+        self.state().totals_of_side = [0, 0];
     }
 
-    pub fn delay(&self, delay: Duration) {
-        self.world().delay = delay;
+    /// Delays each answer by this much from now on.
+    pub fn set_delay(&self, delay: Duration) {
+        self.state().delay = delay;
     }
 
-    pub fn lie(&self, lie: Option<(u64, Lie)>) {
-        self.world().lie = lie;
+    /// Makes this percentage of names get wrong answers, or none.
+    pub fn set_answer_fault(&self, answer_fault: Option<(u64, AnswerFault)>) {
+        self.state().answer_fault = answer_fault;
     }
 }
 
-/// FNV-1a over a name: which part has it, and who is lied to.
+/// Returns the FNV-1a hash of a name, which decides its part and whether its answers are wrong.
 fn hash(name: &str) -> u64 {
     name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
         (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
     })
 }
 
-/// The answer to a call; none: nothing comes.
-fn answer(world: &mut World, side: usize, line: &str) -> Option<String> {
-    let Some((name, amount, life)) = parse(line) else {
+/// Returns the answer to a call; `None` if it is not answered.
+fn answer(state: &mut CounterState, side: usize, line: &str) -> Option<String> {
+    let Some((name, amount, lifetime)) = parse_bump(line) else {
         return Some(if line == "ping" { "pong" } else { "error" }.into());
     };
-    world.calls += 1;
-    let whose = hash(name) >> 8;
-    let part = whose as usize % world.lost.len();
-    if world.lost[part] {
+    state.calls += 1;
+    let name_hash = hash(name) >> 8;
+    let part = name_hash as usize % state.silent.len();
+    if state.silent[part] {
         return None;
     }
-    let (book, now) = (world.of_side[side], Instant::now());
-    let book = &mut world.books[book];
-    if book.len() > 10_000 {
-        book.retain(|_, (_, till)| *till > now);
+    let (index, now) = (state.totals_of_side[side], Instant::now());
+    let totals = &mut state.all_totals[index];
+    if totals.len() > 10_000 {
+        totals.retain(|_, (_, expires)| *expires > now);
     }
-    let total = book.entry(name.into()).or_insert((0.0, now + life));
+    let total = totals.entry(name.into()).or_insert((0.0, now + lifetime));
     if total.1 <= now {
-        *total = (0.0, now + life);
+        *total = (0.0, now + lifetime);
     }
     total.0 += amount;
     Some(
-        match world.lie.filter(|(share, _)| whose / 16 % 100 < *share) {
-            Some((_, Lie::Higher(by))) => format!("ok {}", total.0 + by),
-            Some((_, Lie::Lower(by))) => format!("ok {}", total.0 - by),
-            Some((_, Lie::NoNumber)) => "ok many".into(),
+        match state
+            .answer_fault
+            .filter(|(share, _)| name_hash / 16 % 100 < *share)
+        {
+            Some((_, AnswerFault::Higher(amount))) => format!("ok {}", total.0 + amount),
+            Some((_, AnswerFault::Lower(amount))) => format!("ok {}", total.0 - amount),
+            Some((_, AnswerFault::NotANumber)) => "ok many".into(),
             None => format!("ok {}", total.0),
         },
     )
 }
 
-fn serve(stream: &TcpStream, side: usize, world: &Mutex<World>) {
+/// Answers the calls of one connection.
+fn serve(stream: &TcpStream, side: usize, state: &Mutex<CounterState>) {
     let _ = stream.set_nodelay(true);
     let Ok(mut write) = stream.try_clone() else {
         return;
     };
-    // Late answers do not hold up each other.
-    let (later, due) = channel::<(Instant, String)>();
+    // Answers are delayed on a thread of their own, so that one delay doesn't add to the next.
+    let (answer_sender, answers) = channel::<(Instant, String)>();
     thread::spawn(move || {
-        for (at, text) in due {
-            sleep(at.saturating_duration_since(Instant::now()));
+        for (due, text) in answers {
+            sleep(due.saturating_duration_since(Instant::now()));
             if write.write_all(text.as_bytes()).is_err() {
                 return;
             }
         }
     });
     for line in BufReader::new(stream).lines().map_while(Result::ok) {
-        let mut world = world.lock().expect("a world");
-        let at = Instant::now() + world.delay;
-        if let Some(text) = answer(&mut world, side, &line) {
-            let _ = later.send((at, format!("{text}\r\n")));
+        let mut state = state
+            .lock()
+            .expect("no thread panics while it holds the state");
+        let due = Instant::now() + state.delay;
+        if let Some(text) = answer(&mut state, side, &line) {
+            let _ = answer_sender.send((due, format!("{text}\r\n")));
         }
     }
 }
--- a/crates/test-doubles/src/shim.rs
+++ b/crates/test-doubles/src/shim.rs
@@ -1,4 +1,4 @@
-//! The preload library that makes system calls fail, as a test controls it.
+//! Control of the preload library that makes system calls fail.
 
 pub use frosthatch_fault_controls::Fault;
 use frosthatch_fault_controls::WORDS;
@@ -9,23 +9,26 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::OnceLock;
 
-/// The library's file.
-const LIBRARY: &str = "libfrosthatch_fault_injection.so";
+/// File name of the library.
+const LIBRARY_FILE_NAME: &str = "libfrosthatch_fault_injection.so";
 
-/// All faults of one process, or of several that share them. None is set at first.
+/// Control file for the faults of one process, or of several that share it. No fault is set at first.
 pub struct Shim {
     path: PathBuf,
     file: File,
 }
 
-static NEXT: AtomicU64 = AtomicU64::new(1);
+/// Next number for a control file.
+static NEXT_ID: AtomicU64 = AtomicU64::new(1);
 
 impl Shim {
+    /// Creates a control file.
+    ///
     /// # Panics
-    /// If the library cannot be built or no file be written.
+    /// If the file cannot be written.
     #[allow(clippy::new_without_default)]
     pub fn new() -> Shim {
-        let number = NEXT.fetch_add(1, Ordering::SeqCst);
+        let number = NEXT_ID.fetch_add(1, Ordering::SeqCst);
         let name = format!("frosthatch-shim-{}-{number}", std::process::id());
         let path = std::env::temp_dir().join(name);
         let options = OpenOptions::new()
@@ -33,9 +36,11 @@
             .truncate(true)
             .write(true)
             .clone();
-        let file = options.open(&path).expect("a control file");
+        let file = options
+            .open(&path)
+            .expect("the temporary directory is writable");
         file.write_all_at(&[0; WORDS * 8], 0)
-            .expect("a control file");
+            .expect("the control file is writable");
         Shim { path, file }
     }
 
@@ -43,10 +48,13 @@
     pub fn set(&self, fault: Fault, value: i64) {
         self.file
             .write_all_at(&value.to_ne_bytes(), fault as u64 * 8)
-            .expect("the control file is written");
+            .expect("the control file is writable");
     }
 
-    /// Makes a process that is about to start one that hears of these faults.
+    /// Sets the environment of a command so that its process loads the library with this control file.
+    ///
+    /// # Panics
+    /// If the library cannot be built and was not built before.
     pub fn preload<'a>(&self, command: &'a mut Command) -> &'a mut Command {
         command
             .env("LD_PRELOAD", library())
@@ -60,7 +68,7 @@
     }
 }
 
-/// The library, built in the profile of whatever runs this; built once.
+/// Returns the path of the library. The first call builds it in the profile of the running executable.
 fn library() -> &'static Path {
     static BUILT: OnceLock<PathBuf> = OnceLock::new();
     BUILT.get_or_init(|| {
@@ -79,14 +87,17 @@
         if !cfg!(debug_assertions) {
             command.arg("--release");
         }
-        let built = command.status().is_ok_and(|status| status.success());
-        let here = std::env::current_exe().expect("a path of one's own");
-        let beside = here
+        let build_succeeded = command.status().is_ok_and(|status| status.success());
+        let executable = std::env::current_exe().expect("the running executable has a path");
+        let existing = executable
             .ancestors()
             .skip(1)
-            .map(|folder| folder.join(LIBRARY))
+            .map(|directory| directory.join(LIBRARY_FILE_NAME))
             .find(|path| path.is_file());
-        assert!(built || beside.is_some(), "the preload library is built");
-        beside.expect("the preload library stands beside its users")
+        assert!(
+            build_succeeded || existing.is_some(),
+            "the preload library is built or was built before"
+        );
+        existing.expect("the preload library is in the target directory of the running executable")
     })
 }
--- a/crates/test-doubles/src/zone.rs
+++ b/crates/test-doubles/src/zone.rs
@@ -1,4 +1,4 @@
-//! A zone with DNS-SD records and the answers that it gives (RFC 1035, 2782, 6763). No I/O.
+//! DNS zone with DNS-SD records, which builds the answers to queries (RFC 1035, 2782, 6763). Does no I/O.
 
 use domain::base::iana::{Class, Rcode, Rtype};
 use domain::base::message_builder::{HashCompressor, RecordSectionBuilder};
@@ -10,9 +10,9 @@
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 use std::str::FromStr;
 
-type Dname = Name<Vec<u8>>;
+type DomainName = Name<Vec<u8>>;
 
-/// What a record says.
+/// Type and data of a resource record.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Rr {
     Ptr(String),
@@ -23,7 +23,7 @@
     Cname(String),
 }
 
-/// One change of a zone: a record that was added or removed.
+/// A record that was added to a zone or removed from it.
 #[derive(Clone, Debug)]
 pub struct ZoneChange {
     pub added: bool,
@@ -31,29 +31,31 @@
     pub rr: Rr,
 }
 
-/// The records under one domain, and how they are handed out.
+/// The records under one domain, and the properties of the answers built from them.
 pub struct Zone {
     pub domain: String,
     pub serial: u32,
     pub ttl: u32,
-    /// Whether answers have the AA bit.
+    /// Whether answers have the AA (authoritative answer) bit.
     pub authoritative: bool,
-    /// Whether an answer to PTR brings SRV, TXT and A along (RFC 6763 section 12.1).
+    /// Whether an answer to a PTR query has SRV, TXT and address records in its additional section (RFC 6763
+    /// section 12.1).
     pub additional: bool,
     records: BTreeMap<String, Vec<Rr>>,
     changes: Vec<ZoneChange>,
 }
 
-fn dname(text: &str) -> Dname {
-    Name::from_str(text).expect("a domain name")
+fn domain_name(text: &str) -> DomainName {
+    Name::from_str(text).expect("the name in the test is a valid domain name")
 }
 
-/// Names are looked up without regard to case and escapes.
-fn key(text: &str) -> String {
-    dname(text).to_string().to_ascii_lowercase()
+/// Returns the lookup key of a name, which disregards case and escapes.
+fn lookup_key(text: &str) -> String {
+    domain_name(text).to_string().to_ascii_lowercase()
 }
 
 impl Zone {
+    /// Creates a zone without records.
     pub fn new(domain: &str) -> Zone {
         Zone {
             domain: domain.into(),
@@ -66,6 +68,7 @@
         }
     }
 
+    /// Adds a record.
     pub fn add(&mut self, owner: &str, rr: Rr) {
         self.serial += 1;
         self.changes.push(ZoneChange {
@@ -73,13 +76,13 @@
             owner: owner.into(),
             rr: rr.clone(),
         });
-        self.records.entry(key(owner)).or_default().push(rr);
+        self.records.entry(lookup_key(owner)).or_default().push(rr);
     }
 
-    /// Removes the records of an owner that fit.
+    /// Removes the records of an owner for which `fits` returns true.
     pub fn remove(&mut self, owner: &str, fits: impl Fn(&Rr) -> bool) {
         self.serial += 1;
-        let Some(all) = self.records.get_mut(&key(owner)) else {
+        let Some(all) = self.records.get_mut(&lookup_key(owner)) else {
             return;
         };
         for rr in all.iter().filter(|rr| fits(rr)) {
@@ -91,12 +94,18 @@
         }
         all.retain(|rr| !fits(rr));
         if all.is_empty() {
-            self.records.remove(&key(owner));
+            self.records.remove(&lookup_key(owner));
         }
     }
 
-    /// An instance of a service, on a host of the same name.
-    pub fn add_instance(&mut self, service: &str, instance: &str, at: SocketAddr, text: &[&str]) {
+    /// Adds an instance of a service, on a host of the same name.
+    pub fn add_instance(
+        &mut self,
+        service: &str,
+        instance: &str,
+        at: SocketAddr,
+        strings: &[&str],
+    ) {
         let (full, host) = (
             format!("{instance}.{service}"),
             format!("{instance}.host.{}", self.domain),
@@ -106,35 +115,42 @@
             IpAddr::V6(ip) => self.add(&host, Rr::Aaaa(ip)),
         }
         self.add(&full, Rr::Srv(0, 0, at.port(), host));
-        self.add(&full, Rr::Txt(text.iter().map(|t| t.to_string()).collect()));
+        self.add(
+            &full,
+            Rr::Txt(strings.iter().map(|t| t.to_string()).collect()),
+        );
         self.add(service, Rr::Ptr(full));
     }
 
-    /// Takes an instance's PTR record away and, with them, its others.
+    /// Removes an instance's PTR, SRV and TXT records and its host's address.
     pub fn remove_instance(&mut self, service: &str, instance: &str) {
         let full = format!("{instance}.{service}");
-        let same = key(&full);
-        self.remove(service, |rr| matches!(rr, Rr::Ptr(n) if key(n) == same));
+        let full_key = lookup_key(&full);
+        self.remove(
+            service,
+            |rr| matches!(rr, Rr::Ptr(n) if lookup_key(n) == full_key),
+        );
         self.remove(&full, |_| true);
         self.remove(&format!("{instance}.host.{}", self.domain), |_| true);
     }
 
-    /// What has changed since the last call.
+    /// Returns the changes since the last call.
     pub fn take_changes(&mut self) -> Vec<ZoneChange> {
         std::mem::take(&mut self.changes)
     }
 
+    /// Returns the records of an owner.
     pub fn records(&self, owner: &str) -> &[Rr] {
-        self.records.get(&key(owner)).map_or(&[], |all| all)
+        self.records.get(&lookup_key(owner)).map_or(&[], |all| all)
     }
 
-    /// The answer to a query, in so many bytes at most; none if the query cannot be read.
-    pub fn answer(&self, query: &[u8], most: usize) -> Option<Vec<u8>> {
+    /// Returns the answer to a query, truncated at `max_bytes`; `None` if the query cannot be parsed.
+    pub fn answer(&self, query: &[u8], max_bytes: usize) -> Option<Vec<u8>> {
         let query = Message::from_octets(query).ok()?;
         let question = query.sole_question().ok()?;
         let (qname, qtype) = (question.qname().to_string(), question.qtype());
         let mut builder = MessageBuilder::from_target(HashCompressor::new(Vec::new())).ok()?;
-        builder.set_push_limit(most);
+        builder.set_push_limit(max_bytes);
         let header = builder.header_mut();
         header.set_id(query.header().id());
         header.set_qr(true);
@@ -146,22 +162,22 @@
         let mut owner = qname;
         let mut found = Vec::new();
         let mut fits = true;
-        // A loop of CNAMEs ends here, too.
+        // The bound also ends a loop of CNAME records.
         for _ in 0..4 {
-            let here: Vec<Rr> = self
+            let matching: Vec<Rr> = self
                 .records(&owner)
                 .iter()
-                .filter(|rr| rr.is(qtype))
+                .filter(|rr| rr.matches_type(qtype))
                 .cloned()
                 .collect();
             let alias = self
                 .records(&owner)
                 .iter()
                 .find(|rr| matches!(rr, Rr::Cname(_)));
-            for rr in &here {
+            for rr in &matching {
                 fits &= add(&mut answer, self.ttl, &owner, rr);
             }
-            found.extend(here);
+            found.extend(matching);
             match alias {
                 Some(rr @ Rr::Cname(to)) if qtype != Rtype::CNAME => {
                     fits &= add(&mut answer, self.ttl, &owner, rr);
@@ -170,7 +186,7 @@
                 _ => break,
             }
         }
-        let apex = key(&owner) == key(&self.domain);
+        let apex = lookup_key(&owner) == lookup_key(&self.domain);
         if qtype == Rtype::SOA && apex {
             fits &= answer.push(self.soa()).is_ok();
         }
@@ -187,7 +203,7 @@
         }
         let mut additional = authority.additional();
         if self.additional && qtype == Rtype::PTR {
-            'all: for rr in &found {
+            'additional: for rr in &found {
                 let Rr::Ptr(instance) = rr else { continue };
                 for rr in self.records(instance) {
                     let mut fits = add(&mut additional, self.ttl, instance, rr);
@@ -197,7 +213,7 @@
                         }
                     }
                     if !fits {
-                        break 'all;
+                        break 'additional;
                     }
                 }
             }
@@ -205,14 +221,14 @@
         Some(additional.finish().into_target())
     }
 
-    /// The name, or one under it, has records.
+    /// Returns whether the name, or one under it, has records.
     fn exists(&self, owner: &str) -> bool {
-        let (owner, under) = (key(owner), format!(".{}", key(owner)));
-        self.records.contains_key(&owner) || self.records.keys().any(|k| k.ends_with(&under))
+        let (owner, suffix) = (lookup_key(owner), format!(".{}", lookup_key(owner)));
+        self.records.contains_key(&owner) || self.records.keys().any(|k| k.ends_with(&suffix))
     }
 
-    fn soa(&self) -> Record<Dname, Soa<Dname>> {
-        let (apex, ttl) = (dname(&self.domain), Ttl::from_secs(self.ttl));
+    fn soa(&self) -> Record<DomainName, Soa<DomainName>> {
+        let (apex, ttl) = (domain_name(&self.domain), Ttl::from_secs(self.ttl));
         let soa = Soa::new(
             apex.clone(),
             apex.clone(),
@@ -226,36 +242,37 @@
     }
 }
 
-/// Whether the record found room in the section.
+/// Adds a record to a section and returns whether it fitted.
 fn add(
     to: &mut impl RecordSectionBuilder<HashCompressor<Vec<u8>>>,
     ttl: u32,
     owner: &str,
     rr: &Rr,
 ) -> bool {
-    let (owner, ttl) = (dname(owner), Ttl::from_secs(ttl));
+    let (owner, ttl) = (domain_name(owner), Ttl::from_secs(ttl));
     match rr {
-        Rr::Ptr(n) => to.push((owner, ttl, Ptr::new(dname(n)))).is_ok(),
+        Rr::Ptr(n) => to.push((owner, ttl, Ptr::new(domain_name(n)))).is_ok(),
         Rr::Srv(p, w, port, n) => to
-            .push((owner, ttl, Srv::new(*p, *w, *port, dname(n))))
+            .push((owner, ttl, Srv::new(*p, *w, *port, domain_name(n))))
             .is_ok(),
-        Rr::Txt(strings) => to.push((owner, ttl, text(strings))).is_ok(),
+        Rr::Txt(strings) => to.push((owner, ttl, txt_data(strings))).is_ok(),
         Rr::A(a) => to.push((owner, ttl, A::new(*a))).is_ok(),
         Rr::Aaaa(a) => to.push((owner, ttl, Aaaa::new(*a))).is_ok(),
-        Rr::Cname(n) => to.push((owner, ttl, Cname::new(dname(n)))).is_ok(),
+        Rr::Cname(n) => to.push((owner, ttl, Cname::new(domain_name(n)))).is_ok(),
     }
 }
 
-fn text(strings: &[String]) -> Txt<Vec<u8>> {
+/// Encodes the strings of a TXT record.
+fn txt_data(strings: &[String]) -> Txt<Vec<u8>> {
     let mut rdata = Vec::new();
-    for s in strings {
-        rdata.push(s.len() as u8);
-        rdata.extend(s.as_bytes());
+    for string in strings {
+        rdata.push(string.len() as u8);
+        rdata.extend(string.as_bytes());
     }
     if rdata.is_empty() {
         rdata.push(0);
     }
-    Txt::from_octets(rdata).expect("strings of a TXT record")
+    Txt::from_octets(rdata).expect("the strings are encoded as TXT data")
 }
 
 impl Rr {
@@ -270,26 +287,32 @@
         }
     }
 
-    fn is(&self, qtype: Rtype) -> bool {
+    /// Returns whether a query of this type asks for the record.
+    fn matches_type(&self, qtype: Rtype) -> bool {
         qtype == Rtype::ANY || qtype == self.rtype()
     }
 
-    /// The record as it stands in a push message: no name is compressed (RFC 8765 section 6.3.1).
-    pub fn pushed(&self, owner: &str, ttl: u32) -> Vec<u8> {
+    /// Encodes the record for a push message, without name compression (RFC 8765 section 6.3.1).
+    pub fn encode_for_push(&self, owner: &str, ttl: u32) -> Vec<u8> {
         let mut out = Vec::new();
-        let (owner, ttl) = (dname(owner), Ttl::from_secs(ttl));
+        let (owner, ttl) = (domain_name(owner), Ttl::from_secs(ttl));
         let class = Class::IN;
-        let done = match self {
-            Rr::Ptr(n) => Record::new(owner, class, ttl, Ptr::new(dname(n))).compose(&mut out),
+        let composed = match self {
+            Rr::Ptr(n) => {
+                Record::new(owner, class, ttl, Ptr::new(domain_name(n))).compose(&mut out)
+            }
             Rr::Srv(p, w, port, n) => {
-                Record::new(owner, class, ttl, Srv::new(*p, *w, *port, dname(n))).compose(&mut out)
+                Record::new(owner, class, ttl, Srv::new(*p, *w, *port, domain_name(n)))
+                    .compose(&mut out)
             }
-            Rr::Txt(strings) => Record::new(owner, class, ttl, text(strings)).compose(&mut out),
+            Rr::Txt(strings) => Record::new(owner, class, ttl, txt_data(strings)).compose(&mut out),
             Rr::A(a) => Record::new(owner, class, ttl, A::new(*a)).compose(&mut out),
             Rr::Aaaa(a) => Record::new(owner, class, ttl, Aaaa::new(*a)).compose(&mut out),
-            Rr::Cname(n) => Record::new(owner, class, ttl, Cname::new(dname(n))).compose(&mut out),
+            Rr::Cname(n) => {
+                Record::new(owner, class, ttl, Cname::new(domain_name(n))).compose(&mut out)
+            }
         };
-        done.expect("a vector takes it");
+        composed.expect("a vector grows as needed");
         out
     }
 }
@@ -299,7 +322,7 @@
     use super::*;
 
     #[test]
-    fn two_thousand_instances_fit_one_answer_over_tcp() {
+    fn two_thousand_instances_fit_in_one_answer_over_tcp() {
         let mut zone = Zone::new("example.org");
         let service = "_topup._tcp.example.org";
         for n in 0..2_000u16 {
@@ -308,15 +331,16 @@
         }
         let mut query = MessageBuilder::new_vec().question();
         query
-            .push((dname(service), Rtype::PTR))
-            .expect("a question");
+            .push((domain_name(service), Rtype::PTR))
+            .expect("a vector grows as needed");
         let query = query.finish();
-        let over_udp = Message::from_octets(zone.answer(&query, 1_232).expect("an answer"))
-            .expect("a message");
+        let over_udp =
+            Message::from_octets(zone.answer(&query, 1_232).expect("the query is valid"))
+                .expect("the answer is a DNS message");
         assert!(over_udp.header().tc());
-        let answer = zone.answer(&query, 65_535).expect("an answer");
-        assert!(answer.len() < 65_536, "{}", answer.len());
-        let answer = Message::from_octets(answer).expect("a message");
+        let answer = zone.answer(&query, 65_535).expect("the query is valid");
+        assert!(answer.len() < 65_536, "answer of {} bytes", answer.len());
+        let answer = Message::from_octets(answer).expect("the answer is a DNS message");
         assert_eq!(
             (answer.header().tc(), answer.header_counts().ancount()),
             (false, 2_000)
