--- a/crates/discovery/tests/browsing/resolvers.rs
+++ b/crates/discovery/tests/browsing/resolvers.rs
@@ -19,7 +19,7 @@
         (u32::MAX, 200 * MILLISECOND_US),
     ] {
         let mut zone = zone(5);
-        zone.ttl = ttl;
+        zone.ttl_s = ttl;
         let mut world = World::new(config(1), vec![zone]);
         world.run(SECOND_US);
         world.queries_sent_at_us.clear();
--- a/crates/frosthatch/tests/diameter.rs
+++ b/crates/frosthatch/tests/diameter.rs
@@ -197,7 +197,7 @@
                     assert_eq!(got.header.end_to_end, debit.header.end_to_end);
                     a.close_connections();
                     assert_eq!(
-                        client.answer().expect("one answer").result(),
+                        client.next_message().expect("one answer").result(),
                         Some(result),
                         "cell {cell}"
                     );
@@ -210,7 +210,7 @@
                     assert!(repeats.iter().all(|m| m.header.has(flag::RETRANSMITTED)));
                     break;
                 }
-                Err(_) => drop(client.answer()),
+                Err(_) => drop(client.next_message()),
             }
         }
     }
@@ -298,7 +298,7 @@
         a.answers_watchdogs.store(false, Ordering::SeqCst);
         client.send(&credit_control_request("till;1;f", 2, 1));
         assert!(!a.next_request().header.has(flag::RETRANSMITTED));
-        let cca = client.answer().expect("one answer");
+        let cca = client.next_message().expect("one answer");
         assert_eq!(cca.result(), Some(results));
         let there: Vec<Message> = b.requests.try_iter().collect();
         let retransmitted = there.iter().all(|m| m.header.has(flag::RETRANSMITTED));
@@ -358,7 +358,7 @@
     let held = a.next_request();
     site.discovery
         .publish_and_wait(false, &member("b", &b, 0, "Ready"));
-    let cca = client.answer().expect("one answer");
+    let cca = client.next_message().expect("one answer");
     assert_eq!(cca.header.end_to_end, debit.header.end_to_end);
     assert_eq!(
         (cca.result(), cca.text(code::ORIGIN_HOST)),
@@ -441,8 +441,8 @@
     sleep(Duration::from_millis(100));
     release.store(true, Ordering::SeqCst);
     let (first, second) = (
-        one.answer().expect("an answer"),
-        two.answer().expect("an answer"),
+        one.next_message().expect("an answer"),
+        two.next_message().expect("an answer"),
     );
     assert_eq!(
         (first.result(), second.result()),
@@ -503,7 +503,7 @@
     ] {
         let mut bad = DiameterClient::connect(site.address);
         let _ = bad.stream.write_all(bytes);
-        assert!(bad.answer().is_none(), "it ends");
+        assert!(bad.next_message().is_none(), "it ends");
     }
     let mut half = DiameterClient::new(site.address, "till.example.org");
     let _ = half.stream.write_all(&event_request(0).encode()[..40]);
@@ -525,7 +525,8 @@
     stray.header.hop_by_hop = 424_242;
     odd.send(&stray);
     assert_eq!(
-        odd.exchange(&cer("odd.example.org")).result(),
+        odd.exchange(&capabilities_exchange_request("odd.example.org"))
+            .result(),
         Some(result::UNABLE_TO_COMPLY)
     );
     let back = event_request(0).with(Avp::of_text(code::ROUTE_RECORD, "gw.example.org"));
@@ -537,7 +538,7 @@
     let writing = thread::spawn(move || writer.write_all(&bytes));
     let mut answered: Vec<u32> = many
         .iter()
-        .map(|_| odd.answer().expect("an answer").header.end_to_end)
+        .map(|_| odd.next_message().expect("an answer").header.end_to_end)
         .collect();
     writing
         .join()
@@ -622,12 +623,12 @@
     client.send(&debit);
     a.next_request();
     site.gateway.terminate();
-    let cca = client.answer().expect("an answer");
+    let cca = client.next_message().expect("an answer");
     assert_eq!(
         (cca.header.end_to_end, cca.result()),
         (debit.header.end_to_end, Some(result::SUCCESS))
     );
-    let dpr = client.answer().expect("a goodbye");
+    let dpr = client.next_message().expect("a goodbye");
     assert_eq!(
         (dpr.header.command, dpr.number(code::DISCONNECT_CAUSE)),
         (command::DISCONNECT_PEER, Some(0))
@@ -684,7 +685,7 @@
     for chunk in 0..100 {
         (0..100).for_each(|n| client.send(&initial_request(&session(chunk * 100 + n))));
         opened += (0..100)
-            .filter(|_| client.answer().and_then(|m| m.result()) == Some(result::SUCCESS))
+            .filter(|_| client.next_message().and_then(|m| m.result()) == Some(result::SUCCESS))
             .count();
     }
     assert_eq!(opened, 10_000);
@@ -861,7 +862,7 @@
         .map(|_| event_request(0).with(long.clone()))
         .collect();
     sent.iter().for_each(|ccr| client.send(ccr));
-    let refused = client.answer().expect("a refusal");
+    let refused = client.next_message().expect("a refusal");
     assert_eq!(refused.result(), Some(result::TOO_BUSY));
     assert!(
         since.elapsed() < Duration::from_secs(4),
@@ -875,7 +876,7 @@
     mute.store(false, Ordering::SeqCst);
     // Each of the others gets its one answer.
     let answered: std::collections::HashSet<u32> = (1..20)
-        .map(|_| client.answer().expect("an answer").header.end_to_end)
+        .map(|_| client.next_message().expect("an answer").header.end_to_end)
         .collect();
     assert_eq!(answered.len(), 19);
     until_served(&mut client);
--- a/crates/frosthatch/tests/diameter_over_tls.rs
+++ b/crates/frosthatch/tests/diameter_over_tls.rs
@@ -69,12 +69,12 @@
     for proof in [None, Some(&stranger)] {
         let mut client =
             DiameterClient::connect(originator(&authority, proof, "gw.example.org", address));
-        client.send(&cer("till.example.org"));
-        assert!(client.answer().is_none(), "it is not heard");
+        client.send(&capabilities_exchange_request("till.example.org"));
+        assert!(client.next_message().is_none(), "it is not heard");
     }
     let mut client = DiameterClient::connect(address);
-    client.send(&cer("till.example.org"));
-    assert!(client.answer().is_none(), "nor without TLS");
+    client.send(&capabilities_exchange_request("till.example.org"));
+    assert!(client.next_message().is_none(), "nor without TLS");
 
     // A key of another certificate is a mistake that `check` tells.
     std::fs::write(folder.join("gw.key"), stranger.key.serialize_pem()).expect("written");
--- a/crates/frosthatch/tests/policy.rs
+++ b/crates/frosthatch/tests/policy.rs
@@ -135,7 +135,7 @@
             let all = &self.testbed.processes;
             let says = || {
                 all.iter()
-                    .map(|p| p.console().and_then(policy_fixture::status))
+                    .map(|p| p.console().and_then(policy_fixture::policy_status))
                     .collect::<Vec<_>>()
             };
             assert!(since.elapsed() < LONG, "{what}: {:#?}", says());
@@ -383,7 +383,8 @@
     std::fs::write(&last, bytes).expect("it is written");
     fleet.testbed.start(0);
     fleet.all_hold(2);
-    let keeps = policy_fixture::status(fleet.console(0)).expect("a status")["keeps"].to_string();
+    let keeps =
+        policy_fixture::policy_status(fleet.console(0)).expect("a status")["keeps"].to_string();
     assert!(keeps.contains("checksum"), "{keeps}");
 }
 
@@ -429,7 +430,8 @@
     std::fs::rename(&folder, &old).expect("it is moved");
     std::fs::create_dir(&folder).expect("a folder");
     let keeps = |f: &Fleet| {
-        policy_fixture::status(f.console(0)).map_or(String::new(), |s| s["keeps"].to_string())
+        policy_fixture::policy_status(f.console(0))
+            .map_or(String::new(), |s| s["keeps"].to_string())
     };
     // An empty folder is not taken for a new keeper's.
     fleet.testbed.start(0);
--- a/crates/frosthatch/tests/push_over_tls.rs
+++ b/crates/frosthatch/tests/push_over_tls.rs
@@ -38,7 +38,7 @@
     let (a, b) = (Server::new(|_| ok("a")), Server::new(|_| ok("b")));
     let mut zone = Zone::new("example.org");
     // The TTL would let an hour pass.
-    zone.ttl = 3_600;
+    zone.ttl_s = 3_600;
     zone.add_instance(SERVICE, "a", a.address, &["cell=1"]);
     zone.add_instance(SERVICE, "b", b.address, &["cell=1"]);
     zone.take_changes();
--- a/crates/lab/src/diameter.rs
+++ b/crates/lab/src/diameter.rs
@@ -376,7 +376,7 @@
         next += 100;
         some.iter().for_each(|m| client.send(m));
         for _ in &some {
-            let answer = client.answer().expect("an answer");
+            let answer = client.next_message().expect("an answer");
             open += u32::from(answer.result() == Some(result::SUCCESS));
         }
         assert!(next < 4 * count + 10_000, "sessions are opened");
--- a/crates/lab/src/fleet_site.rs
+++ b/crates/lab/src/fleet_site.rs
@@ -234,7 +234,7 @@
     }
 
     pub fn now(&self) -> Duration {
-        self.testbed.history.now()
+        self.testbed.history.elapsed()
     }
 
     /// Units of the greedy customer that do not fit its ceiling.
--- a/crates/lab/src/policy.rs
+++ b/crates/lab/src/policy.rs
@@ -232,7 +232,7 @@
             let held: Vec<Option<(u64, String)>> = running
                 .iter()
                 .map(|n| {
-                    let status = policy_fixture::status(self.console(*n)?)?;
+                    let status = policy_fixture::policy_status(self.console(*n)?)?;
                     let held = (
                         status["version"].as_u64()?,
                         status["digest"].as_str()?.to_string(),
--- a/crates/lab/src/testbed/history.rs
+++ b/crates/lab/src/testbed/history.rs
@@ -35,14 +35,14 @@
 
 impl History {
     /// Returns the time since the history was created.
-    pub fn now(&self) -> Duration {
+    pub fn elapsed(&self) -> Duration {
         self.start.elapsed()
     }
 
     /// Records an event of a process, or of the testbed if `process` is `None`.
     pub fn record(&self, process: Option<usize>, payload: Value) {
         let event = Event {
-            elapsed: self.now(),
+            elapsed: self.elapsed(),
             process,
             payload,
         };
@@ -65,8 +65,8 @@
             .clone()
     }
 
-    /// Returns time, process and text of each logged line that contains `pattern`.
-    pub fn log_lines(&self, pattern: &str) -> Vec<(Duration, usize, String)> {
+    /// Returns time, process and text of each logged line that contains `substring`.
+    pub fn log_lines(&self, substring: &str) -> Vec<(Duration, usize, String)> {
         let all = self.events();
         let log_line = |e: &Event| {
             Some((
@@ -77,7 +77,7 @@
         };
         all.iter()
             .filter_map(log_line)
-            .filter(|(_, _, l)| l.contains(pattern))
+            .filter(|(_, _, l)| l.contains(substring))
             .collect()
     }
 
--- a/crates/lab/src/testbed/link.rs
+++ b/crates/lab/src/testbed/link.rs
@@ -54,8 +54,8 @@
     /// Returns the delay, in microseconds, of each copy of a datagram sent at `now_us`; an empty vector means it is
     /// lost.
     pub fn deliver(&mut self, now_us: u64, bytes: usize) -> Vec<u64> {
-        // All four are drawn for every datagram, so that a seed decides alike for the same datagram whatever the
-        // faults are.
+        // Four random numbers are drawn for every datagram, whichever faults are set: with the same seed, the n-th
+        // datagram gets the same numbers under any faults.
         let [lost, duplicated, reordered, jitter] = [0; 4].map(|_| self.random_fraction());
         let faults = &self.faults;
         if faults.cut || lost < faults.loss {
@@ -90,7 +90,7 @@
     }
 
     #[test]
-    fn a_link_without_faults_delivers_all_at_once_and_a_cut_link_delivers_nothing() {
+    fn a_link_without_faults_delivers_without_delay_and_a_cut_link_delivers_nothing() {
         assert!(deliver_datagrams(Faults::default(), 100)
             .iter()
             .all(|d| *d == [0]));
@@ -119,7 +119,7 @@
         let duplicated = all.iter().filter(|d| d.len() == 2).count();
         assert!(
             (2_800..3_200).contains(&lost) && (1_250..1_550).contains(&duplicated),
-            "lost: {lost}, delivered twice: {duplicated}, of 10000"
+            "of 10000 datagrams 2800 to 3200 are lost and 1250 to 1550 delivered twice: {lost}, {duplicated}"
         );
         assert!(all.iter().flatten().all(|delay_us| *delay_us < 250_000));
         assert_eq!(all, deliver_datagrams(faults, 10_000));
@@ -138,7 +138,7 @@
         let passed = all.iter().filter(|d| !d.is_empty()).count();
         assert!(
             (1_000..1_150).contains(&passed),
-            "passed: {passed}, of 2000"
+            "a link at half the sending rate delivers 1000 to 1150 of 2000 datagrams, it delivered {passed}"
         );
         assert!(all
             .iter()
--- a/crates/lab/src/testbed/mod.rs
+++ b/crates/lab/src/testbed/mod.rs
@@ -1,9 +1,9 @@
 //! Testbed of real processes with simulated network faults between them.
 //!
-//! The processes are configured with addresses of the testbed's [`Relay`] in place of each other's own, so each
-//! datagram passes through a [`Link`], one for each direction between two processes. [`timeline`] schedules the
-//! faults, [`history`] records what each process logs and what is done to it, [`processes`] starts, suspends,
-//! resumes and kills processes.
+//! Each process is configured with the [`Relay`]'s addresses for the other processes instead of the addresses on
+//! which they listen, so each datagram passes through a [`Link`], one for each direction between two processes.
+//! [`timeline`] schedules the faults, [`history`] records what each process logs and the actions applied to it,
+//! [`processes`] starts, suspends, resumes and kills processes.
 
 pub mod history;
 pub mod link;
--- a/crates/lab/src/testbed/policy_fixture.rs
+++ b/crates/lab/src/testbed/policy_fixture.rs
@@ -61,8 +61,8 @@
         self.directory.join(format!("audit-{process}"))
     }
 
-    /// Returns the `[policy]` table of a process's configuration file, ending in the lines `more`.
-    pub fn policy_table(&self, process: usize, more: &str) -> String {
+    /// Returns the `[policy]` table of a process's configuration file, ending in `extra_lines`.
+    pub fn policy_table(&self, process: usize, extra_lines: &str) -> String {
         let names: Vec<String> = (0..self.acceptors).map(|n| format!("\"n{n}\"")).collect();
         let directory = if process < self.acceptors {
             format!("folder = {:?}\n", self.state_directory(process))
@@ -70,7 +70,7 @@
             String::new()
         };
         let (names, lease, audit) = (names.join(", "), self.lease_ms, self.audit_file(process));
-        format!("\n[policy]\nkeepers = [{names}]\n{directory}lease_ms = {lease}\naudit = {audit:?}\n{more}")
+        format!("\n[policy]\nkeepers = [{names}]\n{directory}lease_ms = {lease}\naudit = {audit:?}\n{extra_lines}")
     }
 
     /// Returns the requests admitted so far by the first `processes` processes, by time of admission.
@@ -103,8 +103,9 @@
     }
 }
 
-/// Returns the longest time, in microseconds, from the first admission under a version to an admission under an
-/// older one, and how many times the highest version changed.
+/// Returns the longest time, in microseconds, for which requests were still admitted under an older version after
+/// the first admission under the highest version so far, and the number of versions that became the highest, the
+/// first one included.
 pub fn stale_version_window(all: &[AdmittedRequest]) -> (u64, usize) {
     let (mut longest_us, mut highest, mut highest_since_us, mut changes) = (0, 0, 0, 0);
     for request in all {
@@ -126,7 +127,8 @@
         .count()
 }
 
-/// Returns a policy document with the lab's plans and classes, in which the plan `mellem` has this rate.
+/// Returns a policy document with the lab's plans and classes, in which the plan `mellem`, which is large enough
+/// for all clients, has a rate of `rate` units/s, and the plan `ekstra-stor` a ceiling of 20 units/s.
 pub fn document(version: u64, parent: &str, rate: f64) -> String {
     document_with_ceiling(version, parent, rate, 20.0)
 }
@@ -150,13 +152,13 @@
     )
 }
 
-/// Returns the digest by which the following document names this one as its parent.
+/// Returns the SHA-256 digest of a document in hexadecimal, which is the value of `parent` in the next version.
 pub fn digest(document: &str) -> String {
     hex(&sha256(document))
 }
 
 /// Returns the body of the console's `GET /policy`, or `None` if the call fails.
-pub fn status(console: SocketAddr) -> Option<Value> {
+pub fn policy_status(console: SocketAddr) -> Option<Value> {
     match call_console(console, "GET", "/policy", "")? {
         (200, body) => serde_json::from_str(&body).ok(),
         _ => None,
@@ -165,14 +167,14 @@
 
 /// Returns the version that is in force at a process, if one is.
 pub fn version_in_force(process: &Process) -> Option<u64> {
-    let status = status(process.console()?)?;
+    let status = policy_status(process.console()?)?;
     (status["state"] == "in force")
         .then(|| status["version"].as_u64())
         .flatten()
 }
 
 /// Proposes a document at a process: returns the number of the proposal, or the body of the refusal.
-/// `None` if the console does not answer.
+/// `None` if the console does not answer or its answer holds no proposal number.
 pub fn propose(console: SocketAddr, document: &str) -> Option<Result<u64, String>> {
     match call_console(console, "POST", "/policy", document)? {
         (202, body) => Some(Ok(
@@ -182,10 +184,10 @@
     }
 }
 
-/// Returns a proposal's state and the reason for it, or `None` if the console does not answer or does not know the
-/// proposal.
+/// Returns the state of a proposal and its `why` field as JSON text, or `None` if the console does not answer or
+/// does not know the proposal.
 pub fn proposal_outcome(console: SocketAddr, number: u64) -> Option<(String, String)> {
-    let status = status(console)?;
+    let status = policy_status(console)?;
     let all = status["proposals"].as_array()?;
     let proposal = all.iter().find(|p| p["number"].as_u64() == Some(number))?;
     Some((
--- a/crates/lab/src/testbed/processes.rs
+++ b/crates/lab/src/testbed/processes.rs
@@ -1,5 +1,5 @@
-//! Processes of the testbed: start, suspend, kill and restart them under the same name, by hand or as a
-//! [`Timeline`] schedules.
+//! Starts, suspends, kills and restarts the processes of the testbed, one action at a time or on the schedule of a
+//! [`Timeline`]. A restarted process keeps its name.
 
 use super::history::History;
 use super::relay::Relay;
@@ -19,11 +19,11 @@
     operator: Option<OperatorFile>,
     running: Option<Gateway>,
     /// The process is suspended by SIGSTOP.
-    stopped: bool,
+    suspended: bool,
     logged_addresses: Arc<Mutex<LoggedAddresses>>,
 }
 
-/// Addresses that a process has logged since it was last started.
+/// Addresses that a process has logged since its last start: that of its console.
 #[derive(Default)]
 struct LoggedAddresses {
     console: Option<SocketAddr>,
@@ -76,9 +76,9 @@
     Some((response.status, response.body))
 }
 
-/// Returns the text of a process's operator file, in which the process advertises its address at the relay. `more`
-/// are further lines of the `[fleet]` table.
-pub fn fleet_file(relay: &Relay, process: usize, key: &Path, more: &str) -> String {
+/// Returns the text of an operator file with a `[fleet]` table: the process advertises its relay address, and the
+/// relay addresses of the first 3 processes are the seeds. The text ends in `extra_lines`.
+pub fn fleet_file(relay: &Relay, process: usize, key_file: &Path, extra_lines: &str) -> String {
     let seeds: Vec<String> = relay
         .addresses
         .iter()
@@ -86,10 +86,10 @@
         .map(|a| format!("\"{a}\""))
         .collect();
     format!(
-        "[fleet]\nlisten = \"127.0.0.1:0\"\nadvertise = \"{}\"\nseeds = [{}]\nkey_file = \"{}\"\n{more}\n",
+        "[fleet]\nlisten = \"127.0.0.1:0\"\nadvertise = \"{}\"\nseeds = [{}]\nkey_file = \"{}\"\n{extra_lines}\n",
         relay.addresses[process],
         seeds.join(", "),
-        key.display()
+        key_file.display()
     )
 }
 
@@ -109,7 +109,7 @@
             node,
             operator,
             running: None,
-            stopped: false,
+            suspended: false,
             logged_addresses: Arc::default(),
         }
     }
@@ -124,12 +124,13 @@
         self.running.as_mut().is_some_and(|g| !g.is_running())
     }
 
-    /// Returns whether the process has been started and is neither killed nor suspended.
+    /// Returns whether the process was started and the testbed has since neither killed, shut down nor suspended
+    /// it; also true if it has exited by itself.
     pub fn is_running(&self) -> bool {
-        self.running.is_some() && !self.stopped
+        self.running.is_some() && !self.suspended
     }
 
-    /// Returns the address for clients while the process has one.
+    /// Returns the address for clients if the process was started and neither killed nor shut down.
     pub fn address(&self) -> Option<SocketAddr> {
         self.running.as_ref().map(|g| g.address)
     }
@@ -137,7 +138,7 @@
     /// Connects a client to the process.
     ///
     /// # Panics
-    /// If the process is not running.
+    /// If the process was not started, or was killed or shut down.
     pub fn client(&self) -> Client {
         self.running
             .as_ref()
@@ -145,7 +146,7 @@
             .client()
     }
 
-    /// Returns the process id while the process is running.
+    /// Returns the process id if the process was started and neither killed nor shut down.
     pub fn pid(&self) -> Option<u32> {
         self.running.as_ref().map(Gateway::pid)
     }
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Starts the clock from which the times of a timeline count.
+    /// Sets the start of the timeline, from which [`Step::at_ms`](super::timeline::Step) counts, to now.
     pub fn begin_timeline(&mut self) {
         self.timeline_start = Instant::now();
     }
@@ -188,7 +189,7 @@
 
     /// Waits until a process reports that it is ready.
     pub fn wait_ready(&self, process: usize) {
-        until("a gateway is ready", || {
+        until("a started process is ready within 60 s", || {
             self.processes[process]
                 .running
                 .as_ref()
@@ -202,7 +203,8 @@
         (0..self.processes.len()).for_each(|process| self.wait_ready(process));
     }
 
-    /// Starts a process, records its log lines and passes on the addresses that it logs.
+    /// Starts a process, records its log lines, and takes its listen address (for the relay) and its console
+    /// address from them.
     fn launch(&mut self, process: usize) {
         let (history, set_listen_address) = (
             self.history.clone(),
@@ -235,18 +237,21 @@
             p.node
                 .launch(p.operator.as_ref().map(OperatorFile::path), log),
         );
-        p.stopped = false;
+        p.suspended = false;
         self.history.record(None, json!({ "started": process }));
     }
 
     /// Waits until each running process reports as many ready members as there are running processes.
     pub fn wait_until_all_found(&self) {
         let all = self.processes.iter().filter(|p| p.is_running()).count();
-        until("all running processes have found each other", || {
-            self.fleet_views()
-                .iter()
-                .all(|v| v.as_ref().is_some_and(|v| v.ready == all))
-        });
+        until(
+            "all running processes have found each other within 60 s",
+            || {
+                self.fleet_views()
+                    .iter()
+                    .all(|v| v.as_ref().is_some_and(|v| v.ready == all))
+            },
+        );
     }
 
     /// Returns the view of the fleet of each running process, `None` for one whose console does not answer.
@@ -289,7 +294,7 @@
                 for process in who {
                     if let Some(mut gateway) = self.processes[*process].running.take() {
                         gateway.terminate();
-                        // Waited for on a thread of its own, so that the next action is not delayed.
+                        // A separate thread waits for the exit, so that the next action is not delayed.
                         std::thread::spawn(move || gateway.wait_for_exit());
                     }
                 }
@@ -312,12 +317,12 @@
             .for_each(|g| g.signal("-HUP"));
     }
 
-    /// Sends a signal to a running process and records whether the process is suspended after it.
-    fn signal(&mut self, process: usize, name: &str, stopped: bool) {
+    /// Sends a signal to a process that was started and neither killed nor shut down, and sets `suspended`.
+    fn signal(&mut self, process: usize, name: &str, suspended: bool) {
         let p = &mut self.processes[process];
         if let Some(gateway) = &p.running {
             gateway.signal(name);
-            p.stopped = stopped;
+            p.suspended = suspended;
         }
     }
 
--- a/crates/lab/src/testbed/relay.rs
+++ b/crates/lab/src/testbed/relay.rs
@@ -25,7 +25,7 @@
     sent: Vec<(u64, u64)>,
     /// Sender, receiver and payload of delivered datagrams, for [`Relay::replay`].
     recorded: Vec<(usize, usize, Vec<u8>)>,
-    /// Capacity of `recorded`.
+    /// Number of datagrams at which recording stops; 0 records nothing.
     max_recorded: usize,
 }
 
@@ -47,7 +47,7 @@
                     std::net::UdpSocket::bind("127.0.0.1:0").expect("a loopback port is free");
                 socket
                     .set_nonblocking(true)
-                    .expect("a new socket can be non-blocking");
+                    .expect("a valid socket descriptor can be made non-blocking");
                 let _guard = on.enter();
                 Arc::new(UdpSocket::from_std(socket).expect("the socket is non-blocking"))
             })
@@ -136,7 +136,8 @@
         self.with_state(|s| (s.max_recorded, s.recorded) = (max_datagrams, Vec::new()));
     }
 
-    /// Sends all recorded datagrams again, from the same sender to the same receiver, and returns their number.
+    /// Sends the recorded datagrams again, from the same sender to the same receiver and without their links,
+    /// clears the record and returns how many it held.
     pub fn replay(&self) -> usize {
         let (recorded, listen_addresses) =
             self.with_state(|s| (std::mem::take(&mut s.recorded), s.listen_addresses.clone()));
@@ -172,7 +173,8 @@
             let mut s = state
                 .lock()
                 .expect("no thread panics while it holds the state");
-            // The source is unknown: a process of another test, or one whose address is not set yet.
+            // Drops datagrams from unknown sources: processes of another test, or processes whose listen address is
+            // not set yet.
             let Some(from) = s.listen_addresses.iter().position(|r| *r == Some(source)) else {
                 continue;
             };
@@ -212,7 +214,7 @@
 
 #[derive(Default)]
 struct StreamState {
-    /// Open streams have been closed, and new ones are closed at once.
+    /// New streams are closed as soon as they are accepted.
     cut: bool,
     /// Bytes that may still pass, over all streams together; `None` means no limit.
     remaining_bytes: Option<u64>,
@@ -226,7 +228,7 @@
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
         listener
             .set_nonblocking(true)
-            .expect("a new listener can be non-blocking");
+            .expect("a valid socket descriptor can be made non-blocking");
         let address = listener
             .local_addr()
             .expect("a bound listener has an address");
@@ -259,7 +261,8 @@
         }
     }
 
-    /// Closes all streams at once, in mid-transfer, and refuses new ones; or admits new ones again.
+    /// With `cut`, closes all streams at once, in mid-transfer, and closes new ones as soon as they are accepted;
+    /// without, relays new streams again. Both remove the limit set by [`StreamRelay::cut_after`].
     pub fn set_cut(&self, cut: bool) {
         let mut s = self
             .state
@@ -273,7 +276,7 @@
     }
 
     /// Closes every stream at its next byte once `bytes` more bytes have passed over all streams together, and
-    /// refuses new ones from then on.
+    /// closes new ones as soon as they are accepted.
     pub fn cut_after(&self, bytes: u64) {
         self.state
             .lock()
@@ -281,7 +284,7 @@
             .remaining_bytes = Some(bytes);
     }
 
-    /// Delays each chunk of data by this much from now on.
+    /// Delays each read of up to 16 KiB by `delay` from now on.
     pub fn set_delay(&self, delay: Duration) {
         self.state
             .lock()
--- a/crates/lab/src/testbed/timeline.rs
+++ b/crates/lab/src/testbed/timeline.rs
@@ -80,8 +80,8 @@
         Ok(timeline)
     }
 
-    /// Generates `faults` random faults, one every `interval` and each half as long, so that none overlap. Killed
-    /// processes are started again.
+    /// Generates `faults` random faults, one per `interval`; each lasts half an interval and affects all links or
+    /// up to a third of the processes, at least one. Killed processes are started again.
     pub fn generate(seed: u64, processes: usize, faults: usize, interval: Duration) -> Timeline {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut steps = Vec::new();
--- a/crates/test-doubles/src/agent.rs
+++ b/crates/test-doubles/src/agent.rs
@@ -10,7 +10,8 @@
 /// How [`Discovery`] answers calls.
 #[derive(Clone, Copy, PartialEq)]
 pub enum DiscoveryMode {
-    /// Answers every call as the protocol says.
+    /// Answers each call with the latest list or change; a watch without news is answered after 500 ms, whatever
+    /// its `hold_ms`.
     Answering,
     /// Leaves calls open until the mode changes.
     Silent,
@@ -18,7 +19,8 @@
     InvalidBody,
     /// Answers calls that don't wait for a change, and never answers calls that do (watches).
     IgnoresWatches,
-    /// Never answers the calls that are open in this mode, also not once the mode has changed.
+    /// Simulates a service that is down: never answers a call that is open while this mode is set, even after the
+    /// mode changes (to a mode other than `InvalidBody`).
     Down,
 }
 
@@ -111,7 +113,7 @@
         while calls() < calls_before + times {
             assert!(
                 start.elapsed() < TIMEOUT,
-                "the gateway calls discovery again within the time limit"
+                "the gateway makes {times} more calls to discovery within {TIMEOUT:?}"
             );
             thread::sleep(Duration::from_millis(5));
         }
--- a/crates/test-doubles/src/counter.rs
+++ b/crates/test-doubles/src/counter.rs
@@ -25,7 +25,7 @@
         .then_some((name, amount, Duration::from_millis(lifetime_ms.min(60_000))))
 }
 
-/// Counter service that answers as the test says and passes on each line that it receives.
+/// Counter service whose answers the test specifies and that passes on each line that it receives.
 pub struct ScriptedCounter {
     pub address: SocketAddr,
     /// Lines received over all connections.
@@ -74,6 +74,6 @@
     pub fn next_line(&self) -> String {
         self.lines
             .recv_timeout(TIMEOUT)
-            .expect("the gateway calls the counter within the time limit")
+            .expect("the gateway calls the counter within 20 s")
     }
 }
--- a/crates/test-doubles/src/diameter.rs
+++ b/crates/test-doubles/src/diameter.rs
@@ -1,4 +1,4 @@
-//! Test doubles of Diameter peers (RFC 6733, RFC 8506) that behave as a test says. They use the gateway's codec,
+//! Test doubles of Diameter peers (RFC 6733, RFC 8506) whose messages a test specifies. They use the gateway's codec,
 //! which is tested with hand-written vectors.
 
 use crate::http::TIMEOUT;
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// Reads the next message; `None` if the connection ends or the message cannot be decoded.
+/// Reads the next message; `None` if the connection ends, the read times out or the message cannot be decoded.
 pub fn read_diameter_message(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<Message> {
     loop {
         if let Some(length) = frame(buffer).ok()? {
@@ -51,7 +51,7 @@
         .with(Avp::of_u32(code::AUTH_APPLICATION_ID, 4))
 }
 
-/// Credit-control server that answers as a test says.
+/// Credit-control server whose answers a test specifies.
 pub struct DiameterServer {
     pub address: SocketAddr,
     /// Credit-Control-Requests received.
@@ -95,7 +95,11 @@
                 open_streams
                     .lock()
                     .expect("no thread panics while it holds the streams")
-                    .push(stream.try_clone().expect("a socket can be cloned"));
+                    .push(
+                        stream
+                            .try_clone()
+                            .expect("the process is below its limit of file descriptors"),
+                    );
                 let (
                     request_sender,
                     answer,
@@ -153,7 +157,7 @@
         }
     }
 
-    /// Starts a server that answers every request with success.
+    /// Starts a server that answers every Credit-Control-Request with DIAMETER_SUCCESS, without a Granted-Service-Unit.
     pub fn granting(host: &'static str) -> DiameterServer {
         DiameterServer::new(host, move |ccr| Some(success_answer(ccr, host)))
     }
@@ -162,7 +166,7 @@
     pub fn next_request(&self) -> Message {
         self.requests
             .recv_timeout(TIMEOUT)
-            .expect("the gateway sends a request within the time limit")
+            .expect("the gateway sends a request within 20 s")
     }
 
     /// Returns the number of Disconnect-Peer-Requests received.
@@ -206,7 +210,7 @@
     }
 }
 
-/// Builds a successful answer to a Credit-Control-Request.
+/// Builds an answer with DIAMETER_SUCCESS to a Credit-Control-Request.
 pub fn success_answer(ccr: &Message, host: &str) -> Message {
     let mut answer = answer_with_result(ccr, host, result::SUCCESS)
         .with(Avp::of_u32(code::AUTH_APPLICATION_ID, 4));
@@ -225,7 +229,7 @@
 }
 
 /// Builds a Capabilities-Exchange-Request.
-pub fn cer(host: &str) -> Message {
+pub fn capabilities_exchange_request(host: &str) -> Message {
     let header = Header {
         flags: flag::REQUEST,
         command: command::CAPABILITIES_EXCHANGE,
@@ -253,9 +257,9 @@
     /// Connects and exchanges capabilities.
     pub fn new(address: SocketAddr, host: &str) -> DiameterClient {
         let mut client = DiameterClient::connect(address);
-        client.send(&cer(host));
+        client.send(&capabilities_exchange_request(host));
         let cea = client
-            .answer()
+            .next_message()
             .expect("the gateway answers the Capabilities-Exchange-Request");
         assert_eq!(cea.result(), Some(result::SUCCESS));
         client
@@ -266,8 +270,8 @@
     }
 
     /// Returns the next message other than a watchdog message, answering watchdog requests meanwhile; `None` if the
-    /// connection ends.
-    pub fn answer(&mut self) -> Option<Message> {
+    /// connection ends or the read times out.
+    pub fn next_message(&mut self) -> Option<Message> {
         loop {
             let message = read_diameter_message(&mut self.stream, &mut self.buffer)?;
             if message.header.command != command::DEVICE_WATCHDOG {
@@ -286,7 +290,8 @@
     /// Sends a request and returns the next message received.
     pub fn exchange(&mut self, message: &Message) -> Message {
         self.send(message);
-        self.answer().expect("the gateway answers the request")
+        self.next_message()
+            .expect("the gateway answers the request")
     }
 }
 
@@ -316,10 +321,10 @@
 }
 
 /// Adds a Subscription-Id with the customer's number.
-pub fn with_customer(message: Message, data: &str) -> Message {
+pub fn with_customer(message: Message, customer_number: &str) -> Message {
     let group = [
         Avp::of_u32(code::SUBSCRIPTION_ID_TYPE, 0),
-        Avp::of_text(code::SUBSCRIPTION_ID_DATA, data),
+        Avp::of_text(code::SUBSCRIPTION_ID_DATA, customer_number),
     ];
     message.with(Avp::of_group(code::SUBSCRIPTION_ID, &group))
 }
--- a/crates/test-doubles/src/http.rs
+++ b/crates/test-doubles/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 servers that answer as a test says, and the message reader that servers and clients share.
+//! HTTP/1.1 servers whose answers a test specifies, and the message reader that servers and clients share.
 
 use socket2::{Domain, SockRef, Socket, Type};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Time limit of every wait in the tests, longer than any of them takes on a busy machine.
+/// Time limit of the waits and reads of the test doubles; none takes this long, even on a busy machine.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// An HTTP/1.1 request or response as received.
@@ -42,7 +42,7 @@
     }
 }
 
-/// Reads one message; `None` if the connection ends first.
+/// Reads one message; `None` if the connection ends or the read times out first.
 pub fn read_message(from: &mut impl BufRead) -> Option<Message> {
     let mut message = Message::default();
     let mut line = String::new();
@@ -131,7 +131,7 @@
     Closed,
 }
 
-/// HTTP server that answers as a test says.
+/// HTTP server whose answers a test specifies.
 pub struct Server {
     pub address: SocketAddr,
     /// Events in the order in which they occur.
@@ -170,7 +170,8 @@
         Server { address, events }
     }
 
-    /// Starts a server that answers one request with `reply` for each message on the returned channel.
+    /// Starts a server that answers each request with `reply` once a message for it arrives on the returned
+    /// channel, or after [`TIMEOUT`].
     pub fn gated(reply: fn() -> Reply) -> (Server, Sender<()>) {
         let (release, released) = channel::<()>();
         let released = Mutex::new(released);
@@ -190,7 +191,7 @@
             if let ServerEvent::Request(m) = self
                 .events
                 .recv_timeout(TIMEOUT)
-                .expect("a request arrives within the time limit")
+                .expect("a request arrives within 20 s")
             {
                 return m;
             }
@@ -202,7 +203,7 @@
         while !matches!(
             self.events
                 .recv_timeout(TIMEOUT)
-                .expect("a connection is accepted within the time limit"),
+                .expect("a connection is accepted within 20 s"),
             ServerEvent::Connected
         ) {}
     }
@@ -212,7 +213,7 @@
         while !matches!(
             self.events
                 .recv_timeout(TIMEOUT)
-                .expect("a connection ends within the time limit"),
+                .expect("a connection ends within 20 s"),
             ServerEvent::Closed
         ) {}
     }
@@ -243,12 +244,14 @@
     /// Binds a listener and fills its backlog.
     #[allow(clippy::new_without_default)]
     pub fn new() -> FullBacklog {
-        let socket =
-            Socket::new(Domain::IPV4, Type::STREAM, None).expect("a TCP socket can be created");
+        let socket = Socket::new(Domain::IPV4, Type::STREAM, None)
+            .expect("the process is below its limit of file descriptors");
         socket
             .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
             .expect("a loopback port is free");
-        socket.listen(0).expect("a bound socket can listen");
+        socket
+            .listen(0)
+            .expect("the port is new, so nothing else listens on it");
         let listener = TcpListener::from(socket);
         let address = listener
             .local_addr()
--- a/crates/test-doubles/src/lib.rs
+++ b/crates/test-doubles/src/lib.rs
@@ -1,4 +1,4 @@
-//! Test doubles on loopback: servers, list agents, counters, resolvers and clients that behave as a test says, and
+//! Test doubles on loopback: servers, list agents, counters, resolvers and clients whose behavior a test specifies, and
 //! a launcher for the gateway's binary. They are written from the protocol documents and RFCs; of the gateway's own
 //! code they use only the Diameter codec.
 #![expect(
--- a/crates/test-doubles/src/program.rs
+++ b/crates/test-doubles/src/program.rs
@@ -11,8 +11,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Returns the settings of a small site: a repeatable class, a class with idempotency keys, plans without a ceiling
-/// and one with.
+/// Returns the settings of a small site: a repeatable class, a class with idempotency keys, the plans `lille` and
+/// `small` (burst of 6 units) without a ceiling, and the plan `capped` with a ceiling of 10 units/s.
 pub fn settings(gateways: u32) -> String {
     format!(
         r#"{{"balancers":{gateways},"me":0,"zone":"hall-a","discovery":"pushed",
@@ -135,7 +135,7 @@
         Gateway::start_prepared(text, args, |_| {}, log)
     }
 
-    /// Starts a gateway whose system calls fail as the shim says.
+    /// Starts a gateway under the preload library, with the faults that `shim` sets.
     pub fn start_with_shim(text: &str, shim: &Shim) -> Gateway {
         let prepare = |gateway_command: &mut Command| {
             shim.preload(gateway_command);
@@ -197,7 +197,7 @@
         while !self.is_ready() {
             assert!(
                 start_time.elapsed() < TIMEOUT,
-                "the gateway is ready within the time limit"
+                "the gateway is ready within {TIMEOUT:?}"
             );
             thread::sleep(Duration::from_millis(10));
         }
@@ -249,12 +249,16 @@
     pub fn wait_for_exit(&mut self) -> ExitStatus {
         let start_time = Instant::now();
         loop {
-            if let Some(status) = self.child.try_wait().expect("the gateway is a child") {
+            if let Some(status) = self
+                .child
+                .try_wait()
+                .expect("only this struct reaps the child")
+            {
                 return status;
             }
             assert!(
                 start_time.elapsed() < TIMEOUT,
-                "the gateway exits within the time limit"
+                "the gateway exits within {TIMEOUT:?}"
             );
             thread::sleep(Duration::from_millis(10));
         }
@@ -264,7 +268,7 @@
     pub fn is_running(&mut self) -> bool {
         self.child
             .try_wait()
-            .expect("the gateway is a child")
+            .expect("only this struct reaps the child")
             .is_none()
     }
 }
@@ -294,7 +298,9 @@
             .set_read_timeout(Some(TIMEOUT))
             .expect("the read timeout is not zero");
         Client {
-            write: stream.try_clone().expect("a socket can be cloned"),
+            write: stream
+                .try_clone()
+                .expect("the process is below its limit of file descriptors"),
             read: BufReader::new(stream),
         }
     }
@@ -319,12 +325,12 @@
     /// Reads the next response; `None` if the connection ends first.
     ///
     /// # Panics
-    /// If neither a response nor the end of the connection arrives within the time limit.
+    /// If neither a response nor the end of the connection arrives within [`TIMEOUT`](crate::TIMEOUT).
     pub fn read_response(&mut self) -> Option<Message> {
         let peeked = self.read.fill_buf().map_err(|e| e.kind());
         assert!(
             peeked != Err(std::io::ErrorKind::WouldBlock),
-            "a response or the end of the connection arrives within the time limit"
+            "a response or the end of the connection arrives within {TIMEOUT:?}"
         );
         read_message(&mut self.read)
     }
@@ -355,10 +361,10 @@
 impl ClientRequest {
     /// Creates a balance check with a new trace id.
     pub fn check() -> ClientRequest {
-        let pid = format!("{:016x}", NEXT_ID.fetch_add(1, Ordering::SeqCst));
+        let trace_id = format!("{:016x}", NEXT_ID.fetch_add(1, Ordering::SeqCst));
         let headers = vec![
             ("Host", "backend.local".into()),
-            ("X-Trace-Id", pid),
+            ("X-Trace-Id", trace_id),
             ("X-Qos", "balance-check".into()),
             ("X-Tier", "lille".into()),
             ("X-Api-Key", "00000000b4d65521".into()),
--- a/crates/test-doubles/src/resolver.rs
+++ b/crates/test-doubles/src/resolver.rs
@@ -107,7 +107,7 @@
         thread::spawn(move || {
             for stream in tcp.incoming().flatten() {
                 let r = r.clone();
-                thread::spawn(move || r.stream(stream));
+                thread::spawn(move || r.serve_tcp_connection(stream));
             }
         });
         let r = resolver.clone();
@@ -136,12 +136,14 @@
             .expect("no thread panics while it holds the mode") = mode;
     }
 
-    /// Returns the number of queries so far, over UDP and TCP.
+    /// Returns the number of queries so far over UDP and TCP, without those whose TCP connection was closed in
+    /// [`DnsMode::TruncatedWithoutTcp`].
     pub fn queries(&self) -> u64 {
         self.shared.queries.load(Ordering::SeqCst)
     }
 
-    /// Returns the number of queries so far over TCP.
+    /// Returns the number of queries so far over TCP, without those whose connection was closed in
+    /// [`DnsMode::TruncatedWithoutTcp`].
     pub fn tcp_queries(&self) -> u64 {
         self.shared.tcp_queries.load(Ordering::SeqCst)
     }
@@ -164,14 +166,15 @@
         }
     }
 
-    /// Changes the zone, sends the changes to the subscribers, and returns the time at which the zone had changed.
-    pub fn change_zone(&self, change_zone: impl FnOnce(&mut Zone)) -> Instant {
+    /// Changes the zone, sends the changes to the subscribers, and returns the time right after the zone was
+    /// changed, before the changes are sent.
+    pub fn change_zone(&self, change: impl FnOnce(&mut Zone)) -> Instant {
         let mut zone = self
             .shared
             .zone
             .lock()
-            .expect("no thread panics while it holds the zone");
-        change_zone(&mut zone);
+            .expect("the test's change to the zone did not panic");
+        change(&mut zone);
         let changes = zone.take_changes();
         drop(zone);
         let changed = Instant::now();
@@ -246,7 +249,7 @@
             .shared
             .zone
             .lock()
-            .expect("no thread panics while it holds the zone")
+            .expect("the test's change to the zone did not panic")
             .answer(query, max_bytes)?;
         match mode {
             DnsMode::Answering => {}
@@ -280,7 +283,7 @@
     }
 
     /// Answers queries over one TCP connection.
-    fn stream(&self, mut stream: TcpStream) {
+    fn serve_tcp_connection(&self, mut stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         while let Some(query) = read_framed(&mut stream) {
             if *self
@@ -356,7 +359,7 @@
                             .shared
                             .zone
                             .lock()
-                            .expect("no thread panics while it holds the zone");
+                            .expect("the test's change to the zone did not panic");
                         let matches_type =
                             |rr: &&crate::zone::Rr| rtype == Rtype::ANY || rr.rtype() == rtype;
                         zone.records(&name)
--- a/crates/test-doubles/src/shared_counter.rs
+++ b/crates/test-doubles/src/shared_counter.rs
@@ -29,10 +29,10 @@
     all_totals: Vec<Totals>,
     /// Index in `all_totals` of the totals that each side uses.
     totals_of_side: [usize; 2],
-    /// Parts of the names for which calls are not answered.
+    /// Whether calls are left unanswered, for each part of the names.
     silent: Vec<bool>,
     delay: Duration,
-    /// Percentage of names whose answers are wrong, and how.
+    /// Percentage of names whose answers are wrong, and the fault of those answers.
     answer_fault: Option<(u64, AnswerFault)>,
     streams: Vec<TcpStream>,
     calls: u64,
@@ -86,7 +86,7 @@
             .expect("no thread panics while it holds the state")
     }
 
-    /// Returns the number of calls received, answered or not.
+    /// Returns the number of valid `bump` calls received, answered or not.
     pub fn calls(&self) -> u64 {
         self.state().calls
     }
@@ -146,7 +146,7 @@
         self.state().delay = delay;
     }
 
-    /// Makes this percentage of names get wrong answers, or none.
+    /// Sets the percentage of names whose answers are wrong and the fault of those answers; `None` ends the fault.
     pub fn set_answer_fault(&self, answer_fault: Option<(u64, AnswerFault)>) {
         self.state().answer_fault = answer_fault;
     }
@@ -199,7 +199,8 @@
     let Ok(mut write) = stream.try_clone() else {
         return;
     };
-    // Answers are delayed on a thread of their own, so that one delay doesn't add to the next.
+    // A separate thread delays the answers, so that the next call is read meanwhile and the delays of answers do
+    // not add up.
     let (answer_sender, answers) = channel::<(Instant, String)>();
     thread::spawn(move || {
         for (due, text) in answers {
--- a/crates/test-doubles/src/shim.rs
+++ b/crates/test-doubles/src/shim.rs
@@ -1,4 +1,5 @@
-//! Control of the preload library that makes system calls fail.
+//! Control of the preload library that injects faults into system calls: errors, delays, short transfers, an offset
+//! of the wall clock.
 
 pub use frosthatch_fault_controls::Fault;
 use frosthatch_fault_controls::WORDS;
@@ -44,7 +45,7 @@
         Shim { path, file }
     }
 
-    /// Sets a fault from now on.
+    /// Sets the value of a fault, in the unit that [`Fault`] states; 0 removes the fault.
     pub fn set(&self, fault: Fault, value: i64) {
         self.file
             .write_all_at(&value.to_ne_bytes(), fault as u64 * 8)
--- a/crates/test-doubles/src/zone.rs
+++ b/crates/test-doubles/src/zone.rs
@@ -35,7 +35,8 @@
 pub struct Zone {
     pub domain: String,
     pub serial: u32,
-    pub ttl: u32,
+    /// TTL of all records, in seconds.
+    pub ttl_s: u32,
     /// Whether answers have the AA (authoritative answer) bit.
     pub authoritative: bool,
     /// Whether an answer to a PTR query has SRV, TXT and address records in its additional section (RFC 6763
@@ -60,7 +61,7 @@
         Zone {
             domain: domain.into(),
             serial: 1,
-            ttl: 10,
+            ttl_s: 10,
             authoritative: true,
             additional: true,
             records: BTreeMap::new(),
@@ -79,26 +80,26 @@
         self.records.entry(lookup_key(owner)).or_default().push(rr);
     }
 
-    /// Removes the records of an owner for which `fits` returns true.
-    pub fn remove(&mut self, owner: &str, fits: impl Fn(&Rr) -> bool) {
+    /// Removes those of the owner's records that `matches` accepts.
+    pub fn remove(&mut self, owner: &str, matches: impl Fn(&Rr) -> bool) {
         self.serial += 1;
         let Some(all) = self.records.get_mut(&lookup_key(owner)) else {
             return;
         };
-        for rr in all.iter().filter(|rr| fits(rr)) {
+        for rr in all.iter().filter(|rr| matches(rr)) {
             self.changes.push(ZoneChange {
                 added: false,
                 owner: owner.into(),
                 rr: rr.clone(),
             });
         }
-        all.retain(|rr| !fits(rr));
+        all.retain(|rr| !matches(rr));
         if all.is_empty() {
             self.records.remove(&lookup_key(owner));
         }
     }
 
-    /// Adds an instance of a service, on a host of the same name.
+    /// Adds an instance of a service: PTR, SRV and TXT records, and the address of its host `INSTANCE.host.DOMAIN`.
     pub fn add_instance(
         &mut self,
         service: &str,
@@ -162,7 +163,7 @@
         let mut owner = qname;
         let mut found = Vec::new();
         let mut fits = true;
-        // The bound also ends a loop of CNAME records.
+        // Looks up at most 4 owners along a chain of CNAME records, so that a loop of them ends.
         for _ in 0..4 {
             let matching: Vec<Rr> = self
                 .records(&owner)
@@ -175,12 +176,12 @@
                 .iter()
                 .find(|rr| matches!(rr, Rr::Cname(_)));
             for rr in &matching {
-                fits &= add(&mut answer, self.ttl, &owner, rr);
+                fits &= add(&mut answer, self.ttl_s, &owner, rr);
             }
             found.extend(matching);
             match alias {
                 Some(rr @ Rr::Cname(to)) if qtype != Rtype::CNAME => {
-                    fits &= add(&mut answer, self.ttl, &owner, rr);
+                    fits &= add(&mut answer, self.ttl_s, &owner, rr);
                     owner = to.clone();
                 }
                 _ => break,
@@ -206,10 +207,10 @@
             'additional: for rr in &found {
                 let Rr::Ptr(instance) = rr else { continue };
                 for rr in self.records(instance) {
-                    let mut fits = add(&mut additional, self.ttl, instance, rr);
+                    let mut fits = add(&mut additional, self.ttl_s, instance, rr);
                     if let Rr::Srv(.., target) = rr {
                         for a in self.records(target) {
-                            fits &= add(&mut additional, self.ttl, target, a);
+                            fits &= add(&mut additional, self.ttl_s, target, a);
                         }
                     }
                     if !fits {
@@ -228,7 +229,7 @@
     }
 
     fn soa(&self) -> Record<DomainName, Soa<DomainName>> {
-        let (apex, ttl) = (domain_name(&self.domain), Ttl::from_secs(self.ttl));
+        let (apex, ttl) = (domain_name(&self.domain), Ttl::from_secs(self.ttl_s));
         let soa = Soa::new(
             apex.clone(),
             apex.clone(),
@@ -272,7 +273,8 @@
     if rdata.is_empty() {
         rdata.push(0);
     }
-    Txt::from_octets(rdata).expect("the strings are encoded as TXT data")
+    Txt::from_octets(rdata)
+        .expect("each string is at most 255 bytes long, and together they are valid TXT data")
 }
 
 impl Rr {
@@ -339,7 +341,11 @@
                 .expect("the answer is a DNS message");
         assert!(over_udp.header().tc());
         let answer = zone.answer(&query, 65_535).expect("the query is valid");
-        assert!(answer.len() < 65_536, "answer of {} bytes", answer.len());
+        assert!(
+            answer.len() < 65_536,
+            "the answer fits in a TCP message of 65535 bytes, it has {}",
+            answer.len()
+        );
         let answer = Message::from_octets(answer).expect("the answer is a DNS message");
         assert_eq!(
             (answer.header().tc(), answer.header_counts().ancount()),
