--- a/crates/frosthatch/src/admin.rs
+++ b/crates/frosthatch/src/admin.rs
@@ -51,7 +51,8 @@
 }
 
 impl GatewayAdmin {
-    /// Sends the current mark of server `id` to the other process of a hot restart; returns `is_known` unchanged.
+    /// Sends the current mark of server `id` to the other process of a hot restart. Returns `is_known` (whether the
+    /// server is listed) unchanged, so that callers can end with this call.
     fn forward_mark(&self, id: &str, is_known: bool) -> bool {
         if let (Some(sender), Some(mark)) = (&self.hot_restart, self.endpoints.mark(id)) {
             let event = LocalEvent::Marked(transferred_mark(id.into(), mark));
--- a/crates/frosthatch/src/command_line.rs
+++ b/crates/frosthatch/src/command_line.rs
@@ -73,14 +73,14 @@
 enum PolicyCommand {
     /// Prints the policy document that is in force.
     Show,
-    /// Checks a policy document and prints every mistake; with NODE_CONFIG set, also why this gateway could not
-    /// serve under it.
+    /// Checks a policy document and prints every mistake; with NODE_CONFIG set, also checks that it fits this
+    /// gateway's plans, classes and plug-ins.
     Check {
         /// The policy document (TOML).
         file: PathBuf,
     },
-    /// Proposes a policy document. Exit status: 0 if it is in force, 1 if it was not sent, 2 if it was rejected, 3
-    /// if the outcome is not known yet (see `status`).
+    /// Proposes a policy document. Exit status: 0 if it is in force, 1 if the gateway did not accept the request, 2
+    /// if the document was rejected, 3 if the outcome is not known yet (see `status`).
     Propose {
         /// The policy document (TOML).
         file: PathBuf,
@@ -92,7 +92,7 @@
     Status,
     /// Prints the policies that this gateway has served under since it started.
     History,
-    /// Aborts a proposal, as long as no keeper can have accepted it.
+    /// Aborts a proposal; fails if a keeper may already have accepted it.
     Abort {
         /// The proposal's number, as `status` shows it.
         number: u64,
--- a/crates/frosthatch/src/commands/check.rs
+++ b/crates/frosthatch/src/commands/check.rs
@@ -51,8 +51,10 @@
     let diameter = diameter.and_then(|config| diameter::check(config, &platform.settings).err());
     let fleet = operator.fleet.as_ref();
     let fleet = fleet.and_then(|config| membership::check(config, &platform.settings).err());
-    let diameter_hint = "name classes and plans of the settings";
-    let fleet_hint = "name each gateway once, by its number";
+    let diameter_hint =
+        "name plans of the settings, and classes of the settings with the required effect";
+    let fleet_hint =
+        "list one address for each gateway of the settings, in the order of their numbers";
     diameter
         .map(|problem| error("diameter", problem, diameter_hint))
         .into_iter()
--- a/crates/frosthatch/src/commands/policy.rs
+++ b/crates/frosthatch/src/commands/policy.rs
@@ -67,7 +67,7 @@
     Ok(())
 }
 
-/// Formats the reason of a rejection, with the member that rejected the proposal if it was one.
+/// Formats a reason as `MEMBER: REASON`, or as `REASON` if it does not come from a single member.
 fn reason_text((member, reason): &(String, String)) -> String {
     if member.is_empty() {
         reason.clone()
@@ -136,7 +136,7 @@
     let operator = OperatorConfig::read(operator_file).map_err(|errors| join_errors(&errors))?;
     let policy = operator
         .policy
-        .ok_or("the operator's file has no [policy] table")?;
+        .ok_or("no [policy] table: name an operator's file that has one with --operator")?;
     if !policy.acceptors.iter().any(|acceptor| acceptor == name) {
         return Err(format!(
             "{name} is none of the keepers {}",
@@ -148,7 +148,10 @@
         .ok_or("policy.folder is not set in the operator's file")?;
     std::fs::create_dir_all(&directory).map_err(|e| format!("{}: {e}", directory.display()))?;
     StateDirectory::open(&directory)?.init(name, replaces)?;
-    println!("{name} keeps in {}", directory.display());
+    println!(
+        "initial state of keeper {name} created in {}",
+        directory.display()
+    );
     Ok(())
 }
 
@@ -166,8 +169,8 @@
 enum ProposeExit {
     /// The proposed policy is in force.
     InForce = 0,
-    /// The gateway did not receive the proposal.
-    NotSent = 1,
+    /// The document could not be read or the gateway did not accept the request.
+    NotAccepted = 1,
     /// The proposed policy is not in force on any gateway and never will be.
     Rejected = 2,
     /// The outcome is not known yet.
@@ -202,13 +205,13 @@
 
 /// Sends the proposal and returns its number.
 fn send_proposal(client: &AdminClient, file: &Path) -> Result<u64, ProposeResult> {
-    let not_sent = |reason: String| ProposeResult::new(ProposeExit::NotSent, reason);
+    let not_accepted = |reason: String| ProposeResult::new(ProposeExit::NotAccepted, reason);
     let unknown = |reason: String| {
         let text = format!("{reason}; see `policy status`");
         ProposeResult::new(ProposeExit::Unknown, text)
     };
-    let text = read_text(file).map_err(not_sent)?;
-    client.policy_status().map_err(not_sent)?;
+    let text = read_text(file).map_err(not_accepted)?;
+    client.policy_status().map_err(not_accepted)?;
     // Without a response the gateway may still have received the document, so that the outcome is unknown.
     let response = client.send("POST", "/policy", &text).map_err(unknown)?;
     let body = response.body;
@@ -222,7 +225,7 @@
             let reason = body.trim().to_string();
             Err(ProposeResult::new(ProposeExit::Rejected, reason))
         }
-        _ => Err(not_sent(client.error(body.trim()))),
+        _ => Err(not_accepted(client.error(body.trim()))),
     }
 }
 
--- a/crates/frosthatch/src/diameter.rs
+++ b/crates/frosthatch/src/diameter.rs
@@ -21,15 +21,16 @@
 const MAX_SESSIONS_PER_MB: usize = 600;
 /// Maximum bytes of an incomplete message that a client's connection buffers.
 const MAX_READ_BUFFER_BYTES: usize = 72 << 10;
-/// Divisor of the process's memory that gives the limit for answers cached for duplicate requests.
+/// Divisor of the process's memory that gives the maximum bytes of answers cached for duplicate requests.
 const CACHED_ANSWERS_DIVISOR: usize = 16;
-/// Divisor of the process's memory that gives the limit for requests in flight.
+/// Divisor of the process's memory that gives the maximum bytes of requests in flight.
 const REQUESTS_DIVISOR: usize = 32;
-/// Divisor of the process's memory that gives the limit for bytes queued for writing, to clients and to servers each.
+/// Divisor of the process's memory that gives the maximum bytes queued for writing, to clients and to servers each.
 const WRITE_QUEUES_DIVISOR: usize = 16;
-/// Divisor of the process's memory that gives the limit for clients' read buffers.
+/// Divisor of the process's memory that gives the maximum bytes of clients' read buffers.
 const READ_BUFFERS_DIVISOR: usize = 16;
-/// Divisor of the process's memory that gives the limit for HTTP clients where Diameter is served as well.
+/// Divisor of the process's memory that gives the maximum bytes held for HTTP clients if Diameter is enabled (half
+/// of the memory otherwise).
 pub const HTTP_CLIENTS_DIVISOR: usize = 4;
 
 /// Returns the maximum number of client connections: the configured one, reduced to what descriptors and memory
@@ -38,7 +39,7 @@
     let read_buffers = memory_bytes(platform) / READ_BUFFERS_DIVISOR / MAX_READ_BUFFER_BYTES;
     config
         .max_clients
-        .min(platform.sockets / 4)
+        .min(platform.max_descriptors / 4)
         .min(read_buffers)
         .max(1)
 }
@@ -81,7 +82,7 @@
         Ok(())
     } else {
         Err(format!(
-            "diameter: class {name:?} is not of the effect that its use requires"
+            "diameter: class {name:?} is not of the effect that its use requires: check_class must be repeatable, charge_class repeatable or keyed"
         ))
     }
 }
--- a/crates/frosthatch/src/gateway.rs
+++ b/crates/frosthatch/src/gateway.rs
@@ -112,7 +112,7 @@
                 _ = signals.terminate.recv() => return Ok(()),
                 _ = phase_ticks.tick(), if self.member.is_some() => self.announce_phase(),
                 () = exit_requested.notified() => {
-                    return Err("a running process could not be replaced".into());
+                    return Err("upgrade: the running process of this gateway could not be replaced".into());
                 }
                 _ = signals.hang_up.recv() => self.reload(operator_file).await,
             }
--- a/crates/frosthatch/src/gateway/shutdown.rs
+++ b/crates/frosthatch/src/gateway/shutdown.rs
@@ -10,16 +10,18 @@
 const LATE_CONNECTION_PERIOD: Duration = Duration::from_millis(500);
 /// Time after the longest deadline by which the last response is due; no request is pending after it.
 const LAST_RESPONSE_PERIOD: Duration = Duration::from_millis(50);
-/// Time to write the last responses. SIGKILL may follow 0.7 s after the longest deadline, so the three periods
-/// together must be shorter.
+/// Time to write the last responses. SIGKILL may follow 0.7 s after the longest deadline;
+/// [`LATE_CONNECTION_PERIOD`], [`LAST_RESPONSE_PERIOD`] and this period together are 0.6 s.
 const LAST_WRITE_PERIOD: Duration = Duration::from_millis(50);
-/// Maximum deadline that delays the exit: the sender of SIGKILL caps longer deadlines at the same value.
+/// Longest deadline that the shutdown waits for; the platform, which sends SIGKILL, counts longer deadlines as this
+/// one too.
 const MAX_DEADLINE: Duration = Duration::from_secs(3);
 /// Number of consecutive polls that must find nothing in flight.
 const REQUIRED_IDLE_POLLS: u32 = 2;
 /// Interval between two polls for open connections and requests in flight.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Time for Diameter peers to answer a disconnect and for the other members to receive the leave.
+/// Time for Diameter peers to answer a disconnect and for the other members to receive the leave. Requests are
+/// finished or abandoned before, so a SIGKILL in this period loses at most these messages.
 const DISCONNECT_PERIOD: Duration = Duration::from_millis(100);
 
 impl RunningGateway {
@@ -57,8 +59,9 @@
             sleep(LATE_CONNECTION_PERIOD).await;
             return;
         }
-        // Another process accepts: requests arrive only on connections that are already open. Closing idle
-        // connections only after a while makes it rare that a close crosses a request.
+        // Another process accepts: requests arrive only on connections that are already open. Only connections that
+        // have been idle for some time (see [`HttpServer::close_idle_connections`]) are closed, so that few closes
+        // cross a request.
         while self.http_server.open_connections() > 0
             && Instant::now() + LATE_CONNECTION_PERIOD * 2 < end_by
         {
@@ -67,8 +70,8 @@
         }
     }
 
-    /// Returns once [`REQUIRED_IDLE_POLLS`] consecutive polls find nothing in flight: a connection may be accepted
-    /// after the first poll, and the next poll sees one that was waiting in the listener's queue.
+    /// Returns once [`REQUIRED_IDLE_POLLS`] consecutive polls find nothing in flight: a connection that waits in
+    /// the listener's queue during one poll is accepted before the next.
     async fn finish_requests(&self) {
         let mut idle_polls = 0;
         while idle_polls < REQUIRED_IDLE_POLLS {
--- a/crates/frosthatch/src/gateway/start.rs
+++ b/crates/frosthatch/src/gateway/start.rs
@@ -116,8 +116,8 @@
             Some(fleet) => Some(membership::create_member(fleet, platform).await?),
             None => None,
         };
-        let decisions = Gateway::new(platform.settings.clone(), platform.seed);
-        let decisions = decisions.map_err(|error| error.to_string())?;
+        let traffic_control = Gateway::new(platform.settings.clone(), platform.seed);
+        let traffic_control = traffic_control.map_err(|error| error.to_string())?;
         let signals = Signals::new()?;
         let budget = ResourceBudget::new(platform, operator);
         let socket_path = hot_restart::socket_path(platform, operator);
@@ -125,7 +125,7 @@
             Some(path) => handover::inherit(path).await,
             None => None,
         };
-        let core = Core::new(decisions, platform, operator, &budget, member.clone())?;
+        let core = Core::new(traffic_control, platform, operator, &budget, member.clone())?;
         Ok(PreparedParts {
             member,
             signals,
@@ -148,7 +148,7 @@
 
 impl Core {
     fn new(
-        decisions: Gateway,
+        traffic_control: Gateway,
         platform: &PlatformConfig,
         operator: &OperatorConfig,
         budget: &ResourceBudget,
@@ -176,7 +176,7 @@
         }
         let usage_reporter = member.map(|member| member as Rc<dyn UsageReporter>);
         let engine = Rc::new(Engine::new(
-            decisions,
+            traffic_control,
             observers,
             call_sender,
             usage_reporter,
@@ -203,8 +203,8 @@
         inherited.and_then(|inherited| inherited.listener(CLIENT_LISTENER, platform.listen));
     let listener = match inherited {
         Some(listener) => listener.and_then(TcpListener::from_std),
-        // With hot restart enabled, a process that could not hand over may still be listening on the address for a
-        // while.
+        // A process that could not hand over may still be listening on the address for a while, so the address is
+        // bound with SO_REUSEPORT if hot restart is enabled.
         None if is_hot_restart_enabled => listen(platform.listen, Sharing::Shared).await,
         None => listen(platform.listen, Sharing::Alone).await,
     };
--- a/crates/frosthatch/src/hot_restart.rs
+++ b/crates/frosthatch/src/hot_restart.rs
@@ -21,9 +21,9 @@
 /// Interval at which the engine is polled for readiness.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Returns the path of the Unix socket over which processes of this gateway hand over: the path in the operator's
-/// file, or one in `TMPDIR`, which a platform that replaces processes lets them share. Such a platform is
-/// recognized by its address for the admin API.
+/// Returns the path of the hand-over socket: the path in the operator's file, else `$TMPDIR/frosthatch.sock` if the
+/// platform gives an address for the admin API, as a platform does that replaces processes and lets them share
+/// `TMPDIR`. `None` (no such path, or one that is too long) disables hot restart.
 pub fn socket_path(platform: &PlatformConfig, operator: &OperatorConfig) -> Option<PathBuf> {
     let shared = || {
         let folder = std::env::var_os("TMPDIR").filter(|_| platform.admin.is_some())?;
--- a/crates/frosthatch/src/membership.rs
+++ b/crates/frosthatch/src/membership.rs
@@ -117,9 +117,9 @@
     Ok(MembershipConfig {
         name: addresses.name,
         number: u16::try_from(settings.gateway_index)
-            .map_err(|_| "fleet: settings.me is above 65535")?,
+            .map_err(|_| "fleet: settings.me is above the maximum of 65535")?,
         gateways: u16::try_from(settings.gateways)
-            .map_err(|_| "fleet: settings.balancers is above 65535")?,
+            .map_err(|_| "fleet: settings.balancers is above the maximum of 65535")?,
         zone: fleet.zone.clone().unwrap_or_else(|| settings.zone.clone()),
         region: fleet.region.clone(),
         program: env!("CARGO_PKG_VERSION").into(),
--- a/crates/frosthatch/src/operator_config/plugins.rs
+++ b/crates/frosthatch/src/operator_config/plugins.rs
@@ -34,8 +34,8 @@
         } else {
             reader.report(
                 key.span(),
-                format!("plugins.{name} has an invalid name or is one plug-in too many"),
-                "write at most 32 plug-ins, with names of at most 32 of a-z, 0-9 and -",
+                format!("plugins.{name} has an invalid name or exceeds the maximum of 32 plug-ins"),
+                "write at most 32 plug-ins, each with a name of at most 32 of a-z, 0-9 and -",
             );
         }
     }
--- a/crates/frosthatch/src/operator_config/policy.rs
+++ b/crates/frosthatch/src/operator_config/policy.rs
@@ -6,8 +6,8 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Maximum number of acceptors. More of them would make each change and each lease more expensive without
-/// tolerating a useful number of further faults.
+/// Maximum number of acceptors. Seven tolerate three faults; more would make each change and each lease more
+/// expensive without tolerating a useful number of further faults.
 const MAX_ACCEPTORS: usize = 7;
 const ACCEPTORS_HINT: &str =
     "write the names of members, an odd number of them, best three or five";
--- a/crates/frosthatch/src/outlier_gossip.rs
+++ b/crates/frosthatch/src/outlier_gossip.rs
@@ -35,9 +35,9 @@
 }
 
 impl Measurement {
-    /// Returns whether `newer` need not be sent because this measurement, sent before, is recent and has the same
-    /// value.
-    fn is_current_for(&self, newer: &Measurement) -> bool {
+    /// Returns whether `newer` can be skipped: it has the value of `self`, the measurement last sent, and is less
+    /// than [`REFRESH_INTERVAL_US`] newer.
+    fn makes_redundant(&self, newer: &Measurement) -> bool {
         self.value == newer.value && newer.at_us < self.at_us + REFRESH_INTERVAL_US
     }
 }
@@ -52,7 +52,7 @@
     set: GaugeValues,
 }
 
-/// What was passed on so far, in both directions.
+/// The state last passed on: views and reports to the engine, gauges to the members.
 #[derive(Default)]
 struct GossipState {
     /// Numbers of the gateways among which the engine divides servers into subsets.
@@ -171,7 +171,7 @@
         self.sent = still_sent;
         set.retain(|name, newer| {
             let sent = self.sent.get(name);
-            !sent.is_some_and(|sent| sent.is_current_for(newer))
+            !sent.is_some_and(|sent| sent.makes_redundant(newer))
         });
         self.sent
             .extend(set.iter().map(|(name, value)| (name.clone(), *value)));
--- a/crates/frosthatch/src/outlier_gossip/tests.rs
+++ b/crates/frosthatch/src/outlier_gossip/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn only_changed_gauges_are_sent() {
+fn a_gauge_is_sent_when_it_changes_or_the_refresh_interval_passes() {
     let mut state = GossipState::default();
     let reports = |error_rate, at_us| HealthReports {
         uses: 5,
--- a/crates/frosthatch/src/platform_config.rs
+++ b/crates/frosthatch/src/platform_config.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// Minimum number of descriptors with which a gateway can work.
-const MIN_SOCKETS: u64 = 64;
+const MIN_DESCRIPTORS: u64 = 64;
 /// Minimum memory with which a gateway can work.
 const MIN_MEMORY_MB: u64 = 16;
 const ADDRESS_HINT: &str = "write an address and a port, as \"127.0.0.1:8080\"";
@@ -33,7 +33,7 @@
     /// Seed of the random number generators.
     pub seed: u64,
     /// Maximum number of descriptors of the process.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// Maximum memory of the process.
     pub memory_mb: usize,
     /// The endpoint list as last known to an earlier process.
@@ -90,21 +90,22 @@
     }
 }
 
-/// The fields without a default, and the addresses of optional services; `None` for one that is missing or malformed.
-struct RequiredFields {
+/// The parsed fields: required ones and the addresses of optional services; `None` for a field that is missing or
+/// malformed.
+struct ParsedFields {
     name: Option<String>,
     listen: Option<SocketAddr>,
     discovery: Option<SocketAddr>,
     counter: Option<SocketAddr>,
     admin: Option<SocketAddr>,
     seed: Option<u64>,
-    sockets: Option<u64>,
+    max_descriptors: Option<u64>,
     memory_mb: Option<u64>,
 }
 
 /// The settings, split into those of traffic control and those of sockets.
 struct ParsedSettings {
-    decisions: Settings,
+    traffic_control: Settings,
     sockets: SocketSettings,
 }
 
@@ -148,7 +149,7 @@
                 return Err(reader.into_errors());
             }
         };
-        let fields = RequiredFields::read(&mut reader, &file);
+        let fields = ParsedFields::read(&mut reader, &file);
         let (known_endpoints, warnings) = read_known_endpoints(&mut reader, &file, path);
         let settings = read_settings(&mut reader, &file, fields.counter.is_some());
         let mut errors = reader.into_errors();
@@ -162,8 +163,8 @@
     }
 }
 
-impl RequiredFields {
-    fn read(reader: &mut JsonReader, file: &Value) -> RequiredFields {
+impl ParsedFields {
+    fn read(reader: &mut JsonReader, file: &Value) -> ParsedFields {
         let text = |value: &Value| value.as_str().map(String::from);
         let hex = |value: &Value| {
             value
@@ -171,7 +172,7 @@
                 .and_then(|digits| u64::from_str_radix(digits, 16).ok())
         };
         let at_least = |min: u64| move |value: &Value| value.as_u64().filter(|&n| n >= min);
-        RequiredFields {
+        ParsedFields {
             name: reader.field(file, "/name", "write a text", text),
             listen: reader.field(file, "/listen", ADDRESS_HINT, address),
             discovery: reader.field(file, "/discovery", ADDRESS_HINT, address),
@@ -181,11 +182,11 @@
             },
             admin: read_admin_address(reader, file),
             seed: reader.field(file, "/seed", "write 16 hex digits", hex),
-            sockets: reader.field(
+            max_descriptors: reader.field(
                 file,
                 "/limits/sockets",
                 "write a number from 64 on",
-                at_least(MIN_SOCKETS),
+                at_least(MIN_DESCRIPTORS),
             ),
             memory_mb: reader.field(
                 file,
@@ -210,13 +211,13 @@
             counter: self.counter,
             admin: self.admin,
             seed: self.seed?,
-            sockets: self.sockets? as usize,
+            max_descriptors: self.max_descriptors? as usize,
             memory_mb: self.memory_mb? as usize,
             known_endpoints,
             connect_timeout: Duration::from_micros(limits.connect_timeout_us),
             server_idle_timeout: Duration::from_micros(limits.keepalive_us),
             counter_timeout: Duration::from_micros(settings.sockets.family_info.count_wait_us),
-            settings: settings.decisions,
+            settings: settings.traffic_control,
             warnings: Vec::new(),
         })
     }
@@ -271,14 +272,18 @@
     let written = written.unwrap_or_default();
     let boot: BootInfo = reader.deserialize_settings(written.clone());
     let sockets: SocketSettings = reader.deserialize_settings(written);
-    let mut decisions = boot.settings();
-    // Over HTTP each rejection can carry a time to retry, even if the settings give the simulator's clients none.
-    decisions.max_retry_after_us = sockets.limits.max_retry_after_us;
-    decisions.has_counter &= has_counter;
+    let mut traffic_control = boot.settings();
+    // Over HTTP each rejection can carry Retry-After: `retryAfter` in the settings, which sets this limit to 0 if
+    // it is off, applies to the simulator's clients only.
+    traffic_control.max_retry_after_us = sockets.limits.max_retry_after_us;
+    traffic_control.has_counter &= has_counter;
     if reader.has_no_errors() {
-        for problem in decisions.mistakes() {
+        for problem in traffic_control.mistakes() {
             reader.report("settings", problem, "correct the settings");
         }
     }
-    ParsedSettings { decisions, sockets }
+    ParsedSettings {
+        traffic_control,
+        sockets,
+    }
 }
--- a/crates/frosthatch/src/policy/crash_point.rs
+++ b/crates/frosthatch/src/policy/crash_point.rs
@@ -16,8 +16,9 @@
         self.0.borrow().is_some()
     }
 
-    /// Is called just before each step; aborts the process, without any cleanup, if the crash point is reached.
-    pub(super) fn reach(&self, step: &str) {
+    /// Counts one pass of `step`; aborts the process, without any cleanup, if the configured number of passes has
+    /// been counted. Called just before each step.
+    pub(super) fn record_pass(&self, step: &str) {
         let mut crash_point = self.0.borrow_mut();
         let Some(crash_point) = crash_point.as_mut().filter(|point| point.step == step) else {
             return;
--- a/crates/frosthatch/src/policy/document_terms.rs
+++ b/crates/frosthatch/src/policy/document_terms.rs
@@ -146,7 +146,7 @@
             None => errors.push(format!("there is no plug-in {name:?} here")),
             Some(digest) if *digest != document_entry.sha256 => {
                 errors.push(format!(
-                    "plug-in {name:?} is another here: its file has SHA-256 {digest}"
+                    "plug-in {name:?} is another here: this gateway's file has SHA-256 {digest}"
                 ));
             }
             Some(_) => {}
--- a/crates/frosthatch/src/policy/service.rs
+++ b/crates/frosthatch/src/policy/service.rs
@@ -33,8 +33,8 @@
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
 /// Interval after which a step of a proposal without a majority is retried.
 const PROPOSAL_RETRY_INTERVAL_US: u64 = 150_000;
-/// Number of ticks after which a state directory that could not be opened, as another process uses it, is tried
-/// again.
+/// Number of ticks between attempts to open the state directory. Opening fails while another process uses the
+/// directory, for example the process that is being replaced.
 const DIRECTORY_RETRY_TICKS: u32 = 100;
 /// Name of the gauge with the policy version that a member serves under.
 pub(super) const POLICY_VERSION_GAUGE: &str = "policy";
@@ -54,7 +54,7 @@
     clock_skew_permille: i64,
     crash_points: CrashPoints,
     /// The serving state that was last reported to the engine.
-    notified_state: Cell<Option<ServingState>>,
+    reported_state: Cell<Option<ServingState>>,
     served: Cell<ServedPolicies>,
     /// Engine time of the last check of the lease.
     checked_at_us: Cell<u64>,
@@ -107,7 +107,7 @@
             started_at_us: engine.now_us(),
             clock_skew_permille: config.clock_skew_permille,
             crash_points: CrashPoints::new(config.crash_point.clone()),
-            notified_state: Cell::default(),
+            reported_state: Cell::default(),
             served: Cell::default(),
             checked_at_us: Cell::new(0),
             state_directory: RefCell::default(),
@@ -155,7 +155,8 @@
         now_us.saturating_add_signed(since_start * self.clock_skew_permille / 1_000)
     }
 
-    /// Loads the acceptor's state from its directory; an error is logged and passed to the node, which keeps it.
+    /// Loads the acceptor's state from its directory; an error is logged and passed to the node, which reports it
+    /// in the status.
     fn load_acceptor(&self, path: &Path) {
         let loaded = StateDirectory::open(path).and_then(|directory| {
             let loaded = directory.read(&self.node_config.name);
@@ -182,7 +183,7 @@
             let mut outputs = Vec::new();
             tokio::select! {
                 Some(result) = write_results.recv() => {
-                    self.crash_points.reach("stored");
+                    self.crash_points.record_pass("stored");
                     self.node.borrow_mut().record_stored(self.now_us(), result, &mut outputs);
                 }
                 _ = ticks.tick() => {
@@ -224,20 +225,21 @@
                 NodeOutput::Send { to, bytes } => {
                     if self.crash_points.is_active() {
                         let name = Message::read(&bytes).map_or("", |message| message.name());
-                        self.crash_points.reach(name);
+                        self.crash_points.record_pass(name);
                     }
                     self.member.send_message(&to, bytes);
                 }
                 NodeOutput::Store(record) => {
-                    self.crash_points.reach("store");
+                    self.crash_points.record_pass("store");
                     if let Some(directory) = &*self.state_directory.borrow() {
-                        // The receiver lives as long as this service, as the writer thread holds it.
+                        // The receiver exists: `state_directory` is set only for an acceptor, whose writer thread
+                        // runs as long as this service.
                         let _ = self.disk_writes.send((directory.another_handle(), record));
                     }
                 }
                 NodeOutput::Log(line) => {
                     if line.starts_with("policy: in-force") {
-                        self.crash_points.reach("told");
+                        self.crash_points.record_pass("told");
                     }
                     log_line!("{line}");
                 }
@@ -337,7 +339,9 @@
             log_line!("policy: cannot write the audit log; the write is retried");
         }
         Some(AuditTransition::Recovered { dropped_lines }) => {
-            log_line!("policy: the audit log is written again; dropped lines: {dropped_lines}");
+            log_line!(
+                "policy: writes to the audit log succeed again; dropped lines: {dropped_lines}"
+            );
         }
         None => {}
     }
--- a/crates/frosthatch/src/policy/service/lease.rs
+++ b/crates/frosthatch/src/policy/service/lease.rs
@@ -20,8 +20,8 @@
 pub(super) struct ServedPolicies {
     /// The policy in force, or the last one that was.
     pub(super) current: PolicyId,
-    /// A second policy, set without a lease while the policy may be changing: the stricter limits of both policies
-    /// apply.
+    /// The policy that may be replacing `current`; `Some` only without a lease. The stricter limits of the two
+    /// policies apply.
     combined_with: Option<PolicyId>,
 }
 
@@ -70,7 +70,7 @@
     fn collect_events(&self, now_us: Micros, events: &mut VecDeque<Event>) {
         self.checked_at_us.set(now_us);
         let state = self.node.borrow_mut().serving_state(self.skewed(now_us));
-        if Some(state) == self.notified_state.get() {
+        if Some(state) == self.reported_state.get() {
             return;
         }
         let is_admitting = if let ServingState::Serving(current, combined_with) = state {
@@ -82,10 +82,10 @@
         } else {
             false
         };
-        if state == ServingState::NotServing && self.notified_state.get().is_some() {
+        if state == ServingState::NotServing && self.reported_state.get().is_some() {
             log_line!("policy: lost version={}", self.served.get().current.short());
         }
-        self.notified_state.set(Some(state));
+        self.reported_state.set(Some(state));
         events.push_back(Event::LeaseStateChanged(match state {
             ServingState::Pending(_) => LeaseState::Pending,
             _ if is_admitting => LeaseState::Held,
@@ -98,7 +98,8 @@
         let Some(audit) = audit.as_mut() else {
             return;
         };
-        // The line carries the time of the last lease check, by the wall clock that all processes of a machine share.
+        // The line carries the time of the lease check under which the request was admitted, by the wall clock,
+        // which makes the lines of all processes of a machine comparable.
         let since_check_us = self
             .engine
             .now_us()
--- a/crates/frosthatch/src/policy/status.rs
+++ b/crates/frosthatch/src/policy/status.rs
@@ -18,14 +18,17 @@
     pub version: u64,
     /// SHA-256 of the policy's document, hexadecimal.
     pub digest: String,
-    /// Serving state: `in force`, `grace`, `stricter`, `turning` or `refusing`.
+    /// Serving state: `in force` (with a lease), `grace` (without a lease, under the policy held last), `stricter`
+    /// (under the stricter of two policies), `turning` (no policy until the next one takes effect) or `refusing`
+    /// (no requests are admitted).
     pub state: String,
     /// Remaining time of the lease, in milliseconds.
     pub lease_ms: u64,
     /// Names of the acceptors.
     #[serde(rename = "keepers")]
     pub acceptors: Vec<String>,
-    /// The number of the acceptor's state on disk, or why it has none; `None` if this member is not an acceptor.
+    /// `state N`, with the number N of the acceptor's state on disk, or the reason why the acceptor is not active;
+    /// `None` if this member is not an acceptor.
     #[serde(rename = "keeps")]
     pub acceptor_state: Option<String>,
     /// All members, with the version that each serves under.
@@ -54,7 +57,8 @@
     pub version: u64,
     /// SHA-256 of the proposed document, hexadecimal.
     pub digest: String,
-    /// State of the proposal: `open`, `in force`, `refused`, `lost` or `not known`.
+    /// State of the proposal: `open` (no outcome yet), `in force`, `refused` (rejected), `lost` (another policy is
+    /// in force instead) or `not known` (acceptors that may have accepted the policy did not reply).
     pub state: String,
     /// Time from the proposal to its outcome, or to now while it is open, in milliseconds.
     pub took_ms: u64,
