--- a/crates/config-reader/src/lib.rs
+++ b/crates/config-reader/src/lib.rs
@@ -1,4 +1,5 @@
-//! Reads TOML files that people write: every mistake is reported at once, with its place and what would be right.
+//! Reads TOML configuration files that people write. Instead of stopping at the first error, it reports all errors of
+//! a file, each with its location and a hint how to correct it.
 
 mod error;
 mod reader;
--- a/crates/config-reader/src/reader.rs
+++ b/crates/config-reader/src/reader.rs
@@ -1,18 +1,18 @@
-//! The file that is read, and the mistakes found so far.
+//! The configuration file that is read, and the errors found in it so far.
 
 use crate::ConfigError;
 use std::ops::Range;
 
-/// Collects the mistakes in one file.
+/// Collects the errors in one configuration file.
 pub struct ConfigReader<'a> {
     file: &'a str,
     text: &'a str,
-    /// The mistakes found so far, in their order.
+    /// Errors found so far, in the order of their reports.
     pub errors: Vec<ConfigError>,
 }
 
 impl<'a> ConfigReader<'a> {
-    /// A reader of the file named `file`, which holds `text`.
+    /// Creates a reader for the file named `file` with the content `text`.
     pub fn new(file: &'a str, text: &'a str) -> ConfigReader<'a> {
         ConfigReader {
             file,
@@ -21,16 +21,16 @@
         }
     }
 
-    /// Records a mistake at a span of the text; `hint` says what would be right.
+    /// Records an error at a byte span of the text. `hint` says how to correct it.
     pub fn report(
         &mut self,
         span: Range<usize>,
         problem: impl Into<String>,
         hint: impl Into<String>,
     ) {
-        let before = self.text.get(..span.start).unwrap_or(self.text);
-        let line = 1 + before.bytes().filter(|&byte| byte == b'\n').count();
-        let last_line = before.rsplit('\n').next();
+        let preceding_text = self.text.get(..span.start).unwrap_or(self.text);
+        let line = 1 + preceding_text.bytes().filter(|&byte| byte == b'\n').count();
+        let last_line = preceding_text.rsplit('\n').next();
         let column = 1 + last_line.map_or(0, |text| text.chars().count());
         self.errors.push(ConfigError {
             file: self.file.to_string(),
--- a/crates/config-reader/src/table.rs
+++ b/crates/config-reader/src/table.rs
@@ -1,5 +1,5 @@
-//! A table of a TOML file, read key by key. A value that makes no sense, a key that is missing and a key that nobody asked
-//! for are reported with line and column.
+//! Reads a table of a TOML file key by key. Invalid values, missing keys and unknown keys are reported to the
+//! [`ConfigReader`] with line and column.
 
 use crate::values::integer;
 use crate::ConfigReader;
@@ -10,17 +10,17 @@
 use toml::de::{DeString, DeTable, DeValue};
 use toml::Spanned;
 
-/// One table. Remembers which keys were asked for.
+/// Reads one table and records which keys were read, so that [`finish`](TableReader::finish) can report the others.
 pub struct TableReader<'a> {
     path: String,
     table: &'a DeTable<'a>,
-    /// Where the table stands in the file.
+    /// Byte span of the table in the file.
     pub span: Range<usize>,
     known_keys: Vec<&'static str>,
 }
 
 impl<'a> TableReader<'a> {
-    /// The table at `path` (empty: the root), which stands at `span`.
+    /// Creates a reader for the table at `path` (empty for the root table), whose byte span in the file is `span`.
     pub fn new(path: &str, table: &'a DeTable<'a>, span: Range<usize>) -> Self {
         TableReader {
             path: path.into(),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The key with the table's path before it.
+    /// Returns the key prefixed with the table's path, as `dns-sd.push.servers`.
     pub fn qualified_name(&self, key: &str) -> String {
         if self.path.is_empty() {
             key.into()
@@ -39,12 +39,12 @@
         }
     }
 
-    /// Whether the table has the key.
+    /// Returns whether the table contains the key.
     pub fn has(&self, key: &str) -> bool {
         self.table.contains_key(key)
     }
 
-    /// Where the key's value stands; the table's own span if there is none.
+    /// Returns the byte span of the key's value, or that of the table if the key is missing.
     pub fn span_of(&self, key: &str) -> Range<usize> {
         self.table
             .get(key)
@@ -56,7 +56,8 @@
         self.table.get(key)
     }
 
-    /// The value at a key as `parse` understands it; `None` if there is none, or if it makes no sense, which is reported.
+    /// Reads a key's value with `parse`. Returns `None` if the key is missing, or if `parse` returns `None`: the value is
+    /// then reported as invalid, with the hint.
     pub fn read<T>(
         &mut self,
         reader: &mut ConfigReader,
@@ -79,7 +80,7 @@
         parsed
     }
 
-    /// Reports a key that is missing.
+    /// Reports the key if it is missing.
     pub fn require_key(&self, reader: &mut ConfigReader, key: &str, hint: &str) {
         if !self.has(key) {
             let problem = format!("{} is missing", self.qualified_name(key));
@@ -87,7 +88,7 @@
         }
     }
 
-    /// [`read`](TableReader::read) for a key that must be there.
+    /// Reads a required key as [`read`](TableReader::read) does, and reports it if it is missing.
     pub fn required<T>(
         &mut self,
         reader: &mut ConfigReader,
@@ -99,7 +100,7 @@
         self.read(reader, key, hint, parse)
     }
 
-    /// A table inside this one.
+    /// Reads a nested table. Returns `None` if the key is missing or its value is not a table, which is reported.
     pub fn table(
         &mut self,
         reader: &mut ConfigReader,
@@ -110,7 +111,7 @@
         Some(TableReader::new(&self.qualified_name(key), table, span))
     }
 
-    /// A whole number within a range.
+    /// Reads an integer within a range. Returns the default if the key is missing or its value is invalid.
     pub fn number(
         &mut self,
         reader: &mut ConfigReader,
@@ -129,7 +130,8 @@
         .unwrap_or(default)
     }
 
-    /// A duration, written in milliseconds within a range.
+    /// Reads a duration, written in milliseconds within a range. Returns the default if the key is missing or its value
+    /// is invalid.
     pub fn milliseconds(
         &mut self,
         reader: &mut ConfigReader,
@@ -141,7 +143,7 @@
         Duration::from_millis(milliseconds.unsigned_abs())
     }
 
-    /// A number from 0 to 1.
+    /// Reads a number from 0 to 1. Returns the default if the key is missing or its value is invalid.
     pub fn fraction(&mut self, reader: &mut ConfigReader, key: &'static str, default: f64) -> f64 {
         let hint = "write a share from 0 to 1";
         self.read(reader, key, hint, |value| {
@@ -150,18 +152,18 @@
         .unwrap_or(default)
     }
 
-    /// `true` or `false`.
+    /// Reads `true` or `false`. Returns the default if the key is missing or its value is invalid.
     pub fn boolean(&mut self, reader: &mut ConfigReader, key: &'static str, default: bool) -> bool {
         self.read(reader, key, "write true or false", |value| value.as_bool())
             .unwrap_or(default)
     }
 
-    /// A text.
+    /// Reads a string. Returns `None` if the key is missing or its value is invalid.
     pub fn string(&mut self, reader: &mut ConfigReader, key: &'static str) -> Option<&'a str> {
         self.read(reader, key, "write a text", |value| value.as_str())
     }
 
-    /// One of some texts.
+    /// Reads a string that is one of `choices`. Returns the default if the key is missing or its value is invalid.
     pub fn choice(
         &mut self,
         reader: &mut ConfigReader,
@@ -177,7 +179,8 @@
         chosen.unwrap_or(default)
     }
 
-    /// A list of texts; if `count` does not begin with 0 it must be there.
+    /// Reads an array of strings whose length is within `count`; the key is required unless `count` starts at 0. Returns an
+    /// empty list if the key is missing or its value is invalid.
     pub fn strings(
         &mut self,
         reader: &mut ConfigReader,
@@ -198,7 +201,8 @@
         strings.unwrap_or_default()
     }
 
-    /// A list of texts that are parsed each; those that cannot be are reported and left out.
+    /// Reads an array of strings as [`strings`](TableReader::strings) does, and parses each. A string that cannot be
+    /// parsed is reported and left out.
     pub fn parsed_strings<T: FromStr>(
         &mut self,
         reader: &mut ConfigReader,
@@ -218,7 +222,8 @@
         values
     }
 
-    /// The tables under a key, by their names; anything else there is reported.
+    /// Reads the table at a key, each value of which is a table itself, and returns the inner tables with their names.
+    /// Any other value is reported and left out.
     pub fn tables(
         &mut self,
         reader: &mut ConfigReader,
@@ -232,13 +237,13 @@
             if let Some(table) = value.get_ref().as_table() {
                 tables.push((name, TableReader::new(&path, table, value.span())));
             } else {
-                reader.report(value.span(), format!("{path} is no table"), hint);
+                reader.report(value.span(), format!("{path} is not a table"), hint);
             }
         }
         tables
     }
 
-    /// Reports the keys that nobody asked for.
+    /// Reports the table's unknown keys: those that were not read before.
     pub fn finish(self, reader: &mut ConfigReader) {
         for key in self.table.keys() {
             if self.known_keys.contains(&key.get_ref().as_ref()) {
--- a/crates/fault-controls/src/lib.rs
+++ b/crates/fault-controls/src/lib.rs
@@ -1,33 +1,36 @@
-//! The faults that the preload library (`fault-injection`) injects. Each is a word of its control file, an array of
-//! native-endian 64-bit words.
+//! The faults that the preload library (`fault-injection`) injects, and the layout of its control file: an array of
+//! native-endian 64-bit words, one for each fault.
 
 /// Number of words in a control file.
 pub const WORDS: usize = 16;
 
-/// A fault and the index of its word. Rates are in calls per thousand.
+/// A fault; its discriminant is the index of its word in the control file. A word holds the fault's rate in calls per
+/// thousand, unless the variant says otherwise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
 pub enum Fault {
-    /// Milliseconds by which the wall clock is off; signed.
+    /// The wall clock is ahead by this number of milliseconds, or behind if the number is negative.
     WallClockOffsetMs = 0,
     /// `socket` fails: ENFILE, EMFILE, ENOBUFS, ENOMEM.
     Socket = 1,
-    /// `connect` fails for want of something on this machine: EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, EAGAIN.
+    /// `connect` fails because the local machine lacks a port, a route or memory:
+    /// EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, EAGAIN.
     Connect = 2,
     /// `accept` fails: ECONNABORTED, EMFILE, ENFILE, ENOBUFS, ENOMEM, EPROTO.
     Accept = 3,
-    /// A call on a socket is interrupted: EINTR.
+    /// A call on a socket is interrupted by a signal: EINTR.
     Interrupted = 4,
-    /// A read or write moves one byte.
+    /// A read from or write to a connection transfers one byte. Vectored writes are not affected.
     Short = 5,
-    /// A connection that the process made is broken: ETIMEDOUT, EHOSTUNREACH, ECONNRESET.
+    /// A read from or write to a connection that the process made fails because the connection broke:
+    /// ETIMEDOUT, EHOSTUNREACH, ECONNRESET.
     Broken = 6,
-    /// A write to a file fails, also half-way: ENOSPC, EIO.
+    /// A write to a file fails, sometimes after half of the bytes: ENOSPC, EIO.
     FileWrite = 7,
     /// A sync of a file fails: EIO, ENOSPC.
     FileSync = 8,
-    /// The thread is delayed before a write to a socket...
+    /// The thread is delayed before a write to a connection, by `StallMs`.
     Stall = 9,
-    /// ...for so many milliseconds.
+    /// Length of the delay of `Stall`, in milliseconds.
     StallMs = 10,
 }
--- a/crates/fault-injection/src/control.rs
+++ b/crates/fault-injection/src/control.rs
@@ -1,7 +1,7 @@
-//! The control file: an array of native-endian 64-bit words, mapped shared and read at each call.
+//! The control file: an array of native-endian 64-bit words. It is mapped shared and read at each call.
 //!
-//! The path stands in the environment variable `FAULTSHIM_CONTROL`; without it nothing ever fails. Its words
-//! are those of `frosthatch_fault_controls`.
+//! The environment variable `FAULTSHIM_CONTROL` holds the file's path; if it is not set, no fault is injected. The
+//! meaning of the words is defined in `frosthatch_fault_controls`.
 
 use frosthatch_fault_controls::{Fault, WORDS};
 use std::ffi::CString;
@@ -9,15 +9,17 @@
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering::Relaxed};
 use std::sync::OnceLock;
 
-/// Least size of the file.
+/// Minimum size of the file, and length of the mapping.
 const MIN_BYTES: usize = WORDS * 8;
 
-static WORDS_AT: OnceLock<Option<&'static [AtomicI64; WORDS]>> = OnceLock::new();
+/// The mapped words; `None` if no control file is set or it cannot be mapped.
+static CONTROL_WORDS: OnceLock<Option<&'static [AtomicI64; WORDS]>> = OnceLock::new();
 
-fn map() -> Option<&'static [AtomicI64; WORDS]> {
+/// Maps the control file. Returns `None` if the path is not set, or the file cannot be opened or is too short.
+fn map_control_file() -> Option<&'static [AtomicI64; WORDS]> {
     let path = CString::new(std::env::var_os("FAULTSHIM_CONTROL")?.into_vec()).ok()?;
-    // SAFETY: plain system calls on a path and a descriptor of our own; the mapping is never undone, and is as long as
-    // the file, which its writer never makes shorter.
+    // SAFETY: the path is NUL-terminated, and the descriptor is opened and closed here. The mapping is page-aligned and
+    // never unmapped; the file is at least as long as the mapping, and its writer never truncates it.
     unsafe {
         let fd = libc::syscall(
             libc::SYS_openat,
@@ -30,7 +32,7 @@
         }
         let mut stat: libc::stat = std::mem::zeroed();
         let is_long_enough = libc::fstat(fd, &mut stat) == 0 && stat.st_size >= MIN_BYTES as i64;
-        let at = if is_long_enough {
+        let address = if is_long_enough {
             libc::mmap(
                 std::ptr::null_mut(),
                 MIN_BYTES,
@@ -43,23 +45,23 @@
             libc::MAP_FAILED
         };
         libc::syscall(libc::SYS_close, fd);
-        (at != libc::MAP_FAILED).then(|| &*at.cast::<[AtomicI64; WORDS]>())
+        (address != libc::MAP_FAILED).then(|| &*address.cast::<[AtomicI64; WORDS]>())
     }
 }
 
-/// The value of a word now; 0 without a control file.
+/// Returns the current value of a fault's word, or 0 without a control file.
 pub fn value(fault: Fault) -> i64 {
-    WORDS_AT
-        .get_or_init(map)
+    CONTROL_WORDS
+        .get_or_init(map_control_file)
         .map_or(0, |words| words[fault as usize].load(Relaxed))
 }
 
-static CHANCE: AtomicU64 = AtomicU64::new(0);
+static RANDOM_STATE: AtomicU64 = AtomicU64::new(0);
 
-/// The next number of a simple generator (SplitMix64), seeded by the process's id.
+/// Returns the next number of a SplitMix64 generator that is seeded with the process ID.
 pub fn random() -> u64 {
     const STEP: u64 = 0x9E37_79B9_7F4A_7C15;
-    let mut z = CHANCE
+    let mut z = RANDOM_STATE
         .fetch_add(STEP, Relaxed)
         .wrapping_add(u64::from(std::process::id()) << 32);
     z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -67,13 +69,13 @@
     z ^ (z >> 31)
 }
 
-/// Whether this call is one of those that fail by a word's rate.
-pub fn strikes(fault: Fault) -> bool {
+/// Decides at random, by the rate in the fault's word, whether to inject the fault into this call.
+pub fn should_inject(fault: Fault) -> bool {
     let rate = value(fault);
     rate > 0 && random() % 1_000 < rate as u64
 }
 
-/// One of these by chance.
-pub fn one_of(errors: &[i32]) -> i32 {
+/// Returns one of the error numbers at random.
+pub fn pick_random(errors: &[i32]) -> i32 {
     errors[(random() % errors.len() as u64) as usize]
 }
--- a/crates/fault-injection/src/descriptors.rs
+++ b/crates/fault-injection/src/descriptors.rs
@@ -1,37 +1,42 @@
-//! What each descriptor of the process is, as far as the library saw it made.
+//! Records the kind of each file descriptor that the process opened through an intercepted call.
 
 use std::sync::atomic::{AtomicU8, Ordering::Relaxed};
 
+/// The kind of a file descriptor, which determines the faults that apply to it.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
-pub enum Kind {
+pub enum DescriptorKind {
+    /// Any other descriptor, a closed one included; no fault applies to its reads and writes.
     Unknown = 0,
     /// A connection that this process made.
     Connected = 1,
-    /// A connection that it accepted.
+    /// A connection that this process accepted.
     Accepted = 2,
     /// A file that is open for writing.
     File = 3,
 }
 
+/// Descriptors from this number on are treated as `Unknown`.
 const MAX_DESCRIPTORS: usize = 1 << 16;
 static KINDS: [AtomicU8; MAX_DESCRIPTORS] = [const { AtomicU8::new(0) }; MAX_DESCRIPTORS];
 
-pub fn set(fd: i32, kind: Kind) {
-    if let Some(place) = usize::try_from(fd).ok().and_then(|fd| KINDS.get(fd)) {
-        place.store(kind as u8, Relaxed);
+/// Records the kind of a descriptor.
+pub fn set_kind(fd: i32, kind: DescriptorKind) {
+    if let Some(slot) = usize::try_from(fd).ok().and_then(|fd| KINDS.get(fd)) {
+        slot.store(kind as u8, Relaxed);
     }
 }
 
-pub fn kind(fd: i32) -> Kind {
+/// Returns the recorded kind of a descriptor.
+pub fn kind(fd: i32) -> DescriptorKind {
     match usize::try_from(fd)
         .ok()
         .and_then(|fd| KINDS.get(fd))
         .map_or(0, |k| k.load(Relaxed))
     {
-        1 => Kind::Connected,
-        2 => Kind::Accepted,
-        3 => Kind::File,
-        _ => Kind::Unknown,
+        1 => DescriptorKind::Connected,
+        2 => DescriptorKind::Accepted,
+        3 => DescriptorKind::File,
+        _ => DescriptorKind::Unknown,
     }
 }
--- a/crates/fault-injection/src/files.rs
+++ b/crates/fault-injection/src/files.rs
@@ -1,16 +1,23 @@
-//! Files: writes that find no space or a bad disk, also half-way, and syncs that fail.
+//! Faults of files: writes that fail, some of them after half of the bytes, and syncs that fail.
 
-use crate::control::{one_of, strikes};
-use crate::descriptors::{self, Kind};
+use crate::control::{pick_random, should_inject};
+use crate::descriptors::{self, DescriptorKind};
 use crate::fail;
 use crate::next::call_next;
 use frosthatch_fault_controls::Fault;
 use libc::{c_char, c_int, c_void, mode_t, size_t, ssize_t, EIO, ENOSPC};
 
-/// Notes a file that was opened for writing.
-fn opened(fd: c_int, flags: c_int) -> c_int {
-    let writes = flags & libc::O_ACCMODE != libc::O_RDONLY;
-    descriptors::set(fd, if writes { Kind::File } else { Kind::Unknown });
+/// Records the kind of a descriptor that `open` returned, and returns the descriptor.
+fn record_opened(fd: c_int, flags: c_int) -> c_int {
+    let is_writable = flags & libc::O_ACCMODE != libc::O_RDONLY;
+    descriptors::set_kind(
+        fd,
+        if is_writable {
+            DescriptorKind::File
+        } else {
+            DescriptorKind::Unknown
+        },
+    );
     fd
 }
 
@@ -25,7 +32,7 @@
         flags,
         mode
     );
-    opened(fd, flags)
+    record_opened(fd, flags)
 }
 
 /// # Safety
@@ -39,16 +46,21 @@
         flags,
         mode
     );
-    opened(fd, flags)
+    record_opened(fd, flags)
 }
 
-/// What a write to a file does: fails, or writes a part of what it should.
-pub fn write_file(fd: c_int, bytes: *const c_void, length: size_t) -> Result<size_t, ssize_t> {
-    if !strikes(Fault::FileWrite) {
+/// Decides whether a write to a file fails. Returns the number of bytes to write, or the return value of the failed call,
+/// which in half of the cases has written half of the bytes.
+pub fn inject_write_fault(
+    fd: c_int,
+    bytes: *const c_void,
+    length: size_t,
+) -> Result<size_t, ssize_t> {
+    if !should_inject(Fault::FileWrite) {
         return Ok(length);
     }
     if length > 1 && crate::control::random().is_multiple_of(2) {
-        // Half of it arrives, as where the disk fills up on the way.
+        // Half of the bytes are written, as when the disk fills up during the write.
         let _ = call_next!(
             c"write",
             fn(c_int, *const c_void, size_t) -> ssize_t,
@@ -57,15 +69,15 @@
             length / 2
         );
     }
-    Err(fail(one_of(&[ENOSPC, EIO])))
+    Err(fail(pick_random(&[ENOSPC, EIO])))
 }
 
 /// # Safety
 /// As for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn fsync(fd: c_int) -> c_int {
-    if strikes(Fault::FileSync) {
-        return fail(one_of(&[EIO, ENOSPC])) as c_int;
+    if should_inject(Fault::FileSync) {
+        return fail(pick_random(&[EIO, ENOSPC])) as c_int;
     }
     call_next!(c"fsync", fn(c_int) -> c_int, fd)
 }
@@ -74,8 +86,8 @@
 /// As for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn fdatasync(fd: c_int) -> c_int {
-    if strikes(Fault::FileSync) {
-        return fail(one_of(&[EIO, ENOSPC])) as c_int;
+    if should_inject(Fault::FileSync) {
+        return fail(pick_random(&[EIO, ENOSPC])) as c_int;
     }
     call_next!(c"fdatasync", fn(c_int) -> c_int, fd)
 }
@@ -84,6 +96,6 @@
 /// As for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn close(fd: c_int) -> c_int {
-    descriptors::set(fd, Kind::Unknown);
+    descriptors::set_kind(fd, DescriptorKind::Unknown);
     call_next!(c"close", fn(c_int) -> c_int, fd)
 }
--- a/crates/fault-injection/src/next.rs
+++ b/crates/fault-injection/src/next.rs
@@ -1,45 +1,46 @@
-//! The C library's own functions, behind those of this one.
+//! Looks up and calls the C library's functions that this library intercepts.
 
 use std::ffi::CStr;
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 
-/// Where a function stands; looked up once.
-pub struct Next {
+/// An intercepted function of the C library, whose address is looked up once.
+pub struct NextFunction {
     name: &'static CStr,
-    at: AtomicUsize,
+    /// Address of the function; 0 until it is looked up.
+    address: AtomicUsize,
 }
 
-impl Next {
-    pub const fn new(name: &'static CStr) -> Next {
-        Next {
+impl NextFunction {
+    pub const fn new(name: &'static CStr) -> NextFunction {
+        NextFunction {
             name,
-            at: AtomicUsize::new(0),
+            address: AtomicUsize::new(0),
         }
     }
 
-    /// The function's address. The process ends if the C library has none.
+    /// Returns the function's address. Aborts the process if the C library has no such function.
     pub fn address(&self) -> usize {
-        let known = self.at.load(Relaxed);
-        if known != 0 {
-            return known;
+        let cached = self.address.load(Relaxed);
+        if cached != 0 {
+            return cached;
         }
-        // SAFETY: a look-up by a name that ends in NUL.
+        // SAFETY: the name is a NUL-terminated string.
         let found = unsafe { libc::dlsym(libc::RTLD_NEXT, self.name.as_ptr()) } as usize;
         if found == 0 {
             std::process::abort();
         }
-        self.at.store(found, Relaxed);
+        self.address.store(found, Relaxed);
         found
     }
 }
 
-/// Calls the C library's function of this name, with the type of the one that stands in its place.
+/// Calls the C library's function of the given name and type.
 macro_rules! call_next {
     ($name:literal, fn($($ty:ty),*) -> $ret:ty, $($arg:expr),*) => {{
-        static NEXT: $crate::next::Next = $crate::next::Next::new($name);
+        static NEXT: $crate::next::NextFunction = $crate::next::NextFunction::new($name);
         // SAFETY: the C library's function of this name has this type.
         let function: unsafe extern "C" fn($($ty),*) -> $ret = unsafe { std::mem::transmute(NEXT.address()) };
-        // SAFETY: the caller's arguments, unchanged but for lengths made shorter.
+        // SAFETY: the arguments are those of the intercepted call, except that a length may be shorter.
         unsafe { function($($arg),*) }
     }};
 }
--- a/crates/fault-injection/src/sockets.rs
+++ b/crates/fault-injection/src/sockets.rs
@@ -1,10 +1,10 @@
-//! Sockets: calls that fail for want of something on this machine, are interrupted, are short, find the connection
-//! broken, or hold the thread up.
+//! Faults of sockets: calls that fail because the local machine lacks a resource, are interrupted, transfer fewer bytes,
+//! fail because the connection broke, or delay the thread.
 
-use crate::control::{one_of, strikes, value};
-use crate::descriptors::{self, kind, Kind};
+use crate::control::{pick_random, should_inject, value};
+use crate::descriptors::{self, kind, DescriptorKind};
 use crate::fail;
-use crate::files::write_file;
+use crate::files::inject_write_fault;
 use crate::next::call_next;
 use frosthatch_fault_controls::Fault;
 use libc::{c_int, c_void, iovec, size_t, sockaddr, socklen_t, ssize_t};
@@ -15,25 +15,26 @@
 use libc::{ENOBUFS, ENOMEM, EPROTO, ETIMEDOUT};
 use std::time::Duration;
 
-fn internet(domain: c_int) -> bool {
+/// Returns whether the address family is IPv4 or IPv6.
+fn is_internet_domain(domain: c_int) -> bool {
     domain == libc::AF_INET || domain == libc::AF_INET6
 }
 
 /// # Safety
 /// As for the C library's function.
 #[no_mangle]
-pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
-    if internet(domain) && strikes(Fault::Socket) {
-        return fail(one_of(&[ENFILE, EMFILE, ENOBUFS, ENOMEM])) as c_int;
+pub unsafe extern "C" fn socket(domain: c_int, socket_type: c_int, protocol: c_int) -> c_int {
+    if is_internet_domain(domain) && should_inject(Fault::Socket) {
+        return fail(pick_random(&[ENFILE, EMFILE, ENOBUFS, ENOMEM])) as c_int;
     }
     let fd = call_next!(
         c"socket",
         fn(c_int, c_int, c_int) -> c_int,
         domain,
-        kind,
+        socket_type,
         protocol
     );
-    descriptors::set(fd, Kind::Unknown);
+    descriptors::set_kind(fd, DescriptorKind::Unknown);
     fd
 }
 
@@ -41,20 +42,20 @@
 /// As for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn connect(fd: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
-    // SAFETY: an address has its family at its beginning.
+    // SAFETY: the pointer is not null, and each socket address begins with its family.
     let domain = if address.is_null() {
         0
     } else {
         c_int::from(unsafe { (*address).sa_family })
     };
-    if internet(domain) {
-        if strikes(Fault::Interrupted) {
+    if is_internet_domain(domain) {
+        if should_inject(Fault::Interrupted) {
             return fail(EINTR) as c_int;
         }
-        if strikes(Fault::Connect) {
-            return fail(one_of(&[EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, EAGAIN])) as c_int;
+        if should_inject(Fault::Connect) {
+            return fail(pick_random(&[EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, EAGAIN])) as c_int;
         }
-        descriptors::set(fd, Kind::Connected);
+        descriptors::set_kind(fd, DescriptorKind::Connected);
     }
     call_next!(
         c"connect",
@@ -74,11 +75,11 @@
     length: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
-    if strikes(Fault::Interrupted) {
+    if should_inject(Fault::Interrupted) {
         return fail(EINTR) as c_int;
     }
-    if strikes(Fault::Accept) {
-        return fail(one_of(&[
+    if should_inject(Fault::Accept) {
+        return fail(pick_random(&[
             ECONNABORTED,
             EMFILE,
             ENFILE,
@@ -95,33 +96,37 @@
         length,
         flags
     );
-    descriptors::set(accepted, Kind::Accepted);
+    descriptors::set_kind(accepted, DescriptorKind::Accepted);
     accepted
 }
 
-/// How many bytes a read or write on a socket may move, or what it returns instead.
-fn allowed(fd: c_int, length: size_t) -> Result<size_t, ssize_t> {
-    let of = kind(fd);
-    if of != Kind::Connected && of != Kind::Accepted {
+/// Decides on faults of a read or write of `length` bytes. Returns the number of bytes to transfer, or the return value of
+/// the failed call. Only connections are affected.
+fn inject_transfer_fault(fd: c_int, length: size_t) -> Result<size_t, ssize_t> {
+    let descriptor_kind = kind(fd);
+    if descriptor_kind != DescriptorKind::Connected && descriptor_kind != DescriptorKind::Accepted {
         return Ok(length);
     }
-    if strikes(Fault::Interrupted) {
+    if should_inject(Fault::Interrupted) {
         return Err(fail(EINTR));
     }
-    if of == Kind::Connected && strikes(Fault::Broken) {
-        return Err(fail(one_of(&[ETIMEDOUT, EHOSTUNREACH, ECONNRESET])));
+    if descriptor_kind == DescriptorKind::Connected && should_inject(Fault::Broken) {
+        return Err(fail(pick_random(&[ETIMEDOUT, EHOSTUNREACH, ECONNRESET])));
     }
-    Ok(if strikes(Fault::Short) {
+    Ok(if should_inject(Fault::Short) {
         length.min(1)
     } else {
         length
     })
 }
 
-/// Holds the thread up before a write, as where the machine does something else meanwhile.
-fn stall(fd: c_int) {
-    let socket = matches!(kind(fd), Kind::Connected | Kind::Accepted);
-    if socket && strikes(Fault::Stall) {
+/// Delays the thread before a write to a connection, as if the machine had scheduled other work.
+fn inject_stall(fd: c_int) {
+    let is_connection = matches!(
+        kind(fd),
+        DescriptorKind::Connected | DescriptorKind::Accepted
+    );
+    if is_connection && should_inject(Fault::Stall) {
         std::thread::sleep(Duration::from_millis(value(Fault::StallMs).max(0) as u64));
     }
 }
@@ -135,7 +140,7 @@
     length: size_t,
     flags: c_int,
 ) -> ssize_t {
-    match allowed(fd, length) {
+    match inject_transfer_fault(fd, length) {
         Ok(length) => {
             call_next!(
                 c"recv",
@@ -146,7 +151,7 @@
                 flags
             )
         }
-        Err(failed) => failed,
+        Err(return_value) => return_value,
     }
 }
 
@@ -154,7 +159,7 @@
 /// As for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn read(fd: c_int, bytes: *mut c_void, length: size_t) -> ssize_t {
-    match allowed(fd, length) {
+    match inject_transfer_fault(fd, length) {
         Ok(length) => call_next!(
             c"read",
             fn(c_int, *mut c_void, size_t) -> ssize_t,
@@ -162,7 +167,7 @@
             bytes,
             length
         ),
-        Err(failed) => failed,
+        Err(return_value) => return_value,
     }
 }
 
@@ -175,8 +180,8 @@
     length: size_t,
     flags: c_int,
 ) -> ssize_t {
-    stall(fd);
-    match allowed(fd, length) {
+    inject_stall(fd);
+    match inject_transfer_fault(fd, length) {
         Ok(length) => {
             call_next!(
                 c"send",
@@ -187,7 +192,7 @@
                 flags
             )
         }
-        Err(failed) => failed,
+        Err(return_value) => return_value,
     }
 }
 
@@ -195,13 +200,13 @@
 /// As for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn write(fd: c_int, bytes: *const c_void, length: size_t) -> ssize_t {
-    let allowed = if kind(fd) == Kind::File {
-        write_file(fd, bytes, length)
+    let transfer = if kind(fd) == DescriptorKind::File {
+        inject_write_fault(fd, bytes, length)
     } else {
-        stall(fd);
-        allowed(fd, length)
+        inject_stall(fd);
+        inject_transfer_fault(fd, length)
     };
-    match allowed {
+    match transfer {
         Ok(length) => call_next!(
             c"write",
             fn(c_int, *const c_void, size_t) -> ssize_t,
@@ -209,24 +214,24 @@
             bytes,
             length
         ),
-        Err(failed) => failed,
+        Err(return_value) => return_value,
     }
 }
 
 /// # Safety
 /// As for the C library's function.
 #[no_mangle]
-pub unsafe extern "C" fn writev(fd: c_int, parts: *const iovec, count: c_int) -> ssize_t {
-    stall(fd);
-    match allowed(fd, usize::MAX) {
-        // A vectored write has to move something in any case: nothing is made shorter.
+pub unsafe extern "C" fn writev(fd: c_int, buffers: *const iovec, count: c_int) -> ssize_t {
+    inject_stall(fd);
+    match inject_transfer_fault(fd, usize::MAX) {
+        // Vectored writes are never shortened: the call must transfer some bytes in any case.
         Ok(_) => call_next!(
             c"writev",
             fn(c_int, *const iovec, c_int) -> ssize_t,
             fd,
-            parts,
+            buffers,
             count
         ),
-        Err(failed) => failed,
+        Err(return_value) => return_value,
     }
 }
--- a/crates/fault-injection/src/wall_clock.rs
+++ b/crates/fault-injection/src/wall_clock.rs
@@ -1,4 +1,4 @@
-//! The wall clock, stepped by the control file's offset. Monotonic clocks are left alone.
+//! Shifts the wall clock by the offset in the control file. Monotonic clocks are not affected.
 
 use crate::control::value;
 use crate::next::call_next;
@@ -13,20 +13,20 @@
 /// As for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
-    let done = call_next!(
+    let status = call_next!(
         c"clock_gettime",
         fn(clockid_t, *mut timespec) -> c_int,
         clock,
         time
     );
     let offset_ms = value(Fault::WallClockOffsetMs);
-    let wall = clock == libc::CLOCK_REALTIME || clock == libc::CLOCK_REALTIME_COARSE;
-    if done == 0 && wall && offset_ms != 0 {
-        // SAFETY: the C library has just written there.
+    let is_wall_clock = clock == libc::CLOCK_REALTIME || clock == libc::CLOCK_REALTIME_COARSE;
+    if status == 0 && is_wall_clock && offset_ms != 0 {
+        // SAFETY: the pointer is valid, as the C library has just written the time through it.
         let time = unsafe { &mut *time };
-        let ns = time.tv_nsec + offset_ms.rem_euclid(MS_PER_S) * NS_PER_MS;
-        time.tv_sec += offset_ms.div_euclid(MS_PER_S) + ns / NS_PER_S;
-        time.tv_nsec = ns % NS_PER_S;
+        let nanoseconds = time.tv_nsec + offset_ms.rem_euclid(MS_PER_S) * NS_PER_MS;
+        time.tv_sec += offset_ms.div_euclid(MS_PER_S) + nanoseconds / NS_PER_S;
+        time.tv_nsec = nanoseconds % NS_PER_S;
     }
-    done
+    status
 }
--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -1,10 +1,10 @@
-//! Lines of the gateway's log on standard error. A line that cannot be written is lost, and nothing else: the disk behind
-//! it may be full, or whoever read it may have gone.
+//! Writes the gateway's log to standard error. If a line cannot be written, because the disk behind standard error is full
+//! or its reader is gone, the line is lost and the process continues.
 
 use std::fmt;
 use std::io::{self, Write};
 
-/// Writes a line to the log, as `format!` makes it.
+/// Writes a line to the log, with arguments as for `format!`.
 #[macro_export]
 macro_rules! log_line {
     ($($arg:tt)*) => {
@@ -12,10 +12,10 @@
     };
 }
 
-/// Writes a line in one piece.
+/// Writes a line to the log in one piece, so that concurrent lines do not mix.
 pub fn write_line(line: fmt::Arguments<'_>) {
     let mut text = line.to_string();
     text.push('\n');
-    // Nobody can be told.
+    // The failure cannot be reported: this is the log.
     let _ = io::stderr().lock().write_all(text.as_bytes());
 }
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,53 +1,53 @@
-//! What ends the adapter.
+//! The errors that end the adapter.
 
 use frosthatch_traffic_control::SettingsError;
 use std::io;
 
-/// Why the adapter cannot go on.
+/// An error that ends the adapter.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
-    /// A line could not be read.
+    /// A line could not be read from standard input.
     #[error("line {line}: cannot be read: {source}")]
     Read {
         /// The line's number, from 1.
         line: usize,
-        /// The failure.
+        /// The error of the read.
         source: io::Error,
     },
-    /// A line is no batch.
-    #[error("line {line}: malformed: {source}")]
+    /// A line is not a batch in valid JSON.
+    #[error("line {line}: malformed batch: {source}")]
     Malformed {
         /// The line's number, from 1.
         line: usize,
-        /// What is wrong with it.
+        /// The error of the JSON parser.
         source: serde_json::Error,
     },
-    /// A message of a batch makes no sense.
+    /// A batch has an invalid message.
     #[error("line {line}: {source}")]
     Message {
         /// The line's number, from 1.
         line: usize,
-        /// What is wrong with the message.
+        /// The error in the message.
         source: MessageError,
     },
-    /// A reply could not be written.
+    /// A reply could not be encoded or written to standard output.
     #[error("cannot write the reply: {0}")]
     Write(#[from] io::Error),
 }
 
-/// What is wrong with a message.
+/// An error in a message.
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
-    /// The settings of a gateway cannot be used.
+    /// The settings of a starting gateway are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// An event for a gateway that was not started.
-    #[error("event for instance {0}, which is not started")]
-    NotStarted(u32),
-    /// A request's id in another form.
-    #[error("request id {0:?} is not 16 lower-case hex digits")]
+    /// The message is for an instance that was not started or was stopped.
+    #[error("message for instance {0}, which is not running")]
+    NotRunning(u32),
+    /// A request ID is not 16 lower-case hex digits.
+    #[error("request ID {0:?} is not 16 lower-case hex digits")]
     RequestId(String),
-    /// A peer's message in another form.
-    #[error("message content {0:?} is not hex bytes")]
+    /// The content of a peer's message is not pairs of hex digits.
+    #[error("peer message content {0:?} is not pairs of hex digits")]
     PeerContent(String),
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The gateways, and the loop from batches to replies.
+//! Runs the gateways: reads batches, passes their messages to the gateways, and writes replies.
 
 use crate::error::{AdapterError, MessageError};
 use crate::wire::{Batch, IncomingMessage, OutgoingMessage, Reply};
@@ -8,10 +8,10 @@
 use std::io::{BufRead, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// Replies to each batch of `input` until it ends.
+/// Reads batches from `input` until its end, and writes a reply to each to `output`.
 ///
 /// # Errors
-/// A line that cannot be read or carried out, or a reply that cannot be written.
+/// Returns an error if a line cannot be read or is invalid, or if a reply cannot be written.
 pub fn run(input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut gateways = Gateways::default();
     for (index, text) in input.lines().enumerate() {
@@ -30,24 +30,25 @@
     Ok(())
 }
 
-/// The gateways by their instance number.
+/// The running gateways by instance number.
 #[derive(Default)]
 struct Gateways(BTreeMap<u32, Gateway>);
 
 impl Gateways {
+    /// Passes the messages of a batch to their gateways in order, and returns the reply.
     fn process(&mut self, batch: Batch) -> Result<Reply, MessageError> {
         let mut outgoing = Vec::new();
         for message in batch.messages {
             let instance = message.instance();
-            // A panic ends one instance's message, not the whole session.
+            // A panic ends the handling of one message, not the session of all instances.
             let result = catch_unwind(AssertUnwindSafe(|| {
                 self.handle(batch.time_us, message, &mut outgoing)
             }));
             match result {
                 Ok(result) => result?,
-                Err(panic) => outgoing.push(OutgoingMessage::Panicked {
+                Err(payload) => outgoing.push(OutgoingMessage::Panicked {
                     instance,
-                    line: panic_text(panic.as_ref()),
+                    line: panic_text(payload.as_ref()),
                 }),
             }
         }
@@ -57,6 +58,7 @@
         })
     }
 
+    /// Handles one message at the time `now_us`, and appends the resulting messages to `outgoing`.
     fn handle(
         &mut self,
         now_us: u64,
@@ -76,7 +78,7 @@
             }
             other => {
                 let gateway = self.0.get_mut(&instance);
-                let gateway = gateway.ok_or(MessageError::NotStarted(instance))?;
+                let gateway = gateway.ok_or(MessageError::NotRunning(instance))?;
                 let mut actions = Vec::new();
                 if let Some(event) = other.into_event()? {
                     gateway.handle(now_us, event, &mut actions);
@@ -91,8 +93,9 @@
     }
 }
 
-fn panic_text(panic: &(dyn Any + Send)) -> String {
-    let owned = panic.downcast_ref::<String>().cloned();
-    let borrowed = panic.downcast_ref::<&str>().map(ToString::to_string);
+/// Returns the message of a panic, or a placeholder if the payload is not a string.
+fn panic_text(payload: &(dyn Any + Send)) -> String {
+    let owned = payload.downcast_ref::<String>().cloned();
+    let borrowed = payload.downcast_ref::<&str>().map(ToString::to_string);
     owned.or(borrowed).unwrap_or_else(|| "panic".into())
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,6 @@
-//! Hosts the decisions of many gateways on the simulator's wire: a batch of messages a line on standard input, a reply a line
-//! on standard output, both JSON. Nothing is decided here.
+//! Connects the traffic control of many gateways to a simulator. Reads a batch of messages from each line of standard input
+//! and writes a reply to each as a line of standard output, both in JSON. The adapter translates messages; every traffic
+//! decision is made in `frosthatch_traffic_control`.
 
 mod error;
 mod host;
--- a/crates/simulator-adapter/src/wire/incoming.rs
+++ b/crates/simulator-adapter/src/wire/incoming.rs
@@ -1,4 +1,4 @@
-//! Messages from the simulator.
+//! Messages from the simulator, and their conversion to events of `frosthatch_traffic_control`.
 
 use crate::error::MessageError;
 use frosthatch_traffic_control::{
@@ -9,14 +9,14 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Digits of a request's id.
+/// Number of hex digits in a request ID.
 const REQUEST_ID_DIGITS: usize = 16;
 
-/// A message from the simulator to one instance of a gateway.
+/// A message from the simulator to one gateway instance.
 #[derive(Deserialize)]
 #[serde(rename_all_fields = "camelCase")]
 pub enum IncomingMessage {
-    /// An instance starts.
+    /// The instance starts.
     Start {
         #[serde(rename = "i")]
         instance: u32,
@@ -24,13 +24,13 @@
         seed: u64,
         boot_info: BootInfo,
     },
-    /// An instance ends.
+    /// The instance ends.
     #[serde(rename = "Detach")]
     Stop {
         #[serde(rename = "i")]
         instance: u32,
     },
-    /// Endpoints, or a failed call to discovery.
+    /// The discovery service sent an endpoint list, or a call to it failed.
     #[serde(rename = "Announce")]
     EndpointList {
         #[serde(rename = "i")]
@@ -39,10 +39,10 @@
         #[serde(default, rename = "items")]
         endpoints: Vec<WireEndpoint>,
     },
-    /// A client's request.
+    /// A client request arrived.
     #[serde(rename = "WorkItem")]
     Request(WireRequest),
-    /// A streamed response has begun.
+    /// The server began to stream its response to a request.
     #[serde(rename = "Flowing")]
     StreamingStarted {
         #[serde(rename = "i")]
@@ -53,7 +53,7 @@
     /// An attempt ended.
     #[serde(rename = "Response")]
     AttemptEnded(WireOutcome),
-    /// A request's client has gone.
+    /// The client gave up before the final answer to its request.
     #[serde(rename = "TimedOutClient")]
     ClientGone {
         #[serde(rename = "i")]
@@ -61,19 +61,19 @@
         #[serde(rename = "ref")]
         id: String,
     },
-    /// A timer is due.
+    /// A timer expired.
     #[serde(rename = "Alarm")]
     TimerDue {
         #[serde(rename = "i")]
         instance: u32,
         name: String,
     },
-    /// The result of a health check, which the decisions do not use.
+    /// A health check of a server ended. Traffic control does not use its result.
     ProbeResult {
         #[serde(rename = "i")]
         instance: u32,
     },
-    /// A message from another gateway.
+    /// A message from another gateway arrived.
     #[serde(rename = "NeighbourSays")]
     PeerMessage {
         #[serde(rename = "i")]
@@ -94,7 +94,7 @@
     },
 }
 
-/// A client's request.
+/// A client request; converted to [`Request`].
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct WireRequest {
@@ -104,7 +104,7 @@
     id: String,
     #[serde(default, rename = "firstDoor")]
     first_gateway: f64,
-    #[serde(default = "one", rename = "width")]
+    #[serde(default = "default_one", rename = "width")]
     gateway_count: f64,
     #[serde(rename = "graceUs")]
     remaining_us: u64,
@@ -114,11 +114,11 @@
     class: String,
     #[serde(default, rename = "account")]
     customer: String,
-    #[serde(default = "one", rename = "costUnits")]
+    #[serde(default = "default_one", rename = "costUnits")]
     units: f64,
 }
 
-/// The end of an attempt.
+/// The outcome of an attempt; converted to [`AttemptOutcome`].
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct WireOutcome {
@@ -136,18 +136,19 @@
     server: String,
     #[serde(default, rename = "over")]
     closed: bool,
-    /// 0: not told; else one more than the percentage of use.
+    /// Metered use of the customer in percent, plus one; 0 if no use was metered.
     #[serde(default, rename = "fleetUse")]
     metered_percent_plus_one: f64,
     #[serde(default, rename = "telemetry")]
     load_report: BTreeMap<String, Value>,
 }
 
-fn one() -> f64 {
+/// Returns the default of numbers that are 1 if they are missing.
+fn default_one() -> f64 {
     1.0
 }
 
-/// How an endpoint list is to be read.
+/// What an endpoint list contains; converted to [`ListKind`].
 #[derive(Deserialize, Clone, Copy)]
 pub enum ListMode {
     Partial,
@@ -156,7 +157,7 @@
     Error,
 }
 
-/// How an attempt or a call to the counter ended.
+/// How an attempt or a call to the counter ended; converted to [`CompletionStatus`].
 #[derive(Deserialize, Clone, Copy)]
 #[serde(rename_all = "snake_case")]
 pub enum WireStatus {
@@ -172,7 +173,7 @@
     NotSent,
 }
 
-/// An entry of an endpoint list.
+/// An entry of an endpoint list; converted to [`ServerEntry`].
 #[derive(Deserialize)]
 pub struct WireEndpoint {
     #[serde(default, rename = "bay")]
@@ -181,13 +182,13 @@
     zone: String,
     #[serde(default, rename = "bornUs")]
     started_us: u64,
-    #[serde(default = "one", rename = "share")]
+    #[serde(default = "default_one", rename = "share")]
     weight: f64,
     server: String,
     health: WireHealth,
 }
 
-/// An endpoint's state.
+/// The state of an endpoint; converted to [`Health`].
 #[derive(Deserialize, Clone, Copy)]
 #[serde(rename_all = "snake_case")]
 enum WireHealth {
@@ -275,14 +276,14 @@
             settled_units: (self.settled_units > 0.0).then_some(self.settled_units),
             metered_use: has_metered_use.then_some((self.metered_percent_plus_one - 1.0) / 100.0),
             load_report: load_report
-                .filter_map(|(name, value)| load_metric(name, value))
+                .filter_map(|(name, value)| parse_load_metric(name, value))
                 .collect(),
         })
     }
 }
 
 impl IncomingMessage {
-    /// The instance that the message is for.
+    /// Returns the number of the instance that the message is for.
     pub fn instance(&self) -> u32 {
         match *self {
             IncomingMessage::Start { instance, .. }
@@ -299,10 +300,10 @@
         }
     }
 
-    /// The decisions' event; `None` for what they do not use.
+    /// Converts the message to an event; returns `None` if it is not an event of traffic control.
     ///
     /// # Errors
-    /// An id or content in another form.
+    /// Returns an error if a request ID or the content of a peer message is malformed.
     pub fn into_event(self) -> Result<Option<Event>, MessageError> {
         Ok(match self {
             IncomingMessage::Start { .. }
@@ -322,7 +323,7 @@
             IncomingMessage::ClientGone { id, .. } => {
                 Some(Event::ClientGone(parse_request_id(&id)?))
             }
-            IncomingMessage::TimerDue { name, .. } => parse_timer(&name).map(Event::Timer),
+            IncomingMessage::TimerDue { name, .. } => parse_timer_name(&name).map(Event::Timer),
             IncomingMessage::PeerMessage { from, content, .. } => Some(Event::Peer {
                 from,
                 bytes: parse_hex(&content)?,
@@ -341,6 +342,7 @@
     }
 }
 
+/// Parses a request ID, written as 16 lower-case hex digits.
 fn parse_request_id(text: &str) -> Result<RequestId, MessageError> {
     let is_digit = |byte: u8| matches!(byte, b'0'..=b'9' | b'a'..=b'f');
     let is_id = text.len() == REQUEST_ID_DIGITS && text.bytes().all(is_digit);
@@ -349,6 +351,7 @@
         .ok_or_else(|| MessageError::RequestId(text.to_string()))
 }
 
+/// Parses bytes that are written as two hex digits each.
 fn parse_hex(text: &str) -> Result<Vec<u8>, MessageError> {
     let parse_byte = |digits: &[u8]| {
         let is_byte = digits.len() == 2 && digits.iter().all(u8::is_ascii_hexdigit);
@@ -359,7 +362,8 @@
     bytes.ok_or_else(|| MessageError::PeerContent(text.to_string()))
 }
 
-fn load_metric(name: &str, value: &Value) -> Option<(LoadMetric, f64)> {
+/// Converts an entry of a load report; returns `None` if the metric is unknown or its value is not a number.
+fn parse_load_metric(name: &str, value: &Value) -> Option<(LoadMetric, f64)> {
     let metric = match name {
         "inflight" => LoadMetric::Inflight,
         "queue" => LoadMetric::Queue,
@@ -369,8 +373,8 @@
     Some((metric, value.as_f64()?))
 }
 
-/// The timer that a name stands for, as [`super::outgoing`] names it.
-fn parse_timer(name: &str) -> Option<Timer> {
+/// Returns the timer with the given name, as [`super::outgoing`] formats it; `None` if there is no such timer.
+fn parse_timer_name(name: &str) -> Option<Timer> {
     if name == "interval" {
         return Some(Timer::Interval);
     }
--- a/crates/simulator-adapter/src/wire/mod.rs
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! The simulator's wire: its names are mapped to the decisions' terms here and nowhere else.
+//! The simulator's messages. Their names are mapped to the terms of `frosthatch_traffic_control` in this module only.
 
 mod incoming;
 mod outgoing;
@@ -8,26 +8,26 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Messages that arrive at one moment.
+/// Messages that arrive at the same time.
 #[derive(Deserialize)]
 pub struct Batch {
-    /// The simulator's clock.
+    /// Time of the simulator's clock, in microseconds.
     #[serde(rename = "timeUs")]
     pub time_us: u64,
-    /// The batch's number, which its reply carries as well.
+    /// Number of the batch, repeated in its reply.
     #[serde(rename = "batch")]
     pub number: u64,
-    /// The messages, in their order.
+    /// The messages, in the order in which they are handled.
     #[serde(rename = "msgs")]
     pub messages: Vec<IncomingMessage>,
 }
 
-/// What follows from a batch.
+/// The reply to a batch.
 #[derive(Serialize)]
 pub struct Reply {
-    /// The batch's number.
+    /// Number of the batch.
     pub batch: u64,
-    /// The messages, in their order.
+    /// The messages that the gateways sent in response, in order.
     #[serde(rename = "out")]
     pub messages: Vec<OutgoingMessage>,
 }
--- a/crates/simulator-adapter/src/wire/outgoing.rs
+++ b/crates/simulator-adapter/src/wire/outgoing.rs
@@ -1,13 +1,13 @@
-//! Messages to the simulator.
+//! Messages to the simulator, and their conversion from actions of `frosthatch_traffic_control`.
 
 use frosthatch_traffic_control::{Action, RequestId, Timer};
 use serde::Serialize;
 
-/// A message from one instance of a gateway to the simulator.
+/// A message from one gateway instance to the simulator.
 #[derive(Serialize)]
 #[serde(rename_all_fields = "camelCase")]
 pub enum OutgoingMessage {
-    /// Start an attempt.
+    /// Starts an attempt.
     #[serde(rename = "Issue")]
     StartAttempt {
         #[serde(rename = "i")]
@@ -17,7 +17,7 @@
         server: String,
         timeout_us: u64,
     },
-    /// Cancel an attempt.
+    /// Cancels an attempt.
     #[serde(rename = "Revoke")]
     CancelAttempt {
         #[serde(rename = "i")]
@@ -27,7 +27,7 @@
         #[serde(rename = "leg")]
         attempt: u32,
     },
-    /// Reject a request.
+    /// Rejects a request.
     #[serde(rename = "Decline")]
     Reject {
         #[serde(rename = "i")]
@@ -37,14 +37,14 @@
         #[serde(rename = "backoffUs")]
         retry_after_us: u64,
     },
-    /// Fail a request.
+    /// Fails a request.
     Fail {
         #[serde(rename = "i")]
         instance: u32,
         #[serde(rename = "ref")]
         id: String,
     },
-    /// Set a timer.
+    /// Sets a timer.
     SetTimer {
         #[serde(rename = "i")]
         instance: u32,
@@ -52,7 +52,7 @@
         after_us: u64,
         name: String,
     },
-    /// Send a message to another gateway.
+    /// Sends a message to another gateway.
     #[serde(rename = "Post")]
     SendToPeer {
         #[serde(rename = "i")]
@@ -61,7 +61,7 @@
         to: u32,
         content: String,
     },
-    /// Add to the shared counter.
+    /// Adds an amount to a total of the shared counter.
     #[serde(rename = "PostAmount")]
     AddToCounter {
         #[serde(rename = "i")]
@@ -71,21 +71,21 @@
         amount: f64,
         ttl_us: u64,
     },
-    /// Subscribe to the endpoint list.
+    /// Subscribes to the endpoint list.
     #[serde(rename = "Tail")]
     Subscribe {
         #[serde(rename = "i")]
         instance: u32,
         active: bool,
     },
-    /// Write to the log.
+    /// Writes a line to the instance's log.
     #[serde(rename = "WriteLog")]
     Log {
         #[serde(rename = "i")]
         instance: u32,
         line: String,
     },
-    /// The instance panicked.
+    /// Reports that the instance panicked while it handled a message.
     #[serde(rename = "GiveIn")]
     Panicked {
         #[serde(rename = "i")]
@@ -95,10 +95,10 @@
 }
 
 impl OutgoingMessage {
-    /// The message for an action; `None` where the simulator has no such thing.
+    /// Converts an action of an instance to a message; returns `None` if the simulator has no such message.
     pub fn from_action(instance: u32, action: Action) -> Option<Self> {
         Some(match action {
-            // In the simulator an attempt begins when it is sent: the latest start does not matter.
+            // In the simulator an attempt begins as soon as it is sent, so `begin_within_us` has no effect.
             Action::Send {
                 request,
                 server,
@@ -131,7 +131,7 @@
             Action::SetTimer { after_us, timer } => OutgoingMessage::SetTimer {
                 instance,
                 after_us,
-                name: timer_name(timer),
+                name: format_timer_name(timer),
             },
             Action::SendToPeer { to, bytes } => OutgoingMessage::SendToPeer {
                 instance,
@@ -148,7 +148,7 @@
                 amount,
                 ttl_us,
             },
-            // Only where gateways report usage to each other outside the simulator.
+            // Usage reports between gateways exist outside the simulator only.
             Action::ReportUsage { .. } => return None,
             Action::Subscribe => OutgoingMessage::Subscribe {
                 instance,
@@ -159,12 +159,13 @@
     }
 }
 
+/// Returns a request ID as 16 lower-case hex digits.
 fn format_request_id(id: RequestId) -> String {
     format!("{:016x}", id.0)
 }
 
-/// The name by which a timer comes back, as [`super::incoming`] reads it.
-fn timer_name(timer: Timer) -> String {
+/// Returns the name of a timer, which the simulator sends back once it expires and [`super::incoming`] parses.
+fn format_timer_name(timer: Timer) -> String {
     match timer {
         Timer::Interval => "interval".into(),
         Timer::Request(id) => format_request_id(id),
--- a/crates/simulator-adapter/tests/golden_forms.rs
+++ b/crates/simulator-adapter/tests/golden_forms.rs
@@ -1,5 +1,6 @@
-//! A recorded session on the simulator's wire: several gateways with a counter and messages to each other, one answer for each
-//! kind of request of theirs. `RECORD=1 cargo test --test golden_forms` records it anew.
+//! Compares a session of the adapter with a recorded one. The test plays the simulator: it runs gateways with a shared
+//! counter and gateways that send messages to each other, and responds to each kind of message that expects a response.
+//! `RECORD=1 cargo test --test golden_forms` records the session anew.
 #![expect(clippy::manual_is_multiple_of, clippy::too_many_lines)]
 
 use serde_json::{json, Value};
@@ -8,33 +9,40 @@
 use std::io::{BufRead, BufReader, Write};
 use std::process::{Child, ChildStdout, Command, Stdio};
 
+/// Number of gateways in each of the two fleets.
 const GATEWAYS: u32 = 4;
+/// Simulated time between two batches.
 const STEP_US: u64 = 20_000;
 const STEPS: u64 = 500;
 
+/// A running adapter, and the state of the simulator that the test plays.
 struct Session {
     child: Child,
     lines: std::io::Lines<BufReader<ChildStdout>>,
-    now: u64,
-    batch: u64,
-    /// What is due, by time and order.
+    now_us: u64,
+    batch_number: u64,
+    /// Messages to send to the adapter, by the time when they are due in microseconds and a sequence number.
     due: BTreeMap<(u64, u64), Value>,
-    drawn: u64,
-    totals: BTreeMap<String, f64>,
-    requests: u64,
-    legs: BTreeMap<(u64, String), u64>,
+    random_state: u64,
+    counter_totals: BTreeMap<String, f64>,
+    request_count: u64,
+    attempt_counts: BTreeMap<(u64, String), u64>,
     digest: u64,
-    /// Of each kind the first ones, as they came.
+    /// The first five messages of each kind except log lines, in order of arrival.
     first: BTreeMap<String, Vec<String>>,
-    counts: BTreeMap<String, u64>,
+    message_counts: BTreeMap<String, u64>,
 }
 
-/// With numbers to six places: the last digits of a logarithm are not the same on each machine.
-fn rounded(value: &Value) -> Value {
+/// Returns the value with floats round_floats to six decimal places, as the last digits of a logarithm
+/// differ between machines.
+fn round_floats(value: &Value) -> Value {
     match value {
         Value::Number(n) if n.is_f64() => json!(format!("{:.6}", n.as_f64().unwrap_or(0.0))),
-        Value::Array(all) => all.iter().map(rounded).collect(),
-        Value::Object(all) => all.iter().map(|(k, v)| (k.clone(), rounded(v))).collect(),
+        Value::Array(all) => all.iter().map(round_floats).collect(),
+        Value::Object(all) => all
+            .iter()
+            .map(|(k, v)| (k.clone(), round_floats(v)))
+            .collect(),
         other => other.clone(),
     }
 }
@@ -45,76 +53,92 @@
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
             .spawn()
-            .expect("the program starts");
-        let lines = BufReader::new(child.stdout.take().expect("its output")).lines();
+            .expect("the adapter starts");
+        let lines = BufReader::new(child.stdout.take().expect("stdout is piped")).lines();
         Session {
             child,
             lines,
-            now: 1_000_000,
-            batch: 0,
+            now_us: 1_000_000,
+            batch_number: 0,
             due: BTreeMap::new(),
-            drawn: 88,
-            totals: BTreeMap::new(),
-            requests: 0,
-            legs: BTreeMap::new(),
+            random_state: 88,
+            counter_totals: BTreeMap::new(),
+            request_count: 0,
+            attempt_counts: BTreeMap::new(),
             digest: 0xcbf2_9ce4_8422_2325,
             first: BTreeMap::new(),
-            counts: BTreeMap::new(),
+            message_counts: BTreeMap::new(),
         }
     }
 
-    fn below(&mut self, n: u64) -> u64 {
-        self.drawn = self
-            .drawn
+    /// Returns a pseudo-random number below `n`.
+    fn random_below(&mut self, n: u64) -> u64 {
+        self.random_state = self
+            .random_state
             .wrapping_mul(0x5851_F42D_4C95_7F2D)
             .wrapping_add(0x1405_7B7E_F767_814F);
-        (self.drawn >> 33) % n
+        (self.random_state >> 33) % n
     }
 
-    fn later(&mut self, after: u64, message: Value) {
-        let order = self.due.len() as u64 + (self.batch << 20);
-        self.due.insert((self.now + after, order), message);
+    /// Schedules a message to be sent to the adapter after a delay in microseconds.
+    fn schedule(&mut self, delay_us: u64, message: Value) {
+        let sequence = self.due.len() as u64 + (self.batch_number << 20);
+        self.due.insert((self.now_us + delay_us, sequence), message);
     }
 
+    /// Sends a batch of messages at the current time, and handles the messages of the reply.
     fn send(&mut self, messages: Vec<Value>) {
-        self.batch += 1;
-        let line = json!({ "timeUs": self.now, "batch": self.batch, "msgs": messages });
-        let input = self.child.stdin.as_mut().expect("its input");
+        self.batch_number += 1;
+        let line = json!({ "timeUs": self.now_us, "batch": self.batch_number, "msgs": messages });
+        let input = self.child.stdin.as_mut().expect("stdin is piped");
         writeln!(input, "{line}")
             .and_then(|()| input.flush())
-            .expect("written");
-        let reply = self.lines.next().expect("a reply").expect("a line");
-        let reply: Value = serde_json::from_str(&reply).expect("a reply in JSON");
-        assert_eq!(reply["batch"], self.batch);
-        for out in reply["out"].as_array().expect("what it asks for") {
-            self.take(out);
+            .expect("the adapter reads its input");
+        let reply = self
+            .lines
+            .next()
+            .expect("each batch has a reply")
+            .expect("the adapter's output is readable");
+        let reply: Value = serde_json::from_str(&reply).expect("a reply is valid JSON");
+        assert_eq!(reply["batch"], self.batch_number);
+        for message in reply["out"]
+            .as_array()
+            .expect("a reply holds an array of messages")
+        {
+            self.process_message(message);
         }
     }
 
-    fn take(&mut self, out: &Value) {
-        let text = rounded(out).to_string();
-        let step = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3);
-        self.digest = format!("{} {text}\n", self.now)
+    /// Records a message from the adapter, and schedules the response if the message expects one.
+    fn process_message(&mut self, message: &Value) {
+        let text = round_floats(message).to_string();
+        let fnv1a_step = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3);
+        self.digest = format!("{} {text}\n", self.now_us)
             .bytes()
-            .fold(self.digest, step);
-        let (kind, fields) = out
+            .fold(self.digest, fnv1a_step);
+        let (kind, fields) = message
             .as_object()
             .and_then(|o| o.iter().next())
-            .expect("one of its kinds");
-        *self.counts.entry(kind.clone()).or_default() += 1;
-        let examples = self.first.entry(kind.clone()).or_default();
-        if examples.len() < 5 && kind != "WriteLog" {
-            examples.push(text);
+            .expect("a message is an object with its kind as the key");
+        *self.message_counts.entry(kind.clone()).or_default() += 1;
+        let kind_examples = self.first.entry(kind.clone()).or_default();
+        if kind_examples.len() < 5 && kind != "WriteLog" {
+            kind_examples.push(text);
         }
-        let i = fields["i"].clone();
+        let instance = fields["i"].clone();
         match kind.as_str() {
             "Issue" => {
-                let leg = self
-                    .legs
-                    .entry((i.as_u64().expect("a number"), fields["ref"].to_string()))
+                let attempt_count = self
+                    .attempt_counts
+                    .entry((
+                        instance
+                            .as_u64()
+                            .expect("an instance number is an unsigned integer"),
+                        fields["ref"].to_string(),
+                    ))
                     .or_default();
-                let number = *leg;
-                *leg += 1;
+                let attempt = *attempt_count;
+                *attempt_count += 1;
                 let statuses = [
                     "served",
                     "served",
@@ -123,48 +147,56 @@
                     "no_answer",
                     "server_error",
                 ];
-                let status = statuses[self.below(6) as usize];
-                let took = 15_000 + self.below(60_000);
-                let report = json!({ "inflight": self.below(9), "queue": 1, "latency_ms": 12.5, "other": 1 });
-                let response = json!({ "Response": { "i": i, "ref": fields["ref"], "delaySeenUs": took, "leg": number,
+                let status = statuses[self.random_below(6) as usize];
+                let delay_us = 15_000 + self.random_below(60_000);
+                let report = json!({ "inflight": self.random_below(9), "queue": 1, "latency_ms": 12.5, "other": 1 });
+                let response = json!({ "Response": { "i": instance, "ref": fields["ref"], "delaySeenUs": delay_us, "leg": attempt,
                     "status": status, "settled": 0, "server": fields["server"], "over": status == "served",
-                    "fleetUse": 1 + self.below(150), "telemetry": report } });
-                self.later(took, response);
+                    "fleetUse": 1 + self.random_below(150), "telemetry": report } });
+                self.schedule(delay_us, response);
             }
             "SetTimer" => {
-                let offset = fields["offsetUs"].as_u64().expect("a time");
-                self.later(
+                let offset = fields["offsetUs"]
+                    .as_u64()
+                    .expect("a timer's offset is an unsigned integer");
+                self.schedule(
                     offset,
-                    json!({ "Alarm": { "i": i, "name": fields["name"] } }),
+                    json!({ "Alarm": { "i": instance, "name": fields["name"] } }),
                 );
             }
             "Post" => {
                 let to = fields["target"].clone();
-                self.later(
+                self.schedule(
                     1_000,
-                    json!({ "NeighbourSays": { "i": to, "neighbour": i, "content": fields["content"] } }),
+                    json!({ "NeighbourSays": { "i": to, "neighbour": instance, "content": fields["content"] } }),
                 );
             }
             "PostAmount" => {
-                let name = fields["name"].as_str().expect("a name").to_string();
-                let total = self.totals.entry(name.clone()).or_default();
-                *total += fields["delta"].as_f64().expect("an amount");
+                let name = fields["name"]
+                    .as_str()
+                    .expect("a counter total has a name")
+                    .to_string();
+                let total = self.counter_totals.entry(name.clone()).or_default();
+                *total += fields["delta"]
+                    .as_f64()
+                    .expect("the amount for a counter total is a number");
                 let total = *total;
-                let status = if self.below(10) == 0 {
+                let status = if self.random_below(10) == 0 {
                     "no_answer"
                 } else {
                     "served"
                 };
-                let back = json!({ "TallyBack": { "i": i, "name": name, "status": status, "resultValue": total } });
-                self.later(3_000, back);
+                let reply = json!({ "TallyBack": { "i": instance, "name": name, "status": status, "resultValue": total } });
+                self.schedule(3_000, reply);
             }
             _ => {}
         }
     }
 
-    fn start(&mut self, i: u32, counter: bool) {
-        let settings = json!({ "balancers": GATEWAYS, "me": i % GATEWAYS, "zone": "a", "discovery": "pushed",
-            "familyInfo": { "mailPerS": 50.0, "sharedCounter": counter, "unitsTop": 6, "usePeriodUs": 1_000_000 },
+    /// Starts an instance that uses the shared counter or not, and sends it a list of five servers.
+    fn start(&mut self, instance: u32, has_counter: bool) {
+        let settings = json!({ "balancers": GATEWAYS, "me": instance % GATEWAYS, "zone": "a", "discovery": "pushed",
+            "familyInfo": { "mailPerS": 50.0, "sharedCounter": has_counter, "unitsTop": 6, "usePeriodUs": 1_000_000 },
             "limits": { "cancel": true, "maxAttempts": 3, "maxRetryAfterUs": 2_000_000, "parallelTries": true,
                 "peerMessages": true, "retryAfter": true },
             "penalties": { "crossZone": 0.1 },
@@ -180,50 +212,54 @@
                 { "name": "m", "maxOut": 3, "pays": 1, "overrunCost": 0.5 }] });
         let servers: Vec<Value> = (0..5).map(|n| self.server(n, "in_service")).collect();
         self.send(vec![
-            json!({ "Start": { "i": i, "prng": 9 + i, "bootInfo": settings } }),
-            json!({ "Announce": { "i": i, "mode": "Persisted", "serial": 1, "items": servers } }),
+            json!({ "Start": { "i": instance, "prng": 9 + instance, "bootInfo": settings } }),
+            json!({ "Announce": { "i": instance, "mode": "Persisted", "serial": 1, "items": servers } }),
         ]);
     }
 
+    /// Returns the endpoint list entry of server `n`.
     fn server(&self, n: u32, health: &str) -> Value {
         json!({ "server": format!("h:{n}"), "hall": if n % 2 == 0 { "a" } else { "b" }, "bay": n / 2, "share": 1.0,
             "bornUs": if n == 4 { 900_000 } else { 0 }, "health": health })
     }
 
+    /// Runs all steps: sends due messages, random requests, and at certain steps updates of the endpoint list and events
+    /// of clients.
     fn run(&mut self) {
         for step in 0..STEPS {
-            self.now += STEP_US;
+            self.now_us += STEP_US;
             let mut messages = Vec::new();
             while let Some(entry) = self.due.first_entry() {
-                if entry.key().0 > self.now {
+                if entry.key().0 > self.now_us {
                     break;
                 }
                 messages.push(entry.remove());
             }
-            for i in 0..2 * GATEWAYS {
-                if self.below(2) == 0 {
-                    messages.push(self.request(i));
+            for instance in 0..2 * GATEWAYS {
+                if self.random_below(2) == 0 {
+                    messages.push(self.request(instance));
                 }
             }
-            let server = match step {
+            let update = match step {
                 150 => Some(("Partial", self.server(1, "terminating"))),
                 200 => Some(("Complete", self.server(2, "in_service"))),
                 250 => Some(("Error", self.server(2, "in_service"))),
                 300 => Some(("Partial", self.server(3, "terminated"))),
                 _ => None,
             };
-            if let Some((mode, item)) = server {
+            if let Some((mode, item)) = update {
                 let items = if mode == "Complete" {
                     (0..4).map(|n| self.server(n, "in_service")).collect()
                 } else {
                     vec![item]
                 };
-                let told = |i: u32| json!({ "Announce": { "i": i, "mode": mode, "serial": 2, "items": items } });
-                messages.extend((0..2 * GATEWAYS).map(told));
+                let announce = |instance: u32| json!({ "Announce": { "i": instance, "mode": mode, "serial": 2, "items": items } });
+                messages.extend((0..2 * GATEWAYS).map(announce));
             }
             if step.wrapping_add(1).is_multiple_of(50) {
-                let id = format!("{:016x}", self.requests);
-                messages.push(json!({ "TimedOutClient": { "i": self.requests % 8, "ref": id } }));
+                let id = format!("{:016x}", self.request_count);
+                messages
+                    .push(json!({ "TimedOutClient": { "i": self.request_count % 8, "ref": id } }));
                 messages.push(json!({ "Flowing": { "i": 0, "ref": id } }));
                 messages.push(json!({ "ProbeResult": { "i": 1 } }));
             }
@@ -232,37 +268,38 @@
         self.send(vec![json!({ "Detach": { "i": 0 } })]);
     }
 
-    fn request(&mut self, i: u32) -> Value {
-        self.requests += 1;
-        let plan = ["p", "q", "m"][self.below(3) as usize];
-        let class = ["r", "k", "o"][self.below(3) as usize];
-        json!({ "WorkItem": { "i": i, "ref": format!("{:016x}", self.requests), "firstDoor": 0, "width": GATEWAYS,
-            "graceUs": 800_000, "contract": plan, "grade": class, "account": format!("a{}", self.below(3)),
-            "costUnits": 1 + self.below(2), "unheard": true } })
+    /// Returns a random request to an instance.
+    fn request(&mut self, instance: u32) -> Value {
+        self.request_count += 1;
+        let plan = ["p", "q", "m"][self.random_below(3) as usize];
+        let class = ["r", "k", "o"][self.random_below(3) as usize];
+        json!({ "WorkItem": { "i": instance, "ref": format!("{:016x}", self.request_count), "firstDoor": 0, "width": GATEWAYS,
+            "graceUs": 800_000, "contract": plan, "grade": class, "account": format!("a{}", self.random_below(3)),
+            "costUnits": 1 + self.random_below(2), "unheard": true } })
     }
 }
 
 #[test]
-fn a_session_is_the_one_that_was_recorded() {
+fn session_output_matches_the_recording() {
     let mut session = Session::new();
-    // Two fleets: one with the counter, one whose gateways ask each other.
-    (0..2 * GATEWAYS).for_each(|i| session.start(i, i < GATEWAYS));
+    // Two fleets: the gateways of the first use the shared counter, those of the second send messages to each other.
+    (0..2 * GATEWAYS).for_each(|instance| session.start(instance, instance < GATEWAYS));
     session.run();
     let mut text = format!("digest {:016x}\n", session.digest);
-    for (kind, count) in &session.counts {
-        writeln!(text, "{kind} {count}").expect("to memory");
+    for (kind, count) in &session.message_counts {
+        writeln!(text, "{kind} {count}").expect("writing to a `String` cannot fail");
         for example in &session.first[kind] {
-            writeln!(text, "  {example}").expect("to memory");
+            writeln!(text, "  {example}").expect("writing to a `String` cannot fail");
         }
     }
     let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/session.txt");
     if std::env::var_os("RECORD").is_some() {
-        return std::fs::write(path, text).expect("written");
+        return std::fs::write(path, text).expect("the recording is writable");
     }
     assert_eq!(
-        std::fs::read_to_string(path).expect("a recorded file"),
+        std::fs::read_to_string(path).expect("the recording is readable"),
         text,
-        "recorded on the left"
+        "the session equals the recording (left)"
     );
 }
 
--- a/crates/sockets/src/connect.rs
+++ b/crates/sockets/src/connect.rs
@@ -1,4 +1,4 @@
-//! Connections that the gateway makes.
+//! Outgoing connections, and why one could not be made.
 
 #[cfg(test)]
 mod tests;
@@ -8,11 +8,11 @@
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 
-/// Why no connection was made. In either case nothing was sent.
+/// Why no connection was made. No data was sent in either case.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    /// This machine could not: no descriptor, memory, port or route. It says nothing about the peer.
-    #[error("this machine cannot connect: {0}")]
+    /// The local machine lacked a descriptor, memory, a port or a route. The error says nothing about the peer.
+    #[error("cannot connect, local error: {0}")]
     Local(io::Error),
     /// The peer refused, did not answer, or closed the connection at once.
     #[error("{0}")]
@@ -27,7 +27,7 @@
     }
 }
 
-/// Errors of `socket` and `connect` that concern this machine alone (the manual pages socket(2) and connect(2)).
+/// Errors of `socket` and `connect` that originate on the local machine (manual pages socket(2) and connect(2)).
 const LOCAL_ERRORS: [Errno; 11] = [
     Errno::ADDRINUSE,
     Errno::ADDRNOTAVAIL,
@@ -43,6 +43,7 @@
 ];
 
 impl ConnectError {
+    /// Determines from the error number whether an error is local.
     fn classify(error: io::Error) -> ConnectError {
         match Errno::from_io_error(&error) {
             Some(errno) if LOCAL_ERRORS.contains(&errno) => ConnectError::Local(error),
@@ -50,16 +51,16 @@
         }
     }
 
-    /// Whether the error concerns this machine alone.
+    /// Returns whether the error originates on the local machine.
     pub fn is_local(&self) -> bool {
         matches!(self, ConnectError::Local(_))
     }
 }
 
-/// Makes a connection that sends small writes at once.
+/// Makes a connection with Nagle's algorithm disabled, so that small writes are sent at once.
 ///
 /// # Errors
-/// No connection was made, or the peer has closed it already.
+/// Returns an error if no connection was made, or if the peer has already closed it.
 pub async fn connect(address: SocketAddr) -> Result<TcpStream, ConnectError> {
     let stream = TcpStream::connect(address)
         .await
--- a/crates/sockets/src/connect/tests.rs
+++ b/crates/sockets/src/connect/tests.rs
@@ -3,8 +3,8 @@
 use std::io;
 
 #[test]
-fn a_local_shortage_is_distinguished_from_a_refusal() {
-    let classified =
+fn local_errors_are_distinguished_from_errors_of_the_peer() {
+    let classify =
         |errno: Errno| ConnectError::classify(io::Error::from_raw_os_error(errno.raw_os_error()));
     for errno in [
         Errno::NFILE,
@@ -13,7 +13,7 @@
         Errno::NOBUFS,
         Errno::INTR,
     ] {
-        assert!(classified(errno).is_local(), "{errno}");
+        assert!(classify(errno).is_local(), "{errno} is classified as local");
     }
     for errno in [
         Errno::CONNREFUSED,
@@ -21,6 +21,9 @@
         Errno::HOSTUNREACH,
         Errno::CONNRESET,
     ] {
-        assert!(!classified(errno).is_local(), "{errno}");
+        assert!(
+            !classify(errno).is_local(),
+            "{errno} is not classified as local"
+        );
     }
 }
--- a/crates/sockets/src/interrupted.rs
+++ b/crates/sockets/src/interrupted.rs
@@ -1,4 +1,4 @@
-//! Calls that a signal interrupts (EINTR): they have had no effect and are repeated.
+//! Repeats calls that a signal interrupted (EINTR). An interrupted call has had no effect.
 
 #[cfg(test)]
 mod tests;
@@ -8,10 +8,10 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Repeats a call for as long as it is interrupted.
+/// Calls a function until it returns anything but [`io::ErrorKind::Interrupted`].
 ///
 /// # Errors
-/// Any other than [`io::ErrorKind::Interrupted`].
+/// Returns any other error of the call.
 pub fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
@@ -21,11 +21,11 @@
     }
 }
 
-/// A stream whose reads and writes are repeated for as long as they are interrupted.
+/// A stream that repeats interrupted reads, writes, flushes and shutdowns.
 #[derive(Debug)]
 pub struct Uninterrupted<S>(pub S);
 
-/// The same as [`uninterrupted`], for a call that is polled.
+/// Polls a function until it returns anything but [`io::ErrorKind::Interrupted`], as [`uninterrupted`] does for calls.
 fn poll_uninterrupted<T>(mut call: impl FnMut() -> Poll<io::Result<T>>) -> Poll<io::Result<T>> {
     loop {
         match call() {
--- a/crates/sockets/src/lib.rs
+++ b/crates/sockets/src/lib.rs
@@ -1,8 +1,8 @@
-//! What all parts of the gateway share in their system calls on sockets.
+//! Error handling for system calls on sockets, shared by all parts of the gateway.
 //!
-//! A call that a signal interrupts is repeated ([`uninterrupted`], [`Uninterrupted`]); a connection that could not be made
-//! for a shortage on this machine is distinguished from one that its peer did not accept ([`connect`]); a listener waits
-//! out a shortage at the start of the process ([`listen`]).
+//! [`uninterrupted`] and [`Uninterrupted`] repeat calls that a signal interrupted. [`connect`] distinguishes local errors,
+//! such as a lack of descriptors, from errors of the peer. [`listen`] and [`bind_datagrams`] retry transient errors while
+//! the process starts.
 
 mod connect;
 mod interrupted;
--- a/crates/sockets/src/listen.rs
+++ b/crates/sockets/src/listen.rs
@@ -1,4 +1,4 @@
-//! Listeners: a temporary shortage is waited out at the start of a process.
+//! Listeners and datagram sockets. Transient errors are retried while the process starts.
 
 use rustix::io::Errno;
 use std::io;
@@ -7,24 +7,24 @@
 use tokio::net::{TcpListener, TcpSocket, UdpSocket};
 use tokio::time::{sleep, Instant};
 
-/// A process that cannot listen within this gives up: the platform waits 30 s for one to be ready, and its restart may
-/// do better.
+/// Time after which a transient error is final. The platform waits 30 s for a process to be ready; it is better to fail
+/// before that, as a restarted process may succeed.
 const LISTEN_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause between two attempts.
+/// Pause between two attempts to listen or bind.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const MAX_BACKLOG: u32 = 1_024;
 
-/// Whether another process may listen at the same address.
+/// Whether other processes may listen at the same address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sharing {
-    /// No other process may.
+    /// No other process may listen at the address.
     Alone,
-    /// Another may (`SO_REUSEPORT`), as during a hot restart.
+    /// Other processes may listen at the address as well (`SO_REUSEPORT`), as during a hot restart.
     Shared,
 }
 
-/// Errors that may be over in a moment: the process before is still ending, or something is short.
+/// Errors that may soon disappear: the previous process has not yet ended, or the machine lacks a resource.
 const TRANSIENT_ERRORS: [Errno; 8] = [
     Errno::ADDRINUSE,
     Errno::ADDRNOTAVAIL,
@@ -36,18 +36,18 @@
     Errno::NOMEM,
 ];
 
-/// Listens at an address; errors that may be over in a moment are retried for some seconds.
+/// Listens at an address. Retries transient errors for up to 10 s.
 ///
 /// # Errors
-/// It cannot listen there.
+/// Returns the error of the last attempt if listening fails.
 pub async fn listen(address: SocketAddr, sharing: Sharing) -> io::Result<TcpListener> {
     retry_transient(|| listen_once(address, sharing)).await
 }
 
-/// Binds an address for datagrams; errors that may be over in a moment are retried for some seconds.
+/// Binds a UDP socket to an address. Retries transient errors for up to 10 s.
 ///
 /// # Errors
-/// The address cannot be bound.
+/// Returns the error of the last attempt if the address cannot be bound.
 pub async fn bind_datagrams(address: SocketAddr) -> io::Result<UdpSocket> {
     let bind = || {
         let socket = std::net::UdpSocket::bind(address)?;
@@ -57,11 +57,12 @@
     retry_transient(bind).await
 }
 
+/// Repeats a call until it succeeds, fails with an error that is not transient, or `LISTEN_TIMEOUT` has passed.
 async fn retry_transient<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let give_up_at = Instant::now() + LISTEN_TIMEOUT;
+    let deadline = Instant::now() + LISTEN_TIMEOUT;
     loop {
         match call() {
-            Err(error) if is_transient(&error) && Instant::now() < give_up_at => {
+            Err(error) if is_transient(&error) && Instant::now() < deadline => {
                 sleep(RETRY_INTERVAL).await;
             }
             result => return result,
