--- a/crates/config-reader/src/table.rs
+++ b/crates/config-reader/src/table.rs
@@ -56,8 +56,8 @@
         self.table.get(key)
     }
 
-    /// Reads a key's value with `parse`. Returns `None` if the key is missing, or if `parse` returns `None`: the value is
-    /// then reported as invalid, with the hint.
+    /// Reads a key's value with `parse`. Returns `None` if the key is missing. If `parse` returns `None`, reports the value
+    /// as invalid with `hint` and returns `None`.
     pub fn read<T>(
         &mut self,
         reader: &mut ConfigReader,
@@ -100,7 +100,8 @@
         self.read(reader, key, hint, parse)
     }
 
-    /// Reads a nested table. Returns `None` if the key is missing or its value is not a table, which is reported.
+    /// Reads a nested table. Returns `None` if the key is missing, or, after reporting the value, if the value
+    /// is not a table.
     pub fn table(
         &mut self,
         reader: &mut ConfigReader,
@@ -179,7 +180,7 @@
         chosen.unwrap_or(default)
     }
 
-    /// Reads an array of strings whose length is within `count`; the key is required unless `count` starts at 0. Returns an
+    /// Reads an array with a number of strings within `count`; the key is required unless `count` starts at 0. Returns an
     /// empty list if the key is missing or its value is invalid.
     pub fn strings(
         &mut self,
@@ -215,15 +216,18 @@
             if let Ok(value) = text.parse() {
                 values.push(value);
             } else {
-                let problem = format!("{} has {text:?}", self.qualified_name(key));
+                let problem = format!(
+                    "{} contains the invalid value {text:?}",
+                    self.qualified_name(key)
+                );
                 reader.report(self.span_of(key), problem, hint);
             }
         }
         values
     }
 
-    /// Reads the table at a key, each value of which is a table itself, and returns the inner tables with their names.
-    /// Any other value is reported and left out.
+    /// Reads a table of tables, and returns the inner tables with their names; none if the key is missing. A value that is
+    /// not a table is reported and left out.
     pub fn tables(
         &mut self,
         reader: &mut ConfigReader,
--- a/crates/config-reader/src/values.rs
+++ b/crates/config-reader/src/values.rs
@@ -2,13 +2,15 @@
 
 use toml::de::DeValue;
 
-/// Returns the value as an integer, written in any base that TOML allows; `None` if it is not an integer or does not fit.
+/// Converts an integer, written in any base that TOML allows, to `i64`. Returns `None` for any other type, or if the value
+/// does not fit in `i64`.
 pub fn integer(value: &DeValue) -> Option<i64> {
     let digits = value.as_integer()?;
     i64::from_str_radix(digits.as_str(), digits.radix()).ok()
 }
 
-/// Returns the value of an integer or a float; `None` for any other type.
+/// Converts a float or an integer to `f64`; the digits of an integer are read as decimal, whatever its base. Returns `None`
+/// for any other type, or if the digits cannot be parsed.
 pub fn number_value(value: &DeValue) -> Option<f64> {
     match value {
         DeValue::Float(number) => number.as_str().parse().ok(),
--- a/crates/fault-injection/src/control.rs
+++ b/crates/fault-injection/src/control.rs
@@ -15,7 +15,8 @@
 /// The mapped words; `None` if no control file is set or it cannot be mapped.
 static CONTROL_WORDS: OnceLock<Option<&'static [AtomicI64; WORDS]>> = OnceLock::new();
 
-/// Maps the control file. Returns `None` if the path is not set, or the file cannot be opened or is too short.
+/// Maps the control file. Returns `None` if no path is set, or if the file cannot be opened or mapped or is shorter
+/// than `MIN_BYTES`.
 fn map_control_file() -> Option<&'static [AtomicI64; WORDS]> {
     let path = CString::new(std::env::var_os("FAULTSHIM_CONTROL")?.into_vec()).ok()?;
     // SAFETY: the path is NUL-terminated, and the descriptor is opened and closed here. The mapping is page-aligned and
@@ -50,7 +51,7 @@
 }
 
 /// Returns the current value of a fault's word, or 0 without a control file.
-pub fn value(fault: Fault) -> i64 {
+pub fn control_word(fault: Fault) -> i64 {
     CONTROL_WORDS
         .get_or_init(map_control_file)
         .map_or(0, |words| words[fault as usize].load(Relaxed))
@@ -71,7 +72,7 @@
 
 /// Decides at random, by the rate in the fault's word, whether to inject the fault into this call.
 pub fn should_inject(fault: Fault) -> bool {
-    let rate = value(fault);
+    let rate = control_word(fault);
     rate > 0 && random() % 1_000 < rate as u64
 }
 
--- a/crates/fault-injection/src/descriptors.rs
+++ b/crates/fault-injection/src/descriptors.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub enum DescriptorKind {
-    /// Any other descriptor, a closed one included; no fault applies to its reads and writes.
+    /// A closed descriptor, or one of a kind not listed below; no fault applies to its reads and writes.
     Unknown = 0,
     /// A connection that this process made.
     Connected = 1,
@@ -28,7 +28,7 @@
 }
 
 /// Returns the recorded kind of a descriptor.
-pub fn kind(fd: i32) -> DescriptorKind {
+pub fn descriptor_kind(fd: i32) -> DescriptorKind {
     match usize::try_from(fd)
         .ok()
         .and_then(|fd| KINDS.get(fd))
--- a/crates/fault-injection/src/files.rs
+++ b/crates/fault-injection/src/files.rs
@@ -22,7 +22,7 @@
 }
 
 /// # Safety
-/// As for the C library's function.
+/// The arguments must meet the requirements of the C library's function of this name.
 #[no_mangle]
 pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
     let fd = call_next!(
@@ -36,7 +36,7 @@
 }
 
 /// # Safety
-/// As for the C library's function.
+/// The arguments must meet the requirements of the C library's function of this name.
 #[no_mangle]
 pub unsafe extern "C" fn open(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
     let fd = call_next!(
@@ -49,8 +49,9 @@
     record_opened(fd, flags)
 }
 
-/// Decides whether a write to a file fails. Returns the number of bytes to write, or the return value of the failed call,
-/// which in half of the cases has written half of the bytes.
+/// Injects a fault into a write of `length` bytes to a file. Without a fault, returns the number of bytes to write.
+/// Otherwise returns, with `errno` set, the return value of the failed call, in about half of the cases after writing the
+/// first half of the bytes.
 pub fn inject_write_fault(
     fd: c_int,
     bytes: *const c_void,
@@ -73,7 +74,7 @@
 }
 
 /// # Safety
-/// As for the C library's function.
+/// The arguments must meet the requirements of the C library's function of this name.
 #[no_mangle]
 pub unsafe extern "C" fn fsync(fd: c_int) -> c_int {
     if should_inject(Fault::FileSync) {
@@ -83,7 +84,7 @@
 }
 
 /// # Safety
-/// As for the C library's function.
+/// The arguments must meet the requirements of the C library's function of this name.
 #[no_mangle]
 pub unsafe extern "C" fn fdatasync(fd: c_int) -> c_int {
     if should_inject(Fault::FileSync) {
@@ -93,7 +94,7 @@
 }
 
 /// # Safety
-/// As for the C library's function.
+/// The arguments must meet the requirements of the C library's function of this name.
 #[no_mangle]
 pub unsafe extern "C" fn close(fd: c_int) -> c_int {
     descriptors::set_kind(fd, DescriptorKind::Unknown);
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,8 +1,10 @@
-//! A preload library (`LD_PRELOAD`) that makes system calls of one process fail in the ways that Linux documents.
+//! A preload library (`LD_PRELOAD`) that injects faults into the system calls of one process: errors that Linux documents,
+//! short transfers, delays and a shifted wall clock.
 //!
 //! A control file, which the process maps and a test may write at any time, determines the faults and their rates;
-//! [`control`] describes it. Only sockets and files that the process opened itself are affected. The library needs no
-//! privileges and affects no other process.
+//! [`control`] describes it. Faults of reads and writes affect only connections and files that the process opened
+//! itself; faults of syncs affect each descriptor, and the offset of the wall clock the whole process. The library needs
+//! no privileges and affects no other process.
 
 mod control;
 mod descriptors;
--- a/crates/fault-injection/src/next.rs
+++ b/crates/fault-injection/src/next.rs
@@ -3,7 +3,8 @@
 use std::ffi::CStr;
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 
-/// An intercepted function of the C library, whose address is looked up once.
+/// An intercepted function as the next library in the search order (`RTLD_NEXT`) defines it, which is the C library. Its
+/// address is looked up once.
 pub struct NextFunction {
     name: &'static CStr,
     /// Address of the function; 0 until it is looked up.
--- a/crates/fault-injection/src/sockets.rs
+++ b/crates/fault-injection/src/sockets.rs
@@ -1,8 +1,8 @@
 //! Faults of sockets: calls that fail because the local machine lacks a resource, are interrupted, transfer fewer bytes,
 //! fail because the connection broke, or delay the thread.
 
-use crate::control::{pick_random, should_inject, value};
-use crate::descriptors::{self, kind, DescriptorKind};
+use crate::control::{control_word, pick_random, should_inject};
+use crate::descriptors::{self, descriptor_kind, DescriptorKind};
 use crate::fail;
 use crate::files::inject_write_fault;
 use crate::next::call_next;
@@ -21,7 +21,7 @@
 }
 
 /// # Safety
-/// As for the C library's function.
+/// The arguments must meet the requirements of the C library's function of this name.
 #[no_mangle]
 pub unsafe extern "C" fn socket(domain: c_int, socket_type: c_int, protocol: c_int) -> c_int {
     if is_internet_domain(domain) && should_inject(Fault::Socket) {
@@ -39,13 +39,14 @@
 }
 
 /// # Safety
-/// As for the C library's function.
+/// The arguments must meet the requirements of the C library's function of this name.
 #[no_mangle]
 pub unsafe extern "C" fn connect(fd: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
-    // SAFETY: the pointer is not null, and each socket address begins with its family.
     let domain = if address.is_null() {
         0
     } else {
+        // SAFETY: the pointer is not null, and the caller guarantees that it refers to a socket address, which begins
+        // with its family.
         c_int::from(unsafe { (*address).sa_family })
     };
     if is_internet_domain(domain) {
@@ -67,7 +68,7 @@
 }
 
 /// # Safety
-/// As for the C library's function.
+/// The arguments must meet the requirements of the C library's function of this name.
 #[no_mangle]
 pub unsafe extern "C" fn accept4(
     fd: c_int,
@@ -100,17 +101,17 @@
     accepted
 }
 
-/// Decides on faults of a read or write of `length` bytes. Returns the number of bytes to transfer, or the return value of
-/// the failed call. Only connections are affected.
+/// Injects faults into a read or write of `length` bytes on a connection; other descriptors are not affected. Returns the
+/// number of bytes to transfer, or, with `errno` set, the return value of the failed call.
 fn inject_transfer_fault(fd: c_int, length: size_t) -> Result<size_t, ssize_t> {
-    let descriptor_kind = kind(fd);
-    if descriptor_kind != DescriptorKind::Connected && descriptor_kind != DescriptorKind::Accepted {
+    let fd_kind = descriptor_kind(fd);
+    if fd_kind != DescriptorKind::Connected && fd_kind != DescriptorKind::Accepted {
         return Ok(length);
     }
     if should_inject(Fault::Interrupted) {
         return Err(fail(EINTR));
     }
-    if descriptor_kind == DescriptorKind::Connected && should_inject(Fault::Broken) {
+    if fd_kind == DescriptorKind::Connected && should_inject(Fault::Broken) {
         return Err(fail(pick_random(&[ETIMEDOUT, EHOSTUNREACH, ECONNRESET])));
     }
     Ok(if should_inject(Fault::Short) {
@@ -123,16 +124,18 @@
 /// Delays the thread before a write to a connection, as if the machine had scheduled other work.
 fn inject_stall(fd: c_int) {
     let is_connection = matches!(
-        kind(fd),
+        descriptor_kind(fd),
         DescriptorKind::Connected | DescriptorKind::Accepted
     );
     if is_connection && should_inject(Fault::Stall) {
-        std::thread::sleep(Duration::from_millis(value(Fault::StallMs).max(0) as u64));
+        std::thread::sleep(Duration::from_millis(
+            control_word(Fault::StallMs).max(0) as u64
+        ));
     }
 }
 
 /// # Safety
-/// As for the C library's function.
+/// The arguments must meet the requirements of the C library's function of this name.
 #[no_mangle]
 pub unsafe extern "C" fn recv(
     fd: c_int,
@@ -156,7 +159,7 @@
 }
 
 /// # Safety
-/// As for the C library's function.
+/// The arguments must meet the requirements of the C library's function of this name.
 #[no_mangle]
 pub unsafe extern "C" fn read(fd: c_int, bytes: *mut c_void, length: size_t) -> ssize_t {
     match inject_transfer_fault(fd, length) {
@@ -172,7 +175,7 @@
 }
 
 /// # Safety
-/// As for the C library's function.
+/// The arguments must meet the requirements of the C library's function of this name.
 #[no_mangle]
 pub unsafe extern "C" fn send(
     fd: c_int,
@@ -197,10 +200,10 @@
 }
 
 /// # Safety
-/// As for the C library's function.
+/// The arguments must meet the requirements of the C library's function of this name.
 #[no_mangle]
 pub unsafe extern "C" fn write(fd: c_int, bytes: *const c_void, length: size_t) -> ssize_t {
-    let transfer = if kind(fd) == DescriptorKind::File {
+    let transfer = if descriptor_kind(fd) == DescriptorKind::File {
         inject_write_fault(fd, bytes, length)
     } else {
         inject_stall(fd);
@@ -219,12 +222,12 @@
 }
 
 /// # Safety
-/// As for the C library's function.
+/// The arguments must meet the requirements of the C library's function of this name.
 #[no_mangle]
 pub unsafe extern "C" fn writev(fd: c_int, buffers: *const iovec, count: c_int) -> ssize_t {
     inject_stall(fd);
     match inject_transfer_fault(fd, usize::MAX) {
-        // Vectored writes are never shortened: the call must transfer some bytes in any case.
+        // Vectored writes are never shortened: the permitted length is ignored, and the call transfers what it can.
         Ok(_) => call_next!(
             c"writev",
             fn(c_int, *const iovec, c_int) -> ssize_t,
--- a/crates/fault-injection/src/wall_clock.rs
+++ b/crates/fault-injection/src/wall_clock.rs
@@ -1,6 +1,6 @@
 //! Shifts the wall clock by the offset in the control file. Monotonic clocks are not affected.
 
-use crate::control::value;
+use crate::control::control_word;
 use crate::next::call_next;
 use frosthatch_fault_controls::Fault;
 use libc::{c_int, clockid_t, timespec};
@@ -10,7 +10,7 @@
 const NS_PER_S: i64 = 1_000_000_000;
 
 /// # Safety
-/// As for the C library's function.
+/// The arguments must meet the requirements of the C library's function of this name.
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
     let status = call_next!(
@@ -19,7 +19,7 @@
         clock,
         time
     );
-    let offset_ms = value(Fault::WallClockOffsetMs);
+    let offset_ms = control_word(Fault::WallClockOffsetMs);
     let is_wall_clock = clock == libc::CLOCK_REALTIME || clock == libc::CLOCK_REALTIME_COARSE;
     if status == 0 && is_wall_clock && offset_ms != 0 {
         // SAFETY: the pointer is valid, as the C library has just written the time through it.
--- a/crates/fault-injection/tests/preload.rs
+++ b/crates/fault-injection/tests/preload.rs
@@ -4,7 +4,8 @@
 use std::process::Command;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Returns the wall clock in Unix seconds, as seen by a process that the faults of `shim` apply to.
+/// Returns the wall clock, in Unix seconds, of a process that runs with the library preloaded and the control file of
+/// `shim`.
 fn preloaded_wall_clock_s(shim: &Shim) -> u64 {
     let output = shim
         .preload(Command::new("date").arg("+%s"))
@@ -17,7 +18,7 @@
 }
 
 #[test]
-fn the_wall_clock_is_stepped_both_ways() {
+fn the_wall_clock_is_shifted_forwards_and_backwards() {
     const HOUR: Duration = Duration::from_secs(3_600);
     const TOLERANCE_S: u64 = 10;
     let now_s = SystemTime::now()
--- a/crates/simulator-adapter/src/wire/incoming.rs
+++ b/crates/simulator-adapter/src/wire/incoming.rs
@@ -102,10 +102,13 @@
     instance: u32,
     #[serde(rename = "ref")]
     id: String,
+    /// Index of the first gateway that the customer uses.
     #[serde(default, rename = "firstDoor")]
     first_gateway: f64,
+    /// Number of gateways that the customer uses.
     #[serde(default = "default_one", rename = "width")]
     gateway_count: f64,
+    /// Time until the client gives up.
     #[serde(rename = "graceUs")]
     remaining_us: u64,
     #[serde(default, rename = "contract")]
@@ -134,26 +137,32 @@
     #[serde(default, rename = "settled")]
     settled_units: f64,
     server: String,
+    /// Whether the client has its final answer.
     #[serde(default, rename = "over")]
     closed: bool,
-    /// Metered use of the customer in percent, plus one; 0 if no use was metered.
+    /// One more than the customer's metered use in percent of its quota, which is [`AttemptOutcome::metered_use`]; 0 if no
+    /// use was metered.
     #[serde(default, rename = "fleetUse")]
     metered_percent_plus_one: f64,
     #[serde(default, rename = "telemetry")]
     load_report: BTreeMap<String, Value>,
 }
 
-/// Returns the default of numbers that are 1 if they are missing.
+/// Returns 1, the default of numeric fields that the simulator may omit.
 fn default_one() -> f64 {
     1.0
 }
 
-/// What an endpoint list contains; converted to [`ListKind`].
+/// The kind of an endpoint list message; converted to [`ListKind`].
 #[derive(Deserialize, Clone, Copy)]
 pub enum ListMode {
+    /// The message holds the endpoints that changed.
     Partial,
+    /// The message holds all endpoints.
     Complete,
+    /// The message holds all endpoints as persisted before a restart of the gateway; they may be stale.
     Persisted,
+    /// A call to the discovery service failed.
     Error,
 }
 
@@ -300,7 +309,8 @@
         }
     }
 
-    /// Converts the message to an event; returns `None` if it is not an event of traffic control.
+    /// Converts the message to an event; returns `None` for `Start`, `Stop` and `ProbeResult`, and for a
+    /// timer with an unknown name.
     ///
     /// # Errors
     /// Returns an error if a request ID or the content of a peer message is malformed.
@@ -378,6 +388,7 @@
     if name == "interval" {
         return Some(Timer::Interval);
     }
+    // A request ID may also begin with `c`, but the name of a customer timer is shorter.
     let customer_tag = name
         .strip_prefix('c')
         .filter(|_| name.len() < REQUEST_ID_DIGITS);
--- a/crates/simulator-adapter/src/wire/outgoing.rs
+++ b/crates/simulator-adapter/src/wire/outgoing.rs
@@ -27,7 +27,7 @@
         #[serde(rename = "leg")]
         attempt: u32,
     },
-    /// Rejects a request.
+    /// Answers a request as rejected: the client may safely retry it.
     #[serde(rename = "Decline")]
     Reject {
         #[serde(rename = "i")]
@@ -37,7 +37,7 @@
         #[serde(rename = "backoffUs")]
         retry_after_us: u64,
     },
-    /// Fails a request.
+    /// Answers a request as failed: it may have run.
     Fail {
         #[serde(rename = "i")]
         instance: u32,
@@ -69,6 +69,7 @@
         name: String,
         #[serde(rename = "delta")]
         amount: f64,
+        /// How long the counter retains the total, if this message creates it.
         ttl_us: u64,
     },
     /// Subscribes to the endpoint list.
@@ -164,7 +165,8 @@
     format!("{:016x}", id.0)
 }
 
-/// Returns the name of a timer, which the simulator sends back once it expires and [`super::incoming`] parses.
+/// Returns the name of a timer. The simulator sends the name back when the timer expires, and [`super::incoming`] parses
+/// it.
 fn format_timer_name(timer: Timer) -> String {
     match timer {
         Timer::Interval => "interval".into(),
--- a/crates/simulator-adapter/tests/golden_forms.rs
+++ b/crates/simulator-adapter/tests/golden_forms.rs
@@ -21,19 +21,20 @@
     lines: std::io::Lines<BufReader<ChildStdout>>,
     now_us: u64,
     batch_number: u64,
-    /// Messages to send to the adapter, by the time when they are due in microseconds and a sequence number.
+    /// Messages to send to the adapter, by due time in microseconds and sequence number.
     due: BTreeMap<(u64, u64), Value>,
     random_state: u64,
     counter_totals: BTreeMap<String, f64>,
     request_count: u64,
     attempt_counts: BTreeMap<(u64, String), u64>,
+    /// FNV-1a hash of all messages from the adapter and the times of their arrival.
     digest: u64,
     /// The first five messages of each kind except log lines, in order of arrival.
     first: BTreeMap<String, Vec<String>>,
     message_counts: BTreeMap<String, u64>,
 }
 
-/// Returns the value with floats round_floats to six decimal places, as the last digits of a logarithm
+/// Returns the value with floats rounded to six decimal places, as the last digits of a logarithm
 /// differ between machines.
 fn round_floats(value: &Value) -> Value {
     match value {
@@ -223,8 +224,8 @@
             "bornUs": if n == 4 { 900_000 } else { 0 }, "health": health })
     }
 
-    /// Runs all steps: sends due messages, random requests, and at certain steps updates of the endpoint list and events
-    /// of clients.
+    /// Runs all steps. Each step sends the due messages and random requests. Steps 150, 200, 250 and 300 add an update of
+    /// the endpoint list; every 50th step adds a client that gives up, a streamed response and a health check result.
     fn run(&mut self) {
         for step in 0..STEPS {
             self.now_us += STEP_US;
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -22,9 +22,10 @@
         .expect("the output of the adapter is readable")
 }
 
-/// A batch that starts instance 2 and announces server `h:1` to it.
+/// A batch that starts instance 2 and sends it an endpoint list of server `h:1`. The adapter ignores the unknown keys
+/// `novel` and `serial`.
 const START_BATCH: &str = r#"{"timeUs":5,"batch":1,"msgs":[{"Start":{"i":2,"prng":9,"bootInfo":{"balancers":1,"me":0,"zone":"a","novel":1,"limits":{"maxAttempts":2},"services":[{"name":"r","effect":"repeatable","aimUs":900000,"deadlineUs":2000000,"worth":1}],"tariffs":[{"name":"p","unitsPerS":5,"burst":5,"pays":1}]}}},{"Announce":{"i":2,"mode":"Persisted","serial":1,"items":[{"server":"h:1","hall":"a","bay":0,"health":"in_service"}]}}]}"#;
-/// A batch with one request to instance 2.
+/// A batch with one request to instance 2. The adapter ignores the unknown key `unheard`.
 const REQUEST_BATCH: &str = r#"{"timeUs":9,"batch":2,"msgs":[{"WorkItem":{"i":2,"ref":"00000000000000ab","firstDoor":0,"width":1,"graceUs":500000,"contract":"p","grade":"r","account":"k","costUnits":1,"unheard":true}}]}"#;
 
 #[test]
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn a_malformed_line_ends_the_adapter_with_an_error_that_names_it() {
+fn an_invalid_line_ends_the_adapter_with_an_error_that_gives_its_line_number() {
     let bad_id = REQUEST_BATCH.replace("00000000000000ab", "xyz");
     let unknown_instance = REQUEST_BATCH.replace("\"i\":2", "\"i\":7");
     for line in [
@@ -56,7 +57,7 @@
         assert!(!out.status.success(), "the adapter fails on {line}");
         assert!(
             String::from_utf8_lossy(&out.stderr).contains("frosthatch-adapter: line 2"),
-            "the error names the line of {line}"
+            "the error for {line} gives line number 2"
         );
     }
 }
--- a/crates/sockets/src/connect.rs
+++ b/crates/sockets/src/connect.rs
@@ -11,10 +11,11 @@
 /// Why no connection was made. No data was sent in either case.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    /// The local machine lacked a descriptor, memory, a port or a route. The error says nothing about the peer.
+    /// An error of the local machine, such as a lack of descriptors, memory, ports or routes. It gives no information about
+    /// the peer.
     #[error("cannot connect, local error: {0}")]
     Local(io::Error),
-    /// The peer refused, did not answer, or closed the connection at once.
+    /// Any other error: usually the peer refused, did not answer, or closed the connection at once.
     #[error("{0}")]
     Peer(io::Error),
 }
--- a/crates/sockets/src/interrupted.rs
+++ b/crates/sockets/src/interrupted.rs
@@ -1,4 +1,5 @@
-//! Repeats calls that a signal interrupted (EINTR). An interrupted call has had no effect.
+//! Repeats calls that a signal interrupted (EINTR). The calls repeated here have no effect when they are
+//! interrupted.
 
 #[cfg(test)]
 mod tests;
