--- a/crates/config-reader/src/values.rs
+++ b/crates/config-reader/src/values.rs
@@ -1,14 +1,16 @@
-//! Numbers of a TOML file.
+//! Conversion of TOML numbers.
 
 use toml::de::DeValue;
 
-/// A whole number, in any base that TOML has.
+/// Converts an integer, written in any base that TOML allows, to `i64`. Returns `None` for any other type, or if the value
+/// does not fit in `i64`.
 pub fn integer(value: &DeValue) -> Option<i64> {
     let digits = value.as_integer()?;
     i64::from_str_radix(digits.as_str(), digits.radix()).ok()
 }
 
-/// A number with or without a fraction.
+/// Converts a float or an integer to `f64`; the digits of an integer are read as decimal, whatever its base. Returns `None`
+/// for any other type, or if the digits cannot be parsed.
 pub fn number_value(value: &DeValue) -> Option<f64> {
     match value {
         DeValue::Float(number) => number.as_str().parse().ok(),
--- a/crates/fault-injection/src/sockets.rs
+++ b/crates/fault-injection/src/sockets.rs
@@ -1,10 +1,10 @@
-//! Sockets: calls that fail for want of something on this machine, are interrupted, are short, find the connection
-//! broken, or hold the thread up.
+//! Faults of sockets: calls that fail because the local machine lacks a resource, are interrupted, transfer fewer bytes,
+//! fail because the connection broke, or delay the thread.
 
-use crate::control::{one_of, strikes, value};
-use crate::descriptors::{self, kind, Kind};
+use crate::control::{control_word, pick_random, should_inject};
+use crate::descriptors::{self, descriptor_kind, DescriptorKind};
 use crate::fail;
-use crate::files::write_file;
+use crate::files::inject_write_fault;
 use crate::next::call_next;
 use frosthatch_fault_controls::Fault;
 use libc::{c_int, c_void, iovec, size_t, sockaddr, socklen_t, ssize_t};
@@ -15,46 +15,48 @@
 use libc::{ENOBUFS, ENOMEM, EPROTO, ETIMEDOUT};
 use std::time::Duration;
 
-fn internet(domain: c_int) -> bool {
+/// Returns whether the address family is IPv4 or IPv6.
+fn is_internet_domain(domain: c_int) -> bool {
     domain == libc::AF_INET || domain == libc::AF_INET6
 }
 
 /// # Safety
-/// As for the C library's function.
+/// The arguments must meet the requirements of the C library's function of this name.
 #[no_mangle]
-pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
-    if internet(domain) && strikes(Fault::Socket) {
-        return fail(one_of(&[ENFILE, EMFILE, ENOBUFS, ENOMEM])) as c_int;
+pub unsafe extern "C" fn socket(domain: c_int, socket_type: c_int, protocol: c_int) -> c_int {
+    if is_internet_domain(domain) && should_inject(Fault::Socket) {
+        return fail(pick_random(&[ENFILE, EMFILE, ENOBUFS, ENOMEM])) as c_int;
     }
     let fd = call_next!(
         c"socket",
         fn(c_int, c_int, c_int) -> c_int,
         domain,
-        kind,
+        socket_type,
         protocol
     );
-    descriptors::set(fd, Kind::Unknown);
+    descriptors::set_kind(fd, DescriptorKind::Unknown);
     fd
 }
 
 /// # Safety
-/// As for the C library's function.
+/// The arguments must meet the requirements of the C library's function of this name.
 #[no_mangle]
 pub unsafe extern "C" fn connect(fd: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
-    // SAFETY: an address has its family at its beginning.
     let domain = if address.is_null() {
         0
     } else {
+        // SAFETY: the pointer is not null, and the caller guarantees that it refers to a socket address, which begins
+        // with its family.
         c_int::from(unsafe { (*address).sa_family })
     };
-    if internet(domain) {
-        if strikes(Fault::Interrupted) {
+    if is_internet_domain(domain) {
+        if should_inject(Fault::Interrupted) {
             return fail(EINTR) as c_int;
         }
-        if strikes(Fault::Connect) {
-            return fail(one_of(&[EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, EAGAIN])) as c_int;
+        if should_inject(Fault::Connect) {
+            return fail(pick_random(&[EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, EAGAIN])) as c_int;
         }
-        descriptors::set(fd, Kind::Connected);
+        descriptors::set_kind(fd, DescriptorKind::Connected);
     }
     call_next!(
         c"connect",
@@ -66,7 +68,7 @@
 }
 
 /// # Safety
-/// As for the C library's function.
+/// The arguments must meet the requirements of the C library's function of this name.
 #[no_mangle]
 pub unsafe extern "C" fn accept4(
     fd: c_int,
@@ -74,11 +76,11 @@
     length: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
-    if strikes(Fault::Interrupted) {
+    if should_inject(Fault::Interrupted) {
         return fail(EINTR) as c_int;
     }
-    if strikes(Fault::Accept) {
-        return fail(one_of(&[
+    if should_inject(Fault::Accept) {
+        return fail(pick_random(&[
             ECONNABORTED,
             EMFILE,
             ENFILE,
@@ -95,39 +97,45 @@
         length,
         flags
     );
-    descriptors::set(accepted, Kind::Accepted);
+    descriptors::set_kind(accepted, DescriptorKind::Accepted);
     accepted
 }
 
-/// How many bytes a read or write on a socket may move, or what it returns instead.
-fn allowed(fd: c_int, length: size_t) -> Result<size_t, ssize_t> {
-    let of = kind(fd);
-    if of != Kind::Connected && of != Kind::Accepted {
+/// Injects faults into a read or write of `length` bytes on a connection; other descriptors are not affected. Returns the
+/// number of bytes to transfer, or, with `errno` set, the return value of the failed call.
+fn inject_transfer_fault(fd: c_int, length: size_t) -> Result<size_t, ssize_t> {
+    let fd_kind = descriptor_kind(fd);
+    if fd_kind != DescriptorKind::Connected && fd_kind != DescriptorKind::Accepted {
         return Ok(length);
     }
-    if strikes(Fault::Interrupted) {
+    if should_inject(Fault::Interrupted) {
         return Err(fail(EINTR));
     }
-    if of == Kind::Connected && strikes(Fault::Broken) {
-        return Err(fail(one_of(&[ETIMEDOUT, EHOSTUNREACH, ECONNRESET])));
+    if fd_kind == DescriptorKind::Connected && should_inject(Fault::Broken) {
+        return Err(fail(pick_random(&[ETIMEDOUT, EHOSTUNREACH, ECONNRESET])));
     }
-    Ok(if strikes(Fault::Short) {
+    Ok(if should_inject(Fault::Short) {
         length.min(1)
     } else {
         length
     })
 }
 
-/// Holds the thread up before a write, as where the machine does something else meanwhile.
-fn stall(fd: c_int) {
-    let socket = matches!(kind(fd), Kind::Connected | Kind::Accepted);
-    if socket && strikes(Fault::Stall) {
-        std::thread::sleep(Duration::from_millis(value(Fault::StallMs).max(0) as u64));
+/// Delays the thread before a write to a connection, as if the machine had scheduled other work.
+fn inject_stall(fd: c_int) {
+    let is_connection = matches!(
+        descriptor_kind(fd),
+        DescriptorKind::Connected | DescriptorKind::Accepted
+    );
+    if is_connection && should_inject(Fault::Stall) {
+        std::thread::sleep(Duration::from_millis(
+            control_word(Fault::StallMs).max(0) as u64
+        ));
     }
 }
 
 /// # Safety
-/// As for the C library's function.
+/// The arguments must meet the requirements of the C library's function of this name.
 #[no_mangle]
 pub unsafe extern "C" fn recv(
     fd: c_int,
@@ -135,7 +143,7 @@
     length: size_t,
     flags: c_int,
 ) -> ssize_t {
-    match allowed(fd, length) {
+    match inject_transfer_fault(fd, length) {
         Ok(length) => {
             call_next!(
                 c"recv",
@@ -146,15 +154,15 @@
                 flags
             )
         }
-        Err(failed) => failed,
+        Err(return_value) => return_value,
     }
 }
 
 /// # Safety
-/// As for the C library's function.
+/// The arguments must meet the requirements of the C library's function of this name.
 #[no_mangle]
 pub unsafe extern "C" fn read(fd: c_int, bytes: *mut c_void, length: size_t) -> ssize_t {
-    match allowed(fd, length) {
+    match inject_transfer_fault(fd, length) {
         Ok(length) => call_next!(
             c"read",
             fn(c_int, *mut c_void, size_t) -> ssize_t,
@@ -162,12 +170,12 @@
             bytes,
             length
         ),
-        Err(failed) => failed,
+        Err(return_value) => return_value,
     }
 }
 
 /// # Safety
-/// As for the C library's function.
+/// The arguments must meet the requirements of the C library's function of this name.
 #[no_mangle]
 pub unsafe extern "C" fn send(
     fd: c_int,
@@ -175,8 +183,8 @@
     length: size_t,
     flags: c_int,
 ) -> ssize_t {
-    stall(fd);
-    match allowed(fd, length) {
+    inject_stall(fd);
+    match inject_transfer_fault(fd, length) {
         Ok(length) => {
             call_next!(
                 c"send",
@@ -187,21 +195,21 @@
                 flags
             )
         }
-        Err(failed) => failed,
+        Err(return_value) => return_value,
     }
 }
 
 /// # Safety
-/// As for the C library's function.
+/// The arguments must meet the requirements of the C library's function of this name.
 #[no_mangle]
 pub unsafe extern "C" fn write(fd: c_int, bytes: *const c_void, length: size_t) -> ssize_t {
-    let allowed = if kind(fd) == Kind::File {
-        write_file(fd, bytes, length)
+    let transfer = if descriptor_kind(fd) == DescriptorKind::File {
+        inject_write_fault(fd, bytes, length)
     } else {
-        stall(fd);
-        allowed(fd, length)
+        inject_stall(fd);
+        inject_transfer_fault(fd, length)
     };
-    match allowed {
+    match transfer {
         Ok(length) => call_next!(
             c"write",
             fn(c_int, *const c_void, size_t) -> ssize_t,
@@ -209,24 +217,24 @@
             bytes,
             length
         ),
-        Err(failed) => failed,
+        Err(return_value) => return_value,
     }
 }
 
 /// # Safety
-/// As for the C library's function.
+/// The arguments must meet the requirements of the C library's function of this name.
 #[no_mangle]
-pub unsafe extern "C" fn writev(fd: c_int, parts: *const iovec, count: c_int) -> ssize_t {
-    stall(fd);
-    match allowed(fd, usize::MAX) {
-        // A vectored write has to move something in any case: nothing is made shorter.
+pub unsafe extern "C" fn writev(fd: c_int, buffers: *const iovec, count: c_int) -> ssize_t {
+    inject_stall(fd);
+    match inject_transfer_fault(fd, usize::MAX) {
+        // Vectored writes are never shortened: the permitted length is ignored, and the call transfers what it can.
         Ok(_) => call_next!(
             c"writev",
             fn(c_int, *const iovec, c_int) -> ssize_t,
             fd,
-            parts,
+            buffers,
             count
         ),
-        Err(failed) => failed,
+        Err(return_value) => return_value,
     }
 }
