--- a/crates/plugins/src/host/plugin.rs
+++ b/crates/plugins/src/host/plugin.rs
@@ -1,4 +1,4 @@
-//! A running plug-in as the serving thread sees it.
+//! The serving thread's handle to a running plug-in.
 
 use super::config::PluginConfig;
 use super::worker::{Job, LoadedPlugin};
@@ -14,20 +14,24 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// The monotonic time in microseconds.
+/// Returns the monotonic time in microseconds.
 pub(super) type MonotonicClock = Rc<dyn Fn() -> u64>;
 
-/// Why a call has no valid verdict; counts as a fault of the plug-in.
+/// Why a call has no valid verdict; each variant counts as a fault of the plug-in.
 #[derive(Debug, Error)]
-pub(super) enum CallError {
+pub(super) enum VerdictError {
+    /// The module failed; holds the reason.
     #[error("{0}")]
-    Fault(String),
+    ModuleFault(String),
+    /// The verdict violates this rule.
     #[error("{0}")]
     InvalidVerdict(&'static str),
-    #[error("its thread has ended")]
+    /// The thread of the plug-in ended before it replied.
+    #[error("the thread of the plug-in has ended")]
     ThreadEnded,
 }
 
+/// A running plug-in: its configuration, its limits and the queue of its thread.
 pub(super) struct Plugin {
     pub(super) config: PluginConfig,
     pub(super) hooks: Hooks,
@@ -55,21 +59,21 @@
         }
     }
 
-    /// Sends a call to the plug-in's thread; `None` if the guard or the queue rejects it. The outcome is recorded even if the
-    /// receiver is dropped.
+    /// Sends a call to the thread of the plug-in. Returns the receiver of the verdict; `None` if the guard or the
+    /// queue rejects the call. The outcome is recorded even if the receiver is dropped.
     pub(super) fn start_call(
         self: &Rc<Self>,
         hook: Hook,
         record: Vec<u8>,
-        shown: Shown,
-        wait: Duration,
-    ) -> Option<oneshot::Receiver<Result<Verdict, CallError>>> {
+        request: Shown,
+        verdict_timeout: Duration,
+    ) -> Option<oneshot::Receiver<Result<Verdict, VerdictError>>> {
         self.guard.borrow_mut().begin_call((self.clock)()).ok()?;
         let (reply, outcome) = oneshot::channel();
         let job = Job {
             hook,
             record,
-            deadline: Instant::now() + wait,
+            deadline: Instant::now() + verdict_timeout,
             reply,
         };
         if let Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) = self.jobs.try_send(job)
@@ -82,11 +86,15 @@
         let plugin = self.clone();
         tokio::task::spawn_local(async move {
             let (used_fuel, result) = match outcome.await {
-                Ok(outcome) => (outcome.fuel, outcome.result.map_err(CallError::Fault)),
-                Err(_) => (0, Err(CallError::ThreadEnded)),
+                Ok(outcome) => (
+                    outcome.fuel,
+                    outcome.result.map_err(VerdictError::ModuleFault),
+                ),
+                Err(_) => (0, Err(VerdictError::ThreadEnded)),
             };
             let verdict = result.and_then(|bytes| {
-                abi::verdict(&bytes, &shown, plugin.max_units).map_err(CallError::InvalidVerdict)
+                abi::verdict(&bytes, &request, plugin.max_units)
+                    .map_err(VerdictError::InvalidVerdict)
             });
             plugin.record_outcome(used_fuel, verdict.as_ref().err());
             let _ = verdict_sender.send(verdict);
@@ -94,33 +102,34 @@
         Some(verdict)
     }
 
-    fn record_outcome(&self, used_fuel: u64, error: Option<&CallError>) {
+    /// Records the outcome of a call in the guard, and logs when this opens or closes the circuit.
+    fn record_outcome(&self, used_fuel: u64, error: Option<&VerdictError>) {
         let fault = error.map(ToString::to_string);
         let now_us = (self.clock)();
-        let change = self
+        let state_change = self
             .guard
             .borrow_mut()
             .end_call(now_us, used_fuel, fault.as_deref());
-        if let Some(change) = change {
-            log_line!("plugin {} {change}", self.config.name);
+        if let Some(state_change) = state_change {
+            log_line!("plugin {} {state_change}", self.config.name);
         }
     }
 
-    /// Calls a hook and waits for the verdict; `None` if there is no valid one within `wait`.
+    /// Calls a hook and waits for the verdict. Returns `None` if there is no valid verdict within `verdict_timeout`.
     pub(super) async fn call(
         self: &Rc<Self>,
         hook: Hook,
         record: Vec<u8>,
-        shown: &Shown,
-        wait: Duration,
+        request: &Shown,
+        verdict_timeout: Duration,
     ) -> Option<Verdict> {
-        let verdict = self.start_call(hook, record, shown.clone(), wait)?;
-        timeout(wait, verdict).await.ok()?.ok()?.ok()
+        let verdict = self.start_call(hook, record, request.clone(), verdict_timeout)?;
+        timeout(verdict_timeout, verdict).await.ok()?.ok()?.ok()
     }
 
-    /// Reduces a request to the headers and the part of the body that the plug-in may see.
-    pub(super) fn restrict(&self, shown: &Shown) -> Shown {
-        let mut restricted = shown.clone();
+    /// Returns the request with only the headers and the part of the body that the plug-in may see.
+    pub(super) fn restrict(&self, request: &Shown) -> Shown {
+        let mut restricted = request.clone();
         restricted
             .headers
             .retain(|(name, _)| self.config.headers.contains(name));
