--- a/crates/lab/src/choices.rs
+++ b/crates/lab/src/choices.rs
@@ -2,7 +2,7 @@
 //! covered when gateways are gone, what one whose own network is bad can do, and how evenly servers are used.
 
 use crate::figures::Figures;
-use crate::fleet_site::{listed, Site};
+use crate::fleet_site::{endpoint_list, Site};
 use crate::servers::{Mode, Server};
 use crate::site::pause;
 use crate::testbed::processes::call_console;
@@ -42,13 +42,13 @@
     twice: usize,
 }
 
-pub fn play(seconds: Option<u64>, figures: &mut Figures) {
+pub fn run(seconds: Option<u64>, figures: &mut Figures) {
     let lasts = Duration::from_secs(seconds.unwrap_or(10));
     for (name, with) in [("with", true), ("without", false)] {
         let r = one(with, lasts);
         let name = |what: &str| format!("{name}_{what}");
         let bound = |limit: f64| if with { limit } else { f64::INFINITY };
-        figures.show(
+        figures.record(
             &name("to_a_failing_server_in_3_s"),
             r.found_out as f64,
             "requests",
@@ -60,7 +60,7 @@
             "requests",
             bound(turns),
         );
-        figures.show(&name("to_a_slow_server"), r.slow as f64, "requests");
+        figures.record(&name("to_a_slow_server"), r.slow as f64, "requests");
         figures.at_most(&name("back_after"), r.back, "s", bound(10.0));
         figures.at_most(&name("third_gone_dealt_anew"), r.covered, "s", bound(2.5));
         figures.at_most(
@@ -82,10 +82,10 @@
                 "of-1",
                 if with { 0.8 } else { 0.0 },
             );
-            figures.show(&name(&format!("least_used_{part}")), r.even[k].1, "of-mean");
+            figures.record(&name(&format!("least_used_{part}")), r.even[k].1, "of-mean");
         }
         figures.at_most(&name("work_to_a_cold_server"), r.cold, "of-can", 4.0);
-        figures.show(&name("requests"), r.asked as f64, "requests");
+        figures.record(&name("requests"), r.asked as f64, "requests");
         figures.at_least(
             &name("served"),
             r.served as f64 / r.asked as f64,
@@ -136,25 +136,25 @@
     let got: Vec<f64> = site
         .servers
         .iter()
-        .map(|s| s.came_since(since) as f64)
+        .map(|s| s.requests_since(since) as f64)
         .collect();
     (jain_index(&got), min_to_mean_ratio(&got))
 }
 
 fn one(with: bool, lasts: Duration) -> Row {
-    let runtime = Runtime::new().expect("a runtime");
-    let on = runtime.handle();
+    let runtime = Runtime::new().expect("the Tokio runtime can be built");
+    let handle = runtime.handle();
     // Nobody listens there: its list tells other addresses under the names of all.
     let nobody = TcpListener::bind("127.0.0.1:0")
         .and_then(|l| l.local_addr())
-        .expect("a port");
+        .expect("a loopback port can be bound");
     let wrong: Vec<String> = (0..SERVERS)
         .map(|n| endpoint_entry(&format!("s{n}"), nobody, n as u64, "Ready"))
         .collect();
     let blind = Discovery::new(&wrong.join(","));
     let of = |n: usize| (n, format!("name = \"n{n}\"\nchoices = {with}\n"));
     let at = |n| (n == ACCUSER).then_some(blind.address);
-    let mut site = Site::listing(on, 1, (ALL, ALL), SERVERS, |n, _| of(n), at);
+    let mut site = Site::with_agents(handle, 1, (ALL, ALL), SERVERS, |n, _| of(n), at);
     let mut row = Row::default();
     let dealt = |site: &Site, gateways: u64| {
         until(|| {
@@ -166,18 +166,18 @@
     };
 
     // Four, then all but the one that finds every server dead.
-    site.act(TimelineAction::Start {
+    site.apply(TimelineAction::Start {
         who: (0..4).collect(),
     });
-    site.agrees(4);
+    site.seconds_until_views_agree(4);
     dealt(&site, 4);
-    site.load(on, 1);
+    site.start_load(handle, 1);
     pause(Duration::from_secs(1));
     row.even[2] = evenness(&site, lasts);
-    site.act(TimelineAction::Start {
+    site.apply(TimelineAction::Start {
         who: (4..ACCUSER).collect(),
     });
-    site.agrees(ACCUSER);
+    site.seconds_until_views_agree(ACCUSER);
     dealt(&site, ACCUSER as u64);
     pause(Duration::from_secs(1));
     row.even[0] = evenness(&site, lasts);
@@ -186,46 +186,47 @@
     let since = Instant::now();
     site.servers[7].set(Mode::Failing);
     pause(Duration::from_secs(3));
-    row.found_out = site.servers[7].came_since(since);
+    row.found_out = site.servers[7].requests_since(since);
     let since = Instant::now();
     pause(lasts);
-    row.kept_out = site.servers[7].came_since(since);
-    site.servers[7].set(Mode::Well);
-    row.back = until(|| site.servers[7].came_since(Instant::now() - Duration::from_secs(1)) >= 3);
+    row.kept_out = site.servers[7].requests_since(since);
+    site.servers[7].set(Mode::Normal);
+    row.back =
+        until(|| site.servers[7].requests_since(Instant::now() - Duration::from_secs(1)) >= 3);
     // One is slow.
     let since = Instant::now();
     site.servers[9].set(Mode::Slow);
     pause(lasts);
-    row.slow = site.servers[9].came_since(since);
-    site.servers[9].set(Mode::Well);
+    row.slow = site.servers[9].requests_since(since);
+    site.servers[9].set(Mode::Normal);
 
     // Two halves that do not hear each other go on between them.
     let halves = vec![(0..6).collect(), (6..ALL).collect()];
-    site.act(TimelineAction::Split { groups: halves });
+    site.apply(TimelineAction::Split { groups: halves });
     pause(Duration::from_secs(4));
     row.even[1] = evenness(&site, lasts);
-    site.act(TimelineAction::Heal);
-    site.agrees(ACCUSER);
+    site.apply(TimelineAction::Heal);
+    site.seconds_until_views_agree(ACCUSER);
     dealt(&site, ACCUSER as u64);
 
     // A third dies at once.
-    site.act(TimelineAction::Kill { who: vec![0, 4, 8] });
+    site.apply(TimelineAction::Kill { who: vec![0, 4, 8] });
     row.covered = dealt(&site, ACCUSER as u64 - 3);
     row.uncovered = {
         let since = Instant::now();
         pause(Duration::from_secs(3));
         site.servers
             .iter()
-            .filter(|s| s.came_since(since) == 0)
+            .filter(|s| s.requests_since(since) == 0)
             .count()
     };
-    site.act(TimelineAction::Start { who: vec![0, 4, 8] });
-    site.agrees(ACCUSER);
+    site.apply(TimelineAction::Start { who: vec![0, 4, 8] });
+    site.seconds_until_views_agree(ACCUSER);
 
     // One that reaches no server: clients go to the others, it tells what it tells.
     site.testbed
         .apply(&TimelineAction::Start { who: vec![ACCUSER] });
-    site.agrees(ALL);
+    site.seconds_until_views_agree(ALL);
     let at = site.testbed.processes[ACCUSER].address().expect("it runs");
     let end = Instant::now() + lasts;
     while Instant::now() < end {
@@ -251,7 +252,7 @@
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
     let cold = Server::with_meter(
-        on,
+        handle,
         ([127, 0, 0, 1], 0).into(),
         true,
         Some(site.meter.clone()),
@@ -260,13 +261,17 @@
         endpoint_entry_with_boot("s-cold", cold.address, 999, "Ready", since.as_millis());
     site.agent.publish(
         true,
-        &listed(&site.servers, "Ready", &format!(",{newcomer}")),
+        &endpoint_list(&site.servers, "Ready", &format!(",{newcomer}")),
     );
     pause(lasts);
-    row.cold = cold.worst_multiple(Duration::from_secs(3));
+    row.cold = cold.max_overload_ratio(Duration::from_secs(3));
 
-    let shots = site.end(&runtime);
-    (row.asked, row.served, row.unanswered) = (shots.asked, shots.served, shots.unanswered);
-    row.twice = site.meter.elsewhere();
+    let request_counts = site.stop_load(&runtime);
+    (row.asked, row.served, row.unanswered) = (
+        request_counts.sent,
+        request_counts.served,
+        request_counts.unanswered,
+    );
+    row.twice = site.meter.top_ups_at_two_servers();
     row
 }
--- a/crates/lab/src/choices_size.rs
+++ b/crates/lab/src/choices_size.rs
@@ -285,7 +285,7 @@
     got.iter().copied().fold(0.0, f64::max) / mean
 }
 
-pub fn play(seconds: Option<u64>, figures: &mut Figures) {
+pub fn run(seconds: Option<u64>, figures: &mut Figures) {
     let lasts = seconds.unwrap_or(10) * S;
     for (gateways, servers) in [(300, 200), (64, 5_000)] {
         for (how, talk) in [("told", true), ("alone", false)] {
@@ -310,7 +310,7 @@
     figures: &mut Figures,
 ) {
     let seed = 7;
-    figures.say(&format!("{prefix}: seed {seed}"));
+    figures.remark(&format!("{prefix}: seed {seed}"));
     let began = Instant::now();
     let mut w = World::new(gateways, servers, talk, seed);
     w.run(3 * S);
@@ -324,15 +324,15 @@
         0.0
     };
     figures.at_least(&name("jain"), jain_index(&got), "of-1", even);
-    figures.show(&name("least_used"), min_to_mean_ratio(&got), "of-mean");
-    figures.show(&name("most_used"), most(&got), "of-mean");
-    figures.show(
+    figures.record(&name("least_used"), min_to_mean_ratio(&got), "of-mean");
+    figures.record(&name("most_used"), most(&got), "of-mean");
+    figures.record(
         &name("met_an_attempt"),
         w.met.len() as f64 / w.attempts as f64,
         "pairs",
     );
     w.took.sort_unstable();
-    figures.show(
+    figures.record(
         &name("p99"),
         w.took[w.took.len() * 99 / 100] as f64 / 1e3,
         "ms",
@@ -343,7 +343,7 @@
     let found = w.got(3 * S, 0..servers)[8];
     let after = w.got(lasts, 0..servers)[8];
     let well = (w.per_s * gateways as f64 / servers as f64) * lasts as f64 / 1e6;
-    figures.show(&name("to_a_failing_one_in_3_s"), found, "requests");
+    figures.record(&name("to_a_failing_one_in_3_s"), found, "requests");
     let bound = if talk {
         lasts as f64 / 4e6 + 3.0
     } else {
@@ -374,7 +374,7 @@
         "of-1",
         if talk { even } else { 0.0 },
     );
-    figures.show(&name("most_used_by_two_thirds"), most(&got), "of-mean");
+    figures.record(&name("most_used_by_two_thirds"), most(&got), "of-mean");
     let unused = got.iter().filter(|g| **g == 0.0).count();
     figures.at_most(
         &name("unused_by_two_thirds"),
@@ -418,7 +418,7 @@
         }
         w.run(700 * MS);
     }
-    figures.show(
+    figures.record(
         &name("met_an_attempt_in_a_release"),
         w.met.len() as f64 / w.attempts as f64,
         "pairs",
@@ -431,10 +431,10 @@
         "of-1",
         if talk { even } else { 0.0 },
     );
-    figures.show(
+    figures.record(
         &name("served"),
         w.served as f64 / w.asked as f64,
         "of-asked",
     );
-    figures.show(&name("play_took"), began.elapsed().as_secs_f64(), "s");
+    figures.record(&name("play_took"), began.elapsed().as_secs_f64(), "s");
 }
--- a/crates/lab/src/counter_faults.rs
+++ b/crates/lab/src/counter_faults.rs
@@ -2,7 +2,7 @@
 //! customers far beyond their quota beside honest ones. What comes too much, and what is still served.
 
 use crate::figures::Figures;
-use crate::load::{apart, beyond, Got, Load, Shape, CHECK, TOP_UP};
+use crate::load::{poisson_interval, units_over_bucket, Load, Outcome, RequestSpec, CHECK, TOP_UP};
 use crate::servers::{all_ready, Meter, Server, Use};
 use crate::site::{pause, Node, Peers};
 use frosthatch_test_doubles::{AnswerFault, Discovery, SharedCounter};
@@ -201,22 +201,22 @@
     calls_a_request: f64,
 }
 
-pub fn play(seconds: Option<u64>, figures: &mut Figures) {
+pub fn run(seconds: Option<u64>, figures: &mut Figures) {
     for peers in [false, true] {
         let rows = Mutex::new(Vec::new());
         let next = Mutex::new(0..FAULTS.len());
         thread::scope(|s| {
             for _ in 0..AT_ONCE {
                 s.spawn(|| loop {
-                    let Some(n) = next.lock().expect("faults").next() else {
+                    let Some(n) = next.lock().expect("lock is not poisoned").next() else {
                         return;
                     };
                     let row = one(&FAULTS[n], seconds, peers);
-                    rows.lock().expect("rows").push((n, row));
+                    rows.lock().expect("lock is not poisoned").push((n, row));
                 });
             }
         });
-        let mut rows = rows.into_inner().expect("rows");
+        let mut rows = rows.into_inner().expect("lock is not poisoned");
         rows.sort_by_key(|(n, _)| *n);
         for (_, row) in rows {
             tell(&row, if peers { "peers" } else { "alone" }, figures);
@@ -238,32 +238,32 @@
     let least = if how == "peers" { 0.95 } else { 0.85 };
     figures.at_least(&name("honest"), row.honest, "of-before", least);
     match how == "alone" && split {
-        true => figures.show(&name("normal_after"), row.normal_after, "s"),
+        true => figures.record(&name("normal_after"), row.normal_after, "s"),
         false => figures.at_most(&name("normal_after"), row.normal_after, "s", NORMAL_WITHIN),
     }
     figures.at_most(&name("unanswered"), row.unanswered as f64, "requests", 0.0);
-    figures.show(&name("calls"), row.calls_a_request, "calls/request");
+    figures.record(&name("calls"), row.calls_a_request, "calls/request");
 }
 
 /// Seconds after a fault.
 const NORMAL_WITHIN: f64 = 8.0;
 
-struct Shot {
+struct Sample {
     due: Duration,
     customer: usize,
-    got: Got,
+    got: Outcome,
     in_time: bool,
 }
 
 fn one(fault: &Fault, seconds: Option<u64>, peers: bool) -> Row {
     let lasts = Duration::from_secs(seconds.map_or(fault.lasts, |s| s.min(fault.lasts)));
-    let runtime = Runtime::new().expect("a runtime");
-    let on = runtime.handle();
+    let runtime = Runtime::new().expect("the Tokio runtime can be built");
+    let handle = runtime.handle();
     let everyone = Arc::new(customers());
     let meter = Meter::new(everyone.iter().map(|c| (c.key, c.quota.rate)));
     let anywhere = ([127, 0, 0, 1], 0).into();
     let servers: Vec<Server> = (0..5)
-        .map(|_| Server::with_meter(on, anywhere, false, Some(meter.clone())))
+        .map(|_| Server::with_meter(handle, anywhere, false, Some(meter.clone())))
         .collect();
     let agent = Discovery::new(&all_ready(&servers));
     let counter = SharedCounter::new(3);
@@ -282,21 +282,21 @@
             node.start(peers.as_ref().map(Peers::path))
         })
         .collect();
-    let load = Load::to(gateways.iter().map(|g| g.address).collect());
-    let shots: Arc<Mutex<Vec<Shot>>> = Arc::default();
+    let load = Load::new(gateways.iter().map(|g| g.address).collect());
+    let samples: Arc<Mutex<Vec<Sample>>> = Arc::default();
     let start = Instant::now() + Duration::from_millis(100);
     let length = BEFORE + lasts + AFTER;
     let moves = fault.moves;
     let tasks: Vec<_> = (0..everyone.len())
         .map(|n| {
-            let (everyone, load, shots) = (everyone.clone(), load.clone(), shots.clone());
-            on.spawn(async move {
+            let (everyone, load, samples) = (everyone.clone(), load.clone(), samples.clone());
+            handle.spawn(async move {
                 let c = &everyone[n];
                 let mut rng = Pcg64Mcg::seed_from_u64(u64::from(c.key));
                 let mut due = Duration::ZERO;
                 let mut out = tokio::task::JoinSet::new();
                 loop {
-                    due += apart(&mut rng, c.quota.rate * c.of_rate);
+                    due += poisson_interval(&mut rng, c.quota.rate * c.of_rate);
                     if due >= length {
                         break;
                     }
@@ -311,19 +311,19 @@
                         TOP_UP
                     };
                     tokio::time::sleep_until(start + due).await;
-                    let (load, shots) = (load.clone(), shots.clone());
+                    let (load, samples) = (load.clone(), samples.clone());
                     let (plan, key) = (c.quota.plan, c.key);
                     out.spawn(async move {
-                        let shape = Shape {
+                        let shape = RequestSpec {
                             class,
                             plan,
                             customer: key,
                             units: 1,
                             id,
                         };
-                        let got = load.ask(gateway, shape, start + due).await;
+                        let got = load.send_request(gateway, shape, start + due).await;
                         let in_time = start.elapsed().saturating_sub(due) <= class.1;
-                        shots.lock().expect("shots").push(Shot {
+                        samples.lock().expect("lock is not poisoned").push(Sample {
                             due,
                             customer: n,
                             got,
@@ -345,13 +345,13 @@
             let _ = task.await;
         }
     });
-    let shots = shots.lock().expect("shots");
+    let samples = samples.lock().expect("lock is not poisoned");
     let uses = meter.uses();
     row(
         fault,
         lasts,
         &everyone,
-        &shots,
+        &samples,
         &uses,
         start,
         counter.calls(),
@@ -362,7 +362,7 @@
     fault: &Fault,
     lasts: Duration,
     everyone: &[Customer],
-    shots: &[Shot],
+    samples: &[Sample],
     uses: &[Use],
     start: Instant,
     calls: u64,
@@ -378,10 +378,10 @@
         let q = c.quota;
         // A request is on its way for a moment: what came within it may have been sent in any order.
         let depth = q.burst + q.rate * 0.15;
-        over_quota =
-            over_quota.max(beyond(&of, q.rate, depth, from, end) / (q.rate * (end - from)));
+        over_quota = over_quota
+            .max(units_over_bucket(&of, q.rate, depth, from, end) / (q.rate * (end - from)));
         if let Some((rate, depth)) = q.ceiling {
-            let over = beyond(&of, rate, depth + rate * 0.15, from, end);
+            let over = units_over_bucket(&of, rate, depth + rate * 0.15, from, end);
             over_ceiling = over_ceiling.max(over / (rate * (to - from).max(1.0)));
         }
         // Whoever asks for more than the quota gets about the quota, second by second, once all is well.
@@ -402,11 +402,11 @@
     }
     let share = |a: f64, b: f64| {
         let honest =
-            |s: &&Shot| everyone[s.customer].honest() && (a..b).contains(&s.due.as_secs_f64());
+            |s: &&Sample| everyone[s.customer].honest() && (a..b).contains(&s.due.as_secs_f64());
         let (mut good, mut all) = (0.0, 0.0);
-        for s in shots.iter().filter(honest) {
+        for s in samples.iter().filter(honest) {
             all += 1.0;
-            good += f64::from(u8::from(s.got == Got::Served && s.in_time));
+            good += f64::from(u8::from(s.got == Outcome::Served && s.in_time));
         }
         good / f64::max(all, 1.0)
     };
@@ -423,10 +423,10 @@
         over_quota,
         honest: share(from, to) / before.max(1e-9),
         normal_after: abnormal - to,
-        unanswered: shots
+        unanswered: samples
             .iter()
-            .filter(|s| matches!(s.got, Got::Nothing | Got::Wrong))
+            .filter(|s| matches!(s.got, Outcome::Unanswered | Outcome::Invalid))
             .count(),
-        calls_a_request: calls as f64 / shots.len().max(1) as f64,
+        calls_a_request: calls as f64 / samples.len().max(1) as f64,
     }
 }
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -1,22 +1,24 @@
-//! The demo: a list agent, a counter, ten servers and two gateways under load; one server dies, a cold one comes.
+//! `demo`: an endpoint list agent, a shared counter, ten servers and two gateways under load; one server crashes and a cold one
+//! joins.
 
 use crate::figures::Figures;
-use crate::load::{percentile, Got, Load, Shot};
+use crate::load::{percentile, Load, Outcome, Sample};
 use crate::servers::Server;
 use crate::site::{self, pause, Node};
 use frosthatch_test_doubles::{endpoint_entry, endpoint_entry_with_boot, Discovery, SharedCounter};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::runtime::Runtime;
 
-const PER_S: f64 = 600.0;
-const SECONDS: u64 = 15;
-const DIES_AT: u64 = 5;
-const COMES_AT: u64 = 8;
+/// Load on both gateways together.
+const REQUESTS_PER_S: f64 = 600.0;
+const DURATION_S: u64 = 15;
+const CRASH_AT_S: u64 = 5;
+const JOIN_AT_S: u64 = 8;
 
-pub fn play(figures: &mut Figures) {
-    let runtime = Runtime::new().expect("a runtime");
-    let on = runtime.handle();
-    let mut servers: Vec<Server> = (0..10).map(|_| Server::start(on, false)).collect();
+pub fn run(figures: &mut Figures) {
+    let runtime = Runtime::new().expect("the Tokio runtime can be built");
+    let handle = runtime.handle();
+    let mut servers: Vec<Server> = (0..10).map(|_| Server::start(handle, false)).collect();
     let list: Vec<String> = servers
         .iter()
         .enumerate()
@@ -35,29 +37,29 @@
     };
     let gateways: Vec<_> = (0..2).map(|me| node(me).start(None)).collect();
     figures
-        .say("10 servers, 2 gateways, 1 list agent, 1 counter; 600 requests a second for 15 s\n");
-    figures.say("  s  asked  in time  refused  failed  p50 ms  p99 ms");
+        .remark("10 servers, 2 gateways, 1 endpoint list agent, 1 shared counter; 600 requests/s for 15 s\n");
+    figures.remark("  s   sent  in time  refused  failed  p50 ms  p99 ms");
     let (load, task) = Load::start(
-        on,
+        handle,
         gateways.iter().map(|g| g.address).collect(),
-        PER_S,
-        Duration::from_secs(SECONDS),
+        REQUESTS_PER_S,
+        Duration::from_secs(DURATION_S),
     );
-    for second in 0..SECONDS {
+    for second in 0..DURATION_S {
         pause(Duration::from_secs(1));
         let now = Duration::from_secs(second);
-        let shots = load.shots.lock().expect("shots").clone();
-        let of_now = shots
+        let samples = load.samples.lock().expect("lock is not poisoned").clone();
+        let current = samples
             .iter()
             .filter(|s| s.due >= now && s.due < now + Duration::from_secs(1));
-        let mut note = "";
-        if second == DIES_AT {
+        let mut remark = "";
+        if second == CRASH_AT_S {
             servers[3].kill();
-            note = "   <- server s3 dies; the list says so 1 s later";
-        } else if second == DIES_AT + 1 {
+            remark = "   <- server s3 crashes; the endpoint list drops it 1 s later";
+        } else if second == CRASH_AT_S + 1 {
             agent.publish_and_wait(false, &endpoint_entry("s3", servers[3].address, 1, "Gone"));
-        } else if second == COMES_AT {
-            let server = Server::start(on, true);
+        } else if second == JOIN_AT_S {
+            let server = Server::start(handle, true);
             let ms = SystemTime::now()
                 .duration_since(UNIX_EPOCH)
                 .unwrap_or_default()
@@ -67,44 +69,53 @@
                 &endpoint_entry_with_boot("new", server.address, 1, "Ready", ms),
             );
             servers.push(server);
-            note = "   <- a cold server comes";
+            remark = "   <- a cold server joins";
         }
-        figures.say(&format!("{second:3}{}{note}", row(of_now.copied())));
+        figures.remark(&format!(
+            "{second:3}{}{remark}",
+            format_row(current.copied())
+        ));
     }
-    site::until("the load ends", || task.is_finished());
-    let shots = load.shots.lock().expect("shots").clone();
-    figures.say(&format!("all{}\n", row(shots.iter().copied())));
-    let without = shots
+    site::until("the load task finishes", || task.is_finished());
+    let samples = load.samples.lock().expect("lock is not poisoned").clone();
+    figures.remark(&format!("all{}\n", format_row(samples.iter().copied())));
+    let unanswered = samples
         .iter()
-        .filter(|s| matches!(s.got, Got::Nothing | Got::Wrong))
+        .filter(|s| matches!(s.outcome, Outcome::Unanswered | Outcome::Invalid))
         .count();
-    figures.at_most("without_one_final_answer", without as f64, "requests", 0.0);
-    figures.show(
+    figures.at_most(
+        "without_one_final_answer",
+        unanswered as f64,
+        "requests",
+        0.0,
+    );
+    figures.record(
         "served_by_the_new_server",
-        servers.last().map_or(0, Server::served) as f64,
+        servers.last().map_or(0, Server::request_count) as f64,
         "requests",
     );
 }
 
-fn row(shots: impl Iterator<Item = Shot>) -> String {
-    let shots: Vec<Shot> = shots.collect();
-    let count = |got: Got| shots.iter().filter(|s| s.got == got).count();
-    let in_time = shots
+/// Formats the counts and latencies of one table row.
+fn format_row(samples: impl Iterator<Item = Sample>) -> String {
+    let samples: Vec<Sample> = samples.collect();
+    let count = |got: Outcome| samples.iter().filter(|s| s.outcome == got).count();
+    let in_time = samples
         .iter()
-        .filter(|s| s.got == Got::Served && s.took <= s.wanted)
+        .filter(|s| s.outcome == Outcome::Served && s.latency <= s.latency_target)
         .count();
-    let mut times: Vec<Duration> = shots
+    let mut times: Vec<Duration> = samples
         .iter()
-        .filter(|s| s.got == Got::Served)
-        .map(|s| s.took)
+        .filter(|s| s.outcome == Outcome::Served)
+        .map(|s| s.latency)
         .collect();
     let (p50, p99) = (percentile(&mut times, 0.5), percentile(&mut times, 0.99));
     let (refused, failed) = (
-        count(Got::Refused),
-        count(Got::Failed) + count(Got::Nothing),
+        count(Outcome::Refused),
+        count(Outcome::Failed) + count(Outcome::Unanswered),
     );
     format!(
         "{:7}{in_time:9}{refused:9}{failed:8}{p50:8.1}{p99:8.1}",
-        shots.len()
+        samples.len()
     )
 }
--- a/crates/lab/src/diameter.rs
+++ b/crates/lab/src/diameter.rs
@@ -2,7 +2,7 @@
 //! one restarts; then what a request costs beside HTTP, and what sessions take.
 
 use crate::figures::Figures;
-use crate::load::{Got, Load};
+use crate::load::{Load, Outcome};
 use crate::servers::Server;
 use crate::site::{self, cpu, memory_mb, pause, Node, OperatorFile};
 use frosthatch_diameter::codec::{Avp, Message};
@@ -63,7 +63,7 @@
             charge,
             greedy,
         };
-        log.lock().expect("log").push(ran);
+        log.lock().expect("lock is not poisoned").push(ran);
         let answer = success_answer(ccr, HOSTS[n]).with(Avp::of_u32(code::CC_SESSION_FAILOVER, 1));
         (!mute.load(Ordering::SeqCst)).then_some(answer)
     })
@@ -81,7 +81,7 @@
 fn free_port() -> SocketAddr {
     std::net::TcpListener::bind("127.0.0.1:0")
         .and_then(|l| l.local_addr())
-        .expect("a port")
+        .expect("a loopback port can be bound")
 }
 
 /// What a client sent, and every answer that it got.
@@ -107,7 +107,7 @@
         while let Some(message) = read_diameter_message(&mut reader, &mut buffer) {
             if message.header.command == command::CREDIT_CONTROL {
                 let (id, result) = (message.header.end_to_end, message.result().unwrap_or(0));
-                let mut book = answers.lock().expect("book");
+                let mut book = answers.lock().expect("lock is not poisoned");
                 book.answers
                     .entry(id)
                     .or_default()
@@ -158,7 +158,7 @@
             let mut message = message;
             message.avps[1] = Avp::of_text(code::ORIGIN_HOST, &host);
             to.lock()
-                .expect("book")
+                .expect("lock is not poisoned")
                 .sent
                 .insert(message.header.end_to_end, (Instant::now(), tx));
             client.send(&message);
@@ -184,7 +184,7 @@
     ))
 }
 
-pub fn play(seconds: Option<u64>, figures: &mut Figures) {
+pub fn run(seconds: Option<u64>, figures: &mut Figures) {
     under_load(Duration::from_secs(seconds.unwrap_or(60)), figures);
     for count in [1_000, 100_000] {
         sessions(count, figures);
@@ -197,7 +197,7 @@
     let servers: Vec<DiameterServer> = (0..4)
         .map(|n| server(n, mutes[n].clone(), log.clone()))
         .collect();
-    let runtime = Runtime::new().expect("a runtime");
+    let runtime = Runtime::new().expect("the Tokio runtime can be built");
     let web: Vec<Server> = (0..4)
         .map(|_| Server::start(runtime.handle(), false))
         .collect();
@@ -243,7 +243,7 @@
 
     let (mut asked, mut without, mut late, mut good, mut refused) = (0, 0, 0, 0, 0);
     for (_, book) in &clients {
-        let book = book.lock().expect("book");
+        let book = book.lock().expect("lock is not poisoned");
         for (id, (at, tx)) in &book.sent {
             let answers = book.answers.get(id).map_or(&[][..], |a| a);
             asked += 1;
@@ -267,7 +267,7 @@
             .filter(|id| !book.sent.contains_key(id))
             .count();
     }
-    let ran = log.lock().expect("log");
+    let ran = log.lock().expect("lock is not poisoned");
     // Servers of one cell drop each other's repeats: a charge in two cells has run twice.
     let mut cells: HashMap<u32, HashSet<usize>> = HashMap::new();
     for r in ran.iter().filter(|r| r.charge) {
@@ -302,9 +302,9 @@
     );
     figures.at_most("answers_later_than_tx", late as f64, "answers", 0.0);
     figures.at_least("granted", good as f64 / f64::from(asked), "share", 0.85);
-    figures.show("refused", refused as f64 / f64::from(asked), "share");
+    figures.record("refused", refused as f64 / f64::from(asked), "share");
     let cost = used / f64::from(asked) * 1e6;
-    figures.show("cpu_a_diameter_request", cost, "us");
+    figures.record("cpu_a_diameter_request", cost, "us");
     drop(ran);
 
     let before = cpu(gateway.pid());
@@ -316,14 +316,17 @@
     );
     site::until("the load ends", || task.is_finished());
     let used = (cpu(gateway.pid()) - before).as_secs_f64();
-    let shots = load.shots.lock().expect("shots");
-    let http = used / shots.len() as f64 * 1e6;
-    figures.show("cpu_an_http_request", http, "us");
+    let samples = load.samples.lock().expect("lock is not poisoned");
+    let http = used / samples.len() as f64 * 1e6;
+    figures.record("cpu_an_http_request", http, "us");
     figures.at_most("diameter_beside_http", cost / http, "times", 2.0);
-    let served = shots.iter().filter(|s| s.got == Got::Served).count();
+    let served = samples
+        .iter()
+        .filter(|s| s.outcome == Outcome::Served)
+        .count();
     figures.at_least(
         "http_served",
-        served as f64 / shots.len() as f64,
+        served as f64 / samples.len() as f64,
         "share",
         0.99,
     );
@@ -382,7 +385,7 @@
         assert!(next < 4 * count + 10_000, "sessions are opened");
     }
     let grown = memory_mb(gateway.pid()) - before;
-    figures.show(&format!("sessions_{count}_memory"), grown, "MB");
+    figures.record(&format!("sessions_{count}_memory"), grown, "MB");
     // What any traffic takes hides a few sessions.
     let least = if count >= 100_000 { 1_000.0 } else { 0.0 };
     figures.at_least(
--- a/crates/lab/src/dns_sd.rs
+++ b/crates/lab/src/dns_sd.rs
@@ -2,7 +2,7 @@
 //! then pushed.
 
 use crate::figures::Figures;
-use crate::load::{percentile, Got, Load};
+use crate::load::{percentile, Load, Outcome};
 use crate::servers::Server;
 use crate::site::{self, pause, Node, OperatorFile};
 use frosthatch_test_doubles::{Resolver, SharedCounter, Zone};
@@ -18,7 +18,7 @@
 const TIPS_AT: f64 = 4.0;
 const TIPS_AFTER: Duration = Duration::from_secs(3);
 
-pub fn play(seconds: Option<u64>, figures: &mut Figures) {
+pub fn run(seconds: Option<u64>, figures: &mut Figures) {
     let length = Duration::from_secs(seconds.unwrap_or(60));
     for push in [false, true] {
         part(push, length, figures);
@@ -27,14 +27,14 @@
 
 fn part(push: bool, length: Duration, figures: &mut Figures) {
     let how = if push { "push" } else { "poll" };
-    let runtime = Runtime::new().expect("a runtime");
-    let on = runtime.handle();
+    let runtime = Runtime::new().expect("the Tokio runtime can be built");
+    let handle = runtime.handle();
     let mut zone = Zone::new("example.org");
     // Those that serve, oldest first, and those whose records have gone, with the time.
     let mut fleet: Vec<(String, Server)> = Vec::new();
     let mut gone: Vec<(String, Server, Instant)> = Vec::new();
     for n in 0..SERVERS {
-        let (name, server) = (format!("s{n}"), Server::start(on, false));
+        let (name, server) = (format!("s{n}"), Server::start(handle, false));
         zone.add_instance(SERVICE, &name, server.address, &["zone=hall-a", "cell=1"]);
         fleet.push((name, server));
     }
@@ -49,7 +49,7 @@
     }
     let operator = OperatorFile::new(&text);
     let counter = SharedCounter::new(1).sides[0];
-    let nobody = "127.0.0.1:9".parse().expect("an address");
+    let nobody = "127.0.0.1:9".parse().expect("the literal address is valid");
     let node = |me| Node {
         gateways: 2,
         me,
@@ -66,12 +66,12 @@
         pause(Duration::from_secs(1));
     }
     let addresses = gateways.iter().map(|g| g.address).collect();
-    let (load, task) = Load::start(on, addresses, PER_S, length);
+    let (load, task) = Load::start(handle, addresses, PER_S, length);
     let apart = length / (CHANGES + 2);
     for n in 0..CHANGES {
         pause(apart);
         if n % 2 == 0 {
-            let (name, server) = (format!("new{n}"), Server::start(on, true));
+            let (name, server) = (format!("new{n}"), Server::start(handle, true));
             resolver.change_zone(|z| {
                 z.add_instance(SERVICE, &name, server.address, &["zone=hall-a", "cell=1"])
             });
@@ -87,7 +87,7 @@
 
     let mut late: Vec<Duration> = gone
         .iter()
-        .map(|(_, s, since)| s.last_after(*since).unwrap_or_default())
+        .map(|(_, s, since)| s.last_request_after(*since).unwrap_or_default())
         .collect();
     let worst = late.iter().max().copied().unwrap_or_default();
     let grace = GRACE.as_secs_f64() * 1e3;
@@ -97,7 +97,7 @@
         "ms",
         grace,
     );
-    figures.show(
+    figures.record(
         &format!("{how}_median_last_send_to_removed"),
         percentile(&mut late, 0.5),
         "ms",
@@ -109,7 +109,7 @@
             .chain(gone.iter().map(|(_, s, _)| s))
     };
     let multiple = all()
-        .map(|s| s.worst_multiple(TIPS_AFTER))
+        .map(|s| s.max_overload_ratio(TIPS_AFTER))
         .fold(0.0, f64::max);
     figures.at_most(
         &format!("{how}_most_work_to_cold"),
@@ -121,7 +121,7 @@
     let least = fleet
         .iter()
         .filter(|(n, _)| n.starts_with("new"))
-        .map(|(_, s)| s.served())
+        .map(|(_, s)| s.request_count())
         .max();
     figures.at_least(
         &format!("{how}_most_served_by_a_new_one"),
@@ -129,19 +129,20 @@
         "requests",
         20.0,
     );
-    let shots = load.shots.lock().expect("shots");
-    let count = |got: &dyn Fn(Got) -> bool| shots.iter().filter(|s| got(s.got)).count() as f64;
-    figures.show(&format!("{how}_requests"), shots.len() as f64, "requests");
-    let without = count(&|g| matches!(g, Got::Nothing | Got::Wrong));
+    let samples = load.samples.lock().expect("lock is not poisoned");
+    let count =
+        |got: &dyn Fn(Outcome) -> bool| samples.iter().filter(|s| got(s.outcome)).count() as f64;
+    figures.record(&format!("{how}_requests"), samples.len() as f64, "requests");
+    let without = count(&|g| matches!(g, Outcome::Unanswered | Outcome::Invalid));
     figures.at_most(
         &format!("{how}_without_one_final_answer"),
         without,
         "requests",
         0.0,
     );
-    let in_time = shots
+    let in_time = samples
         .iter()
-        .filter(|s| s.got == Got::Served && s.took <= s.wanted)
+        .filter(|s| s.outcome == Outcome::Served && s.latency <= s.latency_target)
         .count() as f64;
     // In less time the fleet is replaced faster than servers warm, and the rest is refused.
     let share = if length >= Duration::from_secs(60) {
@@ -151,11 +152,11 @@
     };
     figures.at_least(
         &format!("{how}_served_in_time"),
-        in_time / shots.len() as f64,
+        in_time / samples.len() as f64,
         "share",
         share,
     );
-    figures.show(&format!("{how}_queries_of_a_gateway"), queries, "1/s");
+    figures.record(&format!("{how}_queries_of_a_gateway"), queries, "1/s");
     let changes = f64::from(CHANGES);
     figures.at_least(
         &format!("{how}_changes"),
--- a/crates/lab/src/figures.rs
+++ b/crates/lab/src/figures.rs
@@ -1,12 +1,13 @@
-//! What a scenario shows: one figure a line, each with its limit, if it has one.
+//! Figures that a scenario reports, printed one per line or as one JSON object, each with an optional limit.
 
 use serde_json::{json, Map, Value};
 use std::process::ExitCode;
 
+/// Collects the figures of a run and counts those that violate their limit.
 pub struct Figures {
     json: bool,
     all: Map<String, Value>,
-    broken: usize,
+    violation_count: usize,
 }
 
 impl Figures {
@@ -14,35 +15,36 @@
         Figures {
             json,
             all: Map::new(),
-            broken: 0,
+            violation_count: 0,
         }
     }
 
-    /// A remark for a reader; not part of the figures.
-    pub fn say(&self, text: &str) {
+    /// Prints a remark that is not part of the figures; JSON output omits it.
+    pub fn remark(&self, text: &str) {
         if !self.json {
             println!("{text}");
         }
     }
 
-    pub fn show(&mut self, name: &str, value: f64, unit: &str) {
+    /// Records a figure without a limit.
+    pub fn record(&mut self, name: &str, value: f64, unit: &str) {
         self.line(name, value, unit, None);
     }
 
-    /// A figure that must not be above its limit.
+    /// Records a figure that must not exceed `limit`.
     pub fn at_most(&mut self, name: &str, value: f64, unit: &str, limit: f64) {
-        // Not a number is no good either.
+        // NaN violates the limit, too.
         self.line(name, value, unit, Some(("at_most", limit, value <= limit)));
     }
 
-    /// A figure that must not be below its limit.
+    /// Records a figure that must not be below `limit`.
     pub fn at_least(&mut self, name: &str, value: f64, unit: &str, limit: f64) {
         self.line(name, value, unit, Some(("at_least", limit, value >= limit)));
     }
 
     fn line(&mut self, name: &str, value: f64, unit: &str, limit: Option<(&str, f64, bool)>) {
         let holds = limit.is_none_or(|(_, _, holds)| holds);
-        self.broken += usize::from(!holds);
+        self.violation_count += usize::from(!holds);
         if self.json {
             let mut figure = json!({"value": value, "unit": unit, "holds": holds});
             if let Some((kind, limit, _)) = limit {
@@ -63,14 +65,15 @@
         );
     }
 
+    /// Prints the JSON output, if selected, and returns the exit code: failure if a limit was violated.
     pub fn finish(self) -> ExitCode {
         if self.json {
             println!("{}", Value::Object(self.all));
         }
-        match self.broken {
+        match self.violation_count {
             0 => ExitCode::SUCCESS,
             n => {
-                eprintln!("{n} of the limits do not hold");
+                eprintln!("{n} figures violate their limit");
                 ExitCode::FAILURE
             }
         }
--- a/crates/lab/src/fleet_site.rs
+++ b/crates/lab/src/fleet_site.rs
@@ -1,6 +1,6 @@
-//! Gateways that talk to each other, on the testbed and under load: what the scenarios `members` and `policy` share.
+//! A fleet of gateways on the testbed under load, shared by the scenarios `members`, `choices`, `policy` and `power-loss`.
 
-use crate::load::{self, Got, Load, Shape, CHECK, TOP_UP};
+use crate::load::{self, Load, Outcome, RequestSpec, CHECK, TOP_UP};
 use crate::servers::{Meter, Server};
 use crate::site::{pause, Node};
 use crate::testbed::{fleet_file, Process, Relay, Testbed, TimelineAction};
@@ -12,18 +12,19 @@
 use std::time::{Duration, Instant};
 use tokio::runtime::{Handle, Runtime};
 
-/// Servers, where a scenario does not want others.
+/// Default number of servers.
 pub const SERVERS: usize = 8;
-/// Requests a second.
-const PER_S: f64 = 300.0;
-/// How long all may take to know something, and to agree after the last heal.
-pub const KNOWN_WITHIN: Duration = Duration::from_secs(20);
+/// Load on the fleet.
+const REQUESTS_PER_S: f64 = 300.0;
+/// Bound on waiting for a log line from all members, and for equal views after a heal.
+pub const DETECTION_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A customer with a ceiling who asks for three times that: key, requests a second, ceiling, its depth.
-pub const GREEDY: (u32, f64, f64, f64) = (9_001, 60.0, 20.0, 40.0);
+/// A customer that sends three times its ceiling: key, requests per second, ceiling in units per second, ceiling depth in units.
+pub const CUSTOMER_ABOVE_CEILING: (u32, f64, f64, f64) = (9_001, 60.0, 20.0, 40.0);
 
-/// The list: each server remembers repeats for itself; the first one's state, and what else there is.
-pub fn listed(servers: &[Server], first: &str, more: &str) -> String {
+/// Formats the endpoint list. Each server is a cell of its own, so it deduplicates by itself; `first` is the state of the first
+/// server, and `more` is appended to the list.
+pub fn endpoint_list(servers: &[Server], first: &str, more: &str) -> String {
     let state = |n| if n == 0 { first } else { "Ready" };
     let one =
         |(n, s): (usize, &Server)| endpoint_entry(&format!("s{n}"), s.address, n as u64, state(n));
@@ -31,63 +32,65 @@
     list.join(",") + more
 }
 
-/// Where clients may go now, and how often that changed for each.
+/// The address to which clients send requests for one process, if any, and how often that address changed.
 #[derive(Clone, Copy)]
-struct Place {
+struct ClientTarget {
     at: Option<SocketAddr>,
-    moves: u64,
+    changes: u64,
 }
 
-/// What became of requests to gateways that were there throughout; the greedy customer's count only where none was answered.
+/// Results of the requests whose gateway stayed available throughout. Requests of the customer above its ceiling count only
+/// as unanswered ones.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Shots {
-    pub asked: usize,
+pub struct RequestCounts {
+    pub sent: usize,
     pub served: usize,
     pub refused: usize,
     pub unanswered: usize,
 }
 
-/// Gateways on the testbed under load.
+/// A fleet of gateways on the testbed, their servers and their load.
 pub struct Site {
     pub testbed: Testbed,
     gateways: usize,
-    places: Arc<Mutex<Vec<Place>>>,
+    targets: Arc<Mutex<Vec<ClientTarget>>>,
     pub servers: Vec<Server>,
     pub meter: Arc<Meter>,
     pub agent: Discovery,
     key: std::path::PathBuf,
-    ending: Arc<Mutex<bool>>,
-    shots: Arc<Mutex<Shots>>,
+    stopping: Arc<Mutex<bool>>,
+    request_counts: Arc<Mutex<RequestCounts>>,
     clients: Option<tokio::task::JoinHandle<()>>,
 }
 
 impl Site {
-    /// So many processes of a fleet of `gateways`, before so many servers; `of` tells the number of each and what is added to its file.
+    /// Creates `processes` processes of a fleet of `gateways` in front of `servers` servers. `of` returns the gateway index of each
+    /// process and the text appended to its fleet file.
     pub fn new(
-        on: &Handle,
+        handle: &Handle,
         seed: u64,
         (gateways, processes): (usize, usize),
         servers: usize,
         of: impl Fn(usize, &Relay) -> (usize, String),
     ) -> Site {
-        Site::listing(on, seed, (gateways, processes), servers, of, |_| None)
+        Site::with_agents(handle, seed, (gateways, processes), servers, of, |_| None)
     }
 
-    /// The same, some of them with a list agent of their own.
-    pub fn listing(
-        on: &Handle,
+    /// Creates a fleet like [`Site::new`]; `agents` returns the endpoint list agent of a process that has one of its own.
+    pub fn with_agents(
+        handle: &Handle,
         seed: u64,
         (gateways, processes): (usize, usize),
         servers: usize,
         of: impl Fn(usize, &Relay) -> (usize, String),
         agents: impl Fn(usize) -> Option<SocketAddr>,
     ) -> Site {
-        let meter = Meter::new([(GREEDY.0, 10.0)].into_iter());
+        let meter = Meter::new([(CUSTOMER_ABOVE_CEILING.0, 10.0)].into_iter());
         let anywhere: SocketAddr = ([127, 0, 0, 1], 0).into();
-        let server = |_| Server::with_meter(on, anywhere, false, Some(meter.clone()));
+        let server = |_| Server::with_meter(handle, anywhere, false, Some(meter.clone()));
         let servers: Vec<Server> = (0..servers).map(server).collect();
-        let agent = Discovery::new(&listed(&servers, "Ready", ""));
-        let relay = Relay::new(on, processes, seed);
+        let agent = Discovery::new(&endpoint_list(&servers, "Ready", ""));
+        let relay = Relay::new(handle, processes, seed);
         let key = write_config_file("a key of the lab's own, long enough for all");
         let all = (0..processes).map(|n| {
             let (me, more) = of(n, &relay);
@@ -103,97 +106,122 @@
             Process::new(node, Some(fleet_file(&relay, n, &key, &more)))
         });
         let testbed = Testbed::new(all.collect(), relay);
-        let places = Arc::new(Mutex::new(vec![Place { at: None, moves: 0 }; processes]));
-        let (ending, shots) = (Arc::default(), Arc::default());
+        let targets = Arc::new(Mutex::new(vec![
+            ClientTarget {
+                at: None,
+                changes: 0
+            };
+            processes
+        ]));
+        let (stopping, request_counts) = (Arc::default(), Arc::default());
         Site {
             testbed,
             gateways,
-            places,
+            targets,
             servers,
             meter,
             agent,
             key,
-            ending,
-            shots,
+            stopping,
+            request_counts,
             clients: None,
         }
     }
 
-    /// Clients ask from now on.
-    pub fn load(&mut self, on: &Handle, seed: u64) {
-        let (places, ending, shots) =
-            (self.places.clone(), self.ending.clone(), self.shots.clone());
-        self.clients = Some(on.spawn(clients(places, self.gateways, ending, shots, seed)));
+    /// Starts the clients.
+    pub fn start_load(&mut self, handle: &Handle, seed: u64) {
+        let (targets, stopping, request_counts) = (
+            self.targets.clone(),
+            self.stopping.clone(),
+            self.request_counts.clone(),
+        );
+        self.clients = Some(handle.spawn(clients(
+            targets,
+            self.gateways,
+            stopping,
+            request_counts,
+            seed,
+        )));
     }
 
-    pub fn shots(&self) -> Shots {
-        *self.shots.lock().expect("shots")
+    /// Returns the results so far.
+    pub fn request_counts(&self) -> RequestCounts {
+        *self.request_counts.lock().expect("lock is not poisoned")
     }
 
-    /// Clients ask no more; what became of all that they asked.
-    pub fn end(&mut self, runtime: &Runtime) -> Shots {
-        *self.ending.lock().expect("the end") = true;
+    /// Stops the clients, waits for their last requests, and returns the results.
+    pub fn stop_load(&mut self, runtime: &Runtime) -> RequestCounts {
+        *self.stopping.lock().expect("lock is not poisoned") = true;
         self.clients
             .take()
             .into_iter()
             .for_each(|c| drop(runtime.block_on(c)));
-        self.shots()
+        self.request_counts()
     }
 
-    /// Clients go to those that run, from now on.
-    pub fn open(&self) {
-        for (place, p) in self
-            .places
+    /// Makes clients use all running processes.
+    pub fn route_to_running(&self) {
+        for (target, p) in self
+            .targets
             .lock()
-            .expect("places")
+            .expect("lock is not poisoned")
             .iter_mut()
             .zip(&self.testbed.processes)
         {
             let at = p.address().filter(|_| p.is_running());
-            if at != place.at {
-                *place = Place {
+            if at != target.at {
+                *target = ClientTarget {
                     at,
-                    moves: place.moves + 1,
+                    changes: target.changes + 1,
                 };
             }
         }
     }
 
-    /// Clients go there no more.
-    pub fn shut(&self, who: &[usize]) {
-        let mut places = self.places.lock().expect("places");
+    /// Makes clients stop using these processes.
+    pub fn stop_routing_to(&self, who: &[usize]) {
+        let mut targets = self.targets.lock().expect("lock is not poisoned");
         who.iter().for_each(|w| {
-            places[*w] = Place {
+            targets[*w] = ClientTarget {
                 at: None,
-                moves: places[*w].moves + 1,
+                changes: targets[*w].changes + 1,
             }
         });
     }
 
-    pub fn act(&mut self, act: TimelineAction) {
+    /// Applies an action to the testbed. Clients stop using processes before these are killed, stopped or leave, and use them
+    /// again once they are ready.
+    pub fn apply(&mut self, action: TimelineAction) {
         if let TimelineAction::Kill { who }
         | TimelineAction::Stop { who }
-        | TimelineAction::Leave { who } = &act
+        | TimelineAction::Leave { who } = &action
         {
-            self.shut(who);
-            // What was on its way has its answer.
-            if matches!(act, TimelineAction::Leave { .. }) {
+            self.stop_routing_to(who);
+            // Lets requests in flight be answered.
+            if matches!(action, TimelineAction::Leave { .. }) {
                 pause(Duration::from_millis(20));
             }
         }
-        self.testbed.apply(&act);
-        if let TimelineAction::Start { who } = &act {
+        self.testbed.apply(&action);
+        if let TimelineAction::Start { who } = &action {
             who.iter().for_each(|w| self.testbed.wait_ready(*w));
-            self.open();
+            self.route_to_running();
         }
-        if let TimelineAction::Continue { .. } = &act {
-            self.open();
+        if let TimelineAction::Continue { .. } = &action {
+            self.route_to_running();
         }
     }
 
-    /// Seconds from `since` until so many processes have logged such a line about each of these; none: not within the time.
-    pub fn known(&self, since: Duration, whom: &[usize], what: &str, by: usize) -> Option<f64> {
-        let begun = Instant::now();
+    /// Returns the seconds from `since` until `by` processes have logged a line with `what` about each member in `whom`, or
+    /// `None` after [`DETECTION_TIMEOUT`].
+    pub fn seconds_until_logged(
+        &self,
+        since: Duration,
+        members: &[usize],
+        what: &str,
+        by: usize,
+    ) -> Option<f64> {
+        let started_at = Instant::now();
         loop {
             let lines = self.testbed.history.log_lines(what);
             let of = |n: &usize| {
@@ -209,22 +237,23 @@
                 }
                 (seen.len() >= by).then(|| seen[by - 1].0)
             };
-            let all: Option<Vec<Duration>> = whom.iter().map(of).collect();
+            let all: Option<Vec<Duration>> = members.iter().map(of).collect();
             if let Some(all) = all {
                 let last = all.into_iter().max().unwrap_or_default();
                 return Some((last.saturating_sub(since)).as_secs_f64());
             }
-            if begun.elapsed() > KNOWN_WITHIN {
+            if started_at.elapsed() > DETECTION_TIMEOUT {
                 return None;
             }
             pause(Duration::from_millis(20));
         }
     }
 
-    /// Seconds until all that run have one view of so many.
-    pub fn agrees(&self, ready: usize) -> f64 {
+    /// Returns the seconds until all running processes have the same view with `ready` ready members, or infinity after
+    /// [`DETECTION_TIMEOUT`].
+    pub fn seconds_until_views_agree(&self, ready: usize) -> f64 {
         let since = Instant::now();
-        while since.elapsed() < KNOWN_WITHIN {
+        while since.elapsed() < DETECTION_TIMEOUT {
             if self.testbed.views_agree(ready) {
                 return since.elapsed().as_secs_f64();
             }
@@ -233,29 +262,31 @@
         f64::INFINITY
     }
 
+    /// Returns the time since the start of the history.
     pub fn now(&self) -> Duration {
         self.testbed.history.elapsed()
     }
 
-    /// Units of the greedy customer that do not fit its ceiling.
-    pub fn beyond(&self) -> f64 {
-        let (_, _, rate, depth) = GREEDY;
+    /// Returns the units by which the customer above its ceiling exceeded the ceiling.
+    pub fn units_over_ceiling(&self) -> f64 {
+        let (_, _, rate, depth) = CUSTOMER_ABOVE_CEILING;
         let uses: Vec<Instant> = self
             .meter
             .uses()
             .iter()
-            .filter(|u| u.customer == GREEDY.0)
+            .filter(|u| u.customer == CUSTOMER_ABOVE_CEILING.0)
             .map(|u| u.at)
             .collect();
         let first = uses.first().copied();
         let since =
             |at: &Instant| first.map_or(0.0, |f| at.saturating_duration_since(f).as_secs_f64());
         let uses: Vec<(f64, f64)> = uses.iter().map(|at| (since(at), 1.0)).collect();
-        // A request is on its way for a moment: what came within it may have been sent in any order.
-        load::beyond(&uses, rate, depth + rate * 0.15, 0.0, f64::INFINITY)
+        // Requests are in flight for up to 150 ms and may arrive in any order: the depth grows by what the ceiling grants then.
+        load::units_over_bucket(&uses, rate, depth + rate * 0.15, 0.0, f64::INFINITY)
     }
 
-    pub fn dead_lines(&self) -> Vec<(Duration, usize, String)> {
+    /// Returns the log lines that declare a member dead.
+    pub fn dead_log_lines(&self) -> Vec<(Duration, usize, String)> {
         self.testbed.history.log_lines(": dead")
     }
 }
@@ -266,37 +297,38 @@
     }
 }
 
-/// Asks until told to end; counts what was asked of a gateway that was there throughout, served and without an answer.
+/// Sends requests until `stopping` is set; counts the results of those whose gateway stayed available throughout.
 async fn clients(
-    places: Arc<Mutex<Vec<Place>>>,
+    targets: Arc<Mutex<Vec<ClientTarget>>>,
     gateways: usize,
-    ending: Arc<Mutex<bool>>,
-    shots: Arc<Mutex<Shots>>,
+    stopping: Arc<Mutex<bool>>,
+    request_counts: Arc<Mutex<RequestCounts>>,
     seed: u64,
 ) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let mut out = tokio::task::JoinSet::new();
+    let mut tasks = tokio::task::JoinSet::new();
     let mut due = tokio::time::Instant::now();
-    while !*ending.lock().expect("the end") {
-        due += Duration::from_secs_f64(1.0 / PER_S);
+    while !*stopping.lock().expect("lock is not poisoned") {
+        due += Duration::from_secs_f64(1.0 / REQUESTS_PER_S);
         tokio::time::sleep_until(due).await;
-        while out.try_join_next().is_some() {}
-        let there: Vec<(usize, Place)> = {
-            let places = places.lock().expect("places");
-            places
+        while tasks.try_join_next().is_some() {}
+        let available: Vec<(usize, ClientTarget)> = {
+            let targets = targets.lock().expect("lock is not poisoned");
+            targets
                 .iter()
                 .copied()
                 .enumerate()
                 .filter(|(_, p)| p.at.is_some())
                 .collect()
         };
-        if there.is_empty() {
+        if available.is_empty() {
             continue;
         }
-        let (n, place) = there[rng.next_u32() as usize % there.len()];
-        let greedy = f64::from(rng.next_u32()) < GREEDY.1 / PER_S * f64::from(u32::MAX);
-        let (customer, plan) = match greedy {
-            true => (GREEDY.0, "ekstra-stor"),
+        let (n, target) = available[rng.next_u32() as usize % available.len()];
+        let exceeds_ceiling = f64::from(rng.next_u32())
+            < CUSTOMER_ABOVE_CEILING.1 / REQUESTS_PER_S * f64::from(u32::MAX);
+        let (customer, plan) = match exceeds_ceiling {
+            true => (CUSTOMER_ABOVE_CEILING.0, "ekstra-stor"),
             false => (rng.next_u32() % 400, "mellem"),
         };
         let class = if rng.next_u32() % 100 < 71 {
@@ -305,30 +337,31 @@
             TOP_UP
         };
         let id = u64::from(rng.next_u32()) << 32 | u64::from(customer);
-        let (places, shots) = (places.clone(), shots.clone());
-        out.spawn(async move {
-            // The load's word for the width of a set: all of them.
-            let Some(at) = place.at else { return };
-            let load = Load::to(vec![at; gateways]);
-            let shape = Shape {
+        let (targets, request_counts) = (targets.clone(), request_counts.clone());
+        tasks.spawn(async move {
+            // `Load` announces its number of addresses as the request's `spread`: it has to be the size of the fleet.
+            let Some(at) = target.at else { return };
+            let load = Load::new(vec![at; gateways]);
+            let shape = RequestSpec {
                 class,
                 plan,
                 customer,
                 units: 1,
                 id,
             };
-            let got = load.ask(0, shape, due).await;
-            // One that was killed or stopped in between cannot answer.
-            if places.lock().expect("places")[n].moves != place.moves {
+            let outcome = load.send_request(0, shape, due).await;
+            // A gateway that was killed or stopped meanwhile cannot answer.
+            if targets.lock().expect("lock is not poisoned")[n].changes != target.changes {
                 return;
             }
-            let mut shots = shots.lock().expect("shots");
-            // Whoever asks for too much is refused.
-            shots.asked += usize::from(!greedy);
-            shots.served += usize::from(got == Got::Served && !greedy);
-            shots.refused += usize::from(got == Got::Refused && !greedy);
-            shots.unanswered += usize::from(matches!(got, Got::Nothing | Got::Wrong));
+            let mut request_counts = request_counts.lock().expect("lock is not poisoned");
+            // Requests above the ceiling are refused as intended.
+            request_counts.sent += usize::from(!exceeds_ceiling);
+            request_counts.served += usize::from(outcome == Outcome::Served && !exceeds_ceiling);
+            request_counts.refused += usize::from(outcome == Outcome::Refused && !exceeds_ceiling);
+            request_counts.unanswered +=
+                usize::from(matches!(outcome, Outcome::Unanswered | Outcome::Invalid));
         });
     }
-    while out.join_next().await.is_some() {}
+    while tasks.join_next().await.is_some() {}
 }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,5 +1,6 @@
-//! Whole installations on loopback: stand-ins of this repository round the real gateway, the scenarios, and the [`testbed`] that puts
-//! faults between real processes. Everything is on ephemeral ports; what is started ends with the program.
+//! Complete installations on the loopback interface: the real gateway between test doubles, the scenarios that
+//! load it, and the [`testbed`] that injects faults between real processes. All listeners use ephemeral ports, and
+//! every process that is started ends with the program.
 #![expect(
     clippy::default_trait_access,
     clippy::match_bool,
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! The lab's command line.
+//! Command line of the lab: runs the demo, the scenarios and the soak.
 #![expect(clippy::single_match_else)]
 
 use clap::{Parser, Subcommand};
@@ -10,7 +10,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Brings up an installation of gateways, servers, list agent and counter on this machine's loopback.
+/// Runs installations of gateways, servers, endpoint list agent and shared counter on the loopback interface.
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
@@ -20,92 +20,92 @@
 
 #[derive(Subcommand)]
 enum Cmd {
-    /// An installation for some 15 s: a line a second, a server that dies and a cold one that comes.
+    /// Runs an installation for about 15 s and prints one line per second; one server crashes and a cold one joins.
     Demo,
-    /// Names the scenarios.
+    /// Lists the scenarios.
     List,
-    /// A randomized soak with real gateways and several troubles at a time; exit code 1 if a rule was broken.
+    /// Runs a randomized soak of real gateways with several concurrent faults; exits with code 1 if a rule was violated.
     Soak {
-        /// The first seed.
+        /// First seed.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// So many seeds, one after another.
+        /// Number of consecutive seeds to run.
         #[arg(long, default_value_t = 1)]
         seeds: u64,
-        /// Gateways (2 to 40).
+        /// Number of gateways (2 to 40).
         #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u64).range(2..=40))]
         gateways: u64,
-        /// How long troubles go on in each, in seconds.
+        /// Duration of fault injection per seed, in seconds (5 to 3600).
         #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(5..=3600))]
         seconds: u64,
-        /// Figures as JSON, one object.
+        /// Prints the figures as one JSON object.
         #[arg(long)]
         json: bool,
     },
-    /// Plays a scenario; exit code 1 if what it must show does not hold.
+    /// Runs a scenario; exits with code 1 if a figure violates its limit.
     Run {
-        /// Its name, as `list` tells.
+        /// Name of the scenario, as printed by `list`.
         name: String,
-        /// Figures as JSON, one object.
+        /// Prints the figures as one JSON object.
         #[arg(long)]
         json: bool,
-        /// How long each part of it lasts, in seconds (5 to 3600), in place of its own time.
+        /// Duration of each phase of the scenario in seconds (5 to 3600); overrides the scenario's default.
         #[arg(long, value_parser = clap::value_parser!(u64).range(5..=3600))]
         seconds: Option<u64>,
     },
 }
 
-/// Plays a scenario for that many seconds, if given.
-type Play = fn(Option<u64>, &mut Figures);
+/// Runs a scenario; the first argument overrides the duration of its phases in seconds.
+type ScenarioFn = fn(Option<u64>, &mut Figures);
 
-/// The scenarios: name, what each shows, and how it is played.
-const SCENARIOS: [(&str, &str, Play); 14] = [
-    ("dns-sd", "500 requests/s while DNS-SD records change, asked for and pushed", dns_sd::play),
+/// Name, description and entry point of each scenario.
+const SCENARIOS: [(&str, &str, ScenarioFn); 14] = [
+    ("dns-sd", "500 requests/s while DNS-SD records change, with polling and with push", dns_sd::run),
     (
         "diameter",
-        "500 credit-control requests/s while servers fall silent, drain and restart",
-        diameter::play,
+        "500 credit-control requests/s while servers stop answering, drain and restart",
+        diameter::run,
     ),
     (
         "counter-faults",
-        "quotas while the shared counter is lost, split, replaced, late or wrong",
-        counter_faults::play,
+        "quota enforcement while the shared counter is lost, split, replaced, slow or wrong",
+        counter_faults::run,
     ),
-    ("members", "16 gateways that join, leave, die, are stopped, cut off and replaced", members::play),
+    ("members", "16 gateways that join, leave, crash, are paused, partitioned and replaced", members::run),
     (
         "members-size",
-        "4 to 1,000 members in virtual time: detection, false accusations, bytes",
-        members_size::play,
+        "4 to 1,000 members in virtual time: failure detection, false positives, traffic",
+        members_size::run,
     ),
     (
         "quota-links",
-        "quotas by the gateways' own word while links are cut and processes die",
-        quota_links::play,
+        "quota enforcement by usage exchanged between gateways while links fail and processes crash",
+        quota_links::run,
     ),
     (
         "choices",
-        "12 gateways that choose among 60 servers: bad ones, gateways gone, cut off and lying",
-        choices::play,
+        "12 gateways and 60 servers: failing servers, crashed and partitioned gateways, false health reports",
+        choices::run,
     ),
     (
         "choices-size",
-        "300 gateways by 200 servers and 64 by 5,000 in virtual time: use, bad servers, deaths, a release",
-        choices_size::play,
+        "300 gateways with 200 servers and 64 with 5,000 in virtual time: load spread, failures, a rollout",
+        choices_size::run,
     ),
     (
         "policy",
-        "9 gateways, 40 changes of policy by each of five seeds, and what goes wrong meanwhile",
-        policy::play,
+        "9 gateways and 40 policy changes with each of five seeds, with faults during the changes",
+        policy::run,
     ),
     (
         "policy-size",
-        "the agreement of 300 members in virtual time: bytes, datagrams, how long a change takes",
-        policy_size::play,
+        "policy consensus of 300 members in virtual time: bytes, datagrams, duration of a change",
+        policy_size::run,
     ),
-    ("power-loss", "all gateways killed within writes, and what was told as in force", policy::power_loss),
-    ("plugins", "a stuck plug-in beside 500 requests/s, and what plug-ins cost", plugins::play),
-    ("upgrade", "500 requests/s while processes are replaced, half of the starts failing", upgrade::play),
-    ("membership-size", "what a change and a request cost at 10 to 5,000 servers", membership_size::play),
+    ("power-loss", "all gateways killed during writes: policies reported as in force must survive", policy::power_loss),
+    ("plugins", "a stuck plug-in beside 500 requests/s, and the cost of plug-ins", plugins::run),
+    ("upgrade", "500 requests/s while processes are upgraded and half of the starts fail", upgrade::run),
+    ("membership-size", "CPU cost of an endpoint change and of a request with 10 to 5,000 servers", membership_size::run),
 ];
 
 fn main() -> ExitCode {
@@ -114,10 +114,10 @@
         Cmd::List => {
             SCENARIOS
                 .iter()
-                .for_each(|(name, shows, _)| println!("{name:20} {shows}"));
+                .for_each(|(name, description, _)| println!("{name:20} {description}"));
             ExitCode::SUCCESS
         }
-        Cmd::Demo => play(demo::play, false),
+        Cmd::Demo => run_scenario(demo::run, false),
         Cmd::Soak {
             seed,
             seeds,
@@ -131,34 +131,36 @@
                     plan.gateways = gateways as usize;
                     plan.per_s = 20.0 * gateways as f64;
                     plan.length = Duration::from_secs(seconds);
-                    soak::play(&plan, figures);
+                    soak::run(&plan, figures);
                 }
             };
-            play(soak, json)
+            run_scenario(soak, json)
         }
         Cmd::Run {
             name,
             json,
             seconds,
-        } => match SCENARIOS.iter().find(|(n, ..)| *n == name) {
-            Some((_, _, scenario)) => play(|figures| scenario(seconds, figures), json),
-            None => {
-                eprintln!("frosthatch-lab: no scenario {name:?}; `list` names them");
-                ExitCode::from(2)
+        } => {
+            match SCENARIOS.iter().find(|(n, ..)| *n == name) {
+                Some((_, _, scenario)) => run_scenario(|figures| scenario(seconds, figures), json),
+                None => {
+                    eprintln!("frosthatch-lab: unknown scenario {name:?}; `list` prints the scenario names");
+                    ExitCode::from(2)
+                }
             }
-        },
+        }
     }
 }
 
-fn play(scenario: impl FnOnce(&mut Figures), json: bool) -> ExitCode {
-    if let Err(e) = site::build() {
+fn run_scenario(scenario: impl FnOnce(&mut Figures), json: bool) -> ExitCode {
+    if let Err(e) = site::build_gateway() {
         eprintln!("frosthatch-lab: {e}");
         return ExitCode::from(2);
     }
-    site::end_on_signal();
+    site::interrupt_on_signal();
     let mut figures = Figures::new(json);
-    let played = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| scenario(&mut figures)));
-    match played {
+    let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| scenario(&mut figures)));
+    match result {
         Ok(()) => figures.finish(),
         Err(e) if e.is::<site::Interrupted>() => ExitCode::from(130),
         Err(_) => ExitCode::FAILURE,
--- a/crates/lab/src/members.rs
+++ b/crates/lab/src/members.rs
@@ -2,7 +2,7 @@
 //! know, who is accused wrongly, what it costs on the network, and whether clients see any of it.
 
 use crate::figures::Figures;
-use crate::fleet_site::{listed, Site, KNOWN_WITHIN, SERVERS};
+use crate::fleet_site::{endpoint_list, Site, DETECTION_TIMEOUT, SERVERS};
 use crate::servers::Server;
 use crate::site::{cpu, pause};
 use crate::testbed::{Faults, TimelineAction};
@@ -42,7 +42,7 @@
     over_ceiling: f64,
 }
 
-pub fn play(seconds: Option<u64>, figures: &mut Figures) {
+pub fn run(seconds: Option<u64>, figures: &mut Figures) {
     let lasts = Duration::from_secs(seconds.unwrap_or(10));
     let rows: Vec<Row> = (1..=SEEDS).map(|seed| one(seed, lasts)).collect();
     let all = |f: fn(&Row) -> &Vec<f64>| {
@@ -61,7 +61,7 @@
         ("death", all(|r| &r.deaths), 8.0),
         ("views_equal_after_heal", all(|r| &r.agreed), 3.0),
     ] {
-        figures.show(&format!("{name}_p50"), p50, "s");
+        figures.record(&format!("{name}_p50"), p50, "s");
         figures.at_most(&format!("{name}_worst"), worst, "s", limit);
     }
     figures.at_most(
@@ -83,10 +83,10 @@
         0.0,
     );
     figures.at_most("twin_told", most(|r| r.twin_told), "s", 4.5);
-    figures.show("bytes_each", most(|r| r.bytes_s), "B/s");
+    figures.record("bytes_each", most(|r| r.bytes_s), "B/s");
     figures.at_most("messages_each", most(|r| r.messages_s), "1/s", 440.0);
-    figures.show("cpu_each", most(|r| r.cpu), "of-a-core");
-    figures.show("requests", sum(|r| r.asked), "requests");
+    figures.record("cpu_each", most(|r| r.cpu), "of-a-core");
+    figures.record("requests", sum(|r| r.asked), "requests");
     figures.at_most("unanswered", sum(|r| r.unanswered), "requests", 0.0);
     figures.at_most("top_ups_at_two_servers", sum(|r| r.twice), "requests", 0.0);
     figures.at_most(
@@ -106,10 +106,10 @@
 }
 
 fn one(seed: u64, lasts: Duration) -> Row {
-    let runtime = Runtime::new().expect("a runtime");
-    let on = runtime.handle();
+    let runtime = Runtime::new().expect("the Tokio runtime can be built");
+    let handle = runtime.handle();
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let mut site = Site::new(on, seed, (ALL, ALL + 1), SERVERS, |n, _| {
+    let mut site = Site::new(handle, seed, (ALL, ALL + 1), SERVERS, |n, _| {
         let me = if n == TWIN { 7 } else { n };
         let more = format!(
             "name = \"n{me}\"\nregion = \"r{}\"\nzone = \"z{}\"\nforget_ms = 60000",
@@ -124,21 +124,21 @@
         who: (0..ALL - 2).collect(),
     });
     (0..ALL - 2).for_each(|n| site.testbed.wait_ready(n));
-    site.agrees(ALL - 2);
-    site.open();
-    site.load(on, seed);
+    site.seconds_until_views_agree(ALL - 2);
+    site.route_to_running();
+    site.start_load(handle, seed);
 
     // Joins.
     for n in [ALL - 2, ALL - 1] {
         let since = site.now();
-        site.act(TimelineAction::Start { who: vec![n] });
+        site.apply(TimelineAction::Start { who: vec![n] });
         row.joins.push(
-            site.known(since, &[n], ": ready", n)
+            site.seconds_until_logged(since, &[n], ": ready", n)
                 .unwrap_or(f64::INFINITY),
         );
     }
     // In health, what it costs.
-    site.agrees(ALL);
+    site.seconds_until_views_agree(ALL);
     let (sent, cpus, since) = (site.testbed.relay.sent(), used(&site), Instant::now());
     pause(lasts / 2);
     let seconds = since.elapsed().as_secs_f64();
@@ -155,16 +155,19 @@
     // One leaves in good order, and comes back.
     let who = 3 + rng.next_u32() as usize % (ALL - 4);
     let since = site.now();
-    site.act(TimelineAction::Leave { who: vec![who] });
+    site.apply(TimelineAction::Leave { who: vec![who] });
     row.leaves.push(
-        site.known(since, &[who], ": draining", ALL - 1)
+        site.seconds_until_logged(since, &[who], ": draining", ALL - 1)
             .unwrap_or(f64::INFINITY),
     );
-    if site.known(since, &[who], ": left", ALL - 1).is_none() {
+    if site
+        .seconds_until_logged(since, &[who], ": left", ALL - 1)
+        .is_none()
+    {
         row.leaves.push(f64::INFINITY);
     }
-    site.act(TimelineAction::Start { who: vec![who] });
-    site.agrees(ALL);
+    site.apply(TimelineAction::Start { who: vec![who] });
+    site.seconds_until_views_agree(ALL);
 
     // One dies; a seed, with the first of them.
     for who in [
@@ -172,19 +175,19 @@
         3 + rng.next_u32() as usize % (ALL - 3),
     ] {
         let since = site.now();
-        site.act(TimelineAction::Kill { who: vec![who] });
+        site.apply(TimelineAction::Kill { who: vec![who] });
         row.deaths.push(
-            site.known(since, &[who], ": dead", ALL - 1)
+            site.seconds_until_logged(since, &[who], ": dead", ALL - 1)
                 .unwrap_or(f64::INFINITY),
         );
-        site.act(TimelineAction::Start { who: vec![who] });
-        row.agreed.push(site.agrees(ALL));
+        site.apply(TimelineAction::Start { who: vec![who] });
+        row.agreed.push(site.seconds_until_views_agree(ALL));
     }
 
     // Loss.
     for (k, loss, jitter_ms) in [(0, 0.05, 20), (1, 0.3, 200)] {
-        let before = site.dead_lines().len();
-        site.act(TimelineAction::Links {
+        let before = site.dead_log_lines().len();
+        site.apply(TimelineAction::Links {
             faults: Faults {
                 loss,
                 jitter_ms,
@@ -193,7 +196,7 @@
         });
         pause(lasts);
         let mut accused: Vec<String> = site
-            .dead_lines()
+            .dead_log_lines()
             .split_off(before)
             .into_iter()
             .map(|l| l.2)
@@ -204,8 +207,8 @@
         accused.sort();
         accused.dedup();
         row.accused[k] += accused.len();
-        site.act(TimelineAction::Heal);
-        row.agreed.push(site.agrees(ALL));
+        site.apply(TimelineAction::Heal);
+        row.agreed.push(site.seconds_until_views_agree(ALL));
     }
 
     // A server drains and a cold one comes, while parts of the fleet do not hear each other.
@@ -213,7 +216,7 @@
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap_or_default();
     let cold = Server::with_meter(
-        on,
+        handle,
         ([127, 0, 0, 1], 0).into(),
         true,
         Some(site.meter.clone()),
@@ -221,7 +224,7 @@
     let newcomer = endpoint_entry_with_boot("s-cold", cold.address, 99, "Ready", since.as_millis());
     site.agent.publish(
         true,
-        &listed(&site.servers, "Draining", &format!(",{newcomer}")),
+        &endpoint_list(&site.servers, "Draining", &format!(",{newcomer}")),
     );
     let drained = Instant::now();
 
@@ -231,39 +234,39 @@
         .rev()
         .for_each(|k| order.swap(k, rng.next_u32() as usize % (k + 1)));
     let parts: Vec<Vec<usize>> = order.chunks(ALL / 3 + 1).map(<[usize]>::to_vec).collect();
-    site.act(TimelineAction::Split {
+    site.apply(TimelineAction::Split {
         groups: parts.clone(),
     });
     pause(lasts);
-    site.act(TimelineAction::Split {
+    site.apply(TimelineAction::Split {
         groups: vec![
             [parts[1].clone(), parts[2].clone()].concat(),
             parts[0].clone(),
         ],
     });
     pause(lasts / 2);
-    site.act(TimelineAction::Heal);
-    row.agreed.push(site.agrees(ALL));
+    site.apply(TimelineAction::Heal);
+    row.agreed.push(site.seconds_until_views_agree(ALL));
     // One way only.
     let (a, b) = (order[0], order[1]);
-    let before = site.dead_lines().len();
-    site.act(TimelineAction::Cut {
+    let before = site.dead_log_lines().len();
+    site.apply(TimelineAction::Cut {
         from: vec![a],
         to: vec![b],
     });
     pause(lasts / 2);
-    row.accused[0] += site.dead_lines().len() - before;
-    site.act(TimelineAction::Heal);
+    row.accused[0] += site.dead_log_lines().len() - before;
+    site.apply(TimelineAction::Heal);
 
     // Stopped for a while: nobody is accused by it.
     let who = order[2];
-    site.act(TimelineAction::Stop { who: vec![who] });
+    site.apply(TimelineAction::Stop { who: vec![who] });
     pause(lasts);
     let since = site.now();
-    site.act(TimelineAction::Continue { who: vec![who] });
-    row.agreed.push(site.agrees(ALL));
+    site.apply(TimelineAction::Continue { who: vec![who] });
+    row.agreed.push(site.seconds_until_views_agree(ALL));
     let by_it = site
-        .dead_lines()
+        .dead_log_lines()
         .into_iter()
         .filter(|(at, by, _)| *by == who && *at >= since);
     row.accused[2] += by_it.count();
@@ -271,13 +274,13 @@
     // A third killed at once and started at once.
     let third = order[..ALL / 3].to_vec();
     let since = site.now();
-    site.act(TimelineAction::Kill { who: third.clone() });
+    site.apply(TimelineAction::Kill { who: third.clone() });
     row.deaths.push(
-        site.known(since, &third, ": dead", ALL - third.len())
+        site.seconds_until_logged(since, &third, ": dead", ALL - third.len())
             .unwrap_or(f64::INFINITY),
     );
-    site.act(TimelineAction::Start { who: third });
-    row.agreed.push(site.agrees(ALL));
+    site.apply(TimelineAction::Start { who: third });
+    row.agreed.push(site.seconds_until_views_agree(ALL));
 
     // Two under one name.
     let since = Instant::now();
@@ -290,7 +293,7 @@
             .log_lines("a later process runs as n7")
             .is_empty()
     };
-    while !told() && since.elapsed() < KNOWN_WITHIN {
+    while !told() && since.elapsed() < DETECTION_TIMEOUT {
         pause(Duration::from_millis(20));
     }
     row.twin_told = if told() {
@@ -300,14 +303,18 @@
     };
     site.testbed.wait_ready(TWIN);
 
-    let shots = site.end(&runtime);
-    row.twice = site.meter.elsewhere();
+    let request_counts = site.stop_load(&runtime);
+    row.twice = site.meter.top_ups_at_two_servers();
     row.after_drain = site.servers[0]
-        .last_after(drained)
+        .last_request_after(drained)
         .map_or(0.0, |d| d.as_secs_f64());
-    row.cold = cold.worst_multiple(Duration::from_secs(3));
-    row.over_ceiling = site.beyond();
-    (row.asked, row.served, row.unanswered) = (shots.asked, shots.served, shots.unanswered);
+    row.cold = cold.max_overload_ratio(Duration::from_secs(3));
+    row.over_ceiling = site.units_over_ceiling();
+    (row.asked, row.served, row.unanswered) = (
+        request_counts.sent,
+        request_counts.served,
+        request_counts.unanswered,
+    );
     if let Some(folder) = std::env::var_os("FROSTHATCH_HISTORY") {
         let file = std::path::Path::new(&folder).join(format!("members-{seed}.jsonl"));
         site.testbed
--- a/crates/lab/src/members_size.rs
+++ b/crates/lab/src/members_size.rs
@@ -29,7 +29,7 @@
     memory: f64,
 }
 
-pub fn play(seconds: Option<u64>, figures: &mut Figures) {
+pub fn run(seconds: Option<u64>, figures: &mut Figures) {
     let lasts = seconds.unwrap_or(10) * S;
     for size in SIZES {
         let before = memory_mb(std::process::id());
@@ -41,23 +41,23 @@
         // What was on its way between them is in it.
         let each = held * 1_024.0 / (LOSSES.len() * size) as f64;
         rows.into_iter().for_each(|row| tell(row, figures));
-        figures.show(&format!("{size}_memory_each"), each, "kB");
+        figures.record(&format!("{size}_memory_each"), each, "kB");
     }
 }
 
 fn tell(r: Row, figures: &mut Figures) {
     let name = |what: &str| format!("{}_loss_{}_{what}", r.size, r.loss * 100.0);
-    figures.show(&name("death_known_to_half"), r.half, "s");
+    figures.record(&name("death_known_to_half"), r.half, "s");
     figures.at_most(&name("death_known_to_all"), r.all, "s", 15.0);
     match r.loss < 0.1 {
         true => figures.at_most(&name("accused"), r.accused as f64, "members", 0.0),
-        false => figures.show(&name("accused"), r.accused as f64, "members"),
+        false => figures.record(&name("accused"), r.accused as f64, "members"),
     }
-    figures.show(&name("bytes_each"), r.bytes_s, "B/s");
+    figures.record(&name("bytes_each"), r.bytes_s, "B/s");
     figures.at_most(&name("messages_each"), r.messages_s, "1/s", 440.0);
-    figures.show(&name("busy_each"), r.busy, "of-a-core");
+    figures.record(&name("busy_each"), r.busy, "of-a-core");
     // On a machine that others use a call's time of the processor holds interruptions, too: some in a million.
-    figures.show(
+    figures.record(
         &name("longest_at_once"),
         r.longest.as_secs_f64() * 1e3,
         "ms",
--- a/crates/lab/src/membership_size.rs
+++ b/crates/lab/src/membership_size.rs
@@ -1,7 +1,7 @@
 //! `membership-size`: what one change, and one request, cost a gateway at 10 to 5,000 servers, by list and by DNS-SD.
 
 use crate::figures::Figures;
-use crate::load::{Got, Load};
+use crate::load::{Load, Outcome};
 use crate::servers::Server;
 use crate::site::{self, cpu, memory_mb, pause, Node, OperatorFile};
 use frosthatch_test_doubles::{endpoint_entry, Discovery, Resolver, Zone};
@@ -21,7 +21,7 @@
 const MOST_GROWTH: f64 = 3.0;
 const MOST_A_CHANGE_MS: f64 = 10.0;
 
-pub fn play(seconds: Option<u64>, figures: &mut Figures) {
+pub fn run(seconds: Option<u64>, figures: &mut Figures) {
     let length = Duration::from_secs(seconds.unwrap_or(10));
     for by_list in [true, false] {
         let costs: Vec<f64> = SIZES
@@ -63,11 +63,11 @@
 
 /// CPU that one request costs, in microseconds.
 fn part(by_list: bool, size: usize, length: Duration, figures: &mut Figures) -> f64 {
-    let runtime = Runtime::new().expect("a runtime");
+    let runtime = Runtime::new().expect("the Tokio runtime can be built");
     let servers: Vec<Server> = (0..size)
         .map(|n| Server::start_at(runtime.handle(), at(n), false))
         .collect();
-    let nobody: SocketAddr = "127.0.0.1:9".parse().expect("an address");
+    let nobody: SocketAddr = "127.0.0.1:9".parse().expect("the literal address is valid");
     let (source, operator, discovery) = if by_list {
         let list: Vec<String> = servers
             .iter()
@@ -126,8 +126,8 @@
     }));
     let name = |what: &str| format!("{}_{size}_{what}", source_name(by_list));
     let idle = used(&gateway, length);
-    figures.show(&name("cpu_idle"), idle * 1e3, "ms/s");
-    figures.show(&name("memory"), memory_mb(gateway.pid()), "MB");
+    figures.record(&name("cpu_idle"), idle * 1e3, "ms/s");
+    figures.record(&name("memory"), memory_mb(gateway.pid()), "MB");
 
     let (before, since) = (cpu(gateway.pid()), Instant::now());
     for n in 0..CHANGES as usize {
@@ -164,16 +164,19 @@
     let (load, task) = Load::start(runtime.handle(), vec![gateway.address], PER_S, length);
     site::until("the load ends", || task.is_finished());
     let spent = (cpu(gateway.pid()) - before).as_secs_f64() - idle * length.as_secs_f64();
-    let shots = load.shots.lock().expect("shots");
-    let served = shots.iter().filter(|s| s.got == Got::Served).count();
+    let samples = load.samples.lock().expect("lock is not poisoned");
+    let served = samples
+        .iter()
+        .filter(|s| s.outcome == Outcome::Served)
+        .count();
     figures.at_least(
         &name("served"),
-        served as f64 / shots.len() as f64,
+        served as f64 / samples.len() as f64,
         "share",
         0.99,
     );
-    let cost = spent / shots.len() as f64 * 1e6;
-    figures.show(&name("cpu_a_request"), cost, "us");
+    let cost = spent / samples.len() as f64 * 1e6;
+    figures.record(&name("cpu_a_request"), cost, "us");
     cost
 }
 
--- a/crates/lab/src/plugins.rs
+++ b/crates/lab/src/plugins.rs
@@ -1,7 +1,7 @@
 //! `plugins`: one plug-in stuck for ten seconds beside 500 requests a second of others; then what plug-ins cost.
 
 use crate::figures::Figures;
-use crate::load::{percentile, Got, Load, Shape, CHECK, TOP_UP};
+use crate::load::{percentile, Load, Outcome, RequestSpec, CHECK, TOP_UP};
 use crate::servers::Server;
 use crate::site::{cpu, memory_mb, pause, Node, OperatorFile};
 use frosthatch_test_doubles::{endpoint_entry, write_config_file, Discovery, Gateway};
@@ -46,8 +46,8 @@
 }
 
 /// One gateway with these plug-ins: name, module, further keys.
-fn site(on: &Handle, plugins: &[(String, &str, &str)]) -> Site {
-    let servers: Vec<Server> = (0..8).map(|_| Server::start(on, false)).collect();
+fn site(handle: &Handle, plugins: &[(String, &str, &str)]) -> Site {
+    let servers: Vec<Server> = (0..8).map(|_| Server::start(handle, false)).collect();
     let list: Vec<String> = servers
         .iter()
         .enumerate()
@@ -84,27 +84,27 @@
     }
 }
 
-pub fn play(seconds: Option<u64>, figures: &mut Figures) {
+pub fn run(seconds: Option<u64>, figures: &mut Figures) {
     let length = Duration::from_secs(seconds.unwrap_or(20)).max(STUCK_FOR + Duration::from_secs(4));
     let without = others(None, length, figures);
     let more = "plans = [\"counted\"]\npolicy = \"fail\"\nfuel_per_call = 20000000\nfuel_per_s = 200000000\nwait_ms = 50\n";
     let with = others(Some(("stuck".into(), STUCK, more)), length, figures);
-    figures.show("p99_without", without, "ms");
-    figures.show("p99_beside_a_stuck_one", with, "ms");
+    figures.record("p99_without", without, "ms");
+    figures.record("p99_beside_a_stuck_one", with, "ms");
     figures.at_most("p99_ratio", with / without, "x", 1.5);
     costs(Duration::from_secs(seconds.unwrap_or(8).min(8)), figures);
 }
 
 /// 500 requests a second that no plug-in is asked about; meanwhile others that a stuck one holds. Their p99.
 fn others(stuck: Option<(String, &str, &str)>, length: Duration, figures: &mut Figures) -> f64 {
-    let runtime = Runtime::new().expect("a runtime");
+    let runtime = Runtime::new().expect("the Tokio runtime can be built");
     let plugins: Vec<_> = stuck.into_iter().collect();
     let site = site(runtime.handle(), &plugins);
     let (load, task) = Load::start(runtime.handle(), vec![site.gateway.address], PER_S, length);
     if !plugins.is_empty() {
         let (own, got) = (
-            Load::to(vec![site.gateway.address]),
-            Arc::<Mutex<Vec<(Got, bool)>>>::default(),
+            Load::new(vec![site.gateway.address]),
+            Arc::<Mutex<Vec<(Outcome, bool)>>>::default(),
         );
         let start = Instant::now() + Duration::from_secs(2);
         for n in 0..STUCK_PER_S * STUCK_FOR.as_secs() as u32 {
@@ -113,24 +113,26 @@
             runtime.spawn(async move {
                 tokio::time::sleep_until(due).await;
                 let class = if n % 10 < 7 { CHECK } else { TOP_UP };
-                let shape = Shape {
+                let shape = RequestSpec {
                     class,
                     plan: "counted",
                     customer: n,
                     units: 1,
                     id: 1 << 40 | u64::from(n),
                 };
-                let answer = own.ask(0, shape, due).await;
+                let answer = own.send_request(0, shape, due).await;
                 let in_time = due.elapsed() < class.2;
-                got.lock().expect("answers").push((answer, in_time));
+                got.lock()
+                    .expect("lock is not poisoned")
+                    .push((answer, in_time));
             });
         }
         pause(length);
-        let got = got.lock().expect("answers");
+        let got = got.lock().expect("lock is not poisoned");
         let all = f64::from(STUCK_PER_S) * STUCK_FOR.as_secs_f64();
         let failed = got
             .iter()
-            .filter(|(got, in_time)| *got == Got::Failed && *in_time)
+            .filter(|(got, in_time)| *got == Outcome::Failed && *in_time)
             .count() as f64;
         figures.at_least(
             "requests_of_the_stuck_one",
@@ -146,10 +148,10 @@
         );
     }
     runtime.block_on(async { drop(task.await) });
-    let shots = load.shots.lock().expect("shots");
-    let wrong = shots
+    let samples = load.samples.lock().expect("lock is not poisoned");
+    let wrong = samples
         .iter()
-        .filter(|s| matches!(s.got, Got::Nothing | Got::Wrong))
+        .filter(|s| matches!(s.outcome, Outcome::Unanswered | Outcome::Invalid))
         .count();
     figures.at_most(
         if plugins.is_empty() {
@@ -161,10 +163,10 @@
         "requests",
         0.0,
     );
-    let mut took: Vec<Duration> = shots
+    let mut took: Vec<Duration> = samples
         .iter()
         .filter(|s| s.due > Duration::from_secs(2))
-        .map(|s| s.took)
+        .map(|s| s.latency)
         .collect();
     percentile(&mut took, 0.99)
 }
@@ -183,39 +185,39 @@
     ];
     let mut none = (f64::NAN, f64::NAN);
     for (name, plugins) in cases {
-        let runtime = Runtime::new().expect("a runtime");
+        let runtime = Runtime::new().expect("the Tokio runtime can be built");
         let site = site(runtime.handle(), &plugins);
         let before = cpu(site.gateway.pid());
         let (load, task) = Load::start(runtime.handle(), vec![site.gateway.address], PER_S, length);
         runtime.block_on(async { drop(task.await) });
         let used = cpu(site.gateway.pid()) - before;
-        let shots = load.shots.lock().expect("shots");
-        let us = used.as_secs_f64() * 1e6 / shots.len().max(1) as f64;
-        let mut took: Vec<Duration> = shots.iter().map(|s| s.took).collect();
+        let samples = load.samples.lock().expect("lock is not poisoned");
+        let us = used.as_secs_f64() * 1e6 / samples.len().max(1) as f64;
+        let mut took: Vec<Duration> = samples.iter().map(|s| s.latency).collect();
         let p50 = percentile(&mut took, 0.5);
         if name == "none" {
             none = (us, p50);
         }
-        let answered = shots
+        let answered = samples
             .iter()
-            .filter(|s| matches!(s.got, Got::Served | Got::Refused))
+            .filter(|s| matches!(s.outcome, Outcome::Served | Outcome::Refused))
             .count();
-        figures.show(&format!("{name}_cpu"), us, "us/request");
-        figures.show(&format!("{name}_cpu_ratio"), us / none.0, "x");
-        figures.show(&format!("{name}_p50_more"), p50 - none.1, "ms");
-        figures.show(
+        figures.record(&format!("{name}_cpu"), us, "us/request");
+        figures.record(&format!("{name}_cpu_ratio"), us / none.0, "x");
+        figures.record(&format!("{name}_p50_more"), p50 - none.1, "ms");
+        figures.record(
             &format!("{name}_memory"),
             memory_mb(site.gateway.pid()),
             "MB",
         );
-        figures.show(
+        figures.record(
             &format!("{name}_start"),
             site.started.as_secs_f64() * 1e3,
             "ms",
         );
         figures.at_least(
             &format!("{name}_answered"),
-            answered as f64 / shots.len().max(1) as f64,
+            answered as f64 / samples.len().max(1) as f64,
             "share",
             0.99,
         );
--- a/crates/lab/src/policy.rs
+++ b/crates/lab/src/policy.rs
@@ -2,7 +2,7 @@
 //! let in under what, and when. `power-loss`: all are killed within their writes, again and again.
 
 use crate::figures::Figures;
-use crate::fleet_site::{Shots, Site, GREEDY, SERVERS};
+use crate::fleet_site::{RequestCounts, Site, CUSTOMER_ABOVE_CEILING, SERVERS};
 use crate::site::{cpu, pause};
 use crate::testbed::policy_fixture::{
     self, digest, document_with_ceiling, AdmittedRequest, PolicyFixture,
@@ -84,11 +84,11 @@
     apart: usize,
     over_ceiling: f64,
     twice: usize,
-    shots: Shots,
+    request_counts: RequestCounts,
     by_wrong: BTreeMap<Wrong, usize>,
 }
 
-pub fn play(seconds: Option<u64>, figures: &mut Figures) {
+pub fn run(seconds: Option<u64>, figures: &mut Figures) {
     // As many changes as fit, some two seconds each.
     let changes = seconds.map_or(CHANGES, |s| (s as usize / 2).max(11));
     let rows: Vec<Row> = (1..=SEEDS)
@@ -107,11 +107,11 @@
         ("undecided", "not known"),
         ("unheard", ""),
     ] {
-        figures.show(&format!("told_{name}"), ended(end), "changes");
+        figures.record(&format!("told_{name}"), ended(end), "changes");
     }
     for wrong in KINDS {
         let n: usize = rows.iter().filter_map(|r| r.by_wrong.get(&wrong)).sum();
-        figures.say(&format!("{wrong:?}: {n} changes"));
+        figures.remark(&format!("{wrong:?}: {n} changes"));
     }
     let times = |f: fn(&Row) -> &Vec<f64>| {
         let mut all: Vec<f64> = rows.iter().flat_map(|r| f(r).iter().copied()).collect();
@@ -125,10 +125,10 @@
         ("in_health", times(|r| &r.health)),
         ("with_a_keeper_down", times(|r| &r.minority)),
     ] {
-        figures.show(&format!("change_{name}_p50"), p50, "s");
+        figures.record(&format!("change_{name}_p50"), p50, "s");
         figures.at_most(&format!("change_{name}_worst"), worst, "s", 4.0);
     }
-    figures.show("let_in", sum(|r| r.let_in), "requests");
+    figures.record("let_in", sum(|r| r.let_in), "requests");
     figures.at_least(
         "versions_seen",
         sum(|r| r.seen),
@@ -168,12 +168,17 @@
         "requests",
         0.0,
     );
-    figures.show("requests", sum(|r| r.shots.asked), "requests");
-    figures.show("refused", sum(|r| r.shots.refused), "requests");
-    figures.at_most("unanswered", sum(|r| r.shots.unanswered), "requests", 0.0);
+    figures.record("requests", sum(|r| r.request_counts.sent), "requests");
+    figures.record("refused", sum(|r| r.request_counts.refused), "requests");
+    figures.at_most(
+        "unanswered",
+        sum(|r| r.request_counts.unanswered),
+        "requests",
+        0.0,
+    );
     figures.at_most("top_ups_at_two_servers", sum(|r| r.twice), "requests", 0.0);
-    figures.show("cpu_a_request_without_leases", cost(false), "us");
-    figures.show("cpu_a_request_with_leases", cost(true), "us");
+    figures.record("cpu_a_request_without_leases", cost(false), "us");
+    figures.record("cpu_a_request_with_leases", cost(true), "us");
     let over = rows.iter().map(|r| r.over_ceiling).fold(0.0, f64::max);
     figures.at_most("over_ceiling", over, "units", 0.0);
 }
@@ -192,9 +197,9 @@
 }
 
 impl World {
-    fn new(on: &tokio::runtime::Handle, seed: u64, name: &str) -> World {
+    fn new(handle: &tokio::runtime::Handle, seed: u64, name: &str) -> World {
         let fixture = PolicyFixture::new(&format!("{name}-{seed}"), KEEPERS, LEASE_MS);
-        let mut site = Site::new(on, seed, (ALL, ALL), SERVERS, |n, _| {
+        let mut site = Site::new(handle, seed, (ALL, ALL), SERVERS, |n, _| {
             (n, fixture.policy_table(n, ""))
         });
         site.testbed.start_all();
@@ -207,7 +212,7 @@
             ceilings: BTreeMap::new(),
             ends: BTreeMap::new(),
         };
-        world.site.agrees(ALL);
+        world.site.seconds_until_views_agree(ALL);
         world
     }
 
@@ -276,7 +281,7 @@
         let uses = self.site.meter.uses();
         let mut uses: Vec<f64> = uses
             .iter()
-            .filter(|u| u.customer == GREEDY.0)
+            .filter(|u| u.customer == CUSTOMER_ABOVE_CEILING.0)
             .map(|u| end - (now - u.at).as_secs_f64())
             .collect();
         uses.sort_by(f64::total_cmp);
@@ -313,31 +318,31 @@
 }
 
 fn one(seed: u64, changes: usize, figures: &Figures) -> Row {
-    let runtime = Runtime::new().expect("a runtime");
-    let on = runtime.handle();
-    let mut w = World::new(on, seed, "policy");
+    let runtime = Runtime::new().expect("the Tokio runtime can be built");
+    let handle = runtime.handle();
+    let mut w = World::new(handle, seed, "policy");
     let mut row = Row::default();
     if w.one_policy().is_none() {
         row.apart += 1;
     }
-    w.site.open();
-    w.site.load(on, seed);
+    w.site.route_to_running();
+    w.site.start_load(handle, seed);
     for n in 0..changes {
         // Each kind comes, in an order of the seed's.
         let wrong = KINDS[(n + w.below(3)) % KINDS.len()];
         let Some((version, parent)) = w.one_policy() else {
             row.apart += 1;
-            figures.say(&format!("seed {seed}, change {n}: no one policy"));
+            figures.remark(&format!("seed {seed}, change {n}: no one policy"));
             continue;
         };
         let ceiling = [20.0, 12.0, 16.0][w.below(3)];
         let document = document_with_ceiling(version + 1, &parent, 100.0 + n as f64, ceiling);
-        let before = w.site.shots().refused;
+        let before = w.site.request_counts().refused;
         *row.by_wrong.entry(wrong).or_default() += 1;
         let (end, took) = change(&mut w, wrong, version + 1, &document);
         w.told(&document, version + 1, end.as_deref());
         let now = w.one_policy();
-        let refused = w.site.shots().refused - before;
+        let refused = w.site.request_counts().refused - before;
         match (wrong, &end) {
             (Wrong::Nothing, Some(end)) if end == "in force" => {
                 row.health.push(took);
@@ -354,12 +359,12 @@
         }
         if std::env::var_os("FROSTHATCH_HISTORY").is_some() {
             let version = version + 1;
-            figures.say(&format!(
+            figures.remark(&format!(
                 "seed {seed}: {version} {wrong:?} {end:?} {took:.3} s, {refused} refused"
             ));
         }
     }
-    row.shots = w.site.end(&runtime);
+    row.request_counts = w.site.stop_load(&runtime);
     row.ends.clone_from(&w.ends);
     let all = w.fixture.admitted_requests(ALL);
     row.let_in = all.len();
@@ -375,7 +380,7 @@
     row.told_in_force_lost = w.in_force.iter().filter(differs).count();
     let last = w.one_policy().map_or(0, |(v, _)| v);
     for (version, digest) in w.in_force.iter().filter(differs) {
-        figures.say(&format!(
+        figures.remark(&format!(
             "seed {seed}: version {version} was told as in force with {}",
             &digest[..12]
         ));
@@ -389,15 +394,15 @@
             .expect("the history is written");
     }
     row.told_in_force_lost += w.in_force.keys().filter(|v| **v > last).count();
-    row.twice = w.site.meter.elsewhere();
+    row.twice = w.site.meter.top_ups_at_two_servers();
     row.over_ceiling = w.over_ceiling(&all);
-    figures.say(&format!(
+    figures.remark(&format!(
         "seed {seed}: {} versions, {:?}, {} let in, window {:.1} ms, {:?}",
         row.seen,
         row.ends,
         row.let_in,
         row.window as f64 / 1e3,
-        row.shots
+        row.request_counts
     ));
     row
 }
@@ -413,24 +418,24 @@
         Wrong::Keeper => {
             // Those that were cut off just now are keepers that are lost, too, until they have caught up.
             pause(Duration::from_millis(2 * LEASE_MS));
-            w.site.act(TimelineAction::Kill { who: vec![keeper] });
+            w.site.apply(TimelineAction::Kill { who: vec![keeper] });
         }
-        Wrong::Stopped => w.site.act(TimelineAction::Stop { who: vec![plain] }),
+        Wrong::Stopped => w.site.apply(TimelineAction::Stop { who: vec![plain] }),
         Wrong::CutOff => {
-            w.site.shut(&[plain]);
+            w.site.stop_routing_to(&[plain]);
             w.site.testbed.apply(&TimelineAction::Split {
                 groups: vec![others(plain), vec![plain]],
             });
         }
         Wrong::OneWay => {
             let to = (by + 1 + w.below(ALL - 1)) % ALL;
-            w.site.act(TimelineAction::Cut {
+            w.site.apply(TimelineAction::Cut {
                 from: vec![by],
                 to: vec![to],
             });
         }
         Wrong::Loss => {
-            w.site.act(TimelineAction::Links {
+            w.site.apply(TimelineAction::Links {
                 faults: Faults {
                     loss: 0.3,
                     jitter_ms: 200,
@@ -442,7 +447,7 @@
         Wrong::TwoParts => {
             let in_a = |n: &usize| *n != keeper && (*n < KEEPERS || n.is_multiple_of(2));
             let (a, b): (Vec<usize>, Vec<usize>) = (0..ALL).partition(in_a);
-            w.site.shut(&b);
+            w.site.stop_routing_to(&b);
             by = a[0];
             w.site.testbed.apply(&TimelineAction::Split {
                 groups: vec![a, b.clone()],
@@ -512,11 +517,11 @@
     match wrong {
         Wrong::Proposer => {
             pause(soon);
-            w.site.act(TimelineAction::Kill { who: vec![by] });
+            w.site.apply(TimelineAction::Kill { who: vec![by] });
         }
         Wrong::Keepers => {
             pause(soon);
-            w.site.act(TimelineAction::Kill {
+            w.site.apply(TimelineAction::Kill {
                 who: (0..KEEPERS).collect(),
             });
             pause(Duration::from_secs(1));
@@ -526,7 +531,7 @@
         }
         Wrong::Everybody => {
             pause(soon);
-            w.site.act(TimelineAction::Kill {
+            w.site.apply(TimelineAction::Kill {
                 who: (0..ALL).collect(),
             });
         }
@@ -559,14 +564,14 @@
         .apply(&TimelineAction::Start { who: who.clone() });
     who.iter().for_each(|n| w.site.testbed.wait_ready(*n));
     w.one_policy();
-    w.site.agrees(ALL);
-    w.site.open();
+    w.site.seconds_until_views_agree(ALL);
+    w.site.route_to_running();
 }
 
 /// Microseconds of processor time that a request costs three gateways that talk, with leases or without.
 fn cost(leases: bool) -> f64 {
     const GATEWAYS: usize = 3;
-    let runtime = Runtime::new().expect("a runtime");
+    let runtime = Runtime::new().expect("the Tokio runtime can be built");
     let fixture = PolicyFixture::new(&format!("cost-{leases}"), GATEWAYS, 1_000);
     let table = |n: usize| {
         // What is let in is not written down: that is not for service.
@@ -585,31 +590,31 @@
         |n, _| (n, table(n)),
     );
     site.testbed.start_all();
-    site.agrees(GATEWAYS);
+    site.seconds_until_views_agree(GATEWAYS);
     // Beyond the first lease.
     pause(Duration::from_secs(3));
-    site.open();
-    site.load(runtime.handle(), 9);
+    site.route_to_running();
+    site.start_load(runtime.handle(), 9);
     let used = |site: &Site| {
         let all = site
             .testbed
             .processes
             .iter()
             .filter_map(|p| p.pid().map(cpu));
-        (all.sum::<Duration>(), site.shots().served)
+        (all.sum::<Duration>(), site.request_counts().served)
     };
     pause(Duration::from_secs(1));
     let before = used(&site);
     pause(Duration::from_secs(10));
     let after = used(&site);
-    site.end(&runtime);
+    site.stop_load(&runtime);
     (after.0 - before.0).as_secs_f64() * 1e6 / (after.1 - before.1).max(1) as f64
 }
 
 /// All processes are killed at once, within the writes of a change, again and again.
 pub fn power_loss(seconds: Option<u64>, figures: &mut Figures) {
     let times = seconds.map_or(100, |s| (s as usize / 2).max(3));
-    let runtime = Runtime::new().expect("a runtime");
+    let runtime = Runtime::new().expect("the Tokio runtime can be built");
     let mut w = World::new(runtime.handle(), 3, "power");
     let (mut lost, mut apart, mut told, mut torn) = (0, 0, 0, 0);
     for n in 0..times {
@@ -644,14 +649,14 @@
             .filter(|k| w.fixture.state_directory(*k).join("new").exists())
             .count();
         w.site.testbed.start_all();
-        w.site.agrees(ALL);
+        w.site.seconds_until_views_agree(ALL);
     }
     let last = w.one_policy().map_or(0, |(v, _)| v);
     lost += w.in_force.keys().filter(|v| **v > last).count();
-    figures.show("crashes_of_all", times as f64, "times");
-    figures.show("told_in_force_before", told as f64, "changes");
-    figures.show("writes_cut_off", torn as f64, "writes");
-    figures.show("last_version", last as f64, "versions");
+    figures.record("crashes_of_all", times as f64, "times");
+    figures.record("told_in_force_before", told as f64, "changes");
+    figures.record("writes_cut_off", torn as f64, "writes");
+    figures.record("last_version", last as f64, "versions");
     figures.at_most("told_in_force_and_lost", lost as f64, "changes", 0.0);
     figures.at_most("not_one_policy_in_time", apart as f64, "times", 0.0);
 }
--- a/crates/lab/src/policy_size.rs
+++ b/crates/lab/src/policy_size.rs
@@ -137,10 +137,10 @@
     }
 }
 
-pub fn play(seconds: Option<u64>, figures: &mut Figures) {
+pub fn run(seconds: Option<u64>, figures: &mut Figures) {
     let lasts = seconds.unwrap_or(10);
     let seed = 4;
-    figures.say(&format!(
+    figures.remark(&format!(
         "{ALL} members, {KEEPERS} keepers, a lease of 1 s, ways of 0.5 to 3 ms, seed {seed}"
     ));
     let mut w = World::new(seed);
@@ -201,11 +201,11 @@
     let took = (w.now - began) as f64 / 1e6;
     figures.at_most("change_told", worst_told as f64 / 1e6, "s", 1.0);
     figures.at_most("change_held_by_all", worst_held as f64 / 1e6, "s", 3.0);
-    figures.show("between_two_leases_at_once", without as f64, "members");
+    figures.record("between_two_leases_at_once", without as f64, "members");
     let (bytes, datagrams) = a_second(&w.sent[KEEPERS..], took);
-    figures.show("gateway_bytes_while_changing", bytes, "B/s");
-    figures.show("gateway_datagrams_while_changing", datagrams, "1/s");
+    figures.record("gateway_bytes_while_changing", bytes, "B/s");
+    figures.record("gateway_datagrams_while_changing", datagrams, "1/s");
     let (bytes, datagrams) = a_second(&w.sent[..KEEPERS], took);
-    figures.show("keeper_bytes_while_changing", bytes, "B/s");
-    figures.show("keeper_datagrams_while_changing", datagrams, "1/s");
+    figures.record("keeper_bytes_while_changing", bytes, "B/s");
+    figures.record("keeper_datagrams_while_changing", datagrams, "1/s");
 }
--- a/crates/lab/src/quota_links.rs
+++ b/crates/lab/src/quota_links.rs
@@ -3,7 +3,7 @@
 //! the greedy one gets beyond its quota, and how long after a fault all is as before.
 
 use crate::figures::Figures;
-use crate::load::{self, apart, Got, Load, Shape, CHECK};
+use crate::load::{self, poisson_interval, Load, Outcome, RequestSpec, CHECK};
 use crate::servers::{all_ready, Server};
 use crate::site::{pause, Node};
 use crate::testbed::{fleet_file, Faults, Process, Relay, Testbed, TimelineAction};
@@ -102,7 +102,7 @@
 }
 
 #[derive(Clone, Copy)]
-struct Shot {
+struct Sample {
     due: f64,
     customer: u32,
     served: bool,
@@ -122,7 +122,7 @@
     over_ceiling: f64,
 }
 
-pub fn play(seconds: Option<u64>, figures: &mut Figures) {
+pub fn run(seconds: Option<u64>, figures: &mut Figures) {
     let lasts = Duration::from_secs(seconds.unwrap_or(10));
     let next = Mutex::new(faults().into_iter().enumerate());
     let rows = Mutex::new(Vec::new());
@@ -130,22 +130,22 @@
         // Installations at once: they share this machine's cores.
         for _ in 0..4 {
             s.spawn(|| loop {
-                let Some((n, fault)) = next.lock().expect("faults").next() else {
+                let Some((n, fault)) = next.lock().expect("lock is not poisoned").next() else {
                     return;
                 };
                 let row = one(&fault, lasts, n as u64);
-                rows.lock().expect("rows").push((n, row));
+                rows.lock().expect("lock is not poisoned").push((n, row));
             });
         }
     });
-    let mut rows = rows.into_inner().expect("rows");
+    let mut rows = rows.into_inner().expect("lock is not poisoned");
     rows.sort_by_key(|(n, _)| *n);
     for (_, r) in rows {
         let name = |what: &str| format!("{}_{what}", r.name);
         figures.at_least(&name("honest_during"), r.during, "of-asked", 0.95);
         figures.at_least(&name("honest_2s_after"), r.right_after, "of-asked", 0.95);
         figures.at_least(&name("honest_later"), r.later, "of-asked", 0.99);
-        figures.show(&name("greedy_during"), r.greedy[0], "units/s");
+        figures.record(&name("greedy_during"), r.greedy[0], "units/s");
         figures.at_least(&name("greedy_after"), r.greedy[1], "units/s", 0.9 * QUOTA.0);
         figures.at_most(
             &name("over_quota"),
@@ -158,11 +158,11 @@
 }
 
 fn one(fault: &Fault, lasts: Duration, seed: u64) -> Row {
-    let runtime = Runtime::new().expect("a runtime");
-    let on = runtime.handle();
-    let servers: Vec<Server> = (0..8).map(|_| Server::start(on, false)).collect();
+    let runtime = Runtime::new().expect("the Tokio runtime can be built");
+    let handle = runtime.handle();
+    let servers: Vec<Server> = (0..8).map(|_| Server::start(handle, false)).collect();
     let agent = Discovery::new(&all_ready(&servers));
-    let relay = Relay::new(on, GATEWAYS, seed);
+    let relay = Relay::new(handle, GATEWAYS, seed);
     let key = write_config_file("a key of the lab's own, long enough for all");
     let processes = (0..GATEWAYS).map(|me| {
         let discovery = agent.address;
@@ -179,32 +179,34 @@
     let mut testbed = Testbed::new(processes.collect(), relay);
     testbed.start_all();
     testbed.wait_until_all_found();
-    let load = Load::to(testbed.addresses());
-    let shots: Arc<Mutex<Vec<Shot>>> = Arc::default();
+    let load = Load::new(testbed.addresses());
+    let samples: Arc<Mutex<Vec<Sample>>> = Arc::default();
     let start = Instant::now() + Duration::from_millis(100);
     let length = BEFORE + lasts + AFTER;
     let there = Arc::new(Mutex::new([true; GATEWAYS]));
     let load = Arc::new(Mutex::new(load));
     let tasks = [HONEST, GREEDY].map(|(key, per_s, parts)| {
-        let (load, shots, there) = (load.clone(), shots.clone(), there.clone());
-        on.spawn(ask(load, shots, there, start, length, key, per_s, parts))
+        let (load, samples, there) = (load.clone(), samples.clone(), there.clone());
+        handle.spawn(run_customer(
+            load, samples, there, start, length, key, per_s, parts,
+        ))
     });
     pause((start + BEFORE).saturating_duration_since(Instant::now()));
     let tell = |testbed: &Testbed| {
         for (n, p) in testbed.processes.iter().enumerate() {
-            there.lock().expect("who is there")[n] = p.is_running();
+            there.lock().expect("lock is not poisoned")[n] = p.is_running();
         }
     };
     if let TimelineAction::Kill { who } | TimelineAction::Stop { who } = &fault.begin {
         who.iter()
-            .for_each(|w| there.lock().expect("who is there")[*w] = false);
+            .for_each(|w| there.lock().expect("lock is not poisoned")[*w] = false);
     }
     testbed.apply(&fault.begin);
     pause((start + BEFORE + lasts).saturating_duration_since(Instant::now()));
     testbed.apply(&fault.end);
     if let TimelineAction::Start { who } = &fault.end {
         who.iter().for_each(|w| testbed.wait_ready(*w));
-        *load.lock().expect("the load") = Load::to(testbed.addresses());
+        *load.lock().expect("lock is not poisoned") = Load::new(testbed.addresses());
     }
     tell(&testbed);
     runtime.block_on(async {
@@ -213,14 +215,14 @@
         }
     });
     let _ = std::fs::remove_file(&key);
-    let shots = shots.lock().expect("shots");
-    row(fault.name, lasts, &shots)
+    let samples = samples.lock().expect("lock is not poisoned");
+    row(fault.name, lasts, &samples)
 }
 
 #[allow(clippy::too_many_arguments)]
-async fn ask(
+async fn run_customer(
     load: Arc<Mutex<Load>>,
-    shots: Arc<Mutex<Vec<Shot>>>,
+    samples: Arc<Mutex<Vec<Sample>>>,
     there: Arc<Mutex<[bool; GATEWAYS]>>,
     start: Instant,
     length: Duration,
@@ -232,7 +234,7 @@
     let mut due = Duration::ZERO;
     let mut out = tokio::task::JoinSet::new();
     loop {
-        due += apart(&mut rng, per_s);
+        due += poisson_interval(&mut rng, per_s);
         if due >= length {
             break;
         }
@@ -245,35 +247,39 @@
         let gateway = parts.iter().position(part).unwrap_or(0);
         let id = u64::from(rng.next_u32()) << 32 | u64::from(key);
         tokio::time::sleep_until(start + due).await;
-        let (load, shots) = (load.lock().expect("the load").clone(), shots.clone());
-        let taken = there.lock().expect("who is there")[gateway];
+        let (load, samples) = (
+            load.lock().expect("lock is not poisoned").clone(),
+            samples.clone(),
+        );
+        let taken = there.lock().expect("lock is not poisoned")[gateway];
         out.spawn(async move {
-            let shape = Shape {
+            let shape = RequestSpec {
                 class: CHECK,
                 plan: PLAN,
                 customer: key,
                 units: 1,
                 id,
             };
-            let served = taken && load.ask(gateway, shape, start + due).await == Got::Served;
-            let shot = Shot {
+            let served =
+                taken && load.send_request(gateway, shape, start + due).await == Outcome::Served;
+            let sample = Sample {
                 due: due.as_secs_f64(),
                 customer: key,
                 served,
                 taken,
             };
-            shots.lock().expect("shots").push(shot);
+            samples.lock().expect("lock is not poisoned").push(sample);
         });
         while out.try_join_next().is_some() {}
     }
     while out.join_next().await.is_some() {}
 }
 
-fn row(name: &'static str, lasts: Duration, shots: &[Shot]) -> Row {
+fn row(name: &'static str, lasts: Duration, samples: &[Sample]) -> Row {
     let (from, to) = (BEFORE.as_secs_f64(), (BEFORE + lasts).as_secs_f64());
     let end = to + AFTER.as_secs_f64();
     let of = |key: u32, a: f64, b: f64| {
-        let these = shots
+        let these = samples
             .iter()
             .filter(|s| s.customer == key && s.taken && (a..b).contains(&s.due));
         let (asked, served) = these.fold((0.0, 0.0), |(n, k), s| {
@@ -281,8 +287,8 @@
         });
         (served / f64::max(asked, 1.0), served / (b - a))
     };
-    let beyond = |(rate, depth): (f64, f64)| {
-        let mut due: Vec<f64> = shots
+    let units_over_bucket = |(rate, depth): (f64, f64)| {
+        let mut due: Vec<f64> = samples
             .iter()
             .filter(|s| s.served && s.customer == GREEDY.0)
             .map(|s| s.due)
@@ -290,7 +296,7 @@
         due.sort_by(f64::total_cmp);
         let uses: Vec<(f64, f64)> = due.into_iter().map(|t| (t, 1.0)).collect();
         // A request is on its way for a moment: what came within it may have been sent in any order.
-        load::beyond(&uses, rate, depth + rate * 0.15, from, f64::INFINITY)
+        load::units_over_bucket(&uses, rate, depth + rate * 0.15, from, f64::INFINITY)
     };
     Row {
         name,
@@ -298,7 +304,7 @@
         right_after: of(HONEST.0, to, to + 2.0).0,
         later: of(HONEST.0, to + 2.0, end).0,
         greedy: [of(GREEDY.0, from + 1.0, to).1, of(GREEDY.0, to, end).1],
-        over_quota: beyond(QUOTA),
-        over_ceiling: beyond(CEILING),
+        over_quota: units_over_bucket(QUOTA),
+        over_ceiling: units_over_bucket(CEILING),
     }
 }
--- a/crates/lab/src/servers.rs
+++ b/crates/lab/src/servers.rs
@@ -1,4 +1,5 @@
-//! Servers with cores: a request takes its work, longer while the server is cold, and waits while all cores are busy.
+//! Simulated servers with a fixed number of cores: a request occupies a core for its work, longer while the server is cold, and
+//! queues while all cores are busy. The [`Meter`] reports customers' usage in the answers.
 
 use frosthatch_test_doubles::endpoint_entry;
 use std::collections::hash_map::Entry;
@@ -14,93 +15,109 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::sleep;
 
-/// How servers warm, as the settings tell the gateways.
+/// Share of its capacity that a server has when it starts, as in the gateways' settings (`coldFrom`).
 pub const COLD_FROM: f64 = 0.27;
+/// Time until a server has its full capacity, as in the gateways' settings (`coldUs`).
 pub const WARM_AFTER: Duration = Duration::from_secs(18);
+/// Requests that a server processes concurrently.
 const CORES: usize = 2;
 
-/// Mean work of a request, by its path.
+/// Returns the mean processing time of a request by its path.
 fn mean_work(path: &str) -> Duration {
     Duration::from_millis(if path.starts_with("/top-up") { 10 } else { 18 })
 }
 
-/// A first attempt as it came to a server.
+/// Arrival of a request's first attempt at a server.
 #[derive(Clone)]
 pub struct Use {
     pub at: Instant,
     pub customer: u32,
 }
 
-/// Adds up what customers use over all servers, and tells it in answers, late: the use in a period that has finished, in
-/// percent of the plan's rate.
+/// Sums customers' usage over all servers and reports it in answers, delayed: the usage of a completed 1 s period, in percent of
+/// the plan's rate.
 pub struct Meter {
     start: Instant,
     rates: HashMap<u32, f64>,
-    of: Mutex<Metered>,
+    metered: Mutex<Metered>,
+    /// Answers carry no usage while this is set.
     pub lost: AtomicBool,
 }
 
 #[derive(Default)]
 struct Metered {
-    /// Which server saw a request first, and top-ups that came to another one as well.
+    /// Server that received each request first.
     seen: HashMap<String, u64>,
-    elsewhere: usize,
+    /// Top-ups that reached a second server as well.
+    top_ups_at_two_servers: usize,
     uses: Vec<Use>,
-    /// By customer and period.
+    /// Units by customer and period.
     periods: HashMap<(u32, u64), f64>,
 }
 
-/// A finished period is told so long after its end.
-const METER_LATE: Duration = Duration::from_millis(600);
+/// Delay between the end of a period and its first report.
+const METER_DELAY: Duration = Duration::from_millis(600);
 
 impl Meter {
-    /// `rates`: units a second of each customer. The low half of a request's id names its customer.
+    /// Creates a meter; `rates` are the units per second of each customer. The low half of a request's id is its customer.
     pub fn new(rates: impl Iterator<Item = (u32, f64)>) -> Arc<Meter> {
         let (start, rates) = (Instant::now(), rates.collect());
         Arc::new(Meter {
             start,
             rates,
-            of: Mutex::default(),
+            metered: Mutex::default(),
             lost: AtomicBool::new(false),
         })
     }
 
-    /// All that was used so far, in the order in which it came.
+    /// Returns all usage so far in order of arrival.
     pub fn uses(&self) -> Vec<Use> {
-        self.of.lock().expect("uses").uses.clone()
+        self.metered
+            .lock()
+            .expect("lock is not poisoned")
+            .uses
+            .clone()
     }
 
-    /// Top-ups that came to two servers: each has its own memory of repeats.
-    pub fn elsewhere(&self) -> usize {
-        self.of.lock().expect("uses").elsewhere
+    /// Returns the number of top-ups that reached two servers, each of which deduplicates only its own requests.
+    pub fn top_ups_at_two_servers(&self) -> usize {
+        self.metered
+            .lock()
+            .expect("lock is not poisoned")
+            .top_ups_at_two_servers
     }
 
-    /// Notes a request of one unit at a server; the header that its answer tells.
-    fn note(&self, id: &str, server: u64, top_up: bool) -> String {
+    /// Records a request of one unit at a server, and returns the usage header of its answer.
+    fn record_use(&self, id: &str, server: u64, top_up: bool) -> String {
         let now = Instant::now();
         let customer = u64::from_str_radix(id, 16).unwrap_or(0) as u32;
-        let mut of = self.of.lock().expect("uses");
-        let first = match of.seen.entry(id.into()) {
+        let mut metered = self.metered.lock().expect("lock is not poisoned");
+        let first = match metered.seen.entry(id.into()) {
             Entry::Vacant(place) => {
                 place.insert(server);
                 true
             }
             Entry::Occupied(place) => {
                 let other = *place.get() != server;
-                of.elsewhere += usize::from(other && top_up);
+                metered.top_ups_at_two_servers += usize::from(other && top_up);
                 false
             }
         };
         if first {
-            of.uses.push(Use { at: now, customer });
-            *of.periods
+            metered.uses.push(Use { at: now, customer });
+            *metered
+                .periods
                 .entry((customer, (now - self.start).as_secs()))
                 .or_default() += 1.0;
         }
-        let told = (now - self.start).saturating_sub(METER_LATE).as_secs();
-        match (self.rates.get(&customer), told.checked_sub(1)) {
+        let reported_until = (now - self.start).saturating_sub(METER_DELAY).as_secs();
+        match (self.rates.get(&customer), reported_until.checked_sub(1)) {
             (Some(rate), Some(period)) if !self.lost.load(Ordering::SeqCst) => {
-                let used = of.periods.get(&(customer, period)).copied().unwrap_or(0.0);
+                let used = metered
+                    .periods
+                    .get(&(customer, period))
+                    .copied()
+                    .unwrap_or(0.0);
                 format!("X-RateLimit-Used: {:.1}\r\n", 100.0 * used / rate)
             }
             _ => String::new(),
@@ -108,31 +125,33 @@
     }
 }
 
-/// Servers are numbered as they start.
-static STARTED: AtomicU64 = AtomicU64::new(0);
+/// Number of the next server to start.
+static NEXT_SERVER_NUMBER: AtomicU64 = AtomicU64::new(0);
 
 struct State {
     number: u64,
     meter: Option<Arc<Meter>>,
-    born: Option<Instant>,
+    started_at: Option<Instant>,
     cores: Semaphore,
-    /// What comes of a request.
+    /// A [`Mode`].
     mode: AtomicU8,
-    /// When each request came, and the work that it takes.
+    /// Arrival time and work of each request.
     arrivals: Mutex<Vec<(Instant, Duration)>>,
 }
 
-/// What a server does with what comes.
+/// How a server handles requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[repr(u8)]
 pub enum Mode {
-    Well,
-    /// An error at once.
+    /// Processes the request and answers 200.
+    Normal,
+    /// Answers 500 at once.
     Failing,
-    /// Ten times the work.
+    /// Takes ten times the work.
     Slow,
 }
 
+/// A running server that ends on drop.
 pub struct Server {
     pub address: SocketAddr,
     state: Arc<State>,
@@ -140,41 +159,47 @@
 }
 
 impl Server {
-    /// `cold`: it starts now; else long ago.
-    pub fn start(on: &Handle, cold: bool) -> Server {
-        Server::start_at(on, ([127, 0, 0, 1], 0).into(), cold)
+    /// Starts a server on an ephemeral port; one that is not `cold` has its full capacity at once.
+    pub fn start(handle: &Handle, cold: bool) -> Server {
+        Server::start_at(handle, ([127, 0, 0, 1], 0).into(), cold)
     }
 
-    pub fn start_at(on: &Handle, at: SocketAddr, cold: bool) -> Server {
-        Server::with_meter(on, at, cold, None)
+    /// Starts a server that listens on `at`.
+    pub fn start_at(handle: &Handle, at: SocketAddr, cold: bool) -> Server {
+        Server::with_meter(handle, at, cold, None)
     }
 
+    /// Starts a server whose answers report usage by `meter`.
     pub fn with_meter(
-        on: &Handle,
+        handle: &Handle,
         at: SocketAddr,
         cold: bool,
         meter: Option<Arc<Meter>>,
     ) -> Server {
-        let listener = std::net::TcpListener::bind(at).expect("a port");
-        let address = listener.local_addr().expect("an address");
-        listener.set_nonblocking(true).expect("a listener");
-        let born = cold.then(Instant::now);
-        let number = STARTED.fetch_add(1, Ordering::SeqCst);
+        let listener = std::net::TcpListener::bind(at).expect("a loopback port can be bound");
+        let address = listener
+            .local_addr()
+            .expect("a bound socket has a local address");
+        listener
+            .set_nonblocking(true)
+            .expect("the listener can be made non-blocking");
+        let started_at = cold.then(Instant::now);
+        let number = NEXT_SERVER_NUMBER.fetch_add(1, Ordering::SeqCst);
         let state = State {
             number,
             meter,
-            born,
+            started_at,
             cores: Semaphore::new(CORES),
-            mode: AtomicU8::new(Mode::Well as u8),
+            mode: AtomicU8::new(Mode::Normal as u8),
             arrivals: Mutex::default(),
         };
         let state = Arc::new(state);
         let serving = state.clone();
-        let task = on.spawn(async move {
+        let task = handle.spawn(async move {
             let Ok(listener) = TcpListener::from_std(listener) else {
                 return;
             };
-            // Dropped with this task, and its connections with it.
+            // Dropping this task drops the set and so closes all connections.
             let mut open = JoinSet::new();
             loop {
                 tokio::select! {
@@ -196,30 +221,35 @@
         self.state.mode.store(mode as u8, Ordering::SeqCst);
     }
 
-    /// Requests that came since then.
-    pub fn came_since(&self, since: Instant) -> usize {
+    /// Returns the number of requests that arrived since `since`.
+    pub fn requests_since(&self, since: Instant) -> usize {
         self.state
             .arrivals
             .lock()
-            .expect("arrivals")
+            .expect("lock is not poisoned")
             .iter()
             .rev()
             .take_while(|(at, _)| *at >= since)
             .count()
     }
 
-    /// Its process dies: connections are reset, new ones refused.
+    /// Simulates a crash: connections are reset and new ones refused.
     pub fn kill(&self) {
         self.task.abort();
     }
 
-    pub fn served(&self) -> usize {
-        self.state.arrivals.lock().expect("arrivals").len()
+    /// Returns the number of requests received.
+    pub fn request_count(&self) -> usize {
+        self.state
+            .arrivals
+            .lock()
+            .expect("lock is not poisoned")
+            .len()
     }
 
-    /// How long after that time the last request came; none if none did.
-    pub fn last_after(&self, since: Instant) -> Option<Duration> {
-        let arrivals = self.state.arrivals.lock().expect("arrivals");
+    /// Returns how long after `since` the last request arrived, or `None` if there was none.
+    pub fn last_request_after(&self, since: Instant) -> Option<Duration> {
+        let arrivals = self.state.arrivals.lock().expect("lock is not poisoned");
         arrivals
             .iter()
             .rev()
@@ -227,12 +257,12 @@
             .map(|(at, _)| *at - since)
     }
 
-    /// The most work that came within any such window, as a multiple of what the server could do in it.
-    pub fn worst_multiple(&self, window: Duration) -> f64 {
-        let Some(born) = self.state.born else {
+    /// Returns the maximum work that arrived within any period of `window`, as a multiple of the server's capacity in it.
+    pub fn max_overload_ratio(&self, window: Duration) -> f64 {
+        let Some(started_at) = self.state.started_at else {
             return 0.0;
         };
-        let arrivals = self.state.arrivals.lock().expect("arrivals");
+        let arrivals = self.state.arrivals.lock().expect("lock is not poisoned");
         let (mut from, mut work, mut worst) = (0, Duration::ZERO, 0.0f64);
         for (n, (at, w)) in arrivals.iter().enumerate() {
             work += *w;
@@ -240,10 +270,13 @@
                 work -= arrivals[from].1;
                 from += 1;
             }
-            // At the window's start it could do least; before it was born nothing.
-            let start = at.checked_sub(window).map_or(born, |s| s.max(born));
-            let can = window.as_secs_f64() * CORES as f64 * warmth(Some(born), start);
-            worst = worst.max(work.as_secs_f64() / can);
+            // The capacity is lowest at the start of the window, and none exists before the server starts.
+            let start = at
+                .checked_sub(window)
+                .map_or(started_at, |s| s.max(started_at));
+            let capacity_s =
+                window.as_secs_f64() * CORES as f64 * capacity_share(Some(started_at), start);
+            worst = worst.max(work.as_secs_f64() / capacity_s);
             debug_assert!(from <= n);
         }
         worst
@@ -256,10 +289,10 @@
     }
 }
 
-/// Share of its capacity at a time.
-fn warmth(born: Option<Instant>, now: Instant) -> f64 {
-    let Some(born) = born else { return 1.0 };
-    let age = now.saturating_duration_since(born).as_secs_f64() / WARM_AFTER.as_secs_f64();
+/// Returns the share of a server's full capacity at `now`; `start` is `None` for a warm server.
+fn capacity_share(start: Option<Instant>, now: Instant) -> f64 {
+    let Some(start) = start else { return 1.0 };
+    let age = now.saturating_duration_since(start).as_secs_f64() / WARM_AFTER.as_secs_f64();
     COLD_FROM + (1.0 - COLD_FROM) * age.min(1.0)
 }
 
@@ -291,24 +324,25 @@
         buffer.drain(..end + length);
         let id = header("x-trace-id").unwrap_or_default();
         let path = head.split(' ').nth(1).unwrap_or("");
-        // Drawn from the id, so that a further attempt takes the same: half to one and a half of the mean.
-        let chance = u64::from_str_radix(&id, 16)
+        // The work is 0.5 to 1.5 times the mean, derived from the id so that a further attempt takes the same work.
+        let random_bits = u64::from_str_radix(&id, 16)
             .unwrap_or(0)
             .wrapping_mul(0x9E37_79B9_7F4A_7C15)
             >> 32;
-        let work = mean_work(path).mul_f64(0.5 + chance as f64 / f64::from(u32::MAX));
+        let work = mean_work(path).mul_f64(0.5 + random_bits as f64 / f64::from(u32::MAX));
         state
             .arrivals
             .lock()
-            .expect("arrivals")
+            .expect("lock is not poisoned")
             .push((Instant::now(), work));
-        let told = state.meter.as_ref().map_or(String::new(), |meter| {
-            meter.note(&id, state.number, path.starts_with("/top-up"))
+        let usage_header = state.meter.as_ref().map_or(String::new(), |meter| {
+            meter.record_use(&id, state.number, path.starts_with("/top-up"))
         });
         let mode = state.mode.load(Ordering::SeqCst);
         if mode == Mode::Failing as u8 {
-            let answer =
-                format!("HTTP/1.1 500 Internal Server Error\r\n{told}Content-Length: 0\r\n\r\n");
+            let answer = format!(
+                "HTTP/1.1 500 Internal Server Error\r\n{usage_header}Content-Length: 0\r\n\r\n"
+            );
             if stream.write_all(answer.as_bytes()).await.is_err() {
                 return;
             }
@@ -322,10 +356,10 @@
         let Ok(core) = state.cores.acquire().await else {
             return;
         };
-        sleep(work.div_f64(warmth(state.born, Instant::now()))).await;
+        sleep(work.div_f64(capacity_share(state.started_at, Instant::now()))).await;
         drop(core);
         let answer = format!(
-            "HTTP/1.1 200 OK\r\n{told}Content-Length: {}\r\n\r\n{id}",
+            "HTTP/1.1 200 OK\r\n{usage_header}Content-Length: {}\r\n\r\n{id}",
             id.len()
         );
         if stream.write_all(answer.as_bytes()).await.is_err() {
@@ -334,7 +368,7 @@
     }
 }
 
-/// The list in which all of them are ready, in one cell.
+/// Formats the endpoint list in which all servers are ready and in one cell.
 pub fn all_ready(servers: &[Server]) -> String {
     let one = |(n, s): (usize, &Server)| endpoint_entry(&format!("s{n}"), s.address, 1, "Ready");
     servers
--- a/crates/lab/src/site.rs
+++ b/crates/lab/src/site.rs
@@ -1,4 +1,4 @@
-//! An installation: the gateways' files and processes, and what they share.
+//! Building blocks of an installation: building and starting gateways, their configuration files, and process statistics.
 
 use frosthatch_test_doubles::{gateway_binary, Gateway};
 use std::net::{SocketAddr, UdpSocket};
@@ -7,8 +7,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Builds the gateway beside this program, in the same profile.
-pub fn build() -> Result<(), String> {
+/// Builds the gateway binary in the same Cargo profile as this program.
+pub fn build_gateway() -> Result<(), String> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let cargo = std::env::var("CARGO").unwrap_or_else(|_| "cargo".into());
     let mut command = Command::new(cargo);
@@ -20,45 +20,51 @@
     }
     match command.status() {
         Ok(status) if status.success() => Ok(()),
-        Ok(_) => Err("the gateway does not build".into()),
-        // Moved to where there is no cargo: what stands beside this program has to do.
-        Err(_) if program_there() => Ok(()),
-        Err(e) => Err(format!("cargo cannot be run: {e}")),
+        Ok(_) => Err("`cargo build --package frosthatch` failed".into()),
+        // Without Cargo on this machine, an existing gateway binary beside this program is used.
+        Err(_) if gateway_binary_exists() => Ok(()),
+        Err(e) => Err(format!("cannot run cargo: {e}")),
     }
 }
 
-fn program_there() -> bool {
+fn gateway_binary_exists() -> bool {
     std::panic::catch_unwind(gateway_binary).is_ok()
 }
 
-static ENDING: AtomicBool = AtomicBool::new(false);
+static INTERRUPTED: AtomicBool = AtomicBool::new(false);
 
-/// Ctrl-C and SIGTERM end the scenario at its next pause, by unwinding: every child ends with its handle.
-pub fn end_on_signal() {
+/// Makes Ctrl-C and SIGTERM end the scenario at its next [`pause`]. The scenario ends by unwinding, so that the handles of
+/// all child processes are dropped and the processes end.
+pub fn interrupt_on_signal() {
     std::thread::spawn(|| {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
-            .expect("a runtime");
+            .expect("the Tokio runtime can be built");
         runtime.block_on(async {
             use tokio::signal::unix::{signal, SignalKind};
-            let mut term = signal(SignalKind::terminate()).expect("a signal");
+            let mut term =
+                signal(SignalKind::terminate()).expect("the SIGTERM handler can be registered");
             tokio::select! {
                 _ = tokio::signal::ctrl_c() => {}
                 _ = term.recv() => {}
             }
-            ENDING.store(true, Ordering::SeqCst);
+            INTERRUPTED.store(true, Ordering::SeqCst);
         });
     });
 }
 
-/// The scenario was told to end.
+/// Panic payload of a scenario that Ctrl-C or SIGTERM interrupted.
 pub struct Interrupted;
 
+/// Sleeps for `time`.
+///
+/// # Panics
+/// Unwinds with [`Interrupted`] after Ctrl-C or SIGTERM, if [`interrupt_on_signal`] was called.
 pub fn pause(time: Duration) {
     let until = Instant::now() + time;
     loop {
-        if ENDING.load(Ordering::SeqCst) {
+        if INTERRUPTED.load(Ordering::SeqCst) {
             std::panic::resume_unwind(Box::new(Interrupted));
         }
         let left = until.saturating_duration_since(Instant::now());
@@ -69,7 +75,10 @@
     }
 }
 
-/// Waits until it holds; a scenario that cannot go on ends.
+/// Waits until `holds` returns true.
+///
+/// # Panics
+/// Panics with `what` after 60 s, which ends the scenario.
 pub fn until(what: &str, holds: impl Fn() -> bool) {
     let since = Instant::now();
     while !holds() {
@@ -78,7 +87,8 @@
     }
 }
 
-/// The lab's own day: the brief's two classes, a plan with room for everybody and one with a ceiling.
+/// Returns the platform settings of one gateway: two classes, one plan with ample quota, one with a low quota and a ceiling,
+/// and two plans that the shared counter enforces.
 fn settings(gateways: usize, me: usize) -> String {
     format!(
         r#"{{"balancers":{gateways},"me":{me},"zone":"hall-a","discovery":"pushed",
@@ -94,12 +104,15 @@
     )
 }
 
-/// What one gateway is told.
+/// Configuration of one gateway process.
 pub struct Node {
     pub gateways: usize,
+    /// Index of this gateway, below `gateways`.
     pub me: usize,
+    /// Address of the endpoint list agent.
     pub discovery: SocketAddr,
     pub counter: Option<SocketAddr>,
+    /// Maximum number of open sockets.
     pub sockets: usize,
     pub memory_mb: usize,
 }
@@ -119,33 +132,33 @@
         )
     }
 
-    /// Starts the real program; what it logs goes to standard error.
+    /// Starts the gateway, waits until it is ready, and copies its log to standard error.
     pub fn start(&self, operator: Option<&Path>) -> Gateway {
         self.start_with_log(operator, |line| eprintln!("gateway: {line}"))
     }
 
-    /// The same; what it logs goes line by line to `log`.
+    /// Starts the gateway, waits until it is ready, and passes each line of its log to `log`.
     pub fn start_with_log(
         &self,
         operator: Option<&Path>,
         log: impl Fn(&str) + Send + 'static,
     ) -> Gateway {
         let gateway = self.launch(operator, log);
-        until("a gateway gets ready", || gateway.is_ready());
+        until("the gateway reports ready", || gateway.is_ready());
         gateway
     }
 
-    /// The same, and does not wait until it is ready.
+    /// Starts the gateway without waiting until it is ready, and passes each line of its log to `log`.
     pub fn launch(&self, operator: Option<&Path>, log: impl Fn(&str) + Send + 'static) -> Gateway {
-        let words = operator.map_or_else(Vec::new, |f| {
+        let arguments = operator.map_or_else(Vec::new, |f| {
             vec!["--operator".to_string(), f.display().to_string()]
         });
-        let words: Vec<&str> = words.iter().map(String::as_str).collect();
-        Gateway::start_with_log(&self.config(), &words, log)
+        let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
+        Gateway::start_with_log(&self.config(), &arguments, log)
     }
 }
 
-/// An operator's file that goes with its handle.
+/// An operator configuration file that is deleted on drop.
 pub struct OperatorFile(PathBuf);
 
 impl OperatorFile {
@@ -164,10 +177,10 @@
     }
 }
 
-/// CPU that a process has used, by the kernel's clock ticks of 10 ms.
+/// Returns the CPU time that a process has used, in the kernel's clock ticks of 10 ms.
 pub fn cpu(process: u32) -> Duration {
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).unwrap_or_default();
-    // The name in parentheses may hold anything.
+    // The process name in parentheses may contain spaces and parentheses: fields are counted from the last one.
     let fields: Vec<&str> = stat
         .rsplit(')')
         .next()
@@ -183,7 +196,7 @@
     Duration::from_millis(10 * (ticks(11) + ticks(12)))
 }
 
-/// Memory that a process holds, in MB.
+/// Returns the resident memory of a process in MB, or NaN if it cannot be read.
 pub fn memory_mb(process: u32) -> f64 {
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
@@ -191,7 +204,7 @@
     kb.map_or(f64::NAN, |kb| kb / 1024.0)
 }
 
-/// The operator's file of gateways that talk to each other; none if they do not.
+/// Operator file and key file of gateways that exchange usage with each other.
 pub struct Peers {
     file: OperatorFile,
     key: PathBuf,
@@ -199,11 +212,16 @@
 
 impl Peers {
     pub fn new(gateways: usize) -> Peers {
-        // Ports that are free now; whoever takes one of them meanwhile makes the gateway say so and end.
+        // The ports are free now; if another process takes one before the gateway binds it, the gateway logs that and exits.
         let sockets: Vec<UdpSocket> = (0..gateways)
-            .map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port"))
+            .map(|_| UdpSocket::bind("127.0.0.1:0").expect("a loopback port can be bound"))
             .collect();
-        let at = |s: &UdpSocket| format!("\"{}\"", s.local_addr().expect("an address"));
+        let at = |s: &UdpSocket| {
+            format!(
+                "\"{}\"",
+                s.local_addr().expect("a bound socket has a local address")
+            )
+        };
         let addresses: Vec<String> = sockets.iter().map(at).collect();
         let key = frosthatch_test_doubles::write_config_file(
             "a key of the lab's own, long enough for all",
--- a/crates/lab/src/soak/agent.rs
+++ b/crates/lab/src/soak/agent.rs
@@ -1,4 +1,4 @@
-//! The list agent of each gateway, in whatever mood; and the list that all of them tell.
+//! Endpoint list agents of the soak, one per gateway, with switchable fault modes, and the endpoint list that all of them serve.
 
 use super::record::History;
 use std::collections::BTreeMap;
@@ -11,29 +11,31 @@
 use tokio::runtime::Handle;
 use tokio::time::sleep;
 
-/// How often an agent looks for news.
-const LOOK: Duration = Duration::from_millis(5);
-/// Calls of a time of trouble may be waited for so long.
-const TROUBLE_LASTS: Duration = Duration::from_millis(2_000);
-/// Whatever an agent does, a change counts as told after this.
-pub const TOLD_WITHIN: Duration = Duration::from_secs(6);
+/// Interval at which a waiting call checks for a new list.
+const LIST_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// Time after a fault mode within which the gateway may still wait for calls that it made during the fault.
+const FAULT_AFTERMATH: Duration = Duration::from_millis(2_000);
+/// Time after which a gateway is considered to know a change, whatever its agent does.
+pub const CHANGE_KNOWN_WITHIN: Duration = Duration::from_secs(6);
 
-/// How one gateway's agent behaves.
+/// How the agent of one gateway behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
-pub enum Mood {
-    Telling = 0,
-    /// Calls that wait are never answered, others are.
-    DeafToWatches = 1,
-    /// It answers nothing and learns nothing.
+pub enum Mode {
+    /// Answers all calls.
+    Normal = 0,
+    /// Long polls are never answered; other calls are.
+    IgnoresLongPolls = 1,
+    /// Answers nothing and receives no list.
     Down = 2,
-    /// Each answer takes over a second.
+    /// Each answer takes more than one second.
     Slow = 3,
-    /// Calls that wait end by a close.
-    EndsWatches = 4,
+    /// Long polls end with a closed connection.
+    ClosesLongPolls = 4,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// State of a server in the list.
 pub enum State {
     Ready,
     Draining,
@@ -47,7 +49,7 @@
     state: State,
 }
 
-/// The list of servers, as discovery has it.
+/// The current endpoint list.
 #[derive(Default)]
 pub struct List {
     rev: u64,
@@ -76,40 +78,48 @@
     }
 }
 
-/// One gateway's agent. It stands at two addresses, as a new configuration may move discovery.
+/// The agent of one gateway. It listens on two addresses, since a reload may change the discovery address.
 pub struct Agent {
     gateway: usize,
     pub addresses: [SocketAddr; 2],
-    mood: AtomicU8,
-    /// The list as this agent has it.
-    known: Mutex<(u64, String)>,
-    /// Changes that the gateway has not heard of: which server, and the version that tells it.
-    untold: Mutex<Vec<(String, u64)>>,
-    /// When it last was in another mood than telling, or an answer of such a time was still on its way.
-    troubled_at: Mutex<Option<Instant>>,
+    mode: AtomicU8,
+    /// Version and text of the list that this agent serves.
+    served_list: Mutex<(u64, String)>,
+    /// Removals that the gateway has not received: server, and the first list version without it.
+    undelivered_removals: Mutex<Vec<(String, u64)>>,
+    /// When the agent last left a fault mode or finished an answer that such a mode had delayed.
+    last_fault_at: Mutex<Option<Instant>>,
     history: Arc<History>,
 }
 
 impl Agent {
-    pub fn start(on: &Handle, gateway: usize, history: &Arc<History>) -> Arc<Agent> {
+    pub fn start(handle: &Handle, gateway: usize, history: &Arc<History>) -> Arc<Agent> {
         let listen = || {
-            let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-            listener.set_nonblocking(true).expect("a listener");
-            (listener.local_addr().expect("an address"), listener)
+            let listener =
+                std::net::TcpListener::bind("127.0.0.1:0").expect("a loopback port can be bound");
+            listener
+                .set_nonblocking(true)
+                .expect("the listener can be made non-blocking");
+            (
+                listener
+                    .local_addr()
+                    .expect("a bound socket has a local address"),
+                listener,
+            )
         };
         let (first, second) = (listen(), listen());
         let agent = Arc::new(Agent {
             gateway,
             addresses: [first.0, second.0],
-            mood: AtomicU8::new(Mood::Telling as u8),
-            known: Mutex::default(),
-            untold: Mutex::default(),
-            troubled_at: Mutex::default(),
+            mode: AtomicU8::new(Mode::Normal as u8),
+            served_list: Mutex::default(),
+            undelivered_removals: Mutex::default(),
+            last_fault_at: Mutex::default(),
             history: history.clone(),
         });
         for (_, listener) in [first, second] {
             let agent = agent.clone();
-            on.spawn(async move {
+            handle.spawn(async move {
                 let Ok(listener) = TcpListener::from_std(listener) else {
                     return;
                 };
@@ -121,82 +131,95 @@
         agent
     }
 
-    fn mood(&self) -> Mood {
-        match self.mood.load(Ordering::SeqCst) {
-            1 => Mood::DeafToWatches,
-            2 => Mood::Down,
-            3 => Mood::Slow,
-            4 => Mood::EndsWatches,
-            _ => Mood::Telling,
+    fn mode(&self) -> Mode {
+        match self.mode.load(Ordering::SeqCst) {
+            1 => Mode::IgnoresLongPolls,
+            2 => Mode::Down,
+            3 => Mode::Slow,
+            4 => Mode::ClosesLongPolls,
+            _ => Mode::Normal,
         }
     }
 
-    /// Another mood; one that is back from being down learns the list as it is.
-    pub fn set_mood(&self, mood: Mood, list: &List) {
-        let was = self.mood();
-        if was != Mood::Telling {
-            self.note_trouble();
+    /// Changes the mode. An agent that leaves [`Mode::Down`] receives the current list.
+    pub fn set_mode(&self, mode: Mode, list: &List) {
+        let was = self.mode();
+        if was != Mode::Normal {
+            self.record_fault();
         }
-        self.mood.store(mood as u8, Ordering::SeqCst);
-        if was == Mood::Down && mood != Mood::Down {
-            self.learn(list, None);
+        self.mode.store(mode as u8, Ordering::SeqCst);
+        if was == Mode::Down && mode != Mode::Down {
+            self.receive_list(list, None);
         }
     }
 
-    fn note_trouble(&self) {
-        *self.troubled_at.lock().expect("a time") = Some(Instant::now());
+    fn record_fault(&self) {
+        *self.last_fault_at.lock().expect("lock is not poisoned") = Some(Instant::now());
     }
 
-    /// Whether news reach the gateway at once, for all that it does itself.
-    fn tells_at_once(&self) -> bool {
-        let troubled_at = *self.troubled_at.lock().expect("a time");
-        self.mood() == Mood::Telling && troubled_at.is_none_or(|at| at.elapsed() > TROUBLE_LASTS)
+    /// Returns whether changes reach the gateway at once: neither a fault mode nor its aftermath delays calls.
+    fn delivers_at_once(&self) -> bool {
+        let last_fault_at = *self.last_fault_at.lock().expect("lock is not poisoned");
+        self.mode() == Mode::Normal && last_fault_at.is_none_or(|at| at.elapsed() > FAULT_AFTERMATH)
     }
 
-    /// Learns the list as it is now. `drains`: the server that this change takes away.
-    pub fn learn(&self, list: &List, drains: Option<&str>) {
+    /// Receives the current list. `drains` is the server that this change drains or removes.
+    pub fn receive_list(&self, list: &List, drains: Option<&str>) {
         let now = Instant::now();
         if let Some(uid) = drains {
-            self.untold
+            self.undelivered_removals
                 .lock()
-                .expect("changes")
+                .expect("lock is not poisoned")
                 .push((uid.to_string(), list.rev));
         }
-        if self.mood() == Mood::Down {
+        if self.mode() == Mode::Down {
             return;
         }
-        *self.known.lock().expect("a list") = (list.rev, list.text());
-        let mut untold = self.untold.lock().expect("changes");
-        let at_once = self.tells_at_once();
-        // Else it counts when it is heard, and at the latest then.
-        let at = if at_once { now } else { now + TOLD_WITHIN };
-        for (uid, _) in untold.iter() {
+        *self.served_list.lock().expect("lock is not poisoned") = (list.rev, list.text());
+        let mut undelivered_removals = self
+            .undelivered_removals
+            .lock()
+            .expect("lock is not poisoned");
+        let at_once = self.delivers_at_once();
+        // Otherwise the gateway knows the change when the list is written to it, at the latest after the limit.
+        let at = if at_once {
+            now
+        } else {
+            now + CHANGE_KNOWN_WITHIN
+        };
+        for (uid, _) in undelivered_removals.iter() {
             let mut seen = self.history.seen();
-            let told = seen.told.entry((self.gateway, uid.clone())).or_insert(at);
-            *told = (*told).min(at);
+            let known_at = seen
+                .drain_known_at
+                .entry((self.gateway, uid.clone()))
+                .or_insert(at);
+            *known_at = (*known_at).min(at);
         }
         if at_once {
-            untold.clear();
+            undelivered_removals.clear();
         }
     }
 
-    /// The list of this version was written to the gateway.
-    fn written(&self, rev: u64) {
+    /// Records that the list of this version was written to the gateway.
+    fn record_delivery(&self, rev: u64) {
         let now = Instant::now();
         for (uid, _) in self
-            .untold
+            .undelivered_removals
             .lock()
-            .expect("changes")
+            .expect("lock is not poisoned")
             .extract_if(.., |(_, since)| *since <= rev)
         {
             let mut seen = self.history.seen();
-            let told = seen.told.entry((self.gateway, uid)).or_insert(now);
-            *told = (*told).min(now);
+            let known_at = seen
+                .drain_known_at
+                .entry((self.gateway, uid))
+                .or_insert(now);
+            *known_at = (*known_at).min(now);
         }
     }
 }
 
-/// The list and all agents.
+/// The endpoint list and all agents.
 pub struct Discovery {
     pub agents: Vec<Arc<Agent>>,
     list: Mutex<List>,
@@ -211,12 +234,12 @@
     }
 
     fn change(&self, drains: Option<&str>, change: impl FnOnce(&mut BTreeMap<String, Entry>)) {
-        let mut list = self.list.lock().expect("a list");
+        let mut list = self.list.lock().expect("lock is not poisoned");
         list.rev += 1;
         change(&mut list.entries);
         self.agents
             .iter()
-            .for_each(|agent| agent.learn(&list, drains));
+            .for_each(|agent| agent.receive_list(&list, drains));
     }
 
     pub fn add(&self, uid: &str, endpoint: SocketAddr, cell: u64, boot_ms: u64) {
@@ -245,8 +268,8 @@
         });
     }
 
-    pub fn set_mood(&self, gateway: usize, mood: Mood) {
-        self.agents[gateway].set_mood(mood, &self.list.lock().expect("a list"));
+    pub fn set_mode(&self, gateway: usize, mode: Mode) {
+        self.agents[gateway].set_mode(mode, &self.list.lock().expect("lock is not poisoned"));
     }
 }
 
@@ -275,34 +298,38 @@
             .split_once("hold_ms=")
             .and_then(|(_, r)| r.split(' ').next()?.parse::<u64>().ok());
         let until = Instant::now() + Duration::from_millis(hold.unwrap_or(0));
-        let waits = from.is_some() && hold.is_some_and(|hold| hold > 0);
+        let is_long_poll = from.is_some() && hold.is_some_and(|hold| hold > 0);
         let (rev, text) = loop {
-            let mood = agent.mood();
-            // What is called while it is down is never answered.
-            if mood == Mood::Down || mood == Mood::DeafToWatches && waits {
+            let mode = agent.mode();
+            // Calls made while the agent is down are never answered.
+            if mode == Mode::Down || mode == Mode::IgnoresLongPolls && is_long_poll {
                 sleep(Duration::from_secs(30)).await;
                 return;
             }
-            if mood == Mood::EndsWatches && waits {
+            if mode == Mode::ClosesLongPolls && is_long_poll {
                 return;
             }
-            let (rev, text) = agent.known.lock().expect("a list").clone();
+            let (rev, text) = agent
+                .served_list
+                .lock()
+                .expect("lock is not poisoned")
+                .clone();
             if from.is_none_or(|from| from < rev) {
                 break (rev, text);
             }
             if Instant::now() >= until {
                 break (0, format!(r#"{{"rev":{rev},"all":false,"targets":[]}}"#));
             }
-            sleep(LOOK).await;
+            sleep(LIST_CHECK_INTERVAL).await;
         };
-        if agent.mood() == Mood::Slow {
+        if agent.mode() == Mode::Slow {
             sleep(Duration::from_millis(1_200)).await;
-            agent.note_trouble();
+            agent.record_fault();
         }
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len());
         if stream.write_all((head + &text).as_bytes()).await.is_err() {
             return;
         }
-        agent.written(rev);
+        agent.record_delivery(rev);
     }
 }
--- a/crates/lab/src/soak/chance.rs
+++ b/crates/lab/src/soak/chance.rs
@@ -1,9 +1,10 @@
-//! Chance by a seed.
+//! Seeded random choices of the soak.
 
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
+/// Deterministic random number generator.
 pub struct Chance(Pcg64Mcg);
 
 impl Chance {
@@ -11,7 +12,7 @@
         Chance(Pcg64Mcg::seed_from_u64(seed))
     }
 
-    /// Another generator, for another part of the same run.
+    /// Returns a generator with a seed drawn from this one, for a concurrent task of the same run.
     pub fn fork(&mut self) -> Chance {
         Chance::new(self.0.next_u64())
     }
@@ -20,21 +21,23 @@
         self.0.next_u64()
     }
 
-    /// Below `n`, which is above 0.
+    /// Draws a number below `n`, which must not be 0.
     pub fn below(&mut self, n: usize) -> usize {
         (self.0.next_u64() % n as u64) as usize
     }
 
-    /// True in so many of a hundred cases.
+    /// Returns true with a probability of `n` percent.
     pub fn percent(&mut self, n: u64) -> bool {
         self.0.next_u64() % 100 < n
     }
 
+    /// Draws a duration between `from` and `to` milliseconds, both included.
     pub fn millis(&mut self, from: u64, to: u64) -> Duration {
         Duration::from_millis(from + self.0.next_u64() % (to - from + 1))
     }
 
-    pub fn pick<'a, T>(&mut self, of: &'a [T]) -> &'a T {
-        &of[self.below(of.len())]
+    /// Draws an element of a slice that is not empty.
+    pub fn pick<'a, T>(&mut self, items: &'a [T]) -> &'a T {
+        &items[self.below(items.len())]
     }
 }
--- a/crates/lab/src/soak/clients.rs
+++ b/crates/lab/src/soak/clients.rs
@@ -1,9 +1,9 @@
-//! Clients of the soak: most behave, some leave, write slowly, stop half-way, rest until their connection ends, or send
-//! much.
+//! Clients of the soak: most behave normally; some leave early, write slowly, stop halfway, send just as their idle connection
+//! is closed, or send long bodies.
 
 use super::chance::Chance;
 use super::gateways::{Gateway, DEADLINE};
-use super::record::{Class, History, Over, Request, SendEnd, Sent};
+use super::record::{Class, ConnectionKind, History, Request, Transmission, TransmissionEnd};
 use std::io;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -12,33 +12,35 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, timeout, timeout_at};
 
-/// A client whose time is over waits so much longer here: an answer until half a second after it only earns nothing.
-const WAITS_ON: Duration = Duration::from_millis(1_000);
-/// An error or a close is owed within this to whoever stops half-way, with room for a busy machine.
-const BAD_CLIENTS_WITHIN: Duration = Duration::from_millis(3_300);
-/// Gateways end connections that have been idle for this long.
-const IDLE: Duration = Duration::from_secs(5);
-/// Connections that are kept to a gateway at most.
-const KEPT: usize = 12;
+/// Time beyond its deadline for which a client still waits: an answer up to 500 ms late counts as late but not as lost.
+const LATE_ANSWER_WAIT: Duration = Duration::from_millis(1_000);
+/// Bound on waiting for the error or close that follows an incomplete request, with a tolerance for a busy machine.
+const INCOMPLETE_REQUEST_TIMEOUT: Duration = Duration::from_millis(3_300);
+/// Time after which gateways close idle connections.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum number of kept connections per gateway.
+const MAX_KEPT_CONNECTIONS: usize = 12;
 
-/// How a client behaves with one request.
+/// How a client behaves for one request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Manner {
-    Well,
-    /// On a connection of its own.
-    Anew,
-    /// Leaves after so long.
+enum Behavior {
+    /// Sends the request at once, on a kept connection if there is one.
+    Normal,
+    /// Sends the request on a new connection.
+    NewConnection,
+    /// Closes the connection after this time without an answer.
     Leaves(Duration),
-    /// In pieces, over so long.
-    Slowly(Duration),
-    /// Begins and stops, and stays.
-    Stops,
-    /// Sends in the very moment in which its idle connection ends.
-    AtTheEnd,
-    /// A long body.
-    Long,
+    /// Sends the request in pieces over this time.
+    WritesSlowly(Duration),
+    /// Sends part of the request and keeps the connection open.
+    StopsHalfway,
+    /// Sends the request just when the gateway closes the idle connection.
+    RacesIdleClose,
+    /// Sends a body of 300 KiB.
+    LongBody,
 }
 
+/// All clients, with their kept connections by gateway.
 pub struct Clients {
     pub gateways: Arc<Vec<Gateway>>,
     pub history: Arc<History>,
@@ -55,43 +57,43 @@
         }
     }
 
-    /// Asks so often for so long, whatever becomes of it, and waits until the last has its end.
+    /// Sends `per_s` requests per second for `length`, whatever their results, and waits until all have ended.
     pub async fn run(self: Arc<Self>, mut chance: Chance, per_s: f64, length: Duration) {
-        let (start, mut out) = (tokio::time::Instant::now(), JoinSet::new());
+        let (start, mut tasks) = (tokio::time::Instant::now(), JoinSet::new());
         for n in 0.. {
             let due = Duration::from_secs_f64(f64::from(n) / per_s);
             if due >= length {
                 break;
             }
             sleep_until(start + due).await;
-            while out.try_join_next().is_some() {}
-            let taking: Vec<usize> = self
+            while tasks.try_join_next().is_some() {}
+            let accepting: Vec<usize> = self
                 .gateways
                 .iter()
-                .filter(|g| g.takes_clients())
+                .filter(|g| g.is_in_rotation())
                 .map(|g| g.number)
                 .collect();
-            if taking.is_empty() {
+            if accepting.is_empty() {
                 continue;
             }
-            let gateway = *chance.pick(&taking);
-            out.spawn(self.clone().ask(gateway, chance.fork()));
+            let gateway = *chance.pick(&accepting);
+            tasks.spawn(self.clone().run_client(gateway, chance.fork()));
         }
-        while out.join_next().await.is_some() {}
+        while tasks.join_next().await.is_some() {}
     }
 
-    async fn ask(self: Arc<Self>, gateway: usize, mut chance: Chance) {
+    async fn run_client(self: Arc<Self>, gateway: usize, mut chance: Chance) {
         let class = *chance.pick(&Class::ALL);
-        let manner = match chance.below(100) {
-            0..=7 => Manner::Anew,
-            8..=15 => Manner::Leaves(chance.millis(0, 400)),
-            16..=21 => Manner::Slowly(chance.millis(50, 1_800)),
-            22..=23 => Manner::Stops,
-            24..=29 => Manner::AtTheEnd,
-            30..=32 if class != Class::Check => Manner::Long,
-            _ => Manner::Well,
+        let behavior = match chance.below(100) {
+            0..=7 => Behavior::NewConnection,
+            8..=15 => Behavior::Leaves(chance.millis(0, 400)),
+            16..=21 => Behavior::WritesSlowly(chance.millis(50, 1_800)),
+            22..=23 => Behavior::StopsHalfway,
+            24..=29 => Behavior::RacesIdleClose,
+            30..=32 if class != Class::Check => Behavior::LongBody,
+            _ => Behavior::Normal,
         };
-        let patience = match chance.below(10) {
+        let client_timeout = match chance.below(10) {
             0 => Duration::from_millis(60),
             1 => Duration::from_millis(200),
             _ => DEADLINE,
@@ -101,68 +103,90 @@
             id,
             class,
             gateway,
-            patience,
-            sends: Vec::new(),
+            client_timeout,
+            transmissions: Vec::new(),
         };
-        let text = text(
+        let text = format_request(
             &request,
-            if manner == Manner::Long {
+            if behavior == Behavior::LongBody {
                 300 << 10
             } else {
                 20
             },
         );
-        let mut over = if matches!(manner, Manner::Well | Manner::Leaves(_) | Manner::AtTheEnd) {
-            Over::KeptConnection
+        let mut connection_kind = if matches!(
+            behavior,
+            Behavior::Normal | Behavior::Leaves(_) | Behavior::RacesIdleClose
+        ) {
+            ConnectionKind::KeptConnection
         } else {
-            Over::NewConnection
+            ConnectionKind::NewConnection
         };
-        // Once more where a kept connection was closed unread.
+        // A second transmission follows if a kept connection was closed without an answer.
         for _ in 0..2 {
-            // Nobody sends a new connection to a gateway that the front leaves alone.
-            if over == Over::NewConnection && !self.gateways[gateway].takes_clients() {
+            // The front-end load balancer sends no new connections to a gateway that it has taken out.
+            if connection_kind == ConnectionKind::NewConnection
+                && !self.gateways[gateway].is_in_rotation()
+            {
                 break;
             }
-            let Some((connection, over_now)) = self.connection(gateway, over).await else {
+            let Some((connection, actual_kind)) = self.connection(gateway, connection_kind).await
+            else {
                 break;
             };
-            over = over_now;
+            connection_kind = actual_kind;
             let sent = self
-                .send(&request, connection, over, &text, manner, &mut chance)
+                .send(
+                    &request,
+                    connection,
+                    connection_kind,
+                    &text,
+                    behavior,
+                    &mut chance,
+                )
                 .await;
             let Some(sent) = sent else { break };
-            request.sends.push(sent);
-            match (over, sent.end) {
-                (Over::KeptConnection, SendEnd::Closed { .. }) => over = Over::NewConnection,
+            request.transmissions.push(sent);
+            match (connection_kind, sent.end) {
+                (ConnectionKind::KeptConnection, TransmissionEnd::Closed { .. }) => {
+                    connection_kind = ConnectionKind::NewConnection
+                }
                 _ => break,
             }
         }
-        if !request.sends.is_empty() {
+        if !request.transmissions.is_empty() {
             self.history.seen().requests.push(request);
         }
     }
 
-    /// A connection, kept or new; none if it cannot be had.
-    async fn connection(&self, gateway: usize, over: Over) -> Option<(TcpStream, Over)> {
-        let kept = match over {
-            Over::KeptConnection => self.kept[gateway].lock().expect("connections").pop(),
-            Over::NewConnection => None,
+    /// Returns a kept or new connection, or `None` if the gateway accepts none.
+    async fn connection(
+        &self,
+        gateway: usize,
+        connection_kind: ConnectionKind,
+    ) -> Option<(TcpStream, ConnectionKind)> {
+        let kept = match connection_kind {
+            ConnectionKind::KeptConnection => self.kept[gateway]
+                .lock()
+                .expect("lock is not poisoned")
+                .pop(),
+            ConnectionKind::NewConnection => None,
         };
         if let Some(stream) = kept {
-            return Some((stream, Over::KeptConnection));
+            return Some((stream, ConnectionKind::KeptConnection));
         }
         let g = &self.gateways[gateway];
-        let made = timeout(Duration::from_secs(2), TcpStream::connect(g.address)).await;
-        match made {
+        let connected = timeout(Duration::from_secs(2), TcpStream::connect(g.address)).await;
+        match connected {
             Ok(Ok(stream)) => {
                 let _ = stream.set_nodelay(true);
-                Some((stream, Over::NewConnection))
+                Some((stream, ConnectionKind::NewConnection))
             }
             _ => {
-                if g.owes_connections() {
+                if g.must_accept() {
                     self.history.incident(
                         "connection",
-                        format!("gateway {gateway} takes no connection"),
+                        format!("gateway {gateway} accepts no connection within 2 s"),
                     );
                 }
                 None
@@ -170,105 +194,109 @@
         }
     }
 
-    /// Sends a request; none if it never was whole.
+    /// Sends a request and waits for its end; returns `None` if the request was not transmitted completely.
     async fn send(
         &self,
         request: &Request,
         mut stream: TcpStream,
-        over: Over,
+        connection_kind: ConnectionKind,
         text: &[u8],
-        manner: Manner,
+        behavior: Behavior,
         chance: &mut Chance,
-    ) -> Option<Sent> {
-        let mut begun_at = Instant::now();
-        match manner {
-            Manner::AtTheEnd if over == Over::KeptConnection => {
-                sleep(IDLE - Duration::from_millis(6) + chance.millis(0, 8)).await;
-                begun_at = Instant::now();
+    ) -> Option<Transmission> {
+        let mut started_at = Instant::now();
+        match behavior {
+            Behavior::RacesIdleClose if connection_kind == ConnectionKind::KeptConnection => {
+                sleep(IDLE_TIMEOUT - Duration::from_millis(6) + chance.millis(0, 8)).await;
+                started_at = Instant::now();
                 stream.write_all(text).await.ok()?;
             }
-            Manner::Slowly(time) => {
+            Behavior::WritesSlowly(time) => {
                 let pieces = 2 + chance.below(6);
-                for part in text.chunks(text.len() / pieces + 1) {
-                    stream.write_all(part).await.ok()?;
+                for piece in text.chunks(text.len() / pieces + 1) {
+                    stream.write_all(piece).await.ok()?;
                     sleep(time / pieces as u32).await;
                 }
             }
-            Manner::Stops => {
-                let most = text.len() - 2;
+            Behavior::StopsHalfway => {
+                let max_len = text.len() - 2;
                 stream
-                    .write_all(&text[..1 + chance.below(most)])
+                    .write_all(&text[..1 + chance.below(max_len)])
                     .await
                     .ok()?;
-                self.await_error(request.gateway, stream).await;
+                self.expect_error_or_close(request.gateway, stream).await;
                 return None;
             }
             _ => stream.write_all(text).await.ok()?,
         }
-        let whole_at = Instant::now();
-        if let Manner::Leaves(after) = manner {
+        let completed_at = Instant::now();
+        if let Behavior::Leaves(after) = behavior {
             let mut byte = [0; 1];
             let until = tokio::time::Instant::now() + after;
             if timeout_at(until, stream.peek(&mut byte)).await.is_err() {
                 drop(stream);
-                let end = SendEnd::ClientLeft { at: Instant::now() };
-                return Some(Sent {
-                    over,
-                    begun_at,
-                    whole_at,
+                let end = TransmissionEnd::ClientLeft { at: Instant::now() };
+                return Some(Transmission {
+                    connection_kind,
+                    started_at,
+                    completed_at,
                     end,
                 });
             }
         }
-        let waits = (request.patience + WAITS_ON).saturating_sub(whole_at.elapsed());
-        let end = match timeout(waits, read_answer(&mut stream)).await {
-            Err(_) => SendEnd::Nothing,
-            Ok(Answer::Whole {
+        let remaining =
+            (request.client_timeout + LATE_ANSWER_WAIT).saturating_sub(completed_at.elapsed());
+        let end = match timeout(remaining, read_answer(&mut stream)).await {
+            Err(_) => TransmissionEnd::Nothing,
+            Ok(Answer::Complete {
                 status,
                 body,
-                keeps,
+                reusable,
             }) => {
-                if keeps {
-                    let mut kept = self.kept[request.gateway].lock().expect("connections");
-                    if kept.len() < KEPT {
+                if reusable {
+                    let mut kept = self.kept[request.gateway]
+                        .lock()
+                        .expect("lock is not poisoned");
+                    if kept.len() < MAX_KEPT_CONNECTIONS {
                         kept.push(stream);
                     }
                 }
                 let genuine =
                     status != 200 || body == format!("made for {:016x}", request.id).as_bytes();
-                SendEnd::Answered {
+                TransmissionEnd::Answered {
                     status,
                     genuine,
                     at: Instant::now(),
                 }
             }
-            Ok(Answer::None) => SendEnd::Closed { at: Instant::now() },
-            Ok(Answer::Cut) => SendEnd::Cut,
+            Ok(Answer::None) => TransmissionEnd::Closed { at: Instant::now() },
+            Ok(Answer::Cut) => TransmissionEnd::Cut,
         };
-        Some(Sent {
-            over,
-            begun_at,
-            whole_at,
+        Some(Transmission {
+            connection_kind,
+            started_at,
+            completed_at,
             end,
         })
     }
 
-    /// Whoever stops half-way is owed an error or a close.
-    async fn await_error(&self, gateway: usize, mut stream: TcpStream) {
+    /// Checks that the gateway ends an incomplete request with an error or a close.
+    async fn expect_error_or_close(&self, gateway: usize, mut stream: TcpStream) {
         let mut byte = [0; 1];
-        if timeout(BAD_CLIENTS_WITHIN, stream.read(&mut byte))
+        if timeout(INCOMPLETE_REQUEST_TIMEOUT, stream.read(&mut byte))
             .await
             .is_err()
         {
             self.history.incident(
                 "bad client",
-                format!("gateway {gateway} leaves half a request unanswered"),
+                format!("gateway {gateway} neither answers nor closes an incomplete request"),
             );
         }
     }
 }
 
-fn text(request: &Request, body: usize) -> Vec<u8> {
+/// Formats a request with a body of `body` bytes, unless its class has none.
+fn format_request(request: &Request, body: usize) -> Vec<u8> {
     let (name, id) = (request.class.name(), request.id);
     let method = if request.class == Class::Check {
         "GET"
@@ -292,22 +320,22 @@
         "{method} /{name} HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: {id:016x}\r\nX-Qos: {name}\r\nX-Tier: mellem\r\n\
         X-Api-Key: {:016x}\r\nX-Expires-In: {:.3}\r\n{key}{length}X-Call-Terms: units=1,spread=1,first={}\r\n\r\n{body}",
         id % 97,
-        request.patience.as_secs_f64(),
+        request.client_timeout.as_secs_f64(),
         request.gateway,
     );
     text.into_bytes()
 }
 
 enum Answer {
-    Whole {
+    Complete {
         status: u16,
         body: Vec<u8>,
-        /// The connection stays open.
-        keeps: bool,
+        /// The connection can be used for another request.
+        reusable: bool,
     },
-    /// The connection ended before any answer.
+    /// The connection ended before any byte of an answer.
     None,
-    /// It ended within one.
+    /// The connection ended within an answer, or the answer has no length.
     Cut,
 }
 
@@ -340,11 +368,11 @@
             return Answer::Cut;
         }
     }
-    let keeps = !head.contains("connection: close") && buffer.len() == head_end + length;
-    Answer::Whole {
+    let reusable = !head.contains("connection: close") && buffer.len() == head_end + length;
+    Answer::Complete {
         status,
         body: buffer.split_off(head_end),
-        keeps,
+        reusable,
     }
 }
 
--- a/crates/lab/src/soak/gateways.rs
+++ b/crates/lab/src/soak/gateways.rs
@@ -1,4 +1,4 @@
-//! The gateways of the soak: real processes, each under a shim of its own.
+//! Gateways of the soak: real processes, each with a system-call fault shim of its own.
 
 use super::record::History;
 use super::servers::WINDOW;
@@ -12,21 +12,24 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The longest deadline of a class.
+/// Deadline of all classes.
 pub const DEADLINE: Duration = Duration::from_millis(1_500);
-/// SIGKILL may come so long after the longest deadline.
-const ENDS_WITHIN: Duration = Duration::from_millis(700);
-/// Room for a busy machine in what is measured here.
-const BUSY: Duration = Duration::from_millis(300);
-/// A process is ready within this.
-const READY_WITHIN: Duration = Duration::from_secs(10);
-/// New connections come for so long after SIGTERM.
-const STILL_COMING: Duration = Duration::from_millis(300);
+/// Time beyond the deadline within which a gateway must exit after SIGTERM, before a SIGKILL may follow.
+const EXIT_GRACE: Duration = Duration::from_millis(700);
+/// Tolerance for a busy machine.
+const BUSY_SLACK: Duration = Duration::from_millis(300);
+/// Bound on waiting for a gateway to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time after SIGTERM for which new connections still arrive.
+const CONNECTIONS_AFTER_SIGTERM: Duration = Duration::from_millis(300);
 
-/// Settings of the cold start, which the oracle checks: share at the start, time until warm, multiple, window.
+/// Share of its capacity that a cold server has at its start. The oracle checks the slow-start settings.
 pub const COLD_FROM: f64 = 0.27;
+/// Time until a cold server is warm.
 pub const WARM_AFTER: Duration = Duration::from_secs(18);
+/// Multiple of its capacity that a cold server may receive within [`TIP_AFTER`].
 pub const TIP_MULTIPLE: f64 = 1.2;
+/// Window of the slow-start budget.
 pub const TIP_AFTER: Duration = Duration::from_secs(3);
 
 fn settings(gateways: usize, me: usize, cancel: bool) -> String {
@@ -44,31 +47,33 @@
     )
 }
 
-/// How a gateway is meant to be.
+/// Intended state of a gateway process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Meant {
+enum IntendedState {
     Running,
-    /// Told to end at that time.
-    Ending(Instant),
+    /// SIGTERM was sent at this time.
+    Exiting(Instant),
     Dead,
 }
 
 struct Process {
     child: Child,
-    meant: Meant,
+    intended: IntendedState,
 }
 
+/// A gateway that is restarted under the same address.
 pub struct Gateway {
     pub number: usize,
     pub address: SocketAddr,
     pub shim: Shim,
-    config: PathBuf,
-    text: [String; 2],
-    /// Which of the two addresses of discovery its file names.
+    config_path: PathBuf,
+    /// Configuration for each of the two discovery addresses.
+    config_texts: [String; 2],
+    /// Index of the discovery address that the configuration file names.
     discovery: AtomicUsize,
     process: Mutex<Option<Process>>,
-    /// The front sends new clients.
-    taken_in: AtomicBool,
+    /// The front-end load balancer sends new connections.
+    in_rotation: AtomicBool,
     history: Arc<History>,
     log: Arc<Mutex<Vec<String>>>,
 }
@@ -81,10 +86,12 @@
         discovery: [SocketAddr; 2],
         history: &Arc<History>,
     ) -> Gateway {
-        // A port that is free now: the process comes back under the same address.
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
-        let text = discovery.map(|discovery| {
+        // The port is fixed so that the process restarts under the same address.
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port can be bound");
+        let address = listener
+            .local_addr()
+            .expect("a bound socket has a local address");
+        let config_texts = discovery.map(|discovery| {
             format!(
                 r#"{{"name":"n{number}","listen":"{address}","discovery":"{discovery}","seed":"{:016x}",
                 "limits":{{"cores":1.0,"memory_mb":64,"sockets":512}},"counter":null,"settings":{}}}"#,
@@ -96,41 +103,41 @@
             number,
             address,
             shim: Shim::new(),
-            config: write_config_file(&text[0]),
-            text,
+            config_path: write_config_file(&config_texts[0]),
+            config_texts,
             discovery: AtomicUsize::new(0),
             process: Mutex::default(),
-            taken_in: AtomicBool::new(false),
+            in_rotation: AtomicBool::new(false),
             history: history.clone(),
             log: Arc::default(),
         }
     }
 
-    /// Whether the front sends new connections there.
-    pub fn takes_clients(&self) -> bool {
-        self.taken_in.load(Ordering::SeqCst)
+    /// Returns whether the front-end load balancer sends new connections to this gateway.
+    pub fn is_in_rotation(&self) -> bool {
+        self.in_rotation.load(Ordering::SeqCst)
     }
 
-    /// Whether the process is meant to serve what comes over a new connection now.
-    pub fn owes_connections(&self) -> bool {
+    /// Returns whether the process has to serve new connections now.
+    pub fn must_accept(&self) -> bool {
         match self
             .process
             .lock()
-            .expect("a process")
+            .expect("lock is not poisoned")
             .as_ref()
-            .map(|p| p.meant)
+            .map(|p| p.intended)
         {
-            Some(Meant::Running) => true,
-            Some(Meant::Ending(since)) => since.elapsed() < STILL_COMING,
-            Some(Meant::Dead) | None => false,
+            Some(IntendedState::Running) => true,
+            Some(IntendedState::Exiting(since)) => since.elapsed() < CONNECTIONS_AFTER_SIGTERM,
+            Some(IntendedState::Dead) | None => false,
         }
     }
 
-    /// Starts the process; the front takes it in once it is ready.
+    /// Starts the process and waits until it is ready; the front-end load balancer then sends connections to it.
     pub fn start(&self) {
         let mut command = Command::new(gateway_binary());
         command
-            .env("NODE_CONFIG", &self.config)
+            .env("NODE_CONFIG", &self.config_path)
             .env("FROSTHATCH_LOG", "debug");
         command
             .stdin(Stdio::null())
@@ -140,36 +147,39 @@
             .shim
             .preload(&mut command)
             .spawn()
-            .expect("the gateway starts");
-        let lines = BufReader::new(child.stderr.take().expect("stderr"));
+            .expect("the gateway binary can be started");
+        let lines = BufReader::new(child.stderr.take().expect("standard error is piped"));
         let (history, number, log) = (self.history.clone(), self.number, self.log.clone());
         thread::spawn(move || {
             for line in lines.lines().map_while(Result::ok) {
                 if line.contains("panicked") || line.contains("rule broken") {
                     history.incident("run-time check", format!("gateway {number}: {line}"));
                 }
-                log.lock().expect("a log").push(line);
+                log.lock().expect("lock is not poisoned").push(line);
             }
         });
-        *self.process.lock().expect("a process") = Some(Process {
+        *self.process.lock().expect("lock is not poisoned") = Some(Process {
             child,
-            meant: Meant::Running,
+            intended: IntendedState::Running,
         });
         let since = Instant::now();
-        while !self.says_ready() {
-            if since.elapsed() > READY_WITHIN {
+        while !self.is_ready() {
+            if since.elapsed() > READY_TIMEOUT {
                 self.history.incident(
                     "ready",
-                    format!("gateway {} is not ready in {READY_WITHIN:?}", self.number),
+                    format!(
+                        "gateway {} is not ready within {READY_TIMEOUT:?}",
+                        self.number
+                    ),
                 );
                 return;
             }
             thread::sleep(Duration::from_millis(20));
         }
-        self.taken_in.store(true, Ordering::SeqCst);
+        self.in_rotation.store(true, Ordering::SeqCst);
     }
 
-    fn says_ready(&self) -> bool {
+    fn is_ready(&self) -> bool {
         use std::io::{Read, Write};
         let Ok(mut stream) = std::net::TcpStream::connect(self.address) else {
             return false;
@@ -182,7 +192,7 @@
     }
 
     fn signal(&self, name: &str) {
-        if let Some(process) = &*self.process.lock().expect("a process") {
+        if let Some(process) = &*self.process.lock().expect("lock is not poisoned") {
             let _ = Command::new("kill")
                 .arg(name)
                 .arg(process.child.id().to_string())
@@ -190,22 +200,22 @@
         }
     }
 
-    fn mean(&self, meant: Meant) {
-        if let Some(process) = &mut *self.process.lock().expect("a process") {
-            process.meant = meant;
+    fn set_intended(&self, intended: IntendedState) {
+        if let Some(process) = &mut *self.process.lock().expect("lock is not poisoned") {
+            process.intended = intended;
         }
     }
 
-    /// Told to end, it finishes what it holds and ends well in time.
+    /// Sends SIGTERM and checks that the process finishes its requests and exits successfully in time.
     pub fn terminate(&self) {
         let since = Instant::now();
-        self.mean(Meant::Ending(since));
+        self.set_intended(IntendedState::Exiting(since));
         self.signal("-TERM");
-        thread::sleep(STILL_COMING);
-        self.taken_in.store(false, Ordering::SeqCst);
-        let most = DEADLINE + ENDS_WITHIN + BUSY;
+        thread::sleep(CONNECTIONS_AFTER_SIGTERM);
+        self.in_rotation.store(false, Ordering::SeqCst);
+        let exit_timeout = DEADLINE + EXIT_GRACE + BUSY_SLACK;
         loop {
-            let ended = match &mut *self.process.lock().expect("a process") {
+            let ended = match &mut *self.process.lock().expect("lock is not poisoned") {
                 Some(process) => process.child.try_wait().ok().flatten(),
                 None => return,
             };
@@ -214,14 +224,14 @@
                 Some(status) => {
                     self.history.incident(
                         "exit",
-                        format!("gateway {} told to end: {status}", self.number),
+                        format!("gateway {} exited after SIGTERM: {status}", self.number),
                     );
                     break;
                 }
-                None if since.elapsed() > most => {
+                None if since.elapsed() > exit_timeout => {
                     self.history.incident(
                         "exit",
-                        format!("gateway {} told to end still runs", self.number),
+                        format!("gateway {} still runs after SIGTERM", self.number),
                     );
                     self.kill();
                     break;
@@ -229,35 +239,36 @@
                 None => thread::sleep(Duration::from_millis(5)),
             }
         }
-        *self.process.lock().expect("a process") = None;
+        *self.process.lock().expect("lock is not poisoned") = None;
     }
 
-    /// Killed outright.
+    /// Kills the process with SIGKILL.
     pub fn kill(&self) {
-        self.mean(Meant::Dead);
+        self.set_intended(IntendedState::Dead);
         self.history
             .seen()
             .kills
             .push((self.number, Instant::now()));
-        if let Some(mut process) = self.process.lock().expect("a process").take() {
+        if let Some(mut process) = self.process.lock().expect("lock is not poisoned").take() {
             let _ = process.child.kill();
             let _ = process.child.wait();
         }
-        self.taken_in.store(false, Ordering::SeqCst);
+        self.in_rotation.store(false, Ordering::SeqCst);
     }
 
-    /// Held up for a moment.
+    /// Stops the process for `time`.
     pub fn pause(&self, time: Duration) {
         self.signal("-STOP");
         thread::sleep(time);
         self.signal("-CONT");
     }
 
-    /// A new configuration moves discovery.
+    /// Reloads the configuration with the other discovery address.
     pub fn reload(&self) {
         let next = 1 - self.discovery.load(Ordering::SeqCst);
         self.discovery.store(next, Ordering::SeqCst);
-        std::fs::write(&self.config, &self.text[next]).expect("the configuration is written");
+        std::fs::write(&self.config_path, &self.config_texts[next])
+            .expect("the configuration file can be written");
         self.signal("-HUP");
     }
 
@@ -265,20 +276,22 @@
         self.shim.set(fault, value);
     }
 
-    /// It runs as it is meant to, at the end of the soak.
+    /// Checks at the end of the soak that the process has not exited unexpectedly.
     pub fn check_running(&self) {
-        if let Some(process) = &mut *self.process.lock().expect("a process") {
-            if let (Meant::Running, Ok(Some(status))) = (process.meant, process.child.try_wait()) {
+        if let Some(process) = &mut *self.process.lock().expect("lock is not poisoned") {
+            if let (IntendedState::Running, Ok(Some(status))) =
+                (process.intended, process.child.try_wait())
+            {
                 self.history
-                    .incident("crash", format!("gateway {} ended: {status}", self.number));
+                    .incident("crash", format!("gateway {} exited: {status}", self.number));
             }
         }
     }
 
-    /// Lines of the log that name a request, by its number.
+    /// Returns the log lines that name a request.
     pub fn log_of(&self, id: u64) -> Vec<String> {
         let name = format!("request={id} ");
-        let log = self.log.lock().expect("a log");
+        let log = self.log.lock().expect("lock is not poisoned");
         log.iter()
             .filter(|line| format!("{line} ").contains(&name))
             .cloned()
@@ -288,10 +301,10 @@
 
 impl Drop for Gateway {
     fn drop(&mut self) {
-        if let Some(mut process) = self.process.lock().expect("a process").take() {
+        if let Some(mut process) = self.process.lock().expect("lock is not poisoned").take() {
             let _ = process.child.kill();
             let _ = process.child.wait();
         }
-        let _ = std::fs::remove_file(&self.config);
+        let _ = std::fs::remove_file(&self.config_path);
     }
 }
--- a/crates/lab/src/soak/mod.rs
+++ b/crates/lab/src/soak/mod.rs
@@ -1,7 +1,7 @@
-//! A randomized soak: real gateways between servers, list agents and clients that misbehave, several troubles at a time, and
-//! an oracle that checks the protocol's rules on everything that was seen.
+//! Randomized soak: real gateways between misbehaving servers, endpoint list agents and clients, several concurrent faults, and an
+//! oracle that checks the protocol's rules on all observations.
 //!
-//! A seed fixes what is drawn, not the order in which real processes do things: a seed that broke a rule is played again
+//! A seed fixes the random choices, but not the interleaving of real processes: a seed that violated a rule has to be rerun
 //! several times.
 
 mod agent;
@@ -19,33 +19,35 @@
 use chance::Chance;
 use clients::Clients;
 use gateways::Gateway;
-use record::{History, SendEnd};
+use record::{History, TransmissionEnd};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::runtime::Builder;
 use troubles::World;
-pub use troubles::{Kind, KINDS};
+pub use troubles::{FaultKind, ALL_FAULT_KINDS};
 
-/// Violations of each rule that are told in full.
-const TOLD: usize = 3;
-/// Lines of a gateway's log that are told of one request.
-const LINES: usize = 30;
+/// Maximum number of violations of each rule that are printed in full.
+const MAX_PRINTED_VIOLATIONS: usize = 3;
+/// Maximum number of gateway log lines printed for one request.
+const MAX_LOG_LINES: usize = 30;
 
-/// What one soak is like.
+/// Parameters of one soak.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub seed: u64,
     pub gateways: usize,
     pub servers: usize,
-    /// Requests a second to all gateways.
+    /// Requests per second to all gateways together.
     pub per_s: f64,
+    /// Duration of fault injection.
     pub length: Duration,
-    /// Troubles that are drawn from.
-    pub kinds: Vec<Kind>,
+    /// Kinds of faults to choose from.
+    pub kinds: Vec<FaultKind>,
 }
 
 impl Plan {
+    /// Returns the default parameters for a seed.
     pub fn new(seed: u64) -> Plan {
         let length = Duration::from_secs(20);
         Plan {
@@ -54,18 +56,18 @@
             servers: 9,
             per_s: 240.0,
             length,
-            kinds: KINDS.to_vec(),
+            kinds: ALL_FAULT_KINDS.to_vec(),
         }
     }
 }
 
-/// Plays one soak; what was broken counts against the figures.
-pub fn play(plan: &Plan, figures: &mut Figures) {
+/// Runs one soak; each violated rule becomes a figure that violates its limit of 0.
+pub fn run(plan: &Plan, figures: &mut Figures) {
     let runtime = Builder::new_multi_thread()
         .worker_threads(4)
         .enable_all()
         .build()
-        .expect("a runtime");
+        .expect("the Tokio runtime can be built");
     let history = Arc::new(History::default());
     let mut chance = Chance::new(plan.seed);
     let agents: Vec<Arc<Agent>> = (0..plan.gateways)
@@ -90,70 +92,73 @@
             .for_each(|gateway| drop(scope.spawn(|| gateway.start())));
     });
     let clients = Arc::new(Clients::new(gateways.clone(), history.clone()));
-    // Clients ask until troubles are over, and a little longer.
+    // Clients run 2 s longer than fault injection.
     let length = plan.length + Duration::from_secs(2);
-    let asking = runtime.spawn(clients.run(chance.fork(), plan.per_s, length));
+    let clients_task = runtime.spawn(clients.run(chance.fork(), plan.per_s, length));
     world.run(&mut chance, &plan.kinds, plan.length);
-    let _ = runtime.block_on(asking);
+    let _ = runtime.block_on(clients_task);
     gateways.iter().for_each(Gateway::check_running);
-    tell(plan, &world, figures);
+    report(plan, &world, figures);
     runtime.shutdown_background();
 }
 
-fn tell(plan: &Plan, world: &World, figures: &mut Figures) {
+/// Prints the violations and records the figures of a soak.
+fn report(plan: &Plan, world: &World, figures: &mut Figures) {
     let seen = world.history.seen();
     let violations = oracle::violations(&seen);
-    let mut by_rule: BTreeMap<&str, usize> = BTreeMap::new();
+    let mut violations_by_rule: BTreeMap<&str, usize> = BTreeMap::new();
     violations
         .iter()
-        .for_each(|v| *by_rule.entry(v.rule).or_default() += 1);
+        .for_each(|v| *violations_by_rule.entry(v.rule).or_default() += 1);
     if !violations.is_empty() {
         world
             .log
             .lock()
-            .expect("a log")
+            .expect("lock is not poisoned")
             .iter()
-            .for_each(|line| figures.say(line));
+            .for_each(|line| figures.remark(line));
     }
-    let mut told: BTreeMap<&str, usize> = BTreeMap::new();
+    let mut printed: BTreeMap<&str, usize> = BTreeMap::new();
     for violation in &violations {
-        let of_this_rule = told.entry(violation.rule).or_default();
-        *of_this_rule += 1;
-        if *of_this_rule > TOLD {
+        let printed_of_rule = printed.entry(violation.rule).or_default();
+        *printed_of_rule += 1;
+        if *printed_of_rule > MAX_PRINTED_VIOLATIONS {
             continue;
         }
-        figures.say(&format!("BROKEN {}: {}", violation.rule, violation.what));
+        figures.remark(&format!("BROKEN {}: {}", violation.rule, violation.what));
         if let Some((gateway, id)) = violation.request {
-            figures.say(&format!("  request {id:016x} at gateway {gateway}"));
+            figures.remark(&format!("  request {id:016x} at gateway {gateway}"));
             let request = seen.requests.iter().find(|r| r.id == id);
-            figures.say(&format!("  {request:?}"));
+            figures.remark(&format!("  {request:?}"));
             let log = world.gateways[gateway].log_of(id);
             log.iter()
-                .take(LINES)
-                .for_each(|line| figures.say(&format!("  {line}")));
+                .take(MAX_LOG_LINES)
+                .for_each(|line| figures.remark(&format!("  {line}")));
         }
     }
-    let last = |r: &record::Request| r.sends.last().map(|s| s.end);
-    let served =
-        |r: &&record::Request| matches!(last(r), Some(SendEnd::Answered { status: 200, .. }));
-    let left = |r: &&record::Request| matches!(last(r), Some(SendEnd::ClientLeft { .. }));
+    let last = |r: &record::Request| r.transmissions.last().map(|s| s.end);
+    let served = |r: &&record::Request| {
+        matches!(last(r), Some(TransmissionEnd::Answered { status: 200, .. }))
+    };
+    let client_left =
+        |r: &&record::Request| matches!(last(r), Some(TransmissionEnd::ClientLeft { .. }));
     let (all, served) = (
         seen.requests.len(),
         seen.requests.iter().filter(served).count(),
     );
-    let stayed = all - seen.requests.iter().filter(left).count();
-    figures.show(&format!("seed {}: requests", plan.seed), all as f64, "");
-    figures.show(
+    let client_stayed = all - seen.requests.iter().filter(client_left).count();
+    figures.record(&format!("seed {}: requests", plan.seed), all as f64, "");
+    figures.record(
         &format!("seed {}: attempts", plan.seed),
         seen.attempts.len() as f64,
         "",
     );
-    figures.show(
+    figures.record(
         &format!("seed {}: served", plan.seed),
-        served as f64 / stayed.max(1) as f64,
+        served as f64 / client_stayed.max(1) as f64,
         "of those that stayed",
     );
-    for (rule, count) in by_rule {
+    for (rule, count) in violations_by_rule {
         figures.at_most(
             &format!("seed {}: broken: {rule}", plan.seed),
             count as f64,
