--- a/crates/lab/src/soak/oracle.rs
+++ b/crates/lab/src/soak/oracle.rs
@@ -1,30 +1,32 @@
-//! What must hold of everything that was seen: the rules of the protocol, with room for a busy machine.
+//! Checks the protocol's rules on all observations of a soak, with tolerances for a busy machine.
 
 use super::gateways::{COLD_FROM, TIP_AFTER, TIP_MULTIPLE, WARM_AFTER};
-use super::record::{Attempt, Class, Incident, Over, Request, Seen, SendEnd, Sent};
+use super::record::{
+    Attempt, Class, ConnectionKind, Incident, Request, Seen, Transmission, TransmissionEnd,
+};
 use super::servers::{CORES, WORK};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// An answer may come so long after its time, and earns nothing.
-const LATE: Duration = Duration::from_millis(500);
-/// Nothing new so long after a gateway was told that a server drains.
+/// Time after its deadline within which an answer may still arrive; it counts as late.
+const LATE_ANSWER_GRACE: Duration = Duration::from_millis(500);
+/// Time after a gateway learned that a server drains within which it may still send new requests to it.
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
-/// An attempt may begin so long after its client has gone.
-const GONE_SLACK: Duration = Duration::from_millis(100);
-/// The time that a server is told may be so much more than its client has left.
-const TOLD_SLACK: Duration = Duration::from_millis(150);
-/// What is measured here may be off by this: the machine is busy.
-const MEASURED: Duration = Duration::from_millis(100);
-
-/// A rule that was broken, and by which request, if by one.
+/// Time after a client has left within which an attempt for it may still begin.
+const CLIENT_LEFT_GRACE: Duration = Duration::from_millis(100);
+/// Excess of the remaining time announced to a server over what its client has left.
+const REMAINING_TIME_SLACK: Duration = Duration::from_millis(150);
+/// Measurement error of timestamps on a busy machine.
+const MEASUREMENT_SLACK: Duration = Duration::from_millis(100);
+
+/// A violated rule, and the gateway and id of the request that violates it, if there is one.
 pub struct Violation {
     pub rule: &'static str,
     pub request: Option<(usize, u64)>,
     pub what: String,
 }
 
-/// All that was broken.
+/// Returns all violations in the observations.
 pub fn violations(seen: &Seen) -> Vec<Violation> {
     let mut by_id: HashMap<u64, Vec<&Attempt>> = HashMap::new();
     seen.attempts
@@ -34,16 +36,16 @@
     let nothing = Vec::new();
     for request in &seen.requests {
         let attempts = by_id.get(&request.id).unwrap_or(&nothing);
-        let broken = [
+        let violated = [
             unanswered(seen, request, attempts),
             forged(request),
-            repeated(request, attempts),
-            refused_after_it_ran(request, attempts),
+            duplicated(request, attempts),
+            refused_after_running(request, attempts),
             sent_to_a_draining_server(seen, request, attempts),
-            begun_for_nobody(request, attempts),
-            told_too_much(request, attempts),
+            began_for_departed_client(request, attempts),
+            announced_too_much_time(request, attempts),
         ];
-        for (rule, what) in broken.into_iter().flatten() {
+        for (rule, what) in violated.into_iter().flatten() {
             found.push(Violation {
                 rule,
                 request: Some((request.gateway, request.id)),
@@ -51,7 +53,7 @@
             });
         }
     }
-    found.extend(overrun_cold_servers(seen));
+    found.extend(overloaded_cold_servers(seen));
     found
 }
 
@@ -63,57 +65,70 @@
     }
 }
 
-type Broken = Option<(&'static str, String)>;
+type RuleCheck = Option<(&'static str, String)>;
 
-/// The process died while this was under way.
-fn killed(seen: &Seen, request: &Request, sent: &Sent) -> bool {
-    let until = sent.whole_at + request.patience + LATE + MEASURED;
-    // Noted just before it is.
-    let hit = |at: Instant| at + MEASURED > sent.begun_at && at < until;
+/// Returns whether the gateway was killed while this transmission was in progress.
+fn was_killed(seen: &Seen, request: &Request, transmission: &Transmission) -> bool {
+    let until =
+        transmission.completed_at + request.client_timeout + LATE_ANSWER_GRACE + MEASUREMENT_SLACK;
+    // A kill is recorded just before it happens.
+    let hit = |at: Instant| at + MEASUREMENT_SLACK > transmission.started_at && at < until;
     seen.kills
         .iter()
         .any(|(gateway, at)| *gateway == request.gateway && hit(*at))
 }
 
-/// Each request that was whole has one answer in its time.
-fn unanswered(seen: &Seen, request: &Request, attempts: &[&Attempt]) -> Broken {
-    request.sends.iter().find_map(|sent| {
-        if killed(seen, request, sent) {
+/// Checks that every completely transmitted request is answered in time.
+fn unanswered(seen: &Seen, request: &Request, attempts: &[&Attempt]) -> RuleCheck {
+    request.transmissions.iter().find_map(|transmission| {
+        if was_killed(seen, request, transmission) {
             return None;
         }
-        let limit = sent.whole_at + request.patience + LATE + MEASURED;
+        let limit = transmission.completed_at
+            + request.client_timeout
+            + LATE_ANSWER_GRACE
+            + MEASUREMENT_SLACK;
         let before = |at: Instant| attempts.iter().any(|a| a.first_byte_at < at);
-        match (sent.end, sent.over) {
-            (SendEnd::Answered { at, .. }, _) if at > limit => Some((
+        match (transmission.end, transmission.connection_kind) {
+            (TransmissionEnd::Answered { at, .. }, _) if at > limit => Some((
                 "lost",
-                format!("answered {:?} after its time", at - limit + LATE),
+                format!(
+                    "answered {:?} after its deadline",
+                    at - limit + LATE_ANSWER_GRACE
+                ),
             )),
-            (SendEnd::Nothing, _) => Some(("lost", "neither an answer nor an end".into())),
-            (SendEnd::Closed { .. }, Over::NewConnection) => Some((
-                "lost",
-                "its new connection was closed with no answer".into(),
-            )),
-            (SendEnd::Closed { at }, Over::KeptConnection) if before(at) => Some((
+            (TransmissionEnd::Nothing, _) => {
+                Some(("lost", "no answer, and the connection stayed open".into()))
+            }
+            (TransmissionEnd::Closed { .. }, ConnectionKind::NewConnection) => Some((
                 "lost",
-                "it was forwarded, and its connection closed with no answer".into(),
+                "a new connection was closed without an answer".into(),
             )),
+            (TransmissionEnd::Closed { at }, ConnectionKind::KeptConnection) if before(at) => {
+                Some((
+                    "lost",
+                    "the request was forwarded, and its connection closed without an answer".into(),
+                ))
+            }
             _ => None,
         }
     })
 }
 
-/// Nothing is served that no server made for it.
-fn forged(request: &Request) -> Broken {
-    let forged = |s: &&Sent| matches!(s.end, SendEnd::Answered { genuine: false, .. });
-    request
-        .sends
-        .iter()
-        .find(forged)
-        .map(|_| ("forged", "served with what no server made for it".into()))
+/// Checks that every 200 carries a body that a server made for this request.
+fn forged(request: &Request) -> RuleCheck {
+    let forged =
+        |s: &&Transmission| matches!(s.end, TransmissionEnd::Answered { genuine: false, .. });
+    request.transmissions.iter().find(forged).map(|_| {
+        (
+            "forged",
+            "served with a body that no server made for the request".into(),
+        )
+    })
 }
 
-/// No effect happens twice.
-fn repeated(request: &Request, attempts: &[&Attempt]) -> Broken {
+/// Checks that no request has more than one effect.
+fn duplicated(request: &Request, attempts: &[&Attempt]) -> RuleCheck {
     let effects = attempts.iter().filter(|a| a.effect).count();
     (request.class != Class::Check && effects > 1).then(|| {
         let servers: Vec<&str> = attempts.iter().map(|a| a.server.as_str()).collect();
@@ -124,80 +139,87 @@
     })
 }
 
-/// Refused means that trying again is harmless.
-fn refused_after_it_ran(request: &Request, attempts: &[&Attempt]) -> Broken {
-    let refused = |s: &Sent| {
+/// Checks that no refused request ran: after a refusal a client may safely retry.
+fn refused_after_running(request: &Request, attempts: &[&Attempt]) -> RuleCheck {
+    let refused = |s: &Transmission| {
         matches!(
             s.end,
-            SendEnd::Answered {
+            TransmissionEnd::Answered {
                 status: 429 | 503,
                 ..
             }
         )
     };
     let ran = attempts.iter().any(|a| a.ran);
-    (request.class != Class::Check && ran && request.sends.iter().any(refused))
-        .then(|| ("refused", "refused although it may have run".into()))
+    (request.class != Class::Check && ran && request.transmissions.iter().any(refused))
+        .then(|| ("refused", "refused although an attempt ran".into()))
 }
 
-/// Nothing new goes to a server over half a second after its gateway was told that it drains.
-fn sent_to_a_draining_server(seen: &Seen, request: &Request, attempts: &[&Attempt]) -> Broken {
+/// Checks that nothing new goes to a server more than [`DRAIN_GRACE`] after its gateway learned that it drains.
+fn sent_to_a_draining_server(seen: &Seen, request: &Request, attempts: &[&Attempt]) -> RuleCheck {
     attempts.iter().find_map(|a| {
-        let told = *seen.told.get(&(request.gateway, a.server.clone()))?;
+        let told = *seen
+            .drain_known_at
+            .get(&(request.gateway, a.server.clone()))?;
         let late = a
             .first_byte_at
-            .checked_duration_since(told + DRAIN_GRACE + MEASURED)?;
+            .checked_duration_since(told + DRAIN_GRACE + MEASUREMENT_SLACK)?;
         Some((
             "drain",
-            format!("sent to {} {:?} after the grace", a.server, late + MEASURED),
+            format!(
+                "sent to {} {:?} after the grace",
+                a.server,
+                late + MEASUREMENT_SLACK
+            ),
         ))
     })
 }
 
-/// Nothing begins for a client that has gone.
-fn begun_for_nobody(request: &Request, attempts: &[&Attempt]) -> Broken {
-    let left = request.sends.iter().find_map(|s| match s.end {
-        SendEnd::ClientLeft { at } => Some(at),
+/// Checks that no attempt begins for a client that has left.
+fn began_for_departed_client(request: &Request, attempts: &[&Attempt]) -> RuleCheck {
+    let left = request.transmissions.iter().find_map(|s| match s.end {
+        TransmissionEnd::ClientLeft { at } => Some(at),
         _ => None,
     })?;
-    let late = |a: &&&Attempt| a.whole_at > left + GONE_SLACK + MEASURED;
+    let late = |a: &&&Attempt| a.completed_at > left + CLIENT_LEFT_GRACE + MEASUREMENT_SLACK;
     let a = attempts.iter().find(late)?;
     Some((
         "left",
         format!(
-            "begun at {} {:?} after its client had gone",
+            "attempt began at {} {:?} after its client had left",
             a.server,
-            a.whole_at - left
+            a.completed_at - left
         ),
     ))
 }
 
-/// A server is told no more time than the client has left.
-fn told_too_much(request: &Request, attempts: &[&Attempt]) -> Broken {
-    let gone_at = request.sends.last()?.whole_at + request.patience;
+/// Checks that no attempt announces more remaining time than its client has left.
+fn announced_too_much_time(request: &Request, attempts: &[&Attempt]) -> RuleCheck {
+    let gone_at = request.transmissions.last()?.completed_at + request.client_timeout;
     attempts.iter().find_map(|a| {
-        let until = a.whole_at + a.told;
-        let over = until.checked_duration_since(gone_at + TOLD_SLACK + MEASURED)?;
+        let until = a.completed_at + a.remaining_time;
+        let connection_kind =
+            until.checked_duration_since(gone_at + REMAINING_TIME_SLACK + MEASUREMENT_SLACK)?;
         Some((
             "told time",
             format!(
-                "{} was told {:?} too much",
+                "the time announced to {} is {:?} too long",
                 a.server,
-                over + TOLD_SLACK + MEASURED
+                connection_kind + REMAINING_TIME_SLACK + MEASUREMENT_SLACK
             ),
         ))
     })
 }
 
-/// No more requests reach a cold server in the window than its budget.
-fn overrun_cold_servers(seen: &Seen) -> Vec<Violation> {
+/// Checks that no cold server receives more requests within [`TIP_AFTER`] than its budget.
+fn overloaded_cold_servers(seen: &Seen) -> Vec<Violation> {
     let mut found = Vec::new();
     for (server, started) in &seen.started {
         let mut times: Vec<Instant> = seen
             .attempts
             .iter()
             .filter(|a| a.server == *server)
-            .map(|a| a.whole_at)
+            .map(|a| a.completed_at)
             .collect();
         times.sort_unstable();
         let worst = times.iter().enumerate().map(|(n, from)| {
@@ -205,11 +227,11 @@
                 .iter()
                 .take_while(|at| **at < *from + TIP_AFTER)
                 .count() as f64;
-            within / budget(from.saturating_duration_since(*started))
+            within / cold_start_budget(from.saturating_duration_since(*started))
         });
         let worst = worst.fold(0.0, f64::max);
         if worst > 1.0 {
-            let what = format!("{server} got {worst:.2} times its budget");
+            let what = format!("{server} received {worst:.2} times its budget");
             found.push(Violation {
                 rule: "slow start",
                 request: None,
@@ -220,8 +242,8 @@
     found
 }
 
-/// Calls that a server of this age may get within the window.
-fn budget(age: Duration) -> f64 {
+/// Returns the requests that a server of this age may receive within [`TIP_AFTER`], with a tolerance for random variation.
+fn cold_start_budget(age: Duration) -> f64 {
     let share = (age.as_secs_f64() / WARM_AFTER.as_secs_f64()).min(1.0);
     let per_s = CORES as f64 / WORK.as_secs_f64() * (COLD_FROM + (1.0 - COLD_FROM) * share);
     let n = TIP_MULTIPLE * per_s * TIP_AFTER.as_secs_f64();
--- a/crates/lab/src/soak/proxy.rs
+++ b/crates/lab/src/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A fault proxy before each server: it notes when bytes came from the gateway, and holds, trickles or cuts them.
+//! Fault proxy in front of each server: records when bytes arrive from the gateway, and delays, fragments or cuts them.
 
 use socket2::SockRef;
 use std::sync::atomic::{AtomicU8, Ordering};
@@ -10,57 +10,59 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// Bytes that are under way in either direction at most.
-const UNDER_WAY: usize = 4 << 20;
-/// How often a path that holds looks whether it still does.
-const LOOK: Duration = Duration::from_millis(5);
-/// Pieces of a path that trickles.
-const PIECE: usize = 24;
+/// Maximum number of buffered bytes in either direction.
+const MAX_BUFFERED_BYTES: usize = 4 << 20;
+/// Poll interval of a stalled path.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Bytes per write on a trickling path.
+const TRICKLE_BYTES: usize = 24;
 
-/// How the way between gateways and one server is.
+/// State of the path between the gateways and one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
-pub enum Way {
+pub enum PathState {
+    /// Bytes pass unchanged.
     Open = 0,
-    /// Nothing passes, in either direction; what was sent arrives later.
+    /// Nothing passes in either direction; bytes that are sent meanwhile arrive later.
     Held = 1,
-    /// Answers come in small pieces.
+    /// Answers arrive in small pieces.
     Trickles = 2,
-    /// A connection is reset in the midst of what the gateway sends.
+    /// A connection is reset in the middle of a request.
     CutsRequests = 3,
-    /// A connection is reset in the midst of an answer.
+    /// A connection is reset in the middle of an answer.
     CutsAnswers = 4,
 }
 
-/// The way to one server, shared by its connections.
+/// Path to one server, shared by its connections.
 #[derive(Clone, Default)]
 pub struct Path {
-    way: Arc<AtomicU8>,
-    /// Connections that are to end by a reset.
+    state: Arc<AtomicU8>,
+    /// Number of connections that the proxy will reset when the server ends them.
     resets: Arc<AtomicU8>,
 }
 
 impl Path {
-    pub fn set(&self, way: Way) {
-        self.way.store(way as u8, Ordering::SeqCst);
+    pub fn set(&self, state: PathState) {
+        self.state.store(state as u8, Ordering::SeqCst);
     }
 
-    fn way(&self) -> Way {
-        match self.way.load(Ordering::SeqCst) {
-            1 => Way::Held,
-            2 => Way::Trickles,
-            3 => Way::CutsRequests,
-            4 => Way::CutsAnswers,
-            _ => Way::Open,
+    fn state(&self) -> PathState {
+        match self.state.load(Ordering::SeqCst) {
+            1 => PathState::Held,
+            2 => PathState::Trickles,
+            3 => PathState::CutsRequests,
+            4 => PathState::CutsAnswers,
+            _ => PathState::Open,
         }
     }
 
-    /// The next connection whose server ends it is reset.
+    /// Makes the proxy reset the next connection that the server ends.
     pub fn reset_next(&self) {
         self.resets.fetch_add(1, Ordering::SeqCst);
     }
 
-    fn takes_reset(&self) -> bool {
+    /// Consumes one pending reset, and returns whether there was one.
+    fn take_reset(&self) -> bool {
         let taken = |n: u8| n.checked_sub(1);
         self.resets
             .fetch_update(Ordering::SeqCst, Ordering::SeqCst, taken)
@@ -68,69 +70,73 @@
     }
 
     async fn wait_until_open(&self) {
-        while self.way() == Way::Held {
-            sleep(LOOK).await;
+        while self.state() == PathState::Held {
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-/// When the bytes of a connection came from the gateway.
+/// Arrival times of the bytes of a connection from the gateway: total bytes so far, and when they arrived.
 #[derive(Clone, Default)]
 pub struct Arrivals(Arc<Mutex<Vec<(usize, Instant)>>>);
 
 impl Arrivals {
-    fn note(&self, bytes: usize) {
-        let mut all = self.0.lock().expect("arrivals");
+    fn record(&self, bytes: usize) {
+        let mut all = self.0.lock().expect("lock is not poisoned");
         let before = all.last().map_or(0, |(end, _)| *end);
         all.push((before + bytes, Instant::now()));
     }
 
-    /// When the byte at this place came.
-    pub fn of(&self, place: usize) -> Instant {
-        let all = self.0.lock().expect("arrivals");
-        let found = all.iter().find(|(end, _)| *end > place).or(all.last());
+    /// Returns when the byte at this offset arrived.
+    pub fn time_of(&self, offset: usize) -> Instant {
+        let all = self.0.lock().expect("lock is not poisoned");
+        let found = all.iter().find(|(end, _)| *end > offset).or(all.last());
         found.map_or_else(Instant::now, |(_, at)| *at)
     }
 }
 
-/// Puts a proxy between a gateway's connection and a server, which gets the returned stream.
-pub fn between(tasks: &mut JoinSet<()>, stream: TcpStream, path: Path) -> (DuplexStream, Arrivals) {
+/// Places a proxy between a gateway's connection and a server; returns the server's end and the arrival times.
+pub fn insert_proxy(
+    tasks: &mut JoinSet<()>,
+    stream: TcpStream,
+    path: Path,
+) -> (DuplexStream, Arrivals) {
     let _ = stream.set_nodelay(true);
-    let (inner, outer) = tokio::io::duplex(UNDER_WAY);
+    let (inner, outer) = tokio::io::duplex(MAX_BUFFERED_BYTES);
     let arrivals = Arrivals::default();
     tasks.spawn(pump(stream, outer, path, arrivals.clone()));
     (inner, arrivals)
 }
 
-/// What became of a connection while its way was held.
+/// State of a connection after its path was held.
 #[derive(PartialEq)]
-enum Held {
-    Stays,
-    /// The gateway closed it meanwhile.
-    Left,
+enum HeldConnection {
+    Open,
+    /// The gateway closed the connection meanwhile.
+    Closed,
 }
 
-/// Waits until the way is open; what comes meanwhile is noted and kept.
-async fn hold(
+/// Waits while the path is held; records and buffers the bytes that arrive meanwhile.
+async fn wait_while_held(
     path: &Path,
     from: &mut OwnedReadHalf,
     arrivals: &Arrivals,
     kept: &mut Vec<u8>,
-) -> Held {
+) -> HeldConnection {
     let mut chunk = vec![0; 64 << 10];
-    while path.way() == Way::Held {
+    while path.state() == PathState::Held {
         tokio::select! {
-            read = from.read(&mut chunk), if kept.len() < UNDER_WAY => match read {
-                Ok(0) | Err(_) => return Held::Left,
+            read = from.read(&mut chunk), if kept.len() < MAX_BUFFERED_BYTES => match read {
+                Ok(0) | Err(_) => return HeldConnection::Closed,
                 Ok(n) => {
-                    arrivals.note(n);
+                    arrivals.record(n);
                     kept.extend_from_slice(&chunk[..n]);
                 }
             },
-            () = sleep(LOOK) => {}
+            () = sleep(POLL_INTERVAL) => {}
         }
     }
-    Held::Stays
+    HeldConnection::Open
 }
 
 async fn pump(stream: TcpStream, server: DuplexStream, path: Path, arrivals: Arrivals) {
@@ -139,13 +145,15 @@
     let requests = async {
         let mut chunk = vec![0; 64 << 10];
         while let Ok(n @ 1..) = from_gateway.read(&mut chunk).await {
-            arrivals.note(n);
-            if path.way() == Way::CutsRequests {
+            arrivals.record(n);
+            if path.state() == PathState::CutsRequests {
                 return true;
             }
             let mut bytes = chunk[..n].to_vec();
-            // A machine that is back resets what was left meanwhile; it never hears of it.
-            if hold(&path, &mut from_gateway, &arrivals, &mut bytes).await == Held::Left {
+            // A host that comes back resets connections that the peer closed meanwhile; the server never sees the request.
+            if wait_while_held(&path, &mut from_gateway, &arrivals, &mut bytes).await
+                == HeldConnection::Closed
+            {
                 return true;
             }
             if to_server.write_all(&bytes).await.is_err() {
@@ -158,18 +166,18 @@
         let mut chunk = vec![0; 64 << 10];
         loop {
             let n = match from_server.read(&mut chunk).await {
-                Ok(0) | Err(_) => return path.takes_reset(),
+                Ok(0) | Err(_) => return path.take_reset(),
                 Ok(n) => n,
             };
             path.wait_until_open().await;
-            let way = path.way();
-            let bytes = if way == Way::CutsAnswers {
+            let state = path.state();
+            let bytes = if state == PathState::CutsAnswers {
                 &chunk[..n / 2]
             } else {
                 &chunk[..n]
             };
-            let piece = if way == Way::Trickles {
-                PIECE
+            let piece = if state == PathState::Trickles {
+                TRICKLE_BYTES
             } else {
                 bytes.len().max(1)
             };
@@ -177,11 +185,11 @@
                 if to_gateway.write_all(part).await.is_err() {
                     return false;
                 }
-                if way == Way::Trickles {
+                if state == PathState::Trickles {
                     sleep(Duration::from_millis(1)).await;
                 }
             }
-            if way == Way::CutsAnswers {
+            if state == PathState::CutsAnswers {
                 return true;
             }
         }
@@ -192,7 +200,7 @@
     };
     if reset {
         let _ = SockRef::from(to_gateway.as_ref()).set_linger(Some(Duration::ZERO));
-        // Its end would be an orderly one.
+        // Dropping the write half would shut the connection down in an orderly way.
         to_gateway.forget();
     }
 }
--- a/crates/lab/src/soak/record.rs
+++ b/crates/lab/src/soak/record.rs
@@ -1,17 +1,17 @@
-//! What clients and servers saw, for the oracle.
+//! Observations of clients and servers during a soak, which the oracle checks.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// The classes of the soak, one of each effect.
+/// Request classes of the soak, one for each kind of effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
-    /// May run any number of times.
+    /// Repeatable: may run any number of times.
     Check,
-    /// Repeats are dropped by its key, within a cell and a window.
+    /// Deduplicated by its key within a cell and a window.
     TopUp,
-    /// Never more than once.
+    /// Must run at most once.
     Transfer,
 }
 
@@ -31,100 +31,101 @@
     }
 }
 
-/// Over what a request was sent.
+/// The kind of connection over which a request was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Over {
+pub enum ConnectionKind {
     NewConnection,
-    /// One that has served before: it may be closed unread.
+    /// A connection that has served an earlier request: the gateway may close it without reading the request.
     KeptConnection,
 }
 
-/// How one send of a request ended for its client.
+/// How one transmission of a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum SendEnd {
+pub enum TransmissionEnd {
     Answered {
         status: u16,
-        /// A 200 carries what a server made for this request.
+        /// The answer is no 200, or carries the body that a server made for this request.
         genuine: bool,
         at: Instant,
     },
-    /// The connection ended, or broke, before any answer.
-    Closed {
-        at: Instant,
-    },
-    /// An answer began and did not come whole.
+    /// The connection was closed or reset before any byte of an answer.
+    Closed { at: Instant },
+    /// The answer was truncated.
     Cut,
-    /// The client waited until long after its time, and the connection stayed open.
+    /// No answer until well after the client's deadline, on a connection that stayed open.
     Nothing,
-    ClientLeft {
-        at: Instant,
-    },
+    /// The client closed the connection before the answer.
+    ClientLeft { at: Instant },
 }
 
-/// One send of a request, whole.
+/// One complete transmission of a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Sent {
-    pub over: Over,
-    pub begun_at: Instant,
-    /// When its last byte was handed to the system.
-    pub whole_at: Instant,
-    pub end: SendEnd,
+pub struct Transmission {
+    pub connection_kind: ConnectionKind,
+    pub started_at: Instant,
+    /// When the last byte was written to the socket.
+    pub completed_at: Instant,
+    pub end: TransmissionEnd,
 }
 
 #[derive(Clone, Debug)]
+/// A request and its transmissions.
 pub struct Request {
     pub id: u64,
     pub class: Class,
     pub gateway: usize,
-    pub patience: Duration,
-    /// Once, or again where a kept connection was closed unread.
-    pub sends: Vec<Sent>,
+    /// Time after which the client leaves.
+    pub client_timeout: Duration,
+    /// One transmission, or two if the gateway closed a kept connection without an answer.
+    pub transmissions: Vec<Transmission>,
 }
 
-/// An attempt that came to a server whole.
+/// An attempt that a server received completely.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     pub id: u64,
     pub server: String,
     pub first_byte_at: Instant,
-    pub whole_at: Instant,
-    /// How long the gateway said that it waits.
-    pub told: Duration,
-    /// The server began it: it was not turned away as never run.
+    pub completed_at: Instant,
+    /// Remaining time that the gateway announced in the attempt.
+    pub remaining_time: Duration,
+    /// The server ran it, and did not reject it as never run.
     pub ran: bool,
-    /// It had an effect: it was no repeat that the server dropped.
+    /// It had an effect: the server did not drop it as a duplicate.
     pub effect: bool,
 }
 
-/// Trouble with a process that no request explains.
+/// A violation that belongs to a process and not to one request.
 #[derive(Clone, Debug)]
 pub struct Incident {
     pub rule: &'static str,
     pub what: String,
 }
 
-/// Everything that was seen.
+/// All observations of a soak.
 #[derive(Default)]
 pub struct Seen {
     pub requests: Vec<Request>,
     pub attempts: Vec<Attempt>,
     pub incidents: Vec<Incident>,
-    /// When each gateway was killed.
+    /// Gateways that were killed, and when.
     pub kills: Vec<(usize, Instant)>,
-    /// When a gateway counts as told that a server drains.
-    pub told: HashMap<(usize, String), Instant>,
-    /// When each server started, if it did so in sight.
+    /// When a gateway is considered to know that a server drains, by gateway and server.
+    pub drain_known_at: HashMap<(usize, String), Instant>,
+    /// When each server that started during the soak did so.
     pub started: HashMap<String, Instant>,
 }
 
 #[derive(Default)]
+/// Observations shared by all tasks of a soak.
 pub struct History(Mutex<Seen>);
 
 impl History {
     pub fn seen(&self) -> MutexGuard<'_, Seen> {
-        self.0.lock().expect("a history")
+        self.0.lock().expect("lock is not poisoned")
     }
 
+    /// Records a violation of `rule` that belongs to no request.
     pub fn incident(&self, rule: &'static str, what: String) {
         self.seen().incidents.push(Incident { rule, what });
     }
--- a/crates/lab/src/soak/servers.rs
+++ b/crates/lab/src/soak/servers.rs
@@ -1,4 +1,4 @@
-//! Servers of the soak: each behind a fault proxy, each with a mood, and with a memory of keys that its cell shares.
+//! Servers of the soak: each behind a fault proxy, with a switchable fault mode and a deduplication store shared by its cell.
 
 use super::proxy::{self, Path};
 use super::record::{Attempt, Class, History};
@@ -14,62 +14,64 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::sleep;
 
-/// Work of one request.
+/// Processing time of one request.
 pub const WORK: Duration = Duration::from_millis(15);
-/// Requests that a server works on at once.
+/// Requests that a server processes concurrently.
 pub const CORES: usize = 2;
-/// How long servers remember a key.
+/// How long servers deduplicate by a key.
 pub const WINDOW: Duration = Duration::from_millis(750);
 
-/// What a server does with what comes.
+/// How a server handles requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
-pub enum Mood {
-    Well = 0,
-    /// Begins what comes and never answers.
+pub enum Mode {
+    /// Answers 200 after the work.
+    Normal = 0,
+    /// Runs requests and never answers.
     Hangs = 1,
-    /// 500, after it has run.
+    /// Answers 500 after running the request.
     Fails = 2,
-    /// Turned away, never run.
-    TurnsAway = 3,
-    /// Begins what comes, then resets the connection.
+    /// Rejects requests with 503 without running them.
+    Rejects = 3,
+    /// Runs requests, then resets the connection.
     Resets = 4,
-    /// Answers, and closes each connection without saying so.
+    /// Answers, and closes each connection without announcing it.
     Closes = 5,
-    /// Answers without a length, and some of these are reset on the way.
+    /// Answers without `Content-Length`; a third of the answers is truncated by a reset.
     NoLength = 6,
-    /// Ten times the work.
+    /// Takes ten times the work.
     Slow = 7,
 }
 
-impl Mood {
-    fn of(number: u8) -> Mood {
+impl Mode {
+    fn from_number(number: u8) -> Mode {
         match number {
-            1 => Mood::Hangs,
-            2 => Mood::Fails,
-            3 => Mood::TurnsAway,
-            4 => Mood::Resets,
-            5 => Mood::Closes,
-            6 => Mood::NoLength,
-            7 => Mood::Slow,
-            _ => Mood::Well,
+            1 => Mode::Hangs,
+            2 => Mode::Fails,
+            3 => Mode::Rejects,
+            4 => Mode::Resets,
+            5 => Mode::Closes,
+            6 => Mode::NoLength,
+            7 => Mode::Slow,
+            _ => Mode::Normal,
         }
     }
 }
 
-/// The keys that the servers of all cells remember.
-pub type Memory = Arc<Mutex<HashMap<(u64, u64), Instant>>>;
+/// Deduplication stores of all cells: time of the first use by cell and key.
+pub type DedupStores = Arc<Mutex<HashMap<(u64, u64), Instant>>>;
 
 struct Shared {
     uid: String,
     cell: u64,
-    mood: AtomicU8,
+    mode: AtomicU8,
     path: Path,
     cores: Semaphore,
-    memory: Memory,
+    dedup_stores: DedupStores,
     history: Arc<History>,
 }
 
+/// A running server that ends on drop.
 pub struct Server {
     pub uid: String,
     pub address: SocketAddr,
@@ -78,38 +80,43 @@
 }
 
 impl Server {
-    /// `fresh`: it starts now, and is cold.
+    /// Starts a server; a `fresh` one is cold, and its start is recorded for the oracle.
     pub fn start(
-        on: &Handle,
+        handle: &Handle,
         uid: String,
         cell: u64,
         fresh: bool,
-        memory: &Memory,
+        dedup_stores: &DedupStores,
         history: &Arc<History>,
     ) -> Server {
-        let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
-        listener.set_nonblocking(true).expect("a listener");
+        let listener =
+            std::net::TcpListener::bind("127.0.0.1:0").expect("a loopback port can be bound");
+        let address = listener
+            .local_addr()
+            .expect("a bound socket has a local address");
+        listener
+            .set_nonblocking(true)
+            .expect("the listener can be made non-blocking");
         let shared = Arc::new(Shared {
             uid: uid.clone(),
             cell,
-            mood: AtomicU8::new(Mood::Well as u8),
+            mode: AtomicU8::new(Mode::Normal as u8),
             path: Path::default(),
             cores: Semaphore::new(CORES),
-            memory: memory.clone(),
+            dedup_stores: dedup_stores.clone(),
             history: history.clone(),
         });
         if fresh {
             history.seen().started.insert(uid.clone(), Instant::now());
         }
         let serving = shared.clone();
-        let task = on.spawn(async move {
+        let task = handle.spawn(async move {
             let Ok(listener) = TcpListener::from_std(listener) else { return };
             let mut open = JoinSet::new();
             loop {
                 tokio::select! {
                     accepted = listener.accept() => if let Ok((stream, _)) = accepted {
-                        let (inner, arrivals) = proxy::between(&mut open, stream, serving.path.clone());
+                        let (inner, arrivals) = proxy::insert_proxy(&mut open, stream, serving.path.clone());
                         open.spawn(serve(inner, arrivals, serving.clone()));
                     },
                     Some(_) = open.join_next() => {}
@@ -124,15 +131,15 @@
         }
     }
 
-    pub fn set_mood(&self, mood: Mood) {
-        self.shared.mood.store(mood as u8, Ordering::SeqCst);
+    pub fn set_mode(&self, mode: Mode) {
+        self.shared.mode.store(mode as u8, Ordering::SeqCst);
     }
 
     pub fn path(&self) -> &Path {
         &self.shared.path
     }
 
-    /// Its process dies.
+    /// Simulates a crash.
     pub fn kill(&self) {
         self.task.abort();
     }
@@ -147,7 +154,7 @@
 struct Head {
     id: u64,
     class: Option<Class>,
-    told: Duration,
+    remaining_time: Duration,
     length: usize,
 }
 
@@ -162,7 +169,7 @@
         .split(' ')
         .nth(1)
         .and_then(|path| Class::named(path.trim_start_matches('/')));
-    let told = header("x-expires-in")
+    let remaining_time = header("x-expires-in")
         .and_then(|t| t.parse().ok())
         .unwrap_or(0.0);
     Head {
@@ -170,16 +177,16 @@
             .and_then(|id| u64::from_str_radix(&id, 16).ok())
             .unwrap_or(0),
         class,
-        told: Duration::from_secs_f64(told),
+        remaining_time: Duration::from_secs_f64(remaining_time),
         length: header("content-length")
             .and_then(|l| l.parse().ok())
             .unwrap_or(0),
     }
 }
 
-/// Whether a connection goes on.
+/// What happens to the connection after an answer.
 #[derive(PartialEq)]
-enum Then {
+enum NextStep {
     Next,
     Close,
     Reset,
@@ -187,7 +194,7 @@
 
 async fn serve(mut stream: DuplexStream, arrivals: proxy::Arrivals, shared: Arc<Shared>) {
     let mut buffer = Vec::new();
-    let mut begins = 0;
+    let mut request_start = 0;
     loop {
         let end = loop {
             if let Some(at) = buffer.windows(4).position(|w| w == b"\r\n\r\n") {
@@ -205,24 +212,27 @@
             }
         }
         buffer.drain(..length);
-        let (first_byte_at, whole_at) = (arrivals.of(begins), arrivals.of(begins + length - 1));
-        begins += length;
-        let mood = Mood::of(shared.mood.load(Ordering::SeqCst));
-        let ran = mood != Mood::TurnsAway;
+        let (first_byte_at, completed_at) = (
+            arrivals.time_of(request_start),
+            arrivals.time_of(request_start + length - 1),
+        );
+        request_start += length;
+        let mode = Mode::from_number(shared.mode.load(Ordering::SeqCst));
+        let ran = mode != Mode::Rejects;
         let effect = ran && shared.has_effect(&head);
         shared.history.seen().attempts.push(Attempt {
             id: head.id,
             server: shared.uid.clone(),
             first_byte_at,
-            whole_at,
-            told: head.told,
+            completed_at,
+            remaining_time: head.remaining_time,
             ran,
             effect,
         });
-        match shared.answer(&mut stream, mood, head.id).await {
-            Then::Next => {}
-            Then::Close => return,
-            Then::Reset => {
+        match shared.answer(&mut stream, mode, head.id).await {
+            NextStep::Next => {}
+            NextStep::Close => return,
+            NextStep::Reset => {
                 shared.path.reset_next();
                 let _ = stream.shutdown().await;
                 return;
@@ -232,22 +242,25 @@
 }
 
 impl Shared {
-    /// Whether a request has an effect: keyed ones whose key the cell remembers have none.
+    /// Returns whether a request has an effect: a keyed request that repeats a key within [`WINDOW`] in the cell has none.
     fn has_effect(&self, head: &Head) -> bool {
         if head.class != Some(Class::TopUp) {
             return true;
         }
-        let (mut memory, now) = (self.memory.lock().expect("a memory"), Instant::now());
-        match memory.get(&(self.cell, head.id)) {
+        let (mut dedup_stores, now) = (
+            self.dedup_stores.lock().expect("lock is not poisoned"),
+            Instant::now(),
+        );
+        match dedup_stores.get(&(self.cell, head.id)) {
             Some(since) if now.duration_since(*since) < WINDOW => false,
             _ => {
-                memory.insert((self.cell, head.id), now);
+                dedup_stores.insert((self.cell, head.id), now);
                 true
             }
         }
     }
 
-    async fn answer(&self, stream: &mut DuplexStream, mood: Mood, id: u64) -> Then {
+    async fn answer(&self, stream: &mut DuplexStream, mode: Mode, id: u64) -> NextStep {
         let body = format!("made for {id:016x}");
         let whole = |status: &str, more: &str| {
             format!(
@@ -255,42 +268,47 @@
                 body.len()
             )
         };
-        if mood == Mood::Hangs {
+        if mode == Mode::Hangs {
             sleep(Duration::from_secs(20)).await;
-            return Then::Close;
+            return NextStep::Close;
         }
-        if mood == Mood::TurnsAway {
+        if mode == Mode::Rejects {
             let text = whole("503 Service Unavailable", "X-Never-Ran: 1\r\n");
-            return Shared::write(stream, &text, Then::Next).await;
+            return Shared::write(stream, &text, NextStep::Next).await;
         }
         let Ok(core) = self.cores.acquire().await else {
-            return Then::Close;
+            return NextStep::Close;
         };
-        sleep(if mood == Mood::Slow { WORK * 10 } else { WORK }).await;
+        sleep(if mode == Mode::Slow { WORK * 10 } else { WORK }).await;
         drop(core);
-        match mood {
-            Mood::Fails => {
-                Shared::write(stream, &whole("500 Internal Server Error", ""), Then::Next).await
+        match mode {
+            Mode::Fails => {
+                Shared::write(
+                    stream,
+                    &whole("500 Internal Server Error", ""),
+                    NextStep::Next,
+                )
+                .await
             }
-            Mood::Resets => Then::Reset,
-            Mood::Closes => Shared::write(stream, &whole("200 OK", ""), Then::Close).await,
-            Mood::NoLength => {
+            Mode::Resets => NextStep::Reset,
+            Mode::Closes => Shared::write(stream, &whole("200 OK", ""), NextStep::Close).await,
+            Mode::NoLength => {
                 let text = format!("HTTP/1.1 200 OK\r\n\r\n{body}");
-                // The end by a reset is no end.
-                let (text, then) = match id % 3 {
-                    0 => (&text[..text.len() - 4], Then::Reset),
-                    _ => (&text[..], Then::Close),
+                // Without a length the connection's orderly end is the answer's end; a reset truncates the answer.
+                let (text, next_step) = match id % 3 {
+                    0 => (&text[..text.len() - 4], NextStep::Reset),
+                    _ => (&text[..], NextStep::Close),
                 };
-                Shared::write(stream, text, then).await
+                Shared::write(stream, text, next_step).await
             }
-            _ => Shared::write(stream, &whole("200 OK", ""), Then::Next).await,
+            _ => Shared::write(stream, &whole("200 OK", ""), NextStep::Next).await,
         }
     }
 
-    async fn write(stream: &mut DuplexStream, text: &str, then: Then) -> Then {
+    async fn write(stream: &mut DuplexStream, text: &str, next_step: NextStep) -> NextStep {
         match stream.write_all(text.as_bytes()).await {
-            Ok(()) => then,
-            Err(_) => Then::Close,
+            Ok(()) => next_step,
+            Err(_) => NextStep::Close,
         }
     }
 }
--- a/crates/lab/src/soak/troubles.rs
+++ b/crates/lab/src/soak/troubles.rs
@@ -1,108 +1,122 @@
-//! Troubles of a soak, drawn by a seed: several at a time, of different kinds.
+//! Fault injection of the soak: several concurrent faults of different kinds, chosen by a seed.
 
 use super::agent::{self, Discovery};
 use super::chance::Chance;
 use super::gateways::Gateway;
-use super::proxy::Way;
+use super::proxy::PathState;
 use super::record::History;
-use super::servers::{self, Memory, Server};
+use super::servers::{self, DedupStores, Server};
 use frosthatch_test_doubles::Fault;
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::runtime::Handle;
 
-/// Troubles that are under way at once, as drawn anew for each.
-const AT_ONCE: usize = 4;
-/// Cells of servers, each with a memory of its own.
+/// Maximum number of concurrent faults; the actual bound is drawn anew for each fault.
+const MAX_CONCURRENT_FAULTS: usize = 4;
+/// Number of server cells, each with a deduplication store of its own.
 const CELLS: u64 = 3;
-/// With fewer servers none is taken away.
-const LEAST_SERVERS: usize = 4;
+/// Number of servers below which none is removed.
+const MIN_SERVERS: usize = 4;
 const HOUR_MS: i64 = 3_600_000;
 
-/// One kind of trouble.
+/// Kinds of faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    ServerMood,
+pub enum FaultKind {
+    /// A server hangs, fails, rejects, resets, closes or slows down.
+    ServerMode,
+    /// The path to a server is held, trickles or cuts connections.
     ServerPath,
-    ServerDrains,
-    ServerRestarts,
-    ServersReplaced,
-    DiscoveryMood,
-    GatewayEnds,
-    GatewayDies,
-    GatewayPauses,
-    GatewayReloads,
-    WallClockSteps,
-    SystemCalls,
-    HeldUp,
+    /// A server drains and is replaced by a cold one.
+    ServerDrain,
+    /// A server crashes and a cold one takes its place.
+    ServerCrash,
+    /// Three servers are replaced in turn.
+    ServerRollout,
+    /// Endpoint list agents of some or all gateways misbehave.
+    DiscoveryMode,
+    /// A gateway is terminated in order and restarted.
+    GatewayTerminate,
+    /// A gateway is killed and restarted.
+    GatewayKill,
+    /// A gateway is stopped for short periods.
+    GatewayPause,
+    /// A gateway reloads its configuration.
+    GatewayReload,
+    /// The wall clock of a gateway steps.
+    WallClockStep,
+    /// System calls of a gateway fail.
+    SystemCallFault,
+    /// Writes of a gateway stall.
+    WriteStall,
 }
 
-pub const KINDS: [Kind; 13] = [
-    Kind::ServerMood,
-    Kind::ServerPath,
-    Kind::ServerDrains,
-    Kind::ServerRestarts,
-    Kind::ServersReplaced,
-    Kind::DiscoveryMood,
-    Kind::GatewayEnds,
-    Kind::GatewayDies,
-    Kind::GatewayPauses,
-    Kind::GatewayReloads,
-    Kind::WallClockSteps,
-    Kind::SystemCalls,
-    Kind::HeldUp,
+/// All kinds of faults.
+pub const ALL_FAULT_KINDS: [FaultKind; 13] = [
+    FaultKind::ServerMode,
+    FaultKind::ServerPath,
+    FaultKind::ServerDrain,
+    FaultKind::ServerCrash,
+    FaultKind::ServerRollout,
+    FaultKind::DiscoveryMode,
+    FaultKind::GatewayTerminate,
+    FaultKind::GatewayKill,
+    FaultKind::GatewayPause,
+    FaultKind::GatewayReload,
+    FaultKind::WallClockStep,
+    FaultKind::SystemCallFault,
+    FaultKind::WriteStall,
 ];
 
-/// What troubles happen to.
+/// The installation into which faults are injected.
 pub struct World {
-    pub on: Handle,
+    pub handle: Handle,
     pub gateways: Arc<Vec<Gateway>>,
     pub servers: Mutex<Vec<Server>>,
     pub discovery: Discovery,
-    pub memory: Memory,
+    pub dedup_stores: DedupStores,
     pub history: Arc<History>,
-    /// What is busy with a trouble: gateways by number.
-    busy: Mutex<Vec<bool>>,
+    /// Whether a fault is in progress at each gateway.
+    faulted: Mutex<Vec<bool>>,
     next_server: Mutex<u64>,
-    /// What happened, for a reader.
+    /// The injected faults with their times, as text.
     pub log: Mutex<Vec<String>>,
     since: Instant,
 }
 
 impl World {
     pub fn new(
-        on: Handle,
+        handle: Handle,
         gateways: Arc<Vec<Gateway>>,
         discovery: Discovery,
         history: Arc<History>,
     ) -> World {
-        let busy = Mutex::new(vec![false; gateways.len()]);
+        let faulted = Mutex::new(vec![false; gateways.len()]);
         World {
-            on,
+            handle,
             gateways,
             servers: Mutex::default(),
             discovery,
-            memory: Memory::default(),
+            dedup_stores: DedupStores::default(),
             history,
-            busy,
+            faulted,
             next_server: Mutex::default(),
             log: Mutex::default(),
             since: Instant::now(),
         }
     }
 
-    fn note(&self, what: String) {
+    fn log_event(&self, what: String) {
         self.log
             .lock()
-            .expect("a log")
+            .expect("lock is not poisoned")
             .push(format!("{:6.2} {what}", self.since.elapsed().as_secs_f64()));
     }
 
-    /// Another server; `fresh`: it starts now, and is cold.
+    /// Adds a server to the installation and the list; a `fresh` one is cold.
     pub fn add_server(&self, fresh: bool) {
         let number = {
-            let mut next = self.next_server.lock().expect("a number");
+            let mut next = self.next_server.lock().expect("lock is not poisoned");
             *next += 1;
             *next
         };
@@ -112,141 +126,145 @@
         let boot_ms = if fresh { now.as_millis() as u64 } else { 0 };
         let (uid, cell) = (format!("s-{number}"), number % CELLS);
         let server = Server::start(
-            &self.on,
+            &self.handle,
             uid.clone(),
             cell,
             fresh,
-            &self.memory,
+            &self.dedup_stores,
             &self.history,
         );
         self.discovery.add(&uid, server.address, cell, boot_ms);
-        self.servers.lock().expect("servers").push(server);
+        self.servers
+            .lock()
+            .expect("lock is not poisoned")
+            .push(server);
     }
 
-    /// Takes one out of the servers, if enough stay.
+    /// Removes a random server, unless fewer than [`MIN_SERVERS`] are left.
     fn take_server(&self, chance: &mut Chance) -> Option<Server> {
-        let mut servers = self.servers.lock().expect("servers");
-        if servers.len() < LEAST_SERVERS {
+        let mut servers = self.servers.lock().expect("lock is not poisoned");
+        if servers.len() < MIN_SERVERS {
             return None;
         }
         let nth = chance.below(servers.len());
         Some(servers.swap_remove(nth))
     }
 
-    /// Takes a server off, which drains and then goes.
-    fn drain_one(&self, chance: &mut Chance, drains_for: Duration) {
+    /// Drains a random server for `drains_for`, then removes it from the list.
+    fn drain_server(&self, chance: &mut Chance, drains_for: Duration) {
         let Some(server) = self.take_server(chance) else {
             return;
         };
-        self.note(format!("{} drains for {drains_for:?}", server.uid));
+        self.log_event(format!("{} drains for {drains_for:?}", server.uid));
         self.discovery.drain(&server.uid);
         thread::sleep(drains_for);
         self.discovery.remove(&server.uid);
-        // It answers a while longer.
+        // The server answers for a while after its removal from the list.
         thread::sleep(Duration::from_millis(700));
     }
 
+    /// Reserves a random gateway for a fault, as long as more than half of the gateways are free.
     fn claim_gateway(&self, chance: &mut Chance) -> Option<usize> {
-        let mut busy = self.busy.lock().expect("gateways");
-        let free: Vec<usize> = (0..busy.len()).filter(|n| !busy[*n]).collect();
-        // Most stay up.
-        if free.len() * 2 <= busy.len() {
+        let mut faulted = self.faulted.lock().expect("lock is not poisoned");
+        let free: Vec<usize> = (0..faulted.len()).filter(|n| !faulted[*n]).collect();
+        if free.len() * 2 <= faulted.len() {
             return None;
         }
         let nth = *chance.pick(&free);
-        busy[nth] = true;
+        faulted[nth] = true;
         Some(nth)
     }
 
     fn release_gateway(&self, nth: usize) {
-        self.busy.lock().expect("gateways")[nth] = false;
+        self.faulted.lock().expect("lock is not poisoned")[nth] = false;
     }
 
-    /// Troubles for so long, several at a time.
-    pub fn run(self: &Arc<Self>, chance: &mut Chance, kinds: &[Kind], length: Duration) {
-        let (start, mut under_way) = (Instant::now(), Vec::<thread::JoinHandle<()>>::new());
+    /// Injects faults of these kinds for `length`, several at a time, and waits until all have ended.
+    pub fn run(self: &Arc<Self>, chance: &mut Chance, kinds: &[FaultKind], length: Duration) {
+        let (start, mut active) = (Instant::now(), Vec::<thread::JoinHandle<()>>::new());
         while start.elapsed() < length {
-            under_way.retain(|t| !t.is_finished());
-            if under_way.len() < 1 + chance.below(AT_ONCE) {
-                let (world, kind, own) = (self.clone(), *chance.pick(kinds), chance.fork());
-                under_way.push(thread::spawn(move || world.trouble(kind, own)));
+            active.retain(|t| !t.is_finished());
+            if active.len() < 1 + chance.below(MAX_CONCURRENT_FAULTS) {
+                let (world, kind, fault_chance) =
+                    (self.clone(), *chance.pick(kinds), chance.fork());
+                active.push(thread::spawn(move || world.inject(kind, fault_chance)));
             }
             thread::sleep(chance.millis(20, 300));
         }
-        for trouble in under_way {
-            let _ = trouble.join();
+        for inject in active {
+            let _ = inject.join();
         }
     }
 
-    fn trouble(&self, kind: Kind, mut chance: Chance) {
+    fn inject(&self, kind: FaultKind, mut chance: Chance) {
         let length = chance.millis(100, 2_500);
         match kind {
-            Kind::ServerMood => self.server_mood(&mut chance, length),
-            Kind::ServerPath => self.server_path(&mut chance, length),
-            Kind::ServerDrains => {
+            FaultKind::ServerMode => self.set_random_server_mode(&mut chance, length),
+            FaultKind::ServerPath => self.set_random_path_state(&mut chance, length),
+            FaultKind::ServerDrain => {
                 self.add_server(true);
-                self.drain_one(&mut chance, length);
+                self.drain_server(&mut chance, length);
             }
-            Kind::ServerRestarts => self.server_restarts(&mut chance),
-            Kind::ServersReplaced => {
+            FaultKind::ServerCrash => self.crash_server(&mut chance),
+            FaultKind::ServerRollout => {
                 for _ in 0..3 {
                     self.add_server(true);
-                    self.drain_one(&mut chance, length / 4);
+                    self.drain_server(&mut chance, length / 4);
                 }
             }
-            Kind::DiscoveryMood => self.discovery_mood(&mut chance, length),
+            FaultKind::DiscoveryMode => self.set_random_agent_mode(&mut chance, length),
             _ => {
                 let Some(nth) = self.claim_gateway(&mut chance) else {
                     return;
                 };
-                self.gateway_trouble(kind, nth, &mut chance, length);
+                self.inject_gateway_fault(kind, nth, &mut chance, length);
                 self.release_gateway(nth);
             }
         }
     }
 
-    fn server_mood(&self, chance: &mut Chance, length: Duration) {
-        use servers::Mood;
-        let moods = [
-            Mood::Hangs,
-            Mood::Fails,
-            Mood::TurnsAway,
-            Mood::Resets,
-            Mood::Closes,
-            Mood::NoLength,
-            Mood::Slow,
+    fn set_random_server_mode(&self, chance: &mut Chance, length: Duration) {
+        use servers::Mode;
+        let modes = [
+            Mode::Hangs,
+            Mode::Fails,
+            Mode::Rejects,
+            Mode::Resets,
+            Mode::Closes,
+            Mode::NoLength,
+            Mode::Slow,
         ];
-        let mood = *chance.pick(&moods);
-        let what = |uid: &str| format!("{uid} {mood:?} for {length:?}");
-        self.server_for(
+        let mode = *chance.pick(&modes);
+        let what = |uid: &str| format!("{uid} {mode:?} for {length:?}");
+        self.with_server(
             chance,
             length,
             what,
-            |server| server.set_mood(mood),
-            |server| server.set_mood(Mood::Well),
+            |server| server.set_mode(mode),
+            |server| server.set_mode(Mode::Normal),
         );
     }
 
-    fn server_path(&self, chance: &mut Chance, length: Duration) {
-        let ways = [
-            Way::Held,
-            Way::Trickles,
-            Way::CutsRequests,
-            Way::CutsAnswers,
+    fn set_random_path_state(&self, chance: &mut Chance, length: Duration) {
+        let states = [
+            PathState::Held,
+            PathState::Trickles,
+            PathState::CutsRequests,
+            PathState::CutsAnswers,
         ];
-        let way = *chance.pick(&ways);
-        let what = |uid: &str| format!("the way to {uid} {way:?} for {length:?}");
-        self.server_for(
+        let state = *chance.pick(&states);
+        let what = |uid: &str| format!("path to {uid} {state:?} for {length:?}");
+        self.with_server(
             chance,
             length,
             what,
-            |server| server.path().set(way),
-            |server| server.path().set(Way::Open),
+            |server| server.path().set(state),
+            |server| server.path().set(PathState::Open),
         );
     }
 
-    /// Something is wrong with one server for so long.
-    fn server_for(
+    /// Applies `begin` to a random server and `end` after `length`.
+    fn with_server(
         &self,
         chance: &mut Chance,
         length: Duration,
@@ -255,7 +273,7 @@
         end: impl Fn(&Server),
     ) {
         let uid = {
-            let servers = self.servers.lock().expect("servers");
+            let servers = self.servers.lock().expect("lock is not poisoned");
             if servers.is_empty() {
                 return;
             }
@@ -263,85 +281,94 @@
             begin(server);
             server.uid.clone()
         };
-        self.note(what(&uid));
+        self.log_event(what(&uid));
         thread::sleep(length);
         self.servers
             .lock()
-            .expect("servers")
+            .expect("lock is not poisoned")
             .iter()
             .filter(|s| s.uid == uid)
             .for_each(end);
     }
 
-    /// A process dies; another takes its place, under a name of its own.
-    fn server_restarts(&self, chance: &mut Chance) {
+    /// Simulates a crash of a random server; a new server with another name replaces it.
+    fn crash_server(&self, chance: &mut Chance) {
         self.add_server(true);
         let Some(server) = self.take_server(chance) else {
             return;
         };
-        self.note(format!("{} dies", server.uid));
+        self.log_event(format!("{} crashes", server.uid));
         server.kill();
         thread::sleep(chance.millis(0, 1_000));
         self.discovery.remove(&server.uid);
     }
 
-    fn discovery_mood(&self, chance: &mut Chance, length: Duration) {
-        use agent::Mood;
-        let mood = *chance.pick(&[
-            Mood::DeafToWatches,
-            Mood::Down,
-            Mood::Slow,
-            Mood::EndsWatches,
+    fn set_random_agent_mode(&self, chance: &mut Chance, length: Duration) {
+        use agent::Mode;
+        let mode = *chance.pick(&[
+            Mode::IgnoresLongPolls,
+            Mode::Down,
+            Mode::Slow,
+            Mode::ClosesLongPolls,
         ]);
         let all = chance.percent(50);
-        let of: Vec<usize> = (0..self.gateways.len())
+        let affected: Vec<usize> = (0..self.gateways.len())
             .filter(|_| all || chance.percent(30))
             .collect();
-        self.note(format!("discovery {mood:?} for {of:?} for {length:?}"));
-        of.iter().for_each(|g| self.discovery.set_mood(*g, mood));
+        self.log_event(format!(
+            "discovery {mode:?} for {affected:?} for {length:?}"
+        ));
+        affected
+            .iter()
+            .for_each(|g| self.discovery.set_mode(*g, mode));
         thread::sleep(length);
-        of.iter()
-            .for_each(|g| self.discovery.set_mood(*g, Mood::Telling));
+        affected
+            .iter()
+            .for_each(|g| self.discovery.set_mode(*g, Mode::Normal));
     }
 
-    fn gateway_trouble(&self, kind: Kind, nth: usize, chance: &mut Chance, length: Duration) {
+    fn inject_gateway_fault(
+        &self,
+        kind: FaultKind,
+        nth: usize,
+        chance: &mut Chance,
+        length: Duration,
+    ) {
         let gateway = &self.gateways[nth];
         match kind {
-            Kind::GatewayEnds => {
-                self.note(format!("gateway {nth} is told to end"));
+            FaultKind::GatewayTerminate => {
+                self.log_event(format!("gateway {nth} is terminated"));
                 gateway.terminate();
                 gateway.start();
             }
-            Kind::GatewayDies => {
-                self.note(format!("gateway {nth} is killed"));
+            FaultKind::GatewayKill => {
+                self.log_event(format!("gateway {nth} is killed"));
                 gateway.kill();
                 thread::sleep(chance.millis(0, 800));
                 gateway.start();
             }
-            Kind::GatewayPauses => {
-                self.note(format!("gateway {nth} is held up again and again"));
+            FaultKind::GatewayPause => {
+                self.log_event(format!("gateway {nth} is stopped repeatedly"));
                 for _ in 0..5 {
                     gateway.pause(chance.millis(20, 150));
                     thread::sleep(chance.millis(20, 300));
                 }
             }
-            Kind::GatewayReloads => {
-                self.note(format!("gateway {nth} gets new configurations"));
+            FaultKind::GatewayReload => {
+                self.log_event(format!("gateway {nth} reloads its configuration"));
                 for _ in 0..1 + chance.below(4) {
                     gateway.reload();
                     thread::sleep(chance.millis(0, 400));
                 }
             }
-            Kind::WallClockSteps => {
+            FaultKind::WallClockStep => {
                 let steps = [-HOUR_MS, HOUR_MS, -3_000, 3_000, 0];
                 let step = *chance.pick(&steps);
-                self.note(format!("gateway {nth}: the wall clock is off by {step} ms"));
+                self.log_event(format!("gateway {nth}: the wall clock is off by {step} ms"));
                 gateway.set(Fault::WallClockOffsetMs, step);
             }
-            Kind::HeldUp => {
-                self.note(format!(
-                    "gateway {nth} is held up before writes for {length:?}"
-                ));
+            FaultKind::WriteStall => {
+                self.log_event(format!("writes of gateway {nth} stall for {length:?}"));
                 gateway.set(Fault::StallMs, 140);
                 gateway.set(Fault::Stall, 30);
                 thread::sleep(length);
@@ -357,7 +384,7 @@
                     Fault::Broken,
                 ];
                 let (fault, rate) = (*chance.pick(&faults), 50 + chance.below(400) as i64);
-                self.note(format!("gateway {nth}: {fault:?} {rate} for {length:?}"));
+                self.log_event(format!("gateway {nth}: {fault:?} {rate} for {length:?}"));
                 gateway.set(fault, rate);
                 thread::sleep(length);
                 gateway.set(fault, 0);
--- a/crates/lab/src/upgrade.rs
+++ b/crates/lab/src/upgrade.rs
@@ -1,7 +1,7 @@
 //! `upgrade`: 500 requests a second while processes are replaced; every second start fails, at one step after another.
 
 use crate::figures::Figures;
-use crate::load::{percentile, Got, Load, Shot};
+use crate::load::{percentile, Load, Outcome, Sample};
 use crate::servers::Server;
 use crate::site::{pause, Node, OperatorFile};
 use frosthatch_handover::message::{Message, VERSION};
@@ -78,9 +78,9 @@
     old.says("the new process has gone");
 }
 
-pub fn play(seconds: Option<u64>, figures: &mut Figures) {
+pub fn run(seconds: Option<u64>, figures: &mut Figures) {
     let length = seconds.map_or(LENGTH, Duration::from_secs);
-    let runtime = Runtime::new().expect("a runtime");
+    let runtime = Runtime::new().expect("the Tokio runtime can be built");
     let servers: Vec<Server> = (0..8)
         .map(|_| Server::start(runtime.handle(), false))
         .collect();
@@ -136,41 +136,48 @@
         running = new;
     }
     runtime.block_on(async { drop(task.await) });
-    let shots = load.shots.lock().expect("shots");
-    let count = |is: fn(&Shot) -> bool| shots.iter().filter(|s| is(s)).count() as f64;
-    figures.show("requests", shots.len() as f64, "requests");
+    let samples = load.samples.lock().expect("lock is not poisoned");
+    let count = |is: fn(&Sample) -> bool| samples.iter().filter(|s| is(s)).count() as f64;
+    figures.record("requests", samples.len() as f64, "requests");
     figures.at_least(
         "switches",
         switches.len() as f64,
         "upgrades",
         if seconds.is_some() { 1.0 } else { 25.0 },
     );
-    figures.show("failed_starts", failed as f64, "upgrades");
+    figures.record("failed_starts", failed as f64, "upgrades");
     figures.at_most(
         "unanswered_or_reset",
-        count(|s| s.got == Got::Nothing),
+        count(|s| s.outcome == Outcome::Unanswered),
         "requests",
         0.0,
     );
     figures.at_most(
         "answered_twice_or_wrong",
-        count(|s| s.got == Got::Wrong),
+        count(|s| s.outcome == Outcome::Invalid),
         "requests",
         0.0,
     );
-    figures.at_most("failed", count(|s| s.got == Got::Failed), "requests", 0.0);
-    let in_time = count(|s| s.got == Got::Served && s.took <= s.wanted) / shots.len() as f64;
+    figures.at_most(
+        "failed",
+        count(|s| s.outcome == Outcome::Failed),
+        "requests",
+        0.0,
+    );
+    let in_time = count(|s| s.outcome == Outcome::Served && s.latency <= s.latency_target)
+        / samples.len() as f64;
     figures.at_least("in_time", in_time, "share", 0.99);
-    let near = |s: &&Shot| {
+    let near = |s: &&Sample| {
         switches
             .iter()
             .any(|&at| s.due + ROUND > at && s.due < at + ROUND)
     };
-    let (at, else_): (Vec<&Shot>, Vec<&Shot>) = shots.iter().partition(near);
-    let p99 = |of: Vec<&Shot>| percentile(&mut of.iter().map(|s| s.took).collect::<Vec<_>>(), 0.99);
+    let (at, else_): (Vec<&Sample>, Vec<&Sample>) = samples.iter().partition(near);
+    let p99 =
+        |of: Vec<&Sample>| percentile(&mut of.iter().map(|s| s.latency).collect::<Vec<_>>(), 0.99);
     let (at, else_) = (p99(at), p99(else_));
-    figures.show("p99_round_switches", at, "ms");
-    figures.show("p99_else", else_, "ms");
+    figures.record("p99_round_switches", at, "ms");
+    figures.record("p99_else", else_, "ms");
     figures.at_most("p99_ratio", at / else_, "x", 2.0);
     let _ = std::fs::remove_file(&socket);
 }
--- a/crates/lab/tests/soak_oracle.rs
+++ b/crates/lab/tests/soak_oracle.rs
@@ -1,10 +1,12 @@
-//! The oracle of the soak finds what it is there to find, and lets the rest be.
+//! The soak oracle reports each kind of violation, and none for correct observations.
 
 use frosthatch_lab::soak::oracle::violations;
-use frosthatch_lab::soak::record::{Attempt, Class, Over, Request, Seen, SendEnd, Sent};
+use frosthatch_lab::soak::record::{
+    Attempt, Class, ConnectionKind, Request, Seen, Transmission, TransmissionEnd,
+};
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_millis(1_500);
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
@@ -23,32 +25,43 @@
         }
     }
 
-    /// One request that is whole at the start, and how it ends.
-    fn request(mut self, class: Class, over: Over, end: impl Fn(Instant) -> SendEnd) -> Case {
-        let sent = Sent {
-            over,
-            begun_at: self.start,
-            whole_at: self.start,
+    /// Adds a request that is transmitted at the start and ends as `end` says.
+    fn request(
+        mut self,
+        class: Class,
+        connection_kind: ConnectionKind,
+        end: impl Fn(Instant) -> TransmissionEnd,
+    ) -> Case {
+        let transmission = Transmission {
+            connection_kind,
+            started_at: self.start,
+            completed_at: self.start,
             end: end(self.start),
         };
         self.seen.requests.push(Request {
             id: 1,
             class,
             gateway: 0,
-            patience: PATIENCE,
-            sends: vec![sent],
+            client_timeout: CLIENT_TIMEOUT,
+            transmissions: vec![transmission],
         });
         self
     }
 
-    fn attempt(mut self, server: &str, at: Duration, told: Duration, effect: bool) -> Case {
+    fn attempt(
+        mut self,
+        server: &str,
+        at: Duration,
+        remaining_time: Duration,
+        effect: bool,
+    ) -> Case {
         let at = self.start + at;
         self.seen.attempts.push(Attempt {
             id: 1,
             server: server.into(),
             first_byte_at: at,
-            whole_at: at,
-            told,
+            completed_at: at,
+            remaining_time,
             ran: effect,
             effect,
         });
@@ -60,8 +73,8 @@
     }
 }
 
-fn answered(status: u16, after: Duration) -> impl Fn(Instant) -> SendEnd {
-    move |start| SendEnd::Answered {
+fn answered(status: u16, after: Duration) -> impl Fn(Instant) -> TransmissionEnd {
+    move |start| TransmissionEnd::Answered {
         status,
         genuine: true,
         at: start + after,
@@ -69,54 +82,75 @@
 }
 
 #[test]
-fn a_request_that_is_served_in_time_breaks_nothing() {
-    let case = Case::new().request(Class::Transfer, Over::NewConnection, answered(200, ms(40)));
-    assert!(case.attempt("a", ms(5), PATIENCE, true).rules().is_empty());
+fn request_served_in_time_violates_no_rule() {
+    let case = Case::new().request(
+        Class::Transfer,
+        ConnectionKind::NewConnection,
+        answered(200, ms(40)),
+    );
+    assert!(case
+        .attempt("a", ms(5), CLIENT_TIMEOUT, true)
+        .rules()
+        .is_empty());
 }
 
 #[test]
-fn what_has_no_answer_in_time_is_lost() {
-    let over = [Over::NewConnection, Over::KeptConnection];
+fn request_without_answer_in_time_is_lost() {
+    let connection_kind = [
+        ConnectionKind::NewConnection,
+        ConnectionKind::KeptConnection,
+    ];
     for end in [
-        answered(200, PATIENCE + ms(700)),
-        answered(504, PATIENCE + ms(700)),
+        answered(200, CLIENT_TIMEOUT + ms(700)),
+        answered(504, CLIENT_TIMEOUT + ms(700)),
     ] {
         assert_eq!(
-            Case::new().request(Class::Check, over[0], end).rules(),
+            Case::new()
+                .request(Class::Check, connection_kind[0], end)
+                .rules(),
             ["lost"]
         );
     }
-    let closed = |start: Instant| SendEnd::Closed {
+    let closed = |start: Instant| TransmissionEnd::Closed {
         at: start + ms(100),
     };
     assert_eq!(
-        Case::new().request(Class::Check, over[0], closed).rules(),
+        Case::new()
+            .request(Class::Check, connection_kind[0], closed)
+            .rules(),
         ["lost"]
     );
-    // A kept connection may be closed unread, but not once its request was forwarded.
+    // The gateway may close a kept connection without reading the request, but not after forwarding it.
     assert!(Case::new()
-        .request(Class::Check, over[1], closed)
+        .request(Class::Check, connection_kind[1], closed)
         .rules()
         .is_empty());
-    let forwarded =
-        Case::new()
-            .request(Class::Check, over[1], closed)
-            .attempt("a", ms(5), ms(1), true);
+    let forwarded = Case::new()
+        .request(Class::Check, connection_kind[1], closed)
+        .attempt("a", ms(5), ms(1), true);
     assert_eq!(forwarded.rules(), ["lost"]);
-    // A gateway that was killed loses what it held.
-    let mut killed = Case::new().request(Class::Check, over[0], closed);
+    // A killed gateway may lose its requests.
+    let mut killed = Case::new().request(Class::Check, connection_kind[0], closed);
     killed.seen.kills.push((0, killed.start + ms(50)));
     assert!(killed.rules().is_empty());
 }
 
 #[test]
-fn two_effects_and_a_refusal_after_one_are_found() {
-    let twice = Case::new().request(Class::TopUp, Over::NewConnection, answered(200, ms(40)));
+fn two_effects_and_a_refusal_after_an_effect_are_reported() {
+    let twice = Case::new().request(
+        Class::TopUp,
+        ConnectionKind::NewConnection,
+        answered(200, ms(40)),
+    );
     let twice = twice
         .attempt("a", ms(5), ms(100), true)
         .attempt("b", ms(20), ms(100), true);
     assert_eq!(twice.rules(), ["duplicate"]);
-    let refused = Case::new().request(Class::Transfer, Over::NewConnection, answered(429, ms(40)));
+    let refused = Case::new().request(
+        Class::Transfer,
+        ConnectionKind::NewConnection,
+        answered(429, ms(40)),
+    );
     assert_eq!(
         refused.attempt("a", ms(5), ms(100), true).rules(),
         ["refused"]
@@ -124,35 +158,47 @@
 }
 
 #[test]
-fn drains_leaving_clients_and_told_times_are_checked() {
-    let mut drained =
-        Case::new().request(Class::Check, Over::NewConnection, answered(200, ms(1_000)));
-    drained.seen.told.insert((0, "a".into()), drained.start);
+fn drain_departed_client_and_remaining_time_are_checked() {
+    let mut drained = Case::new().request(
+        Class::Check,
+        ConnectionKind::NewConnection,
+        answered(200, ms(1_000)),
+    );
+    drained
+        .seen
+        .drain_known_at
+        .insert((0, "a".into()), drained.start);
     assert!(drained.rules().is_empty());
     assert_eq!(
         drained.attempt("a", ms(800), ms(100), true).rules(),
         ["drain"]
     );
-    let left = |start: Instant| SendEnd::ClientLeft {
+    let left = |start: Instant| TransmissionEnd::ClientLeft {
         at: start + ms(100),
     };
-    let gone = Case::new().request(Class::Check, Over::NewConnection, left);
+    let gone = Case::new().request(Class::Check, ConnectionKind::NewConnection, left);
     assert_eq!(gone.attempt("a", ms(400), ms(100), true).rules(), ["left"]);
-    let told = Case::new().request(Class::Check, Over::NewConnection, answered(200, ms(1_000)));
+    let remaining_time = Case::new().request(
+        Class::Check,
+        ConnectionKind::NewConnection,
+        answered(200, ms(1_000)),
+    );
     assert_eq!(
-        told.attempt("a", ms(900), PATIENCE, true).rules(),
+        remaining_time
+            .attempt("a", ms(900), CLIENT_TIMEOUT, true)
+            .rules(),
         ["told time"]
     );
 }
 
 #[test]
-fn a_cold_server_that_gets_too_much_is_found() {
-    for (requests, found) in [(140, 0), (400, 1)] {
+fn overloaded_cold_server_is_reported() {
+    for (requests, violation_count) in [(140, 0), (400, 1)] {
         let mut case = Case::new();
         case.seen.started.insert("a".into(), case.start);
         for n in 0..requests {
             case = case.attempt("a", ms(n * 3), ms(100), true);
         }
-        assert_eq!(case.rules().len(), found, "{requests}");
+        assert_eq!(case.rules().len(), violation_count, "{requests}");
     }
 }
