--- a/crates/lab/src/choices.rs
+++ b/crates/lab/src/choices.rs
@@ -1,5 +1,6 @@
-//! `choices`: twelve gateways that choose among sixty servers, each by itself, by each other's word and not: what bad servers cost, what is
-//! covered when gateways are gone, what one whose own network is bad can do, and how evenly servers are used.
+//! `choices`: twelve gateways and sixty servers, with and without exchanged health reports. Measures the requests lost to bad
+//! servers, the servers without requests after gateways crash, the influence of a gateway whose own network is faulty, and how
+//! evenly servers are used.
 
 use crate::figures::Figures;
 use crate::fleet_site::{endpoint_list, Site};
@@ -14,96 +15,121 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::runtime::Runtime;
 
-const ALL: usize = 12;
+const GATEWAYS: usize = 12;
 const SERVERS: usize = 60;
-/// It finds every server dead.
+/// Index of the gateway that reaches no server and so reports all of them as failing.
 const ACCUSER: usize = 11;
-const WITHIN: Duration = Duration::from_secs(20);
+/// Bound on waiting for a state of the installation.
+const STATE_TIMEOUT: Duration = Duration::from_secs(20);
 
 #[derive(Default)]
+/// Results of one run.
 struct Row {
-    /// Requests that a server got that failed at once, in its first 3 s and after, of all gateways; and one that was slow.
-    found_out: usize,
-    kept_out: usize,
-    slow: usize,
-    /// From when it is well again until it gets requests from as many as before.
-    back: f64,
-    /// From a third's death until all that are left deal servers out among themselves, and servers that got nothing in 3 s then.
-    covered: f64,
-    uncovered: usize,
-    /// Servers left alone by the others while one accuses all.
-    taken_out: usize,
-    /// How evenly servers are used in health, in two halves that do not hear each other, and by four.
-    even: [(f64, f64); 3],
+    /// Requests of all gateways to a server that fails at once: in its first 3 s.
+    failing_first_3_s: usize,
+    /// Requests to the failing server after its first 3 s.
+    failing_later: usize,
+    /// Requests to a slow server.
+    slow_requests: usize,
+    /// Seconds from the failing server's recovery until it receives at least 3 requests/s again.
+    recovery_s: f64,
+    /// Seconds from the crash of a third of the gateways until the others have reassigned all servers among themselves.
+    reassignment_s: f64,
+    /// Servers without requests in the 3 s after that.
+    servers_without_requests: usize,
+    /// Maximum number of servers that another gateway avoids while one reports all servers as failing.
+    servers_avoided: usize,
+    /// Jain index and least-to-mean ratio of the servers' use: without faults, in two partitions, and by four gateways.
+    evenness_of: [(f64, f64); 3],
+    /// Maximum work of a cold server relative to its capacity.
     cold: f64,
-    asked: usize,
+    sent: usize,
     served: usize,
     unanswered: usize,
-    twice: usize,
+    /// Top-ups that ran at two servers.
+    repeated_top_ups: usize,
 }
 
 pub fn run(seconds: Option<u64>, figures: &mut Figures) {
     let lasts = Duration::from_secs(seconds.unwrap_or(10));
-    for (name, with) in [("with", true), ("without", false)] {
-        let r = one(with, lasts);
+    for (name, shares_health) in [("with", true), ("without", false)] {
+        let r = run_case(shares_health, lasts);
         let name = |what: &str| format!("{name}_{what}");
-        let bound = |limit: f64| if with { limit } else { f64::INFINITY };
+        let limit_if_shared = |limit: f64| if shares_health { limit } else { f64::INFINITY };
         figures.record(
             &name("to_a_failing_server_in_3_s"),
-            r.found_out as f64,
+            r.failing_first_3_s as f64,
             "requests",
         );
-        let turns = (lasts.as_secs_f64() / 4.0 + 2.0).ceil();
+        let max_probes = (lasts.as_secs_f64() / 4.0 + 2.0).ceil();
         figures.at_most(
             &name("to_it_after"),
-            r.kept_out as f64,
+            r.failing_later as f64,
             "requests",
-            bound(turns),
+            limit_if_shared(max_probes),
+        );
+        figures.record(
+            &name("to_a_slow_server"),
+            r.slow_requests as f64,
+            "requests",
+        );
+        figures.at_most(
+            &name("back_after"),
+            r.recovery_s,
+            "s",
+            limit_if_shared(10.0),
+        );
+        figures.at_most(
+            &name("third_gone_dealt_anew"),
+            r.reassignment_s,
+            "s",
+            limit_if_shared(2.5),
         );
-        figures.record(&name("to_a_slow_server"), r.slow as f64, "requests");
-        figures.at_most(&name("back_after"), r.back, "s", bound(10.0));
-        figures.at_most(&name("third_gone_dealt_anew"), r.covered, "s", bound(2.5));
         figures.at_most(
             &name("servers_without_requests_then"),
-            r.uncovered as f64,
+            r.servers_without_requests as f64,
             "servers",
-            bound(0.0),
+            limit_if_shared(0.0),
         );
         figures.at_most(
             &name("taken_out_by_one_that_accuses_all"),
-            r.taken_out as f64,
+            r.servers_avoided as f64,
             "servers",
             0.0,
         );
-        for (k, part) in ["in_health", "in_two_halves", "by_four"].iter().enumerate() {
+        for (k, case) in ["in_health", "in_two_halves", "by_four"].iter().enumerate() {
             figures.at_least(
-                &name(&format!("jain_{part}")),
-                r.even[k].0,
+                &name(&format!("jain_{case}")),
+                r.evenness_of[k].0,
                 "of-1",
-                if with { 0.8 } else { 0.0 },
+                if shares_health { 0.8 } else { 0.0 },
+            );
+            figures.record(
+                &name(&format!("least_used_{case}")),
+                r.evenness_of[k].1,
+                "of-mean",
             );
-            figures.record(&name(&format!("least_used_{part}")), r.even[k].1, "of-mean");
         }
         figures.at_most(&name("work_to_a_cold_server"), r.cold, "of-can", 4.0);
-        figures.record(&name("requests"), r.asked as f64, "requests");
+        figures.record(&name("requests"), r.sent as f64, "requests");
         figures.at_least(
             &name("served"),
-            r.served as f64 / r.asked as f64,
+            r.served as f64 / r.sent as f64,
             "of-asked",
             0.98,
         );
         figures.at_most(&name("unanswered"), r.unanswered as f64, "requests", 0.0);
         figures.at_most(
             &name("top_ups_at_two_servers"),
-            r.twice as f64,
+            r.repeated_top_ups as f64,
             "requests",
             0.0,
         );
     }
 }
 
-/// What each running gateway says it goes by: gateways, servers used, servers left alone.
-fn says(site: &Site) -> Vec<Option<[u64; 3]>> {
+/// Returns what each running gateway reports of its choices: gateways, servers used, servers avoided.
+fn reported_choices(site: &Site) -> Vec<Option<[u64; 3]>> {
     let of = |console: SocketAddr| {
         let json: Value =
             serde_json::from_str(&call_console(console, "GET", "/fleet", "")?.1).ok()?;
@@ -118,10 +144,11 @@
     running.map(|p| p.console().and_then(of)).collect()
 }
 
+/// Returns the seconds until `holds` returns true, or infinity after [`STATE_TIMEOUT`].
 fn until(holds: impl Fn() -> bool) -> f64 {
     let since = Instant::now();
     while !holds() {
-        if since.elapsed() > WITHIN {
+        if since.elapsed() > STATE_TIMEOUT {
             return f64::INFINITY;
         }
         pause(Duration::from_millis(20));
@@ -129,90 +156,90 @@
     since.elapsed().as_secs_f64()
 }
 
-/// How evenly all servers are used for so long.
+/// Returns the Jain index and the least-to-mean ratio of the servers' requests during `lasts`.
 fn evenness(site: &Site, lasts: Duration) -> (f64, f64) {
     let since = Instant::now();
     pause(lasts);
-    let got: Vec<f64> = site
+    let requests: Vec<f64> = site
         .servers
         .iter()
         .map(|s| s.requests_since(since) as f64)
         .collect();
-    (jain_index(&got), min_to_mean_ratio(&got))
+    (jain_index(&requests), min_to_mean_ratio(&requests))
 }
 
-fn one(with: bool, lasts: Duration) -> Row {
+fn run_case(shares_health: bool, lasts: Duration) -> Row {
     let runtime = Runtime::new().expect("the Tokio runtime can be built");
     let handle = runtime.handle();
-    // Nobody listens there: its list tells other addresses under the names of all.
-    let nobody = TcpListener::bind("127.0.0.1:0")
+    // The accusing gateway's list has the names of all servers with an address on which nothing listens.
+    let closed_address = TcpListener::bind("127.0.0.1:0")
         .and_then(|l| l.local_addr())
         .expect("a loopback port can be bound");
-    let wrong: Vec<String> = (0..SERVERS)
-        .map(|n| endpoint_entry(&format!("s{n}"), nobody, n as u64, "Ready"))
+    let wrong_entries: Vec<String> = (0..SERVERS)
+        .map(|n| endpoint_entry(&format!("s{n}"), closed_address, n as u64, "Ready"))
         .collect();
-    let blind = Discovery::new(&wrong.join(","));
-    let of = |n: usize| (n, format!("name = \"n{n}\"\nchoices = {with}\n"));
-    let at = |n| (n == ACCUSER).then_some(blind.address);
-    let mut site = Site::with_agents(handle, 1, (ALL, ALL), SERVERS, |n, _| of(n), at);
+    let accuser_agent = Discovery::new(&wrong_entries.join(","));
+    let of = |n: usize| (n, format!("name = \"n{n}\"\nchoices = {shares_health}\n"));
+    let at = |n| (n == ACCUSER).then_some(accuser_agent.address);
+    let mut site = Site::with_agents(handle, 1, (GATEWAYS, GATEWAYS), SERVERS, |n, _| of(n), at);
     let mut row = Row::default();
-    let dealt = |site: &Site, gateways: u64| {
+    let seconds_until_reassigned = |site: &Site, gateways: u64| {
         until(|| {
-            !with
-                || says(site)
+            !shares_health
+                || reported_choices(site)
                     .iter()
                     .all(|s| s.is_some_and(|s| s[0] == gateways))
         })
     };
 
-    // Four, then all but the one that finds every server dead.
+    // Four gateways, then all but the accusing one.
     site.apply(TimelineAction::Start {
         who: (0..4).collect(),
     });
     site.seconds_until_views_agree(4);
-    dealt(&site, 4);
+    seconds_until_reassigned(&site, 4);
     site.start_load(handle, 1);
     pause(Duration::from_secs(1));
-    row.even[2] = evenness(&site, lasts);
+    row.evenness_of[2] = evenness(&site, lasts);
     site.apply(TimelineAction::Start {
         who: (4..ACCUSER).collect(),
     });
     site.seconds_until_views_agree(ACCUSER);
-    dealt(&site, ACCUSER as u64);
+    seconds_until_reassigned(&site, ACCUSER as u64);
     pause(Duration::from_secs(1));
-    row.even[0] = evenness(&site, lasts);
+    row.evenness_of[0] = evenness(&site, lasts);
 
-    // One fails everything at once, and is well again.
+    // One server fails all requests at once, then recovers.
     let since = Instant::now();
     site.servers[7].set(Mode::Failing);
     pause(Duration::from_secs(3));
-    row.found_out = site.servers[7].requests_since(since);
+    row.failing_first_3_s = site.servers[7].requests_since(since);
     let since = Instant::now();
     pause(lasts);
-    row.kept_out = site.servers[7].requests_since(since);
+    row.failing_later = site.servers[7].requests_since(since);
     site.servers[7].set(Mode::Normal);
-    row.back =
+    row.recovery_s =
         until(|| site.servers[7].requests_since(Instant::now() - Duration::from_secs(1)) >= 3);
-    // One is slow.
+    // One server is slow.
     let since = Instant::now();
     site.servers[9].set(Mode::Slow);
     pause(lasts);
-    row.slow = site.servers[9].requests_since(since);
+    row.slow_requests = site.servers[9].requests_since(since);
     site.servers[9].set(Mode::Normal);
 
-    // Two halves that do not hear each other go on between them.
-    let halves = vec![(0..6).collect(), (6..ALL).collect()];
+    // Two partitions of the gateways continue to serve.
+    let halves = vec![(0..6).collect(), (6..GATEWAYS).collect()];
     site.apply(TimelineAction::Split { groups: halves });
     pause(Duration::from_secs(4));
-    row.even[1] = evenness(&site, lasts);
+    row.evenness_of[1] = evenness(&site, lasts);
     site.apply(TimelineAction::Heal);
     site.seconds_until_views_agree(ACCUSER);
-    dealt(&site, ACCUSER as u64);
+    seconds_until_reassigned(&site, ACCUSER as u64);
 
-    // A third dies at once.
+    // A third of the gateways is killed at once.
     site.apply(TimelineAction::Kill { who: vec![0, 4, 8] });
-    row.covered = dealt(&site, ACCUSER as u64 - 3);
-    row.uncovered = {
+    row.reassignment_s = seconds_until_reassigned(&site, ACCUSER as u64 - 3);
+    row.servers_without_requests = {
         let since = Instant::now();
         pause(Duration::from_secs(3));
         site.servers
@@ -223,31 +250,33 @@
     site.apply(TimelineAction::Start { who: vec![0, 4, 8] });
     site.seconds_until_views_agree(ACCUSER);
 
-    // One that reaches no server: clients go to the others, it tells what it tells.
+    // The accusing gateway runs and reports its failures; the load goes to the other gateways.
     site.testbed
         .apply(&TimelineAction::Start { who: vec![ACCUSER] });
-    site.seconds_until_views_agree(ALL);
-    let at = site.testbed.processes[ACCUSER].address().expect("it runs");
+    site.seconds_until_views_agree(GATEWAYS);
+    let at = site.testbed.processes[ACCUSER]
+        .address()
+        .expect("a ready process has an address");
     let end = Instant::now() + lasts;
     while Instant::now() < end {
         for n in 0..40_u64 {
-            let ask = frosthatch_test_doubles::ClientRequest::check()
+            let request = frosthatch_test_doubles::ClientRequest::check()
                 .with_header("X-Tier", "mellem")
                 .with_header("X-Trace-Id", &format!("{n:016x}"));
-            let _ = frosthatch_test_doubles::Client::at(at).exchange(&ask.to_text());
+            let _ = frosthatch_test_doubles::Client::at(at).exchange(&request.to_text());
         }
-        let others = says(&site)
+        let others = reported_choices(&site)
             .into_iter()
             .enumerate()
             .filter(|(n, _)| *n != ACCUSER);
-        let most = others.filter_map(|(_, s)| s.map(|s| s[2] as usize)).max();
-        row.taken_out = row.taken_out.max(most.unwrap_or(0));
+        let max_avoided = others.filter_map(|(_, s)| s.map(|s| s[2] as usize)).max();
+        row.servers_avoided = row.servers_avoided.max(max_avoided.unwrap_or(0));
         pause(Duration::from_millis(100));
     }
     site.testbed
         .apply(&TimelineAction::Kill { who: vec![ACCUSER] });
 
-    // A cold one comes.
+    // A cold server joins.
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
@@ -267,11 +296,11 @@
     row.cold = cold.max_overload_ratio(Duration::from_secs(3));
 
     let request_counts = site.stop_load(&runtime);
-    (row.asked, row.served, row.unanswered) = (
+    (row.sent, row.served, row.unanswered) = (
         request_counts.sent,
         request_counts.served,
         request_counts.unanswered,
     );
-    row.twice = site.meter.top_ups_at_two_servers();
+    row.repeated_top_ups = site.meter.top_ups_at_two_servers();
     row
 }
--- a/crates/lab/src/choices_size.rs
+++ b/crates/lab/src/choices_size.rs
@@ -1,5 +1,6 @@
-//! `choices-size`: the decisions of hundreds of gateways over hundreds and thousands of servers with queues, in virtual time: how evenly servers
-//! are used, what a server that fails costs, what is left when a third of the gateways is gone, and what a release costs.
+//! `choices-size`: server choices of hundreds of gateways among hundreds and thousands of servers with queues, in virtual time.
+//! Measures how evenly servers are used, the requests lost to a failing server, the coverage after a third of the gateways crashes,
+//! and the effect of a rollout.
 
 use crate::figures::Figures;
 use frosthatch_load_balancing::fairness::{jain_index, min_to_mean_ratio};
@@ -15,20 +16,26 @@
 
 const MS: u64 = 1_000;
 const S: u64 = 1_000_000;
-/// Mean work of a request at a server of two cores, and the share of all servers' cores that is asked for; of more servers than that
-/// takes no more requests a second than this, or a play takes hours.
+/// Mean work of a request.
 const WORK_US: f64 = 20_000.0;
 const CORES: usize = 2;
+/// Share of all servers' cores that the load occupies.
 const LOAD: f64 = 0.5;
-const MOST_PER_S: f64 = 5_000.0;
-/// Words and views reach the others after this.
-const TOLD: u64 = 300 * MS;
-const SEEN_DEAD: u64 = 1_700 * MS;
-const WORDS: u64 = 200 * MS;
+/// Upper bound of the load in requests per second; without it a run with thousands of servers takes hours.
+const MAX_REQUESTS_PER_S: f64 = 5_000.0;
+/// Delay of a health report.
+const REPORT_DELAY_US: u64 = 300 * MS;
+/// Time until the other gateways detect a crash.
+const CRASH_DETECTION_US: u64 = 1_700 * MS;
+/// Interval of health reports.
+const REPORT_INTERVAL_US: u64 = 200 * MS;
 
-enum What {
-    Ask(usize),
-    Ends {
+/// A scheduled event.
+enum SimEvent {
+    /// A gateway receives a request.
+    RequestArrival(usize),
+    /// An attempt ends.
+    AttemptEnd {
         by: usize,
         id: RequestId,
         attempt: u32,
@@ -36,35 +43,41 @@
         status: CompletionStatus,
         took: u64,
     },
-    Wakes(usize, Timer),
-    Words,
-    Hears(usize, u32, HealthReports),
+    /// A timer of a gateway fires.
+    TimerFired(usize, Timer),
+    /// All gateways send health reports.
+    SendReports,
+    /// A gateway receives a health report of another.
+    ReportReceived(usize, u32, HealthReports),
 }
 
+/// A server: when each of its cores becomes free, whether it fails all requests, and the requests received.
 struct Server {
     cores: [u64; CORES],
     fails: bool,
-    came: usize,
+    requests: usize,
 }
 
+/// Simulated installation: gateways, servers and the event queue.
 struct World {
     now: u64,
     rng: Pcg64Mcg,
     gateways: Vec<Option<Gateway>>,
     servers: Vec<Server>,
-    places: BTreeMap<ServerId, usize>,
-    due: BinaryHeap<Reverse<(u64, u64)>>,
-    to_come: BTreeMap<u64, What>,
+    server_indices: BTreeMap<ServerId, usize>,
+    queue: BinaryHeap<Reverse<(u64, u64)>>,
+    pending: BTreeMap<u64, SimEvent>,
     next: u64,
     ids: u64,
-    /// Attempts of requests that are not served yet.
-    tries: BTreeMap<RequestId, u32>,
+    /// Number of attempts so far of each request that is not served yet.
+    attempts_by_request: BTreeMap<RequestId, u32>,
     per_s: f64,
-    talk: bool,
-    asked: usize,
+    shares_health: bool,
+    sent: usize,
     served: usize,
-    /// Pairs of gateway and server that met, and attempts.
-    met: BTreeSet<(usize, usize)>,
+    /// Pairs of gateway and server with at least one attempt.
+    used_pairs: BTreeSet<(usize, usize)>,
+    /// Number of attempts.
     attempts: usize,
     took: Vec<u64>,
 }
@@ -83,74 +96,74 @@
 }
 
 impl World {
-    fn new(gateways: usize, servers: usize, talk: bool, seed: u64) -> World {
-        let one = |me: usize| {
+    fn new(gateways: usize, servers: usize, shares_health: bool, seed: u64) -> World {
+        let run_case = |me: usize| {
             let mut set = Settings {
                 gateways: gateways as u32,
                 gateway_index: me as u32,
                 ..Settings::example()
             };
             (set.plans[0].rate, set.plans[0].burst) = (1e6, 1e6);
-            Gateway::new(set, seed ^ me as u64).expect("settings")
+            Gateway::new(set, seed ^ me as u64).expect("the example settings are valid")
         };
-        let all_per_s = (LOAD * (CORES * servers) as f64 / (WORK_US / 1e6)).min(MOST_PER_S);
+        let all_per_s = (LOAD * (CORES * servers) as f64 / (WORK_US / 1e6)).min(MAX_REQUESTS_PER_S);
         let per_s = all_per_s / gateways as f64;
         let mut w = World {
             now: 1_000 * S,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            gateways: (0..gateways).map(|n| Some(one(n))).collect(),
+            gateways: (0..gateways).map(|n| Some(run_case(n))).collect(),
             servers: (0..servers)
                 .map(|_| Server {
                     cores: [0; CORES],
                     fails: false,
-                    came: 0,
+                    requests: 0,
                 })
                 .collect(),
-            places: (0..servers).map(|n| (name(n), n)).collect(),
-            due: BinaryHeap::new(),
-            to_come: BTreeMap::new(),
+            server_indices: (0..servers).map(|n| (name(n), n)).collect(),
+            queue: BinaryHeap::new(),
+            pending: BTreeMap::new(),
             next: 0,
             ids: 0,
-            tries: BTreeMap::new(),
+            attempts_by_request: BTreeMap::new(),
             per_s,
-            talk,
-            asked: 0,
+            shares_health,
+            sent: 0,
             served: 0,
-            met: BTreeSet::new(),
+            used_pairs: BTreeSet::new(),
             attempts: 0,
             took: Vec::new(),
         };
         let entries: Vec<ServerEntry> = (0..servers).map(|n| entry(n, 0)).collect();
         for by in 0..gateways {
-            w.tell(
+            w.handle_event(
                 by,
                 Event::Servers {
                     kind: ListKind::Complete,
                     entries: entries.clone(),
                 },
             );
-            let first = w.wait();
-            w.comes(first, What::Ask(by));
+            let first = w.next_arrival_us();
+            w.schedule(first, SimEvent::RequestArrival(by));
         }
-        w.comes(WORDS, What::Words);
+        w.schedule(REPORT_INTERVAL_US, SimEvent::SendReports);
         w
     }
 
-    fn unit(&mut self) -> f64 {
+    fn uniform(&mut self) -> f64 {
         (f64::from(self.rng.next_u32()) + 1.0) / (f64::from(u32::MAX) + 1.0)
     }
 
-    fn wait(&mut self) -> u64 {
-        (-self.unit().ln() / self.per_s * 1e6) as u64
+    fn next_arrival_us(&mut self) -> u64 {
+        (-self.uniform().ln() / self.per_s * 1e6) as u64
     }
 
-    fn comes(&mut self, after: u64, what: What) {
+    fn schedule(&mut self, after: u64, sim_event: SimEvent) {
         self.next += 1;
-        self.due.push(Reverse((self.now + after, self.next)));
-        self.to_come.insert(self.next, what);
+        self.queue.push(Reverse((self.now + after, self.next)));
+        self.pending.insert(self.next, sim_event);
     }
 
-    fn tell(&mut self, by: usize, event: Event) {
+    fn handle_event(&mut self, by: usize, event: Event) {
         let mut out = Vec::new();
         let Some(gateway) = &mut self.gateways[by] else {
             return;
@@ -162,7 +175,7 @@
                     request, server, ..
                 } => self.send(by, request, &server),
                 Action::SetTimer { after_us, timer } => {
-                    self.comes(after_us, What::Wakes(by, timer))
+                    self.schedule(after_us, SimEvent::TimerFired(by, timer))
                 }
                 _ => {}
             }
@@ -170,30 +183,30 @@
     }
 
     fn send(&mut self, by: usize, id: RequestId, server: &ServerId) {
-        let place = self.places[server];
+        let server_index = self.server_indices[server];
         self.attempts += 1;
-        self.met.insert((by, place));
-        let work = (0.5 + self.unit()) * WORK_US;
-        let s = &mut self.servers[place];
-        s.came += 1;
+        self.used_pairs.insert((by, server_index));
+        let work = (0.5 + self.uniform()) * WORK_US;
+        let s = &mut self.servers[server_index];
+        s.requests += 1;
         let (took, status) = match s.fails {
             true => (MS, CompletionStatus::ServerError),
             false => {
-                let core = s.cores.iter_mut().min().expect("cores");
+                let core = s.cores.iter_mut().min().expect("a server has cores");
                 *core = self.now.max(*core) + work as u64;
                 (*core - self.now + MS, CompletionStatus::Served)
             }
         };
-        let next = self.tries.entry(id).or_default();
+        let next = self.attempts_by_request.entry(id).or_default();
         let attempt = *next;
         *next += 1;
-        self.comes(
+        self.schedule(
             took,
-            What::Ends {
+            SimEvent::AttemptEnd {
                 by,
                 id,
                 attempt,
-                server: place,
+                server: server_index,
                 status,
                 took,
             },
@@ -201,26 +214,26 @@
     }
 
     fn step(&mut self) {
-        let Some(Reverse((at, number))) = self.due.pop() else {
+        let Some(Reverse((at, number))) = self.queue.pop() else {
             return;
         };
         self.now = at;
-        let Some(what) = self.to_come.remove(&number) else {
+        let Some(sim_event) = self.pending.remove(&number) else {
             return;
         };
-        match what {
-            What::Ask(by) => {
+        match sim_event {
+            SimEvent::RequestArrival(by) => {
                 if self.gateways[by].is_none() {
                     return;
                 }
                 self.ids += 1;
-                self.asked += 1;
+                self.sent += 1;
                 let request = Request::new(self.ids, "c", "basic", "read", 4 * S);
-                self.tell(by, Event::Request(request));
-                let next = self.wait();
-                self.comes(next, What::Ask(by));
+                self.handle_event(by, Event::Request(request));
+                let next = self.next_arrival_us();
+                self.schedule(next, SimEvent::RequestArrival(by));
             }
-            What::Ends {
+            SimEvent::AttemptEnd {
                 by,
                 id,
                 attempt,
@@ -233,78 +246,86 @@
                 self.served += usize::from(o.closed);
                 if o.closed {
                     self.took.push(took);
-                    self.tries.remove(&id);
+                    self.attempts_by_request.remove(&id);
                 }
-                self.tell(by, Event::Outcome(o));
+                self.handle_event(by, Event::Outcome(o));
             }
-            What::Wakes(by, timer) => self.tell(by, Event::Timer(timer)),
-            What::Words => {
+            SimEvent::TimerFired(by, timer) => self.handle_event(by, Event::Timer(timer)),
+            SimEvent::SendReports => {
                 for by in 0..self.gateways.len() {
-                    let Some(gateway) = self.gateways[by].as_ref().filter(|_| self.talk) else {
+                    let Some(gateway) = self.gateways[by].as_ref().filter(|_| self.shares_health)
+                    else {
                         continue;
                     };
-                    let words = gateway.health_reports();
-                    if words.of.is_empty() {
+                    let reports = gateway.health_reports();
+                    if reports.of.is_empty() {
                         continue;
                     }
                     for to in (0..self.gateways.len()).filter(|to| *to != by) {
-                        self.comes(TOLD, What::Hears(to, by as u32, words.clone()));
+                        self.schedule(
+                            REPORT_DELAY_US,
+                            SimEvent::ReportReceived(to, by as u32, reports.clone()),
+                        );
                     }
                 }
-                self.comes(WORDS, What::Words);
+                self.schedule(REPORT_INTERVAL_US, SimEvent::SendReports);
             }
-            What::Hears(to, from, words) => self.tell(
+            SimEvent::ReportReceived(to, from, reports) => self.handle_event(
                 to,
                 Event::HealthReports {
                     from,
-                    reports: words,
+                    reports: reports,
                 },
             ),
         }
     }
 
-    fn run(&mut self, us: u64) {
-        let until = self.now + us;
-        while self.due.peek().is_some_and(|Reverse((at, _))| *at <= until) {
+    fn run(&mut self, duration_us: u64) {
+        let until = self.now + duration_us;
+        while self
+            .queue
+            .peek()
+            .is_some_and(|Reverse((at, _))| *at <= until)
+        {
             self.step();
         }
         self.now = until;
     }
 
-    /// What each of the ready servers got in this time.
-    fn got(&mut self, us: u64, of: std::ops::Range<usize>) -> Vec<f64> {
-        self.servers.iter_mut().for_each(|s| s.came = 0);
-        self.run(us);
-        self.servers[of].iter().map(|s| s.came as f64).collect()
+    /// Runs for `us` microseconds and returns the requests that each server in the range received.
+    fn requests_during(&mut self, duration_us: u64, of: std::ops::Range<usize>) -> Vec<f64> {
+        self.servers.iter_mut().for_each(|s| s.requests = 0);
+        self.run(duration_us);
+        self.servers[of].iter().map(|s| s.requests as f64).collect()
     }
 }
 
-/// The largest by the mean.
-fn most(got: &[f64]) -> f64 {
-    let mean = got.iter().sum::<f64>() / got.len() as f64;
-    got.iter().copied().fold(0.0, f64::max) / mean
+/// Returns the ratio of the maximum to the mean.
+fn max_to_mean_ratio(requests: &[f64]) -> f64 {
+    let mean = requests.iter().sum::<f64>() / requests.len() as f64;
+    requests.iter().copied().fold(0.0, f64::max) / mean
 }
 
 pub fn run(seconds: Option<u64>, figures: &mut Figures) {
     let lasts = seconds.unwrap_or(10) * S;
     for (gateways, servers) in [(300, 200), (64, 5_000)] {
-        for (how, talk) in [("told", true), ("alone", false)] {
-            one(
+        for (mode, shares_health) in [("told", true), ("alone", false)] {
+            run_case(
                 gateways,
                 servers,
-                talk,
+                shares_health,
                 lasts,
-                &format!("{gateways}_by_{servers}_{how}"),
+                &format!("{gateways}_by_{servers}_{mode}"),
                 figures,
             );
         }
     }
 }
 
-fn one(
+fn run_case(
     gateways: usize,
     servers: usize,
-    talk: bool,
+    shares_health: bool,
     lasts: u64,
     prefix: &str,
     figures: &mut Figures,
@@ -312,23 +333,23 @@
     let seed = 7;
     figures.remark(&format!("{prefix}: seed {seed}"));
     let began = Instant::now();
-    let mut w = World::new(gateways, servers, talk, seed);
+    let mut w = World::new(gateways, servers, shares_health, seed);
     w.run(3 * S);
-    let name = |what: &str| format!("{prefix}_{what}");
-    (w.met, w.attempts, w.took) = (BTreeSet::new(), 0, Vec::new());
-    let got = w.got(lasts, 0..servers);
-    // Of few requests a server chance alone is uneven.
-    let even = if got.iter().sum::<f64>() > 30.0 * servers as f64 {
+    let name = |figure: &str| format!("{prefix}_{figure}");
+    (w.used_pairs, w.attempts, w.took) = (BTreeSet::new(), 0, Vec::new());
+    let requests = w.requests_during(lasts, 0..servers);
+    // With few requests per server, randomness alone makes the use uneven.
+    let min_jain = if requests.iter().sum::<f64>() > 30.0 * servers as f64 {
         0.9
     } else {
         0.0
     };
-    figures.at_least(&name("jain"), jain_index(&got), "of-1", even);
-    figures.record(&name("least_used"), min_to_mean_ratio(&got), "of-mean");
-    figures.record(&name("most_used"), most(&got), "of-mean");
+    figures.at_least(&name("jain"), jain_index(&requests), "of-1", min_jain);
+    figures.record(&name("least_used"), min_to_mean_ratio(&requests), "of-mean");
+    figures.record(&name("most_used"), max_to_mean_ratio(&requests), "of-mean");
     figures.record(
         &name("met_an_attempt"),
-        w.met.len() as f64 / w.attempts as f64,
+        w.used_pairs.len() as f64 / w.attempts as f64,
         "pairs",
     );
     w.took.sort_unstable();
@@ -338,57 +359,65 @@
         "ms",
     );
 
-    // One fails everything at once, and is well again.
+    // One server fails all requests at once, then recovers.
     w.servers[8].fails = true;
-    let found = w.got(3 * S, 0..servers)[8];
-    let after = w.got(lasts, 0..servers)[8];
-    let well = (w.per_s * gateways as f64 / servers as f64) * lasts as f64 / 1e6;
+    let found = w.requests_during(3 * S, 0..servers)[8];
+    let after = w.requests_during(lasts, 0..servers)[8];
+    let expected = (w.per_s * gateways as f64 / servers as f64) * lasts as f64 / 1e6;
     figures.record(&name("to_a_failing_one_in_3_s"), found, "requests");
-    let bound = if talk {
+    let limit = if shares_health {
         lasts as f64 / 4e6 + 3.0
     } else {
         f64::INFINITY
     };
-    figures.at_most(&name("to_it_after"), after, "requests", bound);
+    figures.at_most(&name("to_it_after"), after, "requests", limit);
     w.servers[8].fails = false;
     w.run(5 * S);
-    let back = w.got(lasts, 0..servers)[8] / well;
+    let back = w.requests_during(lasts, 0..servers)[8] / expected;
     figures.at_least(
         &name("back"),
         back,
         "of-due",
-        if talk && even > 0.0 { 0.5 } else { 0.0 },
+        if shares_health && min_jain > 0.0 {
+            0.5
+        } else {
+            0.0
+        },
     );
 
-    // A third dies at once; the others know after a while, where they talk.
-    let left: Vec<u32> = (0..gateways as u32).filter(|n| n % 3 > 0).collect();
+    // A third of the gateways crashes; the others detect it after a delay if gateways communicate.
+    let remaining: Vec<u32> = (0..gateways as u32).filter(|n| n % 3 > 0).collect();
     (0..gateways).step_by(3).for_each(|n| w.gateways[n] = None);
-    w.run(SEEN_DEAD);
-    for n in left.iter().filter(|_| talk) {
-        w.tell(*n as usize, Event::Gateways(left.clone()));
+    w.run(CRASH_DETECTION_US);
+    for n in remaining.iter().filter(|_| shares_health) {
+        w.handle_event(*n as usize, Event::Gateways(remaining.clone()));
     }
-    let got = w.got(lasts, 0..servers);
+    let requests = w.requests_during(lasts, 0..servers);
     figures.at_least(
         &name("jain_two_thirds"),
-        jain_index(&got),
+        jain_index(&requests),
         "of-1",
-        if talk { even } else { 0.0 },
+        if shares_health { min_jain } else { 0.0 },
     );
-    figures.record(&name("most_used_by_two_thirds"), most(&got), "of-mean");
-    let unused = got.iter().filter(|g| **g == 0.0).count();
+    figures.record(
+        &name("most_used_by_two_thirds"),
+        max_to_mean_ratio(&requests),
+        "of-mean",
+    );
+    let unused = requests.iter().filter(|g| **g == 0.0).count();
     figures.at_most(
         &name("unused_by_two_thirds"),
         unused as f64,
         "servers",
-        if talk && even > 0.0 {
+        if shares_health && min_jain > 0.0 {
             0.0
         } else {
             f64::INFINITY
         },
     );
 
-    // Six in ten are replaced by cold ones within 7 s, a tenth of that at a time.
-    (w.met, w.attempts) = (BTreeSet::new(), 0);
+    // A rollout replaces 60 % of the servers by cold ones within 7 s, in ten steps.
+    (w.used_pairs, w.attempts) = (BTreeSet::new(), 0);
     let replaced = servers * 6 / 10;
     for step in 0..10 {
         let some = replaced * step / 10..replaced * (step + 1) / 10;
@@ -397,18 +426,19 @@
             health: Health::Draining,
             ..entry(n, 0)
         });
-        let came = some.clone().map(|n| entry(servers + n, now));
-        let entries: Vec<ServerEntry> = gone.chain(came).collect();
+        let requests = some.clone().map(|n| entry(servers + n, now));
+        let entries: Vec<ServerEntry> = gone.chain(requests).collect();
         for n in some {
-            w.places.insert(self::name(servers + n), w.servers.len());
+            w.server_indices
+                .insert(self::name(servers + n), w.servers.len());
             w.servers.push(Server {
                 cores: [0; CORES],
                 fails: false,
-                came: 0,
+                requests: 0,
             });
         }
-        for by in left.iter() {
-            w.tell(
+        for by in remaining.iter() {
+            w.handle_event(
                 *by as usize,
                 Event::Servers {
                     kind: ListKind::Partial,
@@ -420,21 +450,17 @@
     }
     figures.record(
         &name("met_an_attempt_in_a_release"),
-        w.met.len() as f64 / w.attempts as f64,
+        w.used_pairs.len() as f64 / w.attempts as f64,
         "pairs",
     );
     w.run(20 * S);
-    let got = w.got(lasts, replaced..servers + replaced);
+    let requests = w.requests_during(lasts, replaced..servers + replaced);
     figures.at_least(
         &name("jain_after_a_release"),
-        jain_index(&got),
+        jain_index(&requests),
         "of-1",
-        if talk { even } else { 0.0 },
-    );
-    figures.record(
-        &name("served"),
-        w.served as f64 / w.asked as f64,
-        "of-asked",
+        if shares_health { min_jain } else { 0.0 },
     );
+    figures.record(&name("served"), w.served as f64 / w.sent as f64, "of-asked");
     figures.record(&name("play_took"), began.elapsed().as_secs_f64(), "s");
 }
--- a/crates/lab/src/counter_faults.rs
+++ b/crates/lab/src/counter_faults.rs
@@ -1,5 +1,5 @@
-//! `counter-faults`: four gateways, a count service that goes wrong in one way after another, a meter in the servers;
-//! customers far beyond their quota beside honest ones. What comes too much, and what is still served.
+//! `counter-faults`: four gateways, servers that report usage, and a shared counter with one fault after another. Customers far
+//! above their quota run beside compliant ones; measures the excess usage and what compliant customers are still served.
 
 use crate::figures::Figures;
 use crate::load::{poisson_interval, units_over_bucket, Load, Outcome, RequestSpec, CHECK, TOP_UP};
@@ -15,13 +15,14 @@
 use tokio::time::Instant;
 
 const GATEWAYS: usize = 4;
-/// Before a fault, and after it.
-const BEFORE: Duration = Duration::from_secs(8);
-const AFTER: Duration = Duration::from_secs(10);
-/// Installations at once: they share this machine's cores.
-const AT_ONCE: usize = 4;
+/// Load before a fault.
+const LOAD_BEFORE: Duration = Duration::from_secs(8);
+/// Load after a fault.
+const LOAD_AFTER: Duration = Duration::from_secs(10);
+/// Number of concurrent installations, which share this machine's cores.
+const MAX_CONCURRENT_CASES: usize = 4;
 
-/// A plan of the lab's: its name, units a second, burst, and its ceiling, if it has one.
+/// A plan of the lab's settings: name, quota in units per second, burst in units, and ceiling (units per second, units), if any.
 struct Quota {
     plan: &'static str,
     rate: f64,
@@ -42,19 +43,20 @@
     ceiling: Some((85.0, 170.0)),
 };
 
-/// Who asks, and what of: requests a second beside the quota's rate, and how they are spread over the gateways.
+/// A customer: its key, its quota, and its request rate relative to the quota.
 struct Customer {
     key: u32,
     quota: &'static Quota,
-    of_rate: f64,
+    rate_multiple: f64,
 }
 
 impl Customer {
-    fn honest(&self) -> bool {
-        self.of_rate <= 1.0
+    fn is_compliant(&self) -> bool {
+        self.rate_multiple <= 1.0
     }
 
-    /// Requests come in unevenly: more than half of them through one gateway.
+    /// Chooses the gateway of a request by a random number. Gateways are used unevenly: one of them gets 55 %. A customer that has
+    /// `moved` uses only the next gateway.
     fn gateway(&self, draw: u32, moved: bool) -> usize {
         let place = match draw % 100 {
             _ if moved => 1,
@@ -69,12 +71,12 @@
 
 fn customers() -> Vec<Customer> {
     let mut all = Vec::new();
-    let mut add = |quota, of_rate| {
+    let mut add = |quota, rate_multiple| {
         let key = 100 + all.len() as u32;
         all.push(Customer {
             key,
             quota,
-            of_rate,
+            rate_multiple,
         });
     };
     (0..14).for_each(|n| add(&COUNTED, [0.3, 0.5, 0.6, 0.8][n % 4]));
@@ -84,13 +86,13 @@
     all
 }
 
-/// What goes wrong, how long it lasts, and what sets in and ends it.
+/// A fault: its name, its duration in seconds, and the functions that begin and end it.
 struct Fault {
     name: &'static str,
     lasts: u64,
     begin: fn(&SharedCounter, &Meter),
     end: fn(&SharedCounter, &Meter),
-    /// From its middle on all of each customer's requests come through the next gateway.
+    /// From the middle of the fault on, each customer uses only the next gateway.
     moves: bool,
 }
 
@@ -175,30 +177,30 @@
     fault(
         "counter_and_meter_lost",
         10,
-        |c, m| lose_both(c, m, true),
-        |c, m| lose_both(c, m, false),
+        |c, m| set_counter_and_meter_lost(c, m, true),
+        |c, m| set_counter_and_meter_lost(c, m, false),
     ),
 ];
 
-fn lose_both(counter: &SharedCounter, meter: &Meter, lost: bool) {
+fn set_counter_and_meter_lost(counter: &SharedCounter, meter: &Meter, lost: bool) {
     counter.set_silent(None, lost);
     meter.lost.store(lost, std::sync::atomic::Ordering::SeqCst);
 }
 
-/// What one fault did.
+/// Results of one fault.
 #[derive(Clone)]
 struct Row {
     name: &'static str,
-    /// Units above a ceiling and its slack, as a share of what the ceiling gives while the fault lasts.
+    /// Units above a ceiling and its slack, relative to what the ceiling grants during the fault.
     over_ceiling: f64,
-    /// Units above a quota, as a share of what the quota gives from the fault's start to the end.
+    /// Units above a quota, relative to what the quota grants from the fault's start to the end of the load.
     over_quota: f64,
-    /// Worth that is served in time to the honest, during the fault beside before it.
-    honest: f64,
-    /// Seconds from the fault's end until nothing is out of the usual any more.
+    /// Share of compliant customers' requests served in time during the fault, relative to the share before it.
+    compliant: f64,
+    /// Seconds from the fault's end until usage and served shares stay in their normal range.
     normal_after: f64,
     unanswered: usize,
-    calls_a_request: f64,
+    calls_per_request: f64,
 }
 
 pub fn run(seconds: Option<u64>, figures: &mut Figures) {
@@ -206,12 +208,12 @@
         let rows = Mutex::new(Vec::new());
         let next = Mutex::new(0..FAULTS.len());
         thread::scope(|s| {
-            for _ in 0..AT_ONCE {
+            for _ in 0..MAX_CONCURRENT_CASES {
                 s.spawn(|| loop {
                     let Some(n) = next.lock().expect("lock is not poisoned").next() else {
                         return;
                     };
-                    let row = one(&FAULTS[n], seconds, peers);
+                    let row = run_case(&FAULTS[n], seconds, peers);
                     rows.lock().expect("lock is not poisoned").push((n, row));
                 });
             }
@@ -219,48 +221,54 @@
         let mut rows = rows.into_inner().expect("lock is not poisoned");
         rows.sort_by_key(|(n, _)| *n);
         for (_, row) in rows {
-            tell(&row, if peers { "peers" } else { "alone" }, figures);
+            record_row(&row, if peers { "peers" } else { "alone" }, figures);
         }
     }
 }
 
-fn tell(row: &Row, how: &str, figures: &mut Figures) {
-    let name = |what: &str| format!("{how}_{}_{what}", row.name);
+fn record_row(row: &Row, mode: &str, figures: &mut Figures) {
+    let name = |what: &str| format!("{mode}_{}_{what}", row.name);
     figures.at_most(&name("over_ceiling"), row.over_ceiling, "of-ceiling", 0.05);
-    // Alone a split shows late, and of a small quota later.
+    // Without usage exchange between gateways a split is detected late, and later still for a small quota.
     let split = row.name.starts_with("split");
-    let most = match (how, split) {
+    let max_over_quota = match (mode, split) {
         ("peers", _) => 0.05,
         (_, true) => 0.6,
         (_, false) => 0.25,
     };
-    figures.at_most(&name("over_quota"), row.over_quota, "of-quota", most);
-    let least = if how == "peers" { 0.95 } else { 0.85 };
-    figures.at_least(&name("honest"), row.honest, "of-before", least);
-    match how == "alone" && split {
+    figures.at_most(
+        &name("over_quota"),
+        row.over_quota,
+        "of-quota",
+        max_over_quota,
+    );
+    let min_served = if mode == "peers" { 0.95 } else { 0.85 };
+    figures.at_least(&name("honest"), row.compliant, "of-before", min_served);
+    match mode == "alone" && split {
         true => figures.record(&name("normal_after"), row.normal_after, "s"),
-        false => figures.at_most(&name("normal_after"), row.normal_after, "s", NORMAL_WITHIN),
+        false => figures.at_most(&name("normal_after"), row.normal_after, "s", MAX_RECOVERY_S),
     }
     figures.at_most(&name("unanswered"), row.unanswered as f64, "requests", 0.0);
-    figures.record(&name("calls"), row.calls_a_request, "calls/request");
+    figures.record(&name("calls"), row.calls_per_request, "calls/request");
 }
 
-/// Seconds after a fault.
-const NORMAL_WITHIN: f64 = 8.0;
+/// Maximum number of seconds from a fault's end to normal operation.
+const MAX_RECOVERY_S: f64 = 8.0;
 
+/// Result of one request.
 struct Sample {
     due: Duration,
     customer: usize,
-    got: Outcome,
+    outcome: Outcome,
     in_time: bool,
 }
 
-fn one(fault: &Fault, seconds: Option<u64>, peers: bool) -> Row {
+fn run_case(fault: &Fault, seconds: Option<u64>, peers: bool) -> Row {
     let lasts = Duration::from_secs(seconds.map_or(fault.lasts, |s| s.min(fault.lasts)));
     let runtime = Runtime::new().expect("the Tokio runtime can be built");
     let handle = runtime.handle();
-    let everyone = Arc::new(customers());
-    let meter = Meter::new(everyone.iter().map(|c| (c.key, c.quota.rate)));
+    let all_customers = Arc::new(customers());
+    let meter = Meter::new(all_customers.iter().map(|c| (c.key, c.quota.rate)));
     let anywhere = ([127, 0, 0, 1], 0).into();
     let servers: Vec<Server> = (0..5)
         .map(|_| Server::with_meter(handle, anywhere, false, Some(meter.clone())))
@@ -285,22 +293,23 @@
     let load = Load::new(gateways.iter().map(|g| g.address).collect());
     let samples: Arc<Mutex<Vec<Sample>>> = Arc::default();
     let start = Instant::now() + Duration::from_millis(100);
-    let length = BEFORE + lasts + AFTER;
+    let length = LOAD_BEFORE + lasts + LOAD_AFTER;
     let moves = fault.moves;
-    let tasks: Vec<_> = (0..everyone.len())
+    let tasks: Vec<_> = (0..all_customers.len())
         .map(|n| {
-            let (everyone, load, samples) = (everyone.clone(), load.clone(), samples.clone());
+            let (all_customers, load, samples) =
+                (all_customers.clone(), load.clone(), samples.clone());
             handle.spawn(async move {
-                let c = &everyone[n];
+                let c = &all_customers[n];
                 let mut rng = Pcg64Mcg::seed_from_u64(u64::from(c.key));
                 let mut due = Duration::ZERO;
-                let mut out = tokio::task::JoinSet::new();
+                let mut in_flight = tokio::task::JoinSet::new();
                 loop {
-                    due += poisson_interval(&mut rng, c.quota.rate * c.of_rate);
+                    due += poisson_interval(&mut rng, c.quota.rate * c.rate_multiple);
                     if due >= length {
                         break;
                     }
-                    let moved = moves && due >= BEFORE + lasts / 2;
+                    let moved = moves && due >= LOAD_BEFORE + lasts / 2;
                     let (gateway, id) = (
                         c.gateway(rng.next_u32(), moved),
                         u64::from(rng.next_u32()) << 32 | u64::from(c.key),
@@ -313,7 +322,7 @@
                     tokio::time::sleep_until(start + due).await;
                     let (load, samples) = (load.clone(), samples.clone());
                     let (plan, key) = (c.quota.plan, c.key);
-                    out.spawn(async move {
+                    in_flight.spawn(async move {
                         let shape = RequestSpec {
                             class,
                             plan,
@@ -321,24 +330,24 @@
                             units: 1,
                             id,
                         };
-                        let got = load.send_request(gateway, shape, start + due).await;
+                        let outcome = load.send_request(gateway, shape, start + due).await;
                         let in_time = start.elapsed().saturating_sub(due) <= class.1;
                         samples.lock().expect("lock is not poisoned").push(Sample {
                             due,
                             customer: n,
-                            got,
+                            outcome,
                             in_time,
                         });
                     });
-                    while out.try_join_next().is_some() {}
+                    while in_flight.try_join_next().is_some() {}
                 }
-                while out.join_next().await.is_some() {}
+                while in_flight.join_next().await.is_some() {}
             })
         })
         .collect();
-    pause((start + BEFORE).saturating_duration_since(Instant::now()));
+    pause((start + LOAD_BEFORE).saturating_duration_since(Instant::now()));
     (fault.begin)(&counter, &meter);
-    pause((start + BEFORE + lasts).saturating_duration_since(Instant::now()));
+    pause((start + LOAD_BEFORE + lasts).saturating_duration_since(Instant::now()));
     (fault.end)(&counter, &meter);
     runtime.block_on(async {
         for task in tasks {
@@ -347,10 +356,10 @@
     });
     let samples = samples.lock().expect("lock is not poisoned");
     let uses = meter.uses();
-    row(
+    evaluate(
         fault,
         lasts,
-        &everyone,
+        &all_customers,
         &samples,
         &uses,
         start,
@@ -358,59 +367,64 @@
     )
 }
 
-fn row(
+fn evaluate(
     fault: &Fault,
     lasts: Duration,
-    everyone: &[Customer],
+    all_customers: &[Customer],
     samples: &[Sample],
     uses: &[Use],
     start: Instant,
     calls: u64,
 ) -> Row {
-    let (from, to) = (BEFORE.as_secs_f64(), (BEFORE + lasts).as_secs_f64());
-    let end = (BEFORE + lasts + AFTER).as_secs_f64();
+    let (from, to) = (
+        LOAD_BEFORE.as_secs_f64(),
+        (LOAD_BEFORE + lasts).as_secs_f64(),
+    );
+    let end = (LOAD_BEFORE + lasts + LOAD_AFTER).as_secs_f64();
     let (mut over_ceiling, mut over_quota, mut abnormal) = (0.0f64, 0.0f64, to);
-    for c in everyone {
-        let of = uses.iter().filter(|u| u.customer == c.key);
-        let of: Vec<(f64, f64)> = of
+    for c in all_customers {
+        let customer_uses = uses.iter().filter(|u| u.customer == c.key);
+        let customer_uses: Vec<(f64, f64)> = customer_uses
             .map(|u| ((Instant::from_std(u.at) - start).as_secs_f64(), 1.0))
             .collect();
         let q = c.quota;
-        // A request is on its way for a moment: what came within it may have been sent in any order.
+        // Requests are in flight for up to 150 ms and may arrive in any order: the depth grows by what the rate grants then.
         let depth = q.burst + q.rate * 0.15;
-        over_quota = over_quota
-            .max(units_over_bucket(&of, q.rate, depth, from, end) / (q.rate * (end - from)));
+        over_quota = over_quota.max(
+            units_over_bucket(&customer_uses, q.rate, depth, from, end) / (q.rate * (end - from)),
+        );
         if let Some((rate, depth)) = q.ceiling {
-            let over = units_over_bucket(&of, rate, depth + rate * 0.15, from, end);
+            let over = units_over_bucket(&customer_uses, rate, depth + rate * 0.15, from, end);
             over_ceiling = over_ceiling.max(over / (rate * (to - from).max(1.0)));
         }
-        // Whoever asks for more than the quota gets about the quota, second by second, once all is well.
-        if !c.honest() {
+        // In normal operation a customer above its quota uses about the quota in each second.
+        if !c.is_compliant() {
             for second in to as u64..end as u64 - 1 {
                 let (a, b) = (second as f64, second as f64 + 2.0);
-                let used: f64 = of
+                let used: f64 = customer_uses
                     .iter()
                     .filter(|(t, _)| (a..b).contains(t))
                     .map(|(_, u)| u)
                     .sum();
-                let usual = 2.0 * q.rate;
-                if !(0.6 * usual..=1.4 * usual + 4.0).contains(&used) {
+                let expected = 2.0 * q.rate;
+                if !(0.6 * expected..=1.4 * expected + 4.0).contains(&used) {
                     abnormal = abnormal.max(b);
                 }
             }
         }
     }
     let share = |a: f64, b: f64| {
-        let honest =
-            |s: &&Sample| everyone[s.customer].honest() && (a..b).contains(&s.due.as_secs_f64());
+        let compliant = |s: &&Sample| {
+            all_customers[s.customer].is_compliant() && (a..b).contains(&s.due.as_secs_f64())
+        };
         let (mut good, mut all) = (0.0, 0.0);
-        for s in samples.iter().filter(honest) {
+        for s in samples.iter().filter(compliant) {
             all += 1.0;
-            good += f64::from(u8::from(s.got == Outcome::Served && s.in_time));
+            good += f64::from(u8::from(s.outcome == Outcome::Served && s.in_time));
         }
         good / f64::max(all, 1.0)
     };
-    // The first seconds are for warming up.
+    // The first 2 s are a warm-up.
     let before = share(2.0, from);
     for second in to as u64..end as u64 - 1 {
         if share(second as f64, second as f64 + 2.0) < 0.9 * before {
@@ -421,12 +435,12 @@
         name: fault.name,
         over_ceiling,
         over_quota,
-        honest: share(from, to) / before.max(1e-9),
+        compliant: share(from, to) / before.max(1e-9),
         normal_after: abnormal - to,
         unanswered: samples
             .iter()
-            .filter(|s| matches!(s.got, Outcome::Unanswered | Outcome::Invalid))
+            .filter(|s| matches!(s.outcome, Outcome::Unanswered | Outcome::Invalid))
             .count(),
-        calls_a_request: calls as f64 / samples.len().max(1) as f64,
+        calls_per_request: calls as f64 / samples.len().max(1) as f64,
     }
 }
--- a/crates/lab/src/diameter.rs
+++ b/crates/lab/src/diameter.rs
@@ -1,5 +1,5 @@
-//! `diameter`: the real gateway between stand-in clients and four servers, of which one falls silent, one is drained and
-//! one restarts; then what a request costs beside HTTP, and what sessions take.
+//! `diameter`: the real gateway between test clients and four servers, of which one stops answering, one drains and one restarts;
+//! then the CPU cost of a request compared with HTTP, and the memory per session.
 
 use crate::figures::Figures;
 use crate::load::{Load, Outcome};
@@ -21,61 +21,71 @@
 use std::time::{Duration, Instant};
 use tokio::runtime::Runtime;
 
-const PER_S: u32 = 500;
-const GRACE: Duration = Duration::from_millis(500);
-/// Answers are due within the class's deadline, as over HTTP.
-const TX_CHECK: Duration = Duration::from_millis(2_000);
-const TX_CHARGE: Duration = Duration::from_millis(750);
+const REQUESTS_PER_S: u32 = 500;
+/// Time after a drain notice within which new requests may still reach the server.
+const DRAIN_GRACE: Duration = Duration::from_millis(500);
+/// Transaction timer of checks: the deadline of the class, as over HTTP.
+const CHECK_TX_TIMER: Duration = Duration::from_millis(2_000);
+/// Transaction timer of charges.
+const CHARGE_TX_TIMER: Duration = Duration::from_millis(750);
 const HOSTS: [&str; 4] = [
     "s0.example.org",
     "s1.example.org",
     "s2.example.org",
     "s3.example.org",
 ];
-/// The customer that asks far beyond its ceiling, and the ceiling (units a second, units).
-const GREEDY: &str = "4500000042";
+/// The customer that sends far more than its ceiling.
+const CUSTOMER_ABOVE_CEILING: &str = "4500000042";
+/// Its ceiling: units per second, and depth in units.
 const CEILING: (f64, f64) = (20.0, 40.0);
-const GREEDY_UNITS: u64 = 3;
-/// A tenth of the depth, and what the ceiling's rate gives in 150 ms.
-const SLACK: f64 = 4.0 + 3.0;
+/// Units of each of its requests.
+const UNITS_PER_REQUEST: u64 = 3;
+/// Permitted overrun in units: a tenth of the depth, and what the ceiling grants in 150 ms.
+const MAX_OVERRUN_UNITS: f64 = 4.0 + 3.0;
 
-/// A request as a server ran it.
-struct Ran {
+/// A request that a server ran.
+struct ServerRequest {
     at: Instant,
     server: usize,
     end_to_end: u32,
     charge: bool,
-    greedy: bool,
+    above_ceiling: bool,
 }
 
-type Log = Arc<Mutex<Vec<Ran>>>;
+type Log = Arc<Mutex<Vec<ServerRequest>>>;
 
-fn server(n: usize, mute: Arc<AtomicBool>, log: Log) -> DiameterServer {
+fn server(n: usize, silent: Arc<AtomicBool>, log: Log) -> DiameterServer {
     DiameterServer::new(HOSTS[n], move |ccr| {
         let charge = ccr.number(code::REQUESTED_ACTION) != Some(2);
-        let greedy = ccr
+        let above_ceiling = ccr
             .find(code::SUBSCRIPTION_ID)
-            .is_some_and(|a| contains(&a.data));
-        let ran = Ran {
+            .is_some_and(|a| is_customer_above_ceiling(&a.data));
+        let server_requests = ServerRequest {
             at: Instant::now(),
             server: n,
             end_to_end: ccr.header.end_to_end,
             charge,
-            greedy,
+            above_ceiling,
         };
-        log.lock().expect("lock is not poisoned").push(ran);
+        log.lock()
+            .expect("lock is not poisoned")
+            .push(server_requests);
         let answer = success_answer(ccr, HOSTS[n]).with(Avp::of_u32(code::CC_SESSION_FAILOVER, 1));
-        (!mute.load(Ordering::SeqCst)).then_some(answer)
+        (!silent.load(Ordering::SeqCst)).then_some(answer)
     })
 }
 
-fn contains(data: &[u8]) -> bool {
-    data.windows(GREEDY.len()).any(|w| w == GREEDY.as_bytes())
+fn is_customer_above_ceiling(data: &[u8]) -> bool {
+    data.windows(CUSTOMER_ABOVE_CEILING.len())
+        .any(|w| w == CUSTOMER_ABOVE_CEILING.as_bytes())
 }
 
-fn member(n: usize, server: &DiameterServer, state: &str) -> String {
-    let plain = endpoint_entry(&format!("d{n}"), server.address, n as u64 / 2, state);
-    format!("{},\"proto\":\"diameter\"}}", plain.trim_end_matches('}'))
+fn list_entry(n: usize, server: &DiameterServer, state: &str) -> String {
+    let event_of = endpoint_entry(&format!("d{n}"), server.address, n as u64 / 2, state);
+    format!(
+        "{},\"proto\":\"diameter\"}}",
+        event_of.trim_end_matches('}')
+    )
 }
 
 fn free_port() -> SocketAddr {
@@ -84,31 +94,32 @@
         .expect("a loopback port can be bound")
 }
 
-/// What a client sent, and every answer that it got.
+/// Requests that a client sent, with their transaction timers, and all answers, by end-to-end identifier.
 #[derive(Default)]
-struct Book {
+struct ClientLog {
     sent: HashMap<u32, (Instant, Duration)>,
     answers: HashMap<u32, Vec<(Instant, u32)>>,
 }
 
-/// Sends when it is time, whatever comes back; one thread writes, one reads.
+/// Starts an open-loop client with one writing and one reading thread.
 fn client(
     address: SocketAddr,
     host: &str,
     length: Duration,
     per_s: u32,
-) -> (thread::JoinHandle<()>, Arc<Mutex<Book>>) {
+) -> (thread::JoinHandle<()>, Arc<Mutex<ClientLog>>) {
     let mut client = DiameterClient::new(address, host);
-    let book: Arc<Mutex<Book>> = Arc::default();
-    let mut reader = client.stream.try_clone().expect("a clone");
-    let answers = book.clone();
+    let client_log: Arc<Mutex<ClientLog>> = Arc::default();
+    let mut reader = client.stream.try_clone().expect("the socket can be cloned");
+    let answers = client_log.clone();
     thread::spawn(move || {
         let mut buffer = Vec::new();
         while let Some(message) = read_diameter_message(&mut reader, &mut buffer) {
             if message.header.command == command::CREDIT_CONTROL {
                 let (id, result) = (message.header.end_to_end, message.result().unwrap_or(0));
-                let mut book = answers.lock().expect("lock is not poisoned");
-                book.answers
+                let mut client_log = answers.lock().expect("lock is not poisoned");
+                client_log
+                    .answers
                     .entry(id)
                     .or_default()
                     .push((Instant::now(), result));
@@ -118,7 +129,7 @@
             }
         }
     });
-    let (host, to) = (host.to_string(), book.clone());
+    let (host, writer_log) = (host.to_string(), client_log.clone());
     let writer = thread::spawn(move || {
         let start = Instant::now();
         let mut open: Vec<(String, u32)> = Vec::new();
@@ -129,17 +140,20 @@
             }
             thread::sleep((start + due).saturating_duration_since(Instant::now()));
             let customer = format!("45{:08}", n % 500 + 1_000);
-            // The brief's mix: 71 in 100 check, the others charge, some of them in sessions of three.
-            let (message, tx) = match n % 100 {
-                0..71 => (plain(2, &customer), TX_CHECK),
-                71..76 => (with_units(plain(0, GREEDY), GREEDY_UNITS), TX_CHARGE),
-                76..91 => (plain(0, &customer), TX_CHARGE),
+            // 71 of 100 requests check, the others charge, some of them in sessions of three requests.
+            let (message, tx_timer) = match n % 100 {
+                0..71 => (event_of(2, &customer), CHECK_TX_TIMER),
+                71..76 => (
+                    with_units(event_of(0, CUSTOMER_ABOVE_CEILING), UNITS_PER_REQUEST),
+                    CHARGE_TX_TIMER,
+                ),
+                76..91 => (event_of(0, &customer), CHARGE_TX_TIMER),
                 91..94 => {
                     let session = format!("{host};{n};1");
                     open.push((session.clone(), 0));
                     (
                         with_customer(credit_control_request(&session, 1, 0), &customer),
-                        TX_CHARGE,
+                        CHARGE_TX_TIMER,
                     )
                 }
                 _ => match open.first_mut() {
@@ -150,27 +164,28 @@
                         if kind == 3 {
                             open.remove(0);
                         }
-                        (message, TX_CHARGE)
+                        (message, CHARGE_TX_TIMER)
                     }
-                    None => (plain(2, &customer), TX_CHECK),
+                    None => (event_of(2, &customer), CHECK_TX_TIMER),
                 },
             };
             let mut message = message;
             message.avps[1] = Avp::of_text(code::ORIGIN_HOST, &host);
-            to.lock()
+            writer_log
+                .lock()
                 .expect("lock is not poisoned")
                 .sent
-                .insert(message.header.end_to_end, (Instant::now(), tx));
+                .insert(message.header.end_to_end, (Instant::now(), tx_timer));
             client.send(&message);
         }
-        // The last answers.
-        thread::sleep(TX_CHECK + Duration::from_millis(300));
+        // Waits for the last answers.
+        thread::sleep(CHECK_TX_TIMER + Duration::from_millis(300));
     });
-    (writer, book)
+    (writer, client_log)
 }
 
-/// An event of that customer: 0 debits, 2 checks.
-fn plain(action: u32, customer: &str) -> Message {
+/// Returns an event request of that customer; action 0 debits, 2 checks.
+fn event_of(action: u32, customer: &str) -> Message {
     let mut message = event_request(action);
     message.avps.retain(|a| a.code != code::SUBSCRIPTION_ID);
     with_customer(message, customer)
@@ -180,30 +195,33 @@
     OperatorFile::new(&format!(
         "[diameter]\nlisten = \"{address}\"\nidentity = \"gw.example.org\"\nrealm = \"example.org\"\ntw_ms = 1000\n\
          check_class = \"balance-check\"\ncharge_class = \"top-up\"\ndefault_plan = \"mellem\"\n{more}\
-         [diameter.plans]\n\"{GREEDY}\" = \"ekstra-stor\"\n"
+         [diameter.plans]\n\"{CUSTOMER_ABOVE_CEILING}\" = \"ekstra-stor\"\n"
     ))
 }
 
 pub fn run(seconds: Option<u64>, figures: &mut Figures) {
-    under_load(Duration::from_secs(seconds.unwrap_or(60)), figures);
+    run_load(Duration::from_secs(seconds.unwrap_or(60)), figures);
     for count in [1_000, 100_000] {
-        sessions(count, figures);
+        measure_sessions(count, figures);
     }
 }
 
-fn under_load(length: Duration, figures: &mut Figures) {
+fn run_load(length: Duration, figures: &mut Figures) {
     let log: Log = Arc::default();
-    let mutes: Vec<Arc<AtomicBool>> = (0..4).map(|_| Arc::default()).collect();
+    let silent_flags: Vec<Arc<AtomicBool>> = (0..4).map(|_| Arc::default()).collect();
     let servers: Vec<DiameterServer> = (0..4)
-        .map(|n| server(n, mutes[n].clone(), log.clone()))
+        .map(|n| server(n, silent_flags[n].clone(), log.clone()))
         .collect();
     let runtime = Runtime::new().expect("the Tokio runtime can be built");
-    let web: Vec<Server> = (0..4)
+    let http_servers: Vec<Server> = (0..4)
         .map(|_| Server::start(runtime.handle(), false))
         .collect();
-    let mut list: Vec<String> = (0..4).map(|n| member(n, &servers[n], "Ready")).collect();
+    let mut list: Vec<String> = (0..4)
+        .map(|n| list_entry(n, &servers[n], "Ready"))
+        .collect();
     list.extend(
-        web.iter()
+        http_servers
+            .iter()
             .enumerate()
             .map(|(n, s)| endpoint_entry(&format!("w{n}"), s.address, 9, "Ready")),
     );
@@ -219,40 +237,41 @@
         memory_mb: 64,
     };
     let gateway = node.start(Some(operator.path()));
-    // The connections to the servers come up.
+    // Time to connect to the servers.
     pause(Duration::from_millis(500));
 
     let before = cpu(gateway.pid());
     let clients: Vec<_> = ["a.example.org", "b.example.org"]
-        .map(|host| client(address, host, length, PER_S / 2))
+        .map(|host| client(address, host, length, REQUESTS_PER_S / 2))
         .into_iter()
         .collect();
     pause(length / 4);
-    mutes[0].store(true, Ordering::SeqCst);
+    silent_flags[0].store(true, Ordering::SeqCst);
     servers[0].answers_watchdogs.store(false, Ordering::SeqCst);
     pause(length / 4);
-    agent.publish_and_wait(false, &member(1, &servers[1], "Terminating"));
+    agent.publish_and_wait(false, &list_entry(1, &servers[1], "Terminating"));
     let drained = Instant::now();
     pause(length / 4);
     servers[2].state_id.fetch_add(1, Ordering::SeqCst);
     servers[2].close_connections();
-    site::until("the clients end", || {
+    site::until("the client threads finish", || {
         clients.iter().all(|(c, _)| c.is_finished())
     });
     let used = (cpu(gateway.pid()) - before).as_secs_f64();
 
-    let (mut asked, mut without, mut late, mut good, mut refused) = (0, 0, 0, 0, 0);
-    for (_, book) in &clients {
-        let book = book.lock().expect("lock is not poisoned");
-        for (id, (at, tx)) in &book.sent {
-            let answers = book.answers.get(id).map_or(&[][..], |a| a);
-            asked += 1;
-            without += usize::from(answers.len() != 1);
+    let (mut sent_count, mut not_answered_once, mut late, mut granted, mut refused) =
+        (0, 0, 0, 0, 0);
+    for (_, client_log) in &clients {
+        let client_log = client_log.lock().expect("lock is not poisoned");
+        for (id, (at, tx_timer)) in &client_log.sent {
+            let answers = client_log.answers.get(id).map_or(&[][..], |a| a);
+            sent_count += 1;
+            not_answered_once += usize::from(answers.len() != 1);
             late += answers
                 .iter()
-                .filter(|(t, _)| *t > *at + *tx + Duration::from_millis(50))
+                .filter(|(t, _)| *t > *at + *tx_timer + Duration::from_millis(50))
                 .count();
-            good += answers
+            granted += answers
                 .iter()
                 .filter(|(_, r)| *r == result::SUCCESS)
                 .count();
@@ -261,51 +280,66 @@
                 .filter(|(_, r)| *r == result::TOO_BUSY)
                 .count();
         }
-        without += book
+        not_answered_once += client_log
             .answers
             .keys()
-            .filter(|id| !book.sent.contains_key(id))
+            .filter(|id| !client_log.sent.contains_key(id))
             .count();
     }
-    let ran = log.lock().expect("lock is not poisoned");
-    // Servers of one cell drop each other's repeats: a charge in two cells has run twice.
+    let server_requests = log.lock().expect("lock is not poisoned");
+    // Servers of one cell deduplicate together: a charge that reached two cells ran twice.
     let mut cells: HashMap<u32, HashSet<usize>> = HashMap::new();
-    for r in ran.iter().filter(|r| r.charge) {
+    for r in server_requests.iter().filter(|r| r.charge) {
         cells.entry(r.end_to_end).or_default().insert(r.server / 2);
     }
-    let twice = cells.values().filter(|c| c.len() > 1).count();
-    let after = ran
+    let in_two_cells = cells.values().filter(|c| c.len() > 1).count();
+    let after = server_requests
         .iter()
-        .filter(|r| r.server == 1 && r.at > drained + GRACE)
+        .filter(|r| r.server == 1 && r.at > drained + DRAIN_GRACE)
         .count();
     figures.at_least(
         "requests",
-        f64::from(asked),
+        f64::from(sent_count),
         "requests",
-        f64::from(PER_S) * length.as_secs_f64() * 0.98,
+        f64::from(REQUESTS_PER_S) * length.as_secs_f64() * 0.98,
+    );
+    figures.at_most(
+        "without_one_final_answer",
+        not_answered_once as f64,
+        "requests",
+        0.0,
     );
-    figures.at_most("without_one_final_answer", without as f64, "requests", 0.0);
-    figures.at_most("charges_in_two_cells", twice as f64, "requests", 0.0);
+    figures.at_most("charges_in_two_cells", in_two_cells as f64, "requests", 0.0);
     figures.at_most(
         "new_at_a_drained_server_after_the_grace",
         after as f64,
         "requests",
         0.0,
     );
-    figures.at_most("worst_overrun_of_a_ceiling", overrun(&ran), "units", SLACK);
-    let greedy = ran.iter().filter(|r| r.greedy).count();
+    figures.at_most(
+        "worst_overrun_of_a_ceiling",
+        overrun(&server_requests),
+        "units",
+        MAX_OVERRUN_UNITS,
+    );
+    let above_ceiling = server_requests.iter().filter(|r| r.above_ceiling).count();
     figures.at_least(
         "passed_on_under_the_ceiling",
-        greedy as f64,
+        above_ceiling as f64,
         "requests",
         length.as_secs_f64(),
     );
     figures.at_most("answers_later_than_tx", late as f64, "answers", 0.0);
-    figures.at_least("granted", good as f64 / f64::from(asked), "share", 0.85);
-    figures.record("refused", refused as f64 / f64::from(asked), "share");
-    let cost = used / f64::from(asked) * 1e6;
+    figures.at_least(
+        "granted",
+        granted as f64 / f64::from(sent_count),
+        "share",
+        0.85,
+    );
+    figures.record("refused", refused as f64 / f64::from(sent_count), "share");
+    let cost = used / f64::from(sent_count) * 1e6;
     figures.record("cpu_a_diameter_request", cost, "us");
-    drop(ran);
+    drop(server_requests);
 
     let before = cpu(gateway.pid());
     let (load, task) = Load::start(
@@ -314,7 +348,7 @@
         200.0,
         Duration::from_secs(10),
     );
-    site::until("the load ends", || task.is_finished());
+    site::until("the load task finishes", || task.is_finished());
     let used = (cpu(gateway.pid()) - before).as_secs_f64();
     let samples = load.samples.lock().expect("lock is not poisoned");
     let http = used / samples.len() as f64 * 1e6;
@@ -332,25 +366,25 @@
     );
 }
 
-/// How far the greedy customer's use went below nothing of a store that fills as the ceiling does.
-fn overrun(ran: &[Ran]) -> f64 {
-    let (mut level, mut at, mut worst): (f64, Option<Instant>, f64) = (CEILING.1, None, 0.0);
+/// Returns the units by which the usage of the customer above its ceiling overdrew a token bucket with the ceiling's rate and depth.
+fn overrun(server_requests: &[ServerRequest]) -> f64 {
+    let (mut tokens, mut at, mut worst): (f64, Option<Instant>, f64) = (CEILING.1, None, 0.0);
     let mut seen = HashSet::new();
-    for r in ran.iter().filter(|r| r.greedy) {
-        // A further attempt takes nothing.
+    for r in server_requests.iter().filter(|r| r.above_ceiling) {
+        // Further attempts of a request use no units.
         if seen.insert(r.end_to_end) {
             let since = at.map_or(0.0, |at| r.at.saturating_duration_since(at).as_secs_f64());
-            level = (level + CEILING.0 * since).min(CEILING.1) - GREEDY_UNITS as f64;
-            (at, worst) = (Some(r.at), worst.max(-level));
+            tokens = (tokens + CEILING.0 * since).min(CEILING.1) - UNITS_PER_REQUEST as f64;
+            (at, worst) = (Some(r.at), worst.max(-tokens));
         }
     }
     worst
 }
 
-/// Opens so many sessions, a hundred at a time, and tells what they take.
-fn sessions(count: u32, figures: &mut Figures) {
+/// Opens `count` sessions, a hundred at a time, and records their memory.
+fn measure_sessions(count: u32, figures: &mut Figures) {
     let server = DiameterServer::granting(HOSTS[0]);
-    let agent = Discovery::new(&member(0, &server, "Ready"));
+    let agent = Discovery::new(&list_entry(0, &server, "Ready"));
     let address = free_port();
     let operator = operator(address, "most_sessions = 200000\nmost_repeats = 1000\n");
     let node = Node {
@@ -368,7 +402,7 @@
     let mut open = 0;
     let mut next = 0;
     while open < count {
-        let some: Vec<Message> = (next..next + 100)
+        let batch: Vec<Message> = (next..next + 100)
             .map(|n| {
                 with_customer(
                     credit_control_request(&format!("till.example.org;1;{n}"), 1, 0),
@@ -377,21 +411,26 @@
             })
             .collect();
         next += 100;
-        some.iter().for_each(|m| client.send(m));
-        for _ in &some {
-            let answer = client.next_message().expect("an answer");
+        batch.iter().for_each(|m| client.send(m));
+        for _ in &batch {
+            let answer = client
+                .next_message()
+                .expect("the gateway answers every request");
             open += u32::from(answer.result() == Some(result::SUCCESS));
         }
-        assert!(next < 4 * count + 10_000, "sessions are opened");
+        assert!(
+            next < 4 * count + 10_000,
+            "enough initial requests succeed to open all sessions"
+        );
     }
     let grown = memory_mb(gateway.pid()) - before;
     figures.record(&format!("sessions_{count}_memory"), grown, "MB");
-    // What any traffic takes hides a few sessions.
-    let least = if count >= 100_000 { 1_000.0 } else { 0.0 };
+    // The memory of 1,000 sessions is below the variation that any traffic causes.
+    let min_sessions_per_mb = if count >= 100_000 { 1_000.0 } else { 0.0 };
     figures.at_least(
         &format!("sessions_{count}_a_mb"),
         f64::from(open) / grown.max(0.1),
         "sessions/MB",
-        least,
+        min_sessions_per_mb,
     );
 }
--- a/crates/lab/src/members_size.rs
+++ b/crates/lab/src/members_size.rs
@@ -1,5 +1,5 @@
-//! `members-size`: the members' state machine in virtual time, 4 to 1,000 of them, with loss: how soon a death is known to all, who is
-//! accused wrongly, and what a member costs in bytes, memory and processor time.
+//! `members-size`: the membership state machine with 4 to 1,000 members in virtual time, with datagram loss. Measures the time until
+//! all know of a crash, false positives, and each member's traffic, memory and CPU time.
 
 use crate::figures::Figures;
 use crate::site::memory_mb;
@@ -12,42 +12,45 @@
 const SIZES: [usize; 4] = [4, 64, 300, 1_000];
 const LOSSES: [f64; 3] = [0.0, 0.05, 0.3];
 
+/// Results of one size and loss rate.
 struct Row {
     size: usize,
     loss: f64,
-    /// Until a death is known to half of them, and to all.
-    half: f64,
+    /// Seconds until half of the members know of a crash.
+    half_s: f64,
+    /// Seconds until all members know of it.
     all: f64,
+    /// Running members that were declared dead.
     accused: usize,
     bytes_s: f64,
     messages_s: f64,
     busy: f64,
     longest: Duration,
-    /// Calls that took more than a millisecond, of a million.
+    /// Calls longer than 1 ms, per million calls.
     over_1ms: f64,
-    /// MB that the process holds with all worlds in it.
+    /// Resident memory of this process in MB, with the simulations of all loss rates.
     memory: f64,
 }
 
 pub fn run(seconds: Option<u64>, figures: &mut Figures) {
-    let lasts = seconds.unwrap_or(10) * S;
+    let duration_us = seconds.unwrap_or(10) * S;
     for size in SIZES {
         let before = memory_mb(std::process::id());
         let rows = std::thread::scope(|s| {
-            let each = LOSSES.map(|loss| s.spawn(move || one(size, loss, lasts)));
-            each.map(|row| row.join().expect("a world"))
+            let each = LOSSES.map(|loss| s.spawn(move || simulate(size, loss, duration_us)));
+            each.map(|row| row.join().expect("a simulation does not panic"))
         });
-        let held = rows.iter().map(|r| r.memory).fold(0.0, f64::max) - before;
-        // What was on its way between them is in it.
-        let each = held * 1_024.0 / (LOSSES.len() * size) as f64;
-        rows.into_iter().for_each(|row| tell(row, figures));
+        let memory_growth = rows.iter().map(|r| r.memory).fold(0.0, f64::max) - before;
+        // This includes messages in flight.
+        let each = memory_growth * 1_024.0 / (LOSSES.len() * size) as f64;
+        rows.into_iter().for_each(|row| record_row(row, figures));
         figures.record(&format!("{size}_memory_each"), each, "kB");
     }
 }
 
-fn tell(r: Row, figures: &mut Figures) {
+fn record_row(r: Row, figures: &mut Figures) {
     let name = |what: &str| format!("{}_loss_{}_{what}", r.size, r.loss * 100.0);
-    figures.record(&name("death_known_to_half"), r.half, "s");
+    figures.record(&name("death_known_to_half"), r.half_s, "s");
     figures.at_most(&name("death_known_to_all"), r.all, "s", 15.0);
     match r.loss < 0.1 {
         true => figures.at_most(&name("accused"), r.accused as f64, "members", 0.0),
@@ -56,7 +59,7 @@
     figures.record(&name("bytes_each"), r.bytes_s, "B/s");
     figures.at_most(&name("messages_each"), r.messages_s, "1/s", 440.0);
     figures.record(&name("busy_each"), r.busy, "of-a-core");
-    // On a machine that others use a call's time of the processor holds interruptions, too: some in a million.
+    // On a shared machine, preemption lengthens some calls: a few per million may exceed 1 ms.
     figures.record(
         &name("longest_at_once"),
         r.longest.as_secs_f64() * 1e3,
@@ -65,9 +68,9 @@
     figures.at_most(&name("over_1ms_at_once"), r.over_1ms, "of-a-million", 20.0);
 }
 
-fn one(size: usize, loss: f64, lasts: u64) -> Row {
+fn simulate(size: usize, loss: f64, duration_us: u64) -> Row {
     let mut w = World::settled(size, size as u64);
-    // Tables of a thousand take a while to fill.
+    // Member tables of 1,000 entries take a while to fill.
     w.until(20 * S, |w| {
         w.fleet(size - 1).view().ready_count == size && w.views_equal()
     });
@@ -80,8 +83,8 @@
         (node.calls, node.over_1ms) = (0, 0);
         node.logs.clear();
     }
-    w.run(lasts);
-    let seconds = lasts as f64 / 1e6;
+    w.run(duration_us);
+    let seconds = duration_us as f64 / 1e6;
     let each = |f: fn(&world::Node) -> f64| {
         let all = w.nodes.iter().flatten().map(f);
         all.sum::<f64>() / size as f64 / seconds
@@ -104,24 +107,24 @@
         .for_each(|l| l.truncate(l.find(':').unwrap_or(0)));
     accused.sort();
     accused.dedup();
-    let dies = size / 2;
-    w.kill(dies);
+    let crashed = size / 2;
+    w.kill(crashed);
     let from = w.now;
-    let by = |w: &World| {
+    let detected_by = |w: &World| {
         w.running()
             .iter()
-            .filter(|n| w.state(dies, **n) == "dead")
+            .filter(|n| w.state(crashed, **n) == "dead")
             .count()
     };
-    let half = w
-        .until(60 * S, |w| 2 * by(w) >= size - 1)
+    let half_s = w
+        .until(60 * S, |w| 2 * detected_by(w) >= size - 1)
         .map_or(f64::INFINITY, |us| us as f64 / 1e6);
-    let all = w.until(60 * S, |w| by(w) == size - 1);
+    let all = w.until(60 * S, |w| detected_by(w) == size - 1);
     let all = all.map_or(f64::INFINITY, |_| (w.now - from) as f64 / 1e6);
     Row {
         size,
         loss,
-        half,
+        half_s,
         all,
         accused: accused.len(),
         bytes_s,
--- a/crates/lab/src/membership_size.rs
+++ b/crates/lab/src/membership_size.rs
@@ -1,4 +1,5 @@
-//! `membership-size`: what one change, and one request, cost a gateway at 10 to 5,000 servers, by list and by DNS-SD.
+//! `membership-size`: CPU cost of one endpoint change and of one request at a gateway with 10 to 5,000 servers, by endpoint list
+//! and by DNS-SD.
 
 use crate::figures::Figures;
 use crate::load::{Load, Outcome};
@@ -11,29 +12,30 @@
 
 const SERVICE: &str = "_topup._tcp.example.org";
 const SIZES: [usize; 4] = [10, 100, 1_000, 5_000];
-/// One answer holds so many instances at most; a service with more is browsed by subtypes.
-const A_SUBTYPE: usize = 1_500;
-/// Many, since the kernel tells CPU in steps of 10 ms.
+/// Maximum number of instances in one DNS answer; a service with more is browsed by subtypes.
+const INSTANCES_PER_SUBTYPE: usize = 1_500;
+/// Number of changes; the kernel reports CPU time in steps of 10 ms, so that few changes could not be measured.
 const CHANGES: u32 = 400;
-const APART: Duration = Duration::from_millis(15);
-const PER_S: f64 = 200.0;
-/// A request at the largest fleet beside one at the smallest; more connections are new there, and no more than that.
-const MOST_GROWTH: f64 = 3.0;
-const MOST_A_CHANGE_MS: f64 = 10.0;
+const CHANGE_INTERVAL: Duration = Duration::from_millis(15);
+const REQUESTS_PER_S: f64 = 200.0;
+/// Maximum CPU ratio of a request with the most servers to one with the fewest; more connections are new with many servers.
+const MAX_REQUEST_CPU_RATIO: f64 = 3.0;
+/// Maximum CPU time of one change.
+const MAX_CHANGE_CPU_MS: f64 = 10.0;
 
 pub fn run(seconds: Option<u64>, figures: &mut Figures) {
     let length = Duration::from_secs(seconds.unwrap_or(10));
     for by_list in [true, false] {
         let costs: Vec<f64> = SIZES
             .iter()
-            .map(|&size| part(by_list, size, length, figures))
+            .map(|&size| run_case(by_list, size, length, figures))
             .collect();
         let growth = costs[SIZES.len() - 1] / costs[0];
         figures.at_most(
             &format!("{}_growth_of_a_request", source_name(by_list)),
             growth,
             "times",
-            MOST_GROWTH,
+            MAX_REQUEST_CPU_RATIO,
         );
     }
 }
@@ -46,28 +48,28 @@
     }
 }
 
-/// Where the servers stand: each at an address of its own.
-fn at(n: usize) -> SocketAddr {
+/// Returns the address of a server; each has its own IP address.
+fn server_address(n: usize) -> SocketAddr {
     ([127, 2, (n / 250) as u8, (n % 250) as u8 + 1], 0).into()
 }
 
-/// Tells the gateway of the servers, and of changes.
+/// Source from which the gateway learns its servers.
 enum Source {
     List(Discovery),
     DnsSd(Resolver),
 }
 
 fn subtype(n: usize) -> String {
-    format!("_p{}._sub.{SERVICE}", n / A_SUBTYPE)
+    format!("_p{}._sub.{SERVICE}", n / INSTANCES_PER_SUBTYPE)
 }
 
-/// CPU that one request costs, in microseconds.
-fn part(by_list: bool, size: usize, length: Duration, figures: &mut Figures) -> f64 {
+/// Measures one size; returns the CPU time of one request in microseconds.
+fn run_case(by_list: bool, size: usize, length: Duration, figures: &mut Figures) -> f64 {
     let runtime = Runtime::new().expect("the Tokio runtime can be built");
     let servers: Vec<Server> = (0..size)
-        .map(|n| Server::start_at(runtime.handle(), at(n), false))
+        .map(|n| Server::start_at(runtime.handle(), server_address(n), false))
         .collect();
-    let nobody: SocketAddr = "127.0.0.1:9".parse().expect("the literal address is valid");
+    let unused_address: SocketAddr = "127.0.0.1:9".parse().expect("the literal address is valid");
     let (source, operator, discovery) = if by_list {
         let list: Vec<String> = servers
             .iter()
@@ -93,8 +95,8 @@
         }
         zone.take_changes();
         let resolver = Resolver::new(zone);
-        let services: Vec<String> = (0..=(size - 1) / A_SUBTYPE)
-            .map(|n| format!("\"{}\"", subtype(n * A_SUBTYPE)))
+        let services: Vec<String> = (0..=(size - 1) / INSTANCES_PER_SUBTYPE)
+            .map(|n| format!("\"{}\"", subtype(n * INSTANCES_PER_SUBTYPE)))
             .collect();
         let text = format!(
             "[membership]\nsource = \"dns-sd\"\n[dns-sd]\nservices = [{}]\nresolvers = [\"{}\"]\n\
@@ -106,7 +108,7 @@
         (
             Source::DnsSd(resolver),
             Some(OperatorFile::new(&text)),
-            nobody,
+            unused_address,
         )
     };
     let node = Node {
@@ -118,14 +120,14 @@
         memory_mb: 192,
     };
     let gateway = node.start(operator.as_ref().map(OperatorFile::path));
-    // All that is learned at the start, and what is asked for beside it, is over.
+    // Waits until initial discovery and its queries have finished.
     pause(Duration::from_secs(if by_list {
         1
     } else {
         5 + size as u64 / 250
     }));
     let name = |what: &str| format!("{}_{size}_{what}", source_name(by_list));
-    let idle = used(&gateway, length);
+    let idle = idle_cpu(&gateway, length);
     figures.record(&name("cpu_idle"), idle * 1e3, "ms/s");
     figures.record(&name("memory"), memory_mb(gateway.pid()), "MB");
 
@@ -154,15 +156,20 @@
                 zone.add(&full, frosthatch_test_doubles::Rr::Txt(text));
             })),
         }
-        pause(APART);
+        pause(CHANGE_INTERVAL);
     }
     let spent = (cpu(gateway.pid()) - before).as_secs_f64() - idle * since.elapsed().as_secs_f64();
     let change_ms = (spent / f64::from(CHANGES)).max(0.0) * 1e3;
-    figures.at_most(&name("cpu_a_change"), change_ms, "ms", MOST_A_CHANGE_MS);
+    figures.at_most(&name("cpu_a_change"), change_ms, "ms", MAX_CHANGE_CPU_MS);
 
     let before = cpu(gateway.pid());
-    let (load, task) = Load::start(runtime.handle(), vec![gateway.address], PER_S, length);
-    site::until("the load ends", || task.is_finished());
+    let (load, task) = Load::start(
+        runtime.handle(),
+        vec![gateway.address],
+        REQUESTS_PER_S,
+        length,
+    );
+    site::until("the load task finishes", || task.is_finished());
     let spent = (cpu(gateway.pid()) - before).as_secs_f64() - idle * length.as_secs_f64();
     let samples = load.samples.lock().expect("lock is not poisoned");
     let served = samples
@@ -180,8 +187,8 @@
     cost
 }
 
-/// CPU a second that a gateway uses when nothing happens.
-fn used(gateway: &frosthatch_test_doubles::Gateway, length: Duration) -> f64 {
+/// Returns the CPU seconds per second that an idle gateway uses.
+fn idle_cpu(gateway: &frosthatch_test_doubles::Gateway, length: Duration) -> f64 {
     let before = cpu(gateway.pid());
     pause(length);
     (cpu(gateway.pid()) - before).as_secs_f64() / length.as_secs_f64()
--- a/crates/lab/src/plugins.rs
+++ b/crates/lab/src/plugins.rs
@@ -1,4 +1,4 @@
-//! `plugins`: one plug-in stuck for ten seconds beside 500 requests a second of others; then what plug-ins cost.
+//! `plugins`: the latency of 500 requests/s beside a plug-in that is stuck for ten seconds; then the cost of plug-ins.
 
 use crate::figures::Figures;
 use crate::load::{percentile, Load, Outcome, RequestSpec, CHECK, TOP_UP};
@@ -11,10 +11,11 @@
 use tokio::runtime::{Handle, Runtime};
 use tokio::time::Instant;
 
-const PER_S: f64 = 500.0;
-/// Requests a second of the plug-in that is stuck: each holds its thread for as long as it is waited for.
+const REQUESTS_PER_S: f64 = 500.0;
+/// Requests per second to the stuck plug-in; each occupies the plug-in's thread until the call times out.
 const STUCK_PER_S: u32 = 60;
-const STUCK_FOR: Duration = Duration::from_secs(10);
+/// Duration of the load on the stuck plug-in.
+const STUCK_DURATION: Duration = Duration::from_secs(10);
 
 const EMPTY: &str = r#"(module (memory (export "memory") 1)
   (func (export "frosthatch_abi") (result i32) i32.const 1)
@@ -28,25 +29,26 @@
 const LIMIT: &str = include_str!("../../plugins/examples/limit.wat");
 const TILL: &str = include_str!("../../plugins/examples/till.wat");
 
-/// A module's file, which goes with its handle.
-struct File(PathBuf);
+/// A module file that is deleted on drop.
+struct ModuleFile(PathBuf);
 
-impl Drop for File {
+impl Drop for ModuleFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
 }
 
-struct Site {
+/// A gateway with its servers and files; `started` is the time until it was ready.
+struct Installation {
     gateway: Gateway,
     _servers: Vec<Server>,
     _agent: Discovery,
-    _files: Vec<File>,
+    _files: Vec<ModuleFile>,
     started: Duration,
 }
 
-/// One gateway with these plug-ins: name, module, further keys.
-fn site(handle: &Handle, plugins: &[(String, &str, &str)]) -> Site {
+/// Starts one gateway with these plug-ins: name, module text, further settings.
+fn start_installation(handle: &Handle, plugins: &[(String, &str, &str)]) -> Installation {
     let servers: Vec<Server> = (0..8).map(|_| Server::start(handle, false)).collect();
     let list: Vec<String> = servers
         .iter()
@@ -54,9 +56,9 @@
         .map(|(n, s)| endpoint_entry(&format!("s{n}"), s.address, 1, "Ready"))
         .collect();
     let agent = Discovery::new(&list.join(","));
-    let files: Vec<File> = plugins
+    let files: Vec<ModuleFile> = plugins
         .iter()
-        .map(|(_, module, _)| File(write_config_file(module)))
+        .map(|(_, module, _)| ModuleFile(write_config_file(module)))
         .collect();
     let named = plugins.iter().zip(&files);
     let text: String = named
@@ -75,7 +77,7 @@
     };
     let since = Instant::now();
     let gateway = node.start(Some(operator.path()));
-    Site {
+    Installation {
         gateway,
         _servers: servers,
         _agent: agent,
@@ -85,58 +87,69 @@
 }
 
 pub fn run(seconds: Option<u64>, figures: &mut Figures) {
-    let length = Duration::from_secs(seconds.unwrap_or(20)).max(STUCK_FOR + Duration::from_secs(4));
-    let without = others(None, length, figures);
+    let length =
+        Duration::from_secs(seconds.unwrap_or(20)).max(STUCK_DURATION + Duration::from_secs(4));
+    let without = p99_of_others(None, length, figures);
     let more = "plans = [\"counted\"]\npolicy = \"fail\"\nfuel_per_call = 20000000\nfuel_per_s = 200000000\nwait_ms = 50\n";
-    let with = others(Some(("stuck".into(), STUCK, more)), length, figures);
+    let with = p99_of_others(Some(("stuck".into(), STUCK, more)), length, figures);
     figures.record("p99_without", without, "ms");
     figures.record("p99_beside_a_stuck_one", with, "ms");
     figures.at_most("p99_ratio", with / without, "x", 1.5);
-    costs(Duration::from_secs(seconds.unwrap_or(8).min(8)), figures);
+    record_costs(Duration::from_secs(seconds.unwrap_or(8).min(8)), figures);
 }
 
-/// 500 requests a second that no plug-in is asked about; meanwhile others that a stuck one holds. Their p99.
-fn others(stuck: Option<(String, &str, &str)>, length: Duration, figures: &mut Figures) -> f64 {
+/// Returns the p99 latency in milliseconds of 500 requests/s that involve no plug-in, with concurrent requests to the `stuck` one.
+fn p99_of_others(
+    stuck: Option<(String, &str, &str)>,
+    length: Duration,
+    figures: &mut Figures,
+) -> f64 {
     let runtime = Runtime::new().expect("the Tokio runtime can be built");
     let plugins: Vec<_> = stuck.into_iter().collect();
-    let site = site(runtime.handle(), &plugins);
-    let (load, task) = Load::start(runtime.handle(), vec![site.gateway.address], PER_S, length);
+    let installation = start_installation(runtime.handle(), &plugins);
+    let (load, task) = Load::start(
+        runtime.handle(),
+        vec![installation.gateway.address],
+        REQUESTS_PER_S,
+        length,
+    );
     if !plugins.is_empty() {
-        let (own, got) = (
-            Load::new(vec![site.gateway.address]),
+        let (stuck_load, outcomes) = (
+            Load::new(vec![installation.gateway.address]),
             Arc::<Mutex<Vec<(Outcome, bool)>>>::default(),
         );
         let start = Instant::now() + Duration::from_secs(2);
-        for n in 0..STUCK_PER_S * STUCK_FOR.as_secs() as u32 {
-            let (own, got) = (own.clone(), got.clone());
+        for n in 0..STUCK_PER_S * STUCK_DURATION.as_secs() as u32 {
+            let (stuck_load, outcomes) = (stuck_load.clone(), outcomes.clone());
             let due = start + Duration::from_secs(1) * n / STUCK_PER_S;
             runtime.spawn(async move {
                 tokio::time::sleep_until(due).await;
                 let class = if n % 10 < 7 { CHECK } else { TOP_UP };
-                let shape = RequestSpec {
+                let request_spec = RequestSpec {
                     class,
                     plan: "counted",
                     customer: n,
                     units: 1,
                     id: 1 << 40 | u64::from(n),
                 };
-                let answer = own.send_request(0, shape, due).await;
+                let answer = stuck_load.send_request(0, request_spec, due).await;
                 let in_time = due.elapsed() < class.2;
-                got.lock()
+                outcomes
+                    .lock()
                     .expect("lock is not poisoned")
                     .push((answer, in_time));
             });
         }
         pause(length);
-        let got = got.lock().expect("lock is not poisoned");
-        let all = f64::from(STUCK_PER_S) * STUCK_FOR.as_secs_f64();
-        let failed = got
+        let outcomes = outcomes.lock().expect("lock is not poisoned");
+        let all = f64::from(STUCK_PER_S) * STUCK_DURATION.as_secs_f64();
+        let failed = outcomes
             .iter()
-            .filter(|(got, in_time)| *got == Outcome::Failed && *in_time)
+            .filter(|(outcomes, in_time)| *outcomes == Outcome::Failed && *in_time)
             .count() as f64;
         figures.at_least(
             "requests_of_the_stuck_one",
-            got.len() as f64,
+            outcomes.len() as f64,
             "requests",
             all,
         );
@@ -149,7 +162,7 @@
     }
     runtime.block_on(async { drop(task.await) });
     let samples = load.samples.lock().expect("lock is not poisoned");
-    let wrong = samples
+    let unanswered = samples
         .iter()
         .filter(|s| matches!(s.outcome, Outcome::Unanswered | Outcome::Invalid))
         .count();
@@ -159,20 +172,21 @@
         } else {
             "unanswered_beside_a_stuck_one"
         },
-        wrong as f64,
+        unanswered as f64,
         "requests",
         0.0,
     );
-    let mut took: Vec<Duration> = samples
+    let mut latencies: Vec<Duration> = samples
         .iter()
         .filter(|s| s.due > Duration::from_secs(2))
         .map(|s| s.latency)
         .collect();
-    percentile(&mut took, 0.99)
+    percentile(&mut latencies, 0.99)
 }
 
-/// CPU and time a request with none, an empty one and each example; memory and start with 1 and with 20.
-fn costs(length: Duration, figures: &mut Figures) {
+/// Records CPU time and latency of a request, memory and start time: without plug-ins, with an empty one, with each example, and
+/// with 20 empty ones.
+fn record_costs(length: Duration, figures: &mut Figures) {
     let one = |module: &'static str, more: &'static str| vec![("one".to_string(), module, more)];
     let twenty: Vec<(String, &str, &str)> = (0..20).map(|n| (format!("p{n}"), EMPTY, "")).collect();
     let cases = [
@@ -186,15 +200,20 @@
     let mut none = (f64::NAN, f64::NAN);
     for (name, plugins) in cases {
         let runtime = Runtime::new().expect("the Tokio runtime can be built");
-        let site = site(runtime.handle(), &plugins);
-        let before = cpu(site.gateway.pid());
-        let (load, task) = Load::start(runtime.handle(), vec![site.gateway.address], PER_S, length);
+        let installation = start_installation(runtime.handle(), &plugins);
+        let before = cpu(installation.gateway.pid());
+        let (load, task) = Load::start(
+            runtime.handle(),
+            vec![installation.gateway.address],
+            REQUESTS_PER_S,
+            length,
+        );
         runtime.block_on(async { drop(task.await) });
-        let used = cpu(site.gateway.pid()) - before;
+        let used = cpu(installation.gateway.pid()) - before;
         let samples = load.samples.lock().expect("lock is not poisoned");
         let us = used.as_secs_f64() * 1e6 / samples.len().max(1) as f64;
-        let mut took: Vec<Duration> = samples.iter().map(|s| s.latency).collect();
-        let p50 = percentile(&mut took, 0.5);
+        let mut latencies: Vec<Duration> = samples.iter().map(|s| s.latency).collect();
+        let p50 = percentile(&mut latencies, 0.5);
         if name == "none" {
             none = (us, p50);
         }
@@ -207,12 +226,12 @@
         figures.record(&format!("{name}_p50_more"), p50 - none.1, "ms");
         figures.record(
             &format!("{name}_memory"),
-            memory_mb(site.gateway.pid()),
+            memory_mb(installation.gateway.pid()),
             "MB",
         );
         figures.record(
             &format!("{name}_start"),
-            site.started.as_secs_f64() * 1e3,
+            installation.started.as_secs_f64() * 1e3,
             "ms",
         );
         figures.at_least(
--- a/crates/lab/src/upgrade.rs
+++ b/crates/lab/src/upgrade.rs
@@ -1,4 +1,4 @@
-//! `upgrade`: 500 requests a second while processes are replaced; every second start fails, at one step after another.
+//! `upgrade`: 500 requests/s while gateway processes are upgraded; every second start fails, each time at the next handover step.
 
 use crate::figures::Figures;
 use crate::load::{percentile, Load, Outcome, Sample};
@@ -13,13 +13,15 @@
 use std::time::{Duration, Instant};
 use tokio::runtime::Runtime;
 
-const PER_S: f64 = 500.0;
+const REQUESTS_PER_S: f64 = 500.0;
 const UPGRADES: usize = 50;
-/// A start that succeeds takes as long as the old process may hold an answer, and one that fails next to nothing.
-const LENGTH: Duration = Duration::from_secs(90);
-/// Requests due so shortly before or after a switch are its own.
-const ROUND: Duration = Duration::from_millis(500);
+/// Duration of the load. A successful upgrade lasts until the old process has finished its requests; a failed one is almost
+/// immediate.
+const DEFAULT_DURATION: Duration = Duration::from_secs(90);
+/// Requests due within this time before or after a switch are attributed to it.
+const SWITCH_MARGIN: Duration = Duration::from_millis(500);
 
+/// A gateway process and its log lines.
 struct Process {
     gateway: Gateway,
     lines: Receiver<String>,
@@ -27,29 +29,32 @@
 
 impl Process {
     fn start(node: &Node, operator: &Path) -> Process {
-        let (tell, lines) = channel();
+        let (line_sender, lines) = channel();
         let gateway = node.start_with_log(Some(operator), move |line| {
             eprintln!("gateway: {line}");
-            let _ = tell.send(line.to_string());
+            let _ = line_sender.send(line.to_string());
         });
         Process { gateway, lines }
     }
 
-    fn says(&self, what: &str) {
+    /// Waits until the process logs a line that contains `what`.
+    fn wait_for_log(&self, what: &str) {
         while !self
             .lines
             .recv_timeout(TIMEOUT)
-            .unwrap_or_else(|_| panic!("{what:?} is logged"))
+            .unwrap_or_else(|_| panic!("no log line contains {what:?} within {TIMEOUT:?}"))
             .contains(what)
         {}
     }
 }
 
-/// A new process that goes away at one of the steps.
-fn fails(socket: &Path, step: usize, old: &Process) {
+/// Simulates a new process that disappears at a handover step: 0 after connecting, 1 after the hello, 2 after reporting ready.
+fn simulate_failed_start(socket: &Path, step: usize, old: &Process) {
     let mut link = loop {
-        let mut link = UnixStream::connect(socket).expect("the running process is called");
-        link.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
+        let mut link = UnixStream::connect(socket)
+            .expect("the running process accepts on its handover socket");
+        link.set_read_timeout(Some(TIMEOUT))
+            .expect("the time-out is not zero");
         if step == 0 {
             return;
         }
@@ -60,26 +65,26 @@
             }
             .encode_frame(),
         )
-        .expect("written");
-        let mut said = [0; 1_024];
-        let read = link.read(&mut said).unwrap_or(0);
-        // The one before is not yet noticed to have gone.
-        if String::from_utf8_lossy(&said[..read]).contains("Welcome") {
+        .expect("the running process keeps the connection open");
+        let mut reply = [0; 1_024];
+        let read = link.read(&mut reply).unwrap_or(0);
+        // Without a welcome the running process has not yet noticed the end of the previous attempt.
+        if String::from_utf8_lossy(&reply[..read]).contains("Welcome") {
             break link;
         }
         pause(Duration::from_millis(20));
     };
     if step == 2 {
         link.write_all(&Message::Ready.encode_frame())
-            .expect("written");
-        old.says("the new process accepts");
+            .expect("the running process keeps the connection open");
+        old.wait_for_log("the new process accepts");
     }
     drop(link);
-    old.says("the new process has gone");
+    old.wait_for_log("the new process has gone");
 }
 
 pub fn run(seconds: Option<u64>, figures: &mut Figures) {
-    let length = seconds.map_or(LENGTH, Duration::from_secs);
+    let length = seconds.map_or(DEFAULT_DURATION, Duration::from_secs);
     let runtime = Runtime::new().expect("the Tokio runtime can be built");
     let servers: Vec<Server> = (0..8)
         .map(|_| Server::start(runtime.handle(), false))
@@ -102,37 +107,41 @@
         memory_mb: 192,
     };
     let mut running = Process::start(&node, operator.path());
-    let there = |socket: &Path| UnixStream::connect(socket).is_ok();
-    crate::site::until("the socket is there", || there(&socket));
+    let is_listening = |socket: &Path| UnixStream::connect(socket).is_ok();
+    crate::site::until("the handover socket accepts connections", || {
+        is_listening(&socket)
+    });
     let (load, task) = Load::start(
         runtime.handle(),
         vec![running.gateway.address],
-        PER_S,
+        REQUESTS_PER_S,
         length,
     );
     let begun = Instant::now();
     let (mut switches, mut failed) = (Vec::new(), 0);
     pause(Duration::from_secs(1));
     for n in 0..UPGRADES {
-        // The last one is over before the load is.
+        // The last upgrade finishes before the load does.
         if begun.elapsed() + Duration::from_secs(4) > length {
             break;
         }
         if n % 2 == 1 {
-            fails(&socket, failed % 3, &running);
+            simulate_failed_start(&socket, failed % 3, &running);
             failed += 1;
             continue;
         }
         let new = Process::start(&node, operator.path());
-        running.says("the new process accepts");
+        running.wait_for_log("the new process accepts");
         switches.push(begun.elapsed());
         running.gateway.terminate();
         assert!(
             running.gateway.wait_for_exit().success(),
-            "the old process ends well"
+            "the old process exits successfully"
         );
-        new.says("the old process has ended");
-        crate::site::until("the next can call", || there(&socket));
+        new.wait_for_log("the old process has ended");
+        crate::site::until("the new process accepts on the handover socket", || {
+            is_listening(&socket)
+        });
         running = new;
     }
     runtime.block_on(async { drop(task.await) });
@@ -167,12 +176,12 @@
     let in_time = count(|s| s.outcome == Outcome::Served && s.latency <= s.latency_target)
         / samples.len() as f64;
     figures.at_least("in_time", in_time, "share", 0.99);
-    let near = |s: &&Sample| {
+    let is_near_switch = |s: &&Sample| {
         switches
             .iter()
-            .any(|&at| s.due + ROUND > at && s.due < at + ROUND)
+            .any(|&at| s.due + SWITCH_MARGIN > at && s.due < at + SWITCH_MARGIN)
     };
-    let (at, else_): (Vec<&Sample>, Vec<&Sample>) = samples.iter().partition(near);
+    let (at, else_): (Vec<&Sample>, Vec<&Sample>) = samples.iter().partition(is_near_switch);
     let p99 =
         |of: Vec<&Sample>| percentile(&mut of.iter().map(|s| s.latency).collect::<Vec<_>>(), 0.99);
     let (at, else_) = (p99(at), p99(else_));
