--- a/crates/lab/src/choices.rs
+++ b/crates/lab/src/choices.rs
@@ -40,7 +40,7 @@
     /// Maximum number of servers that another gateway avoids while one reports all servers as failing.
     servers_avoided: usize,
     /// Jain index and least-to-mean ratio of the servers' use: without faults, in two partitions, and by four gateways.
-    evenness_of: [(f64, f64); 3],
+    evenness: [(f64, f64); 3],
     /// Maximum work of a cold server relative to its capacity.
     cold: f64,
     sent: usize,
@@ -51,9 +51,9 @@
 }
 
 pub fn run(seconds: Option<u64>, figures: &mut Figures) {
-    let lasts = Duration::from_secs(seconds.unwrap_or(10));
+    let phase = Duration::from_secs(seconds.unwrap_or(10));
     for (name, shares_health) in [("with", true), ("without", false)] {
-        let r = run_case(shares_health, lasts);
+        let r = run_case(shares_health, phase);
         let name = |what: &str| format!("{name}_{what}");
         let limit_if_shared = |limit: f64| if shares_health { limit } else { f64::INFINITY };
         figures.record(
@@ -61,7 +61,7 @@
             r.failing_first_3_s as f64,
             "requests",
         );
-        let max_probes = (lasts.as_secs_f64() / 4.0 + 2.0).ceil();
+        let max_probes = (phase.as_secs_f64() / 4.0 + 2.0).ceil();
         figures.at_most(
             &name("to_it_after"),
             r.failing_later as f64,
@@ -100,13 +100,13 @@
         for (k, case) in ["in_health", "in_two_halves", "by_four"].iter().enumerate() {
             figures.at_least(
                 &name(&format!("jain_{case}")),
-                r.evenness_of[k].0,
+                r.evenness[k].0,
                 "of-1",
                 if shares_health { 0.8 } else { 0.0 },
             );
             figures.record(
                 &name(&format!("least_used_{case}")),
-                r.evenness_of[k].1,
+                r.evenness[k].1,
                 "of-mean",
             );
         }
@@ -130,7 +130,7 @@
 
 /// Returns what each running gateway reports of its choices: gateways, servers used, servers avoided.
 fn reported_choices(site: &Site) -> Vec<Option<[u64; 3]>> {
-    let of = |console: SocketAddr| {
+    let config_of = |console: SocketAddr| {
         let json: Value =
             serde_json::from_str(&call_console(console, "GET", "/fleet", "")?.1).ok()?;
         let figure = |name: &str| json["choices"][name].as_u64();
@@ -141,7 +141,7 @@
         ])
     };
     let running = site.testbed.processes.iter().filter(|p| p.is_running());
-    running.map(|p| p.console().and_then(of)).collect()
+    running.map(|p| p.console().and_then(config_of)).collect()
 }
 
 /// Returns the seconds until `holds` returns true, or infinity after [`STATE_TIMEOUT`].
@@ -156,10 +156,10 @@
     since.elapsed().as_secs_f64()
 }
 
-/// Returns the Jain index and the least-to-mean ratio of the servers' requests during `lasts`.
-fn evenness(site: &Site, lasts: Duration) -> (f64, f64) {
+/// Returns the Jain index and the least-to-mean ratio of the servers' requests during `phase`.
+fn evenness(site: &Site, phase: Duration) -> (f64, f64) {
     let since = Instant::now();
-    pause(lasts);
+    pause(phase);
     let requests: Vec<f64> = site
         .servers
         .iter()
@@ -168,7 +168,7 @@
     (jain_index(&requests), min_to_mean_ratio(&requests))
 }
 
-fn run_case(shares_health: bool, lasts: Duration) -> Row {
+fn run_case(shares_health: bool, phase: Duration) -> Row {
     let runtime = Runtime::new().expect("the Tokio runtime can be built");
     let handle = runtime.handle();
     // The accusing gateway's list has the names of all servers with an address on which nothing listens.
@@ -179,9 +179,16 @@
         .map(|n| endpoint_entry(&format!("s{n}"), closed_address, n as u64, "Ready"))
         .collect();
     let accuser_agent = Discovery::new(&wrong_entries.join(","));
-    let of = |n: usize| (n, format!("name = \"n{n}\"\nchoices = {shares_health}\n"));
+    let config_of = |n: usize| (n, format!("name = \"n{n}\"\nchoices = {shares_health}\n"));
     let at = |n| (n == ACCUSER).then_some(accuser_agent.address);
-    let mut site = Site::with_agents(handle, 1, (GATEWAYS, GATEWAYS), SERVERS, |n, _| of(n), at);
+    let mut site = Site::with_agents(
+        handle,
+        1,
+        (GATEWAYS, GATEWAYS),
+        SERVERS,
+        |n, _| config_of(n),
+        at,
+    );
     let mut row = Row::default();
     let seconds_until_reassigned = |site: &Site, gateways: u64| {
         until(|| {
@@ -200,38 +207,38 @@
     seconds_until_reassigned(&site, 4);
     site.start_load(handle, 1);
     pause(Duration::from_secs(1));
-    row.evenness_of[2] = evenness(&site, lasts);
+    row.evenness[2] = evenness(&site, phase);
     site.apply(TimelineAction::Start {
         who: (4..ACCUSER).collect(),
     });
     site.seconds_until_views_agree(ACCUSER);
     seconds_until_reassigned(&site, ACCUSER as u64);
     pause(Duration::from_secs(1));
-    row.evenness_of[0] = evenness(&site, lasts);
+    row.evenness[0] = evenness(&site, phase);
 
     // One server fails all requests at once, then recovers.
     let since = Instant::now();
-    site.servers[7].set(Mode::Failing);
+    site.servers[7].set_mode(Mode::Failing);
     pause(Duration::from_secs(3));
     row.failing_first_3_s = site.servers[7].requests_since(since);
     let since = Instant::now();
-    pause(lasts);
+    pause(phase);
     row.failing_later = site.servers[7].requests_since(since);
-    site.servers[7].set(Mode::Normal);
+    site.servers[7].set_mode(Mode::Normal);
     row.recovery_s =
         until(|| site.servers[7].requests_since(Instant::now() - Duration::from_secs(1)) >= 3);
     // One server is slow.
     let since = Instant::now();
-    site.servers[9].set(Mode::Slow);
-    pause(lasts);
+    site.servers[9].set_mode(Mode::Slow);
+    pause(phase);
     row.slow_requests = site.servers[9].requests_since(since);
-    site.servers[9].set(Mode::Normal);
+    site.servers[9].set_mode(Mode::Normal);
 
     // Two partitions of the gateways continue to serve.
     let halves = vec![(0..6).collect(), (6..GATEWAYS).collect()];
     site.apply(TimelineAction::Split { groups: halves });
     pause(Duration::from_secs(4));
-    row.evenness_of[1] = evenness(&site, lasts);
+    row.evenness[1] = evenness(&site, phase);
     site.apply(TimelineAction::Heal);
     site.seconds_until_views_agree(ACCUSER);
     seconds_until_reassigned(&site, ACCUSER as u64);
@@ -257,7 +264,7 @@
     let at = site.testbed.processes[ACCUSER]
         .address()
         .expect("a ready process has an address");
-    let end = Instant::now() + lasts;
+    let end = Instant::now() + phase;
     while Instant::now() < end {
         for n in 0..40_u64 {
             let request = frosthatch_test_doubles::ClientRequest::check()
@@ -292,7 +299,7 @@
         true,
         &endpoint_list(&site.servers, "Ready", &format!(",{newcomer}")),
     );
-    pause(lasts);
+    pause(phase);
     row.cold = cold.max_overload_ratio(Duration::from_secs(3));
 
     let request_counts = site.stop_load(&runtime);
--- a/crates/lab/src/choices_size.rs
+++ b/crates/lab/src/choices_size.rs
@@ -97,7 +97,7 @@
 
 impl World {
     fn new(gateways: usize, servers: usize, shares_health: bool, seed: u64) -> World {
-        let run_case = |me: usize| {
+        let gateway = |me: usize| {
             let mut set = Settings {
                 gateways: gateways as u32,
                 gateway_index: me as u32,
@@ -111,7 +111,7 @@
         let mut w = World {
             now: 1_000 * S,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            gateways: (0..gateways).map(|n| Some(run_case(n))).collect(),
+            gateways: (0..gateways).map(|n| Some(gateway(n))).collect(),
             servers: (0..servers)
                 .map(|_| Server {
                     cores: [0; CORES],
@@ -257,24 +257,24 @@
                     else {
                         continue;
                     };
-                    let reports = gateway.health_reports();
-                    if reports.of.is_empty() {
+                    let health_reports = gateway.health_reports();
+                    if health_reports.of.is_empty() {
                         continue;
                     }
                     for to in (0..self.gateways.len()).filter(|to| *to != by) {
                         self.schedule(
                             REPORT_DELAY_US,
-                            SimEvent::ReportReceived(to, by as u32, reports.clone()),
+                            SimEvent::ReportReceived(to, by as u32, health_reports.clone()),
                         );
                     }
                 }
                 self.schedule(REPORT_INTERVAL_US, SimEvent::SendReports);
             }
-            SimEvent::ReportReceived(to, from, reports) => self.handle_event(
+            SimEvent::ReportReceived(to, from, health_reports) => self.handle_event(
                 to,
                 Event::HealthReports {
                     from,
-                    reports: reports,
+                    reports: health_reports,
                 },
             ),
         }
@@ -292,7 +292,7 @@
         self.now = until;
     }
 
-    /// Runs for `us` microseconds and returns the requests that each server in the range received.
+    /// Runs for `duration_us` and returns the requests that each server in the range received.
     fn requests_during(&mut self, duration_us: u64, of: std::ops::Range<usize>) -> Vec<f64> {
         self.servers.iter_mut().for_each(|s| s.requests = 0);
         self.run(duration_us);
@@ -307,14 +307,14 @@
 }
 
 pub fn run(seconds: Option<u64>, figures: &mut Figures) {
-    let lasts = seconds.unwrap_or(10) * S;
+    let phase_us = seconds.unwrap_or(10) * S;
     for (gateways, servers) in [(300, 200), (64, 5_000)] {
         for (mode, shares_health) in [("told", true), ("alone", false)] {
             run_case(
                 gateways,
                 servers,
                 shares_health,
-                lasts,
+                phase_us,
                 &format!("{gateways}_by_{servers}_{mode}"),
                 figures,
             );
@@ -326,7 +326,7 @@
     gateways: usize,
     servers: usize,
     shares_health: bool,
-    lasts: u64,
+    phase_us: u64,
     prefix: &str,
     figures: &mut Figures,
 ) {
@@ -337,7 +337,7 @@
     w.run(3 * S);
     let name = |figure: &str| format!("{prefix}_{figure}");
     (w.used_pairs, w.attempts, w.took) = (BTreeSet::new(), 0, Vec::new());
-    let requests = w.requests_during(lasts, 0..servers);
+    let requests = w.requests_during(phase_us, 0..servers);
     // With few requests per server, randomness alone makes the use uneven.
     let min_jain = if requests.iter().sum::<f64>() > 30.0 * servers as f64 {
         0.9
@@ -361,19 +361,19 @@
 
     // One server fails all requests at once, then recovers.
     w.servers[8].fails = true;
-    let found = w.requests_during(3 * S, 0..servers)[8];
-    let after = w.requests_during(lasts, 0..servers)[8];
-    let expected = (w.per_s * gateways as f64 / servers as f64) * lasts as f64 / 1e6;
-    figures.record(&name("to_a_failing_one_in_3_s"), found, "requests");
+    let first_3_s = w.requests_during(3 * S, 0..servers)[8];
+    let after = w.requests_during(phase_us, 0..servers)[8];
+    let expected = (w.per_s * gateways as f64 / servers as f64) * phase_us as f64 / 1e6;
+    figures.record(&name("to_a_failing_one_in_3_s"), first_3_s, "requests");
     let limit = if shares_health {
-        lasts as f64 / 4e6 + 3.0
+        phase_us as f64 / 4e6 + 3.0
     } else {
         f64::INFINITY
     };
     figures.at_most(&name("to_it_after"), after, "requests", limit);
     w.servers[8].fails = false;
     w.run(5 * S);
-    let back = w.requests_during(lasts, 0..servers)[8] / expected;
+    let back = w.requests_during(phase_us, 0..servers)[8] / expected;
     figures.at_least(
         &name("back"),
         back,
@@ -392,7 +392,7 @@
     for n in remaining.iter().filter(|_| shares_health) {
         w.handle_event(*n as usize, Event::Gateways(remaining.clone()));
     }
-    let requests = w.requests_during(lasts, 0..servers);
+    let requests = w.requests_during(phase_us, 0..servers);
     figures.at_least(
         &name("jain_two_thirds"),
         jain_index(&requests),
@@ -420,15 +420,15 @@
     (w.used_pairs, w.attempts) = (BTreeSet::new(), 0);
     let replaced = servers * 6 / 10;
     for step in 0..10 {
-        let some = replaced * step / 10..replaced * (step + 1) / 10;
+        let batch = replaced * step / 10..replaced * (step + 1) / 10;
         let now = w.now;
-        let gone = some.clone().map(|n| ServerEntry {
+        let gone = batch.clone().map(|n| ServerEntry {
             health: Health::Draining,
             ..entry(n, 0)
         });
-        let requests = some.clone().map(|n| entry(servers + n, now));
-        let entries: Vec<ServerEntry> = gone.chain(requests).collect();
-        for n in some {
+        let added = batch.clone().map(|n| entry(servers + n, now));
+        let entries: Vec<ServerEntry> = gone.chain(added).collect();
+        for n in batch {
             w.server_indices
                 .insert(self::name(servers + n), w.servers.len());
             w.servers.push(Server {
@@ -454,7 +454,7 @@
         "pairs",
     );
     w.run(20 * S);
-    let requests = w.requests_during(lasts, replaced..servers + replaced);
+    let requests = w.requests_during(phase_us, replaced..servers + replaced);
     figures.at_least(
         &name("jain_after_a_release"),
         jain_index(&requests),
--- a/crates/lab/src/counter_faults.rs
+++ b/crates/lab/src/counter_faults.rs
@@ -89,7 +89,7 @@
 /// A fault: its name, its duration in seconds, and the functions that begin and end it.
 struct Fault {
     name: &'static str,
-    lasts: u64,
+    duration_s: u64,
     begin: fn(&SharedCounter, &Meter),
     end: fn(&SharedCounter, &Meter),
     /// From the middle of the fault on, each customer uses only the next gateway.
@@ -98,13 +98,13 @@
 
 const fn fault(
     name: &'static str,
-    lasts: u64,
+    duration_s: u64,
     begin: fn(&SharedCounter, &Meter),
     end: fn(&SharedCounter, &Meter),
 ) -> Fault {
     Fault {
         name,
-        lasts,
+        duration_s,
         begin,
         end,
         moves: false,
@@ -264,7 +264,8 @@
 }
 
 fn run_case(fault: &Fault, seconds: Option<u64>, peers: bool) -> Row {
-    let lasts = Duration::from_secs(seconds.map_or(fault.lasts, |s| s.min(fault.lasts)));
+    let fault_duration =
+        Duration::from_secs(seconds.map_or(fault.duration_s, |s| s.min(fault.duration_s)));
     let runtime = Runtime::new().expect("the Tokio runtime can be built");
     let handle = runtime.handle();
     let all_customers = Arc::new(customers());
@@ -293,7 +294,7 @@
     let load = Load::new(gateways.iter().map(|g| g.address).collect());
     let samples: Arc<Mutex<Vec<Sample>>> = Arc::default();
     let start = Instant::now() + Duration::from_millis(100);
-    let length = LOAD_BEFORE + lasts + LOAD_AFTER;
+    let length = LOAD_BEFORE + fault_duration + LOAD_AFTER;
     let moves = fault.moves;
     let tasks: Vec<_> = (0..all_customers.len())
         .map(|n| {
@@ -309,7 +310,7 @@
                     if due >= length {
                         break;
                     }
-                    let moved = moves && due >= LOAD_BEFORE + lasts / 2;
+                    let moved = moves && due >= LOAD_BEFORE + fault_duration / 2;
                     let (gateway, id) = (
                         c.gateway(rng.next_u32(), moved),
                         u64::from(rng.next_u32()) << 32 | u64::from(c.key),
@@ -323,14 +324,14 @@
                     let (load, samples) = (load.clone(), samples.clone());
                     let (plan, key) = (c.quota.plan, c.key);
                     in_flight.spawn(async move {
-                        let shape = RequestSpec {
+                        let spec = RequestSpec {
                             class,
                             plan,
                             customer: key,
                             units: 1,
                             id,
                         };
-                        let outcome = load.send_request(gateway, shape, start + due).await;
+                        let outcome = load.send_request(gateway, spec, start + due).await;
                         let in_time = start.elapsed().saturating_sub(due) <= class.1;
                         samples.lock().expect("lock is not poisoned").push(Sample {
                             due,
@@ -347,7 +348,7 @@
         .collect();
     pause((start + LOAD_BEFORE).saturating_duration_since(Instant::now()));
     (fault.begin)(&counter, &meter);
-    pause((start + LOAD_BEFORE + lasts).saturating_duration_since(Instant::now()));
+    pause((start + LOAD_BEFORE + fault_duration).saturating_duration_since(Instant::now()));
     (fault.end)(&counter, &meter);
     runtime.block_on(async {
         for task in tasks {
@@ -358,7 +359,7 @@
     let uses = meter.uses();
     evaluate(
         fault,
-        lasts,
+        fault_duration,
         &all_customers,
         &samples,
         &uses,
@@ -369,7 +370,7 @@
 
 fn evaluate(
     fault: &Fault,
-    lasts: Duration,
+    fault_duration: Duration,
     all_customers: &[Customer],
     samples: &[Sample],
     uses: &[Use],
@@ -378,9 +379,9 @@
 ) -> Row {
     let (from, to) = (
         LOAD_BEFORE.as_secs_f64(),
-        (LOAD_BEFORE + lasts).as_secs_f64(),
+        (LOAD_BEFORE + fault_duration).as_secs_f64(),
     );
-    let end = (LOAD_BEFORE + lasts + LOAD_AFTER).as_secs_f64();
+    let end = (LOAD_BEFORE + fault_duration + LOAD_AFTER).as_secs_f64();
     let (mut over_ceiling, mut over_quota, mut abnormal) = (0.0f64, 0.0f64, to);
     for c in all_customers {
         let customer_uses = uses.iter().filter(|u| u.customer == c.key);
--- a/crates/lab/src/diameter.rs
+++ b/crates/lab/src/diameter.rs
@@ -60,16 +60,14 @@
         let above_ceiling = ccr
             .find(code::SUBSCRIPTION_ID)
             .is_some_and(|a| is_customer_above_ceiling(&a.data));
-        let server_requests = ServerRequest {
+        let request = ServerRequest {
             at: Instant::now(),
             server: n,
             end_to_end: ccr.header.end_to_end,
             charge,
             above_ceiling,
         };
-        log.lock()
-            .expect("lock is not poisoned")
-            .push(server_requests);
+        log.lock().expect("lock is not poisoned").push(request);
         let answer = success_answer(ccr, HOSTS[n]).with(Avp::of_u32(code::CC_SESSION_FAILOVER, 1));
         (!silent.load(Ordering::SeqCst)).then_some(answer)
     })
@@ -81,11 +79,8 @@
 }
 
 fn list_entry(n: usize, server: &DiameterServer, state: &str) -> String {
-    let event_of = endpoint_entry(&format!("d{n}"), server.address, n as u64 / 2, state);
-    format!(
-        "{},\"proto\":\"diameter\"}}",
-        event_of.trim_end_matches('}')
-    )
+    let entry = endpoint_entry(&format!("d{n}"), server.address, n as u64 / 2, state);
+    format!("{},\"proto\":\"diameter\"}}", entry.trim_end_matches('}'))
 }
 
 fn free_port() -> SocketAddr {
--- a/crates/lab/src/fleet_site.rs
+++ b/crates/lab/src/fleet_site.rs
@@ -26,9 +26,9 @@
 /// server, and `more` is appended to the list.
 pub fn endpoint_list(servers: &[Server], first: &str, more: &str) -> String {
     let state = |n| if n == 0 { first } else { "Ready" };
-    let one =
+    let format_entry =
         |(n, s): (usize, &Server)| endpoint_entry(&format!("s{n}"), s.address, n as u64, state(n));
-    let list: Vec<String> = servers.iter().enumerate().map(one).collect();
+    let list: Vec<String> = servers.iter().enumerate().map(format_entry).collect();
     list.join(",") + more
 }
 
@@ -64,16 +64,23 @@
 }
 
 impl Site {
-    /// Creates `processes` processes of a fleet of `gateways` in front of `servers` servers. `of` returns the gateway index of each
+    /// Creates `processes` processes of a fleet of `gateways` in front of `servers` servers. `config_of` returns the gateway index of each
     /// process and the text appended to its fleet file.
     pub fn new(
         handle: &Handle,
         seed: u64,
         (gateways, processes): (usize, usize),
         servers: usize,
-        of: impl Fn(usize, &Relay) -> (usize, String),
+        config_of: impl Fn(usize, &Relay) -> (usize, String),
     ) -> Site {
-        Site::with_agents(handle, seed, (gateways, processes), servers, of, |_| None)
+        Site::with_agents(
+            handle,
+            seed,
+            (gateways, processes),
+            servers,
+            config_of,
+            |_| None,
+        )
     }
 
     /// Creates a fleet like [`Site::new`]; `agents` returns the endpoint list agent of a process that has one of its own.
@@ -82,7 +89,7 @@
         seed: u64,
         (gateways, processes): (usize, usize),
         servers: usize,
-        of: impl Fn(usize, &Relay) -> (usize, String),
+        config_of: impl Fn(usize, &Relay) -> (usize, String),
         agents: impl Fn(usize) -> Option<SocketAddr>,
     ) -> Site {
         let meter = Meter::new([(CUSTOMER_ABOVE_CEILING.0, 10.0)].into_iter());
@@ -93,7 +100,7 @@
         let relay = Relay::new(handle, processes, seed);
         let key = write_config_file("a key of the lab's own, long enough for all");
         let all = (0..processes).map(|n| {
-            let (me, more) = of(n, &relay);
+            let (me, more) = config_of(n, &relay);
             let discovery = agents(n).unwrap_or(agent.address);
             let node = Node {
                 gateways,
@@ -224,7 +231,7 @@
         let started_at = Instant::now();
         loop {
             let lines = self.testbed.history.log_lines(what);
-            let of = |n: &usize| {
+            let logged_at = |n: &usize| {
                 let name = format!("member n{n}: ");
                 let mut seen: Vec<(Duration, usize)> = Vec::new();
                 for (at, who, _) in lines
@@ -237,7 +244,7 @@
                 }
                 (seen.len() >= by).then(|| seen[by - 1].0)
             };
-            let all: Option<Vec<Duration>> = members.iter().map(of).collect();
+            let all: Option<Vec<Duration>> = members.iter().map(logged_at).collect();
             if let Some(all) = all {
                 let last = all.into_iter().max().unwrap_or_default();
                 return Some((last.saturating_sub(since)).as_secs_f64());
@@ -342,14 +349,14 @@
             // `Load` announces its number of addresses as the request's `spread`: it has to be the size of the fleet.
             let Some(at) = target.at else { return };
             let load = Load::new(vec![at; gateways]);
-            let shape = RequestSpec {
+            let spec = RequestSpec {
                 class,
                 plan,
                 customer,
                 units: 1,
                 id,
             };
-            let outcome = load.send_request(0, shape, due).await;
+            let outcome = load.send_request(0, spec, due).await;
             // A gateway that was killed or stopped meanwhile cannot answer.
             if targets.lock().expect("lock is not poisoned")[n].changes != target.changes {
                 return;
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -121,14 +121,14 @@
                 };
                 let l = l.clone();
                 tasks.spawn(async move {
-                    let shape = RequestSpec {
+                    let spec = RequestSpec {
                         class,
                         plan: "mellem",
                         customer,
                         units: 1,
                         id,
                     };
-                    let outcome = l.send_request(gateway, shape, start + due).await;
+                    let outcome = l.send_request(gateway, spec, start + due).await;
                     let latency = start.elapsed().saturating_sub(due);
                     let sample = Sample {
                         due,
@@ -148,7 +148,7 @@
     pub async fn send_request(
         &self,
         gateway: usize,
-        shape: RequestSpec<'_>,
+        spec: RequestSpec<'_>,
         due: Instant,
     ) -> Outcome {
         let RequestSpec {
@@ -157,7 +157,7 @@
             customer,
             units,
             id,
-        } = shape;
+        } = spec;
         let (method, more, body) = match class {
             "top-up" => (
                 "POST",
--- a/crates/lab/src/members.rs
+++ b/crates/lab/src/members.rs
@@ -146,7 +146,7 @@
     site.route_to_running();
     site.start_load(handle, seed);
 
-    // Joins.
+    // Two members join, one after the other.
     for n in [MEMBERS - 2, MEMBERS - 1] {
         let since = site.now();
         site.apply(TimelineAction::Start { who: vec![n] });
--- a/crates/lab/src/plugins.rs
+++ b/crates/lab/src/plugins.rs
@@ -145,7 +145,7 @@
         let all = f64::from(STUCK_PER_S) * STUCK_DURATION.as_secs_f64();
         let failed = outcomes
             .iter()
-            .filter(|(outcomes, in_time)| *outcomes == Outcome::Failed && *in_time)
+            .filter(|(outcome, in_time)| *outcome == Outcome::Failed && *in_time)
             .count() as f64;
         figures.at_least(
             "requests_of_the_stuck_one",
--- a/crates/lab/src/policy.rs
+++ b/crates/lab/src/policy.rs
@@ -529,8 +529,8 @@
         }
         let name = format!("n{gone}");
         let dead = |n: &usize| {
-            let versions_used = w.console(*n).and_then(crate::testbed::FleetView::fetch);
-            versions_used.is_some_and(|s| s.states.get(&name).is_some_and(|s| s == "dead"))
+            let view = w.console(*n).and_then(crate::testbed::FleetView::fetch);
+            view.is_some_and(|s| s.states.get(&name).is_some_and(|s| s == "dead"))
         };
         let since = Instant::now();
         while !dead(&by) && since.elapsed() < CHANGE_TIMEOUT {
--- a/crates/lab/src/policy_size.rs
+++ b/crates/lab/src/policy_size.rs
@@ -142,7 +142,7 @@
 }
 
 pub fn run(seconds: Option<u64>, figures: &mut Figures) {
-    let lasts = seconds.unwrap_or(10);
+    let duration_s = seconds.unwrap_or(10);
     let seed = 4;
     figures.remark(&format!(
         "{MEMBERS} members, {KEEPERS} keepers, a lease of 1 s, link delays of 0.5 to 3 ms, seed {seed}"
@@ -153,7 +153,7 @@
     figures.at_most("without_a_lease", unleased as f64, "members", 0.0);
     w.sent.fill((0, 0));
     let mut member_ticks_without_lease = 0;
-    for _ in 0..lasts * S / TICK_US {
+    for _ in 0..duration_s * S / TICK_US {
         w.tick();
         member_ticks_without_lease += MEMBERS - w.count_serving(0);
     }
@@ -163,17 +163,17 @@
         "ticks",
         0.0,
     );
-    let traffic_per_member_s = |sent: &[(u64, u64)], lasts: f64| {
+    let traffic_per_member_s = |sent: &[(u64, u64)], duration_s: f64| {
         let all = sent.iter().fold((0, 0), |a, s| (a.0 + s.0, a.1 + s.1));
         (
-            all.0 as f64 / lasts / sent.len() as f64,
-            all.1 as f64 / lasts / sent.len() as f64,
+            all.0 as f64 / duration_s / sent.len() as f64,
+            all.1 as f64 / duration_s / sent.len() as f64,
         )
     };
-    let (bytes, datagrams) = traffic_per_member_s(&w.sent[KEEPERS..], lasts as f64);
+    let (bytes, datagrams) = traffic_per_member_s(&w.sent[KEEPERS..], duration_s as f64);
     figures.at_most("gateway_bytes", bytes, "B/s", 4_000.0);
     figures.at_most("gateway_datagrams", datagrams, "1/s", 16.0);
-    let (bytes, datagrams) = traffic_per_member_s(&w.sent[..KEEPERS], lasts as f64);
+    let (bytes, datagrams) = traffic_per_member_s(&w.sent[..KEEPERS], duration_s as f64);
     figures.at_most("keeper_bytes", bytes, "B/s", 400_000.0);
     figures.at_most("keeper_datagrams", datagrams, "1/s", 1_500.0);
 
--- a/crates/lab/src/quota_links.rs
+++ b/crates/lab/src/quota_links.rs
@@ -135,7 +135,7 @@
 }
 
 pub fn run(seconds: Option<u64>, figures: &mut Figures) {
-    let lasts = Duration::from_secs(seconds.unwrap_or(10));
+    let fault_duration = Duration::from_secs(seconds.unwrap_or(10));
     let next = Mutex::new(faults().into_iter().enumerate());
     let rows = Mutex::new(Vec::new());
     std::thread::scope(|s| {
@@ -145,7 +145,7 @@
                 let Some((n, fault)) = next.lock().expect("lock is not poisoned").next() else {
                     return;
                 };
-                let row = run_case(&fault, lasts, n as u64);
+                let row = run_case(&fault, fault_duration, n as u64);
                 rows.lock().expect("lock is not poisoned").push((n, row));
             });
         }
@@ -168,13 +168,13 @@
             &name("over_quota"),
             r.over_quota,
             "units",
-            0.5 * QUOTA.0 * lasts.as_secs_f64(),
+            0.5 * QUOTA.0 * fault_duration.as_secs_f64(),
         );
         figures.at_most(&name("over_ceiling"), r.over_ceiling, "units", 0.0);
     }
 }
 
-fn run_case(fault: &Fault, lasts: Duration, seed: u64) -> Row {
+fn run_case(fault: &Fault, fault_duration: Duration, seed: u64) -> Row {
     let runtime = Runtime::new().expect("the Tokio runtime can be built");
     let handle = runtime.handle();
     let servers: Vec<Server> = (0..8).map(|_| Server::start(handle, false)).collect();
@@ -199,7 +199,7 @@
     let load = Load::new(testbed.addresses());
     let samples: Arc<Mutex<Vec<Sample>>> = Arc::default();
     let start = Instant::now() + Duration::from_millis(100);
-    let length = LOAD_BEFORE + lasts + LOAD_AFTER;
+    let length = LOAD_BEFORE + fault_duration + LOAD_AFTER;
     let running = Arc::new(Mutex::new([true; GATEWAYS]));
     let load = Arc::new(Mutex::new(load));
     let tasks = [CUSTOMER_BELOW_QUOTA, CUSTOMER_ABOVE_QUOTA].map(|(key, per_s, gateway_shares)| {
@@ -226,7 +226,7 @@
             .for_each(|w| running.lock().expect("lock is not poisoned")[*w] = false);
     }
     testbed.apply(&fault.begin);
-    pause((start + LOAD_BEFORE + lasts).saturating_duration_since(Instant::now()));
+    pause((start + LOAD_BEFORE + fault_duration).saturating_duration_since(Instant::now()));
     testbed.apply(&fault.end);
     if let TimelineAction::Start { who } = &fault.end {
         who.iter().for_each(|w| testbed.wait_ready(*w));
@@ -240,7 +240,7 @@
     });
     let _ = std::fs::remove_file(&key);
     let samples = samples.lock().expect("lock is not poisoned");
-    evaluate(fault.name, lasts, &samples)
+    evaluate(fault.name, fault_duration, &samples)
 }
 
 #[allow(clippy::too_many_arguments)]
@@ -300,10 +300,10 @@
     while in_flight.join_next().await.is_some() {}
 }
 
-fn evaluate(name: &'static str, lasts: Duration, samples: &[Sample]) -> Row {
+fn evaluate(name: &'static str, fault_duration: Duration, samples: &[Sample]) -> Row {
     let (from, to) = (
         LOAD_BEFORE.as_secs_f64(),
-        (LOAD_BEFORE + lasts).as_secs_f64(),
+        (LOAD_BEFORE + fault_duration).as_secs_f64(),
     );
     let end = to + LOAD_AFTER.as_secs_f64();
     let served_share_and_rate = |key: u32, a: f64, b: f64| {
--- a/crates/lab/src/servers.rs
+++ b/crates/lab/src/servers.rs
@@ -133,7 +133,7 @@
     meter: Option<Arc<Meter>>,
     started_at: Option<Instant>,
     cores: Semaphore,
-    /// A [`Mode`].
+    /// Discriminant of the current [`Mode`].
     mode: AtomicU8,
     /// Arrival time and work of each request.
     arrivals: Mutex<Vec<(Instant, Duration)>>,
@@ -217,7 +217,7 @@
         }
     }
 
-    pub fn set(&self, mode: Mode) {
+    pub fn set_mode(&self, mode: Mode) {
         self.state.mode.store(mode as u8, Ordering::SeqCst);
     }
 
@@ -370,11 +370,12 @@
 
 /// Formats the endpoint list in which all servers are ready and in one cell.
 pub fn all_ready(servers: &[Server]) -> String {
-    let one = |(n, s): (usize, &Server)| endpoint_entry(&format!("s{n}"), s.address, 1, "Ready");
+    let format_entry =
+        |(n, s): (usize, &Server)| endpoint_entry(&format!("s{n}"), s.address, 1, "Ready");
     servers
         .iter()
         .enumerate()
-        .map(one)
+        .map(format_entry)
         .collect::<Vec<_>>()
         .join(",")
 }
--- a/crates/lab/src/soak/gateways.rs
+++ b/crates/lab/src/soak/gateways.rs
@@ -272,7 +272,7 @@
         self.signal("-HUP");
     }
 
-    pub fn set(&self, fault: Fault, value: i64) {
+    pub fn set_fault(&self, fault: Fault, value: i64) {
         self.shim.set(fault, value);
     }
 
--- a/crates/lab/src/soak/proxy.rs
+++ b/crates/lab/src/soak/proxy.rs
@@ -42,7 +42,7 @@
 }
 
 impl Path {
-    pub fn set(&self, state: PathState) {
+    pub fn set_state(&self, state: PathState) {
         self.state.store(state as u8, Ordering::SeqCst);
     }
 
--- a/crates/lab/src/soak/troubles.rs
+++ b/crates/lab/src/soak/troubles.rs
@@ -258,8 +258,8 @@
             chance,
             length,
             what,
-            |server| server.path().set(state),
-            |server| server.path().set(PathState::Open),
+            |server| server.path().set_state(state),
+            |server| server.path().set_state(PathState::Open),
         );
     }
 
@@ -365,14 +365,14 @@
                 let steps = [-HOUR_MS, HOUR_MS, -3_000, 3_000, 0];
                 let step = *chance.pick(&steps);
                 self.log_event(format!("gateway {nth}: the wall clock is off by {step} ms"));
-                gateway.set(Fault::WallClockOffsetMs, step);
+                gateway.set_fault(Fault::WallClockOffsetMs, step);
             }
             FaultKind::WriteStall => {
                 self.log_event(format!("writes of gateway {nth} stall for {length:?}"));
-                gateway.set(Fault::StallMs, 140);
-                gateway.set(Fault::Stall, 30);
+                gateway.set_fault(Fault::StallMs, 140);
+                gateway.set_fault(Fault::Stall, 30);
                 thread::sleep(length);
-                gateway.set(Fault::Stall, 0);
+                gateway.set_fault(Fault::Stall, 0);
             }
             _ => {
                 let faults = [
@@ -385,9 +385,9 @@
                 ];
                 let (fault, rate) = (*chance.pick(&faults), 50 + chance.below(400) as i64);
                 self.log_event(format!("gateway {nth}: {fault:?} {rate} for {length:?}"));
-                gateway.set(fault, rate);
+                gateway.set_fault(fault, rate);
                 thread::sleep(length);
-                gateway.set(fault, 0);
+                gateway.set_fault(fault, 0);
             }
         }
     }
