--- a/crates/lab/src/choices.rs
+++ b/crates/lab/src/choices.rs
@@ -18,8 +18,8 @@
 const GATEWAYS: usize = 12;
 const SERVERS: usize = 60;
 /// Index of the gateway that reaches no server and so reports all of them as failing.
-const ACCUSER: usize = 11;
-/// Bound on waiting for a state of the installation.
+const UNREACHING_GATEWAY: usize = 11;
+/// Bound on waiting for a condition in [`until`]: recovery of a server, or reassignment of servers.
 const STATE_TIMEOUT: Duration = Duration::from_secs(20);
 
 #[derive(Default)]
@@ -35,7 +35,7 @@
     recovery_s: f64,
     /// Seconds from the crash of a third of the gateways until the others have reassigned all servers among themselves.
     reassignment_s: f64,
-    /// Servers without requests in the 3 s after that.
+    /// Servers without requests in the 3 s after this reassignment.
     servers_without_requests: usize,
     /// Maximum number of servers that another gateway avoids while one reports all servers as failing.
     servers_avoided: usize,
@@ -130,7 +130,7 @@
 
 /// Returns what each running gateway reports of its choices: gateways, servers used, servers avoided.
 fn reported_choices(site: &Site) -> Vec<Option<[u64; 3]>> {
-    let config_of = |console: SocketAddr| {
+    let choices_of = |console: SocketAddr| {
         let json: Value =
             serde_json::from_str(&call_console(console, "GET", "/fleet", "")?.1).ok()?;
         let figure = |name: &str| json["choices"][name].as_u64();
@@ -141,7 +141,7 @@
         ])
     };
     let running = site.testbed.processes.iter().filter(|p| p.is_running());
-    running.map(|p| p.console().and_then(config_of)).collect()
+    running.map(|p| p.console().and_then(choices_of)).collect()
 }
 
 /// Returns the seconds until `holds` returns true, or infinity after [`STATE_TIMEOUT`].
@@ -171,16 +171,16 @@
 fn run_case(shares_health: bool, phase: Duration) -> Row {
     let runtime = Runtime::new().expect("the Tokio runtime can be built");
     let handle = runtime.handle();
-    // The accusing gateway's list has the names of all servers with an address on which nothing listens.
+    // The list of the gateway that reaches no server has the names of all servers with an address on which nothing listens.
     let closed_address = TcpListener::bind("127.0.0.1:0")
         .and_then(|l| l.local_addr())
         .expect("a loopback port can be bound");
     let wrong_entries: Vec<String> = (0..SERVERS)
         .map(|n| endpoint_entry(&format!("s{n}"), closed_address, n as u64, "Ready"))
         .collect();
-    let accuser_agent = Discovery::new(&wrong_entries.join(","));
+    let wrong_agent = Discovery::new(&wrong_entries.join(","));
     let config_of = |n: usize| (n, format!("name = \"n{n}\"\nchoices = {shares_health}\n"));
-    let at = |n| (n == ACCUSER).then_some(accuser_agent.address);
+    let at = |n| (n == UNREACHING_GATEWAY).then_some(wrong_agent.address);
     let mut site = Site::with_agents(
         handle,
         1,
@@ -199,7 +199,7 @@
         })
     };
 
-    // Four gateways, then all but the accusing one.
+    // Measures evenness with four gateways, then with all but the one that reaches no server.
     site.apply(TimelineAction::Start {
         who: (0..4).collect(),
     });
@@ -209,10 +209,10 @@
     pause(Duration::from_secs(1));
     row.evenness[2] = evenness(&site, phase);
     site.apply(TimelineAction::Start {
-        who: (4..ACCUSER).collect(),
+        who: (4..UNREACHING_GATEWAY).collect(),
     });
-    site.seconds_until_views_agree(ACCUSER);
-    seconds_until_reassigned(&site, ACCUSER as u64);
+    site.seconds_until_views_agree(UNREACHING_GATEWAY);
+    seconds_until_reassigned(&site, UNREACHING_GATEWAY as u64);
     pause(Duration::from_secs(1));
     row.evenness[0] = evenness(&site, phase);
 
@@ -240,12 +240,12 @@
     pause(Duration::from_secs(4));
     row.evenness[1] = evenness(&site, phase);
     site.apply(TimelineAction::Heal);
-    site.seconds_until_views_agree(ACCUSER);
-    seconds_until_reassigned(&site, ACCUSER as u64);
+    site.seconds_until_views_agree(UNREACHING_GATEWAY);
+    seconds_until_reassigned(&site, UNREACHING_GATEWAY as u64);
 
     // A third of the gateways is killed at once.
     site.apply(TimelineAction::Kill { who: vec![0, 4, 8] });
-    row.reassignment_s = seconds_until_reassigned(&site, ACCUSER as u64 - 3);
+    row.reassignment_s = seconds_until_reassigned(&site, UNREACHING_GATEWAY as u64 - 3);
     row.servers_without_requests = {
         let since = Instant::now();
         pause(Duration::from_secs(3));
@@ -255,13 +255,14 @@
             .count()
     };
     site.apply(TimelineAction::Start { who: vec![0, 4, 8] });
-    site.seconds_until_views_agree(ACCUSER);
+    site.seconds_until_views_agree(UNREACHING_GATEWAY);
 
-    // The accusing gateway runs and reports its failures; the load goes to the other gateways.
-    site.testbed
-        .apply(&TimelineAction::Start { who: vec![ACCUSER] });
+    // The gateway that reaches no server runs and reports its failures; the load goes to the other gateways.
+    site.testbed.apply(&TimelineAction::Start {
+        who: vec![UNREACHING_GATEWAY],
+    });
     site.seconds_until_views_agree(GATEWAYS);
-    let at = site.testbed.processes[ACCUSER]
+    let at = site.testbed.processes[UNREACHING_GATEWAY]
         .address()
         .expect("a ready process has an address");
     let end = Instant::now() + phase;
@@ -275,13 +276,14 @@
         let others = reported_choices(&site)
             .into_iter()
             .enumerate()
-            .filter(|(n, _)| *n != ACCUSER);
+            .filter(|(n, _)| *n != UNREACHING_GATEWAY);
         let max_avoided = others.filter_map(|(_, s)| s.map(|s| s[2] as usize)).max();
         row.servers_avoided = row.servers_avoided.max(max_avoided.unwrap_or(0));
         pause(Duration::from_millis(100));
     }
-    site.testbed
-        .apply(&TimelineAction::Kill { who: vec![ACCUSER] });
+    site.testbed.apply(&TimelineAction::Kill {
+        who: vec![UNREACHING_GATEWAY],
+    });
 
     // A cold server joins.
     let since = SystemTime::now()
--- a/crates/lab/src/choices_size.rs
+++ b/crates/lab/src/choices_size.rs
@@ -14,8 +14,8 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::time::Instant;
 
-const MS: u64 = 1_000;
-const S: u64 = 1_000_000;
+const US_PER_MS: u64 = 1_000;
+const US_PER_S: u64 = 1_000_000;
 /// Mean work of a request.
 const WORK_US: f64 = 20_000.0;
 const CORES: usize = 2;
@@ -24,11 +24,11 @@
 /// Upper bound of the load in requests per second; without it a run with thousands of servers takes hours.
 const MAX_REQUESTS_PER_S: f64 = 5_000.0;
 /// Delay of a health report.
-const REPORT_DELAY_US: u64 = 300 * MS;
+const REPORT_DELAY_US: u64 = 300 * US_PER_MS;
 /// Time until the other gateways detect a crash.
-const CRASH_DETECTION_US: u64 = 1_700 * MS;
+const CRASH_DETECTION_US: u64 = 1_700 * US_PER_MS;
 /// Interval of health reports.
-const REPORT_INTERVAL_US: u64 = 200 * MS;
+const REPORT_INTERVAL_US: u64 = 200 * US_PER_MS;
 
 /// A scheduled event.
 enum SimEvent {
@@ -109,7 +109,7 @@
         let all_per_s = (LOAD * (CORES * servers) as f64 / (WORK_US / 1e6)).min(MAX_REQUESTS_PER_S);
         let per_s = all_per_s / gateways as f64;
         let mut w = World {
-            now: 1_000 * S,
+            now: 1_000 * US_PER_S,
             rng: Pcg64Mcg::seed_from_u64(seed),
             gateways: (0..gateways).map(|n| Some(gateway(n))).collect(),
             servers: (0..servers)
@@ -190,11 +190,11 @@
         let s = &mut self.servers[server_index];
         s.requests += 1;
         let (took, status) = match s.fails {
-            true => (MS, CompletionStatus::ServerError),
+            true => (US_PER_MS, CompletionStatus::ServerError),
             false => {
                 let core = s.cores.iter_mut().min().expect("a server has cores");
                 *core = self.now.max(*core) + work as u64;
-                (*core - self.now + MS, CompletionStatus::Served)
+                (*core - self.now + US_PER_MS, CompletionStatus::Served)
             }
         };
         let next = self.attempts_by_request.entry(id).or_default();
@@ -228,7 +228,7 @@
                 }
                 self.ids += 1;
                 self.sent += 1;
-                let request = Request::new(self.ids, "c", "basic", "read", 4 * S);
+                let request = Request::new(self.ids, "c", "basic", "read", 4 * US_PER_S);
                 self.handle_event(by, Event::Request(request));
                 let next = self.next_arrival_us();
                 self.schedule(next, SimEvent::RequestArrival(by));
@@ -307,7 +307,7 @@
 }
 
 pub fn run(seconds: Option<u64>, figures: &mut Figures) {
-    let phase_us = seconds.unwrap_or(10) * S;
+    let phase_us = seconds.unwrap_or(10) * US_PER_S;
     for (gateways, servers) in [(300, 200), (64, 5_000)] {
         for (mode, shares_health) in [("told", true), ("alone", false)] {
             run_case(
@@ -334,7 +334,7 @@
     figures.remark(&format!("{prefix}: seed {seed}"));
     let began = Instant::now();
     let mut w = World::new(gateways, servers, shares_health, seed);
-    w.run(3 * S);
+    w.run(3 * US_PER_S);
     let name = |figure: &str| format!("{prefix}_{figure}");
     (w.used_pairs, w.attempts, w.took) = (BTreeSet::new(), 0, Vec::new());
     let requests = w.requests_during(phase_us, 0..servers);
@@ -361,7 +361,7 @@
 
     // One server fails all requests at once, then recovers.
     w.servers[8].fails = true;
-    let first_3_s = w.requests_during(3 * S, 0..servers)[8];
+    let first_3_s = w.requests_during(3 * US_PER_S, 0..servers)[8];
     let after = w.requests_during(phase_us, 0..servers)[8];
     let expected = (w.per_s * gateways as f64 / servers as f64) * phase_us as f64 / 1e6;
     figures.record(&name("to_a_failing_one_in_3_s"), first_3_s, "requests");
@@ -372,7 +372,7 @@
     };
     figures.at_most(&name("to_it_after"), after, "requests", limit);
     w.servers[8].fails = false;
-    w.run(5 * S);
+    w.run(5 * US_PER_S);
     let back = w.requests_during(phase_us, 0..servers)[8] / expected;
     figures.at_least(
         &name("back"),
@@ -385,7 +385,7 @@
         },
     );
 
-    // A third of the gateways crashes; the others detect it after a delay if gateways communicate.
+    // A third of the gateways crashes. Only if gateways communicate, the others learn of it, after `CRASH_DETECTION_US`.
     let remaining: Vec<u32> = (0..gateways as u32).filter(|n| n % 3 > 0).collect();
     (0..gateways).step_by(3).for_each(|n| w.gateways[n] = None);
     w.run(CRASH_DETECTION_US);
@@ -446,14 +446,14 @@
                 },
             );
         }
-        w.run(700 * MS);
+        w.run(700 * US_PER_MS);
     }
     figures.record(
         &name("met_an_attempt_in_a_release"),
         w.used_pairs.len() as f64 / w.attempts as f64,
         "pairs",
     );
-    w.run(20 * S);
+    w.run(20 * US_PER_S);
     let requests = w.requests_during(phase_us, replaced..servers + replaced);
     figures.at_least(
         &name("jain_after_a_release"),
--- a/crates/lab/src/diameter.rs
+++ b/crates/lab/src/diameter.rs
@@ -36,9 +36,9 @@
 ];
 /// The customer that sends far more than its ceiling.
 const CUSTOMER_ABOVE_CEILING: &str = "4500000042";
-/// Its ceiling: units per second, and depth in units.
+/// Ceiling of [`CUSTOMER_ABOVE_CEILING`]: units per second, and depth in units.
 const CEILING: (f64, f64) = (20.0, 40.0);
-/// Units of each of its requests.
+/// Units of each request of [`CUSTOMER_ABOVE_CEILING`].
 const UNITS_PER_REQUEST: u64 = 3;
 /// Permitted overrun in units: a tenth of the depth, and what the ceiling grants in 150 ms.
 const MAX_OVERRUN_UNITS: f64 = 4.0 + 3.0;
@@ -54,7 +54,7 @@
 
 type Log = Arc<Mutex<Vec<ServerRequest>>>;
 
-fn server(n: usize, silent: Arc<AtomicBool>, log: Log) -> DiameterServer {
+fn start_server(n: usize, silent: Arc<AtomicBool>, log: Log) -> DiameterServer {
     DiameterServer::new(HOSTS[n], move |ccr| {
         let charge = ccr.number(code::REQUESTED_ACTION) != Some(2);
         let above_ceiling = ccr
@@ -83,7 +83,7 @@
     format!("{},\"proto\":\"diameter\"}}", entry.trim_end_matches('}'))
 }
 
-fn free_port() -> SocketAddr {
+fn free_address() -> SocketAddr {
     std::net::TcpListener::bind("127.0.0.1:0")
         .and_then(|l| l.local_addr())
         .expect("a loopback port can be bound")
@@ -97,7 +97,7 @@
 }
 
 /// Starts an open-loop client with one writing and one reading thread.
-fn client(
+fn start_client(
     address: SocketAddr,
     host: &str,
     length: Duration,
@@ -137,12 +137,12 @@
             let customer = format!("45{:08}", n % 500 + 1_000);
             // 71 of 100 requests check, the others charge, some of them in sessions of three requests.
             let (message, tx_timer) = match n % 100 {
-                0..71 => (event_of(2, &customer), CHECK_TX_TIMER),
+                0..71 => (customer_event(2, &customer), CHECK_TX_TIMER),
                 71..76 => (
-                    with_units(event_of(0, CUSTOMER_ABOVE_CEILING), UNITS_PER_REQUEST),
+                    with_units(customer_event(0, CUSTOMER_ABOVE_CEILING), UNITS_PER_REQUEST),
                     CHARGE_TX_TIMER,
                 ),
-                76..91 => (event_of(0, &customer), CHARGE_TX_TIMER),
+                76..91 => (customer_event(0, &customer), CHARGE_TX_TIMER),
                 91..94 => {
                     let session = format!("{host};{n};1");
                     open.push((session.clone(), 0));
@@ -161,7 +161,7 @@
                         }
                         (message, CHARGE_TX_TIMER)
                     }
-                    None => (event_of(2, &customer), CHECK_TX_TIMER),
+                    None => (customer_event(2, &customer), CHECK_TX_TIMER),
                 },
             };
             let mut message = message;
@@ -180,13 +180,13 @@
 }
 
 /// Returns an event request of that customer; action 0 debits, 2 checks.
-fn event_of(action: u32, customer: &str) -> Message {
+fn customer_event(action: u32, customer: &str) -> Message {
     let mut message = event_request(action);
     message.avps.retain(|a| a.code != code::SUBSCRIPTION_ID);
     with_customer(message, customer)
 }
 
-fn operator(address: SocketAddr, more: &str) -> OperatorFile {
+fn operator_file(address: SocketAddr, more: &str) -> OperatorFile {
     OperatorFile::new(&format!(
         "[diameter]\nlisten = \"{address}\"\nidentity = \"gw.example.org\"\nrealm = \"example.org\"\ntw_ms = 1000\n\
          check_class = \"balance-check\"\ncharge_class = \"top-up\"\ndefault_plan = \"mellem\"\n{more}\
@@ -205,7 +205,7 @@
     let log: Log = Arc::default();
     let silent_flags: Vec<Arc<AtomicBool>> = (0..4).map(|_| Arc::default()).collect();
     let servers: Vec<DiameterServer> = (0..4)
-        .map(|n| server(n, silent_flags[n].clone(), log.clone()))
+        .map(|n| start_server(n, silent_flags[n].clone(), log.clone()))
         .collect();
     let runtime = Runtime::new().expect("the Tokio runtime can be built");
     let http_servers: Vec<Server> = (0..4)
@@ -221,8 +221,8 @@
             .map(|(n, s)| endpoint_entry(&format!("w{n}"), s.address, 9, "Ready")),
     );
     let agent = Discovery::new(&list.join(","));
-    let address = free_port();
-    let operator = operator(address, "");
+    let address = free_address();
+    let operator = operator_file(address, "");
     let node = Node {
         gateways: 1,
         me: 0,
@@ -237,7 +237,7 @@
 
     let before = cpu(gateway.pid());
     let clients: Vec<_> = ["a.example.org", "b.example.org"]
-        .map(|host| client(address, host, length, REQUESTS_PER_S / 2))
+        .map(|host| start_client(address, host, length, REQUESTS_PER_S / 2))
         .into_iter()
         .collect();
     pause(length / 4);
@@ -380,8 +380,8 @@
 fn measure_sessions(count: u32, figures: &mut Figures) {
     let server = DiameterServer::granting(HOSTS[0]);
     let agent = Discovery::new(&list_entry(0, &server, "Ready"));
-    let address = free_port();
-    let operator = operator(address, "most_sessions = 200000\nmost_repeats = 1000\n");
+    let address = free_address();
+    let operator = operator_file(address, "most_sessions = 200000\nmost_repeats = 1000\n");
     let node = Node {
         gateways: 1,
         me: 0,
@@ -420,7 +420,7 @@
     }
     let grown = memory_mb(gateway.pid()) - before;
     figures.record(&format!("sessions_{count}_memory"), grown, "MB");
-    // The memory of 1,000 sessions is below the variation that any traffic causes.
+    // The memory of 1,000 sessions is below the variation that any traffic causes: the limit applies from 100,000 sessions on.
     let min_sessions_per_mb = if count >= 100_000 { 1_000.0 } else { 0.0 };
     figures.at_least(
         &format!("sessions_{count}_a_mb"),
--- a/crates/lab/src/dns_sd.rs
+++ b/crates/lab/src/dns_sd.rs
@@ -122,7 +122,7 @@
         "times",
         MAX_COLD_OVERLOAD,
     );
-    // A new server without requests would satisfy that limit, too.
+    // A new server without requests would satisfy `MAX_COLD_OVERLOAD`, too.
     let max_requests_of_new = listed
         .iter()
         .filter(|(n, _)| n.starts_with("new"))
--- a/crates/lab/src/fleet_site.rs
+++ b/crates/lab/src/fleet_site.rs
@@ -219,14 +219,14 @@
         }
     }
 
-    /// Returns the seconds from `since` until `by` processes have logged a line with `what` about each member in `whom`, or
-    /// `None` after [`DETECTION_TIMEOUT`].
+    /// Returns the seconds from `since` until `process_count` processes have logged a line with `what` about each of `members`,
+    /// or `None` after [`DETECTION_TIMEOUT`].
     pub fn seconds_until_logged(
         &self,
         since: Duration,
         members: &[usize],
         what: &str,
-        by: usize,
+        process_count: usize,
     ) -> Option<f64> {
         let started_at = Instant::now();
         loop {
@@ -242,7 +242,7 @@
                         seen.push((*at, *who));
                     }
                 }
-                (seen.len() >= by).then(|| seen[by - 1].0)
+                (seen.len() >= process_count).then(|| seen[process_count - 1].0)
             };
             let all: Option<Vec<Duration>> = members.iter().map(logged_at).collect();
             if let Some(all) = all {
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -127,11 +127,11 @@
         } => {
             let soak = |figures: &mut Figures| {
                 for seed in seed..seed + seeds {
-                    let mut plan = soak::Plan::new(seed);
-                    plan.gateways = gateways as usize;
-                    plan.per_s = 20.0 * gateways as f64;
-                    plan.length = Duration::from_secs(seconds);
-                    soak::run(&plan, figures);
+                    let mut parameters = soak::SoakParameters::new(seed);
+                    parameters.gateways = gateways as usize;
+                    parameters.per_s = 20.0 * gateways as f64;
+                    parameters.length = Duration::from_secs(seconds);
+                    soak::run(&parameters, figures);
                 }
             };
             run_scenario(soak, json)
--- a/crates/lab/src/members.rs
+++ b/crates/lab/src/members.rs
@@ -17,11 +17,14 @@
 const DUPLICATE: usize = MEMBERS;
 const SEEDS: u64 = 5;
 
-/// Results of one seed; times are in seconds.
+/// Results of one seed. All times are in seconds.
 #[derive(Default)]
 struct Row {
+    /// Times until all other members have logged a join.
     joins: Vec<f64>,
+    /// Times until all other members have logged an orderly leave.
     leaves: Vec<f64>,
+    /// Times until all running members have logged a crash.
     deaths: Vec<f64>,
     /// Running members declared dead: at 5 % datagram loss, at 30 %, and by a member that was paused.
     false_positives: [usize; 3],
@@ -29,6 +32,7 @@
     convergence: Vec<f64>,
     bytes_s: f64,
     messages_s: f64,
+    /// CPU time of the busiest member, in seconds per second.
     cpu: f64,
     sent: usize,
     unanswered: usize,
@@ -155,7 +159,7 @@
                 .unwrap_or(f64::INFINITY),
         );
     }
-    // Cost without faults.
+    // Traffic and CPU time without faults.
     site.seconds_until_views_agree(MEMBERS);
     let (sent, cpus, since) = (site.testbed.relay.sent(), cpu_times(&site), Instant::now());
     pause(phase / 2);
--- a/crates/lab/src/members_size.rs
+++ b/crates/lab/src/members_size.rs
@@ -18,18 +18,20 @@
     loss: f64,
     /// Seconds until half of the members know of a crash.
     half_s: f64,
-    /// Seconds until all members know of it.
+    /// Seconds until all members know of a crash.
     all: f64,
     /// Running members that were declared dead.
     accused: usize,
     bytes_s: f64,
     messages_s: f64,
+    /// CPU time of a member, in seconds per second.
     busy: f64,
+    /// Longest call.
     longest: Duration,
     /// Calls longer than 1 ms, per million calls.
     over_1ms: f64,
     /// Resident memory of this process in MB, with the simulations of all loss rates.
-    memory: f64,
+    memory_mb: f64,
 }
 
 pub fn run(seconds: Option<u64>, figures: &mut Figures) {
@@ -40,8 +42,8 @@
             let each = LOSSES.map(|loss| s.spawn(move || simulate(size, loss, duration_us)));
             each.map(|row| row.join().expect("a simulation does not panic"))
         });
-        let memory_growth = rows.iter().map(|r| r.memory).fold(0.0, f64::max) - before;
-        // This includes messages in flight.
+        let memory_growth = rows.iter().map(|r| r.memory_mb).fold(0.0, f64::max) - before;
+        // The memory growth includes simulated messages in flight.
         let each = memory_growth * 1_024.0 / (LOSSES.len() * size) as f64;
         rows.into_iter().for_each(|row| record_row(row, figures));
         figures.record(&format!("{size}_memory_each"), each, "kB");
@@ -100,7 +102,7 @@
         .unwrap_or_default();
     let sum = |f: fn(&world::Node) -> u64| w.nodes.iter().flatten().map(f).sum::<u64>() as f64;
     let over_1ms = 1e6 * sum(|n| n.over_1ms) / sum(|n| n.calls);
-    let memory = memory_mb(std::process::id());
+    let memory_mb = memory_mb(std::process::id());
     let mut accused: Vec<String> = w.accusations().into_iter().map(|a| a.2).collect();
     accused
         .iter_mut()
@@ -132,6 +134,6 @@
         busy,
         longest,
         over_1ms,
-        memory,
+        memory_mb,
     }
 }
--- a/crates/lab/src/policy.rs
+++ b/crates/lab/src/policy.rs
@@ -76,9 +76,10 @@
     healthy_s: Vec<f64>,
     /// Seconds per successful change while a keeper is down.
     keeper_down_s: Vec<f64>,
-    /// Requests refused during these changes.
-    refused_in_health: usize,
-    refused_with_a_minority_down: usize,
+    /// Requests refused during successful changes without a fault.
+    healthy_refused: usize,
+    /// Requests refused during successful changes while a keeper is down.
+    keeper_down_refused: usize,
     /// Admitted requests.
     admitted: usize,
     /// Longest time in microseconds for which an old version was used after a newer one.
@@ -184,13 +185,13 @@
     );
     figures.at_most(
         "refused_in_health",
-        sum(|r| r.refused_in_health),
+        sum(|r| r.healthy_refused),
         "requests",
         0.0,
     );
     figures.at_most(
         "refused_with_a_minority_down",
-        sum(|r| r.refused_with_a_minority_down),
+        sum(|r| r.keeper_down_refused),
         "requests",
         0.0,
     );
@@ -390,11 +391,11 @@
         match (fault, &outcome) {
             (ChangeFault::Nothing, Some(outcome)) if outcome == "in force" => {
                 row.healthy_s.push(took);
-                row.refused_in_health += refused;
+                row.healthy_refused += refused;
             }
             (ChangeFault::KeeperDown, Some(outcome)) if outcome == "in force" => {
                 row.keeper_down_s.push(took);
-                row.refused_with_a_minority_down += refused;
+                row.keeper_down_refused += refused;
             }
             _ => {}
         }
@@ -494,7 +495,7 @@
                 },
             });
         }
-        // One side has two keepers.
+        // Partition `a` has two of the three keepers: only its change can succeed.
         ChangeFault::PartitionedChanges => {
             let in_a = |n: &usize| *n != keeper && (*n < KEEPERS || n.is_multiple_of(2));
             let (a, b): (Vec<usize>, Vec<usize>) = (0..MEMBERS).partition(in_a);
@@ -648,7 +649,7 @@
     );
     site.testbed.start_all();
     site.seconds_until_views_agree(GATEWAYS);
-    // Waits until after the first lease.
+    // Waits until all gateways have received their first lease.
     pause(Duration::from_secs(3));
     site.route_to_running();
     site.start_load(runtime.handle(), 9);
--- a/crates/lab/src/policy_size.rs
+++ b/crates/lab/src/policy_size.rs
@@ -17,7 +17,7 @@
 const KEEPERS: usize = 3;
 const LEASE_US: u64 = 1_000_000;
 const TICK_US: u64 = 10_000;
-const S: u64 = 1_000_000;
+const US_PER_S: u64 = 1_000_000;
 /// Overhead of a datagram in bytes: IP and UDP headers, sender name, sequence numbers and authentication tag.
 const DATAGRAM_OVERHEAD_BYTES: u64 = 100;
 
@@ -55,7 +55,7 @@
                     lease_us: LEASE_US,
                     drift: 10,
                 },
-                proposal_timeout_us: 10 * S,
+                proposal_timeout_us: 10 * US_PER_S,
                 retry_interval_us: 150_000,
                 lease_loss_policy: LeaseLossPolicy::Reject,
                 seed: seed ^ n as u64,
@@ -148,12 +148,12 @@
         "{MEMBERS} members, {KEEPERS} keepers, a lease of 1 s, link delays of 0.5 to 3 ms, seed {seed}"
     ));
     let mut w = World::new(seed);
-    w.run(3 * S);
+    w.run(3 * US_PER_S);
     let unleased = MEMBERS - w.count_serving(0);
     figures.at_most("without_a_lease", unleased as f64, "members", 0.0);
     w.sent.fill((0, 0));
     let mut member_ticks_without_lease = 0;
-    for _ in 0..duration_s * S / TICK_US {
+    for _ in 0..duration_s * US_PER_S / TICK_US {
         w.tick();
         member_ticks_without_lease += MEMBERS - w.count_serving(0);
     }
@@ -192,7 +192,7 @@
             .expect("a member with a lease can propose");
         w.process_outputs(by, out);
         let mut reported_us = None;
-        while w.count_serving(version) < MEMBERS && w.now < from + 20 * S {
+        while w.count_serving(version) < MEMBERS && w.now < from + 20 * US_PER_S {
             w.tick();
             let end = w.nodes[by]
                 .proposals()
@@ -204,7 +204,7 @@
             let leased = w.count_serving(version) + w.count_serving(version - 1);
             unleased = unleased.max(MEMBERS - leased);
         }
-        max_reported_us = max_reported_us.max(reported_us.unwrap_or(20 * S));
+        max_reported_us = max_reported_us.max(reported_us.unwrap_or(20 * US_PER_S));
         max_held_us = max_held_us.max(w.now - from);
     }
     let elapsed_s = (w.now - began) as f64 / 1e6;
--- a/crates/lab/src/soak/agent.rs
+++ b/crates/lab/src/soak/agent.rs
@@ -85,8 +85,8 @@
     mode: AtomicU8,
     /// Version and text of the list that this agent serves.
     served_list: Mutex<(u64, String)>,
-    /// Removals that the gateway has not received: server, and the first list version without it.
-    undelivered_removals: Mutex<Vec<(String, u64)>>,
+    /// Drains and removals that the gateway has not received: server, and the first list version with the change.
+    undelivered_drains: Mutex<Vec<(String, u64)>>,
     /// When the agent last left a fault mode or finished an answer that such a mode had delayed.
     last_fault_at: Mutex<Option<Instant>>,
     history: Arc<History>,
@@ -113,7 +113,7 @@
             addresses: [first.0, second.0],
             mode: AtomicU8::new(Mode::Normal as u8),
             served_list: Mutex::default(),
-            undelivered_removals: Mutex::default(),
+            undelivered_drains: Mutex::default(),
             last_fault_at: Mutex::default(),
             history: history.clone(),
         });
@@ -163,11 +163,12 @@
         self.mode() == Mode::Normal && last_fault_at.is_none_or(|at| at.elapsed() > FAULT_AFTERMATH)
     }
 
-    /// Receives the current list. `drains` is the server that this change drains or removes.
-    pub fn receive_list(&self, list: &List, drains: Option<&str>) {
+    /// Receives the current list. `drained_or_removed` is the server that this change drains or
+    /// removes, if any.
+    pub fn receive_list(&self, list: &List, drained_or_removed: Option<&str>) {
         let now = Instant::now();
-        if let Some(uid) = drains {
-            self.undelivered_removals
+        if let Some(uid) = drained_or_removed {
+            self.undelivered_drains
                 .lock()
                 .expect("lock is not poisoned")
                 .push((uid.to_string(), list.rev));
@@ -176,27 +177,28 @@
             return;
         }
         *self.served_list.lock().expect("lock is not poisoned") = (list.rev, list.text());
-        let mut undelivered_removals = self
-            .undelivered_removals
+        let mut undelivered_drains = self
+            .undelivered_drains
             .lock()
             .expect("lock is not poisoned");
         let at_once = self.delivers_at_once();
-        // Otherwise the gateway knows the change when the list is written to it, at the latest after the limit.
+        // If the mode delays calls, the gateway knows the change once `record_delivery` reports the list, at the latest after
+        // `CHANGE_KNOWN_WITHIN`.
         let at = if at_once {
             now
         } else {
             now + CHANGE_KNOWN_WITHIN
         };
-        for (uid, _) in undelivered_removals.iter() {
-            let mut seen = self.history.seen();
-            let known_at = seen
+        for (uid, _) in undelivered_drains.iter() {
+            let mut observations = self.history.observations();
+            let known_at = observations
                 .drain_known_at
                 .entry((self.gateway, uid.clone()))
                 .or_insert(at);
             *known_at = (*known_at).min(at);
         }
         if at_once {
-            undelivered_removals.clear();
+            undelivered_drains.clear();
         }
     }
 
@@ -204,13 +206,13 @@
     fn record_delivery(&self, rev: u64) {
         let now = Instant::now();
         for (uid, _) in self
-            .undelivered_removals
+            .undelivered_drains
             .lock()
             .expect("lock is not poisoned")
             .extract_if(.., |(_, since)| *since <= rev)
         {
-            let mut seen = self.history.seen();
-            let known_at = seen
+            let mut observations = self.history.observations();
+            let known_at = observations
                 .drain_known_at
                 .entry((self.gateway, uid))
                 .or_insert(now);
@@ -233,13 +235,17 @@
         }
     }
 
-    fn change(&self, drains: Option<&str>, change: impl FnOnce(&mut BTreeMap<String, Entry>)) {
+    fn change(
+        &self,
+        drained_or_removed: Option<&str>,
+        change: impl FnOnce(&mut BTreeMap<String, Entry>),
+    ) {
         let mut list = self.list.lock().expect("lock is not poisoned");
         list.rev += 1;
         change(&mut list.entries);
         self.agents
             .iter()
-            .for_each(|agent| agent.receive_list(&list, drains));
+            .for_each(|agent| agent.receive_list(&list, drained_or_removed));
     }
 
     pub fn add(&self, uid: &str, endpoint: SocketAddr, cell: u64, boot_ms: u64) {
--- a/crates/lab/src/soak/chance.rs
+++ b/crates/lab/src/soak/chance.rs
@@ -26,9 +26,9 @@
         (self.0.next_u64() % n as u64) as usize
     }
 
-    /// Returns true with a probability of `n` percent.
-    pub fn percent(&mut self, n: u64) -> bool {
-        self.0.next_u64() % 100 < n
+    /// Returns true with a probability of `percent`.
+    pub fn happens(&mut self, percent: u64) -> bool {
+        self.0.next_u64() % 100 < percent
     }
 
     /// Draws a duration between `from` and `to` milliseconds, both included.
--- a/crates/lab/src/soak/clients.rs
+++ b/crates/lab/src/soak/clients.rs
@@ -12,7 +12,8 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, timeout, timeout_at};
 
-/// Time beyond its deadline for which a client still waits: an answer up to 500 ms late counts as late but not as lost.
+/// Time beyond its deadline for which a client still waits. It exceeds the 500 ms within which the oracle accepts a late answer, so
+/// that an answer after them is seen.
 const LATE_ANSWER_WAIT: Duration = Duration::from_millis(1_000);
 /// Bound on waiting for the error or close that follows an incomplete request, with a tolerance for a busy machine.
 const INCOMPLETE_REQUEST_TIMEOUT: Duration = Duration::from_millis(3_300);
@@ -155,7 +156,7 @@
             }
         }
         if !request.transmissions.is_empty() {
-            self.history.seen().requests.push(request);
+            self.history.observations().requests.push(request);
         }
     }
 
@@ -247,7 +248,7 @@
         let remaining =
             (request.client_timeout + LATE_ANSWER_WAIT).saturating_sub(completed_at.elapsed());
         let end = match timeout(remaining, read_answer(&mut stream)).await {
-            Err(_) => TransmissionEnd::Nothing,
+            Err(_) => TransmissionEnd::NoAnswer,
             Ok(Answer::Complete {
                 status,
                 body,
@@ -289,7 +290,7 @@
         {
             self.history.incident(
                 "bad client",
-                format!("gateway {gateway} neither answers nor closes an incomplete request"),
+                format!("gateway {gateway} neither answers an incomplete request nor closes its connection within {INCOMPLETE_REQUEST_TIMEOUT:?}"),
             );
         }
     }
--- a/crates/lab/src/soak/gateways.rs
+++ b/crates/lab/src/soak/gateways.rs
@@ -16,7 +16,7 @@
 pub const DEADLINE: Duration = Duration::from_millis(1_500);
 /// Time beyond the deadline within which a gateway must exit after SIGTERM, before a SIGKILL may follow.
 const EXIT_GRACE: Duration = Duration::from_millis(700);
-/// Tolerance for a busy machine.
+/// Addition to the exit timeout for a busy machine.
 const BUSY_SLACK: Duration = Duration::from_millis(300);
 /// Bound on waiting for a gateway to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
@@ -231,7 +231,10 @@
                 None if since.elapsed() > exit_timeout => {
                     self.history.incident(
                         "exit",
-                        format!("gateway {} still runs after SIGTERM", self.number),
+                        format!(
+                            "gateway {} still runs {exit_timeout:?} after SIGTERM",
+                            self.number
+                        ),
                     );
                     self.kill();
                     break;
@@ -246,7 +249,7 @@
     pub fn kill(&self) {
         self.set_intended(IntendedState::Dead);
         self.history
-            .seen()
+            .observations()
             .kills
             .push((self.number, Instant::now()));
         if let Some(mut process) = self.process.lock().expect("lock is not poisoned").take() {
@@ -256,7 +259,7 @@
         self.in_rotation.store(false, Ordering::SeqCst);
     }
 
-    /// Stops the process for `time`.
+    /// Pauses the process (SIGSTOP) for `time`.
     pub fn pause(&self, time: Duration) {
         self.signal("-STOP");
         thread::sleep(time);
@@ -282,8 +285,10 @@
             if let (IntendedState::Running, Ok(Some(status))) =
                 (process.intended, process.child.try_wait())
             {
-                self.history
-                    .incident("crash", format!("gateway {} exited: {status}", self.number));
+                self.history.incident(
+                    "crash",
+                    format!("gateway {} exited unexpectedly: {status}", self.number),
+                );
             }
         }
     }
--- a/crates/lab/src/soak/mod.rs
+++ b/crates/lab/src/soak/mod.rs
@@ -34,7 +34,7 @@
 
 /// Parameters of one soak.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct SoakParameters {
     pub seed: u64,
     pub gateways: usize,
     pub servers: usize,
@@ -46,11 +46,11 @@
     pub kinds: Vec<FaultKind>,
 }
 
-impl Plan {
+impl SoakParameters {
     /// Returns the default parameters for a seed.
-    pub fn new(seed: u64) -> Plan {
+    pub fn new(seed: u64) -> SoakParameters {
         let length = Duration::from_secs(20);
-        Plan {
+        SoakParameters {
             seed,
             gateways: 12,
             servers: 9,
@@ -62,20 +62,26 @@
 }
 
 /// Runs one soak; each violated rule becomes a figure that violates its limit of 0.
-pub fn run(plan: &Plan, figures: &mut Figures) {
+pub fn run(parameters: &SoakParameters, figures: &mut Figures) {
     let runtime = Builder::new_multi_thread()
         .worker_threads(4)
         .enable_all()
         .build()
         .expect("the Tokio runtime can be built");
     let history = Arc::new(History::default());
-    let mut chance = Chance::new(plan.seed);
-    let agents: Vec<Arc<Agent>> = (0..plan.gateways)
+    let mut chance = Chance::new(parameters.seed);
+    let agents: Vec<Arc<Agent>> = (0..parameters.gateways)
         .map(|n| Agent::start(runtime.handle(), n, &history))
         .collect();
-    let cancel = !plan.seed.is_multiple_of(3);
+    let cancel = !parameters.seed.is_multiple_of(3);
     let gateway = |agent: (usize, &Arc<Agent>)| {
-        Gateway::new(agent.0, plan.gateways, cancel, agent.1.addresses, &history)
+        Gateway::new(
+            agent.0,
+            parameters.gateways,
+            cancel,
+            agent.1.addresses,
+            &history,
+        )
     };
     let gateways: Arc<Vec<Gateway>> = Arc::new(agents.iter().enumerate().map(gateway).collect());
     let world = World::new(
@@ -85,7 +91,7 @@
         history.clone(),
     );
     let world = Arc::new(world);
-    (0..plan.servers).for_each(|_| world.add_server(false));
+    (0..parameters.servers).for_each(|_| world.add_server(false));
     std::thread::scope(|scope| {
         gateways
             .iter()
@@ -93,19 +99,19 @@
     });
     let clients = Arc::new(Clients::new(gateways.clone(), history.clone()));
     // Clients run 2 s longer than fault injection.
-    let length = plan.length + Duration::from_secs(2);
-    let clients_task = runtime.spawn(clients.run(chance.fork(), plan.per_s, length));
-    world.run(&mut chance, &plan.kinds, plan.length);
+    let length = parameters.length + Duration::from_secs(2);
+    let clients_task = runtime.spawn(clients.run(chance.fork(), parameters.per_s, length));
+    world.run(&mut chance, &parameters.kinds, parameters.length);
     let _ = runtime.block_on(clients_task);
     gateways.iter().for_each(Gateway::check_running);
-    report(plan, &world, figures);
+    report(parameters, &world, figures);
     runtime.shutdown_background();
 }
 
 /// Prints the violations and records the figures of a soak.
-fn report(plan: &Plan, world: &World, figures: &mut Figures) {
-    let seen = world.history.seen();
-    let violations = oracle::violations(&seen);
+fn report(parameters: &SoakParameters, world: &World, figures: &mut Figures) {
+    let observations = world.history.observations();
+    let violations = oracle::violations(&observations);
     let mut violations_by_rule: BTreeMap<&str, usize> = BTreeMap::new();
     violations
         .iter()
@@ -128,7 +134,7 @@
         figures.remark(&format!("BROKEN {}: {}", violation.rule, violation.what));
         if let Some((gateway, id)) = violation.request {
             figures.remark(&format!("  request {id:016x} at gateway {gateway}"));
-            let request = seen.requests.iter().find(|r| r.id == id);
+            let request = observations.requests.iter().find(|r| r.id == id);
             figures.remark(&format!("  {request:?}"));
             let log = world.gateways[gateway].log_of(id);
             log.iter()
@@ -143,24 +149,28 @@
     let client_left =
         |r: &&record::Request| matches!(last(r), Some(TransmissionEnd::ClientLeft { .. }));
     let (all, served) = (
-        seen.requests.len(),
-        seen.requests.iter().filter(served).count(),
+        observations.requests.len(),
+        observations.requests.iter().filter(served).count(),
     );
-    let client_stayed = all - seen.requests.iter().filter(client_left).count();
-    figures.record(&format!("seed {}: requests", plan.seed), all as f64, "");
+    let client_stayed = all - observations.requests.iter().filter(client_left).count();
     figures.record(
-        &format!("seed {}: attempts", plan.seed),
-        seen.attempts.len() as f64,
+        &format!("seed {}: requests", parameters.seed),
+        all as f64,
         "",
     );
     figures.record(
-        &format!("seed {}: served", plan.seed),
+        &format!("seed {}: attempts", parameters.seed),
+        observations.attempts.len() as f64,
+        "",
+    );
+    figures.record(
+        &format!("seed {}: served", parameters.seed),
         served as f64 / client_stayed.max(1) as f64,
         "of those that stayed",
     );
     for (rule, count) in violations_by_rule {
         figures.at_most(
-            &format!("seed {}: broken: {rule}", plan.seed),
+            &format!("seed {}: broken: {rule}", parameters.seed),
             count as f64,
             "",
             0.0,
--- a/crates/lab/src/soak/oracle.rs
+++ b/crates/lab/src/soak/oracle.rs
@@ -2,7 +2,7 @@
 
 use super::gateways::{COLD_FROM, TIP_AFTER, TIP_MULTIPLE, WARM_AFTER};
 use super::record::{
-    Attempt, Class, ConnectionKind, Incident, Request, Seen, Transmission, TransmissionEnd,
+    Attempt, Class, ConnectionKind, Incident, Observations, Request, Transmission, TransmissionEnd,
 };
 use super::servers::{CORES, WORK};
 use std::collections::HashMap;
@@ -12,11 +12,11 @@
 const LATE_ANSWER_GRACE: Duration = Duration::from_millis(500);
 /// Time after a gateway learned that a server drains within which it may still send new requests to it.
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
-/// Time after a client has left within which an attempt for it may still begin.
+/// Time after a client has left within which an attempt for it may still reach a server.
 const CLIENT_LEFT_GRACE: Duration = Duration::from_millis(100);
-/// Excess of the remaining time announced to a server over what its client has left.
+/// Permitted excess of the remaining time announced to a server over its client's remaining time.
 const REMAINING_TIME_SLACK: Duration = Duration::from_millis(150);
-/// Measurement error of timestamps on a busy machine.
+/// Maximum error of timestamps measured on a busy machine.
 const MEASUREMENT_SLACK: Duration = Duration::from_millis(100);
 
 /// A violated rule, and the gateway and id of the request that violates it, if there is one.
@@ -27,22 +27,23 @@
 }
 
 /// Returns all violations in the observations.
-pub fn violations(seen: &Seen) -> Vec<Violation> {
+pub fn violations(observations: &Observations) -> Vec<Violation> {
     let mut by_id: HashMap<u64, Vec<&Attempt>> = HashMap::new();
-    seen.attempts
+    observations
+        .attempts
         .iter()
         .for_each(|a| by_id.entry(a.id).or_default().push(a));
-    let mut found: Vec<Violation> = seen.incidents.iter().map(incident).collect();
+    let mut found: Vec<Violation> = observations.incidents.iter().map(incident).collect();
     let nothing = Vec::new();
-    for request in &seen.requests {
+    for request in &observations.requests {
         let attempts = by_id.get(&request.id).unwrap_or(&nothing);
         let violated = [
-            unanswered(seen, request, attempts),
+            unanswered(observations, request, attempts),
             forged(request),
             duplicated(request, attempts),
             refused_after_running(request, attempts),
-            sent_to_a_draining_server(seen, request, attempts),
-            began_for_departed_client(request, attempts),
+            sent_to_a_draining_server(observations, request, attempts),
+            reached_server_for_departed_client(request, attempts),
             announced_too_much_time(request, attempts),
         ];
         for (rule, what) in violated.into_iter().flatten() {
@@ -53,7 +54,7 @@
             });
         }
     }
-    found.extend(overloaded_cold_servers(seen));
+    found.extend(overloaded_cold_servers(observations));
     found
 }
 
@@ -68,20 +69,22 @@
 type RuleCheck = Option<(&'static str, String)>;
 
 /// Returns whether the gateway was killed while this transmission was in progress.
-fn was_killed(seen: &Seen, request: &Request, transmission: &Transmission) -> bool {
+fn was_killed(observations: &Observations, request: &Request, transmission: &Transmission) -> bool {
     let until =
         transmission.completed_at + request.client_timeout + LATE_ANSWER_GRACE + MEASUREMENT_SLACK;
     // A kill is recorded just before it happens.
     let hit = |at: Instant| at + MEASUREMENT_SLACK > transmission.started_at && at < until;
-    seen.kills
+    observations
+        .kills
         .iter()
         .any(|(gateway, at)| *gateway == request.gateway && hit(*at))
 }
 
-/// Checks that every completely transmitted request is answered in time.
-fn unanswered(seen: &Seen, request: &Request, attempts: &[&Attempt]) -> RuleCheck {
+/// Checks that every completely transmitted request is answered at most [`LATE_ANSWER_GRACE`] after its deadline, unless the
+/// gateway was killed, the client left, or the gateway closed a kept connection before it forwarded the request.
+fn unanswered(observations: &Observations, request: &Request, attempts: &[&Attempt]) -> RuleCheck {
     request.transmissions.iter().find_map(|transmission| {
-        if was_killed(seen, request, transmission) {
+        if was_killed(observations, request, transmission) {
             return None;
         }
         let limit = transmission.completed_at
@@ -93,11 +96,11 @@
             (TransmissionEnd::Answered { at, .. }, _) if at > limit => Some((
                 "lost",
                 format!(
-                    "answered {:?} after its deadline",
+                    "answered {:?} after its deadline, less {MEASUREMENT_SLACK:?} of measurement tolerance",
                     at - limit + LATE_ANSWER_GRACE
                 ),
             )),
-            (TransmissionEnd::Nothing, _) => {
+            (TransmissionEnd::NoAnswer, _) => {
                 Some(("lost", "no answer, and the connection stayed open".into()))
             }
             (TransmissionEnd::Closed { .. }, ConnectionKind::NewConnection) => Some((
@@ -127,7 +130,7 @@
     })
 }
 
-/// Checks that no request has more than one effect.
+/// Checks that no top-up or transfer has more than one effect.
 fn duplicated(request: &Request, attempts: &[&Attempt]) -> RuleCheck {
     let effects = attempts.iter().filter(|a| a.effect).count();
     (request.class != Class::Check && effects > 1).then(|| {
@@ -139,7 +142,7 @@
     })
 }
 
-/// Checks that no refused request ran: after a refusal a client may safely retry.
+/// Checks that no attempt of a refused top-up or transfer ran: after a 429 or 503 the client may safely retry it.
 fn refused_after_running(request: &Request, attempts: &[&Attempt]) -> RuleCheck {
     let refused = |s: &Transmission| {
         matches!(
@@ -155,19 +158,23 @@
         .then(|| ("refused", "refused although an attempt ran".into()))
 }
 
-/// Checks that nothing new goes to a server more than [`DRAIN_GRACE`] after its gateway learned that it drains.
-fn sent_to_a_draining_server(seen: &Seen, request: &Request, attempts: &[&Attempt]) -> RuleCheck {
+/// Checks that no attempt reaches a server more than [`DRAIN_GRACE`] after its gateway learned that the server drains.
+fn sent_to_a_draining_server(
+    observations: &Observations,
+    request: &Request,
+    attempts: &[&Attempt],
+) -> RuleCheck {
     attempts.iter().find_map(|a| {
-        let told = *seen
+        let known_at = *observations
             .drain_known_at
             .get(&(request.gateway, a.server.clone()))?;
         let late = a
             .first_byte_at
-            .checked_duration_since(told + DRAIN_GRACE + MEASUREMENT_SLACK)?;
+            .checked_duration_since(known_at + DRAIN_GRACE + MEASUREMENT_SLACK)?;
         Some((
             "drain",
             format!(
-                "sent to {} {:?} after the grace",
+                "attempt reached draining server {} {:?} after the grace of {DRAIN_GRACE:?}",
                 a.server,
                 late + MEASUREMENT_SLACK
             ),
@@ -175,8 +182,8 @@
     })
 }
 
-/// Checks that no attempt begins for a client that has left.
-fn began_for_departed_client(request: &Request, attempts: &[&Attempt]) -> RuleCheck {
+/// Checks that no server receives the end of an attempt more than [`CLIENT_LEFT_GRACE`] after its client left.
+fn reached_server_for_departed_client(request: &Request, attempts: &[&Attempt]) -> RuleCheck {
     let left = request.transmissions.iter().find_map(|s| match s.end {
         TransmissionEnd::ClientLeft { at } => Some(at),
         _ => None,
@@ -186,7 +193,7 @@
     Some((
         "left",
         format!(
-            "attempt began at {} {:?} after its client had left",
+            "attempt reached {} {:?} after its client had left",
             a.server,
             a.completed_at - left
         ),
@@ -195,27 +202,27 @@
 
 /// Checks that no attempt announces more remaining time than its client has left.
 fn announced_too_much_time(request: &Request, attempts: &[&Attempt]) -> RuleCheck {
-    let gone_at = request.transmissions.last()?.completed_at + request.client_timeout;
+    let client_deadline = request.transmissions.last()?.completed_at + request.client_timeout;
     attempts.iter().find_map(|a| {
         let until = a.completed_at + a.remaining_time;
-        let connection_kind =
-            until.checked_duration_since(gone_at + REMAINING_TIME_SLACK + MEASUREMENT_SLACK)?;
+        let excess = until
+            .checked_duration_since(client_deadline + REMAINING_TIME_SLACK + MEASUREMENT_SLACK)?;
         Some((
             "told time",
             format!(
-                "the time announced to {} is {:?} too long",
+                "the remaining time announced to {} exceeds its client's by {:?}",
                 a.server,
-                connection_kind + REMAINING_TIME_SLACK + MEASUREMENT_SLACK
+                excess + REMAINING_TIME_SLACK + MEASUREMENT_SLACK
             ),
         ))
     })
 }
 
 /// Checks that no cold server receives more requests within [`TIP_AFTER`] than its budget.
-fn overloaded_cold_servers(seen: &Seen) -> Vec<Violation> {
+fn overloaded_cold_servers(observations: &Observations) -> Vec<Violation> {
     let mut found = Vec::new();
-    for (server, started) in &seen.started {
-        let mut times: Vec<Instant> = seen
+    for (server, started) in &observations.started {
+        let mut times: Vec<Instant> = observations
             .attempts
             .iter()
             .filter(|a| a.server == *server)
--- a/crates/lab/src/soak/proxy.rs
+++ b/crates/lab/src/soak/proxy.rs
@@ -150,7 +150,8 @@
                 return true;
             }
             let mut bytes = chunk[..n].to_vec();
-            // A host that comes back resets connections that the peer closed meanwhile; the server never sees the request.
+            // If the gateway closed the connection while the path was held, the proxy resets it, as a host does that was unreachable
+            // meanwhile; the server never sees the request.
             if wait_while_held(&path, &mut from_gateway, &arrivals, &mut bytes).await
                 == HeldConnection::Closed
             {
@@ -200,7 +201,7 @@
     };
     if reset {
         let _ = SockRef::from(to_gateway.as_ref()).set_linger(Some(Duration::ZERO));
-        // Dropping the write half would shut the connection down in an orderly way.
+        // Dropping the write half would send a FIN before the reset.
         to_gateway.forget();
     }
 }
--- a/crates/lab/src/soak/record.rs
+++ b/crates/lab/src/soak/record.rs
@@ -44,7 +44,7 @@
 pub enum TransmissionEnd {
     Answered {
         status: u16,
-        /// The answer is no 200, or carries the body that a server made for this request.
+        /// False if a 200 carries a body that no server made for this request.
         genuine: bool,
         at: Instant,
     },
@@ -52,8 +52,8 @@
     Closed { at: Instant },
     /// The answer was truncated.
     Cut,
-    /// No answer until well after the client's deadline, on a connection that stayed open.
-    Nothing,
+    /// No answer until 1 s after the client's deadline, on a connection that stayed open.
+    NoAnswer,
     /// The client closed the connection before the answer.
     ClientLeft { at: Instant },
 }
@@ -89,9 +89,9 @@
     pub completed_at: Instant,
     /// Remaining time that the gateway announced in the attempt.
     pub remaining_time: Duration,
-    /// The server ran it, and did not reject it as never run.
+    /// Whether the server ran the attempt; false if it rejected it as never run.
     pub ran: bool,
-    /// It had an effect: the server did not drop it as a duplicate.
+    /// Whether the attempt had an effect; false if it did not run or was dropped as a duplicate.
     pub effect: bool,
 }
 
@@ -104,7 +104,7 @@
 
 /// All observations of a soak.
 #[derive(Default)]
-pub struct Seen {
+pub struct Observations {
     pub requests: Vec<Request>,
     pub attempts: Vec<Attempt>,
     pub incidents: Vec<Incident>,
@@ -118,15 +118,15 @@
 
 #[derive(Default)]
 /// Observations shared by all tasks of a soak.
-pub struct History(Mutex<Seen>);
+pub struct History(Mutex<Observations>);
 
 impl History {
-    pub fn seen(&self) -> MutexGuard<'_, Seen> {
+    pub fn observations(&self) -> MutexGuard<'_, Observations> {
         self.0.lock().expect("lock is not poisoned")
     }
 
     /// Records a violation of `rule` that belongs to no request.
     pub fn incident(&self, rule: &'static str, what: String) {
-        self.seen().incidents.push(Incident { rule, what });
+        self.observations().incidents.push(Incident { rule, what });
     }
 }
--- a/crates/lab/src/soak/servers.rs
+++ b/crates/lab/src/soak/servers.rs
@@ -107,7 +107,10 @@
             history: history.clone(),
         });
         if fresh {
-            history.seen().started.insert(uid.clone(), Instant::now());
+            history
+                .observations()
+                .started
+                .insert(uid.clone(), Instant::now());
         }
         let serving = shared.clone();
         let task = handle.spawn(async move {
@@ -220,7 +223,7 @@
         let mode = Mode::from_number(shared.mode.load(Ordering::SeqCst));
         let ran = mode != Mode::Rejects;
         let effect = ran && shared.has_effect(&head);
-        shared.history.seen().attempts.push(Attempt {
+        shared.history.observations().attempts.push(Attempt {
             id: head.id,
             server: shared.uid.clone(),
             first_byte_at,
--- a/crates/lab/src/soak/troubles.rs
+++ b/crates/lab/src/soak/troubles.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::runtime::Handle;
 
-/// Maximum number of concurrent faults; the actual bound is drawn anew for each fault.
+/// Maximum number of concurrent faults; each check draws a bound between 1 and this number.
 const MAX_CONCURRENT_FAULTS: usize = 4;
 /// Number of server cells, each with a deduplication store of its own.
 const CELLS: u64 = 3;
@@ -39,7 +39,7 @@
     GatewayTerminate,
     /// A gateway is killed and restarted.
     GatewayKill,
-    /// A gateway is stopped for short periods.
+    /// A gateway is paused (SIGSTOP) for short periods.
     GatewayPause,
     /// A gateway reloads its configuration.
     GatewayReload,
@@ -311,9 +311,9 @@
             Mode::Slow,
             Mode::ClosesLongPolls,
         ]);
-        let all = chance.percent(50);
+        let all = chance.happens(50);
         let affected: Vec<usize> = (0..self.gateways.len())
-            .filter(|_| all || chance.percent(30))
+            .filter(|_| all || chance.happens(30))
             .collect();
         self.log_event(format!(
             "discovery {mode:?} for {affected:?} for {length:?}"
@@ -348,7 +348,7 @@
                 gateway.start();
             }
             FaultKind::GatewayPause => {
-                self.log_event(format!("gateway {nth} is stopped repeatedly"));
+                self.log_event(format!("gateway {nth} is paused repeatedly"));
                 for _ in 0..5 {
                     gateway.pause(chance.millis(20, 150));
                     thread::sleep(chance.millis(20, 300));
@@ -384,7 +384,9 @@
                     Fault::Broken,
                 ];
                 let (fault, rate) = (*chance.pick(&faults), 50 + chance.below(400) as i64);
-                self.log_event(format!("gateway {nth}: {fault:?} {rate} for {length:?}"));
+                self.log_event(format!(
+                    "gateway {nth}: system-call fault {fault:?} at rate {rate} for {length:?}"
+                ));
                 gateway.set_fault(fault, rate);
                 thread::sleep(length);
                 gateway.set_fault(fault, 0);
--- a/crates/lab/tests/soak_oracle.rs
+++ b/crates/lab/tests/soak_oracle.rs
@@ -2,7 +2,7 @@
 
 use frosthatch_lab::soak::oracle::violations;
 use frosthatch_lab::soak::record::{
-    Attempt, Class, ConnectionKind, Request, Seen, Transmission, TransmissionEnd,
+    Attempt, Class, ConnectionKind, Observations, Request, Transmission, TransmissionEnd,
 };
 use std::time::{Duration, Instant};
 
@@ -14,14 +14,14 @@
 
 struct Case {
     start: Instant,
-    seen: Seen,
+    observations: Observations,
 }
 
 impl Case {
     fn new() -> Case {
         Case {
             start: Instant::now(),
-            seen: Seen::default(),
+            observations: Observations::default(),
         }
     }
 
@@ -38,7 +38,7 @@
             completed_at: self.start,
             end: end(self.start),
         };
-        self.seen.requests.push(Request {
+        self.observations.requests.push(Request {
             id: 1,
             class,
             gateway: 0,
@@ -56,7 +56,7 @@
         effect: bool,
     ) -> Case {
         let at = self.start + at;
-        self.seen.attempts.push(Attempt {
+        self.observations.attempts.push(Attempt {
             id: 1,
             server: server.into(),
             first_byte_at: at,
@@ -69,7 +69,10 @@
     }
 
     fn rules(&self) -> Vec<&'static str> {
-        violations(&self.seen).iter().map(|v| v.rule).collect()
+        violations(&self.observations)
+            .iter()
+            .map(|v| v.rule)
+            .collect()
     }
 }
 
@@ -96,7 +99,7 @@
 
 #[test]
 fn request_without_answer_in_time_is_lost() {
-    let connection_kind = [
+    let kinds = [
         ConnectionKind::NewConnection,
         ConnectionKind::KeptConnection,
     ];
@@ -105,9 +108,7 @@
         answered(504, CLIENT_TIMEOUT + ms(700)),
     ] {
         assert_eq!(
-            Case::new()
-                .request(Class::Check, connection_kind[0], end)
-                .rules(),
+            Case::new().request(Class::Check, kinds[0], end).rules(),
             ["lost"]
         );
     }
@@ -115,23 +116,22 @@
         at: start + ms(100),
     };
     assert_eq!(
-        Case::new()
-            .request(Class::Check, connection_kind[0], closed)
-            .rules(),
+        Case::new().request(Class::Check, kinds[0], closed).rules(),
         ["lost"]
     );
     // The gateway may close a kept connection without reading the request, but not after forwarding it.
     assert!(Case::new()
-        .request(Class::Check, connection_kind[1], closed)
+        .request(Class::Check, kinds[1], closed)
         .rules()
         .is_empty());
-    let forwarded = Case::new()
-        .request(Class::Check, connection_kind[1], closed)
-        .attempt("a", ms(5), ms(1), true);
+    let forwarded =
+        Case::new()
+            .request(Class::Check, kinds[1], closed)
+            .attempt("a", ms(5), ms(1), true);
     assert_eq!(forwarded.rules(), ["lost"]);
     // A killed gateway may lose its requests.
-    let mut killed = Case::new().request(Class::Check, connection_kind[0], closed);
-    killed.seen.kills.push((0, killed.start + ms(50)));
+    let mut killed = Case::new().request(Class::Check, kinds[0], closed);
+    killed.observations.kills.push((0, killed.start + ms(50)));
     assert!(killed.rules().is_empty());
 }
 
@@ -158,14 +158,14 @@
 }
 
 #[test]
-fn drain_departed_client_and_remaining_time_are_checked() {
+fn attempts_after_drain_or_departure_and_excessive_remaining_time_are_reported() {
     let mut drained = Case::new().request(
         Class::Check,
         ConnectionKind::NewConnection,
         answered(200, ms(1_000)),
     );
     drained
-        .seen
+        .observations
         .drain_known_at
         .insert((0, "a".into()), drained.start);
     assert!(drained.rules().is_empty());
@@ -195,7 +195,7 @@
 fn overloaded_cold_server_is_reported() {
     for (requests, violation_count) in [(140, 0), (400, 1)] {
         let mut case = Case::new();
-        case.seen.started.insert("a".into(), case.start);
+        case.observations.started.insert("a".into(), case.start);
         for n in 0..requests {
             case = case.attempt("a", ms(n * 3), ms(100), true);
         }
