--- a/crates/lab/src/soak/troubles.rs
+++ b/crates/lab/src/soak/troubles.rs
@@ -191,8 +191,8 @@
             }
             thread::sleep(chance.millis(20, 300));
         }
-        for inject in active {
-            let _ = inject.join();
+        for task in active {
+            let _ = task.join();
         }
     }
 
@@ -385,7 +385,7 @@
                 ];
                 let (fault, rate) = (*chance.pick(&faults), 50 + chance.below(400) as i64);
                 self.log_event(format!(
-                    "gateway {nth}: system-call fault {fault:?} at rate {rate} for {length:?}"
+                    "gateway {nth}: system-call fault {fault:?} in {rate} of 1,000 calls for {length:?}"
                 ));
                 gateway.set_fault(fault, rate);
                 thread::sleep(length);
