--- a/crates/lab/src/quota_links.rs
+++ b/crates/lab/src/quota_links.rs
@@ -1,9 +1,9 @@
-//! `quota-links`: four gateways that tell each other what customers use, no counter, and faults on what goes between them. One
-//! customer asks for six times its quota, another for three quarters of it, both unevenly: what the honest one is served, what
-//! the greedy one gets beyond its quota, and how long after a fault all is as before.
+//! `quota-links`: four gateways that exchange customers' usage without a shared counter, with faults on the links between them. One
+//! customer sends six times its quota, another three quarters of it, both unevenly over the gateways. Measures what the compliant
+//! customer is served, the other one's usage above its quota, and the recovery after a fault.
 
 use crate::figures::Figures;
-use crate::load::{self, apart, Got, Load, Shape, CHECK};
+use crate::load::{self, poisson_interval, Load, Outcome, RequestSpec, CHECK};
 use crate::servers::{all_ready, Server};
 use crate::site::{pause, Node};
 use crate::testbed::{fleet_file, Faults, Process, Relay, Testbed, TimelineAction};
@@ -16,16 +16,21 @@
 use tokio::time::Instant;
 
 const GATEWAYS: usize = 4;
-const BEFORE: Duration = Duration::from_secs(6);
-const AFTER: Duration = Duration::from_secs(8);
+/// Load before a fault.
+const LOAD_BEFORE: Duration = Duration::from_secs(6);
+/// Load after a fault.
+const LOAD_AFTER: Duration = Duration::from_secs(8);
 const PLAN: &str = "counted-large";
-/// The plan's quota and ceiling, as the lab's settings have them.
+/// Quota of the plan in the lab's settings: units per second, and burst in units.
 const QUOTA: (f64, f64) = (40.0, 80.0);
+/// Ceiling of the plan: units per second, and depth in units.
 const CEILING: (f64, f64) = (85.0, 170.0);
-/// Customers: their key, requests a second, and the parts of the gateways in them.
-const HONEST: (u32, f64, [u32; GATEWAYS]) = (71, 30.0, [40, 30, 20, 10]);
-const GREEDY: (u32, f64, [u32; GATEWAYS]) = (72, 240.0, [40, 30, 20, 10]);
+/// The customer below its quota: key, requests per second, and the share of each gateway in percent.
+const CUSTOMER_BELOW_QUOTA: (u32, f64, [u32; GATEWAYS]) = (71, 30.0, [40, 30, 20, 10]);
+/// The customer above its quota: key, requests per second, and the share of each gateway in percent.
+const CUSTOMER_ABOVE_QUOTA: (u32, f64, [u32; GATEWAYS]) = (72, 240.0, [40, 30, 20, 10]);
 
+/// A fault: its name in the figures, and the actions that begin and end it.
 struct Fault {
     name: &'static str,
     begin: TimelineAction,
@@ -101,68 +106,80 @@
     ]
 }
 
+/// Result of one request.
 #[derive(Clone, Copy)]
-struct Shot {
+struct Sample {
+    /// Scheduled time in seconds since the start of the load.
     due: f64,
     customer: u32,
     served: bool,
-    /// Its gateway was there to take it.
-    taken: bool,
+    /// The gateway was running.
+    gateway_running: bool,
 }
 
-/// What one fault did: share of the honest customer's requests that was served while it lasted, in the 2 s after it and in what
-/// follows; units a second of the greedy one; units above quota and ceiling.
+/// Results of one fault.
 struct Row {
     name: &'static str,
+    /// Share of the compliant customer's requests served during the fault.
     during: f64,
+    /// Share of the compliant customer's requests served in the 2 s after the fault.
     right_after: f64,
+    /// Share of the compliant customer's requests served after these 2 s.
     later: f64,
-    greedy: [f64; 2],
+    /// Units per second served to the customer above its quota, during the fault and after it.
+    above_quota_per_s: [f64; 2],
+    /// Units above the quota.
     over_quota: f64,
+    /// Units above the ceiling.
     over_ceiling: f64,
 }
 
-pub fn play(seconds: Option<u64>, figures: &mut Figures) {
-    let lasts = Duration::from_secs(seconds.unwrap_or(10));
+pub fn run(seconds: Option<u64>, figures: &mut Figures) {
+    let fault_duration = Duration::from_secs(seconds.unwrap_or(10));
     let next = Mutex::new(faults().into_iter().enumerate());
     let rows = Mutex::new(Vec::new());
     std::thread::scope(|s| {
-        // Installations at once: they share this machine's cores.
+        // Four concurrent installations, which share this machine's cores.
         for _ in 0..4 {
             s.spawn(|| loop {
-                let Some((n, fault)) = next.lock().expect("faults").next() else {
+                let Some((n, fault)) = next.lock().expect("lock is not poisoned").next() else {
                     return;
                 };
-                let row = one(&fault, lasts, n as u64);
-                rows.lock().expect("rows").push((n, row));
+                let row = run_case(&fault, fault_duration, n as u64);
+                rows.lock().expect("lock is not poisoned").push((n, row));
             });
         }
     });
-    let mut rows = rows.into_inner().expect("rows");
+    let mut rows = rows.into_inner().expect("lock is not poisoned");
     rows.sort_by_key(|(n, _)| *n);
     for (_, r) in rows {
         let name = |what: &str| format!("{}_{what}", r.name);
         figures.at_least(&name("honest_during"), r.during, "of-asked", 0.95);
         figures.at_least(&name("honest_2s_after"), r.right_after, "of-asked", 0.95);
         figures.at_least(&name("honest_later"), r.later, "of-asked", 0.99);
-        figures.show(&name("greedy_during"), r.greedy[0], "units/s");
-        figures.at_least(&name("greedy_after"), r.greedy[1], "units/s", 0.9 * QUOTA.0);
+        figures.record(&name("greedy_during"), r.above_quota_per_s[0], "units/s");
+        figures.at_least(
+            &name("greedy_after"),
+            r.above_quota_per_s[1],
+            "units/s",
+            0.9 * QUOTA.0,
+        );
         figures.at_most(
             &name("over_quota"),
             r.over_quota,
             "units",
-            0.5 * QUOTA.0 * lasts.as_secs_f64(),
+            0.5 * QUOTA.0 * fault_duration.as_secs_f64(),
         );
         figures.at_most(&name("over_ceiling"), r.over_ceiling, "units", 0.0);
     }
 }
 
-fn one(fault: &Fault, lasts: Duration, seed: u64) -> Row {
-    let runtime = Runtime::new().expect("a runtime");
-    let on = runtime.handle();
-    let servers: Vec<Server> = (0..8).map(|_| Server::start(on, false)).collect();
+fn run_case(fault: &Fault, fault_duration: Duration, seed: u64) -> Row {
+    let runtime = Runtime::new().expect("the Tokio runtime can be built");
+    let handle = runtime.handle();
+    let servers: Vec<Server> = (0..8).map(|_| Server::start(handle, false)).collect();
     let agent = Discovery::new(&all_ready(&servers));
-    let relay = Relay::new(on, GATEWAYS, seed);
+    let relay = Relay::new(handle, GATEWAYS, seed);
     let key = write_config_file("a key of the lab's own, long enough for all");
     let processes = (0..GATEWAYS).map(|me| {
         let discovery = agent.address;
@@ -179,126 +196,146 @@
     let mut testbed = Testbed::new(processes.collect(), relay);
     testbed.start_all();
     testbed.wait_until_all_found();
-    let load = Load::to(testbed.addresses());
-    let shots: Arc<Mutex<Vec<Shot>>> = Arc::default();
+    let load = Load::new(testbed.addresses());
+    let samples: Arc<Mutex<Vec<Sample>>> = Arc::default();
     let start = Instant::now() + Duration::from_millis(100);
-    let length = BEFORE + lasts + AFTER;
-    let there = Arc::new(Mutex::new([true; GATEWAYS]));
+    let length = LOAD_BEFORE + fault_duration + LOAD_AFTER;
+    let running = Arc::new(Mutex::new([true; GATEWAYS]));
     let load = Arc::new(Mutex::new(load));
-    let tasks = [HONEST, GREEDY].map(|(key, per_s, parts)| {
-        let (load, shots, there) = (load.clone(), shots.clone(), there.clone());
-        on.spawn(ask(load, shots, there, start, length, key, per_s, parts))
+    let tasks = [CUSTOMER_BELOW_QUOTA, CUSTOMER_ABOVE_QUOTA].map(|(key, per_s, gateway_shares)| {
+        let (load, samples, running) = (load.clone(), samples.clone(), running.clone());
+        handle.spawn(run_customer(
+            load,
+            samples,
+            running,
+            start,
+            length,
+            key,
+            per_s,
+            gateway_shares,
+        ))
     });
-    pause((start + BEFORE).saturating_duration_since(Instant::now()));
-    let tell = |testbed: &Testbed| {
+    pause((start + LOAD_BEFORE).saturating_duration_since(Instant::now()));
+    let update_running = |testbed: &Testbed| {
         for (n, p) in testbed.processes.iter().enumerate() {
-            there.lock().expect("who is there")[n] = p.is_running();
+            running.lock().expect("lock is not poisoned")[n] = p.is_running();
         }
     };
     if let TimelineAction::Kill { who } | TimelineAction::Stop { who } = &fault.begin {
         who.iter()
-            .for_each(|w| there.lock().expect("who is there")[*w] = false);
+            .for_each(|w| running.lock().expect("lock is not poisoned")[*w] = false);
     }
     testbed.apply(&fault.begin);
-    pause((start + BEFORE + lasts).saturating_duration_since(Instant::now()));
+    pause((start + LOAD_BEFORE + fault_duration).saturating_duration_since(Instant::now()));
     testbed.apply(&fault.end);
     if let TimelineAction::Start { who } = &fault.end {
         who.iter().for_each(|w| testbed.wait_ready(*w));
-        *load.lock().expect("the load") = Load::to(testbed.addresses());
+        *load.lock().expect("lock is not poisoned") = Load::new(testbed.addresses());
     }
-    tell(&testbed);
+    update_running(&testbed);
     runtime.block_on(async {
         for task in tasks {
             let _ = task.await;
         }
     });
     let _ = std::fs::remove_file(&key);
-    let shots = shots.lock().expect("shots");
-    row(fault.name, lasts, &shots)
+    let samples = samples.lock().expect("lock is not poisoned");
+    evaluate(fault.name, fault_duration, &samples)
 }
 
 #[allow(clippy::too_many_arguments)]
-async fn ask(
+/// Sends the requests of one customer at random times, `per_s` on average.
+async fn run_customer(
     load: Arc<Mutex<Load>>,
-    shots: Arc<Mutex<Vec<Shot>>>,
-    there: Arc<Mutex<[bool; GATEWAYS]>>,
+    samples: Arc<Mutex<Vec<Sample>>>,
+    running: Arc<Mutex<[bool; GATEWAYS]>>,
     start: Instant,
     length: Duration,
     key: u32,
     per_s: f64,
-    parts: [u32; GATEWAYS],
+    gateway_shares: [u32; GATEWAYS],
 ) {
     let mut rng = Pcg64Mcg::seed_from_u64(u64::from(key));
     let mut due = Duration::ZERO;
-    let mut out = tokio::task::JoinSet::new();
+    let mut in_flight = tokio::task::JoinSet::new();
     loop {
-        due += apart(&mut rng, per_s);
+        due += poisson_interval(&mut rng, per_s);
         if due >= length {
             break;
         }
-        let mut draw = rng.next_u32() % parts.iter().sum::<u32>();
-        let part = |p: &u32| {
-            let mine = draw < *p;
+        let mut draw = rng.next_u32() % gateway_shares.iter().sum::<u32>();
+        let is_drawn = |p: &u32| {
+            let drawn = draw < *p;
             draw = draw.wrapping_sub(*p);
-            mine
+            drawn
         };
-        let gateway = parts.iter().position(part).unwrap_or(0);
+        let gateway = gateway_shares.iter().position(is_drawn).unwrap_or(0);
         let id = u64::from(rng.next_u32()) << 32 | u64::from(key);
         tokio::time::sleep_until(start + due).await;
-        let (load, shots) = (load.lock().expect("the load").clone(), shots.clone());
-        let taken = there.lock().expect("who is there")[gateway];
-        out.spawn(async move {
-            let shape = Shape {
+        let (load, samples) = (
+            load.lock().expect("lock is not poisoned").clone(),
+            samples.clone(),
+        );
+        let gateway_running = running.lock().expect("lock is not poisoned")[gateway];
+        in_flight.spawn(async move {
+            let request_spec = RequestSpec {
                 class: CHECK,
                 plan: PLAN,
                 customer: key,
                 units: 1,
                 id,
             };
-            let served = taken && load.ask(gateway, shape, start + due).await == Got::Served;
-            let shot = Shot {
+            let served = gateway_running
+                && load.send_request(gateway, request_spec, start + due).await == Outcome::Served;
+            let sample = Sample {
                 due: due.as_secs_f64(),
                 customer: key,
                 served,
-                taken,
+                gateway_running,
             };
-            shots.lock().expect("shots").push(shot);
+            samples.lock().expect("lock is not poisoned").push(sample);
         });
-        while out.try_join_next().is_some() {}
+        while in_flight.try_join_next().is_some() {}
     }
-    while out.join_next().await.is_some() {}
+    while in_flight.join_next().await.is_some() {}
 }
 
-fn row(name: &'static str, lasts: Duration, shots: &[Shot]) -> Row {
-    let (from, to) = (BEFORE.as_secs_f64(), (BEFORE + lasts).as_secs_f64());
-    let end = to + AFTER.as_secs_f64();
-    let of = |key: u32, a: f64, b: f64| {
-        let these = shots
+fn evaluate(name: &'static str, fault_duration: Duration, samples: &[Sample]) -> Row {
+    let (from, to) = (
+        LOAD_BEFORE.as_secs_f64(),
+        (LOAD_BEFORE + fault_duration).as_secs_f64(),
+    );
+    let end = to + LOAD_AFTER.as_secs_f64();
+    let served_share_and_rate = |key: u32, a: f64, b: f64| {
+        let selected = samples
             .iter()
-            .filter(|s| s.customer == key && s.taken && (a..b).contains(&s.due));
-        let (asked, served) = these.fold((0.0, 0.0), |(n, k), s| {
+            .filter(|s| s.customer == key && s.gateway_running && (a..b).contains(&s.due));
+        let (sent, served) = selected.fold((0.0, 0.0), |(n, k), s| {
             (n + 1.0, k + f64::from(u8::from(s.served)))
         });
-        (served / f64::max(asked, 1.0), served / (b - a))
+        (served / f64::max(sent, 1.0), served / (b - a))
     };
-    let beyond = |(rate, depth): (f64, f64)| {
-        let mut due: Vec<f64> = shots
+    let units_over_bucket = |(rate, depth): (f64, f64)| {
+        let mut due: Vec<f64> = samples
             .iter()
-            .filter(|s| s.served && s.customer == GREEDY.0)
+            .filter(|s| s.served && s.customer == CUSTOMER_ABOVE_QUOTA.0)
             .map(|s| s.due)
             .collect();
         due.sort_by(f64::total_cmp);
         let uses: Vec<(f64, f64)> = due.into_iter().map(|t| (t, 1.0)).collect();
-        // A request is on its way for a moment: what came within it may have been sent in any order.
-        load::beyond(&uses, rate, depth + rate * 0.15, from, f64::INFINITY)
+        // Requests are in flight for up to 150 ms and may arrive in any order: the depth grows by what the rate grants then.
+        load::units_over_bucket(&uses, rate, depth + rate * 0.15, from, f64::INFINITY)
     };
     Row {
         name,
-        during: of(HONEST.0, from + 1.0, to).0,
-        right_after: of(HONEST.0, to, to + 2.0).0,
-        later: of(HONEST.0, to + 2.0, end).0,
-        greedy: [of(GREEDY.0, from + 1.0, to).1, of(GREEDY.0, to, end).1],
-        over_quota: beyond(QUOTA),
-        over_ceiling: beyond(CEILING),
+        during: served_share_and_rate(CUSTOMER_BELOW_QUOTA.0, from + 1.0, to).0,
+        right_after: served_share_and_rate(CUSTOMER_BELOW_QUOTA.0, to, to + 2.0).0,
+        later: served_share_and_rate(CUSTOMER_BELOW_QUOTA.0, to + 2.0, end).0,
+        above_quota_per_s: [
+            served_share_and_rate(CUSTOMER_ABOVE_QUOTA.0, from + 1.0, to).1,
+            served_share_and_rate(CUSTOMER_ABOVE_QUOTA.0, to, end).1,
+        ],
+        over_quota: units_over_bucket(QUOTA),
+        over_ceiling: units_over_bucket(CEILING),
     }
 }
