--- a/crates/cluster-membership/src/gauges.rs
+++ b/crates/cluster-membership/src/gauges.rs
@@ -10,12 +10,12 @@
 /// Upper bound of the gauges that one member publishes.
 pub const MAX_GAUGES: usize = 32;
 /// Upper bound of the length of a gauge's name, in bytes.
-pub const MAX_NAME_BYTES: usize = 24;
+pub const MAX_GAUGE_NAME_BYTES: usize = 24;
 
 /// A gauge in the form in which it is sent to other members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Gauge {
-    /// Name of at most [`MAX_NAME_BYTES`] bytes.
+    /// Name of at most [`MAX_GAUGE_NAME_BYTES`] bytes.
     pub name: String,
     /// Value; a receiver discards the gauge unless it is finite.
     pub value: f64,
@@ -49,11 +49,15 @@
 
 impl Gauges {
     /// Sets a gauge. Returns false and changes nothing if the value is not finite, the name is empty or longer than
-    /// [`MAX_NAME_BYTES`], or the set already holds [`MAX_GAUGES`] others.
+    /// [`MAX_GAUGE_NAME_BYTES`], or the set already holds [`MAX_GAUGES`] others.
     pub fn set(&mut self, now_us: u64, name: &str, value: f64) -> bool {
         let has_capacity =
             self.measurements.len() < MAX_GAUGES || self.measurements.contains_key(name);
-        if !has_capacity || !value.is_finite() || name.is_empty() || name.len() > MAX_NAME_BYTES {
+        if !has_capacity
+            || !value.is_finite()
+            || name.is_empty()
+            || name.len() > MAX_GAUGE_NAME_BYTES
+        {
             return false;
         }
         let measurement = Measurement {
@@ -109,7 +113,7 @@
         if snapshot.version <= self.version {
             return;
         }
-        let is_valid = |g: &Gauge| g.value.is_finite() && g.name.len() <= MAX_NAME_BYTES;
+        let is_valid = |g: &Gauge| g.value.is_finite() && g.name.len() <= MAX_GAUGE_NAME_BYTES;
         self.measurements = snapshot
             .gauges
             .into_iter()
--- a/crates/cluster-membership/src/membership/config.rs
+++ b/crates/cluster-membership/src/membership/config.rs
@@ -17,7 +17,7 @@
     /// Number of this gateway.
     pub number: u16,
     /// Number of gateways; their numbers are below this.
-    pub gateways: u16,
+    pub gateway_count: u16,
     /// Availability zone of the member.
     pub zone: String,
     /// Region of the member.
@@ -37,13 +37,13 @@
     /// Budget of datagrams sent per second.
     pub messages_per_s: u64,
     /// Upper bound of the retained usage counters.
-    pub max_entries: usize,
+    pub max_usage_counters: usize,
     /// Upper bound of the members in the table.
     pub max_members: usize,
     /// How long a member that is dead or has left is remembered, in microseconds.
     pub forget_us: u64,
     /// Time of the start in milliseconds since 1970. A later process under the same name has a higher value.
-    pub started_ms: u64,
+    pub started_at_unix_ms: u64,
     /// Seed of all random choices of the member.
     pub seed: u64,
 }
@@ -59,7 +59,7 @@
 
     /// Returns how long the usage reported by a gateway remains valid without a new report, in microseconds.
     pub fn usage_report_ttl_us(&self) -> u64 {
-        let others = usize::from(self.gateways.saturating_sub(1));
+        let others = usize::from(self.gateway_count.saturating_sub(1));
         (self.scaled_update_interval_us(others) * REPORT_TTL_INTERVALS).max(MIN_REPORT_TTL_US)
     }
 }
--- a/crates/cluster-membership/src/membership/member_updates.rs
+++ b/crates/cluster-membership/src/membership/member_updates.rs
@@ -137,7 +137,7 @@
             self.table.publish_own(now_us, phase, claim.incarnation);
             return;
         }
-        self.superseded = true;
+        self.is_superseded = true;
         let name = &self.config.name;
         outputs.push(Output::Log(format!(
             "fleet: a later process runs as {name}; this process no longer sends or handles datagrams"
--- a/crates/cluster-membership/src/membership/receive.rs
+++ b/crates/cluster-membership/src/membership/receive.rs
@@ -25,7 +25,7 @@
         bytes: &[u8],
         outputs: &mut Vec<Output>,
     ) {
-        if self.superseded {
+        if self.is_superseded {
             return;
         }
         self.clock.observe_datagram(now_us);
--- a/crates/cluster-membership/src/membership/send.rs
+++ b/crates/cluster-membership/src/membership/send.rs
@@ -100,7 +100,7 @@
     /// Notifies up to [`MAX_LEAVE_NOTICES`] present members that this one leaves. Each further call and each tick
     /// repeats that.
     pub fn leave(&mut self, now_us: u64, outputs: &mut Vec<Output>) {
-        if self.superseded {
+        if self.is_superseded {
             return;
         }
         self.set_phase(now_us, LifecyclePhase::Left);
@@ -124,7 +124,7 @@
         message: Vec<u8>,
         outputs: &mut Vec<Output>,
     ) {
-        if !self.superseded && !self.has_left {
+        if !self.is_superseded && !self.has_left {
             let content = DatagramContent {
                 message,
                 ..DatagramContent::default()
--- a/crates/cluster-membership/src/membership/state.rs
+++ b/crates/cluster-membership/src/membership/state.rs
@@ -27,7 +27,7 @@
     /// Latest record of the member.
     pub record: MemberRecord,
     /// Microseconds of running time since a datagram was last received directly from the member; `None` if never.
-    pub heard_us: Option<u64>,
+    pub since_received_us: Option<u64>,
 }
 
 /// A probe in flight on behalf of another member.
@@ -73,7 +73,7 @@
     pub(super) has_joined: bool,
     /// Whether a later process is running under this member's name. This process then neither sends nor handles
     /// datagrams.
-    pub superseded: bool,
+    pub is_superseded: bool,
     /// Whether [`Membership::leave`] was called.
     pub(super) has_left: bool,
 }
@@ -94,7 +94,7 @@
             clock: RunClock::new(&config),
             table: MemberTable::new(own_record, config.max_members.max(2), config.forget_us),
             detector: FailureDetector::new(config.probe_interval_us, rng.next_u64()),
-            usage: UsageGossip::new(instance, config.gateways, config.max_entries),
+            usage: UsageGossip::new(instance, config.gateway_count, config.max_usage_counters),
             gauges: Gauges::default(),
             rng,
             peers: BTreeMap::new(),
@@ -110,7 +110,7 @@
             next_seed_contact_at_us: 0,
             next_comparison_at_us: 0,
             has_joined: config.seeds.iter().all(|seed| *seed == config.advertise),
-            superseded: false,
+            is_superseded: false,
             has_left: false,
             config,
         }
@@ -135,7 +135,7 @@
     pub fn members(&self) -> impl Iterator<Item = MemberStatus> + '_ {
         self.table.records().map(|record| MemberStatus {
             record: record.clone(),
-            heard_us: self.time_since_received_us(&record.name),
+            since_received_us: self.time_since_received_us(&record.name),
         })
     }
 
@@ -218,7 +218,7 @@
         region: config.region.clone(),
         address: config.advertise,
         instance_id,
-        incarnation: config.started_ms.max(1),
+        incarnation: config.started_at_unix_ms.max(1),
         phase: LifecyclePhase::Joining,
         liveness: Liveness::Alive,
         program: config.program.clone(),
--- a/crates/cluster-membership/src/membership/tick.rs
+++ b/crates/cluster-membership/src/membership/tick.rs
@@ -22,7 +22,7 @@
         self.forget_gone(now_us, outputs);
         self.report_absent_gateways(outputs);
         self.report_usage(now_us, outputs);
-        if self.superseded {
+        if self.is_superseded {
             return;
         }
         if self.has_left {
@@ -63,7 +63,7 @@
         if !self.has_joined {
             return;
         }
-        let mut is_used = vec![false; usize::from(self.config.gateways)];
+        let mut is_used = vec![false; usize::from(self.config.gateway_count)];
         for record in self.table.records() {
             if record.phase == LifecyclePhase::Left {
                 continue;
--- a/crates/cluster-membership/tests/gateways/mod.rs
+++ b/crates/cluster-membership/tests/gateways/mod.rs
@@ -395,16 +395,16 @@
             match output {
                 Output::Send { to, bytes } => self.send(n, to, bytes),
                 Output::UsageReported {
-                    complete_gateways: heard,
+                    complete_gateways,
                     uses,
                     earlier_uses,
                 } => {
                     self.handle(
                         n,
                         Event::UsageReported {
-                            heard,
+                            complete_gateways,
                             uses,
-                            past: earlier_uses,
+                            earlier_uses,
                         },
                     );
                 }
--- a/crates/cluster-membership/tests/golden_forms.rs
+++ b/crates/cluster-membership/tests/golden_forms.rs
@@ -11,7 +11,7 @@
 };
 use frosthatch_cluster_membership::{LifecyclePhase, Liveness, MemberRecord, Output};
 use std::fmt::Write;
-use world::{address_of, config, keys, World, S, TICK_US};
+use world::{address_of, config, keys, World, SECOND_US, TICK_US};
 
 fn compare_with_recorded(file: &str, actual: &str) {
     let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -189,7 +189,7 @@
         writeln!(text, "{seed} {step}: {sent}").expect("writing to a string cannot fail");
     };
     (0..6).for_each(|n| world.start(n));
-    world.run(3 * S);
+    world.run(3 * SECOND_US);
     record_step("join", &mut world);
     for n in 0..30 {
         world.node(n % 6).membership.record_usage(n as u32 % 4, 1.5);
@@ -199,35 +199,35 @@
     send_gauge_and_message(&mut world);
     record_step("figures", &mut world);
     world.kill(4);
-    world.run(8 * S);
+    world.run(8 * SECOND_US);
     record_step("death", &mut world);
-    let restarted = config(4, 6, world.now / 1_000);
+    let restarted = config(4, 6, world.now_us / 1_000);
     world.start_with(4, restarted);
-    world.run(2 * S);
+    world.run(2 * SECOND_US);
     record_step("return", &mut world);
     world.is_link_cut = Box::new(|a, b| a / 3 != b / 3);
-    world.run(8 * S);
+    world.run(8 * SECOND_US);
     world.is_link_cut = Box::new(|_, _| false);
-    world.run(8 * S);
+    world.run(8 * SECOND_US);
     record_step("cut and heal", &mut world);
     world.loss = 0.3;
-    world.delay = (1_000, 150_000);
-    world.run(5 * S);
+    world.delay_range_us = (1_000, 150_000);
+    world.run(5 * SECOND_US);
     world.loss = 0.0;
-    world.delay = (1_000, 1_000);
+    world.delay_range_us = (1_000, 1_000);
     record_step("loss", &mut world);
-    let now_us = world.now;
+    let now_us = world.now_us;
     let mut outputs = Vec::new();
     world.node(5).membership.leave(now_us, &mut outputs);
     deliver_all(&mut world, 5, 0, outputs);
     world.kill(5);
-    world.run(3 * S);
+    world.run(3 * SECOND_US);
     record_step("leave", &mut world);
     text
 }
 
 fn send_gauge_and_message(world: &mut World) {
-    let now_us = world.now;
+    let now_us = world.now_us;
     assert!(world.node(2).membership.set_gauge(now_us, "strain", 0.25));
     let mut outputs = Vec::new();
     world
@@ -235,7 +235,7 @@
         .membership
         .send_message(now_us, "n3", b"a message".to_vec(), &mut outputs);
     deliver_all(world, 1, 3, outputs);
-    world.run(S);
+    world.run(SECOND_US);
 }
 
 #[test]
--- a/crates/cluster-membership/tests/usage_dissemination.rs
+++ b/crates/cluster-membership/tests/usage_dissemination.rs
@@ -5,7 +5,7 @@
 
 use frosthatch_cluster_membership::usage_counters::WINDOW_US;
 use frosthatch_cluster_membership::{MembershipConfig, Output};
-use world::{address_of, config, World, S, TICK_US};
+use world::{address_of, config, World, SECOND_US, TICK_US};
 
 /// Returns the units of the customer `tag` that other members reported to the member `n`.
 fn peer_usage(world: &World, n: usize, tag: u32) -> f64 {
@@ -18,14 +18,14 @@
 
 #[test]
 fn usage_reaches_all_other_members_once() {
-    let mut world = World::settled(4, 1);
+    let mut world = World::converged(4, 1);
     world.node(0).membership.record_usage(9, 2.5);
     world.node(1).membership.record_usage(9, 1.0);
-    world.run(S / 2);
+    world.run(SECOND_US / 2);
     let totals: Vec<f64> = (0..4).map(|n| peer_usage(&world, n, 9)).collect();
     assert_eq!(totals, [1.0, 2.5, 3.5, 3.5]);
     for n in 0..4 {
-        let now_us = world.now;
+        let now_us = world.now_us;
         let reported = world
             .node(n)
             .last_complete_report_at_us
@@ -41,9 +41,9 @@
 
 #[test]
 fn loss_reordering_and_duplication_change_no_total() {
-    let mut world = World::settled(3, 2);
+    let mut world = World::converged(3, 2);
     world.loss = 0.3;
-    world.delay = (1_000, 150_000);
+    world.delay_range_us = (1_000, 150_000);
     world.recorded_datagrams = Some(Vec::new());
     let mut expected_units = 0.0;
     for n in 0..200 {
@@ -61,7 +61,7 @@
         }
     }
     world.loss = 0.0;
-    world.run(S);
+    world.run(SECOND_US);
     assert!(
         (peer_usage(&world, 1, 5) - expected_units).abs() < 0.5
             && (peer_usage(&world, 2, 5) - expected_units).abs() < 0.5,
@@ -71,24 +71,24 @@
 
 #[test]
 fn a_healed_partition_counts_no_usage_twice() {
-    let mut world = World::settled(4, 3);
+    let mut world = World::converged(4, 3);
     world.is_link_cut = Box::new(|a, b| a / 2 != b / 2);
     for _ in 0..100 {
         (0..4).for_each(|n| world.node(n).membership.record_usage(1, 1.0));
         world.run(TICK_US);
     }
-    world.run(S / 2);
+    world.run(SECOND_US / 2);
     assert!(
         (0..4).all(|n| (peer_usage(&world, n, 1) - 100.0).abs() < 0.1),
         "only the usage of the other member in the same partition"
     );
     world.is_link_cut = Box::new(|_, _| false);
-    world.run(3 * S);
+    world.run(3 * SECOND_US);
     assert!(
         (0..4).all(|n| (peer_usage(&world, n, 1) - 300.0).abs() < 0.1),
         "all usage of the three other members"
     );
-    world.run(S);
+    world.run(SECOND_US);
     assert!(
         (0..4).all(|n| (peer_usage(&world, n, 1) - 300.0).abs() < 0.1),
         "no usage is counted twice"
@@ -97,27 +97,27 @@
 
 #[test]
 fn usage_is_relayed_by_a_third_member_where_a_link_is_cut() {
-    let mut world = World::settled(3, 4);
+    let mut world = World::converged(3, 4);
     world.is_link_cut = Box::new(|a, b| (a.min(b), a.max(b)) == (0, 1));
-    world.run(3 * S);
+    world.run(3 * SECOND_US);
     world.node(0).membership.record_usage(3, 7.0);
-    world.run(3 * S);
+    world.run(3 * SECOND_US);
     assert_eq!(
         (peer_usage(&world, 1, 3), peer_usage(&world, 2, 3)),
         (7.0, 7.0)
     );
-    assert!(world.accusations().is_empty());
+    assert!(world.death_log_lines().is_empty());
 }
 
 #[test]
 fn a_restarted_member_learns_the_usage_of_its_earlier_instance() {
-    let mut world = World::settled(3, 5);
+    let mut world = World::converged(3, 5);
     world.node(0).membership.record_usage(4, 5.0);
-    world.run(S);
+    world.run(SECOND_US);
     world.kill(0);
     world.run(TICK_US);
     world.start(0);
-    world.run(2 * S);
+    world.run(2 * SECOND_US);
     assert_eq!(
         (
             peer_usage(&world, 0, 4),
@@ -127,7 +127,7 @@
         "usage of its earlier instance is reported as admitted before the gateway became known"
     );
     world.node(0).membership.record_usage(4, 2.0);
-    world.run(S);
+    world.run(SECOND_US);
     assert_eq!(
         (peer_usage(&world, 1, 4), peer_usage(&world, 2, 4)),
         (7.0, 7.0)
@@ -138,11 +138,11 @@
 /// their senders are running now.
 #[test]
 fn datagrams_that_waited_during_a_pause_are_not_current_reports() {
-    let mut world = World::settled(2, 6);
+    let mut world = World::converged(2, 6);
     world.node(0).is_stopped = true;
-    world.run(S / 10);
+    world.run(SECOND_US / 10);
     world.node(1).membership.record_usage(1, 3.0);
-    world.run(10 * S);
+    world.run(10 * SECOND_US);
     let reported_before = world.node(0).last_complete_report_at_us[&1];
     world.is_link_cut = Box::new(|_, _| true);
     world.node(0).is_stopped = false;
@@ -155,25 +155,25 @@
         (3.0, reported_before)
     );
     world.is_link_cut = Box::new(|_, _| false);
-    world.run(2 * S);
+    world.run(2 * SECOND_US);
     assert!(world.node(0).last_complete_report_at_us[&1] > reported_before);
 }
 
 #[test]
 fn a_clock_step_of_an_hour_loses_no_usage_and_causes_no_death() {
-    let mut world = World::settled(2, 7);
+    let mut world = World::converged(2, 7);
     world.node(0).membership.record_usage(1, 3.0);
-    world.run(S);
-    world.node(0).clock_skew_us += 3_600 * S;
+    world.run(SECOND_US);
+    world.node(0).clock_skew_us += 3_600 * SECOND_US;
     world.node(0).membership.record_usage(1, 2.0);
-    world.run(S);
+    world.run(SECOND_US);
     world.node(1).membership.record_usage(1, 1.0);
-    world.run(S);
+    world.run(SECOND_US);
     assert_eq!(
         (peer_usage(&world, 1, 1), peer_usage(&world, 0, 1)),
         (5.0, 1.0)
     );
-    assert!(world.accusations().is_empty());
+    assert!(world.death_log_lines().is_empty());
 }
 
 #[test]
@@ -188,8 +188,8 @@
         },
     );
     (1..4).for_each(|n| world.start(n));
-    world.run(3 * S);
-    let sent_before = world.node(0).bytes;
+    world.run(3 * SECOND_US);
+    let sent_before = world.node(0).sent_bytes;
     for round in 0..200u32 {
         for n in 0..20 {
             let tag = round % 50 * 20 + n;
@@ -197,7 +197,7 @@
         }
         world.run(TICK_US);
     }
-    let bytes_per_s = (world.node(0).bytes - sent_before) as f64 / 10.0;
+    let bytes_per_s = (world.node(0).sent_bytes - sent_before) as f64 / 10.0;
     assert!(
         (4_000.0..12_000.0).contains(&bytes_per_s),
         "sent {bytes_per_s} bytes per second"
@@ -208,9 +208,9 @@
         "{known_customers:?}"
     );
     assert!(
-        world.accusations().is_empty(),
+        world.death_log_lines().is_empty(),
         "membership takes precedence over usage: {:?}",
-        world.accusations()
+        world.death_log_lines()
     );
 }
 
@@ -221,7 +221,7 @@
         world.start_with(
             n,
             MembershipConfig {
-                max_entries: 500,
+                max_usage_counters: 500,
                 ..config(n, 2, 1_000)
             },
         );
@@ -232,8 +232,8 @@
             world.run(TICK_US);
         }
     }
-    assert!((0..2).all(|n| world.fleet(n).usage().counters().len() <= 500));
-    assert!(world.now > 2 * WINDOW_US);
+    assert!((0..2).all(|n| world.membership(n).usage().counters().len() <= 500));
+    assert!(world.now_us > 2 * WINDOW_US);
 }
 
 /// Once the byte budget is spent, messages are sent at once but without gossip, which is sent later.
@@ -249,14 +249,14 @@
             },
         );
     }
-    world.run(3 * S);
+    world.run(3 * SECOND_US);
     // This is more usage than a datagram holds.
     (0..400).for_each(|tag| world.node(0).membership.record_usage(tag, 1_000.0));
     world.run(2 * TICK_US);
     let mut sent_bytes = 0;
     let mut received = 0;
     for n in 0..50u8 {
-        let now_us = world.now + u64::from(n) * S / 100;
+        let now_us = world.now_us + u64::from(n) * SECOND_US / 100;
         let mut outputs = Vec::new();
         world
             .node(0)
@@ -286,7 +286,7 @@
         sent_bytes < 50 * 200,
         "sent {sent_bytes} bytes for fifty messages of 60 bytes"
     );
-    world.run(60 * S);
+    world.run(60 * SECOND_US);
     assert!(
         (peer_usage(&world, 1, 399) - 1_000.0).abs() < 0.1,
         "all usage arrives after the budget has recovered"
--- a/crates/cluster-membership/tests/world/mod.rs
+++ b/crates/cluster-membership/tests/world/mod.rs
@@ -15,7 +15,7 @@
 /// Interval between the ticks of a member.
 pub const TICK_US: u64 = 50_000;
 /// One second.
-pub const S: u64 = 1_000_000;
+pub const SECOND_US: u64 = 1_000_000;
 const SECRET: &[u8] = &[7; 32];
 /// Upper bound of the datagrams queued at the socket of a stopped member.
 const MAX_QUEUED_DATAGRAMS: usize = 200;
@@ -40,11 +40,11 @@
 }
 
 /// Returns the configuration of the member `n` of `count`.
-pub fn config(n: usize, count: usize, started_ms: u64) -> MembershipConfig {
+pub fn config(n: usize, count: usize, started_at_unix_ms: u64) -> MembershipConfig {
     MembershipConfig {
         name: format!("n{n}"),
         number: n as u16,
-        gateways: count as u16,
+        gateway_count: count as u16,
         zone: format!("z{}", n % 3),
         region: "north".into(),
         program: "0.2.0".into(),
@@ -54,11 +54,11 @@
         probe_interval_us: 200_000,
         bytes_per_s: 250_000,
         messages_per_s: 400,
-        max_entries: 10_000,
+        max_usage_counters: 10_000,
         max_members: 2_000,
-        forget_us: 30 * S,
-        started_ms,
-        seed: started_ms * 1_000 + n as u64,
+        forget_us: 30 * SECOND_US,
+        started_at_unix_ms,
+        seed: started_at_unix_ms * 1_000 + n as u64,
     }
 }
 
@@ -79,19 +79,19 @@
     /// Gateway numbers that no member uses, as last reported.
     pub absent_gateways: Vec<u32>,
     /// Log lines with their times.
-    pub logs: Vec<(u64, String)>,
+    pub log_lines: Vec<(u64, String)>,
     /// Total size of the sent datagrams.
-    pub bytes: u64,
+    pub sent_bytes: u64,
     /// Number of sent datagrams.
-    pub messages: u64,
+    pub sent_datagrams: u64,
     /// Processor time of all calls.
-    pub busy: Duration,
+    pub processor_time: Duration,
     /// Processor time of the longest call.
-    pub longest: Duration,
+    pub longest_call: Duration,
     /// Number of calls.
-    pub calls: u64,
+    pub call_count: u64,
     /// Number of calls that took more than a millisecond.
-    pub over_1ms: u64,
+    pub calls_over_1ms: u64,
 }
 
 impl Node {
@@ -105,13 +105,13 @@
             earlier_usage: BTreeMap::new(),
             last_complete_report_at_us: BTreeMap::new(),
             absent_gateways: Vec::new(),
-            logs: Vec::new(),
-            bytes: 0,
-            messages: 0,
-            busy: Duration::ZERO,
-            longest: Duration::ZERO,
-            calls: 0,
-            over_1ms: 0,
+            log_lines: Vec::new(),
+            sent_bytes: 0,
+            sent_datagrams: 0,
+            processor_time: Duration::ZERO,
+            longest_call: Duration::ZERO,
+            call_count: 0,
+            calls_over_1ms: 0,
         }
     }
 
@@ -121,10 +121,10 @@
         let started = ThreadTime::now();
         call(&mut self.membership, &mut outputs);
         let elapsed = started.elapsed();
-        self.busy += elapsed;
-        self.longest = self.longest.max(elapsed);
-        self.calls += 1;
-        self.over_1ms += u64::from(elapsed > Duration::from_millis(1));
+        self.processor_time += elapsed;
+        self.longest_call = self.longest_call.max(elapsed);
+        self.call_count += 1;
+        self.calls_over_1ms += u64::from(elapsed > Duration::from_millis(1));
         outputs
     }
 }
@@ -142,7 +142,7 @@
 /// The simulated members with the network between them.
 pub struct World {
     /// Virtual time.
-    pub now: u64,
+    pub now_us: u64,
     /// Number of members that may be started.
     pub count: usize,
     /// Running members by index; `None` for one that is not running.
@@ -152,7 +152,7 @@
     /// Fraction of datagrams that are lost.
     pub loss: f64,
     /// Minimum and maximum delay of a datagram.
-    pub delay: (u64, u64),
+    pub delay_range_us: (u64, u64),
     /// Whether all datagrams from one member (first argument) to another (second argument) are lost.
     pub is_link_cut: Box<dyn Fn(usize, usize) -> bool>,
     random_state: u64,
@@ -164,13 +164,13 @@
     /// Creates a world in which no member is running.
     pub fn new(count: usize, seed: u64) -> World {
         World {
-            now: S,
+            now_us: SECOND_US,
             count,
             nodes: (0..count).map(|_| None).collect(),
             in_flight: BinaryHeap::new(),
             sent_count: 0,
             loss: 0.0,
-            delay: (1_000, 1_000),
+            delay_range_us: (1_000, 1_000),
             is_link_cut: Box::new(|_, _| false),
             random_state: seed,
             recorded_datagrams: None,
@@ -178,22 +178,22 @@
     }
 
     /// Creates a world in which all members are running and have joined each other.
-    pub fn settled(count: usize, seed: u64) -> World {
+    pub fn converged(count: usize, seed: u64) -> World {
         let mut world = World::new(count, seed);
         (0..count).for_each(|n| world.start(n));
-        world.run(3 * S);
+        world.run(3 * SECOND_US);
         world
     }
 
     /// Starts the member `n` with its default configuration.
     pub fn start(&mut self, n: usize) {
-        self.start_with(n, config(n, self.count, self.now / 1_000));
+        self.start_with(n, config(n, self.count, self.now_us / 1_000));
     }
 
     /// Starts the member `n` in the phase [`LifecyclePhase::Ready`] with the given configuration.
     pub fn start_with(&mut self, n: usize, config: MembershipConfig) {
         let mut membership = Membership::new(config, keys());
-        membership.set_phase(self.now, LifecyclePhase::Ready);
+        membership.set_phase(self.now_us, LifecyclePhase::Ready);
         self.nodes[n] = Some(Node::new(membership));
     }
 
@@ -208,7 +208,7 @@
     }
 
     /// Returns the state machine of the member `n`.
-    pub fn fleet(&self, n: usize) -> &Membership {
+    pub fn membership(&self, n: usize) -> &Membership {
         &self.nodes[n]
             .as_ref()
             .expect("the member is running")
@@ -226,13 +226,13 @@
 
     /// Runs for a number of microseconds in steps of a millisecond. The members tick in different steps.
     pub fn run(&mut self, us: u64) {
-        let end_us = self.now + us;
-        while self.now < end_us {
-            self.now += 1_000;
+        let end_us = self.now_us + us;
+        while self.now_us < end_us {
+            self.now_us += 1_000;
             while let Some(datagram) = self.next_arrival() {
                 self.deliver(datagram.to, address_of(datagram.from), &datagram.bytes);
             }
-            let phase = (self.now / 1_000 % (TICK_US / 1_000)) as usize;
+            let phase = (self.now_us / 1_000 % (TICK_US / 1_000)) as usize;
             for n in (phase..self.nodes.len()).step_by(TICK_US as usize / 1_000) {
                 self.tick(n);
             }
@@ -242,7 +242,7 @@
     /// Removes and returns the next datagram that has arrived by now.
     fn next_arrival(&mut self) -> Option<InFlightDatagram> {
         let next = self.in_flight.peek()?;
-        if next.0.arrives_at_us > self.now {
+        if next.0.arrives_at_us > self.now_us {
             return None;
         }
         self.in_flight.pop().map(|datagram| datagram.0)
@@ -250,7 +250,7 @@
 
     /// Delivers the datagrams queued at a member that is not stopped, and ticks the member.
     fn tick(&mut self, n: usize) {
-        let now_us = self.now;
+        let now_us = self.now_us;
         let Some(node) = self.nodes[n].as_mut().filter(|node| !node.is_stopped) else {
             return;
         };
@@ -267,7 +267,7 @@
 
     /// Delivers a datagram at once, or queues it if the member is stopped.
     pub fn deliver(&mut self, to: usize, from: SocketAddr, bytes: &[u8]) {
-        let now_us = self.now;
+        let now_us = self.now_us;
         let Some(node) = self.nodes[to].as_mut() else {
             return;
         };
@@ -291,7 +291,7 @@
                 self.send(n, to, bytes);
                 continue;
             }
-            let now_us = self.now;
+            let now_us = self.now_us;
             let Some(node) = self.nodes[n].as_mut() else {
                 return;
             };
@@ -315,7 +315,7 @@
                     }
                 }
                 Output::GatewaysAbsent(absent_gateways) => node.absent_gateways = absent_gateways,
-                Output::Log(line) => node.logs.push((now_us, line)),
+                Output::Log(line) => node.log_lines.push((now_us, line)),
             }
         }
     }
@@ -326,13 +326,13 @@
         let node = self.nodes[from]
             .as_mut()
             .expect("only a running member sends");
-        node.bytes += bytes.len() as u64;
-        node.messages += 1;
+        node.sent_bytes += bytes.len() as u64;
+        node.sent_datagrams += 1;
         let Some(to) = index_of(to).filter(|n| *n < self.count) else {
             return;
         };
         let is_lost = self.random_fraction() < self.loss || (self.is_link_cut)(from, to);
-        let (min_delay_us, max_delay_us) = self.delay;
+        let (min_delay_us, max_delay_us) = self.delay_range_us;
         let extra_delay_us = (self.random_fraction() * (max_delay_us - min_delay_us) as f64) as u64;
         if is_lost {
             return;
@@ -342,7 +342,7 @@
         }
         self.sent_count += 1;
         self.in_flight.push(Reverse(InFlightDatagram {
-            arrives_at_us: self.now + min_delay_us + extra_delay_us,
+            arrives_at_us: self.now_us + min_delay_us + extra_delay_us,
             sequence: self.sent_count,
             to,
             from,
@@ -359,7 +359,7 @@
     /// Returns the state of the member `member` as known to the member `observer`.
     pub fn state(&self, member: usize, observer: usize) -> &'static str {
         let name = format!("n{member}");
-        self.fleet(observer)
+        self.membership(observer)
             .members()
             .find(|status| status.record.name == name)
             .map_or("unknown", |status| status.record.state())
@@ -378,29 +378,29 @@
         let digests: Vec<u64> = self
             .running()
             .iter()
-            .map(|n| self.fleet(*n).view().digest)
+            .map(|n| self.membership(*n).view().digest)
             .collect();
         digests.windows(2).all(|w| w[0] == w[1])
     }
 
     /// Runs until a condition holds and returns the elapsed microseconds; `None` if it does not hold after
     /// `timeout_us`.
-    pub fn until(&mut self, timeout_us: u64, holds: impl Fn(&World) -> bool) -> Option<u64> {
-        let from_us = self.now;
-        while self.now < from_us + timeout_us {
+    pub fn run_until(&mut self, timeout_us: u64, holds: impl Fn(&World) -> bool) -> Option<u64> {
+        let from_us = self.now_us;
+        while self.now_us < from_us + timeout_us {
             if holds(self) {
-                return Some(self.now - from_us);
+                return Some(self.now_us - from_us);
             }
             self.run(TICK_US);
         }
-        holds(self).then_some(self.now - from_us)
+        holds(self).then_some(self.now_us - from_us)
     }
 
     /// Returns the log lines that report a member dead, with the member that wrote them and the time.
-    pub fn accusations(&self) -> Vec<(usize, u64, String)> {
+    pub fn death_log_lines(&self) -> Vec<(usize, u64, String)> {
         let mut death_log_lines = Vec::new();
         for (n, node) in self.nodes.iter().enumerate() {
-            let lines = node.iter().flat_map(|node| &node.logs);
+            let lines = node.iter().flat_map(|node| &node.log_lines);
             for (at, line) in lines.filter(|(_, line)| line.contains(": dead")) {
                 death_log_lines.push((n, *at, line.clone()));
             }
--- a/crates/diameter/src/front/requests.rs
+++ b/crates/diameter/src/front/requests.rs
@@ -183,7 +183,7 @@
         };
         IncomingRequest {
             request,
-            client_leaves_at: gone_at,
+            client_deadline: gone_at,
             payload: Box::new(payload),
         }
     }
--- a/crates/engine/src/attempt_permit.rs
+++ b/crates/engine/src/attempt_permit.rs
@@ -66,25 +66,25 @@
     request: RequestId,
     /// The last byte of the attempt has to be written before this.
     latest_start: Instant,
-    client_leaves_at: Instant,
+    client_deadline: Instant,
     client: ClientPresence,
     violations: Rc<Violations>,
 }
 
 impl AttemptPermit {
     /// Creates a permit for an attempt whose last byte has to be written before `latest_start`, and whose client waits
-    /// until `client_leaves_at`.
+    /// until `client_deadline`.
     pub fn new(
         request: RequestId,
         latest_start: Instant,
-        client_leaves_at: Instant,
+        client_deadline: Instant,
         client: ClientPresence,
         violations: Rc<Violations>,
     ) -> Self {
         AttemptPermit {
             request,
             latest_start,
-            client_leaves_at,
+            client_deadline,
             client,
             violations,
         }
@@ -117,13 +117,13 @@
         let client_stopped_waiting_at = self
             .client
             .stopped_waiting_at()
-            .map_or(self.client_leaves_at, |stopped_waiting_at| {
-                stopped_waiting_at.min(self.client_leaves_at)
+            .map_or(self.client_deadline, |stopped_waiting_at| {
+                stopped_waiting_at.min(self.client_deadline)
             });
         if now > client_stopped_waiting_at + CLIENT_GONE_SLACK {
             record_violation(Rule::ClientWaiting);
         }
-        let latest_deadline = self.client_leaves_at + FORWARDED_DEADLINE_SLACK;
+        let latest_deadline = self.client_deadline + FORWARDED_DEADLINE_SLACK;
         if forwarded_deadline.is_some_and(|deadline| deadline > latest_deadline) {
             record_violation(Rule::ForwardedDeadline);
         }
--- a/crates/engine/src/engine/attempts.rs
+++ b/crates/engine/src/engine/attempts.rs
@@ -51,7 +51,7 @@
         let permit = AttemptPermit::new(
             id,
             started_at + Duration::from_micros(limits.begin_within_us),
-            request.client_leaves_at,
+            request.client_deadline,
             request.client.clone(),
             self.violations.clone(),
         );
--- a/crates/engine/src/engine/gateways.rs
+++ b/crates/engine/src/engine/gateways.rs
@@ -17,9 +17,9 @@
         earlier_uses: Vec<(u32, f64)>,
     ) {
         self.feed(Event::UsageReported {
-            heard: complete_gateways,
+            complete_gateways,
             uses: new_uses,
-            past: earlier_uses,
+            earlier_uses,
         });
     }
 
--- a/crates/engine/src/engine/requests.rs
+++ b/crates/engine/src/engine/requests.rs
@@ -31,18 +31,18 @@
         let (sender, receiver) = oneshot::channel();
         let IncomingRequest {
             mut request,
-            client_leaves_at: client_timeout_at,
+            client_deadline: client_timeout_at,
             payload,
         } = incoming;
-        let client_leaves_at = self
+        let client_deadline = self
             .answer_all_by
             .get()
             .map_or(client_timeout_at, |deadline| {
                 client_timeout_at.min(deadline)
             });
-        let answer_deadline = client_leaves_at
+        let answer_deadline = client_deadline
             .checked_sub(RESPONSE_MARGIN)
-            .unwrap_or(client_leaves_at);
+            .unwrap_or(client_deadline);
         {
             let mut state = self.state.borrow_mut();
             if state.requests.contains(request.id) {
@@ -53,7 +53,7 @@
                 response_sender: Some(sender),
                 client: ClientPresence::default(),
                 answer_deadline,
-                client_leaves_at,
+                client_deadline,
                 payload,
                 attempts: Vec::new(),
                 last_attempt_timed_out: false,
@@ -62,8 +62,7 @@
             let key = TimerKey::AnswerDeadline(request.id.0);
             self.set_timer(&mut state, answer_deadline, key);
         }
-        let remaining =
-            client_leaves_at.saturating_duration_since(Instant::now() + DECISION_MARGIN);
+        let remaining = client_deadline.saturating_duration_since(Instant::now() + DECISION_MARGIN);
         request.remaining_us = remaining.as_micros() as u64;
         debug!(
             target: EVENT_TARGET,
--- a/crates/engine/src/ports/plugin.rs
+++ b/crates/engine/src/ports/plugin.rs
@@ -27,7 +27,7 @@
         /// The quota units to charge, if more than the request states.
         units: Option<f64>,
         /// Whether the request gets low priority.
-        deprioritized: bool,
+        low_priority: bool,
         /// The timeout for the response, if the plugins change it.
         timeout: Option<Duration>,
         /// Header lines to add to the response.
@@ -45,7 +45,7 @@
 /// The operator's plugins. A plugin may be slow or faulty, so every wait for one is bounded.
 pub trait RequestPlugins {
     /// Returns the lower-case names of the headers and the number of bytes of the body that the plugins need.
-    fn wanted_input(&self) -> Rc<(Vec<String>, usize)>;
+    fn required_input(&self) -> Rc<(Vec<String>, usize)>;
     /// Evaluates a request before it is submitted; `None` if no plugin applies to it.
     fn evaluate_request(
         self: Rc<Self>,
--- a/crates/engine/src/ports/request.rs
+++ b/crates/engine/src/ports/request.rs
@@ -12,7 +12,7 @@
     /// The request as traffic control receives it.
     pub request: Request,
     /// When the client stops waiting for the response.
-    pub client_leaves_at: Instant,
+    pub client_deadline: Instant,
     /// The part of the request that is sent to a server.
     pub payload: Box<dyn Payload>,
 }
--- a/crates/engine/src/request_table.rs
+++ b/crates/engine/src/request_table.rs
@@ -38,7 +38,7 @@
     /// The latest moment for the final response.
     pub answer_deadline: Instant,
     /// When the client stops waiting for the response, or the last answer deadline of the process if that is earlier.
-    pub client_leaves_at: Instant,
+    pub client_deadline: Instant,
     /// The part of the request that each attempt sends to a server.
     pub payload: Box<dyn Payload>,
     /// The attempts, indexed by attempt number; `None` for an attempt that has ended.
--- a/crates/frosthatch/src/membership.rs
+++ b/crates/frosthatch/src/membership.rs
@@ -114,7 +114,7 @@
         name: addresses.name,
         number: u16::try_from(settings.gateway_index)
             .map_err(|_| "fleet: settings.me is above 65535")?,
-        gateways: u16::try_from(settings.gateways)
+        gateway_count: u16::try_from(settings.gateways)
             .map_err(|_| "fleet: more than 65535 balancers")?,
         zone: fleet.zone.clone().unwrap_or_else(|| settings.zone.clone()),
         region: fleet.region.clone(),
@@ -125,10 +125,10 @@
         probe_interval_us: micros(fleet.probe_interval),
         bytes_per_s: fleet.bytes_per_s,
         messages_per_s: fleet.messages_per_s,
-        max_entries: fleet.max_usage_entries.min(max_entries),
+        max_usage_counters: fleet.max_usage_entries.min(max_entries),
         max_members: fleet.max_members.min(max_members),
         forget_us: micros(fleet.forget_after),
-        started_ms: started.as_millis() as u64,
+        started_at_unix_ms: started.as_millis() as u64,
         // Another instance with each start, also where the platform gives the same seed again.
         seed: platform.seed ^ started.as_nanos() as u64 ^ u64::from(std::process::id()) << 32,
     })
@@ -206,7 +206,7 @@
             region: record.region,
             incarnation: record.incarnation,
             program: record.program,
-            heard_ms: member.heard_us.map(|us| us / 1_000),
+            heard_ms: member.since_received_us.map(|us| us / 1_000),
         }
     }
 }
@@ -216,7 +216,7 @@
     let view = cluster.view();
     FleetStatus {
         me: cluster.own_record().name.clone(),
-        replaced: cluster.superseded,
+        replaced: cluster.is_superseded,
         view: ViewStatus {
             digest: format!("{:016x}", view.digest),
             stable_ms: now_us.saturating_sub(view.changed_at_us) / 1_000,
--- a/crates/frosthatch/src/outlier_gossip.rs
+++ b/crates/frosthatch/src/outlier_gossip.rs
@@ -79,12 +79,12 @@
     let mut reports = HealthReports::default();
     for (name, value, at_us) in gauges {
         if name == SERVERS_USED_GAUGE {
-            reports.uses = value as usize;
+            reports.used_servers = value as usize;
             continue;
         }
         let digits = name.strip_prefix(SERVER_GAUGE_PREFIX);
         if let Some(Ok(key)) = digits.map(|digits| u64::from_str_radix(digits, 16)) {
-            reports.of.push((key, value, at_us));
+            reports.reports.push((key, value, at_us));
         }
     }
     reports
@@ -93,15 +93,15 @@
 /// The gauges that carry health reports.
 fn gauges_from_reports(reports: &HealthReports) -> GaugeValues {
     let rounded = |error_rate: f64| (error_rate / ERROR_RATE_STEP).round() * ERROR_RATE_STEP;
-    let servers = reports.of.iter().map(|(key, error_rate, at_us)| {
+    let servers = reports.reports.iter().map(|(key, error_rate, at_us)| {
         let value = rounded(*error_rate);
         let at_us = *at_us;
         let name = format!("{SERVER_GAUGE_PREFIX}{key:016x}");
         (name, Measurement { value, at_us })
     });
     // Without a report on any server nobody needs to know how many are used.
-    let servers_used = (!reports.of.is_empty()).then(|| {
-        let value = reports.uses as f64;
+    let servers_used = (!reports.reports.is_empty()).then(|| {
+        let value = reports.used_servers as f64;
         let name = SERVERS_USED_GAUGE.to_string();
         (name, Measurement { value, at_us: 0 })
     });
--- a/crates/frosthatch/src/outlier_gossip/tests.rs
+++ b/crates/frosthatch/src/outlier_gossip/tests.rs
@@ -14,8 +14,8 @@
 fn only_changed_gauges_are_sent() {
     let mut state = GossipState::default();
     let reports = |errors, at| HealthReports {
-        uses: 5,
-        of: vec![(3, errors, at)],
+        used_servers: 5,
+        reports: vec![(3, errors, at)],
     };
     assert_eq!(state.gauge_changes(&reports(0.5, 7)).set.len(), 2);
     assert_eq!(state.gauge_changes(&reports(0.52, 8)), unchanged());
@@ -32,13 +32,13 @@
 #[test]
 fn reports_survive_the_way_through_gauges() {
     let reports = HealthReports {
-        uses: 12,
-        of: vec![(3, 0.9, 7), (u64::MAX, 0.04, 9)],
+        used_servers: 12,
+        reports: vec![(3, 0.9, 7), (u64::MAX, 0.04, 9)],
     };
     let gauges = gauges_from_reports(&reports);
     assert!(gauges
         .keys()
-        .all(|name| name.len() <= frosthatch_cluster_membership::gauges::MAX_NAME_BYTES));
+        .all(|name| name.len() <= frosthatch_cluster_membership::gauges::MAX_GAUGE_NAME_BYTES));
     let received = reports_from_gauges(
         gauges
             .into_iter()
@@ -47,13 +47,13 @@
     assert_eq!(
         received,
         HealthReports {
-            uses: 12,
-            of: vec![(3, 0.9, 7), (u64::MAX, 0.0, 9)]
+            used_servers: 12,
+            reports: vec![(3, 0.9, 7), (u64::MAX, 0.0, 9)]
         }
     );
     let no_servers = HealthReports {
-        uses: 3,
-        of: Vec::new(),
+        used_servers: 3,
+        reports: Vec::new(),
     };
     assert!(gauges_from_reports(&no_servers).is_empty());
     // Gauges for other purposes, and garbled ones, carry no report.
--- a/crates/frosthatch/src/platform_config.rs
+++ b/crates/frosthatch/src/platform_config.rs
@@ -271,7 +271,7 @@
     decisions.max_retry_after_us = sockets.limits.max_retry_after_us;
     decisions.has_counter &= has_counter;
     if reader.is_without_errors() {
-        for what in decisions.mistakes() {
+        for what in decisions.validation_errors() {
             reader.report("settings", what, "correct the settings");
         }
     }
--- a/crates/frosthatch/src/policy/document_terms.rs
+++ b/crates/frosthatch/src/policy/document_terms.rs
@@ -45,7 +45,7 @@
             classes: terms.classes.clone(),
             ..settings.clone()
         };
-        errors = effective.mistakes();
+        errors = effective.validation_errors();
     }
     if errors.is_empty() {
         Ok(terms)
--- a/crates/http1/src/server/answering.rs
+++ b/crates/http1/src/server/answering.rs
@@ -82,7 +82,7 @@
             None => return self.submit(client, request).await,
             Some(PluginVerdict::Continue {
                 units,
-                deprioritized: is_low_priority,
+                low_priority: is_low_priority,
                 timeout: response_timeout,
                 headers,
             }) => {
@@ -119,7 +119,7 @@
         });
         let submitted = self.engine.submit(IncomingRequest {
             request: client_request.request,
-            client_leaves_at: client_request.client_deadline,
+            client_deadline: client_request.client_deadline,
             payload,
         });
         let responding = submitted.map_err(|DuplicateRequest| BadRequest::Duplicate)?;
@@ -144,9 +144,9 @@
     request: &mut ClientRequest,
     now: Instant,
 ) -> PluginRequest {
-    let wanted_input = plugins.wanted_input();
+    let required_input = plugins.required_input();
     let body = &request.forwarded.body;
-    let copied_body_bytes = wanted_input.1.min(body.len());
+    let copied_body_bytes = required_input.1.min(body.len());
     PluginRequest {
         request: request.request.clone(),
         remaining: request.client_deadline.saturating_duration_since(now),
--- a/crates/http1/src/server/request_head.rs
+++ b/crates/http1/src/server/request_head.rs
@@ -124,8 +124,8 @@
         let Some(plugins) = &self.plugins else {
             return Vec::new();
         };
-        let wanted_input = plugins.wanted_input();
-        let wanted_names = &wanted_input.0;
+        let required_input = plugins.required_input();
+        let wanted_names = &required_input.0;
         wanted_names
             .iter()
             .filter_map(|name| Some((name.clone(), find_header(headers, name)?.to_string())))
--- a/crates/lab/src/choices_size.rs
+++ b/crates/lab/src/choices_size.rs
@@ -244,7 +244,7 @@
                         continue;
                     };
                     let words = gateway.health_reports();
-                    if words.of.is_empty() {
+                    if words.reports.is_empty() {
                         continue;
                     }
                     for to in (0..self.gateways.len()).filter(|to| *to != by) {
--- a/crates/lab/src/members_size.rs
+++ b/crates/lab/src/members_size.rs
@@ -7,7 +7,7 @@
 
 #[path = "../../cluster-membership/tests/world/mod.rs"]
 mod world;
-use world::{World, S};
+use world::{World, SECOND_US};
 
 const SIZES: [usize; 4] = [4, 64, 300, 1_000];
 const LOSSES: [f64; 3] = [0.0, 0.05, 0.3];
@@ -30,7 +30,7 @@
 }
 
 pub fn play(seconds: Option<u64>, figures: &mut Figures) {
-    let lasts = seconds.unwrap_or(10) * S;
+    let lasts = seconds.unwrap_or(10) * SECOND_US;
     for size in SIZES {
         let before = memory_mb(std::process::id());
         let rows = std::thread::scope(|s| {
@@ -66,19 +66,23 @@
 }
 
 fn one(size: usize, loss: f64, lasts: u64) -> Row {
-    let mut w = World::settled(size, size as u64);
+    let mut w = World::converged(size, size as u64);
     // Tables of a thousand take a while to fill.
-    w.until(20 * S, |w| {
-        w.fleet(size - 1).view().ready_count == size && w.views_equal()
+    w.run_until(20 * SECOND_US, |w| {
+        w.membership(size - 1).view().ready_count == size && w.views_equal()
     });
     w.loss = loss;
-    w.delay = (500, 3_000);
+    w.delay_range_us = (500, 3_000);
     for n in 0..size {
         let node = w.node(n);
-        (node.bytes, node.messages, node.busy, node.longest) =
-            (0, 0, Duration::ZERO, Duration::ZERO);
-        (node.calls, node.over_1ms) = (0, 0);
-        node.logs.clear();
+        (
+            node.sent_bytes,
+            node.sent_datagrams,
+            node.processor_time,
+            node.longest_call,
+        ) = (0, 0, Duration::ZERO, Duration::ZERO);
+        (node.call_count, node.calls_over_1ms) = (0, 0);
+        node.log_lines.clear();
     }
     w.run(lasts);
     let seconds = lasts as f64 / 1e6;
@@ -86,19 +90,22 @@
         let all = w.nodes.iter().flatten().map(f);
         all.sum::<f64>() / size as f64 / seconds
     };
-    let (bytes_s, messages_s) = (each(|n| n.bytes as f64), each(|n| n.messages as f64));
-    let busy = each(|n| n.busy.as_secs_f64());
+    let (bytes_s, messages_s) = (
+        each(|n| n.sent_bytes as f64),
+        each(|n| n.sent_datagrams as f64),
+    );
+    let busy = each(|n| n.processor_time.as_secs_f64());
     let longest = w
         .nodes
         .iter()
         .flatten()
-        .map(|n| n.longest)
+        .map(|n| n.longest_call)
         .max()
         .unwrap_or_default();
     let sum = |f: fn(&world::Node) -> u64| w.nodes.iter().flatten().map(f).sum::<u64>() as f64;
-    let over_1ms = 1e6 * sum(|n| n.over_1ms) / sum(|n| n.calls);
+    let over_1ms = 1e6 * sum(|n| n.calls_over_1ms) / sum(|n| n.call_count);
     let memory = memory_mb(std::process::id());
-    let mut accused: Vec<String> = w.accusations().into_iter().map(|a| a.2).collect();
+    let mut accused: Vec<String> = w.death_log_lines().into_iter().map(|a| a.2).collect();
     accused
         .iter_mut()
         .for_each(|l| l.truncate(l.find(':').unwrap_or(0)));
@@ -106,7 +113,7 @@
     accused.dedup();
     let dies = size / 2;
     w.kill(dies);
-    let from = w.now;
+    let from = w.now_us;
     let by = |w: &World| {
         w.running()
             .iter()
@@ -114,10 +121,10 @@
             .count()
     };
     let half = w
-        .until(60 * S, |w| 2 * by(w) >= size - 1)
+        .run_until(60 * SECOND_US, |w| 2 * by(w) >= size - 1)
         .map_or(f64::INFINITY, |us| us as f64 / 1e6);
-    let all = w.until(60 * S, |w| by(w) == size - 1);
-    let all = all.map_or(f64::INFINITY, |_| (w.now - from) as f64 / 1e6);
+    let all = w.run_until(60 * SECOND_US, |w| by(w) == size - 1);
+    let all = all.map_or(f64::INFINITY, |_| (w.now_us - from) as f64 / 1e6);
     Row {
         size,
         loss,
--- a/crates/load-balancing/src/lib.rs
+++ b/crates/load-balancing/src/lib.rs
@@ -14,7 +14,7 @@
 pub mod subset;
 
 /// Returns the hash of a name. The hash is the same at every gateway and in every version of the gateway.
-pub fn key(name: &str) -> u64 {
+pub fn stable_hash(name: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes())
 }
 
--- a/crates/load-balancing/src/rotating_lease.rs
+++ b/crates/load-balancing/src/rotating_lease.rs
@@ -19,7 +19,7 @@
 ///
 /// Check this at the moment of use, so that a process that was suspended in the meantime finds that its lease has
 /// expired.
-pub fn holds(
+pub fn is_holder(
     candidate: u64,
     resource: u64,
     candidates: impl Iterator<Item = u64>,
--- a/crates/load-balancing/src/rotating_lease/tests.rs
+++ b/crates/load-balancing/src/rotating_lease/tests.rs
@@ -1,20 +1,24 @@
 //! Tests of rotating leases.
 
-use super::{holder, holds};
+use super::{holder, is_holder};
 use std::collections::BTreeMap;
 
 const SECOND_US: u64 = 1_000_000;
 
 #[test]
 fn each_epoch_has_one_holder_and_all_candidates_hold_the_lease_equally_often() {
-    let candidates: Vec<u64> = (0..12).map(|n| crate::key(&format!("g{n}"))).collect();
+    let candidates: Vec<u64> = (0..12)
+        .map(|n| crate::stable_hash(&format!("g{n}")))
+        .collect();
     let mut epochs_held = BTreeMap::<u64, f64>::new();
     for epoch in 0..12_000 {
         let now_us = epoch * SECOND_US + 3;
         let holders: Vec<u64> = candidates
             .iter()
             .copied()
-            .filter(|candidate| holds(*candidate, 7, candidates.iter().copied(), now_us, SECOND_US))
+            .filter(|candidate| {
+                is_holder(*candidate, 7, candidates.iter().copied(), now_us, SECOND_US)
+            })
             .collect();
         assert_eq!(holders.len(), 1);
         *epochs_held.entry(holders[0]).or_default() += 1.0;
@@ -58,8 +62,8 @@
     let mut both_hold_us = 0;
     for now_us in (0..200 * SECOND_US).step_by(10_000) {
         let delayed_us = now_us.saturating_sub(clock_difference_us);
-        let first = holds(1, 5, candidates.into_iter(), now_us, SECOND_US);
-        let second = holds(2, 5, candidates.into_iter(), delayed_us, SECOND_US);
+        let first = is_holder(1, 5, candidates.into_iter(), now_us, SECOND_US);
+        let second = is_holder(2, 5, candidates.into_iter(), delayed_us, SECOND_US);
         both_hold_us += u64::from(first && second) * 10_000;
     }
     // The clock of the first candidate is ahead, so both hold the lease only when it passes from the second to the
--- a/crates/load-balancing/src/subset.rs
+++ b/crates/load-balancing/src/subset.rs
@@ -18,7 +18,7 @@
 /// A server to be assigned to gateways.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Server {
-    /// The hash of the server's name, by [`crate::key`].
+    /// The hash of the server's name, by [`crate::stable_hash`].
     pub key: u64,
     /// The server's capacity relative to the others'; a weight that is not a finite positive number counts as 1.
     pub weight: f64,
@@ -30,17 +30,17 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SubsetSize {
     /// The minimum number of servers that a gateway uses.
-    pub least: usize,
+    pub min_servers_per_gateway: usize,
     /// The minimum number of gateways that use a server.
-    pub users: usize,
+    pub min_gateways_per_server: usize,
 }
 
 impl SubsetSize {
     /// Returns the number of servers in each subset; `None` if that is more than half of the servers, in which case
     /// each gateway uses all servers.
     pub fn size_for(self, gateways: usize, servers: usize) -> Option<usize> {
-        let size_for_users = (self.users * servers).div_ceil(gateways.max(1));
-        Some(self.least.max(size_for_users)).filter(|size| 2 * size <= servers)
+        let size_for_users = (self.min_gateways_per_server * servers).div_ceil(gateways.max(1));
+        Some(self.min_servers_per_gateway.max(size_for_users)).filter(|size| 2 * size <= servers)
     }
 }
 
--- a/crates/load-balancing/tests/subset.rs
+++ b/crates/load-balancing/tests/subset.rs
@@ -1,18 +1,18 @@
 //! Properties of subsets that hold for any number of gateways and servers.
 
-use frosthatch_load_balancing::key;
+use frosthatch_load_balancing::stable_hash;
 use frosthatch_load_balancing::subset::{assign, subset_of, Server, SubsetSize};
 use proptest::prelude::{prop_assert, prop_assert_eq, proptest, ProptestConfig};
 use std::collections::{BTreeMap, BTreeSet};
 
 fn gateways(count: usize) -> Vec<u64> {
-    (0..count).map(|n| key(&format!("g{n}"))).collect()
+    (0..count).map(|n| stable_hash(&format!("g{n}"))).collect()
 }
 
 fn servers(count: usize, zones: u64) -> Vec<Server> {
     (0..count)
         .map(|n| Server {
-            key: key(&format!("s{n}")),
+            key: stable_hash(&format!("s{n}")),
             weight: 1.0,
             zone: n as u64 % zones.max(1),
         })
@@ -179,8 +179,8 @@
                     max_added <= 5,
                     "{joined} joins {g} gateways and {n} servers: one gateway has {max_added} new servers, limit 5"
                 );
-                // A server that joins has `users` pairs and a gateway 10. The bound allows nine changes per pair, as a
-                // chain of changes follows from each.
+                // A server that joins has `min_gateways_per_server` pairs and a gateway 10. The bound allows nine
+                // changes per pair, as a chain of changes follows from each.
                 assert!(
                     sum <= 9 * users.max(10),
                     "{joined} joins {g} gateways and {n} servers: {sum} pairs added, limit: 9 * max({users}, 10)"
@@ -208,8 +208,8 @@
 #[test]
 fn subsets_are_large_enough_for_the_minimum_users_or_contain_all_servers() {
     let size = SubsetSize {
-        least: 10,
-        users: 3,
+        min_servers_per_gateway: 10,
+        min_gateways_per_server: 3,
     };
     assert_eq!(
         (
@@ -219,7 +219,8 @@
         ),
         (None, Some(10), None)
     );
-    // If there are few gateways, their subsets are larger than `least`, so that each server has three users.
+    // If there are few gateways, their subsets are larger than `min_servers_per_gateway`, so that each server has three
+    // users.
     assert_eq!(
         (
             size.size_for(64, 5_000),
--- a/crates/load-balancing/tests/ways.rs
+++ b/crates/load-balancing/tests/ways.rs
@@ -4,25 +4,27 @@
 //! `docs/choices.md`; the test that is not ignored checks that of these algorithms only `assign` is both even and
 //! stable.
 
-use frosthatch_load_balancing::key;
+use frosthatch_load_balancing::stable_hash;
 use frosthatch_load_balancing::subset::{assign, Server, SubsetSize};
 use std::collections::BTreeSet;
 use std::time::Instant;
 
 const SUBSET_SIZE: SubsetSize = SubsetSize {
-    least: 10,
-    users: 3,
+    min_servers_per_gateway: 10,
+    min_gateways_per_server: 3,
 };
 
 /// A function that assigns a number of servers to each gateway and returns the subsets as indices of servers.
 type Algorithm = fn(&[u64], &[Server], usize) -> Vec<Vec<u32>>;
 
 fn gateways(count: usize) -> Vec<u64> {
-    (0..count).map(|n| key(&format!("gateway-{n}"))).collect()
+    (0..count)
+        .map(|n| stable_hash(&format!("gateway-{n}")))
+        .collect()
 }
 
 fn servers(count: usize) -> Vec<Server> {
-    let name = |n: usize| key(&format!("10.0.{}.{}:80", n / 250, n % 250));
+    let name = |n: usize| stable_hash(&format!("10.0.{}.{}:80", n / 250, n % 250));
     (0..count)
         .map(|n| Server {
             key: name(n),
@@ -33,7 +35,7 @@
 }
 
 fn hash_rank(first: u64, second: u64) -> u64 {
-    key(&format!("{first}:{second}"))
+    stable_hash(&format!("{first}:{second}"))
 }
 
 fn servers_by_rank(servers: &[Server], seed: u64) -> Vec<u32> {
--- a/crates/traffic-control/src/counter/meter_history.rs
+++ b/crates/traffic-control/src/counter/meter_history.rs
@@ -8,9 +8,9 @@
 pub(super) const METER_TIMEOUT_US: Micros = 3_500_000;
 /// Minimum time constant of the usage rates. It exceeds the meter's delay, so that the rates of meter and counter
 /// cover about the same time.
-const MIN_TAU_US: f64 = 2_000_000.0;
+const MIN_TIME_CONSTANT_US: f64 = 2_000_000.0;
 /// Maximum time constant of the usage rates.
-const MAX_TAU_US: f64 = 8_000_000.0;
+const MAX_TIME_CONSTANT_US: f64 = 8_000_000.0;
 /// Units by which the quota fills within one time constant, between the two bounds above: a rate over fewer units
 /// is too noisy.
 const TAU_UNITS: f64 = 40.0;
@@ -69,7 +69,8 @@
 impl MeterHistory {
     /// Creates the history of a customer whose quota fills at `rate_per_s`.
     pub fn new(rate_per_s: f64) -> Self {
-        let tau_us = (TAU_UNITS / rate_per_s.max(1e-9) * 1e6).clamp(MIN_TAU_US, MAX_TAU_US);
+        let tau_us = (TAU_UNITS / rate_per_s.max(1e-9) * 1e6)
+            .clamp(MIN_TIME_CONSTANT_US, MAX_TIME_CONSTANT_US);
         MeterHistory {
             tau_us,
             ..MeterHistory::default()
--- a/crates/traffic-control/src/customer/counter_sync.rs
+++ b/crates/traffic-control/src/customer/counter_sync.rs
@@ -3,7 +3,7 @@
 
 use super::Customer;
 use crate::counter::{CounterEvidence, CounterReply, ReportedTotal};
-use crate::decaying_sum::DEMAND_TAU_US;
+use crate::decaying_sum::DEMAND_TIME_CONSTANT_US;
 use crate::interface::Micros;
 use crate::quota::Quota;
 
@@ -248,7 +248,7 @@
         }
         let capacity = quota.capacity;
         self.others_demand
-            .add(now, DEMAND_TAU_US, others_units.min(capacity));
+            .add(now, DEMAND_TIME_CONSTANT_US, others_units.min(capacity));
         self.sync_level(sync.level.clamp(-capacity, capacity), now);
         Some((-self.unreported).min(self.level).max(0.0))
     }
--- a/crates/traffic-control/src/customer/mod.rs
+++ b/crates/traffic-control/src/customer/mod.rs
@@ -15,10 +15,10 @@
 
 use crate::concurrency_permits::ConcurrencyPermits;
 use crate::counter::{PermitDigits, UsageLedger};
-use crate::decaying_sum::{DecayingSum, DEMAND_TAU_US};
+use crate::decaying_sum::{DecayingSum, DEMAND_TIME_CONSTANT_US};
 use crate::interface::{Ceiling, Micros, RequestId, Settings};
 use crate::quota::Quota;
-use crate::shares::StoreShares;
+use crate::shares::BucketShares;
 use std::collections::VecDeque;
 
 /// Ratio of ceiling to quota from which the ceiling is held as two parts: the quota, and what is above it.
@@ -103,7 +103,7 @@
     /// Units used at this gateway since these reports.
     pub used_since_reports: f64,
     /// Shares of the store while some gateways of the set are silent.
-    pub shares: StoreShares,
+    pub shares: BucketShares,
 
     /// Number of the customer's attempts in flight at this gateway.
     pub open_attempts: u32,
@@ -188,8 +188,8 @@
 
     /// Returns this gateway's share of the recent demand at all gateways; 0 without any demand.
     pub fn demand_share(&self, now: Micros) -> f64 {
-        let own = self.demand.at(now, DEMAND_TAU_US);
-        let others = self.others_demand.at(now, DEMAND_TAU_US);
+        let own = self.demand.at(now, DEMAND_TIME_CONSTANT_US);
+        let others = self.others_demand.at(now, DEMAND_TIME_CONSTANT_US);
         if own + others > 0.0 {
             own / (own + others)
         } else {
@@ -229,7 +229,7 @@
             let gap_us = now.saturating_sub(self.active_at) as f64;
             self.mean_gap_us += MEAN_GAP_WEIGHT * (gap_us - self.mean_gap_us);
         }
-        self.demand.add(now, DEMAND_TAU_US, units);
+        self.demand.add(now, DEMAND_TIME_CONSTANT_US, units);
         self.active_at = now;
     }
 
--- a/crates/traffic-control/src/customer/reports.rs
+++ b/crates/traffic-control/src/customer/reports.rs
@@ -1,7 +1,7 @@
 //! What this gateway reports of a customer's usage, and what it reserves in the counter in advance.
 
 use super::Customer;
-use crate::decaying_sum::DEMAND_TAU_US;
+use crate::decaying_sum::DEMAND_TIME_CONSTANT_US;
 use crate::interface::Micros;
 use crate::quota::Quota;
 
@@ -35,7 +35,7 @@
             return 0.0;
         }
         let expected_units =
-            self.demand.per_s(now, DEMAND_TAU_US) * RESERVATION_TIMEOUT_US as f64 / 1e6;
+            self.demand.per_s(now, DEMAND_TIME_CONSTANT_US) * RESERVATION_TIMEOUT_US as f64 / 1e6;
         expected_units.min(quota.capacity / f64::from(self.gateway_count))
     }
 
--- a/crates/traffic-control/src/customer/store.rs
+++ b/crates/traffic-control/src/customer/store.rs
@@ -1,7 +1,7 @@
 //! Fills a customer's bucket and this gateway's slice of its ceiling.
 
 use super::Customer;
-use crate::decaying_sum::DEMAND_TAU_US;
+use crate::decaying_sum::DEMAND_TIME_CONSTANT_US;
 use crate::interface::{Ceiling, Micros};
 use crate::quota::Quota;
 
@@ -90,7 +90,7 @@
             0.0
         } else if is_synced && self.lacks_usage_reports(quota) {
             // All gateways see the same store, and the others use it meanwhile.
-            quota.rate_per_s - self.others_demand.per_s(now, DEMAND_TAU_US)
+            quota.rate_per_s - self.others_demand.per_s(now, DEMAND_TIME_CONSTANT_US)
         } else {
             quota.rate_per_s * share
         };
--- a/crates/traffic-control/src/decaying_sum.rs
+++ b/crates/traffic-control/src/decaying_sum.rs
@@ -3,7 +3,7 @@
 use crate::interface::Micros;
 
 /// Time constant of demand and usage rates, in microseconds: a customer's load moves between gateways within seconds.
-pub(crate) const DEMAND_TAU_US: f64 = 3_000_000.0;
+pub(crate) const DEMAND_TIME_CONSTANT_US: f64 = 3_000_000.0;
 
 /// An exponentially decaying sum, as its value at the last update.
 #[derive(Clone, Copy, Default)]
--- a/crates/traffic-control/src/fleet.rs
+++ b/crates/traffic-control/src/fleet.rs
@@ -1,7 +1,7 @@
 //! The servers known to this gateway: their entries in the server list, the recent outcomes of their attempts, and sums
 //! over all servers. Keeps state only; `policy` decides which server a request goes to.
 
-use crate::decaying_sum::{DecayingSum, DEMAND_TAU_US};
+use crate::decaying_sum::{DecayingSum, DEMAND_TIME_CONSTANT_US};
 use crate::interface::{
     CompletionStatus, Health, HealthReports, ListKind, Micros, ServerEntry, ServerId, SlowStart,
 };
@@ -42,14 +42,14 @@
     pub in_flight: f64,
     /// Number of ready servers.
     pub ready_servers: f64,
-    /// Sum of the relative capacities of the ready servers, each times its [`Server::warmth`].
+    /// Sum of the relative capacities of the ready servers, each times its [`Server::warm_capacity_share`].
     pub ready_size: f64,
 }
 
 /// State of a server at the end of one of its attempts.
 pub(crate) struct ServerAtAttemptEnd {
-    /// Minimum share of its full capacity that the server has; see [`Server::warmth`].
-    pub warmth: f64,
+    /// Minimum share of its full capacity that the server has; see [`Server::warm_capacity_share`].
+    pub warm_capacity_share: f64,
     pub is_ready: bool,
 }
 
@@ -103,7 +103,7 @@
             ready_servers: self.ready_servers().count() as f64,
             ready_size: self
                 .ready_servers()
-                .map(|s| s.share * s.warmth(slow_start, now))
+                .map(|s| s.weight * s.warm_capacity_share(slow_start, now))
                 .sum(),
         }
     }
@@ -136,7 +136,7 @@
         self.servers
             .retain(|_, s| s.health != Health::Removed || s.in_flight > 0);
         self.zones
-            .retain_listed(|zone| self.servers.values().any(|s| s.group.0 == zone));
+            .retain_listed(|zone| self.servers.values().any(|s| s.zone_and_cell.0 == zone));
     }
 
     fn apply_entry(
@@ -145,7 +145,7 @@
         now: Micros,
         random_credit: &mut impl FnMut() -> f64,
     ) {
-        let hash_key = frosthatch_load_balancing::key(&entry.server.0);
+        let hash_key = frosthatch_load_balancing::stable_hash(&entry.server.0);
         let server = self.servers.entry(entry.server).or_default();
         let is_new = server.slowness_ratio == 0.0;
         let is_restarted = server.started_us != entry.started_us;
@@ -163,11 +163,11 @@
             };
         }
         server.hash_key = hash_key;
-        server.group = (entry.zone, entry.cell);
+        server.zone_and_cell = (entry.zone, entry.cell);
         server.started_us = entry.started_us;
         server.health = entry.health;
         server.pool = entry.pool;
-        server.share = if entry.weight.is_finite() && entry.weight > 0.0 {
+        server.weight = if entry.weight.is_finite() && entry.weight > 0.0 {
             entry.weight
         } else {
             1.0
@@ -210,14 +210,14 @@
         available_sends: f64,
         now: Micros,
     ) -> Option<(String, u64)> {
-        self.recent_sends.add(now, DEMAND_TAU_US, 1.0);
+        self.recent_sends.add(now, DEMAND_TIME_CONSTANT_US, 1.0);
         let server = self.servers.get_mut(server)?;
         server.in_flight += 1;
         server.slow_start_credit = SlowStartCredit {
             sends: available_sends - 1.0,
             as_of: now,
         };
-        Some(server.group.clone())
+        Some(server.zone_and_cell.clone())
     }
 
     /// Records the end of an attempt. Returns the state of its server, or `None` if the server is no longer known.
@@ -230,7 +230,7 @@
         let server = self.servers.get_mut(server)?;
         server.in_flight = server.in_flight.saturating_sub(1);
         Some(ServerAtAttemptEnd {
-            warmth: server.warmth(slow_start, now),
+            warm_capacity_share: server.warm_capacity_share(slow_start, now),
             is_ready: server.health == Health::Ready,
         })
     }
@@ -238,7 +238,7 @@
     /// Returns the recent rate of sends to all servers, at least [`MIN_SENDS_PER_S`].
     pub fn sends_per_s(&self, now: Micros) -> f64 {
         self.recent_sends
-            .per_s(now, DEMAND_TAU_US)
+            .per_s(now, DEMAND_TIME_CONSTANT_US)
             .max(MIN_SENDS_PER_S)
     }
 
@@ -270,11 +270,11 @@
         if counts && outcome.failed == 0.0 && self.outlier_signals.is_ejected(server.hash_key) {
             server.error_rate = 0.0;
         }
-        let zone_error_rate = self.zones.at(now).error_rate(&server.group.0);
+        let zone_error_rate = self.zones.rates_at(now).error_rate(&server.zone_and_cell.0);
         server.record_outcome(now, half_life_us, outcome, zone_error_rate);
         if counts && counts_for_zone {
             self.zones
-                .record_outcome(&server.group.0, now, outcome.failed);
+                .record_outcome(&server.zone_and_cell.0, now, outcome.failed);
         }
     }
 
@@ -301,8 +301,8 @@
         reports.sort_by_key(|(_, _, assessed_at)| std::cmp::Reverse(*assessed_at));
         reports.truncate(MAX_REPORTS);
         HealthReports {
-            uses: used.round() as usize,
-            of: reports,
+            used_servers: used.round() as usize,
+            reports,
         }
     }
 
@@ -331,15 +331,15 @@
         };
         self.outlier_signals.replace_reports(
             from,
-            reports.uses,
-            reports.of.into_iter().map(report),
+            reports.used_servers,
+            reports.reports.into_iter().map(report),
         );
     }
 
     /// Updates which servers are ejected, after new reports or with the passage of time.
     pub fn update_outliers(&mut self, now: Micros) {
         let own_reports = self.health_reports(now);
-        let has_no_reports = own_reports.of.is_empty() && self.outlier_signals.is_empty();
+        let has_no_reports = own_reports.reports.is_empty() && self.outlier_signals.is_empty();
         if !has_no_reports {
             self.replace_health_reports(self.subset.own_key(), own_reports);
         }
@@ -359,7 +359,7 @@
         if self.outlier_signals.is_ejected(server.hash_key) {
             return true;
         }
-        let zone_error_rate = self.zones.at(now).error_rate(&server.group.0);
+        let zone_error_rate = self.zones.rates_at(now).error_rate(&server.zone_and_cell.0);
         let half_life_us = self.assessment_half_life_us(now);
         let assessment = server.decayed_assessment(now, half_life_us, zone_error_rate);
         assessment.error_rate > MOSTLY_FAILING_ERROR_RATE
--- a/crates/traffic-control/src/interface/events.rs
+++ b/crates/traffic-control/src/interface/events.rs
@@ -21,9 +21,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HealthReports {
     /// Number of servers that the gateway uses.
-    pub uses: usize,
+    pub used_servers: usize,
     /// For each reported server: its hash key, its recent error rate from 0 to 1, and the time of that assessment.
-    pub of: Vec<(u64, f64, Micros)>,
+    pub reports: Vec<(u64, f64, Micros)>,
 }
 
 /// An event that a gateway handles.
@@ -57,11 +57,11 @@
     UsageReported {
         /// Indices of the gateways whose usage is completely reported up to now; each has reported since the previous
         /// event of this kind.
-        heard: Vec<u32>,
+        complete_gateways: Vec<u32>,
         /// Index of the reporting gateway, tag of the customer, and units used.
         uses: Vec<(u32, u32, f64)>,
         /// Tag of the customer, and units used before a gateway's first report: their age is unknown.
-        past: Vec<(u32, f64)>,
+        earlier_uses: Vec<(u32, f64)>,
     },
     /// The set of present gateways changed. Servers are assigned to the gateways with these indices; before the first
     /// event of this kind, to as many gateways as [`Settings::gateways`](crate::Settings::gateways) says.
--- a/crates/traffic-control/src/interface/settings.rs
+++ b/crates/traffic-control/src/interface/settings.rs
@@ -67,16 +67,16 @@
     /// Checks the settings.
     ///
     /// # Errors
-    /// Returns the first of the [`mistakes`](Self::mistakes).
+    /// Returns the first of the [`validation_errors`](Self::validation_errors).
     pub(crate) fn validate(&self) -> Result<(), SettingsError> {
-        match self.mistakes().into_iter().next() {
+        match self.validation_errors().into_iter().next() {
             Some(mistake) => Err(SettingsError(mistake)),
             None => Ok(()),
         }
     }
 
     /// Returns a message for each mistake in the settings, which says what is valid instead.
-    pub fn mistakes(&self) -> Vec<String> {
+    pub fn validation_errors(&self) -> Vec<String> {
         let mut mistakes = Vec::new();
         if self.classes.is_empty() || self.plans.is_empty() {
             mistakes.push("the settings must contain at least one class and one plan".to_string());
--- a/crates/traffic-control/src/peer_reports.rs
+++ b/crates/traffic-control/src/peer_reports.rs
@@ -2,7 +2,7 @@
 //! of customers that this gateway does not track yet. Keeps state only.
 
 use crate::customer::Customer;
-use crate::decaying_sum::{DecayingSum, DEMAND_TAU_US};
+use crate::decaying_sum::{DecayingSum, DEMAND_TIME_CONSTANT_US};
 use crate::gossip::CellReport;
 use crate::interface::{Micros, Settings};
 use crate::quota::Quota;
@@ -71,22 +71,22 @@
 
     /// Records the admitted rates that a peer reported.
     pub fn record_cell_reports(&mut self, now: Micros, reports: Vec<CellReport>) {
-        self.report_count.add(now, DEMAND_TAU_US, 1.0);
+        self.report_count.add(now, DEMAND_TIME_CONSTANT_US, 1.0);
         for (rate, report) in self.admitted_rates.iter_mut().zip(reports) {
-            rate.add(now, DEMAND_TAU_US, report.admitted_per_s.max(0.0));
+            rate.add(now, DEMAND_TIME_CONSTANT_US, report.admitted_per_s.max(0.0));
         }
     }
 
     /// Returns a function that estimates the requests per second that `others` gateways admit in a cell, extrapolated
     /// from those that reported recently.
     pub fn others_admitted_per_s(&self, now: Micros, others: u32) -> impl Fn(usize) -> f64 + '_ {
-        let reports = self.report_count.at(now, DEMAND_TAU_US);
+        let reports = self.report_count.at(now, DEMAND_TIME_CONSTANT_US);
         let gateways_per_report = if reports > MIN_REPORT_COUNT {
             f64::from(others) / reports
         } else {
             0.0
         };
-        move |cell| self.admitted_rates[cell].at(now, DEMAND_TAU_US) * gateways_per_report
+        move |cell| self.admitted_rates[cell].at(now, DEMAND_TIME_CONSTANT_US) * gateways_per_report
     }
 
     /// Records the time of a gateway's usage report.
@@ -167,7 +167,7 @@
 
     /// Records reported usage of a customer that this gateway does not track. Drops it if such usage of `max_customers`
     /// customers is recorded already.
-    pub fn record_unknown_customer(
+    pub fn record_untracked_customer(
         &mut self,
         now: Micros,
         max_customers: usize,
@@ -193,12 +193,12 @@
     }
 
     /// Removes and returns the reported usage of a customer that this gateway starts to track.
-    pub fn take_unknown_customer(&mut self, tag: u32) -> Option<UntrackedCustomerUsage> {
+    pub fn take_untracked_customer(&mut self, tag: u32) -> Option<UntrackedCustomerUsage> {
         self.untracked_customers.remove(&tag)
     }
 
     /// Forgets usage that was first reported `timeout_us` ago or earlier.
-    pub fn forget_unknown_customers(&mut self, now: Micros, timeout_us: Micros) {
+    pub fn forget_untracked_customers(&mut self, now: Micros, timeout_us: Micros) {
         self.untracked_customers
             .retain(|_, usage| now.saturating_sub(usage.first_reported_at) < timeout_us);
     }
--- a/crates/traffic-control/src/pending_request.rs
+++ b/crates/traffic-control/src/pending_request.rs
@@ -17,11 +17,11 @@
 pub(crate) struct Attempt {
     pub server: ServerId,
     /// Zone and cell of the server.
-    pub group: (String, u64),
+    pub zone_and_cell: (String, u64),
     pub sent_at: Micros,
     pub state: AttemptState,
     /// Whether the attempt ended before any part of it was sent.
-    pub not_sent: bool,
+    pub is_unsent: bool,
     /// Retries that the attempt took from the retry budget.
     pub retry_cost: f64,
 }
--- a/crates/traffic-control/src/policy/admission_fractions.rs
+++ b/crates/traffic-control/src/policy/admission_fractions.rs
@@ -161,7 +161,7 @@
         let bound_us =
             objective_us * (LATENCY_BOUND_SHARE + (1.0 - LATENCY_BOUND_SHARE) * relative_value);
         let expected_us =
-            self.server_latency.classes[class].lowest_us * self.server_latency.stretch;
+            self.server_latency.classes[class].lowest_us * self.server_latency.idle_latency_ratio;
         let shed_share = ((expected_us / bound_us - 1.0) / SHEDDING_RANGE).min(MAX_SHED_SHARE);
         shed_share > 0.0 && random_unit(&mut self.rng) < shed_share
     }
--- a/crates/traffic-control/src/policy/attempts.rs
+++ b/crates/traffic-control/src/policy/attempts.rs
@@ -30,7 +30,7 @@
     fn for_next_attempt(request: &PendingRequest) -> Self {
         if request.attempts.is_empty() {
             AttemptKind::First
-        } else if request.attempts.iter().any(|a| !a.not_sent) {
+        } else if request.attempts.iter().any(|a| !a.is_unsent) {
             AttemptKind::Retry
         } else {
             AttemptKind::Replacement
@@ -124,7 +124,7 @@
             server,
             available_sends,
         } = choice;
-        let Some(group) = self.fleet.record_send(&server, available_sends, now) else {
+        let Some(zone_and_cell) = self.fleet.record_send(&server, available_sends, now) else {
             return;
         };
         let Some(request) = self.requests.get_mut(&id) else {
@@ -133,10 +133,10 @@
         let begin_within_us = request.begin_within_us(&self.settings, now);
         request.attempts.push(Attempt {
             server: server.clone(),
-            group,
+            zone_and_cell,
             sent_at: now,
             state: AttemptState::InFlight,
-            not_sent: false,
+            is_unsent: false,
             retry_cost: kind.retry_cost(),
         });
         actions.push(Action::Send {
--- a/crates/traffic-control/src/policy/effect_rule.rs
+++ b/crates/traffic-control/src/policy/effect_rule.rs
@@ -16,8 +16,8 @@
 fn shares_keys(scope: Scope, attempt: &Attempt, server: &Server) -> bool {
     match scope {
         Scope::All => true,
-        Scope::Zone => attempt.group.0 == server.group.0,
-        Scope::Cell => attempt.group == server.group,
+        Scope::Zone => attempt.zone_and_cell.0 == server.zone_and_cell.0,
+        Scope::Cell => attempt.zone_and_cell == server.zone_and_cell,
     }
 }
 
--- a/crates/traffic-control/src/policy/mod.rs
+++ b/crates/traffic-control/src/policy/mod.rs
@@ -51,8 +51,12 @@
             Event::GatewaysAbsent(gateways) => {
                 self.peer_reports.absent_gateways = gateways.into_iter().collect();
             }
-            Event::UsageReported { heard, uses, past } => {
-                self.on_usage_reported(&heard, &uses, &past);
+            Event::UsageReported {
+                complete_gateways,
+                uses,
+                earlier_uses,
+            } => {
+                self.on_usage_reported(&complete_gateways, &uses, &earlier_uses);
             }
             Event::CounterReply {
                 name,
@@ -117,7 +121,7 @@
         self.customers
             .retain(|_, customer| customer.open_attempts > 0 || !is_idle(customer));
         self.peer_reports
-            .forget_unknown_customers(now, CUSTOMER_IDLE_TIMEOUT_US);
+            .forget_untracked_customers(now, CUSTOMER_IDLE_TIMEOUT_US);
         let log = self.counter_monitor.clear_expired_doubt(now);
         actions.extend(log.map(Action::Log));
         self.dispatch_requests_waiting_for_server(actions);
--- a/crates/traffic-control/src/policy/outcomes.rs
+++ b/crates/traffic-control/src/policy/outcomes.rs
@@ -50,8 +50,8 @@
         } else {
             AttemptState::MayHaveRun
         };
-        attempt.not_sent = outcome.status == CompletionStatus::NotSent;
-        let refund = if attempt.not_sent {
+        attempt.is_unsent = outcome.status == CompletionStatus::NotSent;
+        let refund = if attempt.is_unsent {
             attempt.retry_cost
         } else {
             0.0
--- a/crates/traffic-control/src/policy/peer_messages.rs
+++ b/crates/traffic-control/src/policy/peer_messages.rs
@@ -2,7 +2,7 @@
 //! that does not parse is dropped as a whole; no message ever changes a ceiling slice.
 
 use crate::customer::CustomerPlacement;
-use crate::decaying_sum::{DecayingSum, DEMAND_TAU_US};
+use crate::decaying_sum::{DecayingSum, DEMAND_TIME_CONSTANT_US};
 use crate::gateway::Gateway;
 use crate::gossip::{self, CellReport, Message, QuotaGrant, QuotaRequest};
 use crate::interface::{Action, Micros};
@@ -90,7 +90,7 @@
         customer.active_at = now;
         customer
             .demand
-            .add(now, DEMAND_TAU_US, wanted + unreported.max(0.0));
+            .add(now, DEMAND_TIME_CONSTANT_US, wanted + unreported.max(0.0));
         if quota.limits_concurrency {
             customer.update_granted_permits(&quota, unreported, lapses_at);
         } else {
@@ -112,7 +112,7 @@
                 tag: request.tag,
                 granted_units,
                 level,
-                demand_per_s: customer.demand.per_s(now, DEMAND_TAU_US),
+                demand_per_s: customer.demand.per_s(now, DEMAND_TIME_CONSTANT_US),
             });
             actions.push(Action::SendToPeer {
                 to: from,
@@ -134,8 +134,8 @@
         let capacity = self.quotas[customer.plan].capacity;
         customer.unreported -= grant.granted_units;
         customer.sync_level(grant.level.clamp(-capacity, capacity), now);
-        let own_demand = customer.demand.at(now, DEMAND_TAU_US);
-        let all_demand = grant.demand_per_s * DEMAND_TAU_US / 1e6;
+        let own_demand = customer.demand.at(now, DEMAND_TIME_CONSTANT_US);
+        let all_demand = grant.demand_per_s * DEMAND_TIME_CONSTANT_US / 1e6;
         customer.others_demand = DecayingSum::new(now, (all_demand - own_demand).max(0.0));
         self.decide_waiting_requests(grant.tag, true, actions);
     }
--- a/crates/traffic-control/src/policy/quota_charges.rs
+++ b/crates/traffic-control/src/policy/quota_charges.rs
@@ -4,14 +4,14 @@
 
 use super::limits::{CUSTOMER_IDLE_TIMEOUT_US, MAX_CUSTOMERS};
 use crate::customer::{Customer, CustomerPlacement, GUESS_COST_FACTOR};
-use crate::decaying_sum::DEMAND_TAU_US;
+use crate::decaying_sum::DEMAND_TIME_CONSTANT_US;
 use crate::gateway::Gateway;
 use crate::interface::{Action, Plan, RequestId};
 use crate::peer_reports::UsageAge;
 use crate::random::random_unit;
 
 /// Time constant of the numbers of queries that found capacity or did not.
-const QUERY_RESULTS_TAU_US: f64 = 20_000_000.0;
+const QUERY_RESULTS_TIME_CONSTANT_US: f64 = 20_000_000.0;
 /// Number of successful queries assumed before any was made.
 const PRIOR_SUCCESSES: f64 = 1.0;
 /// Minimum net value of a request beyond the quota (its excess weight less its overrun cost), as a share of its
@@ -54,7 +54,7 @@
         // Usage that other gateways reported before the customer was known here is charged as well.
         let reported = self
             .peer_reports
-            .take_unknown_customer(placement.tag)
+            .take_untracked_customer(placement.tag)
             .filter(|_| !quota.limits_concurrency);
         let reported_level =
             reported.map_or(quota.capacity, |usage| usage.remaining_units(quota, now));
@@ -93,8 +93,12 @@
             1.0
         };
         let results = &self.query_results[plan];
-        let failures = results.without_capacity.at(self.now, QUERY_RESULTS_TAU_US);
-        let successes = results.with_capacity.at(self.now, QUERY_RESULTS_TAU_US);
+        let failures = results
+            .without_capacity
+            .at(self.now, QUERY_RESULTS_TIME_CONSTANT_US);
+        let successes = results
+            .with_capacity
+            .at(self.now, QUERY_RESULTS_TIME_CONSTANT_US);
         let prior = if lacks_usage_reports {
             PRIOR_SUCCESSES
         } else {
@@ -115,7 +119,7 @@
         } else {
             &mut results.without_capacity
         };
-        result.add(self.now, QUERY_RESULTS_TAU_US, 1.0);
+        result.add(self.now, QUERY_RESULTS_TIME_CONSTANT_US, 1.0);
     }
 
     /// Charges a request that is about to be sent. Returns false if the ceiling forbids it.
@@ -180,7 +184,7 @@
     fn charge_reported_usage(&mut self, from: u32, tag: u32, units: f64, has_reported_all: bool) {
         let now = self.now;
         let Some(customer) = self.customers.get_mut(&tag) else {
-            self.record_unknown_customer(tag, units, UsageAge::Current);
+            self.record_untracked_customer(tag, units, UsageAge::Current);
             return;
         };
         let quota = self.quotas[customer.plan];
@@ -195,7 +199,9 @@
         if common_units > 0.0 && counts_reports {
             customer.refill(&quota, now);
             customer.level = (customer.level - common_units).max(-quota.capacity);
-            customer.others_demand.add(now, DEMAND_TAU_US, common_units);
+            customer
+                .others_demand
+                .add(now, DEMAND_TIME_CONSTANT_US, common_units);
         }
     }
 
@@ -203,15 +209,15 @@
     /// and no more.
     fn charge_past_usage(&mut self, tag: u32, units: f64) {
         let Some(customer) = self.customers.get_mut(&tag) else {
-            self.record_unknown_customer(tag, units, UsageAge::PossiblyStale);
+            self.record_untracked_customer(tag, units, UsageAge::PossiblyStale);
             return;
         };
         customer.level = (customer.level - units).max(customer.level.min(0.0));
     }
 
     /// Records reported usage of a customer that is not known here.
-    fn record_unknown_customer(&mut self, tag: u32, units: f64, age: UsageAge) {
+    fn record_untracked_customer(&mut self, tag: u32, units: f64, age: UsageAge) {
         self.peer_reports
-            .record_unknown_customer(self.now, MAX_CUSTOMERS, tag, units, age);
+            .record_untracked_customer(self.now, MAX_CUSTOMERS, tag, units, age);
     }
 }
--- a/crates/traffic-control/src/policy/server_choice.rs
+++ b/crates/traffic-control/src/policy/server_choice.rs
@@ -1,4 +1,4 @@
-//! Chooses the server of an attempt: the cheapest by its load, its warmth and its recent outcomes, among those that
+//! Chooses the server of an attempt: the cheapest by its load, its warm-up and its recent outcomes, among those that
 //! the rules allow. A server in slow start is not overloaded, a failing one is avoided until it may have recovered,
 //! a draining one gets no requests, and the gateways of a large fleet do not begin with the same server.
 
@@ -8,7 +8,7 @@
 use crate::interface::{Health, Micros, RequestId, ServerId, Settings};
 use crate::random::random_unit;
 use crate::server::{Assessment, Server};
-use crate::zones::ZoneErrors;
+use crate::zones::ZoneErrorRates;
 use frosthatch_load_balancing::{rotating_lease, subset::SubsetSize};
 use rand_pcg::rand_core::RngCore;
 use std::sync::Arc;
@@ -24,7 +24,10 @@
 const SLOW_START_BUDGET_SHARE: f64 = 0.5;
 /// Size of the subset of servers that a gateway of a large fleet uses: at least 7 servers, and so few that it sends
 /// to each of them again within about a second, with at least 3 gateways for each server.
-const SUBSET_SIZE: SubsetSize = SubsetSize { least: 7, users: 3 };
+const SUBSET_SIZE: SubsetSize = SubsetSize {
+    min_servers_per_gateway: 7,
+    min_gateways_per_server: 3,
+};
 /// Interval in which one of the gateways that use an ejected server tries it: shorter than health reports last.
 const EJECTED_RETRY_INTERVAL_US: Micros = 4_000_000;
 /// Maximum number of servers compared for a request: of more servers, this many drawn at random are as good as all.
@@ -39,7 +42,7 @@
 
 /// Inputs to the cost that are the same for all servers, for one request.
 struct CostContext<'a> {
-    zones: ZoneErrors<'a>,
+    zones: ZoneErrorRates<'a>,
     assessment_half_life_us: f64,
     /// Interval between the requests of a server of unit size, if load is spread evenly.
     even_interval_us: f64,
@@ -53,7 +56,7 @@
         let used_size = fleet.subset_share * totals.ready_size;
         let unseen_share = 1.0 - 2.0 / f64::from(settings.gateways);
         CostContext {
-            zones: fleet.zones.at(now),
+            zones: fleet.zones.rates_at(now),
             assessment_half_life_us: fleet.assessment_half_life_us(now),
             even_interval_us: used_size / fleet.sends_per_s(now) * 1e6,
             random_load: unseen_share.max(MIN_RANDOM_LOAD),
@@ -155,7 +158,7 @@
     /// Whether it is this gateway's turn to try an ejected server, and it has not done so in this turn yet.
     fn may_retry_ejected(&self, server: &Server) -> bool {
         let subset = &self.fleet.subset;
-        let has_turn = rotating_lease::holds(
+        let has_turn = rotating_lease::is_holder(
             subset.own_key(),
             server.hash_key,
             subset.gateways_using(server.hash_key).into_iter(),
@@ -183,8 +186,8 @@
             .filter_map(|name| servers.get_key_value(name));
         let mut best: Option<Candidate> = None;
         for (name, server) in all.chain(listed) {
-            let warmth = server.warmth(&self.settings.slow_start, now);
-            let available_sends = self.available_sends(name, server, warmth);
+            let warm_capacity_share = server.warm_capacity_share(&self.settings.slow_start, now);
+            let available_sends = self.available_sends(name, server, warm_capacity_share);
             let is_allowed = server.health == Health::Ready
                 && server.pool == request.pool
                 && request.may_send(&self.settings, server, now);
@@ -194,7 +197,7 @@
             let random = random_unit(&mut self.rng);
             let candidate = Candidate {
                 is_last_resort: request.has_tried(name),
-                cost: self.server_cost(server, warmth, &context, random),
+                cost: self.server_cost(server, warm_capacity_share, &context, random),
                 server: name,
                 available_sends,
             };
@@ -210,9 +213,9 @@
 
     /// Returns the sends that this gateway may make to a server now; a warm one takes any number, for which this
     /// returns 1.
-    fn available_sends(&self, name: &ServerId, server: &Server, warmth: f64) -> f64 {
-        if warmth < 1.0 {
-            self.slow_start_sends(name, server, warmth)
+    fn available_sends(&self, name: &ServerId, server: &Server, warm_capacity_share: f64) -> f64 {
+        if warm_capacity_share < 1.0 {
+            self.slow_start_sends(name, server, warm_capacity_share)
         } else {
             1.0
         }
@@ -223,7 +226,7 @@
     /// budget follows the larger of the server's part of the best recent throughput and this gateway's part of one
     /// core's throughput. Both are those of idle servers: a fleet that becomes slow must not give less to its cold
     /// servers.
-    fn slow_start_sends(&self, name: &ServerId, server: &Server, warmth: f64) -> f64 {
+    fn slow_start_sends(&self, name: &ServerId, server: &Server, warm_capacity_share: f64) -> f64 {
         let slow_start = &self.settings.slow_start;
         let fleet = &self.fleet;
         // Gateways without a warm server in their subset do not turn to cold ones outside of it.
@@ -232,11 +235,13 @@
         }
         let core_per_s =
             1.0 / self.server_latency.idle_attempt_s / f64::from(self.settings.gateways);
-        let warm_per_s = core_per_s.max(self.server_latency.throughput * server.share);
+        let warm_per_s = core_per_s.max(self.server_latency.throughput * server.weight);
         // Only the gateways that have the server in their subset send to it.
-        let sends_per_s =
-            slow_start.overload_multiple * SLOW_START_BUDGET_SHARE * warmth * warm_per_s
-                / fleet.subset_share;
+        let sends_per_s = slow_start.overload_multiple
+            * SLOW_START_BUDGET_SHARE
+            * warm_capacity_share
+            * warm_per_s
+            / fleet.subset_share;
         let window_s = slow_start.overload_after_us as f64 / 1e6;
         let credit = server.slow_start_credit;
         let elapsed_us = self.now.saturating_sub(credit.as_of);
@@ -246,24 +251,30 @@
 
     /// Returns the cost of a server: its load relative to its size, times factors for its latency, its errors and
     /// its zone.
-    fn server_cost(&self, server: &Server, warmth: f64, context: &CostContext, random: f64) -> f64 {
+    fn server_cost(
+        &self,
+        server: &Server,
+        warm_capacity_share: f64,
+        context: &CostContext,
+        random: f64,
+    ) -> f64 {
         let assessment = self.assess_server(server, context);
         // A server in slow start looks expensive as long as any other is idle. It gets its even share all the same,
         // and so warms up.
-        let even_interval_us = context.even_interval_us / (server.share * warmth);
+        let even_interval_us = context.even_interval_us / (server.weight * warm_capacity_share);
         let unused_us = self.now.saturating_sub(server.slow_start_credit.as_of) as f64;
-        let is_due = warmth < 1.0 && unused_us >= even_interval_us;
+        let is_due = warm_capacity_share < 1.0 && unused_us >= even_interval_us;
         let load = if is_due {
             0.0
         } else {
             f64::from(server.in_flight) + 1.0 - context.random_load * random
         };
-        let zone_cost = if server.group.0 == self.settings.zone {
+        let zone_cost = if server.zone_and_cell.0 == self.settings.zone {
             1.0
         } else {
             1.0 + self.settings.cross_zone_cost
         };
-        load / (server.share * warmth)
+        load / (server.weight * warm_capacity_share)
             * (assessment.slowness_ratio / MAX_NOISE_SLOWNESS_RATIO).max(1.0)
             * (1.0 + ERROR_COST_WEIGHT * assessment.error_rate)
             * zone_cost
@@ -273,7 +284,7 @@
     /// try it.
     fn assess_server(&self, server: &Server, context: &CostContext) -> Assessment {
         if !self.fleet.outlier_signals.is_ejected(server.hash_key) {
-            let zone_error_rate = context.zones.error_rate(&server.group.0);
+            let zone_error_rate = context.zones.error_rate(&server.zone_and_cell.0);
             return server.decayed_assessment(
                 self.now,
                 context.assessment_half_life_us,
--- a/crates/traffic-control/src/server.rs
+++ b/crates/traffic-control/src/server.rs
@@ -39,9 +39,9 @@
 #[derive(Default)]
 pub(crate) struct Server {
     /// Zone and cell.
-    pub group: (String, u64),
+    pub zone_and_cell: (String, u64),
     /// Capacity relative to the other servers.
-    pub share: f64,
+    pub weight: f64,
     /// Hash of the server's name, the same at all gateways.
     pub hash_key: u64,
     /// Time of the last start; 0 if that was long ago.
@@ -62,7 +62,7 @@
 impl Server {
     /// Returns the minimum share of its full capacity that the server has: it grows linearly from
     /// [`SlowStart::initial_share`] at the start of the server to 1.
-    pub fn warmth(&self, slow_start: &SlowStart, now: Micros) -> f64 {
+    pub fn warm_capacity_share(&self, slow_start: &SlowStart, now: Micros) -> f64 {
         let age_us = now.saturating_sub(self.started_us) as f64;
         let progress = if self.started_us == 0 || slow_start.duration_us == 0 {
             1.0
--- a/crates/traffic-control/src/server_latency.rs
+++ b/crates/traffic-control/src/server_latency.rs
@@ -4,9 +4,9 @@
 use crate::class_latency::{AttemptTimes, ClassLatency};
 use crate::interface::{CompletionStatus, Micros, RequestClass};
 
-/// Maximum ratio of latency to idle latency that one attempt contributes to [`ServerLatency::stretch`].
+/// Maximum ratio of latency to idle latency that one attempt contributes to [`ServerLatency::idle_latency_ratio`].
 const MAX_STRETCH: f64 = 10.0;
-/// Weight of one attempt in [`ServerLatency::stretch`]: an average over about the last seven attempts.
+/// Weight of one attempt in [`ServerLatency::idle_latency_ratio`]: an average over about the last seven attempts.
 const STRETCH_WEIGHT: f64 = 0.15;
 /// Factor by which the best throughput decays in each interval: servers and load change within tens of seconds.
 const THROUGHPUT_RETENTION: f64 = 0.97;
@@ -15,7 +15,7 @@
 pub(crate) struct ServerLatency {
     pub classes: Vec<ClassLatency>,
     /// Mean ratio of the latency of recent attempts to the latency at idle servers.
-    pub stretch: f64,
+    pub idle_latency_ratio: f64,
     /// Highest recent rate of answers per second, divided by the ready size: the sum of the relative capacities of the
     /// ready servers, as in [`FleetTotals::ready_size`](crate::fleet::FleetTotals::ready_size).
     pub throughput: f64,
@@ -32,7 +32,7 @@
     pub fn new(classes: &[RequestClass]) -> Self {
         let mut latency = ServerLatency {
             classes: vec![ClassLatency::default(); classes.len()],
-            stretch: 1.0,
+            idle_latency_ratio: 1.0,
             throughput: 0.0,
             attempt_s: 0.0,
             idle_attempt_s: 0.0,
@@ -68,7 +68,8 @@
         );
         if is_measured {
             if let Some(multiple) = latency.multiple_of_idle_latency(units, elapsed_us) {
-                self.stretch += STRETCH_WEIGHT * (multiple.min(MAX_STRETCH) - self.stretch);
+                self.idle_latency_ratio +=
+                    STRETCH_WEIGHT * (multiple.min(MAX_STRETCH) - self.idle_latency_ratio);
             }
             latency.record_latency(elapsed_us);
         }
--- a/crates/traffic-control/src/shares.rs
+++ b/crates/traffic-control/src/shares.rs
@@ -4,7 +4,7 @@
 //! that share, and no other gateway does. Once it reports again, unused units return to the common bucket. Keeps no
 //! track of reports: `peer_reports` determines which gateways are silent.
 
-use crate::decaying_sum::{DecayingSum, DEMAND_TAU_US};
+use crate::decaying_sum::{DecayingSum, DEMAND_TIME_CONSTANT_US};
 use crate::interface::Micros;
 use crate::quota::Quota;
 
@@ -32,12 +32,12 @@
 
 /// A customer's recent usage by gateway, and the shares of the silent gateways.
 #[derive(Default)]
-pub(crate) struct StoreShares {
+pub(crate) struct BucketShares {
     recent_usage: Vec<(u32, DecayingSum)>,
     silent_gateways: Vec<SilentGateway>,
 }
 
-impl StoreShares {
+impl BucketShares {
     /// Returns the share of the bucket that all reachable gateways have together, including this one.
     pub fn reachable_share(&self) -> f64 {
         let reserved_share: f64 = self.silent_gateways.iter().map(|s| s.share).sum();
@@ -51,7 +51,7 @@
     pub fn record_usage(&mut self, now: Micros, gateway: u32, units: f64) {
         let known = self.recent_usage.iter_mut().find(|(g, _)| *g == gateway);
         if let Some((_, usage)) = known {
-            usage.add(now, DEMAND_TAU_US, units);
+            usage.add(now, DEMAND_TIME_CONSTANT_US, units);
         } else {
             self.recent_usage
                 .push((gateway, DecayingSum::new(now, units)));
@@ -135,7 +135,7 @@
     fn total_usage(&self, now: Micros) -> f64 {
         self.recent_usage
             .iter()
-            .map(|(_, usage)| usage.at(now, DEMAND_TAU_US))
+            .map(|(_, usage)| usage.at(now, DEMAND_TIME_CONSTANT_US))
             .sum()
     }
 
@@ -154,7 +154,7 @@
             .recent_usage
             .iter()
             .find(|(g, _)| *g == gateway)
-            .map_or(0.0, |(_, usage)| usage.at(now, DEMAND_TAU_US));
+            .map_or(0.0, |(_, usage)| usage.at(now, DEMAND_TIME_CONSTANT_US));
         EVEN_SPLIT_WEIGHT * even_share + (1.0 - EVEN_SPLIT_WEIGHT) * usage / total_usage
     }
 }
--- a/crates/traffic-control/src/shares/tests.rs
+++ b/crates/traffic-control/src/shares/tests.rs
@@ -1,4 +1,4 @@
-use super::StoreShares;
+use super::BucketShares;
 use crate::interface::Micros;
 use crate::quota::Quota;
 
@@ -18,8 +18,8 @@
 }
 
 /// Returns the shares as seen by one of four gateways whose recent usage is in the ratio 4 : 3 : 2 : 1.
-fn shares_with_usage(now: Micros) -> StoreShares {
-    let mut shares = StoreShares::default();
+fn shares_with_usage(now: Micros) -> BucketShares {
+    let mut shares = BucketShares::default();
     (0..4).for_each(|g| shares.record_usage(now, g, 12.0 - 3.0 * f64::from(g)));
     shares
 }
@@ -112,7 +112,7 @@
 
 #[test]
 fn shares_without_known_usage_are_even_and_never_negative() {
-    let mut shares = StoreShares::default();
+    let mut shares = BucketShares::default();
     let mut level = 80.0;
     shares.reassign(
         SECOND_US,
@@ -124,7 +124,7 @@
     );
     assert!((shares.reachable_share() - 0.25).abs() < 1e-9 && (level - 20.0).abs() < 1e-9);
     // All usage was at one gateway that is silent now: the others still have a share.
-    let mut shares = StoreShares::default();
+    let mut shares = BucketShares::default();
     shares.record_usage(SECOND_US, 2, 100.0);
     shares.reassign(SECOND_US, &quota(), 4, false, &[(2, SECOND_US)], &mut level);
     assert!((shares.reachable_share() - 0.15).abs() < 1e-9);
--- a/crates/traffic-control/src/status.rs
+++ b/crates/traffic-control/src/status.rs
@@ -57,7 +57,7 @@
             outcome.status,
             outcome.elapsed_us,
             server_at_end.is_ready,
-        ) * server_at_end.warmth;
+        ) * server_at_end.warm_capacity_share;
         let counts_for_zone = self.settings.gateways > MAX_SMALL_FLEET_GATEWAYS;
         self.fleet.record_outcome(
             server,
--- a/crates/traffic-control/src/subset.rs
+++ b/crates/traffic-control/src/subset.rs
@@ -3,7 +3,7 @@
 
 use crate::interface::ServerId;
 use crate::server::Server;
-use frosthatch_load_balancing::key;
+use frosthatch_load_balancing::stable_hash;
 use frosthatch_load_balancing::subset::{assign, Server as AssignableServer};
 
 /// The gateways that servers are assigned to, and the last assignment.
@@ -19,7 +19,7 @@
 }
 
 fn gateway_key(index: u32) -> u64 {
-    key(&index.to_string())
+    stable_hash(&index.to_string())
 }
 
 impl Subset {
@@ -68,8 +68,8 @@
             .iter()
             .map(|(_, server)| AssignableServer {
                 key: server.hash_key,
-                weight: server.share,
-                zone: key(&server.group.0),
+                weight: server.weight,
+                zone: stable_hash(&server.zone_and_cell.0),
             })
             .collect();
         if size != self.size || servers != self.servers {
--- a/crates/traffic-control/src/zones.rs
+++ b/crates/traffic-control/src/zones.rs
@@ -15,11 +15,11 @@
 
 impl ZoneErrorTracker {
     /// Returns the error rates at `now`. Computing the decay of each zone once saves doing so for each of its servers.
-    pub fn at(&self, now: Micros) -> ZoneErrors<'_> {
+    pub fn rates_at(&self, now: Micros) -> ZoneErrorRates<'_> {
         let decayed = |(error_rate, at): (f64, Micros)| {
             error_rate * 0.5f64.powf(now.saturating_sub(at) as f64 / ERROR_RATE_HALF_LIFE_US)
         };
-        ZoneErrors(
+        ZoneErrorRates(
             self.0
                 .iter()
                 .map(|(zone, &updated)| (zone.as_str(), decayed(updated)))
@@ -29,7 +29,7 @@
 
     /// Records the outcome of an attempt in a zone; `failed` is 1 if it failed and 0 if not.
     pub fn record_outcome(&mut self, zone: &str, now: Micros, failed: f64) {
-        let error_rate = self.at(now).error_rate(zone);
+        let error_rate = self.rates_at(now).error_rate(zone);
         let updated = self.0.entry(zone.to_string()).or_default();
         *updated = (error_rate + OUTCOME_WEIGHT * (failed - error_rate), now);
     }
@@ -41,9 +41,9 @@
 }
 
 /// The error rates of all zones at one time.
-pub(crate) struct ZoneErrors<'a>(Vec<(&'a str, f64)>);
+pub(crate) struct ZoneErrorRates<'a>(Vec<(&'a str, f64)>);
 
-impl ZoneErrors<'_> {
+impl ZoneErrorRates<'_> {
     /// Returns the error rate of a zone; 0 for an unknown zone.
     pub fn error_rate(&self, zone: &str) -> f64 {
         self.0
--- a/crates/traffic-control/tests/replay/play.rs
+++ b/crates/traffic-control/tests/replay/play.rs
@@ -306,9 +306,9 @@
     fn deliver_usage_report(&mut self, from: usize, tag: u32, units: f64) {
         for other in (0..self.gateways.len()).filter(|o| *o != from) {
             let report = Event::UsageReported {
-                heard: vec![from as u32],
+                complete_gateways: vec![from as u32],
                 uses: vec![(from as u32, tag, units)],
-                past: Vec::new(),
+                earlier_uses: Vec::new(),
             };
             self.schedule(2_000, other, report);
         }
