--- a/crates/discovery/src/list/client.rs
+++ b/crates/discovery/src/list/client.rs
@@ -70,9 +70,9 @@
     let written = Cell::new(0);
     let sending = Sending {
         request: [head.as_bytes(), b""],
-        written: &written,
-        may: &|_| Ok(()),
-        whole: &|| (),
+        written_bytes: &written,
+        check_write: &|_| Ok(()),
+        on_written: &|| (),
     };
     let response = connection.exchange(sending, MAX_LIST_BYTES).await;
     let response = response.map_err(CallError::Io)?;
@@ -85,7 +85,7 @@
     let list = serde_json::from_slice(&response.body).map_err(CallError::Malformed)?;
     Ok(ListResponse {
         list,
-        connection: response.reusable.then_some(connection),
+        connection: response.is_connection_reusable.then_some(connection),
     })
 }
 
--- a/crates/discovery/src/list/mod.rs
+++ b/crates/discovery/src/list/mod.rs
@@ -3,7 +3,7 @@
 mod client;
 mod server_list;
 
-pub use server_list::{unreadable, ServerList};
+pub use server_list::{invalid_entries, ServerList};
 
 use crate::registry::EndpointRegistry;
 use client::{request_list, CallError, ListResponse, NewerThan};
--- a/crates/discovery/src/list/server_list.rs
+++ b/crates/discovery/src/list/server_list.rs
@@ -66,7 +66,7 @@
 }
 
 /// Returns the index of each invalid entry of a list, with a description of the error.
-pub fn unreadable(list: &Value) -> Vec<(usize, String)> {
+pub fn invalid_entries(list: &Value) -> Vec<(usize, String)> {
     let Some(entries) = list.get("targets").and_then(Value::as_array) else {
         return Vec::new();
     };
--- a/crates/discovery/src/registry.rs
+++ b/crates/discovery/src/registry.rs
@@ -67,7 +67,7 @@
     }
 
     /// Returns the number of listed endpoints, and the number of those that are not ready.
-    pub fn listed(&self) -> (usize, usize) {
+    pub fn endpoint_counts(&self) -> (usize, usize) {
         let table = self.table.borrow();
         let listed = table.source_endpoints().count();
         let not_ready = table
--- a/crates/frosthatch/src/admin.rs
+++ b/crates/frosthatch/src/admin.rs
@@ -77,7 +77,7 @@
             failure: class.failed.get(),
             backend_calls: class.attempts.get(),
         });
-        let (hosts_listed, not_ready) = self.endpoints.listed();
+        let (hosts_listed, not_ready) = self.endpoints.endpoint_counts();
         let violations = self.engine.violations();
         Metrics {
             classes: classes.collect(),
--- a/crates/frosthatch/src/gateway/shutdown.rs
+++ b/crates/frosthatch/src/gateway/shutdown.rs
@@ -57,7 +57,7 @@
         while self.http_server.open_connections() > 0
             && Instant::now() + LATE_CONNECTIONS * 2 < end_by
         {
-            self.http_server.close_idle_connections();
+            self.http_server.close_long_idle_connections();
             sleep(POLL_INTERVAL).await;
         }
     }
--- a/crates/frosthatch/src/platform_config.rs
+++ b/crates/frosthatch/src/platform_config.rs
@@ -245,7 +245,7 @@
     let Some(known) = file.get("known") else {
         return (list::ServerList::default(), Vec::new());
     };
-    let unreadable = list::unreadable(known).into_iter();
+    let unreadable = list::invalid_entries(known).into_iter();
     let warnings = unreadable.map(|(index, what)| ConfigError {
         file: path.to_string(),
         location: format!("known.targets[{index}]"),
--- a/crates/frosthatch/src/policy/service.rs
+++ b/crates/frosthatch/src/policy/service.rs
@@ -219,7 +219,7 @@
             match output {
                 NodeOutput::Send { to, bytes } => {
                     if self.crash_points.is_active() {
-                        let name = Message::read(&bytes).map_or("", |message| message.name());
+                        let name = Message::read(&bytes).map_or("", |message| message.kind_name());
                         self.crash_points.reach(name);
                     }
                     self.member.send_message(&to, bytes);
@@ -228,7 +228,7 @@
                     self.crash_points.reach("store");
                     if let Some(directory) = &*self.state_directory.borrow() {
                         // The writing thread lives as long as this service.
-                        let _ = self.disk_writes.send((directory.another_handle(), record));
+                        let _ = self.disk_writes.send((directory.unlocked_handle(), record));
                     }
                 }
                 NodeOutput::Log(line) => {
@@ -310,7 +310,7 @@
         acceptors: config.acceptors.clone(),
         lease_config: LeaseConfig {
             lease_us: config.lease.as_micros() as u64,
-            drift: config.clock_drift_permille,
+            max_drift_permille: config.clock_drift_permille,
         },
         proposal_timeout_us: config.proposal_timeout.as_micros() as u64,
         retry_interval_us: RETRY_AFTER_US,
--- a/crates/http1/src/backend/attempt.rs
+++ b/crates/http1/src/backend/attempt.rs
@@ -148,9 +148,9 @@
         };
         let sending = Sending {
             request: [&head[..], &request.body[..]],
-            written: &written,
-            may: &check_write,
-            whole: &record_written,
+            written_bytes: &written,
+            check_write: &check_write,
+            on_written: &record_written,
         };
         let started_at = Instant::now();
         let response = tokio::select! {
@@ -187,7 +187,7 @@
         response: ServerResponse,
     ) -> AttemptResult {
         let status = completion_status(&response);
-        let is_reusable = response.reusable;
+        let is_reusable = response.is_connection_reusable;
         let mut stream = None;
         if let Some(rest) = response.rest {
             stream = Some(Box::new(ResponseStream {
--- a/crates/http1/src/conn.rs
+++ b/crates/http1/src/conn.rs
@@ -36,11 +36,11 @@
     /// Head and body.
     pub request: [&'a [u8]; 2],
     /// Number of bytes written so far. While a long body is being written, it counts only the bytes of the head.
-    pub written: &'a Cell<usize>,
+    pub written_bytes: &'a Cell<usize>,
     /// Checks that the next bytes may be written. Called immediately before each write; an error ends the exchange.
-    pub may: &'a dyn Fn(WriteProgress) -> Result<(), WriteDenied>,
+    pub check_write: &'a dyn Fn(WriteProgress) -> Result<(), WriteDenied>,
     /// Called when all bytes have been written.
-    pub whole: &'a dyn Fn(),
+    pub on_written: &'a dyn Fn(),
 }
 
 /// Connection to a server, which closes when it is dropped.
@@ -74,7 +74,7 @@
         max_body_bytes: usize,
     ) -> io::Result<ServerResponse> {
         self.send(&sending).await?;
-        (sending.whole)();
+        (sending.on_written)();
         let mut buffer = Vec::new();
         let (response, framing) = self.read_final_head(&mut buffer).await?;
         if matches!(framing, ResponseFraming::Length(length) if length > MAX_LONG_BODY_BYTES) {
@@ -101,7 +101,7 @@
     /// Writes a request. Fails if a check denies a write, or if the server sends bytes before the request is complete.
     async fn send(&self, sending: &Sending<'_>) -> io::Result<()> {
         let [head, body] = sending.request;
-        let written = sending.written;
+        let written = sending.written_bytes;
         let check = || self.check_write(sending);
         if body.len() <= MAX_BODY_BYTES {
             let request = [head, body].concat();
@@ -116,12 +116,12 @@
 
     /// Checks that the next bytes of a request may be written.
     fn check_write(&self, sending: &Sending<'_>) -> io::Result<()> {
-        let progress = if sending.written.get() == 0 {
+        let progress = if sending.written_bytes.get() == 0 {
             WriteProgress::NotBegun
         } else {
             WriteProgress::Begun
         };
-        (sending.may)(progress).map_err(io::Error::other)?;
+        (sending.check_write)(progress).map_err(io::Error::other)?;
         // A late response to an earlier request would be taken for the response to this one. No response is due before
         // the last byte of the request has been written, so any bytes that arrive earlier are unsolicited.
         if self.is_reusable() {
@@ -180,7 +180,7 @@
         let mut body = Vec::with_capacity(capacity);
         loop {
             if rest.decode_into(&mut body, false)? {
-                response.reusable &= rest.buffer.is_empty();
+                response.is_connection_reusable &= rest.buffer.is_empty();
                 break;
             }
             // A body that is declared long is streamed from its first bytes on.
@@ -190,7 +190,7 @@
             }
             if read_bulk(&self.stream, &mut rest.buffer).await? == 0 {
                 rest.decode_into(&mut body, true)?;
-                response.reusable = false;
+                response.is_connection_reusable = false;
                 break;
             }
         }
--- a/crates/http1/src/conn/response.rs
+++ b/crates/http1/src/conn/response.rs
@@ -32,7 +32,7 @@
     /// Load metrics that the server reports.
     pub load_report: Vec<(LoadMetric, f64)>,
     /// Whether the connection stays open and no bytes follow the response on it.
-    pub reusable: bool,
+    pub is_connection_reusable: bool,
     /// Unread part of a long body.
     pub rest: Option<RemainingBody>,
 }
@@ -74,7 +74,7 @@
             .map(|percent| percent / 100.0),
         load_report: find_header(headers, LOAD_METRICS_HEADER)
             .map_or_else(Vec::new, parse_load_report),
-        reusable: is_persistent,
+        is_connection_reusable: is_persistent,
         rest: None,
     };
     Ok(Some((ResponseHead::Final(response, framing), head_bytes)))
--- a/crates/http1/src/server/draining.rs
+++ b/crates/http1/src/server/draining.rs
@@ -73,7 +73,7 @@
     }
 
     /// Closes connections that have been idle for [`MIN_IDLE_TO_CLOSE`].
-    pub fn close_idle_connections(&self) {
+    pub fn close_long_idle_connections(&self) {
         self.close_idle(MIN_IDLE_TO_CLOSE, MIN_IDLE_TO_CLOSE);
     }
 
--- a/crates/lab/src/policy_size.rs
+++ b/crates/lab/src/policy_size.rs
@@ -49,7 +49,7 @@
                 acceptors: (0..KEEPERS).map(name).collect(),
                 lease_config: LeaseConfig {
                     lease_us: LEASE_US,
-                    drift: 10,
+                    max_drift_permille: 10,
                 },
                 proposal_timeout_us: 10 * S,
                 retry_interval_us: 150_000,
--- a/crates/policy-consensus/src/acceptor/tests.rs
+++ b/crates/policy-consensus/src/acceptor/tests.rs
@@ -7,7 +7,7 @@
 
 const CONFIG: LeaseConfig = LeaseConfig {
     lease_us: 1_000,
-    drift: 10,
+    max_drift_permille: 10,
 };
 
 fn new_acceptor() -> Acceptor {
--- a/crates/policy-consensus/src/lease_config/tests.rs
+++ b/crates/policy-consensus/src/lease_config/tests.rs
@@ -5,7 +5,7 @@
 fn clock_drift_never_lengthens_a_lease_or_shortens_a_wait() {
     let config = LeaseConfig {
         lease_us: 1_000_000,
-        drift: 10,
+        max_drift_permille: 10,
     };
     // Returns the true time that passes while a clock of this rate, in thousandths, advances by `shown_us`.
     let true_time_us = |shown_us: u64, rate: u64| shown_us as f64 * 1_000.0 / rate as f64;
--- a/crates/policy-consensus/src/lease_holder/tests.rs
+++ b/crates/policy-consensus/src/lease_holder/tests.rs
@@ -5,7 +5,7 @@
 
 const CONFIG: LeaseConfig = LeaseConfig {
     lease_us: 1_000_000,
-    drift: 10,
+    max_drift_permille: 10,
 };
 
 fn new_lease_holder() -> LeaseHolder {
--- a/crates/policy-consensus/src/message.rs
+++ b/crates/policy-consensus/src/message.rs
@@ -89,7 +89,7 @@
     }
 
     /// Returns the name of the message's kind, by which tests select the points at which a process crashes.
-    pub fn name(&self) -> &'static str {
+    pub fn kind_name(&self) -> &'static str {
         match self {
             Message::Request { request, .. } => match request {
                 AcceptorRequest::Prepare(_) => "prepare",
--- a/crates/policy-consensus/src/state_directory.rs
+++ b/crates/policy-consensus/src/state_directory.rs
@@ -40,7 +40,7 @@
 
     /// Returns another handle of the same directory, for a thread of the process that holds the lock. The handle
     /// itself holds no lock.
-    pub fn another_handle(&self) -> StateDirectory {
+    pub fn unlocked_handle(&self) -> StateDirectory {
         StateDirectory {
             path: self.path.clone(),
             _lock: None,
--- a/crates/policy-consensus/tests/explore/model.rs
+++ b/crates/policy-consensus/tests/explore/model.rs
@@ -14,7 +14,7 @@
 const TICK_US: u64 = 1_000;
 const LEASE_CONFIG: LeaseConfig = LeaseConfig {
     lease_us: 2 * TICK_US,
-    drift: 0,
+    max_drift_permille: 0,
 };
 
 /// A transition of the model.
--- a/crates/policy-consensus/tests/golden_forms.rs
+++ b/crates/policy-consensus/tests/golden_forms.rs
@@ -136,7 +136,7 @@
 fn encoded_messages_equal_the_recorded_bytes() {
     let mut text = String::new();
     for message in messages() {
-        writeln!(text, "{} {}", message.name(), hex(&message.write()))
+        writeln!(text, "{} {}", message.kind_name(), hex(&message.write()))
             .expect("writing to a string cannot fail");
         assert_eq!(Message::read(&message.write()), Some(message));
     }
--- a/crates/policy-consensus/tests/nodes/cluster.rs
+++ b/crates/policy-consensus/tests/nodes/cluster.rs
@@ -11,7 +11,7 @@
 
 const LEASE_CONFIG: LeaseConfig = LeaseConfig {
     lease_us: 500_000,
-    drift: 10,
+    max_drift_permille: 10,
 };
 pub const MEMBERS: usize = 5;
 pub const ACCEPTORS: usize = 3;
--- a/crates/policy-consensus/tests/promise/simulation.rs
+++ b/crates/policy-consensus/tests/promise/simulation.rs
@@ -11,7 +11,7 @@
 
 const LEASE_CONFIG: LeaseConfig = LeaseConfig {
     lease_us: 1_000_000,
-    drift: 10,
+    max_drift_permille: 10,
 };
 pub const ACCEPTORS: usize = 3;
 pub const GATEWAYS: usize = 3;
