--- a/crates/frosthatch/src/outlier_gossip/tests.rs
+++ b/crates/frosthatch/src/outlier_gossip/tests.rs
@@ -33,13 +33,13 @@
 #[test]
 fn reports_round_trip_through_gauges() {
     let reports = HealthReports {
-        uses: 12,
-        of: vec![(3, 0.9, 7), (u64::MAX, 0.04, 9)],
+        used_servers: 12,
+        reports: vec![(3, 0.9, 7), (u64::MAX, 0.04, 9)],
     };
     let gauges = gauges_from_reports(&reports);
     assert!(gauges
         .keys()
-        .all(|name| name.len() <= frosthatch_cluster_membership::gauges::MAX_NAME_BYTES));
+        .all(|name| name.len() <= frosthatch_cluster_membership::gauges::MAX_GAUGE_NAME_BYTES));
     let received = reports_from_gauges(
         gauges
             .into_iter()
@@ -48,13 +48,13 @@
     assert_eq!(
         received,
         HealthReports {
-            uses: 12,
-            of: vec![(3, 0.9, 7), (u64::MAX, 0.0, 9)]
+            used_servers: 12,
+            reports: vec![(3, 0.9, 7), (u64::MAX, 0.0, 9)]
         }
     );
     let no_servers = HealthReports {
-        uses: 3,
-        of: Vec::new(),
+        used_servers: 3,
+        reports: Vec::new(),
     };
     assert!(gauges_from_reports(&no_servers).is_empty());
     // Gauges for other purposes and gauges with malformed names carry no report.
--- a/crates/frosthatch/src/policy/service.rs
+++ b/crates/frosthatch/src/policy/service.rs
@@ -316,7 +316,7 @@
         acceptors: config.acceptors.clone(),
         lease_config: LeaseConfig {
             lease_us: config.lease.as_micros() as u64,
-            drift: config.clock_drift_permille,
+            max_drift_permille: config.clock_drift_permille,
         },
         proposal_timeout_us: config.proposal_timeout.as_micros() as u64,
         retry_interval_us: PROPOSAL_RETRY_INTERVAL_US,
--- a/crates/lab/src/members_size.rs
+++ b/crates/lab/src/members_size.rs
@@ -7,7 +7,7 @@
 
 #[path = "../../cluster-membership/tests/world/mod.rs"]
 mod world;
-use world::{World, S};
+use world::{World, SECOND_US};
 
 const SIZES: [usize; 4] = [4, 64, 300, 1_000];
 const LOSSES: [f64; 3] = [0.0, 0.05, 0.3];
@@ -77,13 +77,17 @@
         w.fleet(size - 1).view().ready_count == size && w.views_equal()
     });
     w.loss = loss;
-    w.delay = (500, 3_000);
+    w.delay_range_us = (500, 3_000);
     for n in 0..size {
         let node = w.node(n);
-        (node.bytes, node.messages, node.busy, node.longest) =
-            (0, 0, Duration::ZERO, Duration::ZERO);
-        (node.calls, node.over_1ms) = (0, 0);
-        node.logs.clear();
+        (
+            node.sent_bytes,
+            node.sent_datagrams,
+            node.processor_time,
+            node.longest_call,
+        ) = (0, 0, Duration::ZERO, Duration::ZERO);
+        (node.call_count, node.calls_over_1ms) = (0, 0);
+        node.log_lines.clear();
     }
     w.run(duration_us);
     let seconds = duration_us as f64 / 1e6;
@@ -91,13 +95,16 @@
         let all = w.nodes.iter().flatten().map(f);
         all.sum::<f64>() / size as f64 / seconds
     };
-    let (bytes_s, messages_s) = (each(|n| n.bytes as f64), each(|n| n.messages as f64));
-    let busy = each(|n| n.busy.as_secs_f64());
+    let (bytes_s, messages_s) = (
+        each(|n| n.sent_bytes as f64),
+        each(|n| n.sent_datagrams as f64),
+    );
+    let busy = each(|n| n.processor_time.as_secs_f64());
     let longest = w
         .nodes
         .iter()
         .flatten()
-        .map(|n| n.longest)
+        .map(|n| n.longest_call)
         .max()
         .unwrap_or_default();
     let sum = |f: fn(&world::Node) -> u64| w.nodes.iter().flatten().map(f).sum::<u64>() as f64;
