--- a/crates/diameter/src/front/requests.rs
+++ b/crates/diameter/src/front/requests.rs
@@ -193,7 +193,7 @@
         };
         IncomingRequest {
             request,
-            client_leaves_at: client_timeout_at,
+            client_deadline: client_timeout_at,
             payload: Box::new(payload),
         }
     }
--- a/crates/frosthatch/src/membership.rs
+++ b/crates/frosthatch/src/membership.rs
@@ -118,7 +118,7 @@
         name: addresses.name,
         number: u16::try_from(settings.gateway_index)
             .map_err(|_| "fleet: settings.me is above the maximum of 65535")?,
-        gateways: u16::try_from(settings.gateways)
+        gateway_count: u16::try_from(settings.gateways)
             .map_err(|_| "fleet: settings.balancers is above the maximum of 65535")?,
         zone: fleet.zone.clone().unwrap_or_else(|| settings.zone.clone()),
         region: fleet.region.clone(),
@@ -132,7 +132,7 @@
         max_usage_counters: fleet.max_usage_entries.min(max_entries),
         max_members: fleet.max_members.min(max_members),
         forget_us: micros(fleet.forget_after),
-        started_ms: started.as_millis() as u64,
+        started_at_unix_ms: started.as_millis() as u64,
         // The seed differs with each start, even if the platform configures the same one again.
         seed: platform.seed ^ started.as_nanos() as u64 ^ u64::from(std::process::id()) << 32,
     })
--- a/crates/frosthatch/src/outlier_gossip.rs
+++ b/crates/frosthatch/src/outlier_gossip.rs
@@ -105,8 +105,8 @@
         (name, Measurement { value, at_us })
     });
     // Without a report on any server, the number of used servers is not needed.
-    let servers_used = (!reports.of.is_empty()).then(|| {
-        let value = reports.uses as f64;
+    let servers_used = (!reports.reports.is_empty()).then(|| {
+        let value = reports.used_servers as f64;
         let name = SERVERS_USED_GAUGE.to_string();
         (name, Measurement { value, at_us: 0 })
     });
--- a/crates/frosthatch/src/outlier_gossip/tests.rs
+++ b/crates/frosthatch/src/outlier_gossip/tests.rs
@@ -15,8 +15,8 @@
 fn a_gauge_is_sent_when_it_changes_or_the_refresh_interval_passes() {
     let mut state = GossipState::default();
     let reports = |error_rate, at_us| HealthReports {
-        uses: 5,
-        of: vec![(3, error_rate, at_us)],
+        used_servers: 5,
+        reports: vec![(3, error_rate, at_us)],
     };
     assert_eq!(state.gauge_changes(&reports(0.5, 7)).set.len(), 2);
     assert_eq!(state.gauge_changes(&reports(0.52, 8)), no_changes());
--- a/crates/frosthatch/src/platform_config.rs
+++ b/crates/frosthatch/src/platform_config.rs
@@ -278,7 +278,7 @@
     traffic_control.max_retry_after_us = sockets.limits.max_retry_after_us;
     traffic_control.has_counter &= has_counter;
     if reader.has_no_errors() {
-        for problem in traffic_control.mistakes() {
+        for problem in traffic_control.validation_errors() {
             reader.report("settings", problem, "correct the settings");
         }
     }
--- a/crates/frosthatch/src/policy/service.rs
+++ b/crates/frosthatch/src/policy/service.rs
@@ -224,7 +224,7 @@
             match output {
                 NodeOutput::Send { to, bytes } => {
                     if self.crash_points.is_active() {
-                        let name = Message::read(&bytes).map_or("", |message| message.name());
+                        let name = Message::read(&bytes).map_or("", |message| message.kind_name());
                         self.crash_points.record_pass(name);
                     }
                     self.member.send_message(&to, bytes);
@@ -234,7 +234,7 @@
                     if let Some(directory) = &*self.state_directory.borrow() {
                         // The receiver exists: `state_directory` is set only for an acceptor, whose writer thread
                         // runs as long as this service.
-                        let _ = self.disk_writes.send((directory.another_handle(), record));
+                        let _ = self.disk_writes.send((directory.unlocked_handle(), record));
                     }
                 }
                 NodeOutput::Log(line) => {
--- a/crates/lab/src/choices_size.rs
+++ b/crates/lab/src/choices_size.rs
@@ -258,7 +258,7 @@
                         continue;
                     };
                     let health_reports = gateway.health_reports();
-                    if health_reports.of.is_empty() {
+                    if health_reports.reports.is_empty() {
                         continue;
                     }
                     for to in (0..self.gateways.len()).filter(|to| *to != by) {
--- a/crates/lab/src/members_size.rs
+++ b/crates/lab/src/members_size.rs
@@ -35,7 +35,7 @@
 }
 
 pub fn run(seconds: Option<u64>, figures: &mut Figures) {
-    let duration_us = seconds.unwrap_or(10) * S;
+    let duration_us = seconds.unwrap_or(10) * SECOND_US;
     for size in SIZES {
         let before = memory_mb(std::process::id());
         let rows = std::thread::scope(|s| {
@@ -71,10 +71,10 @@
 }
 
 fn simulate(size: usize, loss: f64, duration_us: u64) -> Row {
-    let mut w = World::settled(size, size as u64);
+    let mut w = World::converged(size, size as u64);
     // Member tables of 1,000 entries take a while to fill.
-    w.until(20 * S, |w| {
-        w.fleet(size - 1).view().ready_count == size && w.views_equal()
+    w.run_until(20 * SECOND_US, |w| {
+        w.membership(size - 1).view().ready_count == size && w.views_equal()
     });
     w.loss = loss;
     w.delay_range_us = (500, 3_000);
@@ -108,9 +108,9 @@
         .max()
         .unwrap_or_default();
     let sum = |f: fn(&world::Node) -> u64| w.nodes.iter().flatten().map(f).sum::<u64>() as f64;
-    let over_1ms = 1e6 * sum(|n| n.over_1ms) / sum(|n| n.calls);
+    let over_1ms = 1e6 * sum(|n| n.calls_over_1ms) / sum(|n| n.call_count);
     let memory_mb = memory_mb(std::process::id());
-    let mut accused: Vec<String> = w.accusations().into_iter().map(|a| a.2).collect();
+    let mut accused: Vec<String> = w.death_log_lines().into_iter().map(|a| a.2).collect();
     accused
         .iter_mut()
         .for_each(|l| l.truncate(l.find(':').unwrap_or(0)));
@@ -118,7 +118,7 @@
     accused.dedup();
     let crashed = size / 2;
     w.kill(crashed);
-    let from = w.now;
+    let from = w.now_us;
     let detected_by = |w: &World| {
         w.running()
             .iter()
@@ -126,10 +126,10 @@
             .count()
     };
     let half_s = w
-        .until(60 * S, |w| 2 * detected_by(w) >= size - 1)
+        .run_until(60 * SECOND_US, |w| 2 * detected_by(w) >= size - 1)
         .map_or(f64::INFINITY, |us| us as f64 / 1e6);
-    let all = w.until(60 * S, |w| detected_by(w) == size - 1);
-    let all = all.map_or(f64::INFINITY, |_| (w.now - from) as f64 / 1e6);
+    let all = w.run_until(60 * SECOND_US, |w| detected_by(w) == size - 1);
+    let all = all.map_or(f64::INFINITY, |_| (w.now_us - from) as f64 / 1e6);
     Row {
         size,
         loss,
--- a/crates/plugins/src/host/evaluation.rs
+++ b/crates/plugins/src/host/evaluation.rs
@@ -14,7 +14,7 @@
 const TIME_DIVISOR: u32 = 4;
 
 impl RequestPlugins for Plugins {
-    fn wanted_input(&self) -> Rc<(Vec<String>, usize)> {
+    fn required_input(&self) -> Rc<(Vec<String>, usize)> {
         self.visible_input()
     }
 
@@ -116,7 +116,7 @@
         }
         PluginVerdict::Continue {
             units: merged.units,
-            deprioritized: merged.lowers_priority,
+            low_priority: merged.lowers_priority,
             timeout: merged
                 .deadline_ms
                 .map(|ms| Duration::from_millis(ms.into())),
