--- a/crates/lab/src/diameter.rs
+++ b/crates/lab/src/diameter.rs
@@ -56,7 +56,7 @@
 
 fn start_server(n: usize, silent: Arc<AtomicBool>, log: Log) -> DiameterServer {
     DiameterServer::new(HOSTS[n], move |ccr| {
-        let charge = ccr.number(code::REQUESTED_ACTION) != Some(2);
+        let charge = ccr.u32_value(code::REQUESTED_ACTION) != Some(2);
         let above_ceiling = ccr
             .find(code::SUBSCRIPTION_ID)
             .is_some_and(|a| is_customer_above_ceiling(&a.data));
@@ -68,7 +68,8 @@
             above_ceiling,
         };
         log.lock().expect("lock is not poisoned").push(request);
-        let answer = success_answer(ccr, HOSTS[n]).with(Avp::of_u32(code::CC_SESSION_FAILOVER, 1));
+        let answer =
+            success_answer(ccr, HOSTS[n]).with_avp(Avp::of_u32(code::CC_SESSION_FAILOVER, 1));
         (!silent.load(Ordering::SeqCst)).then_some(answer)
     })
 }
@@ -111,7 +112,10 @@
         let mut buffer = Vec::new();
         while let Some(message) = read_diameter_message(&mut reader, &mut buffer) {
             if message.header.command == command::CREDIT_CONTROL {
-                let (id, result) = (message.header.end_to_end, message.result().unwrap_or(0));
+                let (id, result) = (
+                    message.header.end_to_end,
+                    message.result_code().unwrap_or(0),
+                );
                 let mut client_log = answers.lock().expect("lock is not poisoned");
                 client_log
                     .answers
@@ -411,7 +415,7 @@
             let answer = client
                 .next_message()
                 .expect("the gateway answers every request");
-            open += u32::from(answer.result() == Some(result::SUCCESS));
+            open += u32::from(answer.result_code() == Some(result::SUCCESS));
         }
         assert!(
             next < 4 * count + 10_000,
