--- a/crates/frosthatch/tests/choices.rs
+++ b/crates/frosthatch/tests/choices.rs
@@ -1,4 +1,5 @@
-//! Ten real processes that choose among twenty servers by each other's word, and faults between them.
+//! Ten gateway processes that divide twenty servers among themselves from each other's reports, with faults
+//! between them.
 
 use frosthatch_lab::site::Node;
 use frosthatch_lab::testbed::{fleet_file, processes, Process, Relay, Testbed, TimelineAction};
@@ -11,20 +12,20 @@
 use std::time::{Duration, Instant};
 use tokio::runtime::Runtime;
 
-/// Longer than anything here takes on two busy cores.
-const LONG: Duration = Duration::from_secs(40);
-const ALL: usize = 10;
+/// Longer than any wait of these tests takes on two busy cores.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
+const GATEWAYS: usize = 10;
 const SERVERS: usize = 20;
-/// Its list tells addresses where nobody is.
-const BLIND: usize = 9;
+/// Index of the process whose endpoint list holds addresses where nothing listens.
+const MISCONFIGURED: usize = 9;
 
 struct Fleet {
     testbed: Testbed,
     key: PathBuf,
     failing: Arc<AtomicBool>,
-    /// Requests that the server that fails at times got.
-    tried: Arc<AtomicUsize>,
-    asked: AtomicUsize,
+    /// Requests received by server 0, the one that can be made to fail.
+    failing_server_requests: Arc<AtomicUsize>,
+    next_customer: AtomicUsize,
     _agents: [Discovery; 2],
     _servers: Vec<Server>,
     _runtime: Runtime,
@@ -32,18 +33,19 @@
 
 impl Fleet {
     fn new() -> Fleet {
-        let runtime = Runtime::new().expect("a runtime");
-        let (failing, tried) = (
+        let runtime = Runtime::new().expect("the Tokio runtime starts");
+        let (failing, failing_server_requests) = (
             Arc::new(AtomicBool::new(false)),
             Arc::new(AtomicUsize::new(0)),
         );
         let server = |n: usize| {
-            let (failing, tried) = (failing.clone(), tried.clone());
+            let (failing, failing_server_requests) =
+                (failing.clone(), failing_server_requests.clone());
             Server::new(move |_| {
                 if n > 0 {
                     return ok("done");
                 }
-                tried.fetch_add(1, Ordering::SeqCst);
+                failing_server_requests.fetch_add(1, Ordering::SeqCst);
                 if failing.load(Ordering::SeqCst) {
                     status("500 Internal Server Error")
                 } else {
@@ -52,20 +54,20 @@
             })
         };
         let servers: Vec<Server> = (0..SERVERS).map(server).collect();
-        let nobody = std::net::TcpListener::bind("127.0.0.1:0")
+        let unused_address = std::net::TcpListener::bind("127.0.0.1:0")
             .and_then(|l| l.local_addr())
-            .expect("a port");
-        let list = |at: &dyn Fn(usize) -> std::net::SocketAddr| {
-            let one = |n| endpoint_entry(&format!("s{n}"), at(n), n as u64, "Ready");
-            Discovery::new(&(0..SERVERS).map(one).collect::<Vec<_>>().join(","))
+            .expect("a free loopback port can be bound");
+        let list = |address_of: &dyn Fn(usize) -> std::net::SocketAddr| {
+            let entry = |n| endpoint_entry(&format!("s{n}"), address_of(n), n as u64, "Ready");
+            Discovery::new(&(0..SERVERS).map(entry).collect::<Vec<_>>().join(","))
         };
-        let agents = [list(&|n| servers[n].address), list(&|_| nobody)];
-        let relay = Relay::new(runtime.handle(), ALL, 5);
+        let agents = [list(&|n| servers[n].address), list(&|_| unused_address)];
+        let relay = Relay::new(runtime.handle(), GATEWAYS, 5);
         let key = write_config_file(&format!("1 {}\n", "k".repeat(40)));
         let process = |n: usize| {
-            let discovery = agents[usize::from(n == BLIND)].address;
+            let discovery = agents[usize::from(n == MISCONFIGURED)].address;
             let node = Node {
-                gateways: ALL,
+                gateways: GATEWAYS,
                 me: n,
                 discovery,
                 counter: None,
@@ -74,13 +76,13 @@
             };
             Process::new(node, Some(fleet_file(&relay, n, &key, "")))
         };
-        let testbed = Testbed::new((0..ALL).map(process).collect(), relay);
+        let testbed = Testbed::new((0..GATEWAYS).map(process).collect(), relay);
         let mut fleet = Fleet {
             testbed,
             key,
             failing,
-            tried,
-            asked: AtomicUsize::new(1),
+            failing_server_requests,
+            next_customer: AtomicUsize::new(1),
             _agents: agents,
             _servers: servers,
             _runtime: runtime,
@@ -90,10 +92,15 @@
         fleet
     }
 
-    /// What a process says: gateways, servers used, servers left alone.
-    fn says(&self, by: usize) -> Option<[u64; 3]> {
-        let (_, body) =
-            processes::call_console(self.testbed.processes[by].console()?, "GET", "/fleet", "")?;
+    /// Returns what a process reports: gateways counted, servers used and servers left out. None while its
+    /// console doesn't answer.
+    fn reported_choices(&self, member: usize) -> Option<[u64; 3]> {
+        let (_, body) = processes::call_console(
+            self.testbed.processes[member].console()?,
+            "GET",
+            "/fleet",
+            "",
+        )?;
         let json: serde_json::Value = serde_json::from_str(&body).ok()?;
         let figure = |name: &str| json["choices"][name].as_u64();
         Some([
@@ -103,31 +110,40 @@
         ])
     }
 
-    /// Each of these is asked so often until it holds.
-    fn until(&self, what: &str, who: &[usize], holds: impl Fn(&Fleet) -> bool) {
+    /// Sends requests to each of the `members` until the condition holds.
+    fn request_until(&self, condition: &str, members: &[usize], holds: impl Fn(&Fleet) -> bool) {
         let since = Instant::now();
         while !holds(self) {
-            let says = || (0..ALL).map(|n| self.says(n)).collect::<Vec<_>>();
-            assert!(since.elapsed() < LONG, "{what}: {:?}", says());
-            self.ask(who, 5);
+            let reported_choices = || {
+                (0..GATEWAYS)
+                    .map(|n| self.reported_choices(n))
+                    .collect::<Vec<_>>()
+            };
+            assert!(
+                since.elapsed() < WAIT_TIMEOUT,
+                "{condition}: {:?}",
+                reported_choices()
+            );
+            self.request_each(members, 5);
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
-    /// How many were served.
-    fn ask(&self, who: &[usize], times: usize) -> usize {
+    /// Sends `times` requests to each of the `members` and returns how many were served.
+    fn request_each(&self, members: &[usize], times: usize) -> usize {
         let mut served = 0;
-        for n in who {
+        for n in members {
             let mut client = self.testbed.processes[*n].client();
             for _ in 0..times {
-                // Each of a customer of its own, so that no quota is in the way.
-                let customer = format!("{:016x}", self.asked.fetch_add(1, Ordering::SeqCst));
-                let ask = ClientRequest::check()
+                // Each request is from another customer, so that no quota limits it.
+                let customer =
+                    format!("{:016x}", self.next_customer.fetch_add(1, Ordering::SeqCst));
+                let request = ClientRequest::check()
                     .with_header("X-Tier", "mellem")
                     .with_header("X-Api-Key", &customer);
                 served += usize::from(
                     client
-                        .exchange(&ask.to_text())
+                        .exchange(&request.to_text())
                         .is_some_and(|m| m.status() == 200),
                 );
             }
@@ -135,20 +151,23 @@
         served
     }
 
-    fn all_say(&self, who: &[usize], gateways: u64, used: u64) {
-        let what = format!("{who:?} go by {gateways}");
-        self.until(&what, who, |f| {
-            who.iter().all(|n| {
-                f.says(*n)
-                    .is_some_and(|[g, u, _]| g == gateways && u == used)
+    fn wait_until_all_report(&self, members: &[usize], gateways: u64, servers_used: u64) {
+        let condition = format!("{members:?} count {gateways} gateways");
+        self.request_until(&condition, members, |f| {
+            members.iter().all(|n| {
+                f.reported_choices(*n)
+                    .is_some_and(|[g, u, _]| g == gateways && u == servers_used)
             })
         });
     }
 
-    fn all_leave_alone(&self, who: &[usize], out: u64) {
-        let what = format!("{out} left alone");
-        self.until(&what, who, |f| {
-            who.iter().all(|n| f.says(*n).is_some_and(|s| s[2] == out))
+    fn wait_until_all_leave_out(&self, members: &[usize], servers_left_out: u64) {
+        let condition = format!("{servers_left_out} servers left out");
+        self.request_until(&condition, members, |f| {
+            members.iter().all(|n| {
+                f.reported_choices(*n)
+                    .is_some_and(|s| s[2] == servers_left_out)
+            })
         });
     }
 }
@@ -160,63 +179,71 @@
 }
 
 #[test]
-fn servers_are_dealt_out_among_those_that_are_there_and_bad_ones_left_alone_by_all() {
+fn servers_are_divided_among_the_running_gateways_and_all_leave_out_a_failing_one() {
     let mut fleet = Fleet::new();
-    let seeing: Vec<usize> = (0..BLIND).collect();
-    // Ten use seven each; when two are killed the eight that are left use all.
-    fleet.all_say(&(0..ALL).collect::<Vec<_>>(), 10, 7);
-    assert_eq!(fleet.ask(&seeing, 20), 180);
+    let correctly_configured: Vec<usize> = (0..MISCONFIGURED).collect();
+    // With ten gateways each uses seven servers; when two are killed the remaining eight use all.
+    fleet.wait_until_all_report(&(0..GATEWAYS).collect::<Vec<_>>(), 10, 7);
+    assert_eq!(fleet.request_each(&correctly_configured, 20), 180);
 
-    // The one whose list is wrong accuses all it uses, again and again: nobody leaves any alone for it, nobody is refused.
+    // The gateway with the wrong list reports failures of all the servers it uses: no other gateway leaves out a
+    // server for that, and no request is refused.
     for _ in 0..5 {
-        fleet.ask(&[BLIND], 10);
-        assert_eq!(fleet.ask(&seeing, 2), 18);
-        assert!(seeing
+        fleet.request_each(&[MISCONFIGURED], 10);
+        assert_eq!(fleet.request_each(&correctly_configured, 2), 18);
+        assert!(correctly_configured
             .iter()
-            .all(|n| fleet.says(*n).is_some_and(|s| s[2] == 0)));
+            .all(|n| fleet.reported_choices(*n).is_some_and(|s| s[2] == 0)));
     }
 
-    // One fails everything: left alone by all that see, also by those that never met it, after few tries.
-    let before = fleet.tried.load(Ordering::SeqCst);
+    // One server fails every request: all gateways with a correct list leave it out, also those that never used
+    // it, after few attempts.
+    let before = fleet.failing_server_requests.load(Ordering::SeqCst);
     fleet.failing.store(true, Ordering::SeqCst);
-    fleet.all_leave_alone(&seeing, 1);
+    fleet.wait_until_all_leave_out(&correctly_configured, 1);
     let since = Instant::now();
-    let found_out = fleet.tried.load(Ordering::SeqCst) - before;
+    let until_detected = fleet.failing_server_requests.load(Ordering::SeqCst) - before;
     while since.elapsed() < Duration::from_secs(3) {
-        assert_eq!(fleet.ask(&seeing, 5), 45);
+        assert_eq!(fleet.request_each(&correctly_configured, 5), 45);
     }
-    let more = fleet.tried.load(Ordering::SeqCst) - before - found_out;
-    // A turn takes 4 s; what was under way when it was found out comes beside.
-    assert!(more <= 2 + 4, "{more} after {found_out}");
-    // Who is stopped through its turns and goes on finds them over; who is cut off goes by itself, uses all servers, and serves.
+    let after_detection =
+        fleet.failing_server_requests.load(Ordering::SeqCst) - before - until_detected;
+    // A turn takes 4 s; requests already under way when the failure was reported come on top.
+    assert!(
+        after_detection <= 2 + 4,
+        "{after_detection} requests after {until_detected} until detection"
+    );
+    // A process that is stopped during its turns and continues finds them over; a process that is cut off counts
+    // only itself, uses all servers, and serves.
     fleet.testbed.apply(&TimelineAction::Stop { who: vec![1] });
     fleet.testbed.apply(&TimelineAction::Cut {
         from: vec![2],
-        to: (0..ALL).filter(|n| *n != 2).collect(),
+        to: (0..GATEWAYS).filter(|n| *n != 2).collect(),
     });
     fleet.testbed.apply(&TimelineAction::Cut {
-        from: (0..ALL).filter(|n| *n != 2).collect(),
+        from: (0..GATEWAYS).filter(|n| *n != 2).collect(),
         to: vec![2],
     });
-    fleet.all_say(&[2], 1, SERVERS as u64);
-    assert_eq!(fleet.ask(&[2], 40), 40);
+    fleet.wait_until_all_report(&[2], 1, SERVERS as u64);
+    assert_eq!(fleet.request_each(&[2], 40), 40);
     fleet
         .testbed
         .apply(&TimelineAction::Continue { who: vec![1] });
     fleet.testbed.apply(&TimelineAction::Heal);
     fleet.failing.store(false, Ordering::SeqCst);
-    fleet.all_leave_alone(&seeing, 0);
-    fleet.all_say(&(0..ALL).collect::<Vec<_>>(), 10, 7);
-    assert_eq!(fleet.ask(&seeing, 20), 180);
+    fleet.wait_until_all_leave_out(&correctly_configured, 0);
+    fleet.wait_until_all_report(&(0..GATEWAYS).collect::<Vec<_>>(), 10, 7);
+    assert_eq!(fleet.request_each(&correctly_configured, 20), 180);
 
-    // Two killed: the others know it and use all between them; they come back, and all is dealt as before.
+    // Two are killed: the others detect it and use all servers between them; when they return, servers are
+    // divided as before.
     fleet
         .testbed
         .apply(&TimelineAction::Kill { who: vec![3, 4] });
-    let left: Vec<usize> = (0..ALL).filter(|n| ![3, 4].contains(n)).collect();
-    fleet.all_say(&left, 8, SERVERS as u64);
+    let remaining: Vec<usize> = (0..GATEWAYS).filter(|n| ![3, 4].contains(n)).collect();
+    fleet.wait_until_all_report(&remaining, 8, SERVERS as u64);
     fleet.testbed.start(3);
     fleet.testbed.start(4);
-    fleet.all_say(&(0..ALL).collect::<Vec<_>>(), 10, 7);
-    assert_eq!(fleet.ask(&seeing, 20), 180);
+    fleet.wait_until_all_report(&(0..GATEWAYS).collect::<Vec<_>>(), 10, 7);
+    assert_eq!(fleet.request_each(&correctly_configured, 20), 180);
 }
--- a/crates/frosthatch/tests/clients.rs
+++ b/crates/frosthatch/tests/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that send nonsense, and the planned end.
+//! Malformed requests, slow and idle clients, limits on connections, and the orderly shutdown.
 #![expect(clippy::too_many_lines)]
 
 mod common;
@@ -6,19 +6,19 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-fn stage() -> (Server, Gateway) {
+fn start_gateway_with_server() -> (Server, Gateway) {
     let server = Server::new(|_| ok("served"));
     let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let gateway = Gateway::start_alone(&discovery);
     (server, gateway)
 }
 
-/// Guards against requests that make no sense: a plain 4xx that is not a refusal, and no server hears of them.
+/// Guards against forwarding malformed requests: each gets a 4xx other than 429, and reaches no server.
 #[test]
-fn a_request_that_makes_no_sense_is_a_plain_error() {
-    let (server, mut gateway) = stage();
+fn a_malformed_request_gets_a_client_error_and_reaches_no_server() {
+    let (server, mut gateway) = start_gateway_with_server();
     let (check, top_up) = (ClientRequest::check, ClientRequest::top_up);
-    let mut bad: Vec<String> = Vec::new();
+    let mut malformed: Vec<String> = Vec::new();
     for name in [
         "X-Trace-Id",
         "X-Qos",
@@ -27,11 +27,11 @@
         "X-Expires-In",
         "X-Call-Terms",
     ] {
-        bad.push(check().without_header(name).to_text());
-        bad.push(check().with_header(name, "").to_text());
-        bad.push(check().with_header(name, "\u{e6}\u{f8}\u{e5}").to_text());
+        malformed.push(check().without_header(name).to_text());
+        malformed.push(check().with_header(name, "").to_text());
+        malformed.push(check().with_header(name, "\u{e6}\u{f8}\u{e5}").to_text());
     }
-    bad.push(top_up().without_header("Idempotency-Key").to_text());
+    malformed.push(top_up().without_header("Idempotency-Key").to_text());
     for (name, value) in [
         ("X-Trace-Id", "xyz"),
         ("X-Trace-Id", "+000000000000001"),
@@ -49,58 +49,58 @@
         ("X-Call-Terms", "units=1,spread=99,first=0"),
         ("X-Call-Terms", "units=1,spread=1,first=-7"),
     ] {
-        bad.push(check().with_header(name, value).to_text());
+        malformed.push(check().with_header(name, value).to_text());
     }
     for path in ["/", "/nowhere", "/balance-checks", "*", "/ready/x"] {
-        bad.push(ClientRequest { path, ..check() }.to_text());
+        malformed.push(ClientRequest { path, ..check() }.to_text());
     }
-    bad.push(
+    malformed.push(
         ClientRequest {
             method: "POST",
             ..check()
         }
         .to_text(),
     );
-    bad.push(
+    malformed.push(
         ClientRequest {
             method: "GET",
             ..top_up()
         }
         .to_text(),
     );
-    bad.push(
+    malformed.push(
         ClientRequest {
             method: "BREW",
             ..check()
         }
         .to_text(),
     );
-    bad.push("nonsense\r\n\r\n".into());
-    bad.push("GET / HTTP/9.9\r\n\r\n".into());
-    bad.push(
+    malformed.push("nonsense\r\n\r\n".into());
+    malformed.push("GET / HTTP/9.9\r\n\r\n".into());
+    malformed.push(
         check()
             .to_text()
             .replace("\r\n\r\n", "\r\nContent-Length: -4\r\n\r\n"),
     );
-    bad.push(check().to_text().replace(
+    malformed.push(check().to_text().replace(
         "\r\n\r\n",
         "\r\nContent-Length: 99999999999999999999999\r\n\r\n",
     ));
-    bad.push(check().to_text().replace(
+    malformed.push(check().to_text().replace(
         "\r\n\r\n",
         &format!("\r\nX-Pad: {}\r\n\r\n", "x".repeat(1 << 17)),
     ));
-    bad.push(
+    malformed.push(
         check()
             .to_text()
             .replace("X-Tier:", "X-Tier: small\r\nX-Tier:"),
     );
-    for text in bad {
+    for text in malformed {
         let start: String = text.chars().take(200).collect();
         let answer = gateway
             .client()
             .exchange(&text)
-            .unwrap_or_else(|| panic!("an answer to {start:?}"));
+            .unwrap_or_else(|| panic!("the gateway closes without an answer to {start:?}"));
         assert!(
             (400..500).contains(&answer.status()) && answer.status() != 429,
             "{start:?}: {answer:?}"
@@ -111,10 +111,10 @@
     assert_eq!(gateway.request(&check()).body, "served");
 }
 
-/// Guards against a request hidden in the body of another: with two lengths, or both framings, neither is believed,
-/// no server hears of it, and nothing behind it is read as a request.
+/// Guards against request smuggling: with two lengths, or both framings, neither is trusted, no server receives
+/// the request, and nothing behind it is read as a request.
 #[test]
-fn a_request_whose_end_is_in_doubt_is_turned_away_and_hides_no_other() {
+fn a_request_with_ambiguous_framing_is_refused_and_smuggles_no_other() {
     let hidden = format!("0\r\n\r\n{}", ClientRequest::check().to_text());
     let length = format!("Content-Length: {}\r\n", hidden.len());
     let chunked = "Transfer-Encoding: chunked\r\n".to_string();
@@ -130,7 +130,7 @@
             &String::new(),
         ],
     ] {
-        let (server, gateway) = stage();
+        let (server, gateway) = start_gateway_with_server();
         let head = ClientRequest {
             body: String::new(),
             ..ClientRequest::top_up()
@@ -141,20 +141,26 @@
         let mut client = gateway.client();
         client.send(&format!("{head}\r\n{hidden}"));
         assert_eq!(
-            client.read_response().expect("an answer").status(),
+            client
+                .read_response()
+                .expect("the gateway answers the request")
+                .status(),
             400,
             "{lines:?}"
         );
-        assert!(client.read_response().is_none(), "the connection ends");
+        assert!(
+            client.read_response().is_none(),
+            "the gateway closes the connection"
+        );
         assert_eq!(server.drain_request_count(), 0, "{lines:?}");
     }
 }
 
-/// Guards against clients that say nothing, or half of what they should, and stay: each has an error or a close within
-/// 3 s of connecting.
+/// Guards against clients that send nothing, or part of a request, and stay connected: each gets an error or a
+/// close within 3 s of connecting.
 #[test]
-fn silent_and_half_requests_end_in_time() {
-    let (server, gateway) = stage();
+fn missing_and_partial_requests_time_out() {
+    let (server, gateway) = start_gateway_with_server();
     let text = ClientRequest::top_up().to_text();
     let since = std::time::Instant::now();
     let mut clients: Vec<Client> = [0, 1, 40, text.len() - 12, text.len() - 1]
@@ -169,15 +175,15 @@
     }
     assert!(
         since.elapsed() < TIMEOUT / 4,
-        "not only when the clients had enough"
+        "requests time out before the clients do"
     );
     assert_eq!(server.drain_request_count(), 0);
 }
 
-/// Guards against reading 60 MB that nobody wants: the answer comes before they do.
+/// Guards against reading a 60 MB body that is refused anyway: the answer comes before the body.
 #[test]
-fn a_huge_body_is_turned_away_unread() {
-    let (server, gateway) = stage();
+fn a_huge_body_is_refused_unread() {
+    let (server, gateway) = start_gateway_with_server();
     for length in ["62914560", "99999999999999999999999"] {
         let mut client = gateway.client();
         let head = ClientRequest {
@@ -186,16 +192,25 @@
         }
         .to_text();
         client.send(&head.replace("Content-Length: 0", &format!("Content-Length: {length}")));
-        assert_eq!(client.read_response().expect("an answer").status(), 413);
-        assert!(client.read_response().is_none(), "the connection ends");
+        assert_eq!(
+            client
+                .read_response()
+                .expect("the gateway answers the request")
+                .status(),
+            413
+        );
+        assert!(
+            client.read_response().is_none(),
+            "the gateway closes the connection"
+        );
     }
     assert_eq!(server.drain_request_count(), 0);
 }
 
-/// Guards against a customer's quota that is used up by requests that make no sense.
+/// Guards against malformed requests using up a customer's quota.
 #[test]
-fn what_makes_no_sense_uses_nobodys_quota() {
-    let (_server, gateway) = stage();
+fn malformed_requests_use_no_quota() {
+    let (_server, gateway) = start_gateway_with_server();
     let small = || {
         ClientRequest::check()
             .with_header("X-Tier", "small")
@@ -224,8 +239,8 @@
 }
 
 #[test]
-fn half_a_request_and_a_close_harm_nobody() {
-    let (server, gateway) = stage();
+fn a_partial_request_and_a_close_affect_no_other_client() {
+    let (server, gateway) = start_gateway_with_server();
     let text = ClientRequest::top_up().to_text();
     for end in [1, 40, text.len() - 20, text.len() - 1] {
         gateway.client().send(&text[..end]);
@@ -234,50 +249,53 @@
     assert_eq!(server.drain_request_count(), 1);
 }
 
-/// Guards against connections that use up the descriptors: the one idle longest makes room, and no other.
+/// Guards against running out of descriptors: the connection idle longest is closed to make room, and no other.
 #[test]
 fn the_connection_that_is_idle_longest_makes_room_for_others() {
-    let (_server, gateway) = stage();
-    let mut silent: Vec<Client> = (0..200).map(|_| gateway.client()).collect();
+    let (_server, gateway) = start_gateway_with_server();
+    let mut idle_clients: Vec<Client> = (0..200).map(|_| gateway.client()).collect();
     let mut kept = gateway.client();
     for _ in 0..3 {
         assert_eq!(
             kept.exchange(&ClientRequest::check().to_text())
-                .expect("an answer")
+                .expect("the gateway answers the request")
                 .body,
             "served"
         );
         assert_eq!(gateway.request(&ClientRequest::check()).body, "served");
     }
-    assert!(silent[0].read_response().is_none(), "the first is closed");
+    assert!(
+        idle_clients[0].read_response().is_none(),
+        "the connection idle longest is closed"
+    );
 }
 
-/// Guards against requests that wait unread on new connections while old ones, just used, stand idle.
+/// Guards against requests that wait unread on new connections while recently used ones are idle.
 #[test]
-fn connections_that_were_used_a_moment_ago_make_room_for_a_crowd() {
-    let (_server, gateway) = stage();
+fn recently_used_connections_make_room_for_many_new_ones() {
+    let (_server, gateway) = start_gateway_with_server();
     let crowd = (0..250).map(|_| {
         let (since, mut client) = (Instant::now(), gateway.client());
         assert_eq!(
             client
                 .exchange(&ClientRequest::check().to_text())
-                .expect("an answer")
+                .expect("the gateway answers the request")
                 .body,
             "served"
         );
         assert!(
             since.elapsed() < Duration::from_secs(1),
-            "it waits for one of the others to grow old"
+            "a new client doesn't wait for another connection to become idle"
         );
         client
     });
     assert_eq!(crowd.collect::<Vec<Client>>().len(), 250);
 }
 
-/// Guards against requests that wait unread because all places are taken by others that take long: what cannot be held is
-/// refused at once, and everybody is answered in time.
+/// Guards against requests that wait unread because all places are taken by slow ones: what cannot be held is
+/// refused at once, and every client is answered in time.
 #[test]
-fn a_request_that_finds_all_places_taken_is_refused_in_its_time() {
+fn a_request_that_finds_all_places_taken_is_refused_before_its_deadline() {
     let server = Server::new(|_| Reply::Silence);
     let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let text = config_text(discovery.address, None, 1, "");
@@ -292,44 +310,48 @@
                 .to_text(),
         );
     }
-    let answers: Vec<u16> = clients
+    let statuses: Vec<u16> = clients
         .iter_mut()
-        .map(|c| c.read_response().expect("an answer").status())
+        .map(|c| {
+            c.read_response()
+                .expect("the gateway answers the request")
+                .status()
+        })
         .collect();
     assert!(
         since.elapsed() < Duration::from_secs(5),
         "{:?}",
         since.elapsed()
     );
-    // The silence of a server is no reason not to refuse one that is safe to repeat.
-    assert!(answers.iter().all(|s| *s == 429), "{answers:?}");
+    // A server's silence doesn't prevent refusing a request that is safe to repeat.
+    assert!(statuses.iter().all(|s| *s == 429), "{statuses:?}");
     assert!(
         (1..60).contains(&server.drain_request_count()),
-        "some were held, and some were not"
+        "some requests reach the server and some don't"
     );
-    // Also for whoever only asks whether it is ready.
+    // A readiness probe is answered too.
     assert!(gateway.is_ready());
 }
 
-/// Guards against connections that are kept for good by clients that do not come back.
+/// Guards against idle connections that are kept forever.
 #[test]
-fn a_connection_that_nobody_uses_is_closed_in_the_end() {
-    let (_server, gateway) = stage();
+fn an_idle_connection_is_closed_eventually() {
+    let (_server, gateway) = start_gateway_with_server();
     let mut client = gateway.client();
     assert_eq!(
         client
             .exchange(&ClientRequest::check().to_text())
-            .expect("an answer")
+            .expect("the gateway answers the request")
             .body,
         "served"
     );
     assert!(client.read_response().is_none());
 }
 
-/// Requests written one behind another are answered in their order, until one cannot be read.
+/// Pipelined requests are answered in order, up to the first malformed one.
 #[test]
-fn requests_in_a_row_are_answered_in_their_order() {
-    let (_server, gateway) = stage();
+fn pipelined_requests_are_answered_in_order() {
+    let (_server, gateway) = start_gateway_with_server();
     let mut client = gateway.client();
     client.send(
         &[
@@ -340,28 +362,28 @@
         ]
         .concat(),
     );
-    let answers: Vec<u16> = std::iter::from_fn(|| client.read_response())
+    let statuses: Vec<u16> = std::iter::from_fn(|| client.read_response())
         .map(|m| m.status())
         .collect();
-    assert_eq!(answers, [200, 200, 400]);
+    assert_eq!(statuses, [200, 200, 400]);
 }
 
-/// Guards against two copies of one request under way at once.
+/// Guards against two concurrent requests with the same id.
 #[test]
-fn an_id_that_is_open_is_not_taken_again() {
+fn an_id_in_use_is_refused_with_409() {
     let server = Server::new(|_| Reply::Silence);
     let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let gateway = Gateway::start_alone(&discovery);
-    let ask = ClientRequest::check();
+    let request = ClientRequest::check();
     let mut client = gateway.client();
-    client.send(&ask.to_text());
+    client.send(&request.to_text());
     server.next_request();
-    assert_eq!(gateway.request(&ask).status(), 409);
+    assert_eq!(gateway.request(&request).status(), 409);
     assert_eq!(server.drain_request_count(), 0);
 }
 
 #[test]
-fn after_sigterm_it_finishes_what_it_holds_takes_what_still_comes_and_ends() {
+fn after_sigterm_the_gateway_answers_held_and_new_requests_and_exits() {
     let server = Server::new(|m| {
         if m.line.contains("slow") {
             sleep(Duration::from_millis(1_500));
@@ -373,7 +395,7 @@
     let mut idle = gateway.client();
     assert_eq!(
         idle.exchange(&ClientRequest::check().to_text())
-            .expect("an answer")
+            .expect("the gateway answers the request")
             .body,
         "served"
     );
@@ -388,14 +410,20 @@
     );
     server.next_request();
     gateway.terminate();
-    // Both on a new connection and on one from before.
-    let late = gateway.request(&ClientRequest::check());
-    assert_eq!((late.status(), late.body.as_str()), (200, "served"));
+    // Requests are served both on a new connection and on one from before the signal.
+    let served_after_sigterm = gateway.request(&ClientRequest::check());
+    assert_eq!(
+        (
+            served_after_sigterm.status(),
+            served_after_sigterm.body.as_str()
+        ),
+        (200, "served")
+    );
     let kept = idle
         .exchange(&ClientRequest::check().to_text())
-        .expect("an answer");
+        .expect("the gateway answers the request");
     assert_eq!(kept.body, "served");
-    let held = held.read_response().expect("what was held is answered");
+    let held = held.read_response().expect("the held request is answered");
     assert_eq!(
         (held.body.as_str(), held.header("Connection")),
         ("served", Some("close"))
--- a/crates/frosthatch/tests/closes.rs
+++ b/crates/frosthatch/tests/closes.rs
@@ -1,5 +1,5 @@
-//! The end of a connection and the end of the process, with something coming in that very moment. Nothing that was taken is
-//! lost, nothing that comes behind an end is sent on, and no connection is reset under an answer.
+//! Connections and processes that end while data arrives: no accepted request is lost, nothing behind an end of
+//! stream is forwarded, and no connection is reset before its answer is read.
 
 mod common;
 use common::*;
@@ -10,12 +10,14 @@
 
 fn connect(gateway: &Gateway) -> TcpStream {
     let stream = TcpStream::connect(gateway.address).expect("the gateway accepts");
-    stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
+    stream
+        .set_read_timeout(Some(TIMEOUT))
+        .expect("the read timeout is not zero");
     stream
 }
 
-/// All that comes until the connection ends in good order; what else ends it is an error.
-fn to_the_end(stream: &mut TcpStream) -> Result<String, ErrorKind> {
+/// Reads up to the end of the connection; fails if it doesn't end with an orderly close.
+fn read_to_close(stream: &mut TcpStream) -> Result<String, ErrorKind> {
     let mut text = String::new();
     stream
         .read_to_string(&mut text)
@@ -23,11 +25,11 @@
         .map_err(|e| e.kind())
 }
 
-/// Guards against a reset that takes the last answer with it: bytes that nobody has read stand behind the request.
+/// Guards against a reset that discards the last answer because unread bytes follow the request.
 #[test]
-fn an_answer_that_ends_its_connection_is_not_reset_by_what_came_behind_the_request() {
-    for behind in [100, 40_000, 150_000] {
-        let (server, go) = Server::gated(|| ok("served"));
+fn an_answer_that_closes_its_connection_is_not_reset_by_bytes_behind_the_request() {
+    for trailing_bytes in [100, 40_000, 150_000] {
+        let (server, release) = Server::gated(|| ok("served"));
         let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
         let gateway = Gateway::start_alone(&discovery);
         let mut client = connect(&gateway);
@@ -38,52 +40,60 @@
                     .to_text()
                     .as_bytes(),
             )
-            .expect("sent");
+            .expect("the gateway's connection accepts the bytes");
         server.next_request();
         client
-            .write_all("x".repeat(behind).as_bytes())
-            .expect("sent");
-        go.send(()).expect("the server is there");
-        let text = to_the_end(&mut client).expect("an orderly end");
+            .write_all("x".repeat(trailing_bytes).as_bytes())
+            .expect("the gateway's connection accepts the bytes");
+        release.send(()).expect("the gated server is running");
+        let text = read_to_close(&mut client).expect("the connection ends without a reset");
         assert!(
             text.starts_with("HTTP/1.1 200") && text.ends_with("served"),
-            "{behind}: {text}"
+            "{trailing_bytes}: {text}"
         );
         assert_eq!(server.drain_request_count(), 0);
     }
 }
 
-/// The same for what is turned away, as ever.
+/// Guards against a reset that discards an error response because unread bytes follow the request.
 #[test]
-fn an_error_is_not_reset_by_what_came_behind() {
+fn an_error_response_is_not_reset_by_bytes_behind_the_request() {
     let (server, _go) = Server::gated(|| ok("served"));
     let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let gateway = Gateway::start_alone(&discovery);
     let mut client = connect(&gateway);
     let nonsense = format!("nonsense\r\n\r\n{}", "x".repeat(60_000));
-    client.write_all(nonsense.as_bytes()).expect("sent");
-    assert!(to_the_end(&mut client)
-        .expect("an orderly end")
+    client
+        .write_all(nonsense.as_bytes())
+        .expect("the gateway's connection accepts the bytes");
+    assert!(read_to_close(&mut client)
+        .expect("the connection ends without a reset")
         .starts_with("HTTP/1.1 400"));
 }
 
-/// Guards against a request that crosses the end of its connection: it is read, so that nothing is reset, and not sent on.
+/// Guards against mishandling a request that crosses the end of its connection: it is read, so that nothing is
+/// reset, and not forwarded.
 #[test]
-fn a_request_behind_the_end_of_an_idle_connection_is_neither_sent_on_nor_answered_by_a_reset() {
-    // Waits until the end has come, and says whether it was seen within a moment: else the gateway may have given up waiting.
-    let ended = |stream: &mut TcpStream| {
-        stream.set_nonblocking(true).expect("non-blocking");
-        let mut looked = Instant::now();
+fn a_request_behind_the_end_of_an_idle_connection_is_neither_forwarded_nor_reset() {
+    // Waits for the end of the stream and returns whether it was noticed within 80 ms: later, the gateway may
+    // have stopped lingering.
+    let close_was_seen_in_time = |stream: &mut TcpStream| {
+        stream
+            .set_nonblocking(true)
+            .expect("the socket can be made non-blocking");
+        let mut last_read = Instant::now();
         loop {
             match stream.read(&mut [0; 64]) {
                 Ok(0) => break,
-                Err(e) if e.kind() == ErrorKind::WouldBlock => looked = Instant::now(),
-                other => panic!("not an orderly end: {other:?}"),
+                Err(e) if e.kind() == ErrorKind::WouldBlock => last_read = Instant::now(),
+                other => panic!("the connection ends without an orderly close: {other:?}"),
             }
             thread::sleep(Duration::from_millis(1));
         }
-        stream.set_nonblocking(false).expect("blocking");
-        looked.elapsed() < Duration::from_millis(80)
+        stream
+            .set_nonblocking(false)
+            .expect("the socket can be made blocking");
+        last_read.elapsed() < Duration::from_millis(80)
     };
     for _ in 0..20 {
         let server = Server::new(|_| ok("served"));
@@ -92,58 +102,73 @@
         let mut client = connect(&gateway);
         client
             .write_all(ClientRequest::check().to_text().as_bytes())
-            .expect("sent");
+            .expect("the gateway's connection accepts the bytes");
         server.next_request();
         let mut answer = [0; 16];
-        client.read_exact(&mut answer).expect("an answer");
-        while client.read(&mut [0; 1]).expect("the rest") > 0 {
+        client
+            .read_exact(&mut answer)
+            .expect("the gateway answers the request");
+        while client
+            .read(&mut [0; 1])
+            .expect("the rest of the answer arrives")
+            > 0
+        {
             client
                 .set_read_timeout(Some(Duration::from_millis(50)))
-                .expect("a time-out");
+                .expect("the read timeout is not zero");
             if client.peek(&mut [0; 1]).is_err() {
                 break;
             }
         }
-        client.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
+        client
+            .set_read_timeout(Some(TIMEOUT))
+            .expect("the read timeout is not zero");
         gateway.terminate();
-        let soon = ended(&mut client);
+        let seen_in_time = close_was_seen_in_time(&mut client);
         let sent = client.write_all(ClientRequest::check().to_text().as_bytes());
-        if !soon {
+        if !seen_in_time {
             continue;
         }
-        sent.expect("the connection takes it");
+        sent.expect("the connection accepts the request");
         assert!(gateway.wait_for_exit().success());
-        // A reset would stand here; a read tells of the end that came before it.
+        // A reset would be reported here; a read reports the end of stream that came before it.
         assert!(
-            client.take_error().expect("a connection").is_none(),
-            "it was reset"
+            client
+                .take_error()
+                .expect("the socket's error can be read")
+                .is_none(),
+            "the connection is not reset"
+        );
+        assert_eq!(
+            server.drain_request_count(),
+            0,
+            "no request behind the end of the connection is forwarded"
         );
-        assert_eq!(server.drain_request_count(), 0, "sent on behind the end");
         return;
     }
-    panic!("the machine was too busy each time");
+    panic!("the end of the connection was seen too late in each of 20 trials; the machine may be too busy");
 }
 
-/// Guards against taking a connection for idle on which half a request has come when it is time to go.
+/// Guards against treating a connection as idle at shutdown when part of a request has arrived on it.
 #[test]
-fn a_request_that_is_half_there_when_the_process_is_told_to_end_is_served() {
+fn a_request_partly_received_at_sigterm_is_served() {
     let server = Server::new(|_| ok("served"));
     let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let mut gateway = Gateway::start_alone(&discovery);
     let (mut idle, mut client) = (connect(&gateway), connect(&gateway));
     let text = ClientRequest::top_up().to_text();
     gateway.terminate();
-    // Idle ones are closed a while after.
+    // Idle connections are closed some time after the signal.
     thread::sleep(Duration::from_millis(300));
     client
         .write_all(&text.as_bytes()[..text.len() - 3])
-        .expect("sent");
-    let _ = to_the_end(&mut idle);
+        .expect("the gateway's connection accepts the bytes");
+    let _ = read_to_close(&mut idle);
     thread::sleep(Duration::from_millis(50));
     client
         .write_all(&text.as_bytes()[text.len() - 3..])
-        .expect("sent");
-    let answer = to_the_end(&mut client).expect("an orderly end");
+        .expect("the gateway's connection accepts the bytes");
+    let answer = read_to_close(&mut client).expect("the connection ends without a reset");
     assert!(
         answer.starts_with("HTTP/1.1 200") && answer.ends_with("served"),
         "{answer}"
@@ -151,10 +176,10 @@
     assert!(gateway.wait_for_exit().success());
 }
 
-/// Guards against a connection that the system has accepted and the process has not when it is about to end: it was stopped
-/// for as long as it would have gone on accepting.
+/// Guards against losing a connection that the kernel has accepted and the process has not when it is about to
+/// exit: the process was stopped for as long as it would have gone on accepting.
 #[test]
-fn a_connection_that_still_waits_to_be_accepted_is_served_before_the_end() {
+fn a_connection_in_the_accept_queue_is_served_before_exit() {
     let server = Server::new(|_| ok("served"));
     let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let mut gateway = Gateway::start_alone(&discovery);
@@ -166,10 +191,10 @@
     let mut client = connect(&gateway);
     client
         .write_all(ClientRequest::top_up().to_text().as_bytes())
-        .expect("sent");
+        .expect("the gateway's connection accepts the bytes");
     thread::sleep(Duration::from_millis(700));
     gateway.signal("-CONT");
-    let answer = to_the_end(&mut client).expect("an orderly end");
+    let answer = read_to_close(&mut client).expect("the connection ends without a reset");
     assert!(
         answer.starts_with("HTTP/1.1 200") && answer.ends_with("served"),
         "{answer}"
@@ -177,31 +202,32 @@
     assert!(gateway.wait_for_exit().success());
 }
 
-/// Guards against signals at odd moments: twice, before any list has come, and right behind a new configuration.
+/// Guards against signals at unusual moments: twice, before the first endpoint list, and right after a new
+/// configuration.
 #[test]
-fn it_ends_well_whenever_it_is_told_to() {
+fn the_process_exits_cleanly_whenever_sigterm_arrives() {
     let server = Server::new(|_| ok("served"));
     let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
-    let mut twice = Gateway::start_alone(&discovery);
-    twice.terminate();
-    twice.terminate();
-    assert!(twice.wait_for_exit().success());
-    let mut moved = Gateway::start_alone(&discovery);
-    moved.replace_config(&config_text(discovery.address, None, 1, ""));
-    moved.terminate();
-    moved.signal("-HUP");
-    assert!(moved.wait_for_exit().success());
-    let quiet = Discovery::new("");
-    quiet.set_mode(DiscoveryMode::Down);
-    let mut early = Gateway::start(quiet.address, None, 1, "");
-    early.terminate();
-    assert!(early.wait_for_exit().success());
+    let mut terminated_twice = Gateway::start_alone(&discovery);
+    terminated_twice.terminate();
+    terminated_twice.terminate();
+    assert!(terminated_twice.wait_for_exit().success());
+    let mut reloading = Gateway::start_alone(&discovery);
+    reloading.replace_config(&config_text(discovery.address, None, 1, ""));
+    reloading.terminate();
+    reloading.signal("-HUP");
+    assert!(reloading.wait_for_exit().success());
+    let unavailable = Discovery::new("");
+    unavailable.set_mode(DiscoveryMode::Down);
+    let mut not_ready = Gateway::start(unavailable.address, None, 1, "");
+    not_ready.terminate();
+    assert!(not_ready.wait_for_exit().success());
 }
 
-/// Guards against a cut answer that looks whole to a client that reads no chunks: only the end of its connection tells it the
-/// end of an answer without a length.
+/// Guards against a truncated answer that looks complete to a client that doesn't read chunked encoding: such a
+/// client takes the end of the connection for the end of an answer without a length.
 #[test]
-fn a_long_answer_that_is_cut_ends_in_a_reset_where_its_end_would_be_taken_for_its_own() {
+fn a_truncated_long_answer_ends_in_a_reset_for_a_client_without_chunked_encoding() {
     let part = format!("{:x}\r\n{}\r\n", 100_000, "x".repeat(100_000));
     let text = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{part}");
     let server = Server::new(move |_| Reply::BytesThenClose(text.clone()));
@@ -215,13 +241,13 @@
                 .replace("HTTP/1.1", "HTTP/1.0")
                 .as_bytes(),
         )
-        .expect("sent");
-    assert_eq!(to_the_end(&mut client), Err(ErrorKind::ConnectionReset));
+        .expect("the gateway's connection accepts the bytes");
+    assert_eq!(read_to_close(&mut client), Err(ErrorKind::ConnectionReset));
 }
 
 /// Guards against holding a server's connection for a client that left while the rest of its answer was awaited.
 #[test]
-fn a_long_answer_ends_when_its_client_has_gone() {
+fn a_long_answer_ends_when_its_client_disconnects() {
     let text = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n{}",
         "x".repeat(100_000)
@@ -232,10 +258,10 @@
     let mut client = connect(&gateway);
     client
         .write_all(ClientRequest::check().to_text().as_bytes())
-        .expect("sent");
+        .expect("the gateway's connection accepts the bytes");
     client
         .read_exact(&mut [0; 100_000])
-        .expect("all that has come");
+        .expect("the first 100,000 bytes arrive");
     drop(client);
     let since = Instant::now();
     server.wait_closed();
--- a/crates/frosthatch/tests/command_line.rs
+++ b/crates/frosthatch/tests/command_line.rs
@@ -1,19 +1,19 @@
-//! The command line: check, help, version.
+//! The command line: `check`, `policy`, help and version.
 #![expect(clippy::too_many_lines)]
 
 mod common;
 use common::*;
 use std::process::Output;
 
-fn run(config: &str, operator: Option<&str>, words: &[&str]) -> Output {
+fn run(config: &str, operator: Option<&str>, arguments: &[&str]) -> Output {
     let config = write_config_file(config);
     let operator = operator.map(write_config_file);
     let mut command = gateway_command(&config);
-    command.args(words);
+    command.args(arguments);
     if let Some(file) = &operator {
         command.arg("--operator").arg(file);
     }
-    let out = command.output().expect("it runs");
+    let out = command.output().expect("the gateway binary runs");
     let _ = std::fs::remove_file(config);
     operator.map(std::fs::remove_file);
     out
@@ -26,15 +26,20 @@
         .collect()
 }
 
-fn fine() -> String {
-    config_text("127.0.0.1:1".parse().expect("an address"), None, 2, "")
+fn valid_config() -> String {
+    config_text(
+        "127.0.0.1:1".parse().expect("the text is a socket address"),
+        None,
+        2,
+        "",
+    )
 }
 
 #[test]
-fn check_finds_nothing_wrong_with_files_in_order() {
+fn check_accepts_valid_files() {
     let operator = "[membership]\nsource = \"dns-sd\"\n[dns-sd]\nservices = [\"_t._tcp.example.org\"]\nresolvers = [\"127.0.0.1:53\"]\n";
     for operator in [None, Some(operator)] {
-        let out = run(&fine(), operator, &["check"]);
+        let out = run(&valid_config(), operator, &["check"]);
         assert_eq!(
             (out.status.code(), lines(&out)),
             (Some(0), vec!["no mistakes".into()])
@@ -43,8 +48,8 @@
 }
 
 #[test]
-fn check_tells_every_mistake_in_both_files_with_place_and_what_is_right() {
-    let config = fine()
+fn check_reports_every_mistake_in_both_files_with_its_location_and_what_is_expected() {
+    let config = valid_config()
         .replace("\"sockets\":256", "\"sockets\":8")
         .replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"here\"")
         .replace(
@@ -55,9 +60,9 @@
         .replace("\"targets\":[]", "\"targets\":[{\"uid\":\"x\"}]");
     let operator = "[membership]\nsource = \"dns\"\nport = 5\n";
     let out = run(&config, Some(operator), &["check"]);
-    let said = lines(&out);
-    assert_eq!(out.status.code(), Some(1), "{said:?}");
-    for (place, right) in [
+    let printed = lines(&out);
+    assert_eq!(out.status.code(), Some(1), "{printed:?}");
+    for (location, expected) in [
         ("limits.sockets", "from 64 on"),
         ("listen", "an address and a port"),
         ("settings.services[0].aimUs", "correct its type"),
@@ -66,45 +71,48 @@
         ("line 2, column 10", "[\"list\", \"dns-sd\"]"),
         ("line 3, column 1", "membership.port is not known"),
     ] {
-        let told = said
+        let reported = printed
             .iter()
-            .any(|l| l.contains(&format!(": {place}: ")) && l.contains(right));
-        assert!(told, "{place}: {said:#?}");
+            .any(|l| l.contains(&format!(": {location}: ")) && l.contains(expected));
+        assert!(reported, "{location}: {printed:#?}");
     }
     assert_eq!(
-        said.last().map(String::as_str),
+        printed.last().map(String::as_str),
         Some("7 mistakes"),
-        "{said:#?}"
+        "{printed:#?}"
     );
 }
 
-/// Guards against a start that fails on what each file alone does not show.
+/// Guards against a start that fails on a mismatch between the files that neither shows alone.
 #[test]
 fn check_compares_the_classes_and_plans_of_both_files() {
     let operator =
         "[diameter]\nlisten = \"127.0.0.1:0\"\nidentity = \"g\"\nrealm = \"r\"\ncheck_class = \"top-up\"\n\
                     charge_class = \"top-up\"\ndefault_plan = \"lille\"\n";
-    let said = lines(&run(&fine(), Some(operator), &["check"]));
+    let printed = lines(&run(&valid_config(), Some(operator), &["check"]));
     assert!(
-        said[0].contains("\"top-up\" is not of the effect") && said.len() == 2,
-        "{said:?}"
+        printed[0].contains("\"top-up\" is not of the effect") && printed.len() == 2,
+        "{printed:?}"
     );
-    let right = operator.replacen("top-up", "balance-check", 1);
+    let corrected = operator.replacen("top-up", "balance-check", 1);
     assert_eq!(
-        lines(&run(&fine(), Some(&right), &["check"])),
+        lines(&run(&valid_config(), Some(&corrected), &["check"])),
         ["no mistakes"]
     );
-    let other = right.replace("lille", "gold");
-    assert!(lines(&run(&fine(), Some(&other), &["check"]))[0].contains("no plan \"gold\""));
+    let unknown_plan = corrected.replace("lille", "gold");
+    assert!(
+        lines(&run(&valid_config(), Some(&unknown_plan), &["check"]))[0]
+            .contains("no plan \"gold\"")
+    );
 }
 
 #[test]
-fn settings_that_make_no_sense_are_all_told() {
-    let config = fine()
+fn check_reports_all_invalid_settings() {
+    let config = valid_config()
         .replace("\"balancers\":2", "\"balancers\":0")
         .replace("\"pays\":1.0", "\"pays\":-1.0");
     let out = run(&config, None, &["check"]);
-    // Too few gateways, and three plans.
+    // One mistake is the number of gateways, three are in the plans.
     assert_eq!(
         lines(&out).last().map(String::as_str),
         Some("4 mistakes"),
@@ -114,24 +122,28 @@
 }
 
 #[test]
-fn help_and_version_name_what_there_is() {
-    let help = run(&fine(), None, &["--help"]);
+fn help_and_version_name_the_subcommands_options_and_program() {
+    let help = run(&valid_config(), None, &["--help"]);
     let text = lines(&help).join("\n");
     assert!(
         help.status.success() && text.contains("check") && text.contains("--operator"),
         "{text}"
     );
-    let version = run(&fine(), None, &["--version"]);
+    let version = run(&valid_config(), None, &["--version"]);
     assert!(lines(&version)[0].starts_with("frosthatch "));
-    assert_eq!(run(&fine(), None, &["--wrong"]).status.code(), Some(2));
+    assert_eq!(
+        run(&valid_config(), None, &["--wrong"]).status.code(),
+        Some(2)
+    );
 }
 
-/// What can be done without a running gateway: a document is checked by itself, against this gateway, and a keeper's folder is made once.
+/// Subcommands that need no running gateway: `policy check` checks a document by itself and against this
+/// gateway's configuration, `policy init` creates an acceptor's state once.
 #[test]
-fn a_policy_is_checked_and_a_keeper_set_up_without_a_gateway() {
-    let config = fine();
-    // Mistakes go to standard error, but for those that `check` is there to tell.
-    let said = |out: &Output| {
+fn a_policy_is_checked_and_an_acceptor_set_up_without_a_gateway() {
+    let config = valid_config();
+    // Mistakes are printed to standard error, but `check` prints them to standard output.
+    let printed = |out: &Output| {
         let all = [out.stdout.clone(), out.stderr.clone()].concat();
         String::from_utf8_lossy(&all)
             .lines()
@@ -140,82 +152,88 @@
     };
     let folder = std::env::temp_dir().join(format!("frosthatch-init-{}", std::process::id()));
     let key = write_config_file(&"k".repeat(40));
-    let table = |more: &str| {
+    let table = |extra: &str| {
         let fleet = format!(
             "[fleet]\nlisten = \"127.0.0.1:0\"\nkey_file = \"{}\"\n",
             key.display()
         );
-        format!("{fleet}[policy]\nkeepers = [\"a\", \"b\", \"c\"]\nfolder = {folder:?}\n{more}")
+        format!("{fleet}[policy]\nkeepers = [\"a\", \"b\", \"c\"]\nfolder = {folder:?}\n{extra}")
     };
-    let init = |name: &str| {
+    let init_acceptor = |name: &str| {
         run(
             &config,
             Some(&table("")),
             &["policy", "init", "--name", name],
         )
     };
-    assert!(said(&init("x"))
+    assert!(printed(&init_acceptor("x"))
         .iter()
         .any(|l| l.contains("x is none of the keepers a, b, c")));
-    assert!(init("a").status.success());
-    let again = init("a");
+    assert!(init_acceptor("a").status.success());
+    let second = init_acceptor("a");
     assert!(
-        !again.status.success()
-            && said(&again)
+        !second.status.success()
+            && printed(&second)
                 .iter()
                 .any(|l| l.contains("there is a state already"))
     );
     let _ = std::fs::remove_dir_all(&folder);
 
-    let wrong = run(
+    let invalid_values = run(
         &config,
         Some(&table("lease_ms = 1\non_lost = \"hope\"\n")),
         &["check"],
     );
-    for what in [
+    for message in [
         "policy.lease_ms is 1; write a whole number from 200",
         "policy.on_lost is \"hope\"",
     ] {
         assert!(
-            said(&wrong).iter().any(|l| l.contains(what)),
-            "{what}: {:?}",
-            said(&wrong)
+            printed(&invalid_values).iter().any(|l| l.contains(message)),
+            "{message}: {:?}",
+            printed(&invalid_values)
         );
     }
-    let alone = run(
+    let without_fleet = run(
         &config,
         Some("[policy]\nkeepers = [\"a\", \"a\"]\n"),
         &["check"],
     );
     assert!(
-        said(&alone)
+        printed(&without_fleet)
             .iter()
             .any(|l| l.contains("there is no [fleet]")),
         "{:?}",
-        said(&alone)
+        printed(&without_fleet)
     );
     assert!(
-        said(&alone).iter().any(|l| l.contains("a name twice")),
+        printed(&without_fleet)
+            .iter()
+            .any(|l| l.contains("a name twice")),
         "{:?}",
-        said(&alone)
+        printed(&without_fleet)
     );
 
-    // In order, but this gateway knows no such plan.
+    // The document is valid, but this gateway's configuration has no such plan.
     let text = "version = 1\n[plans.none]\nrate = 1\nburst = 2\n[classes.none]\naim_ms = 5\nworth = 1\nlate_worth = 0\n";
     let document = write_config_file(text);
     let check = run(
         &config,
         None,
-        &["policy", "check", document.to_str().expect("a path")],
+        &[
+            "policy",
+            "check",
+            document.to_str().expect("the temporary path is UTF-8"),
+        ],
     );
     assert!(!check.status.success());
     assert!(
-        said(&check)
+        printed(&check)
             .iter()
             .any(|l| l.contains("there is no plan \"none\" here")),
         "{:?}",
-        said(&check)
+        printed(&check)
     );
     let schema = run(&config, None, &["policy", "schema"]);
-    assert!(said(&schema).iter().any(|l| l.contains("ceiling_depth")));
+    assert!(printed(&schema).iter().any(|l| l.contains("ceiling_depth")));
 }
--- a/crates/frosthatch/tests/console.rs
+++ b/crates/frosthatch/tests/console.rs
@@ -1,4 +1,4 @@
-//! Operators' calls to the real binary.
+//! The operators' console of the gateway binary.
 
 mod common;
 use common::*;
@@ -17,13 +17,16 @@
     fn new(discovery: &Discovery) -> Site {
         let text = config_text(discovery.address, None, 1, "");
         let text = text.replacen('{', "{\"console\":\"127.0.0.1:0\",", 1);
-        let (tell, told) = channel();
-        let gateway =
-            Gateway::start_with_log(&text, &[], move |line| drop(tell.send(line.to_string())));
+        let (line_sender, lines) = channel();
+        let gateway = Gateway::start_with_log(&text, &[], move |line| {
+            drop(line_sender.send(line.to_string()))
+        });
         let console = loop {
-            let line = told.recv_timeout(TIMEOUT).expect("the console's address");
+            let line = lines
+                .recv_timeout(TIMEOUT)
+                .expect("the gateway logs the console's address");
             if let Some(at) = line.strip_prefix("console on ") {
-                break at.parse().expect("an address");
+                break at.parse().expect("the text is a socket address");
             }
         };
         gateway.wait_ready();
@@ -32,23 +35,25 @@
 
     fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.console).expect("the console accepts");
-        stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(TIMEOUT))
+            .expect("the read timeout is not zero");
         stream
     }
 
-    /// Status and text of an answer, read to the end of its connection.
+    /// Sends a request and returns the status and body of the answer, read to the end of its connection.
     fn call(&self, method: &str, path: &str) -> (u16, String) {
         let mut stream = self.connect();
-        write!(stream, "{method} {path} HTTP/1.1\r\nHost: c\r\n\r\n").expect("written");
+        write!(stream, "{method} {path} HTTP/1.1\r\nHost: c\r\n\r\n").expect("the write succeeds");
         let mut text = String::new();
         stream
             .read_to_string(&mut text)
-            .expect("an answer and an end");
+            .expect("the console answers and closes the connection");
         let status = text
             .split(' ')
             .nth(1)
             .and_then(|s| s.parse().ok())
-            .expect("a status");
+            .expect("the answer has a numeric status");
         (
             status,
             text.split_once("\r\n\r\n")
@@ -60,7 +65,7 @@
         self.call("POST", path).0
     }
 
-    fn figure(&self, name: &str) -> u64 {
+    fn metric(&self, name: &str) -> u64 {
         let (status, text) = self.call("GET", "/metrics");
         assert_eq!(status, 200);
         let line = text.lines().find_map(|l| {
@@ -72,11 +77,11 @@
         line.split('|')
             .next()
             .and_then(|v| v.parse().ok())
-            .expect("a number")
+            .expect("the metric's value is an integer")
     }
 }
 
-fn two(a: &Server, b: &Server) -> String {
+fn two_entries(a: &Server, b: &Server) -> String {
     [
         endpoint_entry("a", a.address, 0, "Ready"),
         endpoint_entry("b", b.address, 0, "Ready"),
@@ -85,7 +90,7 @@
 }
 
 #[test]
-fn figures_count_what_was_done() {
+fn metrics_count_outcomes_and_attempts() {
     let server = Server::new(|m| {
         if m.line.contains("bad") {
             status("500 Internal Server Error")
@@ -104,30 +109,30 @@
         ..ClientRequest::top_up()
     });
     assert_eq!(failed.status(), 502);
-    // The quota of `small` holds six units and hardly fills.
-    let beyond = ClientRequest::check()
+    // The quota of plan `small` holds six units and refills very slowly.
+    let six_units = ClientRequest::check()
         .with_header("X-Tier", "small")
         .with_header("X-Call-Terms", "units=6,spread=1,first=0");
-    let again = |n: u32| {
-        beyond
+    let with_new_id = |n: u32| {
+        six_units
             .clone()
             .with_header("X-Trace-Id", &format!("{n:016x}"))
     };
     let refused = (1..4)
-        .filter(|&n| site.gateway.request(&again(n)).status() == 429)
+        .filter(|&n| site.gateway.request(&with_new_id(n)).status() == 429)
         .count() as u64;
     assert!(refused > 0);
-    assert_eq!(site.figure("success.balance-check"), 5 + (3 - refused));
-    assert_eq!(site.figure("success.top-up"), 1);
-    assert_eq!(site.figure("busy.balance-check"), refused);
-    assert_eq!(site.figure("failure.top-up"), 1);
+    assert_eq!(site.metric("success.balance-check"), 5 + (3 - refused));
+    assert_eq!(site.metric("success.top-up"), 1);
+    assert_eq!(site.metric("busy.balance-check"), refused);
+    assert_eq!(site.metric("failure.top-up"), 1);
     let attempts = server.drain_request_count() as u64;
     assert_eq!(
-        site.figure("backend_calls.balance-check") + site.figure("backend_calls.top-up"),
+        site.metric("backend_calls.balance-check") + site.metric("backend_calls.top-up"),
         attempts
     );
     assert_eq!(
-        (site.figure("inflight"), site.figure("hosts_listed")),
+        (site.metric("inflight"), site.metric("hosts_listed")),
         (0, 1)
     );
     let (status, _) = site.call("GET", "/nowhere");
@@ -135,7 +140,7 @@
 }
 
 #[test]
-fn requests_that_are_held_are_in_flight() {
+fn held_requests_count_as_in_flight() {
     let server = Server::new(|_| Reply::Silence);
     let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let site = Site::new(&discovery);
@@ -144,53 +149,57 @@
     server.next_request();
     assert_eq!(
         (
-            site.figure("inflight"),
-            site.figure("backend_calls.balance-check")
+            site.metric("inflight"),
+            site.metric("backend_calls.balance-check")
         ),
         (1, 1)
     );
 }
 
-/// Guards against discovery undoing what an operator did, and against two calls out that want two back.
+/// Guards against discovery undoing an operator's `disable`, and against two `disable` calls that need two
+/// `enable` calls.
 #[test]
-fn a_server_taken_out_gets_nothing_until_it_is_put_back() {
+fn a_disabled_server_gets_no_request_until_it_is_enabled() {
     let (a, b) = (Server::new(|_| ok("a")), Server::new(|_| ok("b")));
-    let discovery = Discovery::new(&two(&a, &b));
+    let discovery = Discovery::new(&two_entries(&a, &b));
     let site = Site::new(&discovery);
     assert_eq!(site.post("/servers/disable?id=nobody"), 404);
     assert_eq!(site.post("/servers/disable"), 400);
     assert_eq!(site.post("/servers/disable?id=a"), 200);
     assert_eq!(site.post("/servers/disable?id=a"), 200);
     assert_eq!(
-        (site.figure("hosts_listed"), site.figure("hosts_down")),
+        (site.metric("hosts_listed"), site.metric("hosts_down")),
         (2, 1)
     );
-    discovery.publish_and_wait(true, &two(&a, &b));
+    discovery.publish_and_wait(true, &two_entries(&a, &b));
     discovery.publish_and_wait(false, &endpoint_entry("a", a.address, 0, "Ready"));
     for _ in 0..20 {
         assert_eq!(site.gateway.request(&ClientRequest::check()).body, "b");
     }
     assert_eq!(a.drain_request_count(), 0);
     assert_eq!(site.post("/servers/enable?id=a"), 200);
-    assert_eq!(site.figure("hosts_down"), 0);
+    assert_eq!(site.metric("hosts_down"), 0);
     let since = Instant::now();
     while site.gateway.request(&ClientRequest::check()).body != "a" {
-        assert!(since.elapsed() < TIMEOUT, "it is used again");
+        assert!(
+            since.elapsed() < TIMEOUT,
+            "the enabled server is used again"
+        );
     }
 }
 
-/// Guards against a request that comes while clients are sent away, and against connections that stay.
+/// Guards against refusing requests while the gateway drains, and against connections that stay open.
 #[test]
-fn an_emptied_gateway_serves_what_comes_lets_go_of_connections_and_comes_back() {
+fn a_draining_gateway_serves_requests_closes_connections_and_undrains() {
     let server = Server::new(|_| ok("served"));
     let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let mut site = Site::new(&discovery);
-    let (mut idle, mut busy) = (site.gateway.client(), site.gateway.client());
-    for client in [&mut idle, &mut busy] {
+    let (mut idle, mut kept) = (site.gateway.client(), site.gateway.client());
+    for client in [&mut idle, &mut kept] {
         assert_eq!(
             client
                 .exchange(&ClientRequest::check().to_text())
-                .expect("an answer")
+                .expect("the gateway answers the request")
                 .status(),
             200
         );
@@ -205,60 +214,67 @@
         .gateway
         .client()
         .exchange(&ClientRequest::check().to_text())
-        .expect("a new client is served");
+        .expect("a new client is served while the gateway drains");
     assert_eq!(
         (answer.status(), answer.header("connection")),
         (200, Some("close"))
     );
-    let answer = busy
+    let answer = kept
         .exchange(&ClientRequest::check().to_text())
-        .expect("a kept one too");
+        .expect("a client on a kept connection is served");
     assert_eq!(
         (answer.status(), answer.header("connection")),
         (200, Some("close"))
     );
-    assert!(idle.read_response().is_none(), "what stays idle is closed");
-    // Twice is as once.
+    assert!(
+        idle.read_response().is_none(),
+        "an idle connection is closed while the gateway drains"
+    );
+    // A second drain changes nothing.
     assert_eq!((site.post("/drain"), site.post("/undrain")), (200, 200));
     assert_eq!(site.call("GET", "/ready").0, 200);
     let answer = site
         .gateway
         .client()
         .exchange(&ClientRequest::check().to_text())
-        .expect("an answer");
+        .expect("the gateway answers the request");
     assert_eq!(answer.header("connection"), None);
     sleep(Duration::from_millis(10));
     assert!(site.gateway.is_running());
 }
 
-/// Guards against callers that take all places and say nothing, or half of a call, or one after another.
+/// Guards against callers that occupy all console connections: silent, with a partial request, or one after
+/// another.
 #[test]
-fn callers_that_hold_connections_keep_nobody_out() {
+fn callers_that_hold_connections_lock_nobody_out() {
     let server = Server::new(|_| ok("served"));
     let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let mut site = Site::new(&discovery);
     let mut holders: Vec<TcpStream> = (0..80).map(|_| site.connect()).collect();
     for (n, holder) in holders.iter_mut().enumerate() {
-        // Those that had to make room are closed already.
+        // Connections that had to make room are already closed.
         let _ = holder.write_all(if n % 2 == 0 { b"GET /rea" } else { b"" });
     }
     assert_eq!(site.call("GET", "/ready").0, 200);
     let mut stream = site.connect();
-    let twice = "GET /ready HTTP/1.1\r\nHost: c\r\n\r\nPOST /drain HTTP/1.1\r\nHost: c\r\n\r\n";
-    stream.write_all(twice.as_bytes()).expect("written");
+    let two_requests =
+        "GET /ready HTTP/1.1\r\nHost: c\r\n\r\nPOST /drain HTTP/1.1\r\nHost: c\r\n\r\n";
+    stream
+        .write_all(two_requests.as_bytes())
+        .expect("the write succeeds");
     let mut text = String::new();
-    // What nobody read may reset the connection behind the answer.
+    // Unread bytes may reset the connection after the answer.
     let _ = stream.read_to_string(&mut text);
     assert_eq!(text.matches("HTTP/1.1 200").count(), 1, "{text}");
     assert_eq!(site.call("GET", "/ready").0, 200);
-    for nonsense in [
+    for malformed in [
         "\r\n\r\n",
         "GET\r\n\r\n",
         "GET /ready HTTP/9\r\n\r\n",
         &"x".repeat(1 << 16),
     ] {
         let mut stream = site.connect();
-        let _ = stream.write_all(nonsense.as_bytes());
+        let _ = stream.write_all(malformed.as_bytes());
         let _ = stream.read(&mut [0; 64]);
     }
     assert!(site.gateway.is_running());
--- a/crates/frosthatch/tests/counting.rs
+++ b/crates/frosthatch/tests/counting.rs
@@ -1,4 +1,4 @@
-//! The counter as the gateway meets it: busy, in error, late, broken, gone.
+//! The gateway with a counter that is busy, fails, answers late or wrongly, or is gone.
 
 mod common;
 use common::*;
@@ -6,36 +6,36 @@
 use std::thread::{self, sleep};
 use std::time::Duration;
 
-/// A request of a customer whose other gateway counts too, on the plan that fills slowly.
-fn shared(customer: u32) -> ClientRequest {
-    let ask = ClientRequest::check()
+/// A request of a customer who is counted at another gateway too, on the plan that refills slowly.
+fn request_counted_at_two(customer: u32) -> ClientRequest {
+    let request = ClientRequest::check()
         .with_header("X-Tier", "small")
         .with_header("X-Api-Key", &format!("{customer:016x}"));
-    ask.with_header("X-Call-Terms", "units=3,spread=2,first=0")
+    request.with_header("X-Call-Terms", "units=3,spread=2,first=0")
 }
 
-fn stage(counter: &ScriptedCounter) -> (Server, Gateway) {
+fn start_gateway_with_counter(counter: &ScriptedCounter) -> (Server, Gateway) {
     let server = Server::new(|_| ok(""));
     let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let gateway = Gateway::start_ready(&discovery, Some(counter.address), 2);
     (server, gateway)
 }
 
-/// Calls until one is made: the connection may not be up yet.
+/// Sends requests until one reaches the counter, whose connection may not be up yet, and returns its line.
 fn first_call(gateway: &Gateway, counter: &ScriptedCounter) -> String {
     for customer in 1_000.. {
-        gateway.request(&shared(customer));
+        gateway.request(&request_counted_at_two(customer));
         if let Ok(line) = counter.lines.recv_timeout(Duration::from_millis(200)) {
             return line;
         }
     }
-    unreachable!("the counter is called in the end")
+    unreachable!("requests go on until the counter is called")
 }
 
 #[test]
-fn a_call_has_the_form_that_the_counter_reads() {
+fn a_call_has_the_counters_line_format() {
     let counter = ScriptedCounter::new(|_, _| Some((Duration::ZERO, "ok 3".into())));
-    let (_server, gateway) = stage(&counter);
+    let (_server, gateway) = start_gateway_with_counter(&counter);
     let line = first_call(&gateway, &counter);
     let parts: Vec<&str> = line.split(' ').collect();
     assert_eq!((parts.len(), parts[0]), (4, "bump"), "{line}");
@@ -43,20 +43,23 @@
         parts[2].parse::<f64>().is_ok() && parts[3].parse::<u64>().is_ok(),
         "{line}"
     );
-    assert!(!parts[2].contains('e'), "a plain decimal number: {line}");
+    assert!(
+        !parts[2].contains('e'),
+        "units are a plain decimal number: {line}"
+    );
 }
 
 #[test]
-fn what_others_have_used_is_used() {
+fn units_used_at_other_gateways_count() {
     let counter = ScriptedCounter::new(|_, _| Some((Duration::ZERO, "ok 15".into())));
-    let (_server, gateway) = stage(&counter);
+    let (_server, gateway) = start_gateway_with_counter(&counter);
     first_call(&gateway, &counter);
-    assert_eq!(gateway.request(&shared(1)).status(), 429);
+    assert_eq!(gateway.request(&request_counted_at_two(1)).status(), 429);
 }
 
-/// Guards against a late answer that is taken for the next call's.
+/// Guards against matching a late answer to the next call.
 #[test]
-fn a_late_answer_is_nobody_elses() {
+fn a_late_answer_is_not_taken_for_the_next_calls() {
     let counter = ScriptedCounter::new(|_, line| {
         if line.contains(&tag(1)) {
             Some((Duration::from_millis(600), "ok 15".into()))
@@ -64,16 +67,18 @@
             Some((Duration::ZERO, "ok 3".into()))
         }
     });
-    let (_server, gateway) = stage(&counter);
+    let (_server, gateway) = start_gateway_with_counter(&counter);
     first_call(&gateway, &counter);
-    gateway.request(&shared(1));
-    // Its answer comes after it was given up, then this one's in its turn.
+    gateway.request(&request_counted_at_two(1));
+    // The answer for customer 1 comes after its call timed out; the answer for customer 2 follows it on the
+    // connection.
     sleep(Duration::from_millis(100));
-    assert_eq!(gateway.request(&shared(2)).status(), 200);
+    assert_eq!(gateway.request(&request_counted_at_two(2)).status(), 200);
     assert!(counter.next_line().contains(&tag(1)));
 }
 
-/// A customer's short name in calls, as the decisions make it.
+/// Returns a customer's short name in calls to the counter: the FNV-1a hash of its id, as the gateway computes
+/// it.
 fn tag(customer: u32) -> String {
     let name = format!("{customer:016x}");
     let hash = name.bytes().fold(0x811c_9dc5u32, |h, b| {
@@ -83,7 +88,7 @@
 }
 
 #[test]
-fn whatever_the_counter_does_requests_are_answered() {
+fn requests_are_answered_whatever_the_counter_answers() {
     for answer in [
         "busy",
         "error",
@@ -94,11 +99,11 @@
         "",
     ] {
         let counter = ScriptedCounter::new(move |_, _| Some((Duration::ZERO, answer.into())));
-        let (_server, mut gateway) = stage(&counter);
+        let (_server, mut gateway) = start_gateway_with_counter(&counter);
         first_call(&gateway, &counter);
         for customer in 0..10 {
             assert!(
-                [200, 429].contains(&gateway.request(&shared(customer)).status()),
+                [200, 429].contains(&gateway.request(&request_counted_at_two(customer)).status()),
                 "{answer}"
             );
         }
@@ -107,53 +112,66 @@
 }
 
 #[test]
-fn a_counter_that_breaks_each_connection_or_is_silent_holds_nobody_up() {
-    let silent = TcpListener::bind("127.0.0.1:0").expect("a port");
+fn a_counter_that_closes_each_connection_or_is_silent_delays_no_request() {
+    let silent = TcpListener::bind("127.0.0.1:0").expect("a free loopback port can be bound");
     let breaking = ScriptedCounter::new(|_, _| None);
-    for address in [silent.local_addr().expect("an address"), breaking.address] {
+    for address in [
+        silent.local_addr().expect("the socket has a local address"),
+        breaking.address,
+    ] {
         let server = Server::new(|_| ok(""));
         let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
         let gateway = Gateway::start_ready(&discovery, Some(address), 2);
         for customer in 0..10 {
-            assert_eq!(gateway.request(&shared(customer)).status(), 200);
+            assert_eq!(
+                gateway.request(&request_counted_at_two(customer)).status(),
+                200
+            );
         }
     }
 }
 
-/// One connection after another falls silent, each with a call out: the others and the rate of calls must not suffer.
+/// Connections to the counter fall silent one after another, each with a call outstanding: other calls and the
+/// rate of calls must not suffer.
 #[test]
-fn connections_that_fall_silent_take_no_other_calls_along() {
-    const LOST: u32 = 40;
-    let lost: Vec<String> = (0..LOST).map(tag).collect();
+fn connections_that_fall_silent_affect_no_other_calls() {
+    const SILENCED: u32 = 40;
+    let silenced_tags: Vec<String> = (0..SILENCED).map(tag).collect();
     let counter = ScriptedCounter::new(move |_, line| {
-        if lost.iter().any(|tag| line.contains(tag)) {
+        if silenced_tags.iter().any(|tag| line.contains(tag)) {
             Some((TIMEOUT, "ok 15".into()))
         } else {
             Some((Duration::ZERO, "ok 15".into()))
         }
     });
-    let (_server, gateway) = stage(&counter);
+    let (_server, gateway) = start_gateway_with_counter(&counter);
     first_call(&gateway, &counter);
-    let ask = |customer| gateway.request(&shared(customer)).status();
-    thread::scope(|s| (0..LOST).for_each(|customer| drop(s.spawn(move || ask(customer)))));
-    // Told that all is used up a request is refused; untold each of these would be passed on.
+    let status_of = |customer| gateway.request(&request_counted_at_two(customer)).status();
+    thread::scope(|s| {
+        (0..SILENCED).for_each(|customer| drop(s.spawn(move || status_of(customer))))
+    });
+    // A request that the counter reports as used up is refused; without the counter's answer each of these would
+    // be passed on.
     let mut later = (100..300).inspect(|_| sleep(Duration::from_millis(10)));
-    assert!(later.by_ref().any(|customer| ask(customer) == 429));
-    let (told, all) = later.fold((0, 0), |(told, all), c| {
-        (told + usize::from(ask(c) == 429), all + 1)
+    assert!(later.by_ref().any(|customer| status_of(customer) == 429));
+    let (answered_by_counter, all) = later.fold((0, 0), |(answered_by_counter, all), c| {
+        (
+            answered_by_counter + usize::from(status_of(c) == 429),
+            all + 1,
+        )
     });
     assert!(
-        all >= 100 && told * 2 >= all,
-        "the counter was asked for {told} of {all}"
+        all >= 100 && answered_by_counter * 2 >= all,
+        "the counter answered for {answered_by_counter} of {all} requests, expected at least half of 100 or more"
     );
 }
 
 #[test]
 fn a_counter_that_comes_back_is_used_again() {
     let counter = ScriptedCounter::new(|n, _| (n > 0).then(|| (Duration::ZERO, "ok 15".into())));
-    let (_server, gateway) = stage(&counter);
+    let (_server, gateway) = start_gateway_with_counter(&counter);
     first_call(&gateway, &counter);
-    // A new connection, on which it is told that all is used up.
+    // On the new connection the counter reports that all is used up.
     first_call(&gateway, &counter);
-    assert_eq!(gateway.request(&shared(1)).status(), 429);
+    assert_eq!(gateway.request(&request_counted_at_two(1)).status(), 429);
 }
--- a/crates/frosthatch/tests/diameter.rs
+++ b/crates/frosthatch/tests/diameter.rs
@@ -81,8 +81,13 @@
          check_class = \"balance-check\"\ncharge_class = \"top-up\"\ntx_ms = 6000\ndefault_plan = \"lille\"\n{more}"
     ));
     let config = config_text(discovery.address, None, 1, "");
-    let gateway =
-        Gateway::start_with_args(&config, &["--operator", file.to_str().expect("a path")]);
+    let gateway = Gateway::start_with_args(
+        &config,
+        &[
+            "--operator",
+            file.to_str().expect("the temporary path is UTF-8"),
+        ],
+    );
     gateway.wait_ready();
     Site {
         gateway,
@@ -197,7 +202,10 @@
                     assert_eq!(got.header.end_to_end, debit.header.end_to_end);
                     a.close_connections();
                     assert_eq!(
-                        client.next_message().expect("one answer").result(),
+                        client
+                            .next_message()
+                            .expect("the gateway answers once")
+                            .result(),
                         Some(result),
                         "cell {cell}"
                     );
@@ -228,7 +236,7 @@
     let opened = client.exchange(&initial_request("till;1;s"));
     let home = opened
         .text(code::ORIGIN_HOST)
-        .expect("a server")
+        .expect("the answer has an Origin-Host")
         .to_string();
     for n in 1..6 {
         assert_eq!(
@@ -298,7 +306,7 @@
         a.answers_watchdogs.store(false, Ordering::SeqCst);
         client.send(&credit_control_request("till;1;f", 2, 1));
         assert!(!a.next_request().header.has(flag::RETRANSMITTED));
-        let cca = client.next_message().expect("one answer");
+        let cca = client.next_message().expect("the gateway answers once");
         assert_eq!(cca.result(), Some(results));
         let there: Vec<Message> = b.requests.try_iter().collect();
         let retransmitted = there.iter().all(|m| m.header.has(flag::RETRANSMITTED));
@@ -322,7 +330,7 @@
     let opened = client.exchange(&initial_request("till;1;m"));
     let home = opened
         .text(code::ORIGIN_HOST)
-        .expect("a server")
+        .expect("the answer has an Origin-Host")
         .to_string();
     if home.starts_with('a') { &a } else { &b }.send_disconnect_requests();
     let since = Instant::now();
@@ -358,14 +366,19 @@
     let held = a.next_request();
     site.discovery
         .publish_and_wait(false, &member("b", &b, 0, "Ready"));
-    let cca = client.next_message().expect("one answer");
+    let cca = client.next_message().expect("the gateway answers once");
     assert_eq!(cca.header.end_to_end, debit.header.end_to_end);
     assert_eq!(
         (cca.result(), cca.text(code::ORIGIN_HOST)),
         (Some(result::SUCCESS), Some("b.example.org"))
     );
     // Now the old one answers after all.
-    for s in a.streams.lock().expect("streams").iter_mut() {
+    for s in a
+        .streams
+        .lock()
+        .expect("no thread panics while it holds the streams")
+        .iter_mut()
+    {
         let _ = s.write_all(&success_answer(&held, host).encode());
     }
     assert_eq!(
@@ -441,8 +454,8 @@
     sleep(Duration::from_millis(100));
     release.store(true, Ordering::SeqCst);
     let (first, second) = (
-        one.next_message().expect("an answer"),
-        two.next_message().expect("an answer"),
+        one.next_message().expect("the gateway answers the request"),
+        two.next_message().expect("the gateway answers the request"),
     );
     assert_eq!(
         (first.result(), second.result()),
@@ -533,17 +546,25 @@
     assert_eq!(odd.exchange(&back).result(), Some(result::LOOP_DETECTED));
     // Thousands at once are each answered.
     let many: Vec<Message> = (0..2_000).map(|_| event_request(2)).collect();
-    let mut writer = odd.stream.try_clone().expect("a clone");
+    let mut writer = odd
+        .stream
+        .try_clone()
+        .expect("the descriptor can be duplicated");
     let bytes: Vec<u8> = many.iter().flat_map(Message::encode).collect();
     let writing = thread::spawn(move || writer.write_all(&bytes));
     let mut answered: Vec<u32> = many
         .iter()
-        .map(|_| odd.next_message().expect("an answer").header.end_to_end)
+        .map(|_| {
+            odd.next_message()
+                .expect("the gateway answers the request")
+                .header
+                .end_to_end
+        })
         .collect();
     writing
         .join()
-        .expect("a writer")
-        .expect("all of it is read");
+        .expect("the writer thread does not panic")
+        .expect("the gateway reads all requests");
     answered.sort_unstable();
     assert_eq!(
         answered,
@@ -623,12 +644,16 @@
     client.send(&debit);
     a.next_request();
     site.gateway.terminate();
-    let cca = client.next_message().expect("an answer");
+    let cca = client
+        .next_message()
+        .expect("the gateway answers the request");
     assert_eq!(
         (cca.header.end_to_end, cca.result()),
         (debit.header.end_to_end, Some(result::SUCCESS))
     );
-    let dpr = client.next_message().expect("a goodbye");
+    let dpr = client
+        .next_message()
+        .expect("the peer receives a Disconnect-Peer-Request");
     assert_eq!(
         (dpr.header.command, dpr.number(code::DISCONNECT_CAUSE)),
         (command::DISCONNECT_PEER, Some(0))
@@ -792,11 +817,11 @@
     let site = site(&member("s1", &server, 0, "Ready"), "");
     let mut client = DiameterClient::new(site.address, "till.example.org");
     until_served(&mut client);
-    let first = std::fs::read_to_string(&site.file).expect("the file");
+    let first = std::fs::read_to_string(&site.file).expect("the operator file can be read");
     let small = "[diameter.plans]\n\"4512345678\" = \"small\"\n";
     let (address, old) = (own_address(), format!("listen = \"{}\"", site.address));
     let told = |text: &str| {
-        std::fs::write(&site.file, text).expect("it is written");
+        std::fs::write(&site.file, text).expect("the file can be written");
         site.gateway.signal("-HUP");
     };
     // None of these is taken, whatever else they say.
@@ -862,7 +887,9 @@
         .map(|_| event_request(0).with(long.clone()))
         .collect();
     sent.iter().for_each(|ccr| client.send(ccr));
-    let refused = client.next_message().expect("a refusal");
+    let refused = client
+        .next_message()
+        .expect("at least one request is refused");
     assert_eq!(refused.result(), Some(result::TOO_BUSY));
     assert!(
         since.elapsed() < Duration::from_secs(4),
@@ -876,7 +903,13 @@
     mute.store(false, Ordering::SeqCst);
     // Each of the others gets its one answer.
     let answered: std::collections::HashSet<u32> = (1..20)
-        .map(|_| client.next_message().expect("an answer").header.end_to_end)
+        .map(|_| {
+            client
+                .next_message()
+                .expect("the gateway answers the request")
+                .header
+                .end_to_end
+        })
         .collect();
     assert_eq!(answered.len(), 19);
     until_served(&mut client);
--- a/crates/frosthatch/tests/diameter_over_tls.rs
+++ b/crates/frosthatch/tests/diameter_over_tls.rs
@@ -1,4 +1,5 @@
-//! Diameter over TLS on both sides (RFC 6733 section 13.1): each end proves itself by the trust anchor.
+//! Diameter over TLS on both sides (RFC 6733 section 13.1): each end authenticates the other by the trust
+//! anchor.
 #![expect(clippy::too_many_lines)]
 
 mod common;
@@ -10,29 +11,29 @@
 use frosthatch_test_doubles::diameter::*;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
-use tls::{acceptor, folder, originator, terminator, Authority};
+use tls::{create_directory, start_tls_originator, start_tls_terminator, tls_acceptor, Authority};
 
 #[test]
-fn both_sides_speak_tls_and_a_client_without_proof_is_not_heard() {
+fn both_sides_use_tls_and_a_client_without_a_trusted_certificate_is_refused() {
     let authority = Authority::new();
     let server = DiameterServer::granting("s1.example.org");
-    let front = acceptor(&authority.proof("servers.example.org"), Some(&authority));
-    let at = terminator(front, server.address);
-    let plain = endpoint_entry("s1", at, 0, "Ready");
+    let server_acceptor = tls_acceptor(&authority.issue("servers.example.org"), Some(&authority));
+    let server_address = start_tls_terminator(server_acceptor, server.address);
+    let entry = endpoint_entry("s1", server_address, 0, "Ready");
     let discovery = Discovery::new(&format!(
         "{},\"proto\":\"diameter\"}}",
-        plain.trim_end_matches('}')
+        entry.trim_end_matches('}')
     ));
-    let folder = folder();
-    let proof = authority.proof("gw.example.org");
+    let directory = create_directory();
+    let certified_key = authority.issue("gw.example.org");
     for (name, text) in [
         ("ca.pem", authority.pem()),
-        ("gw.pem", proof.certificate.pem()),
-        ("gw.key", proof.key.serialize_pem()),
+        ("gw.pem", certified_key.certificate.pem()),
+        ("gw.key", certified_key.key.serialize_pem()),
     ] {
-        std::fs::write(folder.join(name), text).expect("written");
+        std::fs::write(directory.join(name), text).expect("the write succeeds");
     }
-    // An address of its own: nobody else can have taken the port.
+    // A loopback address of this test's own: no other test can have taken the port.
     let address = std::net::SocketAddr::from((
         [
             127,
@@ -42,50 +43,71 @@
         ],
         3868,
     ));
-    let file = folder.join("operator.toml");
+    let file = directory.join("operator.toml");
     let text = format!(
         "[diameter]\nlisten = \"{address}\"\nidentity = \"gw.example.org\"\nrealm = \"example.org\"\n\
          check_class = \"balance-check\"\ncharge_class = \"top-up\"\ndefault_plan = \"lille\"\n\
          [diameter.tls]\ncertificate = \"gw.pem\"\nkey = \"gw.key\"\ntrust_anchor = \"ca.pem\"\n\
          server_name = \"servers.example.org\"\n"
     );
-    std::fs::write(&file, &text).expect("written");
+    std::fs::write(&file, &text).expect("the write succeeds");
     let config = config_text(discovery.address, None, 1, "");
-    let gateway =
-        Gateway::start_with_args(&config, &["--operator", file.to_str().expect("a path")]);
+    let gateway = Gateway::start_with_args(
+        &config,
+        &[
+            "--operator",
+            file.to_str().expect("the temporary path is UTF-8"),
+        ],
+    );
     gateway.wait_ready();
 
-    let till = authority.proof("till.example.org");
+    let client_certificate = authority.issue("till.example.org");
     let mut client = DiameterClient::new(
-        originator(&authority, Some(&till), "gw.example.org", address),
+        start_tls_originator(
+            &authority,
+            Some(&client_certificate),
+            "gw.example.org",
+            address,
+        ),
         "till.example.org",
     );
     let since = Instant::now();
     while client.exchange(&event_request(0)).result() != Some(result::SUCCESS) {
-        assert!(since.elapsed() < TIMEOUT, "it is granted");
+        assert!(since.elapsed() < TIMEOUT, "a request over TLS is granted");
         sleep(Duration::from_millis(20));
     }
-    let stranger = Authority::new().proof("till.example.org");
-    for proof in [None, Some(&stranger)] {
-        let mut client =
-            DiameterClient::connect(originator(&authority, proof, "gw.example.org", address));
+    let untrusted = Authority::new().issue("till.example.org");
+    for certified_key in [None, Some(&untrusted)] {
+        let mut client = DiameterClient::connect(start_tls_originator(
+            &authority,
+            certified_key,
+            "gw.example.org",
+            address,
+        ));
         client.send(&capabilities_exchange_request("till.example.org"));
-        assert!(client.next_message().is_none(), "it is not heard");
+        assert!(
+            client.next_message().is_none(),
+            "a client without a trusted certificate gets no answer"
+        );
     }
     let mut client = DiameterClient::connect(address);
     client.send(&capabilities_exchange_request("till.example.org"));
-    assert!(client.next_message().is_none(), "nor without TLS");
+    assert!(
+        client.next_message().is_none(),
+        "a client without TLS gets no answer"
+    );
 
-    // A key of another certificate is a mistake that `check` tells.
-    std::fs::write(folder.join("gw.key"), stranger.key.serialize_pem()).expect("written");
+    // `check` reports a key that belongs to another certificate.
+    std::fs::write(directory.join("gw.key"), untrusted.key.serialize_pem())
+        .expect("the write succeeds");
     let config = write_config_file(&config);
     let out = gateway_command(&config)
         .args(["check", "--operator"])
         .arg(&file)
         .output()
-        .expect("it runs");
+        .expect("the gateway binary runs");
     let _ = std::fs::remove_file(config);
     assert_eq!(out.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&out.stdout).contains("belong together"));
-    let _ = std::fs::remove_dir_all(folder);
+    let _ = std::fs::remove_dir_all(directory);
 }
--- a/crates/frosthatch/tests/dns_sd.rs
+++ b/crates/frosthatch/tests/dns_sd.rs
@@ -1,4 +1,4 @@
-//! The real binary with its servers in DNS-SD records.
+//! The gateway binary with its servers in DNS-SD records.
 
 mod common;
 use common::*;
@@ -13,8 +13,8 @@
 
 fn zone(servers: &[(&str, SocketAddr)]) -> Zone {
     let mut zone = Zone::new("example.org");
-    for (name, at) in servers {
-        zone.add_instance(SERVICE, name, *at, &["zone=hall-a", "cell=1"]);
+    for (name, address) in servers {
+        zone.add_instance(SERVICE, name, *address, &["zone=hall-a", "cell=1"]);
     }
     zone.take_changes();
     zone
@@ -28,7 +28,7 @@
     }
 
     fn path(&self) -> &str {
-        self.0.to_str().expect("a path")
+        self.0.to_str().expect("the temporary path is UTF-8")
     }
 }
 
@@ -38,7 +38,7 @@
     }
 }
 
-fn operator(resolver: &Resolver, push: bool) -> String {
+fn operator_file(resolver: &Resolver, push: bool) -> String {
     let push = if push {
         format!("[dns-sd.push]\nservers = [\"{}\"]\n", resolver.push)
     } else {
@@ -51,13 +51,13 @@
     )
 }
 
-fn nobody() -> SocketAddr {
-    "127.0.0.1:9".parse().expect("an address")
+fn unused_address() -> SocketAddr {
+    "127.0.0.1:9".parse().expect("the text is a socket address")
 }
 
 fn start(resolver: &Resolver, push: bool) -> (Gateway, File) {
-    let file = File::new(&operator(resolver, push));
-    let text = config_text(nobody(), None, 1, "");
+    let file = File::new(&operator_file(resolver, push));
+    let text = config_text(unused_address(), None, 1, "");
     let gateway = Gateway::start_with_args(&text, &["--operator", file.path()]);
     gateway.wait_ready();
     (gateway, file)
@@ -71,22 +71,22 @@
     }
 }
 
-/// Its idle connections go, and nothing new comes.
+/// The gateway closes its idle connections to a removed server, and sends it nothing new.
 #[test]
-fn a_removed_server_gets_nothing_new() {
+fn a_removed_server_gets_no_new_request() {
     for push in [false, true] {
         let (a, b) = (Server::new(|_| ok("a")), Server::new(|_| ok("b")));
         let resolver = Resolver::new(zone(&[("a", a.address), ("b", b.address)]));
         let (gateway, _file) = start(&resolver, push);
         if push {
-            until("it subscribes", || resolver.push_sessions() > 0);
+            until("the gateway subscribes", || resolver.push_sessions() > 0);
         }
         until("a serves", || {
             gateway.request(&ClientRequest::check()).body == "a"
         });
         a.drain_events();
         resolver.change_zone(|z| z.remove_instance(SERVICE, "a"));
-        // The end of its idle connection tells that the gateway knows.
+        // The close of the idle connection shows that the gateway has seen the removal.
         a.wait_closed();
         a.drain_events();
         for _ in 0..20 {
@@ -96,9 +96,10 @@
     }
 }
 
-/// Guards against taking a record's end for the process's: an attempt that is out there has its answer.
+/// Guards against taking the removal of a record for the end of the process: an outstanding attempt gets its
+/// answer.
 #[test]
-fn a_removed_server_finishes_what_it_has() {
+fn a_removed_server_finishes_outstanding_requests() {
     for push in [false, true] {
         let release = Arc::new(AtomicBool::new(false));
         let released = release.clone();
@@ -123,14 +124,21 @@
             if a.events.recv_timeout(Duration::from_millis(300)).is_ok() {
                 break;
             }
-            assert_eq!(held.read_response().expect("an answer").body, "b");
+            assert_eq!(
+                held.read_response()
+                    .expect("the gateway answers the request")
+                    .body,
+                "b"
+            );
         }
         resolver.change_zone(|z| z.remove_instance(SERVICE, "a"));
-        // By then it is known.
+        // The gateway has seen the removal by then.
         sleep(Duration::from_millis(500));
         release.store(true, Ordering::SeqCst);
         assert_eq!(
-            held.read_response().expect("an answer").body,
+            held.read_response()
+                .expect("the gateway answers the request")
+                .body,
             "a",
             "push: {push}"
         );
@@ -147,7 +155,7 @@
         let resolver = Resolver::new(zone(&[("a", a.address)]));
         let (gateway, _file) = start(&resolver, push);
         assert_eq!(gateway.request(&ClientRequest::check()).body, "a");
-        // Booted long ago, so that it is not spared.
+        // A boot time long ago, so that the server isn't treated as cold.
         resolver.change_zone(|z| z.add_instance(SERVICE, "b", b.address, &["boot=1600000000000"]));
         until("b serves", || {
             gateway.request(&ClientRequest::check()).body == "b"
@@ -155,16 +163,16 @@
     }
 }
 
-/// Those from before serve until the resolver is there; then its records do.
+/// The known servers serve until the resolver answers; from then on its records count.
 #[test]
 fn with_the_resolver_dead_at_the_start_the_known_servers_serve() {
     let (a, b) = (Server::new(|_| ok("a")), Server::new(|_| ok("b")));
     let resolver = Resolver::new(zone(&[("b", b.address)]));
     resolver.set_mode(DnsMode::Silent);
-    let file = File::new(&operator(&resolver, false));
+    let file = File::new(&operator_file(&resolver, false));
     let known = endpoint_entry("a", a.address, 0, "Ready");
     let gateway = Gateway::start_with_args(
-        &config_text(nobody(), None, 1, &known),
+        &config_text(unused_address(), None, 1, &known),
         &["--operator", file.path()],
     );
     gateway.wait_ready();
@@ -175,7 +183,7 @@
     });
 }
 
-/// Truncated over UDP, whole over TCP.
+/// The answer is truncated over UDP and complete over TCP.
 #[test]
 fn forty_servers_are_found_over_tcp() {
     let servers: Vec<Server> = (0..40)
@@ -200,7 +208,7 @@
     }
 }
 
-/// From the list to the records and back under load: no request is lost, and what is out finishes.
+/// Switching from the list to the records and back under load loses no request, and outstanding requests finish.
 #[test]
 fn sighup_goes_from_list_to_records_and_back_with_no_request_lost() {
     let slow = |name: &'static str| {
@@ -210,10 +218,10 @@
         })
     };
     let (a, b) = (slow("list"), slow("records"));
-    let agent = Discovery::new(&endpoint_entry("a", a.address, 0, "Ready"));
+    let discovery = Discovery::new(&endpoint_entry("a", a.address, 0, "Ready"));
     let resolver = Resolver::new(zone(&[("b", b.address)]));
     let file = File::new("");
-    let config = config_text(agent.address, None, 1, "");
+    let config = config_text(discovery.address, None, 1, "");
     let gateway = Arc::new(Gateway::start_with_args(
         &config,
         &["--operator", file.path()],
@@ -238,11 +246,11 @@
         })
         .collect();
     for (text, serves) in [
-        (operator(&resolver, true), "records"),
+        (operator_file(&resolver, true), "records"),
         (String::new(), "list"),
-        (operator(&resolver, false), "records"),
+        (operator_file(&resolver, false), "records"),
     ] {
-        std::fs::write(file.path(), text).expect("written");
+        std::fs::write(file.path(), text).expect("the write succeeds");
         gateway.signal("-HUP");
         until("the new source serves", || {
             gateway.request(&ClientRequest::check()).body == serves
@@ -251,40 +259,40 @@
     stop.store(true, Ordering::SeqCst);
     let served: Vec<String> = clients
         .into_iter()
-        .flat_map(|c| c.join().expect("a client"))
+        .flat_map(|c| c.join().expect("the client thread does not panic"))
         .collect();
     assert!(served.contains(&"list".to_string()) && served.contains(&"records".to_string()));
 }
 
-/// Guards against a typo that takes the servers away.
+/// Guards against a mistake in the operator file removing the servers.
 #[test]
-fn a_bad_operators_file_keeps_what_was_in_force_and_is_no_start() {
+fn an_invalid_operator_file_keeps_the_settings_in_force_and_prevents_a_start() {
     let a = Server::new(|_| ok("a"));
     let resolver = Resolver::new(zone(&[("a", a.address)]));
     let (mut gateway, file) = start(&resolver, false);
-    std::fs::write(file.path(), "[membership]\nsource = \"dns\"\n").expect("written");
+    std::fs::write(file.path(), "[membership]\nsource = \"dns\"\n").expect("the write succeeds");
     gateway.signal("-HUP");
-    std::fs::write(file.path(), "[membership]\nsource = \"dns\"\n").expect("written");
+    std::fs::write(file.path(), "[membership]\nsource = \"dns\"\n").expect("the write succeeds");
     sleep(Duration::from_millis(200));
     assert_eq!(gateway.request(&ClientRequest::check()).body, "a");
     assert!(gateway.is_running());
-    let config = write_config_file(&config_text(nobody(), None, 1, ""));
+    let config = write_config_file(&config_text(unused_address(), None, 1, ""));
     let out = gateway_command(&config)
         .args(["--operator", file.path()])
         .output()
-        .expect("it runs");
+        .expect("the gateway binary runs");
     let _ = std::fs::remove_file(config);
     assert_eq!(out.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&out.stderr).contains("write one of [\"list\", \"dns-sd\"]"));
 }
 
-/// A cut in the middle of a change, then silence of the session: what is asked for makes it good.
+/// The push session is cut in the middle of a change and is silent afterwards: a poll recovers the change.
 #[test]
-fn a_push_session_that_is_cut_in_a_change_is_made_good() {
+fn a_change_lost_with_its_push_session_is_recovered() {
     let (a, b) = (Server::new(|_| ok("a")), Server::new(|_| ok("b")));
     let resolver = Resolver::new(zone(&[("a", a.address), ("b", b.address)]));
     let (gateway, _file) = start(&resolver, true);
-    until("it subscribes", || resolver.push_sessions() > 0);
+    until("the gateway subscribes", || resolver.push_sessions() > 0);
     resolver.set_push_mode(PushMode::CutsNextMessage);
     resolver.change_zone(|z| z.remove_instance(SERVICE, "a"));
     until("the removal is known", || {
--- a/crates/frosthatch/tests/fleet.rs
+++ b/crates/frosthatch/tests/fleet.rs
@@ -26,7 +26,7 @@
 impl Fleet {
     /// So many processes of a site of `of`; `more` adds to the table of each.
     fn new(processes: usize, of: usize, more: impl Fn(usize) -> String) -> Fleet {
-        let runtime = Runtime::new().expect("a runtime");
+        let runtime = Runtime::new().expect("the Tokio runtime starts");
         let server = Server::new(|_| ok("done"));
         let agent = Discovery::new(&endpoint_entry("s0", server.address, 1, "Ready"));
         let relay = Relay::new(runtime.handle(), processes, 5);
@@ -66,7 +66,7 @@
         self.testbed.processes[by]
             .console()
             .and_then(FleetView::fetch)
-            .expect("its console answers")
+            .expect("the process's console answers")
     }
 
     fn until(&self, what: &str, holds: impl Fn(&Fleet) -> bool) {
@@ -132,7 +132,7 @@
     // The command line shows the same.
     let console = fleet.testbed.processes[0]
         .console()
-        .expect("a console")
+        .expect("the process has a console address")
         .to_string();
     let ask = |words: &[&str]| {
         let out = Command::new(frosthatch_test_doubles::gateway_binary())
@@ -140,7 +140,7 @@
             .args(words)
             .args(["--console", &console])
             .output();
-        let out = out.expect("it runs");
+        let out = out.expect("the gateway binary runs");
         (
             out.status.success(),
             String::from_utf8_lossy(&out.stdout).to_string(),
@@ -162,7 +162,8 @@
         row("NAME").contains("STATE") && row("n1").contains("hall-a"),
         "{table}"
     );
-    let json: serde_json::Value = serde_json::from_str(&ask(&["view", "--json"]).1).expect("JSON");
+    let json: serde_json::Value =
+        serde_json::from_str(&ask(&["view", "--json"]).1).expect("the output is JSON");
     assert_eq!(json["ready"], 3);
     assert!(ask(&["leave"]).0);
     fleet.until("it has left", |f| f.seen(1).states["n0"] == "left");
@@ -251,7 +252,7 @@
     );
     fleet.testbed.relay.record_datagrams(2_000);
     let step = |fleet: &mut Fleet, text: String| {
-        std::fs::write(&fleet.key, text).expect("a key file");
+        std::fs::write(&fleet.key, text).expect("the key file can be written");
         (0..3).for_each(|n| fleet.testbed.send_sighup(n));
         std::thread::sleep(Duration::from_millis(400));
     };
@@ -339,9 +340,14 @@
             "",
         ));
         let out = frosthatch_test_doubles::gateway_command(&config)
-            .args(["--operator", file.to_str().expect("a path"), "check"])
+            .args([
+                "--operator",
+                file.to_str().expect("the temporary path is UTF-8"),
+                "check",
+            ])
             .output();
-        let out = String::from_utf8_lossy(&out.expect("it runs").stdout).to_string();
+        let out =
+            String::from_utf8_lossy(&out.expect("the gateway binary runs").stdout).to_string();
         assert!(out.contains(says), "{says:?} in {out:?}");
     }
 }
--- a/crates/frosthatch/tests/golden_forms.rs
+++ b/crates/frosthatch/tests/golden_forms.rs
@@ -22,10 +22,10 @@
         .join("tests/golden")
         .join(file);
     if std::env::var_os("RECORD").is_some() {
-        return std::fs::write(path, now).expect("written");
+        return std::fs::write(path, now).expect("the write succeeds");
     }
     assert_eq!(
-        std::fs::read_to_string(path).expect("a recorded file"),
+        std::fs::read_to_string(path).expect("the golden file exists"),
         now,
         "recorded on the left"
     );
@@ -40,7 +40,7 @@
     if let Some(file) = &operator {
         command.arg("--operator").arg(file);
     }
-    let out = command.output().expect("it runs");
+    let out = command.output().expect("the gateway binary runs");
     let mut text = String::from_utf8_lossy(&out.stdout).into_owned();
     for (file, name) in [(Some(&config), "CONFIG"), (operator.as_ref(), "OPERATOR")] {
         if let Some(file) = file {
@@ -52,7 +52,12 @@
 }
 
 fn fine() -> String {
-    config_text("127.0.0.1:1".parse().expect("an address"), None, 2, "")
+    config_text(
+        "127.0.0.1:1".parse().expect("the text is a socket address"),
+        None,
+        2,
+        "",
+    )
 }
 
 /// Every key of the operator's file, by table.
@@ -200,12 +205,13 @@
             .map(|key| format!("{key} = {}\n", value(key)))
             .collect();
         let operator = format!("[{table}]\n{lines}no_such_key = 1\n");
-        writeln!(text, "[{table}]\n{}", check(&fine(), Some(&operator))).expect("to memory");
+        writeln!(text, "[{table}]\n{}", check(&fine(), Some(&operator)))
+            .expect("writing to a String cannot fail");
         let empty = check(&fine(), Some(&format!("[{table}]\n")));
-        writeln!(text, "[{table}] empty\n{empty}").expect("to memory");
+        writeln!(text, "[{table}] empty\n{empty}").expect("writing to a String cannot fail");
     }
     let unknown = check(&fine(), Some("[no_such_table]\n"));
-    writeln!(text, "{unknown}").expect("to memory");
+    writeln!(text, "{unknown}").expect("writing to a String cannot fail");
     compare_with_recorded("operator_file.txt", &text);
 }
 
@@ -227,18 +233,18 @@
     let (start, _) = fine()
         .split_once("\"settings\":")
         .map(|(s, e)| (s.to_string(), e.to_string()))
-        .expect("both");
+        .expect("the configuration has `settings`");
     writeln!(
         text,
         "settings\n{}",
         check(&format!("{start}\"settings\":{WRONG_SETTINGS}}}"), None)
     )
-    .expect("to memory");
-    writeln!(text, "empty\n{}", check("{}", None)).expect("to memory");
+    .expect("writing to a String cannot fail");
+    writeln!(text, "empty\n{}", check("{}", None)).expect("writing to a String cannot fail");
     let wrong = r#"{"name":5,"listen":5,"discovery":5,"counter":5,"console":5,"seed":5,"limits":{"cores":"x","memory_mb":"x",
         "sockets":"x"},"known":{"rev":"x","all":"x","targets":5},"settings":5,"noSuchKey":5}"#;
-    writeln!(text, "wrong\n{}", check(wrong, None)).expect("to memory");
-    writeln!(text, "no JSON\n{}", check("{", None)).expect("to memory");
+    writeln!(text, "wrong\n{}", check(wrong, None)).expect("writing to a String cannot fail");
+    writeln!(text, "no JSON\n{}", check("{", None)).expect("writing to a String cannot fail");
     compare_with_recorded("configuration.txt", &text);
 }
 
@@ -263,10 +269,11 @@
     let out = gateway_command(&config)
         .args(["policy", "schema"])
         .output()
-        .expect("it runs");
+        .expect("the gateway binary runs");
     let _ = std::fs::remove_file(config);
-    let schema: Value = serde_json::from_slice(&out.stdout).expect("a schema");
-    let text = serde_json::to_string_pretty(&without_descriptions(&schema)).expect("a text");
+    let schema: Value = serde_json::from_slice(&out.stdout).expect("the schema is JSON");
+    let text = serde_json::to_string_pretty(&without_descriptions(&schema))
+        .expect("the schema can be serialized");
     compare_with_recorded("policy_schema.json", &text);
 }
 
@@ -287,7 +294,7 @@
 }
 
 fn answer(console: SocketAddr, method: &str, path: &str, body: &str) -> (u16, String) {
-    call_console(console, method, path, body).expect("an answer of the console")
+    call_console(console, method, path, body).expect("the console answers with JSON")
 }
 
 fn until(what: &str, holds: impl Fn() -> bool) {
@@ -300,7 +307,7 @@
 
 #[test]
 fn metrics_and_answers_of_the_admin_api_are_as_recorded_and_so_is_the_audit() {
-    let runtime = Runtime::new().expect("a runtime");
+    let runtime = Runtime::new().expect("the Tokio runtime starts");
     let server = Server::new(|_| ok("done"));
     let agent = Discovery::new(&endpoint_entry("s0", server.address, 1, "Ready"));
     let relay = Relay::new(runtime.handle(), 3, 5);
@@ -325,7 +332,9 @@
     let mut testbed = Testbed::new(processes, relay);
     testbed.start_all();
     testbed.wait_until_all_found();
-    let console = testbed.processes[0].console().expect("a console");
+    let console = testbed.processes[0]
+        .console()
+        .expect("the process has a console address");
     until("the files' own policy is in force", || {
         policy_fixture::version_in_force(&testbed.processes[0]) == Some(0)
     });
@@ -333,7 +342,8 @@
     let mut text = String::new();
     let mut plain = |method: &str, path: &str| {
         let (status, body) = answer(console, method, path, "");
-        writeln!(text, "{method} {path}: {status} {body:?}").expect("to memory");
+        writeln!(text, "{method} {path}: {status} {body:?}")
+            .expect("writing to a String cannot fail");
     };
     for path in ["/ready", "/nowhere", "/policy/document", "/servers/disable"] {
         plain("GET", path);
@@ -352,8 +362,8 @@
         plain("POST", path);
     }
     let number = policy_fixture::propose(console, &document(1, "", 100.0))
-        .expect("an answer")
-        .expect("a proposal");
+        .expect("the console answers")
+        .expect("the console accepts the proposal");
     until("it is in force", || {
         policy_fixture::proposal_outcome(console, number).is_some_and(|(s, _)| s == "in force")
             && testbed
@@ -374,31 +384,49 @@
         );
     }
     let (status, metrics) = answer(console, "GET", "/metrics", "");
-    writeln!(text, "GET /metrics: {status}").expect("to memory");
+    writeln!(text, "GET /metrics: {status}").expect("writing to a String cannot fail");
     for line in metrics.lines() {
-        let (name, value) = line.split_once(':').expect("a name and a value");
-        let (value, kind) = value.split_once('|').expect("a value and a kind");
+        let (name, value) = line
+            .split_once(':')
+            .expect("the line has a name and a value");
+        let (value, kind) = value
+            .split_once('|')
+            .expect("the line has a value and a kind");
         assert!(value.parse::<u64>().is_ok(), "{line}");
-        writeln!(text, "  {name} {kind}").expect("to memory");
+        writeln!(text, "  {name} {kind}").expect("writing to a String cannot fail");
     }
     for path in ["/fleet", "/policy"] {
         let (status, body) = answer(console, "GET", path, "");
         let mut paths = BTreeSet::new();
-        shape(&serde_json::from_str(&body).expect("JSON"), "", &mut paths);
-        writeln!(text, "GET {path}: {status}").expect("to memory");
+        shape(
+            &serde_json::from_str(&body).expect("the output is JSON"),
+            "",
+            &mut paths,
+        );
+        writeln!(text, "GET {path}: {status}").expect("writing to a String cannot fail");
         paths
             .iter()
-            .for_each(|p| writeln!(text, "  {p}").expect("to memory"));
+            .for_each(|p| writeln!(text, "  {p}").expect("writing to a String cannot fail"));
     }
     let (status, body) = answer(console, "POST", "/fleet/leave", "");
-    writeln!(text, "POST /fleet/leave: {status} {body:?}").expect("to memory");
+    writeln!(text, "POST /fleet/leave: {status} {body:?}")
+        .expect("writing to a String cannot fail");
     compare_with_recorded("admin_api.txt", &text);
 
     testbed.apply(&TimelineAction::Kill { who: vec![0, 1, 2] });
     let folder = fixture.state_directory(0);
-    let audit = std::fs::read_to_string(folder.parent().expect("one above").join("audit-0"))
-        .expect("an audit");
-    let line = audit.lines().last().expect("a line").to_string();
+    let audit = std::fs::read_to_string(
+        folder
+            .parent()
+            .expect("the state directory has a parent")
+            .join("audit-0"),
+    )
+    .expect("the audit has the change");
+    let line = audit
+        .lines()
+        .last()
+        .expect("the audit has a line")
+        .to_string();
     let words: Vec<&str> = line.split(' ').collect();
     assert!(
         words.len() == 4 && words[0].parse::<u64>().is_ok() && words[3].parse::<u64>().is_ok(),
@@ -419,7 +447,7 @@
     let of = |n: usize| {
         folder
             .parent()
-            .expect("one above")
+            .expect("the state directory has a parent")
             .join(format!("audit-{n}"))
     };
     (0..3)
--- a/crates/frosthatch/tests/late_bytes.rs
+++ b/crates/frosthatch/tests/late_bytes.rs
@@ -24,11 +24,13 @@
 
 impl Unread {
     fn new() -> Unread {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free loopback port can be bound");
         SockRef::from(&listener)
             .set_recv_buffer_size(4_096)
-            .expect("a small buffer");
-        let address = listener.local_addr().expect("an address");
+            .expect("the receive buffer size can be set");
+        let address = listener
+            .local_addr()
+            .expect("the socket has a local address");
         let ((tell, accepted), (go, gone), (done, whole)) = (channel(), channel::<()>(), channel());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -96,7 +98,7 @@
     second
         .accepted
         .recv_timeout(TIMEOUT)
-        .expect("the repeat is on its way");
+        .expect("the gateway connects to the second server");
     thread::sleep(Duration::from_millis(1_700));
     let _ = second.go.send(());
     assert!(
@@ -121,7 +123,7 @@
         server
             .accepted
             .recv_timeout(TIMEOUT)
-            .expect("it is on its way");
+            .expect("the gateway connects to the server");
         thread::sleep(Duration::from_millis(50));
         drop(client);
         thread::sleep(Duration::from_millis(150));
@@ -146,14 +148,14 @@
     server
         .accepted
         .recv_timeout(TIMEOUT)
-        .expect("it is on its way");
+        .expect("the gateway connects to the server");
     thread::sleep(Duration::from_millis(1_500));
     let _ = server.go.send(());
     if let Some((message, at)) = server.whole() {
         let told: f64 = message
             .header("X-Expires-In")
             .and_then(|t| t.parse().ok())
-            .expect("a deadline");
+            .expect("the request has a deadline in seconds");
         let left = gone_at.saturating_duration_since(at).as_secs_f64();
         assert!(told <= left + 0.15, "told {told} s with {left} s left");
     }
@@ -172,17 +174,21 @@
     server.next_request();
     thread::sleep(Duration::from_millis(800));
     let _ = go.send(());
-    client.read_response().expect("the first answer");
+    client
+        .read_response()
+        .expect("the first request is answered");
     let message = server.next_request();
     let told: f64 = message
         .header("X-Expires-In")
         .and_then(|t| t.parse().ok())
-        .expect("a deadline");
+        .expect("the request has a deadline in seconds");
     let left = gone_at
         .saturating_duration_since(Instant::now())
         .as_secs_f64();
     let _ = go.send(());
-    client.read_response().expect("the second answer");
+    client
+        .read_response()
+        .expect("the second request is answered");
     assert!(told <= left + 0.15, "told {told} s with {left} s left");
 }
 
--- a/crates/frosthatch/tests/late_starts.rs
+++ b/crates/frosthatch/tests/late_starts.rs
@@ -52,7 +52,9 @@
     // The repeat is on its way now, and waits for its connection.
     thread::sleep(Duration::from_millis(700));
     let late = late.accept(|_| ok("twice"));
-    let answer = client.read_response().expect("an answer");
+    let answer = client
+        .read_response()
+        .expect("the gateway answers the request");
     assert!(matches!(answer.status(), 502 | 504), "{answer:?}");
     assert!(
         since.elapsed() > Duration::from_millis(500),
--- a/crates/frosthatch/tests/log_output.rs
+++ b/crates/frosthatch/tests/log_output.rs
@@ -19,7 +19,7 @@
     fn start(discovery: &Discovery, log: Stdio) -> Process {
         let address = TcpListener::bind("127.0.0.1:0")
             .and_then(|l| l.local_addr())
-            .expect("a port");
+            .expect("a free loopback port can be bound");
         let text = config_text(discovery.address, None, 1, "");
         let text = text.replace(
             "\"listen\":\"127.0.0.1:0\"",
@@ -36,7 +36,12 @@
     fn serves(&mut self) -> bool {
         let since = Instant::now();
         while since.elapsed() < TIMEOUT {
-            if self.child.try_wait().expect("a child").is_some() {
+            if self
+                .child
+                .try_wait()
+                .expect("the process status can be read")
+                .is_some()
+            {
                 return false;
             }
             if TcpStream::connect(self.address).is_ok() {
@@ -65,7 +70,7 @@
     let full = OpenOptions::new()
         .write(true)
         .open("/dev/full")
-        .expect("a full disk");
+        .expect("`/dev/full` can be opened");
     assert!(Process::start(&discovery, Stdio::from(full)).serves());
 }
 
@@ -74,8 +79,15 @@
     let server = Server::new(|_| ok("served"));
     let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let mut process = Process::start(&discovery, Stdio::piped());
-    let mut log = BufReader::new(process.child.stderr.take().expect("a log"));
-    log.read_line(&mut String::new()).expect("a line");
+    let mut log = BufReader::new(
+        process
+            .child
+            .stderr
+            .take()
+            .expect("standard error is piped"),
+    );
+    log.read_line(&mut String::new())
+        .expect("the gateway logs a line");
     assert!(process.serves());
     drop(log);
     // A list that makes no sense is logged.
--- a/crates/frosthatch/tests/outcomes.rs
+++ b/crates/frosthatch/tests/outcomes.rs
@@ -93,9 +93,9 @@
     assert_eq!(answer.status(), 429);
     let wait: f64 = answer
         .header("Retry-After")
-        .expect("advice")
+        .expect("the refusal has a Retry-After header")
         .parse()
-        .expect("seconds");
+        .expect("the value is a number of seconds");
     assert!(wait > 0.0 && wait <= 2.0, "{wait}");
 }
 
@@ -103,7 +103,7 @@
 fn a_refused_connection_never_ran() {
     let nobody = TcpListener::bind("127.0.0.1:0")
         .and_then(|l| l.local_addr())
-        .expect("a free port");
+        .expect("a free loopback port can be bound");
     let server = Server::new(|_| ok("here"));
     let entries = [
         endpoint_entry("a", nobody, 0, "Ready"),
@@ -350,7 +350,10 @@
         std::thread::sleep(std::time::Duration::from_millis(50));
         let ask = ClientRequest::top_up();
         assert_eq!(
-            client.exchange(&ask.to_text()).expect("an answer").body,
+            client
+                .exchange(&ask.to_text())
+                .expect("the gateway answers the request")
+                .body,
             ask.header("X-Trace-Id")
         );
     }
--- a/crates/frosthatch/tests/plain.rs
+++ b/crates/frosthatch/tests/plain.rs
@@ -21,9 +21,9 @@
     }
     let left: f64 = got
         .header("X-Expires-In")
-        .expect("what is left")
+        .expect("the request has the remaining time")
         .parse()
-        .expect("seconds");
+        .expect("the value is a number of seconds");
     assert!(left > 0.0 && left < 8.0, "{left}");
 }
 
@@ -172,7 +172,9 @@
         ),
     ] {
         let path = write_config_file(&text);
-        let out = gateway_command(&path).output().expect("it runs");
+        let out = gateway_command(&path)
+            .output()
+            .expect("the gateway binary runs");
         let _ = std::fs::remove_file(path);
         let said = String::from_utf8_lossy(&out.stderr).to_string();
         assert_eq!(out.status.code(), Some(1), "{said}");
@@ -184,7 +186,7 @@
     }
     let out = gateway_command(std::path::Path::new("/nowhere/config.json"))
         .output()
-        .expect("it runs");
+        .expect("the gateway binary runs");
     assert_eq!(out.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&out.stderr).contains("cannot be read"));
 }
--- a/crates/frosthatch/tests/plugins.rs
+++ b/crates/frosthatch/tests/plugins.rs
@@ -51,8 +51,13 @@
     let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let file = write_config_file(text);
     let config = config_text(discovery.address, None, 1, "");
-    let gateway =
-        Gateway::start_with_args(&config, &["--operator", file.to_str().expect("a path")]);
+    let gateway = Gateway::start_with_args(
+        &config,
+        &[
+            "--operator",
+            file.to_str().expect("the temporary path is UTF-8"),
+        ],
+    );
     gateway.wait_ready();
     Site {
         gateway,
@@ -128,7 +133,7 @@
                 assert_eq!(site.gateway.request(&of("lille")).status(), 200);
             }
             for s in stuck {
-                let (got, took) = s.join().expect("an answer");
+                let (got, took) = s.join().expect("the gateway answers the request");
                 assert_eq!(got, status, "{policy}");
                 assert!(took < Duration::from_secs(4), "{took:?}");
             }
@@ -151,7 +156,7 @@
         assert_eq!(site.gateway.request(&of("lille")).status(), 200);
     }
     // A new version of the file, and it is well.
-    std::fs::copy(on_request(HEADER), &traps).expect("a copy");
+    std::fs::copy(on_request(HEADER), &traps).expect("the file can be copied");
     site.gateway.signal("-HUP");
     let since = Instant::now();
     while site.gateway.request(&of("small")).header("x-shop") != Some("seven") {
@@ -175,20 +180,20 @@
         "(module",
         "(module (import \"wasi\" \"x\" (func)))",
         &std::fs::read_to_string(on_request("i64.const 0").as_path())
-            .expect("text")
+            .expect("the module is valid WebAssembly text")
             .replace("i32.const 1)", "i32.const 9)"),
     ] {
-        std::fs::write(&file, broken).expect("it is written");
+        std::fs::write(&file, broken).expect("the file can be written");
         site.gateway.signal("-HUP");
         sleep(Duration::from_millis(100));
         assert_eq!(asked(&site).as_deref(), Some("seven"), "{broken}");
     }
-    std::fs::remove_file(&file).expect("it is removed");
+    std::fs::remove_file(&file).expect("the file can be removed");
     site.gateway.signal("-HUP");
     sleep(Duration::from_millis(100));
     assert_eq!(asked(&site).as_deref(), Some("seven"));
     // None any more.
-    std::fs::write(&site.file, "").expect("it is written");
+    std::fs::write(&site.file, "").expect("the file can be written");
     site.gateway.signal("-HUP");
     let since = Instant::now();
     while asked(&site).is_some() {
@@ -221,13 +226,21 @@
         endpoint_entry("b", other.address, 0, "Ready"),
     ];
     site.discovery.publish_and_wait(false, &list.join(","));
-    assert_eq!(held.read_response().expect("one answer").body, "other");
+    assert_eq!(
+        held.read_response().expect("the gateway answers once").body,
+        "other"
+    );
     // SIGTERM: what is held is answered, and the program ends in order.
     let mut held = site.gateway.client();
     held.send(&of("lille").to_text());
     sleep(Duration::from_millis(50));
     site.gateway.signal("-TERM");
-    assert_eq!(held.read_response().expect("one answer").status(), 200);
+    assert_eq!(
+        held.read_response()
+            .expect("the gateway answers once")
+            .status(),
+        200
+    );
     assert!(site.gateway.wait_for_exit().success());
 }
 
@@ -237,7 +250,8 @@
     let text: String = (0..20)
         .map(|n| {
             let header = format!("x-n{}: {n:02}\\0a", names(n));
-            let file = std::fs::read_to_string(on_request(HEADER)).expect("text");
+            let file = std::fs::read_to_string(on_request(HEADER))
+                .expect("the module is valid WebAssembly text");
             let file = write_config_file(
                 &file
                     .replace("x-shop: seven\\0a", &header)
@@ -267,7 +281,7 @@
     Command::new(gateway_binary())
         .args(words)
         .output()
-        .expect("it runs")
+        .expect("the gateway binary runs")
 }
 
 #[test]
@@ -276,7 +290,7 @@
     let request = write_config_file(
         r#"{"customer":4512345678,"class":"top-up","plan":"lille","left_ms":700,"units":2}"#,
     );
-    let path = |p: &Path| p.to_str().expect("a path").to_string();
+    let path = |p: &Path| p.to_str().expect("the temporary path is UTF-8").to_string();
     let out = run(&["plugin", "check", &path(&good)]);
     let text = String::from_utf8_lossy(&out.stdout).to_string();
     assert!(
@@ -310,9 +324,12 @@
     let file = write_config_file(&plugin("bad", Path::new("/nowhere/bad.wasm"), ""));
     let config = write_config_file(&config_text(discovery.address, None, 1, ""));
     let out = gateway_command(&config)
-        .args(["--operator", file.to_str().expect("a path")])
+        .args([
+            "--operator",
+            file.to_str().expect("the temporary path is UTF-8"),
+        ])
         .output()
-        .expect("it runs");
+        .expect("the gateway binary runs");
     let text = String::from_utf8_lossy(&out.stderr).to_string();
     assert!(
         !out.status.success() && text.contains("plugin bad: /nowhere/bad.wasm"),
@@ -326,9 +343,14 @@
     ] {
         let file = write_config_file(&plugin("bad", &on_request(HEADER), more));
         let out = gateway_command(&config)
-            .args(["--operator", file.to_str().expect("a path"), "check"])
+            .args([
+                "--operator",
+                file.to_str().expect("the temporary path is UTF-8"),
+                "check",
+            ])
             .output();
-        let text = String::from_utf8_lossy(&out.expect("it runs").stdout).to_string();
+        let text =
+            String::from_utf8_lossy(&out.expect("the gateway binary runs").stdout).to_string();
         assert!(text.contains(says), "{says:?} in {text:?}");
     }
 }
--- a/crates/frosthatch/tests/policy.rs
+++ b/crates/frosthatch/tests/policy.rs
@@ -44,7 +44,7 @@
 
     /// The same, with more for each of its own.
     fn each(name: &str, processes: usize, more: impl Fn(usize) -> String) -> Fleet {
-        let runtime = Runtime::new().expect("a runtime");
+        let runtime = Runtime::new().expect("the Tokio runtime starts");
         let server = Server::new(|_| ok("done"));
         let agent = Discovery::new(&endpoint_entry("s0", server.address, 1, "Ready"));
         let relay = Relay::new(runtime.handle(), processes, 5);
@@ -126,7 +126,9 @@
     }
 
     fn console(&self, by: usize) -> SocketAddr {
-        self.testbed.processes[by].console().expect("a console")
+        self.testbed.processes[by]
+            .console()
+            .expect("the process has a console address")
     }
 
     fn until(&self, what: &str, holds: impl Fn(&Fleet) -> bool) {
@@ -175,14 +177,16 @@
 
     /// Proposes by a process, and waits for the end.
     fn propose(&self, by: usize, document: &str) -> (String, String) {
-        let number = match policy_fixture::propose(self.console(by), document).expect("an answer") {
+        let number = match policy_fixture::propose(self.console(by), document)
+            .expect("the gateway answers the request")
+        {
             Ok(number) => number,
             Err(why) => return ("refused".into(), why),
         };
         let since = Instant::now();
         loop {
-            let (state, why) =
-                policy_fixture::proposal_outcome(self.console(by), number).expect("it is known");
+            let (state, why) = policy_fixture::proposal_outcome(self.console(by), number)
+                .expect("the proposal has a status");
             if state != "open" {
                 return (state, why);
             }
@@ -208,7 +212,7 @@
             .args(words)
             .args(["--console", &self.console(by).to_string()])
             .output();
-        let out = out.expect("it runs");
+        let out = out.expect("the gateway binary runs");
         let said = [out.stdout, out.stderr].concat();
         (
             out.status.code(),
@@ -245,7 +249,13 @@
     assert!((0..4).all(|n| fleet.asks(n) == 200));
     let first = document(1, "", 100.0);
     let file = write_config_file(&first);
-    let (code, said) = fleet.policy(3, &["propose", file.to_str().expect("a path")]);
+    let (code, said) = fleet.policy(
+        3,
+        &[
+            "propose",
+            file.to_str().expect("the temporary path is UTF-8"),
+        ],
+    );
     assert_eq!(code, Some(0), "{said}");
     fleet.all_hold(1);
     assert!((0..4).all(|n| fleet.asks(n) == 200));
@@ -262,7 +272,7 @@
             "propose",
             write_config_file(&document(1, "", 90.0))
                 .to_str()
-                .expect("a path"),
+                .expect("the temporary path is UTF-8"),
         ],
     );
     assert!(
@@ -276,7 +286,9 @@
         2,
         &[
             "propose",
-            write_config_file(&wrong).to_str().expect("a path"),
+            write_config_file(&wrong)
+                .to_str()
+                .expect("the temporary path is UTF-8"),
         ],
     );
     assert!(
@@ -370,21 +382,22 @@
     fleet.testbed.apply(&TimelineAction::Kill { who: vec![0] });
     let folder = fleet.fixture.state_directory(0);
     let files = std::fs::read_dir(&folder)
-        .expect("a folder")
+        .expect("the state directory can be read")
         .flatten()
         .map(|e| e.path());
     let last = files
         .filter(|f| f.to_string_lossy().contains("keeper-"))
         .max()
-        .expect("a state");
-    let mut bytes = std::fs::read(&last).expect("a state");
+        .expect("the directory holds a state file");
+    let mut bytes = std::fs::read(&last).expect("the state file can be read");
     let middle = bytes.len() / 2;
     bytes[middle] ^= 4;
-    std::fs::write(&last, bytes).expect("it is written");
+    std::fs::write(&last, bytes).expect("the file can be written");
     fleet.testbed.start(0);
     fleet.all_hold(2);
-    let keeps =
-        policy_fixture::policy_status(fleet.console(0)).expect("a status")["keeps"].to_string();
+    let keeps = policy_fixture::policy_status(fleet.console(0))
+        .expect("the console returns the policy status")["keeps"]
+        .to_string();
     assert!(keeps.contains("checksum"), "{keeps}");
 }
 
@@ -427,8 +440,8 @@
     fleet.testbed.apply(&TimelineAction::Kill { who: vec![0] });
     let folder = fleet.fixture.state_directory(0);
     let old = folder.with_extension("old");
-    std::fs::rename(&folder, &old).expect("it is moved");
-    std::fs::create_dir(&folder).expect("a folder");
+    std::fs::rename(&folder, &old).expect("the directory can be moved");
+    std::fs::create_dir(&folder).expect("the directory can be created");
     let keeps = |f: &Fleet| {
         policy_fixture::policy_status(f.console(0))
             .map_or(String::new(), |s| s["keeps"].to_string())
@@ -451,8 +464,8 @@
     fleet.testbed.start(1);
     fleet.all_hold(2);
     fleet.testbed.apply(&TimelineAction::Kill { who: vec![0] });
-    std::fs::remove_dir_all(&folder).expect("it is removed");
-    std::fs::rename(&old, &folder).expect("it is put back");
+    std::fs::remove_dir_all(&folder).expect("the file can be removed");
+    std::fs::rename(&old, &folder).expect("the directory can be moved back");
     fleet.testbed.start(0);
     fleet.until("it is told", |f| keeps(f).contains("put back from a copy"));
     fleet.all_hold(2);
@@ -526,7 +539,8 @@
         let mut next = document(version + 1, &parent, 100.0 + turn as f64);
         // It may die before it has said that it took it up.
         let propose = |f: &Fleet, next: &str| {
-            policy_fixture::propose(f.console(3), next).map(|n| n.expect("it can be proposed"))
+            policy_fixture::propose(f.console(3), next)
+                .map(|n| n.expect("the change can be proposed"))
         };
         let mut number = propose(&fleet, &next);
         let since = Instant::now();
@@ -556,7 +570,7 @@
             .apply(&TimelineAction::Kill { who: all.clone() });
         if turn % 2 == 0 && who == 1 {
             // The others go on without it, and whoever proposed is told.
-            let number = number.expect("it was taken up");
+            let number = number.expect("the proposal was accepted for processing");
             fleet.until("told", |f| {
                 policy_fixture::proposal_outcome(f.console(3), number)
                     .is_some_and(|(s, _)| s != "open")
@@ -583,7 +597,7 @@
                 .flatten()
         };
         fleet.until("all hold the same", |f| high(f).is_some());
-        let mut held = high(&fleet).expect("they do");
+        let mut held = high(&fleet).expect("the rest of the fleet makes the change");
         let mut again = document(version + 1, &parent, 300.0 + turn as f64);
         if held == version && fleet.propose(0, &again).0 == "in force" {
             assert!(!told, "told as in force at {step} {after}, and lost");
@@ -627,7 +641,7 @@
     );
     let table = |file: &PathBuf| format!("[plugins.till]\nfile = {file:?}\n");
     let mut fleet = Fleet::each("nine", 9, |n| table(if n == 8 { &other } else { &file }));
-    let bytes = std::fs::read(&file).expect("the module");
+    let bytes = std::fs::read(&file).expect("the plug-in's file can be written");
     let digest = frosthatch_policy_consensus::document::hex(
         &frosthatch_policy_consensus::document::sha256(&bytes),
     );
@@ -650,8 +664,8 @@
     fleet.testbed.apply(&TimelineAction::Kill { who: vec![7] });
     fleet.all_see(8);
     let number = policy_fixture::propose(fleet.console(4), &first)
-        .expect("an answer")
-        .expect("it can be proposed");
+        .expect("the gateway answers the request")
+        .expect("the change can be proposed");
     fleet.testbed.start(7);
     fleet.until("in force", |f| {
         policy_fixture::proposal_outcome(f.console(4), number).is_some_and(|(s, _)| s == "in force")
--- a/crates/frosthatch/tests/quiet_lists.rs
+++ b/crates/frosthatch/tests/quiet_lists.rs
@@ -185,7 +185,8 @@
     let mut crowd: Vec<Client> = (0..50).map(|_| first.client()).collect();
     crowd.iter_mut().for_each(|c| drop(c.check_again()));
     discovery.set_mode(DiscoveryMode::Down);
-    let counter = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+    let counter =
+        std::net::TcpListener::bind("127.0.0.1:0").expect("a free loopback port can be bound");
     let known = endpoint_entry("a", a.address, 0, "Ready");
     let text = config_text(discovery.address, counter.local_addr().ok(), 1, &known);
     let text = text.replace(
--- a/crates/frosthatch/tests/quotas.rs
+++ b/crates/frosthatch/tests/quotas.rs
@@ -48,7 +48,7 @@
         let operator = self
             .operator
             .as_ref()
-            .map(|f| f.to_str().expect("a path").to_string());
+            .map(|f| f.to_str().expect("the temporary path is UTF-8").to_string());
         let words = operator
             .iter()
             .flat_map(|f| ["--operator", f])
@@ -56,7 +56,9 @@
         let log = self.log.clone();
         let gateway = Gateway::start_with_log(&config, &words, move |line| {
             println!("gateway {me}: {line}");
-            log.lock().expect("a log").push(line.into());
+            log.lock()
+                .expect("no thread panics while it holds the log")
+                .push(line.into());
         });
         gateway.wait_ready();
         gateway
@@ -79,7 +81,7 @@
     fn logged(&self, text: &str) -> usize {
         self.log
             .lock()
-            .expect("a log")
+            .expect("no thread panics while it holds the log")
             .iter()
             .filter(|l| l.contains(text))
             .count()
@@ -272,9 +274,14 @@
         let file = write_config_file(&format!("[peers]\n{text}"));
         let config = write_config_file(&config_text(discovery.address, None, 2, ""));
         let out = gateway_command(&config)
-            .args(["--operator", file.to_str().expect("a path"), "check"])
+            .args([
+                "--operator",
+                file.to_str().expect("the temporary path is UTF-8"),
+                "check",
+            ])
             .output();
-        let out = String::from_utf8_lossy(&out.expect("it runs").stdout).to_string();
+        let out =
+            String::from_utf8_lossy(&out.expect("the gateway binary runs").stdout).to_string();
         assert!(out.contains(says), "{says:?} in {out:?}");
     }
 }
--- a/crates/frosthatch/tests/reload.rs
+++ b/crates/frosthatch/tests/reload.rs
@@ -73,7 +73,7 @@
         until_served_by(&gateway, body);
         assert_eq!(
             held.read_response()
-                .expect("what was held is answered")
+                .expect("the held request is answered")
                 .status(),
             200
         );
@@ -101,7 +101,7 @@
 fn a_configuration_that_cannot_be_read_changes_nothing() {
     let ((_a, first), (_b, second)) = (place("a"), place("b"));
     let mut gateway = Gateway::start_ready(&first, None, 1);
-    let nobody: SocketAddr = "127.0.0.1:1".parse().expect("an address");
+    let nobody: SocketAddr = "127.0.0.1:1".parse().expect("the text is a socket address");
     let text = config_text(nobody, None, 1, "");
     for broken in ["", "{}", &text[..text.len() / 2]] {
         gateway.replace_config(broken);
--- a/crates/frosthatch/tests/rules.rs
+++ b/crates/frosthatch/tests/rules.rs
@@ -77,7 +77,13 @@
     client.send(&ClientRequest::check().to_text());
     a.next_request();
     discovery.publish_and_wait(true, &endpoint_entry("b", b.address, 0, "Ready"));
-    assert_eq!(client.read_response().expect("an answer").body, "b");
+    assert_eq!(
+        client
+            .read_response()
+            .expect("the gateway answers the request")
+            .body,
+        "b"
+    );
 }
 
 #[test]
@@ -88,7 +94,13 @@
     let mut client = gateway.client();
     client.send(&ClientRequest::check().to_text());
     discovery.publish_and_wait(false, &endpoint_entry("a", server.address, 0, "Ready"));
-    assert_eq!(client.read_response().expect("an answer").body, "late");
+    assert_eq!(
+        client
+            .read_response()
+            .expect("the gateway answers the request")
+            .body,
+        "late"
+    );
 }
 
 #[test]
@@ -136,7 +148,7 @@
         );
     }
     for client in &mut clients {
-        client.read_response().expect("each is answered");
+        client.read_response().expect("each request is answered");
     }
     server.drain_request_count()
 }
@@ -145,7 +157,7 @@
 fn a_cold_server_gets_a_part_of_what_a_warm_one_gets() {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .expect("a clock")
+        .expect("the wall clock is after 1970")
         .as_millis();
     let (cold, warm) = (how_many_reach_at_once(now), how_many_reach_at_once(0));
     assert_eq!(warm, 60);
@@ -185,8 +197,8 @@
 /// Guards against a connect that is still queued when its server begins to drain.
 #[test]
 fn a_port_that_accepts_nobody_is_given_up_and_never_ran() {
-    let deaf = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = deaf.local_addr().expect("an address");
+    let deaf = TcpListener::bind("127.0.0.1:0").expect("a free loopback port can be bound");
+    let address = deaf.local_addr().expect("the socket has a local address");
     let server = Server::new(|_| ok("b"));
     let entries = [
         endpoint_entry("a", address, 0, "Ready"),
--- a/crates/frosthatch/tests/system_calls.rs
+++ b/crates/frosthatch/tests/system_calls.rs
@@ -133,7 +133,7 @@
     let served = Server::new(|_| ok("served"));
     let refused = std::net::TcpListener::bind("127.0.0.1:0")
         .and_then(|l| l.local_addr())
-        .expect("a port");
+        .expect("a free loopback port can be bound");
     let list = [
         endpoint_entry("a", served.address, 0, "Ready"),
         endpoint_entry("b", refused, 0, "Ready"),
@@ -195,7 +195,9 @@
             Err(_) => break None,
         }
     };
-    client.read_response().expect("an answer");
+    client
+        .read_response()
+        .expect("the gateway answers the request");
     assert!(
         came.is_none_or(|came| came < WINDOW + SLACK),
         "the repeat came {came:?} after the first"
--- a/crates/frosthatch/tests/unsafe_classes.rs
+++ b/crates/frosthatch/tests/unsafe_classes.rs
@@ -100,7 +100,7 @@
 fn where_nobody_listens_it_never_ran() {
     let nobody = TcpListener::bind("127.0.0.1:0")
         .and_then(|l| l.local_addr())
-        .expect("a free port");
+        .expect("a free loopback port can be bound");
     let server = Server::new(|_| ok("here"));
     let entries = [
         endpoint_entry("a", nobody, 0, "Ready"),
--- a/crates/frosthatch/tests/upgrade.rs
+++ b/crates/frosthatch/tests/upgrade.rs
@@ -21,9 +21,9 @@
     fn new(name: &str) -> Place {
         let folder =
             std::env::temp_dir().join(format!("frosthatch-upgrade-{}-{name}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
+        std::fs::create_dir_all(&folder).expect("the directory can be created");
         std::fs::write(folder.join("operator.toml"), "[upgrade]\nsocket = \"s\"\n")
-            .expect("a file");
+            .expect("the file can be written");
         Place { folder }
     }
 
@@ -40,7 +40,10 @@
             &format!("\"listen\":\"{listen}\""),
         );
         let file = self.folder.join("operator.toml");
-        let words = ["--operator", file.to_str().expect("a path")];
+        let words = [
+            "--operator",
+            file.to_str().expect("the temporary path is UTF-8"),
+        ];
         let (tell, lines) = channel();
         let gateway = Gateway::start_with_log(&text, &words, move |line| {
             println!("gateway: {line}");
@@ -51,12 +54,17 @@
             console: listen,
         };
         let console = log.until("console on ");
-        log.console = console["console on ".len()..].parse().expect("an address");
+        log.console = console["console on ".len()..]
+            .parse()
+            .expect("the text is a socket address");
         (gateway, log)
     }
 
     fn first(&self, discovery: &Discovery) -> (Gateway, Log) {
-        let (gateway, log) = self.process(discovery, "127.0.0.1:0".parse().expect("an address"));
+        let (gateway, log) = self.process(
+            discovery,
+            "127.0.0.1:0".parse().expect("the text is a socket address"),
+        );
         log.wait_ready();
         until("the socket is there", || {
             UnixStream::connect(self.socket()).is_ok()
@@ -91,13 +99,15 @@
 
     fn call(&self, line: &str) -> u16 {
         let mut stream = TcpStream::connect(self.console).expect("the console accepts");
-        write!(stream, "{line} HTTP/1.1\r\nHost: c\r\n\r\n").expect("written");
+        write!(stream, "{line} HTTP/1.1\r\nHost: c\r\n\r\n").expect("the write succeeds");
         let mut text = String::new();
-        stream.read_to_string(&mut text).expect("an answer");
+        stream
+            .read_to_string(&mut text)
+            .expect("the gateway answers the request");
         text.split(' ')
             .nth(1)
             .and_then(|s| s.parse().ok())
-            .expect("a status")
+            .expect("the answer has a numeric status")
     }
 
     fn wait_ready(&self) {
@@ -143,14 +153,20 @@
                 let mut kept: Option<TcpStream> = None;
                 while !over.load(Ordering::SeqCst) {
                     let used = kept.is_some();
-                    let mut stream = kept
-                        .take()
-                        .unwrap_or_else(|| TcpStream::connect(at).expect("never refused"));
-                    stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
+                    let mut stream = kept.take().unwrap_or_else(|| {
+                        TcpStream::connect(at).expect("the gateway accepts every connection")
+                    });
+                    stream
+                        .set_read_timeout(Some(TIMEOUT))
+                        .expect("the read timeout is not zero");
                     stream
                         .write_all(ClientRequest::check().to_text().as_bytes())
-                        .expect("never reset");
-                    let mut read = std::io::BufReader::new(stream.try_clone().expect("a clone"));
+                        .expect("a new connection is not reset");
+                    let mut read = std::io::BufReader::new(
+                        stream
+                            .try_clone()
+                            .expect("the descriptor can be duplicated"),
+                    );
                     match read_message(&mut read) {
                         Some(answer) => {
                             // Clients at full speed go beyond the quota.
@@ -184,7 +200,7 @@
         self.over.store(true, Ordering::SeqCst);
         self.clients
             .into_iter()
-            .for_each(|c| c.join().expect("no client fails"));
+            .for_each(|c| c.join().expect("the client thread does not panic"));
     }
 }
 
@@ -231,8 +247,19 @@
     log.wait_ready();
     old.terminate();
     halved.send(&text[text.len() / 2..]);
-    assert_eq!(halved.read_response().expect("an answer").status(), 200);
-    assert_eq!(held.read_response().expect("an answer").status(), 200);
+    assert_eq!(
+        halved
+            .read_response()
+            .expect("the gateway answers the request")
+            .status(),
+        200
+    );
+    assert_eq!(
+        held.read_response()
+            .expect("the gateway answers the request")
+            .status(),
+        200
+    );
     assert!(
         held.read_response().is_none(),
         "one answer, and the end of the connection"
@@ -262,7 +289,7 @@
     let mut kept = old.client();
     assert_eq!(
         kept.exchange(&ClientRequest::check().to_text())
-            .expect("an answer")
+            .expect("the gateway answers the request")
             .status(),
         200
     );
@@ -273,7 +300,7 @@
         assert_eq!(
             new.client_at(old.address)
                 .exchange(&ClientRequest::check().to_text())
-                .expect("an answer")
+                .expect("the gateway answers the request")
                 .body,
             "b"
         );
@@ -304,16 +331,24 @@
         bytes.extend(body.as_bytes());
         bytes
     };
-    let call = || UnixStream::connect(place.socket()).expect("the old process is called");
+    let call = || {
+        UnixStream::connect(place.socket()).expect("the old process accepts on the upgrade socket")
+    };
     // Goes before a word, after hello, and after the switch.
     drop(call());
     // Until the one before is noticed to have gone, another is refused.
     let welcomed = || loop {
         let mut stream = call();
-        stream.write_all(&frame(&hello(1))).expect("written");
-        stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
+        stream
+            .write_all(&frame(&hello(1)))
+            .expect("the write succeeds");
+        stream
+            .set_read_timeout(Some(TIMEOUT))
+            .expect("the read timeout is not zero");
         let mut said = [0; 512];
-        let read = stream.read(&mut said).expect("an answer");
+        let read = stream
+            .read(&mut said)
+            .expect("the gateway answers the request");
         if String::from_utf8_lossy(&said[..read]).contains("Welcome") {
             return stream;
         }
@@ -324,7 +359,9 @@
     log.until("has gone before it was ready");
     load.more();
     let mut switched = welcomed();
-    switched.write_all(&frame("\"Ready\"")).expect("written");
+    switched
+        .write_all(&frame("\"Ready\""))
+        .expect("the write succeeds");
     log.until("the new process accepts");
     assert_eq!(log.call("GET /ready"), 503);
     drop(switched);
@@ -336,7 +373,9 @@
     let refused = |bytes: &[u8]| {
         let mut stream = call();
         let _ = stream.write_all(bytes);
-        stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(TIMEOUT))
+            .expect("the read timeout is not zero");
         let mut said = Vec::new();
         let _ = stream.read_to_end(&mut said);
         String::from_utf8_lossy(&said).into_owned()
@@ -362,8 +401,11 @@
 #[test]
 fn an_old_process_that_does_not_answer_is_not_waited_for() {
     let (_server, discovery, place) = stage("hangs");
-    let _hung = UnixListener::bind(place.socket()).expect("a socket");
-    let (new, log) = place.process(&discovery, "127.0.0.1:0".parse().expect("an address"));
+    let _hung = UnixListener::bind(place.socket()).expect("the Unix socket can be bound");
+    let (new, log) = place.process(
+        &discovery,
+        "127.0.0.1:0".parse().expect("the text is a socket address"),
+    );
     log.wait_ready();
     assert_eq!(new.request(&ClientRequest::check()).status(), 200);
 }
@@ -375,8 +417,11 @@
     let (mut old, _log) = place.first(&discovery);
     let (new, new_log) = place.process(&discovery, old.address);
     new_log.wait_ready();
-    let mut third = UnixStream::connect(place.socket()).expect("called");
-    third.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
+    let mut third =
+        UnixStream::connect(place.socket()).expect("the old process accepts on the upgrade socket");
+    third
+        .set_read_timeout(Some(TIMEOUT))
+        .expect("the read timeout is not zero");
     let mut said = Vec::new();
     let _ = third.read_to_end(&mut said);
     assert!(String::from_utf8_lossy(&said).contains("another upgrade is under way"));
@@ -386,7 +431,7 @@
     assert_eq!(
         new.client_at(old.address)
             .exchange(&ClientRequest::check().to_text())
-            .expect("an answer")
+            .expect("the gateway answers the request")
             .status(),
         200
     );
