--- a/crates/frosthatch/tests/diameter.rs
+++ b/crates/frosthatch/tests/diameter.rs
@@ -1,4 +1,4 @@
-//! The real binary speaking Diameter credit control between stand-in clients and servers.
+//! The gateway binary with Diameter credit control between client and server test doubles.
 
 mod common;
 use common::*;
@@ -26,42 +26,48 @@
     }
 }
 
-fn member(uid: &str, server: &DiameterServer, cell: u64, state: &str) -> String {
+fn diameter_entry(uid: &str, server: &DiameterServer, cell: u64, state: &str) -> String {
     let plain = endpoint_entry(uid, server.address, cell, state);
     format!("{},\"proto\":\"diameter\"}}", plain.trim_end_matches('}'))
 }
 
-/// Two servers, the second in that cell; the first is in cell 0.
-fn both(a: &DiameterServer, b: &DiameterServer, cell: u64) -> String {
-    [member("a", a, 0, "Ready"), member("b", b, cell, "Ready")].join(",")
+/// Returns the entries of two servers, the first in cell 0 and the second in `cell`.
+fn pair_entries(a: &DiameterServer, b: &DiameterServer, cell: u64) -> String {
+    [
+        diameter_entry("a", a, 0, "Ready"),
+        diameter_entry("b", b, cell, "Ready"),
+    ]
+    .join(",")
 }
 
-/// A server of each protocol, and the one customer on that plan.
+/// Starts a server of each protocol, a gateway whose one customer is on `plan`, and a Diameter client. The last
+/// value is the customer's key for HTTP requests.
 fn both_protocols(plan: &str) -> (DiameterServer, Server, Site, DiameterClient, String) {
-    let (server, web) = (
+    let (server, http_server) = (
         DiameterServer::granting("s1.example.org"),
         Server::new(|_| ok("web")),
     );
     let list = [
-        member("s1", &server, 0, "Ready"),
-        endpoint_entry("w1", web.address, 0, "Ready"),
+        diameter_entry("s1", &server, 0, "Ready"),
+        endpoint_entry("w1", http_server.address, 0, "Ready"),
     ]
     .join(",");
-    let site = site(
+    let site = start_site(
         &list,
         &format!("[diameter.plans]\n\"4512345678\" = \"{plan}\"\n"),
     );
     let client = DiameterClient::new(site.address, "till.example.org");
     (
         server,
-        web,
+        http_server,
         site,
         client,
         format!("{:016x}", 4_512_345_678u64),
     )
 }
 
-/// Diameter's port on an address of this test's own: a port that was free a moment ago could be taken by another test.
+/// Returns Diameter's port on a loopback address of this test's own: a port that was free a moment ago could be
+/// taken by another test.
 fn own_address() -> SocketAddr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let process = std::process::id();
@@ -73,7 +79,7 @@
         .into()
 }
 
-fn site(list: &str, more: &str) -> Site {
+fn start_site(list: &str, more: &str) -> Site {
     let discovery = Discovery::new(list);
     let address = own_address();
     let file = write_config_file(&format!(
@@ -97,19 +103,19 @@
     }
 }
 
-/// Asks until it is served: the gateway's connections to its servers come up a moment after its start.
+/// Sends requests until one is served: the gateway's connections to its servers come up shortly after its start.
 fn until_served(client: &mut DiameterClient) {
     let since = Instant::now();
     while client.exchange(&event_request(2)).result() != Some(result::SUCCESS) {
-        assert!(since.elapsed() < TIMEOUT, "a server is up");
+        assert!(since.elapsed() < TIMEOUT, "a request is served");
         sleep(Duration::from_millis(20));
     }
 }
 
 #[test]
-fn an_event_goes_to_a_server_and_its_answer_comes_back_with_the_clients_ids() {
+fn an_event_reaches_a_server_and_its_answer_has_the_clients_ids() {
     let server = DiameterServer::granting("s1.example.org");
-    let site = site(&member("s1", &server, 0, "Ready"), "");
+    let site = start_site(&diameter_entry("s1", &server, 0, "Ready"), "");
     let mut client = DiameterClient::new(site.address, "till.example.org");
     until_served(&mut client);
     server.drain_request_count();
@@ -130,27 +136,27 @@
         (ccr.header.hop_by_hop, ccr.header.end_to_end)
     );
     assert_eq!(cca.text(code::ORIGIN_HOST), Some("s1.example.org"));
-    let got = server.next_request();
-    assert_eq!(got.header.end_to_end, ccr.header.end_to_end);
+    let forwarded = server.next_request();
+    assert_eq!(forwarded.header.end_to_end, ccr.header.end_to_end);
     assert_eq!(
-        got.avps[..ccr.avps.len()],
+        forwarded.avps[..ccr.avps.len()],
         ccr.avps[..],
-        "all it had, in its order"
+        "the forwarded AVPs are the client's, in the same order"
     );
-    assert_eq!(got.text(code::ROUTE_RECORD), Some("till.example.org"));
+    assert_eq!(forwarded.text(code::ROUTE_RECORD), Some("till.example.org"));
 }
 
 #[test]
 fn http_and_diameter_requests_of_one_customer_draw_on_one_quota() {
     let (server, _web, site, mut client, key) = both_protocols("small");
-    // The plan has 6 units and next to no more: four of them go by HTTP.
-    let ask = || {
+    // The plan has 6 units and refills very slowly: four units are used over HTTP.
+    let http_request = || {
         ClientRequest::check()
             .with_header("X-Api-Key", &key)
             .with_header("X-Tier", "small")
             .with_header("X-Call-Terms", "units=4,spread=1,first=0")
     };
-    assert_eq!(site.gateway.request(&ask()).body, "web");
+    assert_eq!(site.gateway.request(&http_request()).body, "web");
     let refused = client.exchange(&with_units(event_request(0), 3));
     assert_eq!(
         (refused.result(), refused.header.has(flag::ERROR)),
@@ -160,17 +166,21 @@
         .text(code::ERROR_MESSAGE)
         .is_some_and(|t| t.contains("come back in")));
     assert_eq!(server.drain_request_count(), 0);
-    // Two are left, for whoever comes.
+    // Two units are left, for either protocol.
     let since = Instant::now();
     while client.exchange(&with_units(event_request(0), 2)).result() != Some(result::SUCCESS) {
-        assert!(since.elapsed() < TIMEOUT, "they are granted");
+        assert!(
+            since.elapsed() < TIMEOUT,
+            "the remaining two units are granted"
+        );
     }
-    assert_eq!(site.gateway.request(&ask()).status(), 429);
+    assert_eq!(site.gateway.request(&http_request()).status(), 429);
 }
 
-/// The class is keyed: what may have run goes only to the server's own cell, and says so.
+/// The class is keyed: a request that may have run is repeated only in the server's own cell, with the T flag
+/// set.
 #[test]
-fn a_debit_whose_server_breaks_off_is_repeated_in_its_cell_with_t_set() {
+fn a_debit_whose_server_disconnects_is_repeated_in_its_cell_with_t_set() {
     for (cell, result) in [(0, result::SUCCESS), (1, result::UNABLE_TO_COMPLY)] {
         let cutting = Arc::new(AtomicBool::new(false));
         let (cuts, host) = (cutting.clone(), "a.example.org");
@@ -178,28 +188,28 @@
             (!cuts.load(Ordering::SeqCst)).then(|| success_answer(ccr, host))
         });
         let b = DiameterServer::granting("b.example.org");
-        let site = site(&both(&a, &b, cell), "");
+        let site = start_site(&pair_entries(&a, &b, cell), "");
         let mut client = DiameterClient::new(site.address, "till.example.org");
-        let both = |client: &mut DiameterClient, host: &str| {
+        let wait_for_server = |client: &mut DiameterClient, host: &str| {
             let since = Instant::now();
             while client.exchange(&event_request(2)).text(code::ORIGIN_HOST) != Some(host) {
-                assert!(since.elapsed() < TIMEOUT, "{host} serves");
+                assert!(since.elapsed() < TIMEOUT, "server {host} serves a request");
             }
         };
-        both(&mut client, "a.example.org");
-        both(&mut client, "b.example.org");
+        wait_for_server(&mut client, "a.example.org");
+        wait_for_server(&mut client, "b.example.org");
         a.drain_request_count();
         b.drain_request_count();
         cutting.store(true, Ordering::SeqCst);
-        // Until one is out at a.
+        // Until a request is outstanding at server a.
         let since = Instant::now();
         loop {
-            assert!(since.elapsed() < TIMEOUT, "a is chosen");
+            assert!(since.elapsed() < TIMEOUT, "a debit is sent to server a");
             let debit = event_request(0);
             client.send(&debit);
             match a.requests.recv_timeout(Duration::from_millis(200)) {
-                Ok(got) => {
-                    assert_eq!(got.header.end_to_end, debit.header.end_to_end);
+                Ok(forwarded) => {
+                    assert_eq!(forwarded.header.end_to_end, debit.header.end_to_end);
                     a.close_connections();
                     assert_eq!(
                         client
@@ -225,16 +235,16 @@
 }
 
 #[test]
-fn a_session_stays_with_its_server_and_a_draining_one_gets_nothing_new() {
+fn a_session_stays_with_its_server_and_a_draining_server_gets_no_new_request() {
     let (a, b) = (
         DiameterServer::granting("a.example.org"),
         DiameterServer::granting("b.example.org"),
     );
-    let site = site(&both(&a, &b, 0), "");
+    let site = start_site(&pair_entries(&a, &b, 0), "");
     let mut client = DiameterClient::new(site.address, "till.example.org");
     until_served(&mut client);
     let opened = client.exchange(&initial_request("till;1;s"));
-    let home = opened
+    let session_host = opened
         .text(code::ORIGIN_HOST)
         .expect("the answer has an Origin-Host")
         .to_string();
@@ -243,34 +253,39 @@
             client
                 .exchange(&credit_control_request("till;1;s", 2, n))
                 .text(code::ORIGIN_HOST),
-            Some(home.as_str())
+            Some(session_host.as_str())
         );
     }
-    let (server, uid) = if home.starts_with('a') {
+    let (server, uid) = if session_host.starts_with('a') {
         (&a, "a")
     } else {
         (&b, "b")
     };
     site.discovery
-        .publish_and_wait(false, &member(uid, server, 0, "Terminating"));
+        .publish_and_wait(false, &diameter_entry(uid, server, 0, "Terminating"));
     server.drain_request_count();
-    // It may not move: the rule on drains wins, and nothing is sent anywhere.
+    // The session may not move: the rule on draining servers has precedence, and the update is sent nowhere.
     let lost = client.exchange(&credit_control_request("till;1;s", 2, 6));
     assert_eq!(
         (lost.result(), server.drain_request_count()),
         (Some(result::UNABLE_TO_DELIVER), 0)
     );
-    // New sessions open elsewhere.
+    // New sessions open at the other server.
     for n in 0..5 {
         let other = client.exchange(&initial_request(&format!("till;2;{n}")));
         assert_eq!(other.result(), Some(result::SUCCESS));
-        assert_ne!(other.text(code::ORIGIN_HOST), Some(home.as_str()));
+        assert_ne!(other.text(code::ORIGIN_HOST), Some(session_host.as_str()));
     }
     assert_eq!(server.drain_request_count(), 0);
 }
 
-/// A server that lets its sessions move, or not, by its Credit-Control-Failure-Handling; silent to updates while told so.
-fn moving(host: &'static str, handling: u32, silent: Arc<AtomicBool>) -> DiameterServer {
+/// Starts a server whose Credit-Control-Failure-Handling determines whether its sessions may move; while
+/// `silent` is set it doesn't answer updates.
+fn start_server_with_failover(
+    host: &'static str,
+    handling: u32,
+    silent: Arc<AtomicBool>,
+) -> DiameterServer {
     DiameterServer::new(host, move |ccr| {
         let update = ccr.number(code::CC_REQUEST_TYPE) == Some(2);
         let answer = success_answer(ccr, host)
@@ -280,25 +295,26 @@
     })
 }
 
-/// Credit-Control-Failure-Handling 2 is RETRY_AND_TERMINATE, 0 TERMINATE. The second keyed server is in the first one's cell.
+/// Credit-Control-Failure-Handling 2 is RETRY_AND_TERMINATE, 0 is TERMINATE. The second keyed server is in the
+/// first one's cell.
 #[test]
-fn an_update_that_is_out_when_its_server_is_lost_follows_failure_handling() {
+fn an_outstanding_update_of_a_lost_server_follows_failure_handling() {
     for (handling, results) in [(2, result::SUCCESS), (0, result::UNABLE_TO_COMPLY)] {
         let silent = Arc::new(AtomicBool::new(false));
-        let a = moving("a.example.org", handling, silent.clone());
-        let site = site(&member("a", &a, 0, "Ready"), "tw_ms = 500\n");
+        let a = start_server_with_failover("a.example.org", handling, silent.clone());
+        let site = start_site(&diameter_entry("a", &a, 0, "Ready"), "tw_ms = 500\n");
         let mut client = DiameterClient::new(site.address, "till.example.org");
         until_served(&mut client);
         assert_eq!(
             client.exchange(&initial_request("till;1;f")).result(),
             Some(result::SUCCESS)
         );
-        let b = moving("b.example.org", handling, Arc::default());
+        let b = start_server_with_failover("b.example.org", handling, Arc::default());
         site.discovery
-            .publish_and_wait(false, &member("b", &b, 0, "Ready"));
+            .publish_and_wait(false, &diameter_entry("b", &b, 0, "Ready"));
         let since = Instant::now();
         while client.exchange(&event_request(2)).text(code::ORIGIN_HOST) != Some("b.example.org") {
-            assert!(since.elapsed() < TIMEOUT, "b serves");
+            assert!(since.elapsed() < TIMEOUT, "server b serves a request");
         }
         b.drain_request_count();
         a.drain_request_count();
@@ -308,53 +324,64 @@
         assert!(!a.next_request().header.has(flag::RETRANSMITTED));
         let cca = client.next_message().expect("the gateway answers once");
         assert_eq!(cca.result(), Some(results));
-        let there: Vec<Message> = b.requests.try_iter().collect();
-        let retransmitted = there.iter().all(|m| m.header.has(flag::RETRANSMITTED));
+        let repeats_at_b: Vec<Message> = b.requests.try_iter().collect();
+        let retransmitted = repeats_at_b
+            .iter()
+            .all(|m| m.header.has(flag::RETRANSMITTED));
         assert_eq!(
-            (there.len(), retransmitted),
+            (repeats_at_b.len(), retransmitted),
             (usize::from(handling == 2), true)
         );
     }
 }
 
-/// CC-Session-Failover: the server says that its sessions may move.
+/// With CC-Session-Failover the server allows its sessions to move.
 #[test]
-fn a_session_that_may_move_goes_on_elsewhere_when_its_server_leaves() {
+fn a_session_that_may_move_continues_at_another_server_when_its_server_leaves() {
     let (a, b) = (
-        moving("a.example.org", 1, Arc::default()),
-        moving("b.example.org", 1, Arc::default()),
+        start_server_with_failover("a.example.org", 1, Arc::default()),
+        start_server_with_failover("b.example.org", 1, Arc::default()),
     );
-    let site = site(&both(&a, &b, 0), "");
+    let site = start_site(&pair_entries(&a, &b, 0), "");
     let mut client = DiameterClient::new(site.address, "till.example.org");
     until_served(&mut client);
     let opened = client.exchange(&initial_request("till;1;m"));
-    let home = opened
+    let session_host = opened
         .text(code::ORIGIN_HOST)
         .expect("the answer has an Origin-Host")
         .to_string();
-    if home.starts_with('a') { &a } else { &b }.send_disconnect_requests();
+    if session_host.starts_with('a') {
+        &a
+    } else {
+        &b
+    }
+    .send_disconnect_requests();
     let since = Instant::now();
     let mut n = 0;
     loop {
         n += 1;
         let cca = client.exchange(&credit_control_request("till;1;m", 2, n));
         assert_eq!(cca.result(), Some(result::SUCCESS));
-        if cca.text(code::ORIGIN_HOST) != Some(home.as_str()) {
+        if cca.text(code::ORIGIN_HOST) != Some(session_host.as_str()) {
             break;
         }
-        assert!(since.elapsed() < TIMEOUT, "it moves");
+        assert!(
+            since.elapsed() < TIMEOUT,
+            "the session moves to the other server"
+        );
     }
 }
 
-/// The watchdog finds a server that has fallen silent; what is out moves as its class allows, and a late answer is dropped.
+/// The watchdog detects a silent server: its outstanding requests move as their class allows, and a late answer
+/// is dropped.
 #[test]
-fn a_server_whose_watchdog_falls_silent_loses_what_is_out_there() {
+fn outstanding_requests_move_from_a_server_that_misses_watchdogs() {
     let mute = Arc::new(AtomicBool::new(false));
     let (muted, host) = (mute.clone(), "a.example.org");
     let a = DiameterServer::new(host, move |ccr| {
         (!muted.load(Ordering::SeqCst)).then(|| success_answer(ccr, host))
     });
-    let site = site(&member("a", &a, 0, "Ready"), "tw_ms = 500\n");
+    let site = start_site(&diameter_entry("a", &a, 0, "Ready"), "tw_ms = 500\n");
     let mut client = DiameterClient::new(site.address, "till.example.org");
     until_served(&mut client);
     let b = DiameterServer::granting("b.example.org");
@@ -365,14 +392,14 @@
     client.send(&debit);
     let held = a.next_request();
     site.discovery
-        .publish_and_wait(false, &member("b", &b, 0, "Ready"));
+        .publish_and_wait(false, &diameter_entry("b", &b, 0, "Ready"));
     let cca = client.next_message().expect("the gateway answers once");
     assert_eq!(cca.header.end_to_end, debit.header.end_to_end);
     assert_eq!(
         (cca.result(), cca.text(code::ORIGIN_HOST)),
         (Some(result::SUCCESS), Some("b.example.org"))
     );
-    // Now the old one answers after all.
+    // The first server answers late.
     for s in a
         .streams
         .lock()
@@ -384,44 +411,50 @@
     assert_eq!(
         client.exchange(&event_request(2)).text(code::ORIGIN_HOST),
         Some("b.example.org"),
-        "nothing else came between"
+        "the late answer is dropped"
     );
 }
 
-/// The watchdog says nothing of requests: a check that is not answered in time is tried elsewhere, and a charge too in the
-/// same cell, within the client's time.
+/// The watchdog doesn't cover requests: a check that is not answered in time is tried at another server, and so
+/// is a charge within the same cell, within the client's time.
 #[test]
-fn a_server_that_answers_the_watchdog_but_no_request_costs_no_request_its_answer() {
+fn requests_are_answered_although_a_server_answers_only_watchdogs() {
     let mute = DiameterServer::new("mute.example.org", |_| None);
     let b = DiameterServer::granting("b.example.org");
-    let site = site(
+    let site = start_site(
         &[
-            member("mute", &mute, 0, "Ready"),
-            member("b", &b, 0, "Ready"),
+            diameter_entry("mute", &mute, 0, "Ready"),
+            diameter_entry("b", &b, 0, "Ready"),
         ]
         .join(","),
         "tw_ms = 300\n",
     );
     let mut client = DiameterClient::new(site.address, "till.example.org");
     until_served(&mut client);
-    let (mut tried, start) = (0, Instant::now());
-    // It may have been left alone for some seconds because it was not connected yet.
+    let (mut requests_at_silent, start) = (0, Instant::now());
+    // The silent server may have been left out for some seconds because it was not connected yet.
     for (n, action) in [0, 2].into_iter().cycle().enumerate() {
-        assert!(start.elapsed() < TIMEOUT, "it is tried");
+        assert!(
+            start.elapsed() < TIMEOUT,
+            "the silent server receives a request"
+        );
         sleep(Duration::from_millis(10));
         let ccr = event_request(action);
         let since = Instant::now();
         let cca = client.exchange(&ccr);
         assert_eq!(cca.header.end_to_end, ccr.header.end_to_end);
-        // A check may be refused whatever became of it; of a charge that may have run nothing is promised.
-        let fine = match cca.result() {
+        // A check may be refused whatever its outcome; the outcome of a charge that may have run is undefined.
+        let allowed = match cca.result() {
             Some(result::SUCCESS | result::UNABLE_TO_COMPLY) => true,
             code => action == 2 && code == Some(result::TOO_BUSY),
         };
-        assert!(fine, "{action}: {:?}", cca.result());
-        assert!(since.elapsed() < Duration::from_secs(8), "within its time");
-        tried += mute.drain_request_count();
-        if n >= 3 && tried > 0 {
+        assert!(allowed, "{action}: {:?}", cca.result());
+        assert!(
+            since.elapsed() < Duration::from_secs(8),
+            "the request is answered within its deadline"
+        );
+        requests_at_silent += mute.drain_request_count();
+        if n >= 3 && requests_at_silent > 0 {
             return;
         }
     }
@@ -437,25 +470,29 @@
         }
         Some(success_answer(ccr, host))
     });
-    let site = site(&member("a", &a, 0, "Ready"), "");
-    let (mut one, mut two) = (
+    let site = start_site(&diameter_entry("a", &a, 0, "Ready"), "");
+    let (mut first_client, mut second_client) = (
         DiameterClient::new(site.address, "till.example.org"),
         DiameterClient::new(site.address, "till.example.org"),
     );
-    until_served(&mut one);
+    until_served(&mut first_client);
     a.drain_request_count();
     let debit = event_request(0);
-    one.send(&debit);
+    first_client.send(&debit);
     a.next_request();
     let mut again = debit.clone();
     again.header.flags |= flag::RETRANSMITTED;
     again.header.hop_by_hop = 7;
-    two.send(&again);
+    second_client.send(&again);
     sleep(Duration::from_millis(100));
     release.store(true, Ordering::SeqCst);
     let (first, second) = (
-        one.next_message().expect("the gateway answers the request"),
-        two.next_message().expect("the gateway answers the request"),
+        first_client
+            .next_message()
+            .expect("the gateway answers the request"),
+        second_client
+            .next_message()
+            .expect("the gateway answers the request"),
     );
     assert_eq!(
         (first.result(), second.result()),
@@ -465,20 +502,26 @@
         (first.header.hop_by_hop, second.header.hop_by_hop),
         (debit.header.hop_by_hop, 7)
     );
-    assert_eq!(two.exchange(&again).result(), Some(result::SUCCESS));
-    assert_eq!(a.drain_request_count(), 0, "it ran once");
-    // Another client with the same End-to-End id is another request.
+    assert_eq!(
+        second_client.exchange(&again).result(),
+        Some(result::SUCCESS)
+    );
+    assert_eq!(a.drain_request_count(), 0, "the debit runs once");
+    // The same End-to-End id from another client is another request.
     let mut other = event_request(0);
     other.header.end_to_end = debit.header.end_to_end;
     other.avps[1] = Avp::of_text(code::ORIGIN_HOST, "kiosk.example.org");
-    assert_eq!(two.exchange(&other).result(), Some(result::SUCCESS));
+    assert_eq!(
+        second_client.exchange(&other).result(),
+        Some(result::SUCCESS)
+    );
     assert_eq!(a.drain_request_count(), 1);
 }
 
 #[test]
 fn a_restarted_server_has_lost_its_sessions() {
     let a = DiameterServer::granting("a.example.org");
-    let site = site(&member("a", &a, 0, "Ready"), "tw_ms = 300\n");
+    let site = start_site(&diameter_entry("a", &a, 0, "Ready"), "tw_ms = 300\n");
     let mut client = DiameterClient::new(site.address, "till.example.org");
     until_served(&mut client);
     assert_eq!(
@@ -503,12 +546,13 @@
 }
 
 #[test]
-fn what_no_peer_sends_ends_its_own_connection_and_no_other() {
+fn a_protocol_violation_closes_its_own_connection_and_no_other() {
     let a = DiameterServer::granting("a.example.org");
-    let site = site(&member("a", &a, 0, "Ready"), "");
+    let site = start_site(&diameter_entry("a", &a, 0, "Ready"), "");
     let mut good = DiameterClient::new(site.address, "till.example.org");
     until_served(&mut good);
-    // A length of 16 MB, another protocol, half a message and the end, a request before capabilities.
+    // A message length of 16 MB, another protocol, and a request before the capabilities exchange; then a
+    // truncated message and a close.
     for bytes in [
         &b"\x01\xff\xff\xff"[..],
         b"GET / HTTP/1.1\r\n\r\n",
@@ -516,13 +560,16 @@
     ] {
         let mut bad = DiameterClient::connect(site.address);
         let _ = bad.stream.write_all(bytes);
-        assert!(bad.next_message().is_none(), "it ends");
+        assert!(
+            bad.next_message().is_none(),
+            "the gateway closes the connection"
+        );
     }
     let mut half = DiameterClient::new(site.address, "till.example.org");
     let _ = half.stream.write_all(&event_request(0).encode()[..40]);
     drop(half);
-    // An AVP that overruns its group, an answer to nothing, capabilities twice.
-    let mut odd = DiameterClient::new(site.address, "odd.example.org");
+    // An AVP that overruns its group, an answer without a request, a second capabilities exchange.
+    let mut irregular = DiameterClient::new(site.address, "odd.example.org");
     let mut group = Avp::of_group(
         code::SUBSCRIPTION_ID,
         &[Avp::of_u32(code::SUBSCRIPTION_ID_TYPE, 0)],
@@ -531,22 +578,26 @@
     data[7] = 40;
     group.data = data.into();
     assert_eq!(
-        odd.exchange(&event_request(0).with(group)).result(),
+        irregular.exchange(&event_request(0).with(group)).result(),
         Some(result::INVALID_AVP_LENGTH)
     );
     let mut stray = event_request(0).answer();
     stray.header.hop_by_hop = 424_242;
-    odd.send(&stray);
+    irregular.send(&stray);
     assert_eq!(
-        odd.exchange(&capabilities_exchange_request("odd.example.org"))
+        irregular
+            .exchange(&capabilities_exchange_request("odd.example.org"))
             .result(),
         Some(result::UNABLE_TO_COMPLY)
     );
     let back = event_request(0).with(Avp::of_text(code::ROUTE_RECORD, "gw.example.org"));
-    assert_eq!(odd.exchange(&back).result(), Some(result::LOOP_DETECTED));
-    // Thousands at once are each answered.
+    assert_eq!(
+        irregular.exchange(&back).result(),
+        Some(result::LOOP_DETECTED)
+    );
+    // 2,000 requests at once are each answered.
     let many: Vec<Message> = (0..2_000).map(|_| event_request(2)).collect();
-    let mut writer = odd
+    let mut writer = irregular
         .stream
         .try_clone()
         .expect("the descriptor can be duplicated");
@@ -555,7 +606,8 @@
     let mut answered: Vec<u32> = many
         .iter()
         .map(|_| {
-            odd.next_message()
+            irregular
+                .next_message()
                 .expect("the gateway answers the request")
                 .header
                 .end_to_end
@@ -576,14 +628,14 @@
     );
 }
 
-/// A client that goes takes its request along; a server is told nothing more for it.
+/// A client that disconnects ends its request; the server receives nothing more for it.
 #[test]
-fn a_client_that_disconnects_with_a_request_out_harms_nobody() {
+fn a_client_that_disconnects_with_an_outstanding_request_affects_no_other() {
     let host = "a.example.org";
     let a = DiameterServer::new(host, move |ccr| {
         (ccr.number(code::REQUESTED_ACTION) == Some(2)).then(|| success_answer(ccr, host))
     });
-    let site = site(&member("a", &a, 0, "Ready"), "");
+    let site = start_site(&diameter_entry("a", &a, 0, "Ready"), "");
     let mut client = DiameterClient::new(site.address, "till.example.org");
     until_served(&mut client);
     a.drain_request_count();
@@ -602,9 +654,9 @@
         .all(|m| m.header.end_to_end != debit.header.end_to_end));
 }
 
-/// Guards against a charge that runs in two places: called off with its client, and repeated elsewhere.
+/// Guards against a charge that runs in two places: cancelled with its client, and repeated elsewhere.
 #[test]
-fn a_debit_goes_on_without_its_client_and_the_repeat_gets_its_answer() {
+fn a_debit_continues_without_its_client_and_its_repeat_gets_the_answer() {
     let host = "a.example.org";
     let a = DiameterServer::new(host, move |ccr| {
         if ccr.number(code::REQUESTED_ACTION) == Some(0) {
@@ -612,7 +664,7 @@
         }
         Some(success_answer(ccr, host))
     });
-    let site = site(&member("a", &a, 0, "Ready"), "");
+    let site = start_site(&diameter_entry("a", &a, 0, "Ready"), "");
     let mut client = DiameterClient::new(site.address, "till.example.org");
     until_served(&mut client);
     a.drain_request_count();
@@ -623,12 +675,13 @@
     let mut client = DiameterClient::new(site.address, "till.example.org");
     debit.header.flags |= flag::RETRANSMITTED;
     assert_eq!(client.exchange(&debit).result(), Some(result::SUCCESS));
-    assert_eq!(a.drain_request_count(), 0, "it ran once");
+    assert_eq!(a.drain_request_count(), 0, "the debit runs once");
 }
 
-/// What is held is answered, then both sides hear goodbye with its cause, then the program ends.
+/// Held requests are answered, then both peers receive a Disconnect-Peer-Request with its cause, then the
+/// process exits.
 #[test]
-fn sigterm_answers_what_is_held_and_says_goodbye() {
+fn sigterm_answers_held_requests_and_disconnects_peers() {
     let host = "a.example.org";
     let a = DiameterServer::new(host, move |ccr| {
         if ccr.number(code::REQUESTED_ACTION) == Some(0) {
@@ -636,7 +689,7 @@
         }
         Some(success_answer(ccr, host))
     });
-    let mut site = site(&member("a", &a, 0, "Ready"), "");
+    let mut site = start_site(&diameter_entry("a", &a, 0, "Ready"), "");
     let mut client = DiameterClient::new(site.address, "till.example.org");
     until_served(&mut client);
     a.drain_request_count();
@@ -666,20 +719,20 @@
     assert!(site.gateway.wait_for_exit().success());
 }
 
-/// HTTP and Diameter together stay under the ceiling of one customer's plan.
+/// HTTP and Diameter requests together stay under the ceiling of one customer's plan.
 #[test]
 fn a_ceiling_holds_under_both_protocols_together() {
     let (_server, _web, site, mut client, key) = both_protocols("capped");
-    // Filled at 10 a second up to 20 units; a restarted gateway begins with nothing of it.
+    // The ceiling allows 10 units a second and 20 units at once; a restarted gateway starts with none of them.
     let since = Instant::now();
     let mut served = [0.0, 0.0];
     while since.elapsed() < Duration::from_secs(3) {
-        let ask = ClientRequest::check()
+        let http_request = ClientRequest::check()
             .with_header("X-Api-Key", &key)
             .with_header("X-Tier", "capped");
         served[0] += f64::from(u8::from(
             site.gateway
-                .request(&ask.with_header("X-Call-Terms", "units=2,spread=1,first=0"))
+                .request(&http_request.with_header("X-Call-Terms", "units=2,spread=1,first=0"))
                 .status()
                 == 200,
         )) * 2.0;
@@ -687,22 +740,25 @@
             client.exchange(&with_units(event_request(0), 2)).result() == Some(result::SUCCESS),
         )) * 2.0;
     }
-    let most = 20.0 + 10.0 * since.elapsed().as_secs_f64() + 2.0;
+    let max_units = 20.0 + 10.0 * since.elapsed().as_secs_f64() + 2.0;
     let all = served[0] + served[1];
-    assert!(all <= most, "{served:?} of {most}");
+    assert!(
+        all <= max_units,
+        "{served:?} units served, at most {max_units} allowed"
+    );
     assert!(
         served.iter().all(|s| *s > 0.0) && all >= 10.0,
-        "both have some of it: {served:?}"
+        "each protocol gets a share of the ceiling: {served:?}"
     );
 }
 
 #[test]
 fn ten_thousand_sessions_outlive_the_loss_of_a_server() {
     let (a, b) = (
-        moving("a.example.org", 1, Arc::default()),
-        moving("b.example.org", 1, Arc::default()),
+        start_server_with_failover("a.example.org", 1, Arc::default()),
+        start_server_with_failover("b.example.org", 1, Arc::default()),
     );
-    let site = site(&both(&a, &b, 0), "most_sessions = 10000\n");
+    let site = start_site(&pair_entries(&a, &b, 0), "most_sessions = 10000\n");
     let mut client = DiameterClient::new(site.address, "till.example.org");
     until_served(&mut client);
     let session = |n: usize| format!("till.example.org;9;{n}");
@@ -719,7 +775,7 @@
         Some(result::TOO_BUSY)
     );
     site.discovery
-        .publish_and_wait(false, &member("a", &a, 0, "Gone"));
+        .publish_and_wait(false, &diameter_entry("a", &a, 0, "Gone"));
     a.drain_request_count();
     for n in (0..10_000).step_by(50) {
         let cca = client.exchange(&credit_control_request(&session(n), 2, 1));
@@ -731,11 +787,11 @@
     assert_eq!(a.drain_request_count(), 0);
 }
 
-/// Overload reports: for clients that announce support, and from servers.
+/// Overload reports go to clients that announce support, and those of servers are followed.
 #[test]
-fn overload_is_reported_to_clients_that_understand_and_heeded_from_servers() {
+fn overload_is_reported_to_clients_that_support_it_and_followed_from_servers() {
     let (host, other) = ("a.example.org", "b.example.org");
-    // a asks for nine tenths less.
+    // Server a requests a reduction by 90 percent.
     let report = [
         Avp::of_u64(code::OC_SEQUENCE_NUMBER, 1),
         Avp::of_u32(code::OC_REPORT_TYPE, 0),
@@ -747,8 +803,12 @@
         Some(success_answer(ccr, host).with(olr.clone()))
     });
     let b = DiameterServer::granting(other);
-    let list = [member("a", &a, 0, "Ready"), member("b", &b, 0, "Ready")].join(",");
-    let site = site(
+    let list = [
+        diameter_entry("a", &a, 0, "Ready"),
+        diameter_entry("b", &b, 0, "Ready"),
+    ]
+    .join(",");
+    let site = start_site(
         &list,
         "[diameter.plans]\n\"4512345678\" = \"small\"\n\"1\" = \"lille\"\n",
     );
@@ -756,7 +816,7 @@
     let mut free =
         credit_control_request("free;1;1", 4, 0).with(Avp::of_u32(code::REQUESTED_ACTION, 2));
     free = with_customer(free, "1");
-    let mut ask = |announces: bool, message: &Message| {
+    let mut send_ccr = |announces: bool, message: &Message| {
         let mut message = message.clone();
         let id = event_request(2).header;
         (message.header.hop_by_hop, message.header.end_to_end) = (id.hop_by_hop, id.end_to_end);
@@ -769,40 +829,49 @@
         client.exchange(&message)
     };
     let since = Instant::now();
-    while ask(false, &free).text(code::ORIGIN_HOST) != Some(host) {
-        assert!(since.elapsed() < TIMEOUT, "a serves");
+    while send_ccr(false, &free).text(code::ORIGIN_HOST) != Some(host) {
+        assert!(since.elapsed() < TIMEOUT, "server a serves a request");
     }
     let to_a = (0..100)
-        .filter(|_| ask(false, &free).text(code::ORIGIN_HOST) == Some(host))
+        .filter(|_| send_ccr(false, &free).text(code::ORIGIN_HOST) == Some(host))
         .count();
-    assert!(to_a < 40, "{to_a}");
-    // The small plan is soon used up: refusals, and in time a report of their share.
+    assert!(
+        to_a < 40,
+        "{to_a} of 100 requests reach the overloaded server"
+    );
+    // The small plan is soon used up: requests are refused, and in time an answer reports the share.
     let debit = with_units(event_request(0), 6);
     loop {
-        let answer = ask(true, &debit);
+        let answer = send_ccr(true, &debit);
         assert!(answer.find(code::OC_SUPPORTED_FEATURES).is_some());
         if answer.find(code::OC_OLR).is_some() {
             assert_eq!(answer.result(), Some(result::TOO_BUSY));
             break;
         }
-        assert!(since.elapsed() < TIMEOUT, "a report comes");
+        assert!(
+            since.elapsed() < TIMEOUT,
+            "an answer has an overload report"
+        );
     }
-    assert!(ask(false, &debit).find(code::OC_OLR).is_none());
+    assert!(send_ccr(false, &debit).find(code::OC_OLR).is_none());
 }
 
-/// After what is out there is answered.
+/// A draining server gets its Disconnect-Peer-Request after its outstanding requests are answered.
 #[test]
-fn a_drained_server_hears_goodbye() {
+fn a_draining_server_gets_a_disconnect_request() {
     let a = DiameterServer::granting("a.example.org");
     let b = DiameterServer::granting("b.example.org");
-    let site = site(&both(&a, &b, 0), "");
+    let site = start_site(&pair_entries(&a, &b, 0), "");
     let mut client = DiameterClient::new(site.address, "till.example.org");
     until_served(&mut client);
     site.discovery
-        .publish_and_wait(false, &member("a", &a, 0, "Terminating"));
+        .publish_and_wait(false, &diameter_entry("a", &a, 0, "Terminating"));
     let since = Instant::now();
     while a.received_disconnect_requests() == 0 {
-        assert!(since.elapsed() < TIMEOUT, "it hears goodbye");
+        assert!(
+            since.elapsed() < TIMEOUT,
+            "the draining server gets a Disconnect-Peer-Request"
+        );
         sleep(Duration::from_millis(5));
     }
     assert_eq!(
@@ -812,19 +881,19 @@
 }
 
 #[test]
-fn sighup_moves_listener_and_plans_and_a_file_with_a_mistake_changes_nothing() {
+fn sighup_moves_listener_and_plans_and_an_invalid_file_changes_nothing() {
     let server = DiameterServer::granting("s1.example.org");
-    let site = site(&member("s1", &server, 0, "Ready"), "");
+    let site = start_site(&diameter_entry("s1", &server, 0, "Ready"), "");
     let mut client = DiameterClient::new(site.address, "till.example.org");
     until_served(&mut client);
     let first = std::fs::read_to_string(&site.file).expect("the operator file can be read");
     let small = "[diameter.plans]\n\"4512345678\" = \"small\"\n";
     let (address, old) = (own_address(), format!("listen = \"{}\"", site.address));
-    let told = |text: &str| {
+    let reload = |text: &str| {
         std::fs::write(&site.file, text).expect("the file can be written");
         site.gateway.signal("-HUP");
     };
-    // None of these is taken, whatever else they say.
+    // None of these files is accepted, whatever other changes they hold.
     for wrong in [
         first.replace("gw.example.org", "other.example.org") + small,
         first.replace("charge_class = \"top-up\"", "charge_class = \"none\"") + small,
@@ -832,7 +901,7 @@
         first.replace(&old, &format!("listen = \"{}\"", server.address)) + small,
         "".into(),
     ] {
-        told(&wrong);
+        reload(&wrong);
         sleep(Duration::from_millis(50));
         assert_eq!(
             client.exchange(&with_units(event_request(0), 6)).result(),
@@ -840,8 +909,8 @@
             "{wrong}"
         );
     }
-    told(&(first.replace(&old, &format!("listen = \"{address}\"")) + small));
-    // The new plan has 6 units and next to no more.
+    reload(&(first.replace(&old, &format!("listen = \"{address}\"")) + small));
+    // The new plan has 6 units and refills very slowly.
     let since = Instant::now();
     while client.exchange(&with_units(event_request(0), 6)).result() != Some(result::TOO_BUSY) {
         assert!(since.elapsed() < TIMEOUT, "the new plan is in force");
@@ -857,26 +926,26 @@
     assert_eq!(second.exchange(&other(1)).result(), Some(result::SUCCESS));
     assert!(
         std::net::TcpStream::connect(site.address).is_err(),
-        "the old listener has gone"
+        "the old listener is closed"
     );
-    // Who was connected stays so.
+    // Existing connections stay open.
     assert_eq!(client.exchange(&other(2)).result(), Some(result::SUCCESS));
 }
 
-/// Requests out are bounded in bytes by `limits`: a 32nd of 32 MB, so 16 of 60 kB fit and 20 do not.
+/// Outstanding requests are bounded in bytes by `limits`: a 32nd of 32 MB, so 16 of 60 kB fit and 20 do not.
 #[test]
-fn requests_out_are_bounded_in_bytes_and_any_more_are_refused_at_once() {
+fn outstanding_requests_are_bounded_in_bytes_and_more_are_refused_at_once() {
     let mute = Arc::new(AtomicBool::new(false));
     let (muted, host) = (mute.clone(), "s1.example.org");
     let server = DiameterServer::new(host, move |ccr| {
         (!muted.load(Ordering::SeqCst)).then(|| success_answer(ccr, host))
     });
-    let site = site(&member("s1", &server, 0, "Ready"), "");
+    let site = start_site(&diameter_entry("s1", &server, 0, "Ready"), "");
     let mut client = DiameterClient::new(site.address, "till.example.org");
     until_served(&mut client);
     server.drain_request_count();
     mute.store(true, Ordering::SeqCst);
-    let long = Avp {
+    let long_avp = Avp {
         code: 9_999,
         flags: 0,
         vendor: Some(7),
@@ -884,7 +953,7 @@
     };
     let since = Instant::now();
     let sent: Vec<Message> = (0..20)
-        .map(|_| event_request(0).with(long.clone()))
+        .map(|_| event_request(0).with(long_avp.clone()))
         .collect();
     sent.iter().for_each(|ccr| client.send(ccr));
     let refused = client
@@ -893,15 +962,15 @@
     assert_eq!(refused.result(), Some(result::TOO_BUSY));
     assert!(
         since.elapsed() < Duration::from_secs(4),
-        "long before the client's time is up"
+        "the refusal comes long before the client's deadline"
     );
-    let most = (32 << 20) / 32 / 60_000;
+    let first_refused = (32 << 20) / 32 / 60_000;
     assert_eq!(
-        refused.header.end_to_end, sent[most].header.end_to_end,
-        "the first that does not fit"
+        refused.header.end_to_end, sent[first_refused].header.end_to_end,
+        "the first request that does not fit is refused"
     );
     mute.store(false, Ordering::SeqCst);
-    // Each of the others gets its one answer.
+    // Each of the other requests gets exactly one answer.
     let answered: std::collections::HashSet<u32> = (1..20)
         .map(|_| {
             client
--- a/crates/frosthatch/tests/fleet.rs
+++ b/crates/frosthatch/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Several real processes, and faults between them: the testbed's short form. Who is in the fleet, and what clients see of it.
+//! Several gateway processes with faults between them: membership of the fleet, and what clients see. A short
+//! form of the testbed's runs.
 
 use frosthatch_lab::site::Node;
 use frosthatch_lab::testbed::{
@@ -12,31 +13,32 @@
 use std::time::{Duration, Instant};
 use tokio::runtime::Runtime;
 
-/// Longer than anything here takes on two busy cores.
-const LONG: Duration = Duration::from_secs(40);
+/// Longer than any wait of these tests takes on two busy cores.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 
 struct Fleet {
     testbed: Testbed,
     key: PathBuf,
-    _agent: Discovery,
+    _discovery: Discovery,
     _server: Server,
     _runtime: Runtime,
 }
 
 impl Fleet {
-    /// So many processes of a site of `of`; `more` adds to the table of each.
-    fn new(processes: usize, of: usize, more: impl Fn(usize) -> String) -> Fleet {
+    /// Prepares `processes` processes of a site of `site_size` gateways; `more` returns additional lines of a
+    /// process's `[fleet]` table.
+    fn new(processes: usize, site_size: usize, more: impl Fn(usize) -> String) -> Fleet {
         let runtime = Runtime::new().expect("the Tokio runtime starts");
         let server = Server::new(|_| ok("done"));
-        let agent = Discovery::new(&endpoint_entry("s0", server.address, 1, "Ready"));
+        let discovery_double = Discovery::new(&endpoint_entry("s0", server.address, 1, "Ready"));
         let relay = Relay::new(runtime.handle(), processes, 5);
         let key = write_config_file(&format!("1 {}\n", "k".repeat(40)));
         let process = |n: usize| {
-            let discovery = agent.address;
-            // A twin has the number of whom it stands for.
-            let me = n % of;
+            let discovery = discovery_double.address;
+            // A second process under the same name has the index of the process it duplicates.
+            let me = n % site_size;
             let node = Node {
-                gateways: of,
+                gateways: site_size,
                 me,
                 discovery,
                 counter: None,
@@ -49,7 +51,7 @@
         Fleet {
             testbed: Testbed::new(processes, relay),
             key,
-            _agent: agent,
+            _discovery: discovery_double,
             _server: server,
             _runtime: runtime,
         }
@@ -62,7 +64,7 @@
         fleet
     }
 
-    fn seen(&self, by: usize) -> FleetView {
+    fn fleet_view(&self, by: usize) -> FleetView {
         self.testbed.processes[by]
             .console()
             .and_then(FleetView::fetch)
@@ -73,27 +75,27 @@
         let since = Instant::now();
         while !holds(self) {
             let now: Vec<_> = self.testbed.fleet_views();
-            assert!(since.elapsed() < LONG, "{what}: {now:#?}");
+            assert!(since.elapsed() < WAIT_TIMEOUT, "{what}: {now:#?}");
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
-    /// All that run hold this of it.
-    fn hold(&self, of: usize, state: &str) -> bool {
-        let name = format!("n{of}");
-        let by = |n: &usize| self.testbed.processes[*n].is_running() && *n != of;
+    /// Returns whether all other running processes hold the member in this state.
+    fn all_others_hold(&self, member: usize, state: &str) -> bool {
+        let name = format!("n{member}");
+        let by = |n: &usize| self.testbed.processes[*n].is_running() && *n != member;
         let held = (0..self.testbed.processes.len())
             .filter(by)
-            .map(|n| self.seen(n));
+            .map(|n| self.fleet_view(n));
         held.into_iter()
             .all(|v| v.states.get(&name).map_or("unknown", String::as_str) == state)
     }
 
-    fn agree(&self, ready: usize) -> bool {
+    fn views_agree_on(&self, ready: usize) -> bool {
         self.testbed.views_agree(ready)
     }
 
-    fn served(&self, by: usize) -> bool {
+    fn serves_request(&self, by: usize) -> bool {
         self.testbed.processes[by]
             .client()
             .exchange(
@@ -112,32 +114,38 @@
 }
 
 #[test]
-fn members_die_return_and_leave_and_all_see_the_same() {
+fn members_die_return_and_leave_and_all_views_agree() {
     let mut fleet = Fleet::all(4);
-    assert!(fleet.agree(4));
+    assert!(fleet.views_agree_on(4));
     fleet.testbed.apply(&TimelineAction::Kill { who: vec![3] });
-    fleet.until("all hold it dead", |f| f.hold(3, "dead") && f.agree(3));
+    fleet.until("all others hold n3 dead", |f| {
+        f.all_others_hold(3, "dead") && f.views_agree_on(3)
+    });
     fleet.testbed.start(3);
-    fleet.until("it is back", |f| f.hold(3, "ready") && f.agree(4));
+    fleet.until("n3 is ready again", |f| {
+        f.all_others_hold(3, "ready") && f.views_agree_on(4)
+    });
     fleet.testbed.apply(&TimelineAction::Leave { who: vec![3] });
-    fleet.until("it has left", |f| f.hold(3, "left") && f.agree(3));
-    assert!((0..3).all(|n| fleet.served(n)));
-    // Nobody but the one that was killed was ever held dead.
+    fleet.until("n3 has left", |f| {
+        f.all_others_hold(3, "left") && f.views_agree_on(3)
+    });
+    assert!((0..3).all(|n| fleet.serves_request(n)));
+    // No member other than the killed one was ever held dead.
     let dead = fleet.testbed.history.log_lines(": dead");
     assert!(
         dead.iter().all(|(_, _, l)| l.contains("member n3")) && dead.len() == 3,
         "{dead:?}"
     );
 
-    // The command line shows the same.
+    // The command line shows the same members.
     let console = fleet.testbed.processes[0]
         .console()
         .expect("the process has a console address")
         .to_string();
-    let ask = |words: &[&str]| {
+    let run_fleet_command = |arguments: &[&str]| {
         let out = Command::new(frosthatch_test_doubles::gateway_binary())
             .arg("fleet")
-            .args(words)
+            .args(arguments)
             .args(["--console", &console])
             .output();
         let out = out.expect("the gateway binary runs");
@@ -146,7 +154,7 @@
             String::from_utf8_lossy(&out.stdout).to_string(),
         )
     };
-    let (well, table) = ask(&["members"]);
+    let (succeeded, table) = run_fleet_command(&["members"]);
     let row = |name: &str| {
         table
             .lines()
@@ -155,28 +163,31 @@
             .to_string()
     };
     assert!(
-        well && row("n0").contains("this one") && row("n3").contains("left"),
+        succeeded && row("n0").contains("this one") && row("n3").contains("left"),
         "{table}"
     );
     assert!(
         row("NAME").contains("STATE") && row("n1").contains("hall-a"),
         "{table}"
     );
-    let json: serde_json::Value =
-        serde_json::from_str(&ask(&["view", "--json"]).1).expect("the output is JSON");
+    let json: serde_json::Value = serde_json::from_str(&run_fleet_command(&["view", "--json"]).1)
+        .expect("the output is JSON");
     assert_eq!(json["ready"], 3);
-    assert!(ask(&["leave"]).0);
-    fleet.until("it has left", |f| f.seen(1).states["n0"] == "left");
-    assert!(fleet.served(0), "it serves on");
+    assert!(run_fleet_command(&["leave"]).0);
+    fleet.until("n0 has left", |f| f.fleet_view(1).states["n0"] == "left");
+    assert!(
+        fleet.serves_request(0),
+        "a gateway that left the fleet keeps serving"
+    );
 }
 
 #[test]
-fn a_cut_fleet_comes_together_again_and_who_slept_accuses_nobody() {
+fn a_split_fleet_merges_again_and_a_stopped_member_declares_nobody_dead() {
     let mut fleet = Fleet::all(4);
     fleet.testbed.apply(&TimelineAction::Split {
         groups: vec![vec![0, 1], vec![2, 3]],
     });
-    fleet.until("each half sees itself", |f| {
+    fleet.until("each half sees two ready members", |f| {
         f.testbed
             .fleet_views()
             .iter()
@@ -184,23 +195,27 @@
             .all(|v| v.ready == 2)
     });
     fleet.testbed.apply(&TimelineAction::Heal);
-    fleet.until("they are one again", |f| f.agree(4));
+    fleet.until("all views agree on four ready members", |f| {
+        f.views_agree_on(4)
+    });
     let before = fleet.testbed.history.log_lines(": dead").len();
     fleet.testbed.apply(&TimelineAction::Stop { who: vec![1] });
-    fleet.until("the others hold it dead", |f| {
-        [0, 2, 3].iter().all(|n| f.seen(*n).states["n1"] == "dead")
+    fleet.until("the others hold n1 dead", |f| {
+        [0, 2, 3]
+            .iter()
+            .all(|n| f.fleet_view(*n).states["n1"] == "dead")
     });
     fleet
         .testbed
         .apply(&TimelineAction::Continue { who: vec![1] });
-    fleet.until("it has refuted", |f| f.agree(4));
+    fleet.until("n1 is ready again", |f| f.views_agree_on(4));
     let dead = fleet.testbed.history.log_lines(": dead").split_off(before);
     assert!(
         dead.iter()
             .all(|(_, by, l)| *by != 1 && l.contains("member n1")),
         "{dead:?}"
     );
-    // One direction of one link is nobody's death.
+    // A cut of one direction of one link makes no member dead.
     let before = fleet.testbed.history.log_lines(": dead").len();
     fleet.testbed.apply(&TimelineAction::Cut {
         from: vec![0],
@@ -208,12 +223,12 @@
     });
     std::thread::sleep(Duration::from_secs(4));
     assert_eq!(fleet.testbed.history.log_lines(": dead").len(), before);
-    assert!(fleet.agree(4));
+    assert!(fleet.views_agree_on(4));
 }
 
 #[test]
-fn of_two_processes_under_one_name_the_older_one_goes_silent_and_serves_on() {
-    // The fourth place is another process of n1.
+fn of_two_processes_under_one_name_the_older_one_is_replaced_and_keeps_serving() {
+    // The fourth process is a second one named n1.
     let mut fleet = Fleet::new(4, 3, |n| {
         if n == 3 {
             "name = \"n1\"".into()
@@ -223,10 +238,12 @@
     });
     (0..3).for_each(|n| fleet.testbed.start(n));
     fleet.testbed.wait_until_all_found();
-    // Past the time in which a process takes its name for its own.
+    // Past the time after its start in which a process takes the name for its own.
     std::thread::sleep(Duration::from_millis(3_500));
     fleet.testbed.start(3);
-    fleet.until("the older one knows", |f| f.seen(1).replaced);
+    fleet.until("the older process knows that it is replaced", |f| {
+        f.fleet_view(1).replaced
+    });
     assert_eq!(
         fleet
             .testbed
@@ -237,35 +254,37 @@
             .collect::<Vec<_>>(),
         [1]
     );
-    assert!(!fleet.seen(3).replaced && fleet.served(1) && fleet.served(3));
-    fleet.until("the others see the later one", |f| {
-        [0, 2, 3].iter().all(|n| f.seen(*n).ready == 3)
+    assert!(!fleet.fleet_view(3).replaced && fleet.serves_request(1) && fleet.serves_request(3));
+    fleet.until("all others see the later process", |f| {
+        [0, 2, 3].iter().all(|n| f.fleet_view(*n).ready == 3)
     });
 }
 
 #[test]
-fn a_key_is_replaced_by_signals_while_links_are_cut_and_forged_datagrams_do_nothing() {
+fn a_key_is_replaced_by_sighup_while_links_are_cut_and_forged_datagrams_have_no_effect() {
     let mut fleet = Fleet::all(3);
     let (old, new) = (
         format!("1 {}", "k".repeat(40)),
         format!("2 {}", "n".repeat(40)),
     );
     fleet.testbed.relay.record_datagrams(2_000);
-    let step = |fleet: &mut Fleet, text: String| {
+    let replace_key = |fleet: &mut Fleet, text: String| {
         std::fs::write(&fleet.key, text).expect("the key file can be written");
         (0..3).for_each(|n| fleet.testbed.send_sighup(n));
         std::thread::sleep(Duration::from_millis(400));
     };
-    step(&mut fleet, format!("{old}\n{new}\n"));
+    replace_key(&mut fleet, format!("{old}\n{new}\n"));
     fleet.testbed.apply(&TimelineAction::Split {
         groups: vec![vec![0], vec![1, 2]],
     });
-    step(&mut fleet, format!("{new}\n{old}\n"));
+    replace_key(&mut fleet, format!("{new}\n{old}\n"));
     fleet.testbed.apply(&TimelineAction::Heal);
-    step(&mut fleet, format!("{new}\n"));
-    fleet.until("they hear each other by the new key", |f| f.agree(3));
+    replace_key(&mut fleet, format!("{new}\n"));
+    fleet.until("members communicate under the new key", |f| {
+        f.views_agree_on(3)
+    });
     let lines = fleet.testbed.history.log_lines("member ").len();
-    // What was said under the old key, garbage, and too long ones.
+    // Replayed datagrams under the old key, then garbage, some of it too long.
     assert!(fleet.testbed.relay.replay() > 30);
     for n in 0..3_000usize {
         fleet
@@ -274,16 +293,17 @@
             .forge(n % 3, (n + 1) % 3, &vec![n as u8; 1 + n % 2_000]);
     }
     std::thread::sleep(Duration::from_millis(1_500));
-    assert!(fleet.agree(3));
+    assert!(fleet.views_agree_on(3));
     assert_eq!(
         fleet.testbed.history.log_lines("member ").len(),
         lines,
-        "nobody was taken for anything else"
+        "forged datagrams change no member's state"
     );
-    assert!((0..3).all(|n| fleet.served(n)));
+    assert!((0..3).all(|n| fleet.serves_request(n)));
 }
 
-/// Loss and jitter on all links; then it grows from two to five and shrinks again, while clients ask: none is without its answer.
+/// With loss and jitter on all links the fleet grows from two to five and shrinks again, while clients send
+/// requests: each is answered.
 #[test]
 fn a_fleet_grows_and_shrinks_under_load_and_no_request_is_lost() {
     let mut fleet = Fleet::new(5, 5, |_| String::new());
@@ -296,30 +316,32 @@
             ..Faults::default()
         },
     });
-    let mut asked = 0;
-    let mut ask_all = |fleet: &Fleet| {
+    let mut requests_sent = 0;
+    let mut request_all = |fleet: &Fleet| {
         for n in (0..5).filter(|n| fleet.testbed.processes[*n].is_running()) {
-            assert!(fleet.served(n), "{n}");
-            asked += 1;
+            assert!(fleet.serves_request(n), "gateway {n} serves a request");
+            requests_sent += 1;
         }
     };
     for n in 2..5 {
         fleet.testbed.start(n);
-        (0..5).for_each(|_| ask_all(&fleet));
+        (0..5).for_each(|_| request_all(&fleet));
     }
-    fleet.until("five", |f| f.agree(5));
+    fleet.until("five members are ready", |f| f.views_agree_on(5));
     for n in 2..5 {
         fleet.testbed.apply(&TimelineAction::Leave { who: vec![n] });
-        (0..5).for_each(|_| ask_all(&fleet));
+        (0..5).for_each(|_| request_all(&fleet));
     }
-    fleet.until("two", |f| f.agree(2) && (2..5).all(|n| f.hold(n, "left")));
-    assert!(asked >= 50);
+    fleet.until("two members are ready and three have left", |f| {
+        f.views_agree_on(2) && (2..5).all(|n| f.all_others_hold(n, "left"))
+    });
+    assert!(requests_sent >= 50);
     let dead = fleet.testbed.history.log_lines(": dead");
     assert!(dead.is_empty(), "{dead:?}");
 }
 
 #[test]
-fn a_fleet_table_with_a_mistake_is_told_by_its_place() {
+fn check_reports_a_mistake_in_the_fleet_table_by_its_key() {
     let agent = Discovery::new("");
     let key = write_config_file(&"k".repeat(40));
     let key_line = format!("key_file = \"{}\"", key.display());
@@ -331,7 +353,7 @@
         (format!("[fleet]\nlisten = \"127.0.0.1:0\"\nforget_ms = 1\n{key_line}\n"), "from 1000 to"),
         (format!("[fleet]\nlisten = \"127.0.0.1:0\"\n{key_line}\n[peers]\ngateways = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\n{key_line}\n"), "keep [fleet] alone"),
     ];
-    for (text, says) in cases {
+    for (text, expected) in cases {
         let file = write_config_file(&text);
         let config = write_config_file(&frosthatch_test_doubles::config_text(
             agent.address,
@@ -348,6 +370,6 @@
             .output();
         let out =
             String::from_utf8_lossy(&out.expect("the gateway binary runs").stdout).to_string();
-        assert!(out.contains(says), "{says:?} in {out:?}");
+        assert!(out.contains(expected), "expected {expected:?} in {out:?}");
     }
 }
--- a/crates/frosthatch/tests/golden_forms.rs
+++ b/crates/frosthatch/tests/golden_forms.rs
@@ -1,5 +1,6 @@
-//! Recorded forms of what operators and the platform see: every key of both files with the mistakes that are told, the policy's
-//! schema, metric names, answers of the admin API, lines of the audit. `RECORD=1 cargo test --test golden_forms` records them anew.
+//! Golden files of what operators and the platform see: every key of both files with the mistakes that are
+//! reported, the policy's schema, metric names, answers of the admin API, lines of the audit. `RECORD=1 cargo
+//! test --test golden_forms` records them again.
 #![expect(clippy::too_many_lines)]
 
 mod common;
@@ -17,21 +18,21 @@
 use std::time::{Duration, Instant};
 use tokio::runtime::Runtime;
 
-fn compare_with_recorded(file: &str, now: &str) {
+fn compare_with_recorded(file: &str, current: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
         .join(file);
     if std::env::var_os("RECORD").is_some() {
-        return std::fs::write(path, now).expect("the write succeeds");
+        return std::fs::write(path, current).expect("the write succeeds");
     }
     assert_eq!(
         std::fs::read_to_string(path).expect("the golden file exists"),
-        now,
-        "recorded on the left"
+        current,
+        "the output equals the golden file (left: recorded, right: current)"
     );
 }
 
-/// What `check` prints, with the names of the files left out.
+/// Returns what `check` prints, with the file names replaced by placeholders.
 fn check(config: &str, operator: Option<&str>) -> String {
     let config = write_config_file(config);
     let operator = operator.map(write_config_file);
@@ -51,7 +52,7 @@
     text
 }
 
-fn fine() -> String {
+fn valid_config() -> String {
     config_text(
         "127.0.0.1:1".parse().expect("the text is a socket address"),
         None,
@@ -60,7 +61,7 @@
     )
 }
 
-/// Every key of the operator's file, by table.
+/// Every key of the operator file, by table.
 const OPERATOR_KEYS: &[(&str, &[&str])] = &[
     ("membership", &["source"]),
     (
@@ -189,10 +190,10 @@
 ];
 
 #[test]
-fn every_key_of_the_operators_file_is_known_and_its_mistakes_are_told_as_recorded() {
+fn every_key_of_the_operator_file_is_known_and_its_mistakes_are_reported_as_recorded() {
     let mut text = String::new();
     for (table, keys) in OPERATOR_KEYS {
-        // A date is right nowhere. A crash point has to be a text, or the number behind it is not asked for.
+        // A date is valid for no key. `dies_at` has to be a string: otherwise the number after it is not read.
         let value = |key: &str| {
             if key == "dies_at" {
                 "\"store\""
@@ -205,12 +206,16 @@
             .map(|key| format!("{key} = {}\n", value(key)))
             .collect();
         let operator = format!("[{table}]\n{lines}no_such_key = 1\n");
-        writeln!(text, "[{table}]\n{}", check(&fine(), Some(&operator)))
-            .expect("writing to a String cannot fail");
-        let empty = check(&fine(), Some(&format!("[{table}]\n")));
+        writeln!(
+            text,
+            "[{table}]\n{}",
+            check(&valid_config(), Some(&operator))
+        )
+        .expect("writing to a String cannot fail");
+        let empty = check(&valid_config(), Some(&format!("[{table}]\n")));
         writeln!(text, "[{table}] empty\n{empty}").expect("writing to a String cannot fail");
     }
-    let unknown = check(&fine(), Some("[no_such_table]\n"));
+    let unknown = check(&valid_config(), Some("[no_such_table]\n"));
     writeln!(text, "{unknown}").expect("writing to a String cannot fail");
     compare_with_recorded("operator_file.txt", &text);
 }
@@ -228,9 +233,9 @@
     "zone":5,"noSuchKey":5}"#;
 
 #[test]
-fn every_key_of_the_configuration_is_known_and_its_mistakes_are_told_as_recorded() {
+fn every_key_of_the_configuration_is_known_and_its_mistakes_are_reported_as_recorded() {
     let mut text = String::new();
-    let (start, _) = fine()
+    let (start, _) = valid_config()
         .split_once("\"settings\":")
         .map(|(s, e)| (s.to_string(), e.to_string()))
         .expect("the configuration has `settings`");
@@ -241,14 +246,14 @@
     )
     .expect("writing to a String cannot fail");
     writeln!(text, "empty\n{}", check("{}", None)).expect("writing to a String cannot fail");
-    let wrong = r#"{"name":5,"listen":5,"discovery":5,"counter":5,"console":5,"seed":5,"limits":{"cores":"x","memory_mb":"x",
+    let wrong_types = r#"{"name":5,"listen":5,"discovery":5,"counter":5,"console":5,"seed":5,"limits":{"cores":"x","memory_mb":"x",
         "sockets":"x"},"known":{"rev":"x","all":"x","targets":5},"settings":5,"noSuchKey":5}"#;
-    writeln!(text, "wrong\n{}", check(wrong, None)).expect("writing to a String cannot fail");
+    writeln!(text, "wrong\n{}", check(wrong_types, None)).expect("writing to a String cannot fail");
     writeln!(text, "no JSON\n{}", check("{", None)).expect("writing to a String cannot fail");
     compare_with_recorded("configuration.txt", &text);
 }
 
-/// Descriptions are for people and may be worded anew.
+/// Returns the schema without its descriptions, which are for people and may be reworded.
 fn without_descriptions(value: &Value) -> Value {
     match value {
         Value::Object(all) => {
@@ -265,7 +270,7 @@
 
 #[test]
 fn the_schema_of_a_policy_is_as_recorded() {
-    let config = write_config_file(&fine());
+    let config = write_config_file(&valid_config());
     let out = gateway_command(&config)
         .args(["policy", "schema"])
         .output()
@@ -277,44 +282,45 @@
     compare_with_recorded("policy_schema.json", &text);
 }
 
-/// Paths and types of everything in an answer; the values differ from run to run, and some are not known in each.
-fn shape(value: &Value, path: &str, into: &mut BTreeSet<String>) {
+/// Collects the paths and types of all values of an answer; the values differ from run to run, and some are
+/// absent in some runs.
+fn collect_paths(value: &Value, path: &str, paths_and_types: &mut BTreeSet<String>) {
     match value {
         Value::Object(all) => all
             .iter()
-            .for_each(|(k, v)| shape(v, &format!("{path}.{k}"), into)),
+            .for_each(|(k, v)| collect_paths(v, &format!("{path}.{k}"), paths_and_types)),
         Value::Array(all) => all
             .iter()
-            .for_each(|v| shape(v, &format!("{path}[]"), into)),
+            .for_each(|v| collect_paths(v, &format!("{path}[]"), paths_and_types)),
         Value::Null => {}
-        Value::Bool(_) => drop(into.insert(format!("{path} boolean"))),
-        Value::Number(_) => drop(into.insert(format!("{path} number"))),
-        Value::String(_) => drop(into.insert(format!("{path} string"))),
+        Value::Bool(_) => drop(paths_and_types.insert(format!("{path} boolean"))),
+        Value::Number(_) => drop(paths_and_types.insert(format!("{path} number"))),
+        Value::String(_) => drop(paths_and_types.insert(format!("{path} string"))),
     }
 }
 
-fn answer(console: SocketAddr, method: &str, path: &str, body: &str) -> (u16, String) {
+fn call_admin_api(console: SocketAddr, method: &str, path: &str, body: &str) -> (u16, String) {
     call_console(console, method, path, body).expect("the console answers with JSON")
 }
 
-fn until(what: &str, holds: impl Fn() -> bool) {
+fn until(condition: &str, holds: impl Fn() -> bool) {
     let since = Instant::now();
     while !holds() {
-        assert!(since.elapsed() < TIMEOUT, "{what}");
+        assert!(since.elapsed() < TIMEOUT, "{condition}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
 #[test]
-fn metrics_and_answers_of_the_admin_api_are_as_recorded_and_so_is_the_audit() {
+fn metrics_admin_api_answers_and_the_audit_are_as_recorded() {
     let runtime = Runtime::new().expect("the Tokio runtime starts");
     let server = Server::new(|_| ok("done"));
-    let agent = Discovery::new(&endpoint_entry("s0", server.address, 1, "Ready"));
+    let discovery_double = Discovery::new(&endpoint_entry("s0", server.address, 1, "Ready"));
     let relay = Relay::new(runtime.handle(), 3, 5);
     let key = write_config_file(&format!("1 {}\n", "k".repeat(40)));
     let fixture = PolicyFixture::new("golden", 3, 500);
     let process = |n: usize| {
-        let discovery = agent.address;
+        let discovery = discovery_double.address;
         let node = Node {
             gateways: 3,
             me: n,
@@ -335,18 +341,18 @@
     let console = testbed.processes[0]
         .console()
         .expect("the process has a console address");
-    until("the files' own policy is in force", || {
+    until("the policy of the configuration files is in force", || {
         policy_fixture::version_in_force(&testbed.processes[0]) == Some(0)
     });
 
     let mut text = String::new();
-    let mut plain = |method: &str, path: &str| {
-        let (status, body) = answer(console, method, path, "");
+    let mut record_answer = |method: &str, path: &str| {
+        let (status, body) = call_admin_api(console, method, path, "");
         writeln!(text, "{method} {path}: {status} {body:?}")
             .expect("writing to a String cannot fail");
     };
     for path in ["/ready", "/nowhere", "/policy/document", "/servers/disable"] {
-        plain("GET", path);
+        record_answer("GET", path);
     }
     for path in [
         "/ready",
@@ -359,12 +365,12 @@
         "/drain",
         "/undrain",
     ] {
-        plain("POST", path);
+        record_answer("POST", path);
     }
     let number = policy_fixture::propose(console, &document(1, "", 100.0))
         .expect("the console answers")
         .expect("the console accepts the proposal");
-    until("it is in force", || {
+    until("version 1 is in force at all three processes", || {
         policy_fixture::proposal_outcome(console, number).is_some_and(|(s, _)| s == "in force")
             && testbed
                 .processes
@@ -372,18 +378,18 @@
                 .all(|p| policy_fixture::version_in_force(p) == Some(1))
     });
     for n in 0..3 {
-        let ask = ClientRequest::check()
+        let http_request = ClientRequest::check()
             .with_header("X-Tier", "mellem")
             .to_text();
         assert_eq!(
             testbed.processes[n]
                 .client()
-                .exchange(&ask)
+                .exchange(&http_request)
                 .map(|m| m.status()),
             Some(200)
         );
     }
-    let (status, metrics) = answer(console, "GET", "/metrics", "");
+    let (status, metrics) = call_admin_api(console, "GET", "/metrics", "");
     writeln!(text, "GET /metrics: {status}").expect("writing to a String cannot fail");
     for line in metrics.lines() {
         let (name, value) = line
@@ -396,9 +402,9 @@
         writeln!(text, "  {name} {kind}").expect("writing to a String cannot fail");
     }
     for path in ["/fleet", "/policy"] {
-        let (status, body) = answer(console, "GET", path, "");
+        let (status, body) = call_admin_api(console, "GET", path, "");
         let mut paths = BTreeSet::new();
-        shape(
+        collect_paths(
             &serde_json::from_str(&body).expect("the output is JSON"),
             "",
             &mut paths,
@@ -408,7 +414,7 @@
             .iter()
             .for_each(|p| writeln!(text, "  {p}").expect("writing to a String cannot fail"));
     }
-    let (status, body) = answer(console, "POST", "/fleet/leave", "");
+    let (status, body) = call_admin_api(console, "POST", "/fleet/leave", "");
     writeln!(text, "POST /fleet/leave: {status} {body:?}")
         .expect("writing to a String cannot fail");
     compare_with_recorded("admin_api.txt", &text);
@@ -427,13 +433,13 @@
         .last()
         .expect("the audit has a line")
         .to_string();
-    let words: Vec<&str> = line.split(' ').collect();
+    let fields: Vec<&str> = line.split(' ').collect();
     assert!(
-        words.len() == 4 && words[0].parse::<u64>().is_ok() && words[3].parse::<u64>().is_ok(),
+        fields.len() == 4 && fields[0].parse::<u64>().is_ok() && fields[3].parse::<u64>().is_ok(),
         "{line}"
     );
     assert_eq!(
-        (words[1], words[2]),
+        (fields[1], fields[2]),
         ("1", &policy_fixture::digest(&document(1, "", 100.0))[..12]),
         "{line}"
     );
@@ -441,16 +447,16 @@
     let _ = std::fs::remove_file(key);
 }
 
-/// All lines that three processes wrote.
+/// Counts the lines of the audit files of three processes.
 fn audit_lines(fixture: &PolicyFixture) -> usize {
     let folder = fixture.state_directory(0);
-    let of = |n: usize| {
+    let audit_file = |n: usize| {
         folder
             .parent()
             .expect("the state directory has a parent")
             .join(format!("audit-{n}"))
     };
     (0..3)
-        .map(|n| std::fs::read_to_string(of(n)).map_or(0, |text| text.lines().count()))
+        .map(|n| std::fs::read_to_string(audit_file(n)).map_or(0, |text| text.lines().count()))
         .sum()
 }
--- a/crates/frosthatch/tests/late_bytes.rs
+++ b/crates/frosthatch/tests/late_bytes.rs
@@ -1,5 +1,6 @@
-//! Requests whose last byte leaves long after the first: what was decided before the first byte still has to hold then.
-//! A server begins a request when its last byte has come, and so do repeats, deadlines and clients' leaving count.
+//! Requests whose last byte is sent long after the first: what was decided before the first byte must still hold
+//! then. A server begins a request when its last byte has arrived, and so repeats, deadlines and disconnects of
+//! clients count from there.
 
 mod common;
 use common::*;
@@ -10,20 +11,20 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// More than the system takes over from a sender whose peer does not read.
+/// More than the kernel buffers for a sender whose peer does not read.
 const LONG_BODY: usize = 6 << 20;
 
-/// A server that reads nothing of a connection until it is told to, and then all.
-struct Unread {
+/// A server that reads nothing from a connection until `release` is sent, and then everything.
+struct NonReadingServer {
     address: SocketAddr,
     accepted: Receiver<()>,
-    go: Sender<()>,
-    /// What came, and when it was whole; none: the connection ended before.
-    whole: Receiver<Option<(Message, Instant)>>,
+    release: Sender<()>,
+    /// The request and when it was complete, or none if the connection ended before.
+    complete: Receiver<Option<(Message, Instant)>>,
 }
 
-impl Unread {
-    fn new() -> Unread {
+impl NonReadingServer {
+    fn new() -> NonReadingServer {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free loopback port can be bound");
         SockRef::from(&listener)
             .set_recv_buffer_size(4_096)
@@ -31,24 +32,25 @@
         let address = listener
             .local_addr()
             .expect("the socket has a local address");
-        let ((tell, accepted), (go, gone), (done, whole)) = (channel(), channel::<()>(), channel());
+        let ((accepted_sender, accepted), (release, released), (complete_sender, complete)) =
+            (channel(), channel::<()>(), channel());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let _ = tell.send(());
-                let _ = gone.recv_timeout(TIMEOUT);
-                let _ = done.send(read_all(&stream));
+                let _ = accepted_sender.send(());
+                let _ = released.recv_timeout(TIMEOUT);
+                let _ = complete_sender.send(read_all(&stream));
             }
         });
-        Unread {
+        NonReadingServer {
             address,
             accepted,
-            go,
-            whole,
+            release,
+            complete,
         }
     }
 
-    fn whole(&self) -> Option<(Message, Instant)> {
-        self.whole
+    fn complete(&self) -> Option<(Message, Instant)> {
+        self.complete
             .recv_timeout(TIMEOUT)
             .expect("the connection is read to its end")
     }
@@ -80,11 +82,12 @@
     }
 }
 
-/// Guards against a second effect: the repeat begins within its window, its last byte would come after.
+/// Guards against a second effect: the repeat begins within its dedup window, but its last byte would arrive
+/// after it.
 #[test]
-fn a_keyed_repeat_is_not_whole_after_its_window() {
-    let (first, go) = Server::gated(|| status("500 Internal Server Error"));
-    let second = Unread::new();
+fn a_keyed_repeat_is_not_complete_after_its_window() {
+    let (first, release) = Server::gated(|| status("500 Internal Server Error"));
+    let second = NonReadingServer::new();
     let discovery = Discovery::new(&endpoint_entry("a", first.address, 3, "Ready"));
     let gateway = gateway(
         &discovery,
@@ -94,25 +97,26 @@
     client.send(&long_top_up().to_text());
     first.next_request();
     discovery.publish_and_wait(false, &endpoint_entry("b", second.address, 3, "Ready"));
-    let _ = go.send(());
+    let _ = release.send(());
     second
         .accepted
         .recv_timeout(TIMEOUT)
         .expect("the gateway connects to the second server");
     thread::sleep(Duration::from_millis(1_700));
-    let _ = second.go.send(());
+    let _ = second.release.send(());
     assert!(
-        second.whole().is_none(),
-        "the repeat came whole after the servers had forgotten its key"
+        second.complete().is_none(),
+        "the repeat is not completed after the servers have forgotten its key"
     );
     assert!(client.read_response().is_some_and(|a| a.status() != 200));
 }
 
-/// Guards against work for nobody, where attempts may not be called off: one that is not whole has not begun.
+/// Guards against work for a client that has left, where attempts may not be cancelled: an attempt whose request
+/// is not complete has not begun.
 #[test]
-fn what_is_not_whole_when_its_client_leaves_never_is() {
+fn a_request_incomplete_when_its_client_leaves_is_never_completed() {
     for cancel in [true, false] {
-        let server = Unread::new();
+        let server = NonReadingServer::new();
         let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
         let gateway = gateway(
             &discovery,
@@ -127,74 +131,82 @@
         thread::sleep(Duration::from_millis(50));
         drop(client);
         thread::sleep(Duration::from_millis(150));
-        let _ = server.go.send(());
+        let _ = server.release.send(());
         assert!(
-            server.whole().is_none(),
-            "it came whole after its client had gone; cancel {cancel}"
+            server.complete().is_none(),
+            "the request is not completed after its client has left; cancel: {cancel}"
         );
     }
 }
 
-/// Guards against a server that works for longer than its client waits: what the head says holds when the last byte comes.
+/// Guards against a server that works for longer than its client waits: the deadline in the head must hold when
+/// the last byte arrives.
 #[test]
-fn the_deadline_that_a_server_is_told_holds_at_the_last_byte() {
-    let server = Unread::new();
+fn the_deadline_sent_to_a_server_holds_at_the_last_byte() {
+    let server = NonReadingServer::new();
     let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let gateway = gateway(&discovery, &[]);
     let mut client = gateway.client();
     let text = long_top_up().with_header("X-Expires-In", "3.0").to_text();
     client.send(&text);
-    let gone_at = Instant::now() + Duration::from_secs(3);
+    let deadline = Instant::now() + Duration::from_secs(3);
     server
         .accepted
         .recv_timeout(TIMEOUT)
         .expect("the gateway connects to the server");
     thread::sleep(Duration::from_millis(1_500));
-    let _ = server.go.send(());
-    if let Some((message, at)) = server.whole() {
-        let told: f64 = message
+    let _ = server.release.send(());
+    if let Some((message, at)) = server.complete() {
+        let deadline_s: f64 = message
             .header("X-Expires-In")
             .and_then(|t| t.parse().ok())
             .expect("the request has a deadline in seconds");
-        let left = gone_at.saturating_duration_since(at).as_secs_f64();
-        assert!(told <= left + 0.15, "told {told} s with {left} s left");
+        let left_s = deadline.saturating_duration_since(at).as_secs_f64();
+        assert!(
+            deadline_s <= left_s + 0.15,
+            "the server gets a deadline of {deadline_s} s, the client has {left_s} s left"
+        );
     }
 }
 
-/// Guards against time that a request has spent unread: it counts from its last byte, not from when it is its turn.
+/// Guards against ignoring the time that a request has spent unread: its deadline counts from its last byte, not
+/// from when it is processed.
 #[test]
-fn a_request_that_waited_behind_another_has_less_time() {
-    let (server, go) = Server::gated(|| ok("served"));
+fn the_deadline_of_a_pipelined_request_shrinks_while_it_waits() {
+    let (server, release) = Server::gated(|| ok("served"));
     let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let gateway = gateway(&discovery, &[]);
     let mut client = gateway.client();
     let second = ClientRequest::check().with_header("X-Expires-In", "2.0");
     client.send(&(ClientRequest::check().to_text() + &second.to_text()));
-    let gone_at = Instant::now() + Duration::from_secs(2);
+    let deadline = Instant::now() + Duration::from_secs(2);
     server.next_request();
     thread::sleep(Duration::from_millis(800));
-    let _ = go.send(());
+    let _ = release.send(());
     client
         .read_response()
         .expect("the first request is answered");
     let message = server.next_request();
-    let told: f64 = message
+    let deadline_s: f64 = message
         .header("X-Expires-In")
         .and_then(|t| t.parse().ok())
         .expect("the request has a deadline in seconds");
-    let left = gone_at
+    let left_s = deadline
         .saturating_duration_since(Instant::now())
         .as_secs_f64();
-    let _ = go.send(());
+    let _ = release.send(());
     client
         .read_response()
         .expect("the second request is answered");
-    assert!(told <= left + 0.15, "told {told} s with {left} s left");
+    assert!(
+        deadline_s <= left_s + 0.15,
+        "the server gets a deadline of {deadline_s} s, the client has {left_s} s left"
+    );
 }
 
-/// Guards against a request that is taken so late after SIGTERM that the process ends before its answer.
+/// Guards against a request that is accepted so late after SIGTERM that the process exits before its answer.
 #[test]
-fn a_request_that_is_whole_late_after_sigterm_is_answered() {
+fn a_request_completed_late_after_sigterm_is_answered() {
     let server = Server::new(|_| Reply::Silence);
     let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let mut gateway = gateway(
@@ -220,19 +232,19 @@
             let sent = since.elapsed();
             assert!(
                 client.read_response().is_some(),
-                "whole {sent:?} after SIGTERM, and no answer"
+                "a request completed {sent:?} after SIGTERM is answered"
             );
         }
     }
     assert!(gateway.wait_for_exit().success());
 }
 
-/// The same head with an id of its own.
+/// Returns the head with a new id in `X-Trace-Id`.
 fn replace_id(head: &str) -> String {
-    let own = ClientRequest::check();
+    let new_request = ClientRequest::check();
     let lines = head.split("\r\n").map(|line| {
         if line.starts_with("X-Trace-Id") {
-            format!("X-Trace-Id: {}", own.header("X-Trace-Id"))
+            format!("X-Trace-Id: {}", new_request.header("X-Trace-Id"))
         } else {
             line.to_string()
         }
@@ -240,10 +252,10 @@
     lines.collect::<Vec<_>>().join("\r\n")
 }
 
-/// Guards against an idle connection that is ended over a request that has come in time: the process was held up when
-/// its time was over, and finds both at once.
+/// Guards against closing an idle connection on which a request has arrived in time: the process was stopped
+/// when the idle time ended, and sees both at once.
 #[test]
-fn a_request_that_came_before_the_end_of_an_idle_connection_is_served() {
+fn a_request_received_before_an_idle_connection_times_out_is_served() {
     const IDLE: Duration = Duration::from_secs(5);
     let server = Server::new(|_| ok("served"));
     let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
@@ -252,7 +264,7 @@
     clients.iter_mut().for_each(|c| drop(c.check_again()));
     let since = Instant::now();
     thread::sleep(IDLE - Duration::from_millis(150));
-    // Those that had their answer first would end first.
+    // The connections that were answered first reach the end of their idle time first.
     gateway.signal("-STOP");
     clients
         .iter_mut()
--- a/crates/frosthatch/tests/log_output.rs
+++ b/crates/frosthatch/tests/log_output.rs
@@ -1,4 +1,5 @@
-//! A log that cannot be written: the disk is full, or whoever read it has gone. The gateway serves on.
+//! A log that cannot be written, because the disk is full or its reader has closed the pipe: the gateway keeps
+//! serving.
 
 mod common;
 use common::*;
@@ -9,7 +10,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A process that is not one of [`Gateway`], as what it logs goes elsewhere.
+/// A gateway process that is not a [`Gateway`], because its log goes elsewhere.
 struct Process {
     child: Child,
     address: SocketAddr,
@@ -64,18 +65,18 @@
 }
 
 #[test]
-fn a_full_disk_behind_the_log_does_not_keep_the_gateway_from_serving() {
+fn the_gateway_serves_with_its_log_on_a_full_disk() {
     let server = Server::new(|_| ok("served"));
     let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
-    let full = OpenOptions::new()
+    let full_disk = OpenOptions::new()
         .write(true)
         .open("/dev/full")
         .expect("`/dev/full` can be opened");
-    assert!(Process::start(&discovery, Stdio::from(full)).serves());
+    assert!(Process::start(&discovery, Stdio::from(full_disk)).serves());
 }
 
 #[test]
-fn a_reader_of_the_log_that_goes_takes_no_gateway_along() {
+fn the_gateway_serves_after_the_reader_of_its_log_has_closed_the_pipe() {
     let server = Server::new(|_| ok("served"));
     let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let mut process = Process::start(&discovery, Stdio::piped());
@@ -90,7 +91,7 @@
         .expect("the gateway logs a line");
     assert!(process.serves());
     drop(log);
-    // A list that makes no sense is logged.
+    // An invalid endpoint list is logged.
     discovery.set_mode(DiscoveryMode::InvalidBody);
     discovery.wait_for_calls(3);
     discovery.set_mode(DiscoveryMode::Answering);
--- a/crates/frosthatch/tests/outcomes.rs
+++ b/crates/frosthatch/tests/outcomes.rs
@@ -1,4 +1,4 @@
-//! Each way in which an attempt can end, and what may follow from it.
+//! Each way in which an attempt can end, and which further attempts and answers it allows.
 
 mod common;
 use common::*;
@@ -6,8 +6,9 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// Two servers, in the cells given. The first request at either gets `first`, all later ones are served.
-fn pair(cells: [u64; 2], first: fn() -> Reply) -> (Discovery, [Server; 2]) {
+/// Starts two servers in the given cells. The first request at either gets the reply `first`, all later ones are
+/// served.
+fn start_pair(cells: [u64; 2], first: fn() -> Reply) -> (Discovery, [Server; 2]) {
     let spent = Arc::new(AtomicBool::new(false));
     let servers = [(); 2].map(|()| {
         let spent = spent.clone();
@@ -23,20 +24,20 @@
     (Discovery::new(&[entry(0), entry(1)].join(",")), servers)
 }
 
-fn requests(servers: &[Server]) -> usize {
+fn count_requests(servers: &[Server]) -> usize {
     servers.iter().map(Server::drain_request_count).sum()
 }
 
-fn failed(answer: &Message) -> bool {
+fn is_gateway_error(answer: &Message) -> bool {
     matches!(answer.status(), 502 | 504)
 }
 
-const CUT: fn() -> Reply =
+const TRUNCATED: fn() -> Reply =
     || Reply::BytesThenClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nsec".into());
-const RESET: fn() -> Reply = || Reply::BytesThenClose(String::new());
+const NO_ANSWER: fn() -> Reply = || Reply::BytesThenClose(String::new());
 const ERROR: fn() -> Reply = || status("500 Internal Server Error");
-const UNPROVEN: fn() -> Reply = || status("503 Service Unavailable");
-const NOISE: fn() -> Reply = || Reply::Bytes("\u{1}\u{2} no answer at all\r\n\r\n".into());
+const UNAVAILABLE: fn() -> Reply = || status("503 Service Unavailable");
+const NOT_HTTP: fn() -> Reply = || Reply::Bytes("\u{1}\u{2} no answer at all\r\n\r\n".into());
 const ENDLESS: fn() -> Reply = || {
     Reply::Bytes(format!(
         "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n{}",
@@ -46,47 +47,61 @@
 
 #[test]
 fn a_safe_request_is_served_by_another_server_after_any_failure() {
-    for first in [CUT, RESET, ERROR, UNPROVEN, NOISE, ENDLESS, never_ran] {
-        let (discovery, servers) = pair([0, 1], first);
+    for first in [
+        TRUNCATED,
+        NO_ANSWER,
+        ERROR,
+        UNAVAILABLE,
+        NOT_HTTP,
+        ENDLESS,
+        never_ran,
+    ] {
+        let (discovery, servers) = start_pair([0, 1], first);
         let answer = Gateway::start_alone(&discovery).request(&ClientRequest::check());
         assert_eq!((answer.status(), answer.body.as_str()), (200, "second"));
-        assert_eq!(requests(&servers), 2);
+        assert_eq!(count_requests(&servers), 2);
     }
 }
 
-/// Guards against a second effect: other cells don't know the key.
+/// Guards against a second effect: servers of other cells don't know the key.
 #[test]
 fn a_keyed_request_that_may_have_run_goes_to_no_other_cell_and_is_not_refused() {
-    for first in [CUT, RESET, ERROR, UNPROVEN, NOISE, ENDLESS] {
-        let (discovery, servers) = pair([0, 1], first);
+    for first in [TRUNCATED, NO_ANSWER, ERROR, UNAVAILABLE, NOT_HTTP, ENDLESS] {
+        let (discovery, servers) = start_pair([0, 1], first);
         let gateway = Gateway::start_alone(&discovery);
-        let ask = ClientRequest::top_up();
-        let answer = gateway.request(&ask);
-        // The server that failed first shares its own cell and may be asked again.
+        let client_request = ClientRequest::top_up();
+        let answer = gateway.request(&client_request);
+        // The server that failed is in its own cell and may get the repeat.
         let seen: Vec<usize> = servers.iter().map(Server::drain_request_count).collect();
-        assert!(seen.contains(&0), "one cell only: {seen:?}");
-        assert!(answer.status() == 200 || failed(&answer), "{answer:?}");
+        assert!(
+            seen.contains(&0),
+            "only one cell receives the request: {seen:?}"
+        );
+        assert!(
+            answer.status() == 200 || is_gateway_error(&answer),
+            "{answer:?}"
+        );
     }
 }
 
 #[test]
 fn a_keyed_request_that_may_have_run_goes_on_in_its_cell() {
-    let (discovery, servers) = pair([3, 3], RESET);
+    let (discovery, servers) = start_pair([3, 3], NO_ANSWER);
     let answer = Gateway::start_alone(&discovery).request(&ClientRequest::top_up());
     assert_eq!((answer.status(), answer.body.as_str()), (200, "second"));
-    assert_eq!(requests(&servers), 2);
+    assert_eq!(count_requests(&servers), 2);
 }
 
 #[test]
 fn a_keyed_request_that_never_ran_goes_to_any_cell() {
-    let (discovery, servers) = pair([0, 1], never_ran);
+    let (discovery, servers) = start_pair([0, 1], never_ran);
     let answer = Gateway::start_alone(&discovery).request(&ClientRequest::top_up());
     assert_eq!((answer.status(), answer.body.as_str()), (200, "second"));
-    assert_eq!(requests(&servers), 2);
+    assert_eq!(count_requests(&servers), 2);
 }
 
 #[test]
-fn what_never_ran_is_refused_with_advice_when_nobody_takes_it() {
+fn a_request_that_never_ran_is_refused_with_retry_after_when_no_server_accepts_it() {
     let server = Server::new(|_| never_ran());
     let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let answer = Gateway::start_alone(&discovery).request(&ClientRequest::top_up());
@@ -101,12 +116,12 @@
 
 #[test]
 fn a_refused_connection_never_ran() {
-    let nobody = TcpListener::bind("127.0.0.1:0")
+    let unused_address = TcpListener::bind("127.0.0.1:0")
         .and_then(|l| l.local_addr())
         .expect("a free loopback port can be bound");
     let server = Server::new(|_| ok("here"));
     let entries = [
-        endpoint_entry("a", nobody, 0, "Ready"),
+        endpoint_entry("a", unused_address, 0, "Ready"),
         endpoint_entry("b", server.address, 1, "Ready"),
     ]
     .join(",");
@@ -117,22 +132,23 @@
     }
 }
 
-/// Guards against a silent server: the client hears before it leaves, and nobody else was asked meanwhile.
+/// Guards against a silent server: the client is answered before its deadline, and no other server got the
+/// request meanwhile.
 #[test]
-fn silence_is_answered_before_the_client_leaves_and_never_doubled() {
-    let (discovery, servers) = pair([0, 0], || Reply::Silence);
+fn a_request_to_a_silent_server_is_answered_before_its_deadline_and_not_repeated() {
+    let (discovery, servers) = start_pair([0, 0], || Reply::Silence);
     let gateway = Gateway::start_alone(&discovery);
     let since = std::time::Instant::now();
     let answer = gateway.request(&ClientRequest::top_up().with_header("X-Expires-In", "0.8"));
     assert!(
         since.elapsed().as_secs_f64() > 0.5,
-        "an attempt has its time"
+        "the attempt is given its time before it is failed"
     );
     assert!(
-        failed(&answer),
-        "a silent server may have run it: {answer:?}"
+        is_gateway_error(&answer),
+        "a request that may have run is failed, not refused: {answer:?}"
     );
-    assert_eq!(requests(&servers), 1);
+    assert_eq!(count_requests(&servers), 1);
 }
 
 #[test]
@@ -147,10 +163,10 @@
     server.wait_closed();
 }
 
-/// Guards against nonsense in figures that come with a good answer.
+/// Guards against malformed figures in the headers of a good answer.
 #[test]
-fn figures_that_cannot_be_read_do_not_spoil_an_answer() {
-    for odd in [
+fn malformed_figures_do_not_invalidate_an_answer() {
+    for header in [
         "Endpoint-Load-Metrics: TEXT inflight=, latency_ms=NaN, =, inflight=-3",
         "Endpoint-Load-Metrics: TEXT inflight=1e999",
         "X-RateLimit-Used: many",
@@ -158,7 +174,7 @@
     ] {
         let server = Server::new(move |_| {
             Reply::Bytes(format!(
-                "HTTP/1.1 200 OK\r\n{odd}\r\nContent-Length: 2\r\n\r\nok"
+                "HTTP/1.1 200 OK\r\n{header}\r\nContent-Length: 2\r\n\r\nok"
             ))
         });
         let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
@@ -169,50 +185,57 @@
     }
 }
 
-/// Guards against an answer that is followed by another: it must not be taken for the next request's.
+/// Guards against taking a second copy of an answer for the answer to the next request.
 #[test]
-fn a_second_copy_of_an_answer_serves_nobody() {
+fn a_second_copy_of_an_answer_is_served_to_no_request() {
     let server = Server::new(|m| {
         let body = m.header("X-Trace-Id").unwrap_or("").to_string();
-        let once = format!(
+        let single_answer = format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         );
-        Reply::Bytes(once.repeat(2))
+        Reply::Bytes(single_answer.repeat(2))
     });
     let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let gateway = Gateway::start_alone(&discovery);
     for _ in 0..5 {
-        let ask = ClientRequest::check();
-        assert_eq!(gateway.request(&ask).body, ask.header("X-Trace-Id"));
+        let client_request = ClientRequest::check();
+        assert_eq!(
+            gateway.request(&client_request).body,
+            client_request.header("X-Trace-Id")
+        );
     }
 }
 
-/// Guards against the same some milliseconds later, when the connection may carry another request already.
+/// Guards against a second copy of an answer some milliseconds later, when the connection may already carry
+/// another request.
 #[test]
-fn a_second_copy_of_an_answer_that_comes_late_serves_nobody() {
+fn a_late_second_copy_of_an_answer_is_served_to_no_request() {
     let server = Server::new(|m| {
         let body = m.header("X-Trace-Id").unwrap_or("").to_string();
-        let once = format!(
+        let single_answer = format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         );
-        Reply::BytesInTwoParts(once.clone(), once)
+        Reply::BytesInTwoParts(single_answer.clone(), single_answer)
     });
     let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let gateway = Gateway::start_alone(&discovery);
     for _ in 0..20 {
-        let ask = ClientRequest::check();
-        assert_eq!(gateway.request(&ask).body, ask.header("X-Trace-Id"));
+        let client_request = ClientRequest::check();
+        assert_eq!(
+            gateway.request(&client_request).body,
+            client_request.header("X-Trace-Id")
+        );
     }
 }
 
-/// An answer with neither length nor chunks ends with its connection, whether or not it says so (RFC 9112 section 6.3): by a close,
-/// as a reset is no end.
+/// An answer with neither length nor chunks ends with its connection, whether or not it has `Connection: close`
+/// (RFC 9112 section 6.3): by a close, because after a reset it may be incomplete.
 #[test]
-fn an_answer_without_a_length_ends_by_a_close_and_not_by_a_reset() {
-    for says in ["", "Connection: close\r\n"] {
-        let text = format!("HTTP/1.1 200 OK\r\n{says}\r\nall of it");
+fn an_answer_without_a_length_ends_with_a_close_and_not_with_a_reset() {
+    for connection_header in ["", "Connection: close\r\n"] {
+        let text = format!("HTTP/1.1 200 OK\r\n{connection_header}\r\nall of it");
         for resets in [false, true] {
             let text = text.clone();
             let server = Server::new(move |_| {
@@ -226,20 +249,23 @@
             let answer = Gateway::start_alone(&discovery)
                 .request(&ClientRequest::top_up().with_header("X-Expires-In", "2.0"));
             if resets {
-                assert!(failed(&answer), "{says:?}: {answer:?}");
+                assert!(
+                    is_gateway_error(&answer),
+                    "{connection_header:?}: {answer:?}"
+                );
             } else {
                 assert_eq!(
                     (answer.status(), answer.body.as_str()),
                     (200, "all of it"),
-                    "{says:?}"
+                    "{connection_header:?}"
                 );
             }
         }
     }
 }
 
-/// Answers that cannot be believed, whatever their first line says; the connection stays open behind them.
-const SPOILT: [&str; 14] = [
+/// Answers with invalid framing or an unproven status; the server leaves the connection open after them.
+const INVALID_ANSWERS: [&str; 14] = [
     "HTTP/1.1 200 OK\r\n\r\nfirst",
     "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 4\r\n\r\nfirst",
     "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 5\r\n\r\nfirst",
@@ -256,11 +282,11 @@
     "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\n\r\n",
 ];
 
-/// Guards against serving what is not whole, and against taking it for proof that nothing ran: a keyed request that
-/// has met it goes to no other cell.
+/// Guards against serving an incomplete answer, and against taking it for proof that nothing ran: a keyed
+/// request that got one goes to no other cell.
 #[test]
-fn a_spoilt_answer_is_served_to_nobody_and_proves_nothing() {
-    for text in SPOILT {
+fn an_invalid_answer_is_not_served_and_proves_nothing() {
+    for text in INVALID_ANSWERS {
         let server = Server::new(move |_| Reply::Bytes(text.into()));
         let other = Server::new(|_| ok("other"));
         let entries = [
@@ -269,23 +295,23 @@
         ]
         .join(",");
         let gateway = Gateway::start_alone(&Discovery::new(&entries));
-        let (mut spoilt, mut served) = (0, 0);
-        while spoilt == 0 || served == 0 {
+        let (mut failed_answers, mut served) = (0, 0);
+        while failed_answers == 0 || served == 0 {
             let answer = gateway.request(&ClientRequest::top_up());
             if server.drain_request_count() == 0 {
                 assert_eq!(answer.body, "other");
                 served += 1;
             } else {
-                assert!(failed(&answer), "{text:?}: {answer:?}");
-                spoilt += 1;
+                assert!(is_gateway_error(&answer), "{text:?}: {answer:?}");
+                failed_answers += 1;
             }
         }
     }
 }
 
-/// Guards against an answer without end, in its head or behind it: it is cut, and its connection is closed.
+/// Guards against an answer without end, in its head or its body: it is cut off, and its connection is closed.
 #[test]
-fn an_answer_without_end_is_cut() {
+fn an_answer_without_end_is_cut_off() {
     for start in [
         "HTTP/1.1 200 OK\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -303,7 +329,7 @@
             0,
             "Ready",
         )));
-        assert!(failed(&gateway.request(
+        assert!(is_gateway_error(&gateway.request(
             &ClientRequest::top_up().with_header("X-Expires-In", "6.0")
         )));
         server.wait_closed();
@@ -320,17 +346,18 @@
         let gateway = Gateway::start_alone(&Discovery::new(&endpoint_entry("a", server.address, 0, "Ready")));
         for _ in 0..3 {
             assert_eq!(gateway.request(&ClientRequest::check()).body, "fine");
-            // A connection rests for a moment after each answer.
+            // A connection is not reused for a short time after each answer.
             std::thread::sleep(std::time::Duration::from_millis(100));
         }
-        // All on one connection.
+        // All requests were sent on one connection.
         assert_eq!(server.drain_events().iter().filter(|s| matches!(s, ServerEvent::Connected)).count(), 1);
     }
 }
 
-/// Guards against what comes behind a good answer only when it has been taken: the runtime may not know of it yet.
+/// Guards against bytes that arrive behind a good answer only after it was read: the runtime may not have seen
+/// them yet.
 #[test]
-fn noise_behind_an_answer_spoils_no_other() {
+fn trailing_bytes_behind_an_answer_affect_no_other() {
     let server = Server::new(|m| {
         let id = m.header("X-Trace-Id").unwrap_or("");
         Reply::BytesInTwoParts(
@@ -346,15 +373,15 @@
     )));
     let mut client = gateway.client();
     for _ in 0..10 {
-        // It has come before the next request does.
+        // The trailing bytes have arrived before the next request is sent.
         std::thread::sleep(std::time::Duration::from_millis(50));
-        let ask = ClientRequest::top_up();
+        let client_request = ClientRequest::top_up();
         assert_eq!(
             client
-                .exchange(&ask.to_text())
+                .exchange(&client_request.to_text())
                 .expect("the gateway answers the request")
                 .body,
-            ask.header("X-Trace-Id")
+            client_request.header("X-Trace-Id")
         );
     }
 }
--- a/crates/frosthatch/tests/plain.rs
+++ b/crates/frosthatch/tests/plain.rs
@@ -1,25 +1,25 @@
-//! The plain path, the pool, and what a gateway does at its start.
+//! The ordinary path of a request, the connection pool, and the gateway's start.
 
 mod common;
 use common::*;
 use std::time::Duration;
 
 #[test]
-fn a_request_goes_on_unchanged_and_its_answer_comes_back_unchanged() {
+fn a_request_and_its_answer_pass_unchanged() {
     let server = Server::new(|_| ok("balance 42"));
     let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let gateway = Gateway::start_alone(&discovery);
-    let mut ask = ClientRequest::top_up();
-    ask.path = "/top-up/card?unit=7&q=%20x";
-    let answer = gateway.request(&ask);
+    let mut client_request = ClientRequest::top_up();
+    client_request.path = "/top-up/card?unit=7&q=%20x";
+    let answer = gateway.request(&client_request);
     assert_eq!((answer.status(), answer.body.as_str()), (200, "balance 42"));
-    let got = server.next_request();
-    assert_eq!(got.line, "POST /top-up/card?unit=7&q=%20x HTTP/1.1");
-    assert_eq!(got.body, ask.body);
+    let forwarded = server.next_request();
+    assert_eq!(forwarded.line, "POST /top-up/card?unit=7&q=%20x HTTP/1.1");
+    assert_eq!(forwarded.body, client_request.body);
     for name in ["X-Trace-Id", "Idempotency-Key"] {
-        assert_eq!(got.header(name), Some(ask.header(name)));
+        assert_eq!(forwarded.header(name), Some(client_request.header(name)));
     }
-    let left: f64 = got
+    let left: f64 = forwarded
         .header("X-Expires-In")
         .expect("the request has the remaining time")
         .parse()
@@ -27,8 +27,8 @@
     assert!(left > 0.0 && left < 8.0, "{left}");
 }
 
-/// Guards, too, against waiting for a connection that its server has closed between two requests.
-/// Longer than agreed, and each gives back the room that it took: all of them together are more than there is.
+/// Also guards against waiting for a connection that its server has closed between two requests. The answers are
+/// longer than agreed, and each returns the memory it took: all of them together exceed the limit.
 #[test]
 fn long_answers_come_back_whole() {
     let body = |n: usize| format!("{n}-").repeat(500_000);
@@ -68,23 +68,23 @@
     let gateway = Gateway::start_alone(&discovery);
     let mut last = ClientRequest::check();
     last.path = "/balance-check?last";
-    for ask in [
+    for client_request in [
         ClientRequest::check(),
         ClientRequest::check(),
         last,
         ClientRequest::check(),
         ClientRequest::check(),
     ] {
-        assert_eq!(gateway.request(&ask).status(), 200);
-        // A connection rests for a moment after each answer.
+        assert_eq!(gateway.request(&client_request).status(), 200);
+        // A connection is not reused for a short time after each answer.
         std::thread::sleep(Duration::from_millis(100));
-        if ask.path.contains("last") {
+        if client_request.path.contains("last") {
             server.wait_closed();
-            // Its end has to cross to the gateway.
+            // The end of the connection has to reach the gateway.
             std::thread::sleep(Duration::from_millis(100));
         }
     }
-    // One more connection after the one that ended, for the two requests that were left.
+    // One new connection after the closed one, for the two remaining requests.
     let seen = server.drain_events();
     let count = |what: fn(&ServerEvent) -> bool| seen.iter().filter(|s| what(s)).count();
     assert_eq!(
@@ -99,10 +99,10 @@
     );
 }
 
-/// Guards against servers that drop idle connections unseen, and sooner than the settings say: each request written to
-/// one may have run.
+/// Guards against servers that drop idle connections without closing them, and earlier than the settings say:
+/// each request written to one may have run.
 #[test]
-fn connections_that_servers_drop_unseen_when_idle_are_not_used_for_long() {
+fn silently_dropped_idle_connections_are_soon_no_longer_reused() {
     let server = Server::new(|m| {
         if m.idle > Some(Duration::from_millis(80)) {
             Reply::Close
@@ -112,31 +112,38 @@
     });
     let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let gateway = Gateway::start_alone(&discovery);
-    let dropped = |asks: usize| {
+    let count_requests_on_dropped = |asks: usize| {
         for _ in 0..asks {
             gateway.request(&ClientRequest::top_up());
             std::thread::sleep(Duration::from_millis(150));
         }
-        let late = |s: &ServerEvent| matches!(s, ServerEvent::Request(m) if m.idle > Some(Duration::from_millis(80)));
-        server.drain_events().iter().filter(|s| late(s)).count()
+        let sent_on_dropped = |s: &ServerEvent| matches!(s, ServerEvent::Request(m) if m.idle > Some(Duration::from_millis(80)));
+        server
+            .drain_events()
+            .iter()
+            .filter(|s| sent_on_dropped(s))
+            .count()
     };
-    assert!(dropped(8) >= 1, "nobody knows yet");
-    assert_eq!(dropped(8), 0);
+    assert!(
+        count_requests_on_dropped(8) >= 1,
+        "a request is sent on a dropped connection before the gateway has learned of it"
+    );
+    assert_eq!(count_requests_on_dropped(8), 0);
 }
 
 #[test]
-fn it_is_ready_once_discovery_has_told_the_list() {
+fn the_gateway_is_ready_once_discovery_has_sent_the_list() {
     let server = Server::new(|_| ok(""));
     let entry = endpoint_entry("a", server.address, 0, "Ready");
     let discovery = Discovery::new(&entry);
     discovery.set_mode(DiscoveryMode::Silent);
     let gateway = Gateway::start(discovery.address, None, 1, "");
     discovery.wait_for_calls(1);
-    // Long enough for whatever is done now and then beside listening.
+    // Longer than the interval of the gateway's periodic work besides listening.
     std::thread::sleep(Duration::from_millis(700));
     assert!(
         !gateway.is_ready(),
-        "with no server known nothing can be served"
+        "the gateway is not ready while it knows no server"
     );
     discovery.set_mode(DiscoveryMode::Answering);
     gateway.wait_ready();
@@ -144,7 +151,7 @@
 }
 
 #[test]
-fn with_discovery_down_it_serves_from_the_list_that_it_had() {
+fn with_discovery_down_the_gateway_serves_from_the_known_list() {
     let server = Server::new(|_| ok(""));
     let discovery = Discovery::new("");
     discovery.set_mode(DiscoveryMode::Silent);
@@ -155,19 +162,19 @@
 }
 
 #[test]
-fn a_bad_configuration_is_one_line_and_a_failure() {
-    let fine = format!(
+fn an_invalid_configuration_is_reported_in_one_line_and_fails_the_start() {
+    let valid = format!(
         r#"{{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","limits":{{"sockets":256,"memory_mb":32}},"settings":{}}}"#,
         settings(1)
     );
-    for (text, says) in [
+    for (text, expected) in [
         (String::new(), "malformed"),
         ("{}".into(), "malformed"),
-        (fine.replace("127.0.0.1:0", "nowhere"), "malformed"),
-        (fine.replace("\"seed\":\"1\"", "\"seed\":\"-\""), "seed"),
-        (fine.replace("\"sockets\":256", "\"sockets\":8"), "sockets"),
+        (valid.replace("127.0.0.1:0", "nowhere"), "malformed"),
+        (valid.replace("\"seed\":\"1\"", "\"seed\":\"-\""), "seed"),
+        (valid.replace("\"sockets\":256", "\"sockets\":8"), "sockets"),
         (
-            fine.replace("\"balancers\":1", "\"balancers\":0"),
+            valid.replace("\"balancers\":1", "\"balancers\":0"),
             "gateways",
         ),
     ] {
@@ -176,12 +183,12 @@
             .output()
             .expect("the gateway binary runs");
         let _ = std::fs::remove_file(path);
-        let said = String::from_utf8_lossy(&out.stderr).to_string();
-        assert_eq!(out.status.code(), Some(1), "{said}");
-        assert_eq!(said.lines().count(), 1, "{said}");
+        let printed = String::from_utf8_lossy(&out.stderr).to_string();
+        assert_eq!(out.status.code(), Some(1), "{printed}");
+        assert_eq!(printed.lines().count(), 1, "{printed}");
         assert!(
-            said.starts_with("frosthatch: ") && said.contains(says),
-            "{said}"
+            printed.starts_with("frosthatch: ") && printed.contains(expected),
+            "{printed}"
         );
     }
     let out = gateway_command(std::path::Path::new("/nowhere/config.json"))
