--- a/crates/frosthatch/tests/policy.rs
+++ b/crates/frosthatch/tests/policy.rs
@@ -1,4 +1,4 @@
-//! Several real processes that agree on their policy, and faults between them.
+//! Several gateway processes that agree on their policy, with faults between them.
 #![expect(clippy::too_many_lines)]
 
 use frosthatch_lab::site::Node;
@@ -14,21 +14,21 @@
 use std::time::{Duration, Instant};
 use tokio::runtime::Runtime;
 
-/// Longer than anything here takes on two busy cores.
-const LONG: Duration = Duration::from_secs(40);
+/// Longer than any wait of these tests takes on two busy cores.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 
 struct Fleet {
     testbed: Testbed,
     fixture: PolicyFixture,
     key: PathBuf,
-    _agent: Discovery,
+    _discovery: Discovery,
     _server: Server,
     _runtime: Runtime,
 }
 
-/// The version that the latest record in an acceptor's folder has accepted.
-fn accepted_on_disk(folder: &Path) -> Option<u64> {
-    let names = std::fs::read_dir(folder).ok()?.flatten();
+/// Returns the version that the latest record in an acceptor's state directory has accepted.
+fn accepted_on_disk(directory: &Path) -> Option<u64> {
+    let names = std::fs::read_dir(directory).ok()?.flatten();
     let records = names
         .filter_map(|entry| Some((parse_file_name(entry.file_name().to_str()?)?, entry.path())));
     let (_, latest) = records.max()?;
@@ -37,21 +37,22 @@
 }
 
 impl Fleet {
-    /// The first three keep. `more`: of their tables.
+    /// Starts the processes, the first three of which are acceptors; `more` is added to the `[policy]` table of
+    /// each.
     fn new(name: &str, processes: usize, more: &str) -> Fleet {
-        Fleet::each(name, processes, |_| more.to_string())
+        Fleet::with_tables(name, processes, |_| more.to_string())
     }
 
-    /// The same, with more for each of its own.
-    fn each(name: &str, processes: usize, more: impl Fn(usize) -> String) -> Fleet {
+    /// Starts the processes like `new`, with additional lines for the `[policy]` table of each.
+    fn with_tables(name: &str, processes: usize, more: impl Fn(usize) -> String) -> Fleet {
         let runtime = Runtime::new().expect("the Tokio runtime starts");
         let server = Server::new(|_| ok("done"));
-        let agent = Discovery::new(&endpoint_entry("s0", server.address, 1, "Ready"));
+        let discovery_double = Discovery::new(&endpoint_entry("s0", server.address, 1, "Ready"));
         let relay = Relay::new(runtime.handle(), processes, 5);
         let key = write_config_file(&format!("1 {}\n", "k".repeat(40)));
         let fixture = PolicyFixture::new(name, 3, 500);
         let process = |n: usize| {
-            let discovery = agent.address;
+            let discovery = discovery_double.address;
             let node = Node {
                 gateways: processes,
                 me: n,
@@ -75,53 +76,61 @@
             testbed,
             fixture,
             key,
-            _agent: agent,
+            _discovery: discovery_double,
             _server: server,
             _runtime: runtime,
         };
         fleet.testbed.start_all();
         fleet.testbed.wait_until_all_found();
-        fleet.all_hold(0);
+        fleet.wait_until_all_hold(0);
         fleet
     }
 
-    /// A process gets another table, and starts anew with it.
-    fn restart(&mut self, who: usize, more: &str) {
-        self.testbed.apply(&TimelineAction::Kill { who: vec![who] });
+    /// Kills a process and starts it with other additional lines in its table.
+    fn restart(&mut self, target: usize, more: &str) {
+        self.testbed
+            .apply(&TimelineAction::Kill { who: vec![target] });
         let file = fleet_file(
             &self.testbed.relay,
-            who,
+            target,
             &self.key,
-            &self.fixture.policy_table(who, more),
+            &self.fixture.policy_table(target, more),
         );
-        self.testbed.processes[who].replace_operator_file(&file);
-        self.testbed.start(who);
+        self.testbed.processes[target].replace_operator_file(&file);
+        self.testbed.start(target);
     }
 
-    /// Starts it anew so that it dies at a step, once all serve under this version. Acceptors that are still brought together
-    /// may take it to that step before anything is proposed: then they are left to finish, and it starts again.
-    fn restart_to_die(&mut self, who: usize, step: &str, after: u64, version: u64) {
+    /// Restarts a process so that it exits at a step, once all serve under `version`. Acceptors that are still
+    /// catching up may take it to that step before anything is proposed: then they are left to finish, and it is
+    /// restarted again.
+    fn restart_to_exit_at(&mut self, target: usize, step: &str, after: u64, version: u64) {
         let since = Instant::now();
         loop {
-            self.all_keepers_store(version);
-            self.restart(who, &format!("dies_at = {step:?}\ndies_after = {after}\n"));
-            while !self.testbed.processes[who].has_exited() && !self.hold(version) {
+            self.wait_until_acceptors_stored(version);
+            self.restart(
+                target,
+                &format!("dies_at = {step:?}\ndies_after = {after}\n"),
+            );
+            while !self.testbed.processes[target].has_exited() && !self.all_running_hold(version) {
                 assert!(
-                    since.elapsed() < LONG,
-                    "not all hold {version} before {step} {after}"
+                    since.elapsed() < WAIT_TIMEOUT,
+                    "all processes hold version {version} before step {step} {after}"
                 );
                 std::thread::sleep(Duration::from_millis(20));
             }
-            if !self.testbed.processes[who].has_exited() {
-                assert!((0..4).all(|n| self.asks(n) == 200), "before {step} {after}");
+            if !self.testbed.processes[target].has_exited() {
+                assert!(
+                    (0..4).all(|n| self.request_status(n) == 200),
+                    "all gateways serve before step {step} {after}"
+                );
                 return;
             }
             assert!(
-                since.elapsed() < LONG,
-                "it dies at {step} {after} again and again"
+                since.elapsed() < WAIT_TIMEOUT,
+                "the process exits at step {step} {after} in every attempt"
             );
-            self.restart(who, "");
-            self.all_hold(version);
+            self.restart(target, "");
+            self.wait_until_all_hold(version);
         }
     }
 
@@ -135,36 +144,41 @@
         let since = Instant::now();
         while !holds(self) {
             let all = &self.testbed.processes;
-            let says = || {
+            let statuses = || {
                 all.iter()
                     .map(|p| p.console().and_then(policy_fixture::policy_status))
                     .collect::<Vec<_>>()
             };
-            assert!(since.elapsed() < LONG, "{what}: {:#?}", says());
+            assert!(since.elapsed() < WAIT_TIMEOUT, "{what}: {:#?}", statuses());
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
-    fn hold(&self, version: u64) -> bool {
+    fn all_running_hold(&self, version: u64) -> bool {
         let mut running = self.testbed.processes.iter().filter(|p| p.is_running());
         running.all(|p| policy_fixture::version_in_force(p) == Some(version))
     }
 
-    fn all_hold(&self, version: u64) {
-        self.until(&format!("all hold {version}"), |f| f.hold(version));
+    fn wait_until_all_hold(&self, version: u64) {
+        self.until(&format!("all processes hold version {version}"), |f| {
+            f.all_running_hold(version)
+        });
     }
 
-    /// Until each acceptor has accepted this version on its disk. Before that it may still be brought up to date, and a member
-    /// that is to die at a step may reach that step in doing so.
-    fn all_keepers_store(&self, version: u64) {
-        self.until(&format!("all keepers have accepted {version}"), |f| {
-            (0..f.fixture.acceptors)
-                .all(|n| accepted_on_disk(&f.fixture.state_directory(n)) == Some(version))
-        });
+    /// Waits until each acceptor has accepted `version` on disk. Before that it may still be catching up, and a
+    /// member that is to exit at a step may reach that step in doing so.
+    fn wait_until_acceptors_stored(&self, version: u64) {
+        self.until(
+            &format!("all acceptors have stored version {version}"),
+            |f| {
+                (0..f.fixture.acceptors)
+                    .all(|n| accepted_on_disk(&f.fixture.state_directory(n)) == Some(version))
+            },
+        );
     }
 
-    /// All that run see so many that are ready, themselves included: the rest is held dead.
-    fn all_see(&self, ready: usize) {
+    /// Waits until all running processes see `ready` ready members, themselves included: the rest is held dead.
+    fn wait_until_all_see(&self, ready: usize) {
         let seen = |f: &Fleet| {
             f.testbed
                 .fleet_views()
@@ -172,13 +186,16 @@
                 .flatten()
                 .all(|v| v.ready == ready)
         };
-        self.until("the others hold the rest dead", seen);
+        self.until(
+            "all processes see the expected number of ready members",
+            seen,
+        );
     }
 
-    /// Proposes by a process, and waits for the end.
+    /// Proposes a document through a process and returns the final state and its reason.
     fn propose(&self, by: usize, document: &str) -> (String, String) {
         let number = match policy_fixture::propose(self.console(by), document)
-            .expect("the gateway answers the request")
+            .expect("the console answers")
         {
             Ok(number) => number,
             Err(why) => return ("refused".into(), why),
@@ -190,48 +207,51 @@
             if state != "open" {
                 return (state, why);
             }
-            assert!(since.elapsed() < LONG, "proposal {number} has no end");
+            assert!(
+                since.elapsed() < WAIT_TIMEOUT,
+                "proposal {number} stays open"
+            );
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
-    fn asks(&self, by: usize) -> u16 {
-        let ask = ClientRequest::check()
+    fn request_status(&self, by: usize) -> u16 {
+        let http_request = ClientRequest::check()
             .with_header("X-Tier", "mellem")
             .to_text();
         self.testbed.processes[by]
             .client()
-            .exchange(&ask)
+            .exchange(&http_request)
             .map_or(0, |m| m.status())
     }
 
-    fn policy(&self, by: usize, words: &[&str]) -> (Option<i32>, String) {
+    fn run_policy_command(&self, by: usize, arguments: &[&str]) -> (Option<i32>, String) {
         let mut command = std::process::Command::new(frosthatch_test_doubles::gateway_binary());
         let out = command
             .arg("policy")
-            .args(words)
+            .args(arguments)
             .args(["--console", &self.console(by).to_string()])
             .output();
         let out = out.expect("the gateway binary runs");
-        let said = [out.stdout, out.stderr].concat();
+        let output = [out.stdout, out.stderr].concat();
         (
             out.status.code(),
-            String::from_utf8_lossy(&said).to_string(),
+            String::from_utf8_lossy(&output).to_string(),
         )
     }
 
-    /// I1, I2 and I5, by what each let in when.
-    fn kept(&self, changes: usize) {
+    /// Asserts the invariants I1, I2 and I5 by the time and version of each admitted request.
+    fn assert_admission_invariants(&self, changes: usize) {
         let all = self.fixture.admitted_requests(self.testbed.processes.len());
         let (window, seen) = policy_fixture::stale_version_window(&all);
         assert!(
             window <= 250_000,
-            "let in under an old version for {window} us"
+            "requests were admitted under an old version for {window} us, at most 250,000 us are allowed"
         );
         assert_eq!(policy_fixture::count_conflicting_documents(&all), 0);
         assert!(
             seen >= changes,
-            "{seen} changes seen in {} requests",
+            "{seen} changes seen in {} requests, expected at least {changes}",
             all.len()
         );
     }
@@ -244,29 +264,32 @@
 }
 
 #[test]
-fn a_change_is_in_force_everywhere_or_nowhere_and_the_command_line_says_which() {
+fn a_change_is_in_force_everywhere_or_nowhere_and_the_command_line_reports_which() {
     let fleet = Fleet::new("change", 4, "");
-    assert!((0..4).all(|n| fleet.asks(n) == 200));
+    assert!((0..4).all(|n| fleet.request_status(n) == 200));
     let first = document(1, "", 100.0);
     let file = write_config_file(&first);
-    let (code, said) = fleet.policy(
+    let (code, output) = fleet.run_policy_command(
         3,
         &[
             "propose",
             file.to_str().expect("the temporary path is UTF-8"),
         ],
     );
-    assert_eq!(code, Some(0), "{said}");
-    fleet.all_hold(1);
-    assert!((0..4).all(|n| fleet.asks(n) == 200));
-    assert!(fleet.policy(1, &["show"]).1.contains("[plans.mellem]"));
-    let (_, status) = fleet.policy(0, &["status"]);
+    assert_eq!(code, Some(0), "{output}");
+    fleet.wait_until_all_hold(1);
+    assert!((0..4).all(|n| fleet.request_status(n) == 200));
+    assert!(fleet
+        .run_policy_command(1, &["show"])
+        .1
+        .contains("[plans.mellem]"));
+    let (_, status) = fleet.run_policy_command(0, &["status"]);
     assert!(
         status.contains("version 1, in force") && status.contains("this one keeps: state"),
         "{status}"
     );
-    // Twice the same version: it is nowhere, and the caller is told.
-    let (code, said) = fleet.policy(
+    // A second document with the same version is in force nowhere, and the caller gets an error.
+    let (code, output) = fleet.run_policy_command(
         0,
         &[
             "propose",
@@ -276,13 +299,13 @@
         ],
     );
     assert!(
-        code == Some(2) && said.contains("in its place"),
-        "{code:?} {said}"
+        code == Some(2) && output.contains("in its place"),
+        "{code:?} {output}"
     );
-    // A mistake, with its place.
+    // A mistake is reported with its line and column.
     let wrong =
         document(2, &policy_fixture::digest(&first), 50.0).replace("burst = 400", "burst = -4");
-    let (code, said) = fleet.policy(
+    let (code, output) = fleet.run_policy_command(
         2,
         &[
             "propose",
@@ -292,34 +315,36 @@
         ],
     );
     assert!(
-        code == Some(2) && said.contains("line 6, column 9"),
-        "{code:?} {said}"
+        code == Some(2) && output.contains("line 6, column 9"),
+        "{code:?} {output}"
     );
     let second = document(2, &policy_fixture::digest(&first), 50.0);
     assert_eq!(fleet.propose(0, &second).0, "in force");
-    fleet.all_hold(2);
-    assert!((0..4).all(|n| fleet.asks(n) == 200));
-    fleet.kept(2);
-    let (_, history) = fleet.policy(2, &["history"]);
+    fleet.wait_until_all_hold(2);
+    assert!((0..4).all(|n| fleet.request_status(n) == 200));
+    fleet.assert_admission_invariants(2);
+    let (_, history) = fleet.run_policy_command(2, &["history"]);
     assert!(history.lines().count() == 4, "{history}");
 }
 
 #[test]
-fn who_was_down_or_stopped_or_cut_off_never_lets_in_under_the_old_one_again() {
+fn a_gateway_that_was_down_stopped_or_cut_off_admits_nothing_under_the_old_version() {
     let mut fleet = Fleet::new("absent", 6, "");
     let first = document(1, "", 100.0);
     assert_eq!(fleet.propose(0, &first).0, "in force");
-    fleet.all_hold(1);
-    assert!((0..6).all(|n| fleet.asks(n) == 200));
+    fleet.wait_until_all_hold(1);
+    assert!((0..6).all(|n| fleet.request_status(n) == 200));
     fleet.testbed.apply(&TimelineAction::Kill { who: vec![3] });
     fleet.testbed.apply(&TimelineAction::Stop { who: vec![4] });
     let others = vec![0, 1, 2];
     fleet.testbed.apply(&TimelineAction::Split {
         groups: vec![others.clone(), vec![3], vec![4], vec![5]],
     });
-    // It goes on by its leases for as long as they last, and then refuses at once.
-    fleet.until("who is cut off refuses", |f| f.asks(5) == 429);
-    fleet.until("the others hold the rest dead", |f| {
+    // The gateway that is cut off admits requests until its leases end, and then refuses at once.
+    fleet.until("the gateway that is cut off refuses", |f| {
+        f.request_status(5) == 429
+    });
+    fleet.until("three members hold the other three dead", |f| {
         f.testbed.fleet_views()[..3]
             .iter()
             .flatten()
@@ -327,44 +352,49 @@
     });
     let second = document(2, &policy_fixture::digest(&first), 50.0);
     assert_eq!(fleet.propose(1, &second).0, "in force");
-    fleet.until("those that are there hold it", |f| {
+    fleet.until("the three connected gateways hold version 2", |f| {
         (0..3).all(|n| policy_fixture::version_in_force(&f.testbed.processes[n]) == Some(2))
     });
-    assert!((0..3).all(|n| fleet.asks(n) == 200));
-    assert_eq!(fleet.asks(5), 429);
-    // Back, with its very next request already there.
+    assert!((0..3).all(|n| fleet.request_status(n) == 200));
+    assert_eq!(fleet.request_status(5), 429);
+    // Continued, with its next request already waiting.
     fleet
         .testbed
         .apply(&TimelineAction::Continue { who: vec![4] });
-    let woken = fleet.asks(4);
-    assert!(woken == 429, "{woken}: it has no lease any more");
+    let status_after_continue = fleet.request_status(4);
+    assert!(
+        status_after_continue == 429,
+        "status {status_after_continue}: a continued gateway has no lease"
+    );
     fleet.testbed.apply(&TimelineAction::Heal);
     fleet.testbed.start(3);
-    fleet.all_hold(2);
-    assert!((0..6).all(|n| fleet.asks(n) == 200));
-    fleet.kept(2);
+    fleet.wait_until_all_hold(2);
+    assert!((0..6).all(|n| fleet.request_status(n) == 200));
+    fleet.assert_admission_invariants(2);
 }
 
 #[test]
-fn a_minority_of_keepers_costs_nothing_and_all_that_was_told_outlives_a_crash_of_all() {
+fn losing_a_minority_of_acceptors_has_no_effect_and_changes_survive_a_crash_of_all() {
     let mut fleet = Fleet::new("keepers", 4, "");
     let first = document(1, "", 100.0);
     assert_eq!(fleet.propose(3, &first).0, "in force");
-    fleet.all_hold(1);
+    fleet.wait_until_all_hold(1);
     fleet.testbed.apply(&TimelineAction::Kill { who: vec![0] });
     let since = Instant::now();
     while since.elapsed() < Duration::from_millis(1_500) {
-        assert!((1..4).all(|n| fleet.asks(n) == 200));
+        assert!((1..4).all(|n| fleet.request_status(n) == 200));
         std::thread::sleep(Duration::from_millis(40));
     }
     let second = document(2, &policy_fixture::digest(&first), 50.0);
-    fleet.all_see(3);
+    fleet.wait_until_all_see(3);
     assert_eq!(fleet.propose(3, &second).0, "in force");
-    fleet.all_hold(2);
-    // Without a majority nothing is let in, nor changed.
+    fleet.wait_until_all_hold(2);
+    // Without a majority of acceptors no request is admitted and no change is made.
     fleet.testbed.apply(&TimelineAction::Kill { who: vec![1] });
-    fleet.until("refused at once", |f| f.asks(2) == 429 && f.asks(3) == 429);
-    fleet.all_see(2);
+    fleet.until("the remaining gateways refuse", |f| {
+        f.request_status(2) == 429 && f.request_status(3) == 429
+    });
+    fleet.wait_until_all_see(2);
     let third = document(3, &policy_fixture::digest(&second), 40.0);
     let (state, why) = fleet.propose(3, &third);
     assert!(
@@ -375,13 +405,13 @@
         .testbed
         .apply(&TimelineAction::Kill { who: vec![2, 3] });
     fleet.testbed.start_all();
-    fleet.all_hold(2);
-    assert!((0..4).all(|n| fleet.asks(n) == 200));
-    fleet.kept(2);
-    // A state that was damaged is told, and nothing is guessed from it: the others do without this keeper.
+    fleet.wait_until_all_hold(2);
+    assert!((0..4).all(|n| fleet.request_status(n) == 200));
+    fleet.assert_admission_invariants(2);
+    // A damaged state is reported, and nothing is inferred from it: the others work without this acceptor.
     fleet.testbed.apply(&TimelineAction::Kill { who: vec![0] });
-    let folder = fleet.fixture.state_directory(0);
-    let files = std::fs::read_dir(&folder)
+    let directory = fleet.fixture.state_directory(0);
+    let files = std::fs::read_dir(&directory)
         .expect("the state directory can be read")
         .flatten()
         .map(|e| e.path());
@@ -394,17 +424,18 @@
     bytes[middle] ^= 4;
     std::fs::write(&last, bytes).expect("the file can be written");
     fleet.testbed.start(0);
-    fleet.all_hold(2);
-    let keeps = policy_fixture::policy_status(fleet.console(0))
+    fleet.wait_until_all_hold(2);
+    let acceptor_status = policy_fixture::policy_status(fleet.console(0))
         .expect("the console returns the policy status")["keeps"]
         .to_string();
-    assert!(keeps.contains("checksum"), "{keeps}");
+    assert!(acceptor_status.contains("checksum"), "{acceptor_status}");
 }
 
 #[test]
-fn a_member_that_cannot_take_it_keeps_it_from_all() {
+fn a_change_that_one_member_cannot_take_is_in_force_nowhere() {
     let mut fleet = Fleet::new("cannot", 3, "patience_ms = 3000\n");
-    // Stopped, it says nothing, and it is not held dead yet: the change waits for it, and is nowhere in time.
+    // A member that is cut off doesn't answer and is not yet held dead: the change waits for it and is refused
+    // at its timeout.
     fleet.testbed.apply(&TimelineAction::Cut {
         from: vec![2],
         to: vec![0],
@@ -419,7 +450,7 @@
     assert!(
         (0..3).all(|n| policy_fixture::version_in_force(&fleet.testbed.processes[n]) == Some(0))
     );
-    // What no gateway can serve under is told before anybody is asked.
+    // A policy that no gateway can serve under is refused before any member is asked to check it.
     let unknown = first.replace("plans.counted]", "plans.other]");
     let (state, why) = fleet.propose(0, &unknown);
     assert!(
@@ -427,57 +458,65 @@
         "{state} {why}"
     );
     assert_eq!(fleet.propose(0, &first).0, "in force");
-    fleet.all_hold(1);
+    fleet.wait_until_all_hold(1);
 }
 
-/// A keeper's folder is lost; another is set up in its place, and bears the loss of a third one; the old folder is of no use any more.
+/// An acceptor's state directory is lost; a new one is set up in its place, which then makes up for the loss of
+/// another acceptor; the old directory is no longer accepted.
 #[test]
-fn a_keeper_is_replaced_and_its_old_folder_is_told_apart() {
+fn an_acceptor_is_replaced_and_its_old_directory_is_refused() {
     let mut fleet = Fleet::new("replaced", 4, "");
     let first = document(1, "", 100.0);
     assert_eq!(fleet.propose(3, &first).0, "in force");
-    fleet.all_hold(1);
+    fleet.wait_until_all_hold(1);
     fleet.testbed.apply(&TimelineAction::Kill { who: vec![0] });
-    let folder = fleet.fixture.state_directory(0);
-    let old = folder.with_extension("old");
-    std::fs::rename(&folder, &old).expect("the directory can be moved");
-    std::fs::create_dir(&folder).expect("the directory can be created");
-    let keeps = |f: &Fleet| {
+    let directory = fleet.fixture.state_directory(0);
+    let old = directory.with_extension("old");
+    std::fs::rename(&directory, &old).expect("the directory can be moved");
+    std::fs::create_dir(&directory).expect("the directory can be created");
+    let acceptor_status = |f: &Fleet| {
         policy_fixture::policy_status(f.console(0))
             .map_or(String::new(), |s| s["keeps"].to_string())
     };
-    // An empty folder is not taken for a new keeper's.
+    // An empty directory is not taken for a new acceptor's state.
     fleet.testbed.start(0);
-    fleet.until("it is told", |f| keeps(f).contains("policy init"));
-    fleet.all_hold(1);
+    fleet.until("the empty directory is reported", |f| {
+        acceptor_status(f).contains("policy init")
+    });
+    fleet.wait_until_all_hold(1);
     fleet.testbed.apply(&TimelineAction::Kill { who: vec![0] });
-    let made = StateDirectory::open(&folder).and_then(|f| f.init("n0", true));
-    assert_eq!(made, Ok(()));
+    let initialized = StateDirectory::open(&directory).and_then(|f| f.init("n0", true));
+    assert_eq!(initialized, Ok(()));
     fleet.testbed.start(0);
-    fleet.until("it has joined", |f| keeps(f).contains("state 2"));
-    fleet.all_hold(1);
+    fleet.until("the new acceptor has joined", |f| {
+        acceptor_status(f).contains("state 2")
+    });
+    fleet.wait_until_all_hold(1);
     fleet.testbed.apply(&TimelineAction::Kill { who: vec![1] });
-    fleet.all_see(3);
+    fleet.wait_until_all_see(3);
     let second = document(2, &policy_fixture::digest(&first), 50.0);
     assert_eq!(fleet.propose(3, &second).0, "in force");
-    fleet.all_hold(2);
+    fleet.wait_until_all_hold(2);
     fleet.testbed.start(1);
-    fleet.all_hold(2);
+    fleet.wait_until_all_hold(2);
     fleet.testbed.apply(&TimelineAction::Kill { who: vec![0] });
-    std::fs::remove_dir_all(&folder).expect("the file can be removed");
-    std::fs::rename(&old, &folder).expect("the directory can be moved back");
+    std::fs::remove_dir_all(&directory).expect("the directory can be removed");
+    std::fs::rename(&old, &directory).expect("the directory can be moved back");
     fleet.testbed.start(0);
-    fleet.until("it is told", |f| keeps(f).contains("put back from a copy"));
-    fleet.all_hold(2);
-    assert!((0..4).all(|n| fleet.asks(n) == 200));
-    fleet.kept(1);
+    fleet.until("the old directory is reported", |f| {
+        acceptor_status(f).contains("put back from a copy")
+    });
+    fleet.wait_until_all_hold(2);
+    assert!((0..4).all(|n| fleet.request_status(n) == 200));
+    fleet.assert_admission_invariants(1);
 }
 
-/// Clocks that drift by as much as is allowed for, fast and slow, at keepers and at others, while requests come all the time: nobody lets
-/// one in under the old version once somebody has under the new one.
+/// Clocks drift by as much as is allowed for, fast and slow, at acceptors and at others, while requests arrive
+/// all the time: no gateway admits a request under the old version once another has admitted one under the new
+/// version.
 #[test]
-fn clocks_that_drift_apart_let_nobody_serve_too_long() {
-    let fleet = Fleet::each("drift", 5, |n| {
+fn drifting_clocks_let_no_gateway_serve_under_an_old_version() {
+    let fleet = Fleet::with_tables("drift", 5, |n| {
         format!("skew = {}\n", [10, -10, 0, -10, 10][n])
     });
     let ending = std::sync::atomic::AtomicBool::new(false);
@@ -496,7 +535,7 @@
         for version in 1..=6 {
             let document = document(version, &parent, 1_000.0);
             assert_eq!(fleet.propose(version as usize % 5, &document).0, "in force");
-            fleet.all_hold(version);
+            fleet.wait_until_all_hold(version);
             parent = policy_fixture::digest(&document);
         }
         ending.store(true, std::sync::atomic::Ordering::Relaxed);
@@ -505,17 +544,18 @@
     assert_eq!(
         (window, seen),
         (0, 6),
-        "for so many us somebody let requests in under an old version"
+        "(us in which requests were admitted under an old version, changes seen)"
     );
 }
 
-/// Whoever proposes and each keeper, killed at each step by name, alone or with everybody else: what was told holds, and of the rest all
-/// hold the same; the next change is made.
+/// The proposer and an acceptor are killed at each named step, alone or with all others: what was reported as in
+/// force holds, otherwise all processes hold the same version; the next change is made.
 #[test]
 fn killed_at_each_step_by_name_a_change_is_everywhere_or_nowhere() {
     let mut fleet = Fleet::new("steps", 4, "");
     let (mut version, mut parent) = (0, String::new());
-    // Who dies, just before what, having done it so often. The fourth keeps nothing; it asks three others and three keepers.
+    // The process that exits, the step before which it exits, and how many times it has done the step by then.
+    // The fourth process is no acceptor; it asks three other members and three acceptors.
     let steps = [
         (3, "check", 0),
         (3, "check", 1),
@@ -533,104 +573,121 @@
         (1, "stored", 1),
         (1, "accepted", 0),
     ];
-    let mut came = 0;
-    for (turn, (who, step, after)) in steps.into_iter().enumerate() {
-        fleet.restart_to_die(who, step, after, version);
-        let mut next = document(version + 1, &parent, 100.0 + turn as f64);
-        // It may die before it has said that it took it up.
-        let propose = |f: &Fleet, next: &str| {
-            policy_fixture::propose(f.console(3), next)
+    let mut in_force_count = 0;
+    for (turn, (target, step, after)) in steps.into_iter().enumerate() {
+        fleet.restart_to_exit_at(target, step, after, version);
+        let mut proposal = document(version + 1, &parent, 100.0 + turn as f64);
+        // The proposer may exit before it has answered that it accepts the proposal.
+        let propose = |f: &Fleet, proposal: &str| {
+            policy_fixture::propose(f.console(3), proposal)
                 .map(|n| n.expect("the change can be proposed"))
         };
-        let mut number = propose(&fleet, &next);
+        let mut number = propose(&fleet, &proposal);
         let since = Instant::now();
-        while !fleet.testbed.processes[who].has_exited() {
-            assert!(since.elapsed() < LONG, "nobody died at {step} {after}");
-            // A keeper whose word came too late to be needed may not have got there: then with the next one.
+        while !fleet.testbed.processes[target].has_exited() {
+            assert!(
+                since.elapsed() < WAIT_TIMEOUT,
+                "process {target} exits at step {step} {after}"
+            );
+            // An acceptor whose answer came too late to be needed may not have reached the step: then it does
+            // with the next proposal.
             let ended = number
-                .filter(|_| who != 3)
+                .filter(|_| target != 3)
                 .and_then(|n| policy_fixture::proposal_outcome(fleet.console(3), n));
             if ended.is_some_and(|(state, _)| state == "in force") {
                 std::thread::sleep(Duration::from_millis(700));
-                if !fleet.testbed.processes[who].has_exited() {
-                    (version, parent) = (version + 1, policy_fixture::digest(&next));
-                    next = document(version + 1, &parent, 100.0 + turn as f64);
-                    number = propose(&fleet, &next);
+                if !fleet.testbed.processes[target].has_exited() {
+                    (version, parent) = (version + 1, policy_fixture::digest(&proposal));
+                    proposal = document(version + 1, &parent, 100.0 + turn as f64);
+                    number = propose(&fleet, &proposal);
                 }
             }
             std::thread::sleep(Duration::from_millis(5));
         }
-        let told = number
-            .filter(|_| who != 3)
+        let reported_in_force = number
+            .filter(|_| target != 3)
             .and_then(|n| policy_fixture::proposal_outcome(fleet.console(3), n));
-        let told = told.is_some_and(|(state, _)| state == "in force");
-        let all: Vec<usize> = (0..4).filter(|n| turn % 2 == 1 || *n == who).collect();
+        let reported_in_force = reported_in_force.is_some_and(|(state, _)| state == "in force");
+        let all: Vec<usize> = (0..4).filter(|n| turn % 2 == 1 || *n == target).collect();
         fleet
             .testbed
             .apply(&TimelineAction::Kill { who: all.clone() });
-        if turn % 2 == 0 && who == 1 {
-            // The others go on without it, and whoever proposed is told.
-            let number = number.expect("the proposal was accepted for processing");
-            fleet.until("told", |f| {
+        if turn % 2 == 0 && target == 1 {
+            // The others continue without the acceptor, and the proposer reports the outcome.
+            let number = number.expect("the console has accepted the proposal");
+            fleet.until("the proposal has an outcome", |f| {
                 policy_fixture::proposal_outcome(f.console(3), number)
                     .is_some_and(|(s, _)| s != "open")
             });
         }
         let file = fleet_file(
             &fleet.testbed.relay,
-            who,
+            target,
             &fleet.key,
-            &fleet.fixture.policy_table(who, ""),
+            &fleet.fixture.policy_table(target, ""),
         );
-        fleet.testbed.processes[who].replace_operator_file(&file);
+        fleet.testbed.processes[target].replace_operator_file(&file);
         all.into_iter().for_each(|n| fleet.testbed.start(n));
-        let high = |f: &Fleet| {
-            let held: Vec<_> = f
+        let common_version = |f: &Fleet| {
+            let version_held: Vec<_> = f
                 .testbed
                 .processes
                 .iter()
                 .map(policy_fixture::version_in_force)
                 .collect();
-            held.iter()
-                .all(|v| v.is_some() && *v == held[0])
-                .then(|| held[0])
+            version_held
+                .iter()
+                .all(|v| v.is_some() && *v == version_held[0])
+                .then(|| version_held[0])
                 .flatten()
         };
-        fleet.until("all hold the same", |f| high(f).is_some());
-        let mut held = high(&fleet).expect("the rest of the fleet makes the change");
-        let mut again = document(version + 1, &parent, 300.0 + turn as f64);
-        if held == version && fleet.propose(0, &again).0 == "in force" {
-            assert!(!told, "told as in force at {step} {after}, and lost");
+        fleet.until("all processes hold the same version", |f| {
+            common_version(f).is_some()
+        });
+        let mut version_held =
+            common_version(&fleet).expect("the wait above has seen a common version");
+        let mut next_document = document(version + 1, &parent, 300.0 + turn as f64);
+        if version_held == version && fleet.propose(0, &next_document).0 == "in force" {
+            assert!(
+                !reported_in_force,
+                "a change reported as in force at step {step} {after} is not lost"
+            );
         } else {
-            // It was there already, or half done and finished by the next one.
-            fleet.until("all hold what was left", |f| high(f) == Some(version + 1));
-            held = version + 1;
-            (version, parent) = (held, policy_fixture::digest(&next));
-            came += 1;
-            again = document(version + 1, &parent, 300.0 + turn as f64);
+            // The change was already in force, or was left half done and completed by the next proposal.
+            fleet.until("all processes hold the unfinished change", |f| {
+                common_version(f) == Some(version + 1)
+            });
+            version_held = version + 1;
+            (version, parent) = (version_held, policy_fixture::digest(&proposal));
+            in_force_count += 1;
+            next_document = document(version + 1, &parent, 300.0 + turn as f64);
             assert_eq!(
-                fleet.propose(0, &again).0,
+                fleet.propose(0, &next_document).0,
                 "in force",
-                "after {step} {after}"
+                "a change after step {step} {after} comes into force"
             );
         }
-        assert!(held <= version, "{held} after {step} {after}");
-        (version, parent) = (version + 1, policy_fixture::digest(&again));
-        fleet.all_hold(version);
-        assert!((0..4).all(|n| fleet.asks(n) == 200));
+        assert!(
+            version_held <= version,
+            "version {version_held} is held after step {step} {after}, {version} is the last"
+        );
+        (version, parent) = (version + 1, policy_fixture::digest(&next_document));
+        fleet.wait_until_all_hold(version);
+        assert!((0..4).all(|n| fleet.request_status(n) == 200));
     }
-    // Both came about, or the steps were not where their names say.
+    // Both outcomes occurred; otherwise the steps are not where their names say.
     assert!(
-        (3..steps.len() - 3).contains(&came),
-        "{came} of {} came to be in force",
+        (3..steps.len() - 3).contains(&in_force_count),
+        "{in_force_count} of {} changes came into force",
         steps.len()
     );
-    fleet.kept(steps.len());
+    fleet.assert_admission_invariants(steps.len());
 }
 
-/// Of nine gateways one cannot read the plug-in that a policy names, and another joins while it is asked for.
+/// One of nine gateways has another file of the plug-in that a policy names, and another gateway joins while the
+/// change is under way.
 #[test]
-fn a_plug_in_that_one_of_nine_does_not_have_keeps_the_policy_from_all() {
+fn a_policy_whose_plugin_one_of_nine_gateways_lacks_is_in_force_nowhere() {
     let module = r#"(module (memory (export "memory") 1)
         (func (export "frosthatch_abi") (result i32) i32.const 1)
         (func (export "alloc") (param i32) (result i32) i32.const 1024)
@@ -640,8 +697,8 @@
         write_config_file(&module.replace("1024", "2048")),
     );
     let table = |file: &PathBuf| format!("[plugins.till]\nfile = {file:?}\n");
-    let mut fleet = Fleet::each("nine", 9, |n| table(if n == 8 { &other } else { &file }));
-    let bytes = std::fs::read(&file).expect("the plug-in's file can be written");
+    let mut fleet = Fleet::with_tables("nine", 9, |n| table(if n == 8 { &other } else { &file }));
+    let bytes = std::fs::read(&file).expect("the plug-in's file can be read");
     let digest = frosthatch_policy_consensus::document::hex(
         &frosthatch_policy_consensus::document::sha256(&bytes),
     );
@@ -659,20 +716,20 @@
         .processes
         .iter()
         .all(|p| policy_fixture::version_in_force(p) == Some(0)));
-    // One that joins in the middle of a change holds it, too.
+    // A gateway that joins in the middle of a change gets the new version, too.
     fleet.restart(8, &table(&file));
     fleet.testbed.apply(&TimelineAction::Kill { who: vec![7] });
-    fleet.all_see(8);
+    fleet.wait_until_all_see(8);
     let number = policy_fixture::propose(fleet.console(4), &first)
-        .expect("the gateway answers the request")
+        .expect("the console answers")
         .expect("the change can be proposed");
     fleet.testbed.start(7);
-    fleet.until("in force", |f| {
+    fleet.until("the proposal is in force", |f| {
         policy_fixture::proposal_outcome(f.console(4), number).is_some_and(|(s, _)| s == "in force")
     });
-    fleet.all_hold(1);
-    assert!((0..9).all(|n| fleet.asks(n) == 200));
-    fleet.kept(1);
+    fleet.wait_until_all_hold(1);
+    assert!((0..9).all(|n| fleet.request_status(n) == 200));
+    fleet.assert_admission_invariants(1);
     for file in [file, other] {
         let _ = std::fs::remove_file(file);
     }
--- a/crates/frosthatch/tests/quiet_lists.rs
+++ b/crates/frosthatch/tests/quiet_lists.rs
@@ -1,4 +1,5 @@
-//! Discovery that goes quiet, lies or comes back: a change is known soon after it could be asked for.
+//! Discovery that is silent, sends invalid answers or comes back: a change is known soon after it could be
+//! fetched.
 
 mod common;
 use common::*;
@@ -11,19 +12,22 @@
     (Server::new(|_| ok("a")), Server::new(|_| ok("b")))
 }
 
-/// How long until requests go to another server.
-fn until_told(gateway: &Gateway, body: &str) -> Duration {
+/// Sends requests until one is served by the server that answers `body`, and returns how long that took.
+fn time_until_served_by(gateway: &Gateway, body: &str) -> Duration {
     let since = Instant::now();
     while gateway.request(&ClientRequest::check()).body != body {
-        assert!(since.elapsed() < TIMEOUT, "it is never told");
+        assert!(
+            since.elapsed() < TIMEOUT,
+            "the server that answers {body:?} serves a request"
+        );
         sleep(Duration::from_millis(5));
     }
     since.elapsed()
 }
 
-/// Guards against waiting calls that fall silent again and again: what is asked next may not wait.
+/// Guards against long polls that fall silent repeatedly: the next call must not wait for them.
 #[test]
-fn a_change_is_known_though_no_watch_is_ever_answered() {
+fn a_change_is_known_although_no_watch_is_answered() {
     let (a, b) = servers();
     let discovery = Discovery::new(&endpoint_entry("a", a.address, 0, "Ready"));
     let gateway = Gateway::start_alone(&discovery);
@@ -33,14 +37,14 @@
         (endpoint_entry("a", a.address, 0, "Ready"), "a"),
     ] {
         discovery.publish(true, &entry);
-        assert!(until_told(&gateway, body) < Duration::from_secs(6));
+        assert!(time_until_served_by(&gateway, body) < Duration::from_secs(6));
     }
 }
 
-/// Guards against patience with a call that was made while discovery was down: it learns nothing then and answers nothing
-/// later, and what it gets at its return counts at once.
+/// Guards against waiting for a call that was made while discovery was down: that call is never answered, and
+/// the first answer after discovery's return counts at once.
 #[test]
-fn what_discovery_has_at_its_return_is_known_at_once() {
+fn a_change_is_known_at_once_when_discovery_returns() {
     let (a, b) = servers();
     let discovery = Discovery::new(&endpoint_entry("a", a.address, 0, "Ready"));
     let gateway = Gateway::start_alone(&discovery);
@@ -49,28 +53,28 @@
         (endpoint_entry("a", a.address, 0, "Ready"), "a"),
     ] {
         discovery.set_mode(DiscoveryMode::Down);
-        // The last of these has just come, and is lost.
+        // The last of these calls has just arrived, and is lost.
         discovery.wait_for_calls(5);
         discovery.publish(true, &entry);
         discovery.set_mode(DiscoveryMode::Answering);
-        let took = until_told(&gateway, body);
-        assert!(took < Duration::from_secs(1), "{took:?}");
+        let elapsed = time_until_served_by(&gateway, body);
+        assert!(elapsed < Duration::from_secs(1), "{elapsed:?}");
     }
 }
 
-/// Guards against holding on to the version of an agent that has begun anew: what it calls a change is one of another list.
+/// Guards against keeping the revision of an agent that has restarted: its changes refer to another list.
 #[test]
-fn an_agent_that_has_begun_anew_is_asked_for_all_of_its_list() {
+fn a_restarted_agent_is_asked_for_its_whole_list() {
     let (a, b) = servers();
-    let anew = Arc::new(AtomicBool::new(false));
+    let restarted = Arc::new(AtomicBool::new(false));
     let entries = [
         endpoint_entry("a", a.address, 0, "Ready"),
         endpoint_entry("b", b.address, 0, "Ready"),
     ];
-    let began = anew.clone();
-    let agent = Server::new(move |m| {
+    let agent_restarted = restarted.clone();
+    let discovery_server = Server::new(move |m| {
         let whole = !m.line.contains("from=");
-        match (began.load(Ordering::SeqCst), whole) {
+        match (agent_restarted.load(Ordering::SeqCst), whole) {
             (false, true) => ok(&format!(
                 r#"{{"rev":90,"all":true,"targets":[{}]}}"#,
                 entries[0]
@@ -86,36 +90,36 @@
             (true, false) => ok(r#"{"rev":3,"all":false,"targets":[]}"#),
         }
     });
-    let gateway = Gateway::start(agent.address, None, 1, "");
+    let gateway = Gateway::start(discovery_server.address, None, 1, "");
     gateway.wait_ready();
     assert_eq!(gateway.request(&ClientRequest::check()).body, "a");
-    anew.store(true, Ordering::SeqCst);
-    assert!(until_told(&gateway, "b") < Duration::from_secs(6));
+    restarted.store(true, Ordering::SeqCst);
+    assert!(time_until_served_by(&gateway, "b") < Duration::from_secs(6));
 }
 
-/// Guards against answers that fail in every way and against calls without a pause: the list stays, a change is known once an
-/// answer comes, and an agent that answers at once is not asked without end.
+/// Guards against answers that fail in every way and against calls without a pause: the list stays, a change is
+/// known once an answer arrives, and an agent that answers at once is not called in a tight loop.
 #[test]
-fn bad_answers_keep_the_list_and_are_not_asked_for_without_end() {
-    let bad: [fn() -> Reply; 5] = [
+fn invalid_answers_keep_the_list_and_cause_no_tight_loop() {
+    let invalid_answer: [fn() -> Reply; 5] = [
         || status("500 Internal Server Error"),
         || Reply::BytesThenClose("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"rev\":7,".into()),
         || ok("{\"rev\":true}"),
         || ok("{\"rev\":1,\"all\":false,\"targets\":[]}"),
         || Reply::Silence,
     ];
-    for bad in bad {
+    for invalid_answer in invalid_answer {
         let (a, b) = servers();
         let (state, calls) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
         let entries = [
             endpoint_entry("a", a.address, 0, "Ready"),
             endpoint_entry("b", b.address, 0, "Ready"),
         ];
-        let (now, called) = (state.clone(), calls.clone());
-        let agent = Server::new(move |_| {
+        let (current_state, called) = (state.clone(), calls.clone());
+        let discovery_server = Server::new(move |_| {
             called.fetch_add(1, Ordering::SeqCst);
-            match now.load(Ordering::SeqCst) {
-                1 => bad(),
+            match current_state.load(Ordering::SeqCst) {
+                1 => invalid_answer(),
                 n => ok(&format!(
                     r#"{{"rev":{},"all":true,"targets":[{}]}}"#,
                     n + 5,
@@ -123,7 +127,7 @@
                 )),
             }
         });
-        let gateway = Gateway::start(agent.address, None, 1, "");
+        let gateway = Gateway::start(discovery_server.address, None, 1, "");
         gateway.wait_ready();
         state.store(1, Ordering::SeqCst);
         let before = calls.load(Ordering::SeqCst);
@@ -132,13 +136,13 @@
         assert!((1..60).contains(&calls), "{calls} calls in a second");
         assert_eq!(gateway.request(&ClientRequest::check()).body, "a");
         state.store(2, Ordering::SeqCst);
-        assert!(until_told(&gateway, "b") < Duration::from_secs(6));
+        assert!(time_until_served_by(&gateway, "b") < Duration::from_secs(6));
     }
 }
 
-/// Guards against an agent that was left: what it says now is not heard any more.
+/// Guards against accepting a late answer of an agent that the configuration no longer names.
 #[test]
-fn a_late_answer_of_an_agent_that_was_left_is_not_heard() {
+fn a_late_answer_of_a_former_agent_is_ignored() {
     let (a, b) = servers();
     let (old, new) = (
         Discovery::new(&endpoint_entry("a", a.address, 0, "Ready")),
@@ -148,17 +152,17 @@
     old.set_mode(DiscoveryMode::Silent);
     old.wait_for_calls(1);
     gateway.replace_config(&config_text(new.address, None, 1, ""));
-    assert!(until_told(&gateway, "b") < Duration::from_secs(4));
+    assert!(time_until_served_by(&gateway, "b") < Duration::from_secs(4));
     old.publish(true, &endpoint_entry("a", a.address, 0, "Ready"));
     old.set_mode(DiscoveryMode::Answering);
     new.wait_for_calls(2);
     assert_eq!(gateway.request(&ClientRequest::check()).body, "b");
 }
 
-/// Guards against a crowd of idle clients that takes the descriptors which membership and servers need, and the places of those who
-/// ask whether it is ready.
+/// Guards against many idle clients that take the descriptors which membership and servers need, and the places
+/// of readiness probes.
 #[test]
-fn a_crowd_of_idle_clients_leaves_room_for_discovery_when_it_is_back() {
+fn many_idle_clients_leave_room_for_discovery_when_it_returns() {
     let (a, b) = servers();
     let discovery = Discovery::new("");
     discovery.set_mode(DiscoveryMode::Down);
@@ -171,14 +175,14 @@
     assert_eq!(gateway.request(&ClientRequest::check()).body, "a");
     discovery.publish(true, &endpoint_entry("b", b.address, 0, "Ready"));
     discovery.set_mode(DiscoveryMode::Answering);
-    assert!(until_told(&gateway, "b") < Duration::from_secs(6));
+    assert!(time_until_served_by(&gateway, "b") < Duration::from_secs(6));
     drop(crowd);
 }
 
-/// Guards against a restart that waits for what may not come: killed outright and back under its address, with clients still at the
-/// old one's, discovery and the counter silent and a list that is old.
+/// Guards against a restart that waits for unavailable peers: the process is killed and restarted at its
+/// address, with clients still connected to the old process, discovery and the counter silent, and an old list.
 #[test]
-fn a_process_that_was_killed_is_ready_again_soon_whatever_is_down() {
+fn a_killed_process_is_ready_again_soon_whatever_is_unavailable() {
     let (a, _b) = servers();
     let discovery = Discovery::new(&endpoint_entry("a", a.address, 0, "Ready"));
     let mut first = Gateway::start_alone(&discovery);
@@ -196,23 +200,23 @@
     first.signal("-KILL");
     first.wait_for_exit();
     let since = Instant::now();
-    let again = Gateway::start_from_config(&text);
-    again.wait_ready();
+    let restarted_gateway = Gateway::start_from_config(&text);
+    restarted_gateway.wait_ready();
     assert!(
         since.elapsed() < Duration::from_secs(10),
         "{:?}",
         since.elapsed()
     );
-    assert_eq!(again.request(&ClientRequest::check()).body, "a");
+    assert_eq!(restarted_gateway.request(&ClientRequest::check()).body, "a");
     drop(crowd);
 }
 
-/// Guards against a discovery that is crowded: its answers come, but later than calls are waited for as a rule.
+/// Guards against an overloaded discovery whose answers arrive later than the usual timeout of calls.
 #[test]
-fn a_change_is_known_though_each_answer_of_discovery_takes_long() {
-    /// A change counts as told by then.
-    const TOLD_WITHIN: Duration = Duration::from_secs(6);
-    /// A server that drains gets nothing new after this.
+fn a_change_is_known_although_discovery_answers_slowly() {
+    /// Time after which a change counts as known.
+    const MAX_DISCOVERY_DELAY: Duration = Duration::from_secs(6);
+    /// Time after which a draining server gets no new request.
     const GRACE: Duration = Duration::from_millis(500);
     let (first, second) = (Server::new(|_| ok("first")), Server::new(|_| ok("second")));
     let discovery = Discovery::new(&endpoint_entry("a", first.address, 0, "Ready"));
@@ -227,7 +231,7 @@
         ]
         .join(","),
     );
-    sleep(TOLD_WITHIN + GRACE);
+    sleep(MAX_DISCOVERY_DELAY + GRACE);
     for _ in 0..10 {
         assert_eq!(gateway.request(&ClientRequest::check()).body, "second");
     }
--- a/crates/frosthatch/tests/reload.rs
+++ b/crates/frosthatch/tests/reload.rs
@@ -1,4 +1,4 @@
-//! New configurations while the program runs.
+//! New configurations while the process runs.
 
 mod common;
 use common::*;
@@ -6,8 +6,9 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// A discovery that knows one server, at a version that would be old news elsewhere.
-fn place(body: &'static str) -> (Server, Discovery) {
+/// Starts a server that answers `body` and a discovery that lists it, at a revision that other discoveries have
+/// passed.
+fn start_server_and_discovery(body: &'static str) -> (Server, Discovery) {
     let server = Server::new(move |m| {
         if m.line.contains("slow") {
             sleep(Duration::from_millis(800));
@@ -18,50 +19,56 @@
     (server, discovery)
 }
 
-/// Asks until an answer comes from the server named.
+/// Sends requests until one is answered by the server with this body.
 fn until_served_by(gateway: &Gateway, body: &str) {
     let since = Instant::now();
     while gateway.request(&ClientRequest::check()).body != body {
-        assert!(since.elapsed() < TIMEOUT, "{body} serves in the end");
+        assert!(since.elapsed() < TIMEOUT, "server {body} serves a request");
         sleep(Duration::from_millis(10));
     }
 }
 
-/// Asks until a call to the counter shows up there.
-fn until_counted(gateway: &Gateway, there: &ScriptedCounter) {
+/// Sends requests until a call arrives at the counter.
+fn until_counted(gateway: &Gateway, scripted_counter: &ScriptedCounter) {
     let since = Instant::now();
     for customer in 0.. {
-        let ask = ClientRequest::check().with_header("X-Api-Key", &format!("{customer:016x}"));
+        let http_request =
+            ClientRequest::check().with_header("X-Api-Key", &format!("{customer:016x}"));
         gateway.request(
-            &ask.with_header("X-Tier", "small")
+            &http_request
+                .with_header("X-Tier", "small")
                 .with_header("X-Call-Terms", "units=3,spread=2,first=0"),
         );
-        if there.lines.recv_timeout(Duration::from_millis(50)).is_ok() {
+        if scripted_counter
+            .lines
+            .recv_timeout(Duration::from_millis(50))
+            .is_ok()
+        {
             return;
         }
-        assert!(
-            since.elapsed() < TIMEOUT,
-            "the counter is called in the end"
-        );
+        assert!(since.elapsed() < TIMEOUT, "the counter is called");
     }
 }
 
-fn counter() -> ScriptedCounter {
+fn start_counter() -> ScriptedCounter {
     ScriptedCounter::new(|_, _| Some((Duration::ZERO, "ok 3".into())))
 }
 
-/// Guards against ending on SIGHUP, and against holding on to what the old configuration named.
+/// Guards against exiting on SIGHUP, and against keeping the discovery and counter of the old configuration.
 #[test]
 fn sighup_moves_discovery_and_counter_and_drops_no_request() {
-    let ((a, first), (_b, second)) = (place("a"), place("b"));
-    let counters = [counter(), counter()];
+    let ((a, first), (_b, second)) = (
+        start_server_and_discovery("a"),
+        start_server_and_discovery("b"),
+    );
+    let counters = [start_counter(), start_counter()];
     let mut gateway = Gateway::start_ready(&first, Some(counters[0].address), 2);
     until_counted(&gateway, &counters[0]);
-    // Its version is ahead of the other discovery's.
+    // The first discovery's revision is ahead of the second one's.
     first.publish_and_wait(true, &endpoint_entry("a", a.address, 0, "Ready"));
-    for (place, body, count) in [(&second, "b", &counters[1]), (&first, "a", &counters[0])] {
+    for (discovery, body, count) in [(&second, "b", &counters[1]), (&first, "a", &counters[0])] {
         let mut held = gateway.client();
-        // Whether it reaches the old server or the new one, it is answered.
+        // The request is answered whether it reaches the old server or the new one.
         held.send(
             &ClientRequest {
                 path: "/balance-check?slow",
@@ -69,7 +76,7 @@
             }
             .to_text(),
         );
-        gateway.replace_config(&config_text(place.address, Some(count.address), 2, ""));
+        gateway.replace_config(&config_text(discovery.address, Some(count.address), 2, ""));
         until_served_by(&gateway, body);
         assert_eq!(
             held.read_response()
@@ -84,8 +91,8 @@
 }
 
 #[test]
-fn several_in_a_row_end_with_the_last() {
-    let places = ["a", "b", "c"].map(place);
+fn of_several_reloads_in_a_row_the_last_is_in_force() {
+    let places = ["a", "b", "c"].map(start_server_and_discovery);
     let mut gateway = Gateway::start_ready(&places[0].1, None, 1);
     for _ in 0..5 {
         for (_, discovery) in &places {
@@ -96,13 +103,16 @@
     assert!(gateway.is_running());
 }
 
-/// Guards against a file that is half written or gone: what was in force stays so.
+/// Guards against a partly written or missing file: the configuration in force stays.
 #[test]
-fn a_configuration_that_cannot_be_read_changes_nothing() {
-    let ((_a, first), (_b, second)) = (place("a"), place("b"));
+fn an_unreadable_configuration_changes_nothing() {
+    let ((_a, first), (_b, second)) = (
+        start_server_and_discovery("a"),
+        start_server_and_discovery("b"),
+    );
     let mut gateway = Gateway::start_ready(&first, None, 1);
-    let nobody: SocketAddr = "127.0.0.1:1".parse().expect("the text is a socket address");
-    let text = config_text(nobody, None, 1, "");
+    let unused_address: SocketAddr = "127.0.0.1:1".parse().expect("the text is a socket address");
+    let text = config_text(unused_address, None, 1, "");
     for broken in ["", "{}", &text[..text.len() / 2]] {
         gateway.replace_config(broken);
         first.wait_for_calls(2);
--- a/crates/frosthatch/tests/rules.rs
+++ b/crates/frosthatch/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The rules as they show on sockets, and news of the list.
+//! The rules on servers and quotas as observed on sockets, and changes of the endpoint list.
 
 mod common;
 use common::*;
@@ -6,23 +6,23 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 #[test]
-fn nothing_new_goes_to_a_server_that_drains_is_gone_or_is_left_out() {
+fn no_new_request_goes_to_a_server_that_drains_is_gone_or_is_removed() {
     let (a, b) = (Server::new(|_| ok("a")), Server::new(|_| ok("b")));
-    let (here, other) = (
+    let (ready_entry, other_entry) = (
         endpoint_entry("a", a.address, 0, "Ready"),
         endpoint_entry("b", b.address, 0, "Ready"),
     );
-    let both = [here.clone(), other.clone()].join(",");
-    for (whole, news) in [
+    let both = [ready_entry.clone(), other_entry.clone()].join(",");
+    for (is_whole_list, entries) in [
         (false, endpoint_entry("a", a.address, 0, "Terminating")),
         (false, endpoint_entry("a", a.address, 0, "Gone")),
-        (true, other.clone()),
+        (true, other_entry.clone()),
     ] {
         let discovery = Discovery::new(&both);
         let gateway = Gateway::start_alone(&discovery);
         while gateway.request(&ClientRequest::check()).body != "a" {}
-        discovery.publish_and_wait(whole, &news);
-        // Its idle connections go, and what comes now goes elsewhere.
+        discovery.publish_and_wait(is_whole_list, &entries);
+        // Idle connections to the server are closed, and new requests go to the other one.
         a.wait_closed();
         for _ in 0..20 {
             assert_eq!(gateway.request(&ClientRequest::check()).body, "b");
@@ -30,7 +30,7 @@
     }
 }
 
-/// Guards against a server that a stale connection would find at its old address.
+/// Guards against using a stale connection to the old address of a server.
 #[test]
 fn a_server_that_moves_is_found_at_its_new_address() {
     let (old, new) = (Server::new(|_| ok("old")), Server::new(|_| ok("new")));
@@ -41,7 +41,7 @@
     assert_eq!(gateway.request(&ClientRequest::check()).body, "new");
 }
 
-/// Guards against a new server that is reached, or judged, under the name of the one whose address it has.
+/// Guards against reaching or judging a new server under the name of the one that had its address before.
 #[test]
 fn a_server_at_the_address_of_another_has_connections_of_its_own() {
     let server = Server::new(|_| ok("here"));
@@ -49,12 +49,12 @@
     let gateway = Gateway::start_alone(&discovery);
     assert_eq!(gateway.request(&ClientRequest::check()).body, "here");
     discovery.publish_and_wait(false, &endpoint_entry("new", server.address, 1, "Ready"));
-    // The old one's connection goes, though nobody has said yet that it is gone.
+    // The old server's connection is closed, although no entry has yet reported it gone.
     server.wait_closed();
     server.drain_events();
     for _ in 0..4 {
         assert_eq!(gateway.request(&ClientRequest::top_up()).body, "here");
-        // A connection rests for a moment after each answer.
+        // A connection is not reused for a short time after each answer.
         std::thread::sleep(std::time::Duration::from_millis(100));
     }
     assert_eq!(
@@ -67,7 +67,7 @@
     );
 }
 
-/// Guards against waiting out a server that is known to be gone.
+/// Guards against waiting for the timeout of a server that is known to be gone.
 #[test]
 fn an_attempt_at_a_server_that_is_gone_ends() {
     let (a, b) = (Server::new(|_| Reply::Silence), Server::new(|_| ok("b")));
@@ -104,12 +104,12 @@
 }
 
 #[test]
-fn silence_or_nonsense_from_discovery_keeps_the_last_list_until_it_is_back() {
+fn silence_or_invalid_answers_of_discovery_keep_the_last_list() {
     let (a, b) = (Server::new(|_| ok("a")), Server::new(|_| ok("b")));
     let discovery = Discovery::new(&endpoint_entry("a", a.address, 0, "Ready"));
     let gateway = Gateway::start_alone(&discovery);
-    for mood in [DiscoveryMode::InvalidBody, DiscoveryMode::Silent] {
-        discovery.set_mode(mood);
+    for mode in [DiscoveryMode::InvalidBody, DiscoveryMode::Silent] {
+        discovery.set_mode(mode);
         discovery.wait_for_calls(2);
         assert_eq!(gateway.request(&ClientRequest::check()).body, "a");
     }
@@ -118,9 +118,9 @@
     assert_eq!(gateway.request(&ClientRequest::check()).body, "b");
 }
 
-/// Guards against one entry that cannot be read: the rest of the list holds.
+/// Guards against dropping the whole list because of one invalid entry.
 #[test]
-fn an_entry_that_makes_no_sense_does_not_spoil_the_list() {
+fn an_invalid_entry_does_not_invalidate_the_list() {
     let server = Server::new(|_| ok("fine"));
     let entries = [
         r#"{"uid":"x","endpoint":"nowhere","state":"Ready"}"#,
@@ -130,7 +130,7 @@
     assert_eq!(gateway.request(&ClientRequest::check()).body, "fine");
 }
 
-fn how_many_reach_at_once(boot_ms: u128) -> usize {
+fn concurrent_requests_reaching(boot_ms: u128) -> usize {
     let server = Server::new(|_| Reply::Silence);
     let gateway = Gateway::start_alone(&Discovery::new(&endpoint_entry_with_boot(
         "a",
@@ -154,14 +154,20 @@
 }
 
 #[test]
-fn a_cold_server_gets_a_part_of_what_a_warm_one_gets() {
+fn a_cold_server_gets_fewer_requests_than_a_warm_one() {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .expect("the wall clock is after 1970")
         .as_millis();
-    let (cold, warm) = (how_many_reach_at_once(now), how_many_reach_at_once(0));
+    let (cold, warm) = (
+        concurrent_requests_reaching(now),
+        concurrent_requests_reaching(0),
+    );
     assert_eq!(warm, 60);
-    assert!(cold < 45, "{cold}");
+    assert!(
+        cold < 45,
+        "{cold} requests reach a cold server, expected fewer than 45"
+    );
 }
 
 #[test]
@@ -174,18 +180,20 @@
         "Ready",
     )));
     let since = std::time::Instant::now();
-    let ask = || {
+    let http_request = || {
         ClientRequest::check()
             .with_header("X-Tier", "capped")
             .with_header("X-Call-Terms", "units=2,spread=1,first=0")
     };
-    let answers: Vec<u16> = (0..60).map(|_| gateway.request(&ask()).status()).collect();
+    let answers: Vec<u16> = (0..60)
+        .map(|_| gateway.request(&http_request()).status())
+        .collect();
     let served = answers.iter().filter(|&&s| s == 200).count();
-    // The store holds 20 units and fills at 10 a second; a request may be a moment ahead of the clock here.
-    let most = 20.0 + 10.0 * (since.elapsed().as_secs_f64() + 1.0);
+    // The bucket holds 20 units and fills at 10 a second; a request may be slightly ahead of this test's clock.
+    let max_units = 20.0 + 10.0 * (since.elapsed().as_secs_f64() + 1.0);
     assert!(
-        served as f64 * 2.0 <= most,
-        "{served} served, {most} units at most"
+        served as f64 * 2.0 <= max_units,
+        "{served} requests of 2 units served, at most {max_units} units are allowed"
     );
     assert!(
         answers.iter().all(|s| [200, 429].contains(s)),
@@ -196,9 +204,12 @@
 
 /// Guards against a connect that is still queued when its server begins to drain.
 #[test]
-fn a_port_that_accepts_nobody_is_given_up_and_never_ran() {
-    let deaf = TcpListener::bind("127.0.0.1:0").expect("a free loopback port can be bound");
-    let address = deaf.local_addr().expect("the socket has a local address");
+fn a_refused_connection_counts_as_never_ran() {
+    let closed_listener =
+        TcpListener::bind("127.0.0.1:0").expect("a free loopback port can be bound");
+    let address = closed_listener
+        .local_addr()
+        .expect("the socket has a local address");
     let server = Server::new(|_| ok("b"));
     let entries = [
         endpoint_entry("a", address, 0, "Ready"),
@@ -207,7 +218,7 @@
     .join(",");
     let discovery = Discovery::new(&entries);
     let gateway = Gateway::start_alone(&discovery);
-    drop(deaf);
+    drop(closed_listener);
     for _ in 0..6 {
         assert_eq!(gateway.request(&ClientRequest::top_up()).body, "b");
     }
--- a/crates/frosthatch/tests/system_calls.rs
+++ b/crates/frosthatch/tests/system_calls.rs
@@ -1,15 +1,15 @@
-//! System calls of the gateway that fail as Linux documents: no request is lost by it.
+//! System calls of the gateway that fail in ways that Linux documents: no request is lost.
 
 mod common;
 use common::*;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Requests in each trial: enough that a fault in some of a hundred calls strikes many of them.
+/// Requests in each trial: enough that a fault in some of a hundred calls hits many of them.
 const REQUESTS: usize = 300;
 
-/// A gateway before one server, both of whose faults are up to the test.
-fn gateway_under(shim: &Shim, changes: &[(&str, &str)]) -> (Server, Discovery, Gateway) {
+/// Starts a gateway under the shim with one server; the test sets the faults.
+fn start_gateway_with_shim(shim: &Shim, changes: &[(&str, &str)]) -> (Server, Discovery, Gateway) {
     let server = Server::new(|_| ok("served"));
     let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let mut text = config_text(discovery.address, None, 1, "");
@@ -22,7 +22,7 @@
     (server, discovery, gateway)
 }
 
-/// What became of requests over one kept connection and over new ones: the statuses, 0 for none.
+/// Sends requests over one kept connection and over new ones, and returns their statuses, 0 for no answer.
 fn statuses(gateway: &Gateway) -> Vec<u16> {
     let mut kept = gateway.client();
     let mut all = Vec::new();
@@ -45,56 +45,64 @@
     all
 }
 
-fn share(all: &[u16], status: u16) -> f64 {
+fn share_with_status(all: &[u16], status: u16) -> f64 {
     all.iter().filter(|s| **s == status).count() as f64 / all.len() as f64
 }
 
-/// Guards against a signal that is taken for a client's end: what was interrupted is done again.
+/// Guards against taking an interrupted call for a client's disconnect: the call is repeated.
 #[test]
 fn interrupted_calls_lose_no_request() {
     let shim = Shim::new();
-    let (_server, _discovery, gateway) = gateway_under(&shim, &[]);
+    let (_server, _discovery, gateway) = start_gateway_with_shim(&shim, &[]);
     shim.set(Fault::Interrupted, 100);
     let all = statuses(&gateway);
-    assert_eq!(share(&all, 0), 0.0, "requests without an answer: {all:?}");
-    assert!(share(&all, 200) > 0.95, "{all:?}");
+    assert_eq!(
+        share_with_status(&all, 0),
+        0.0,
+        "requests without an answer: {all:?}"
+    );
+    assert!(share_with_status(&all, 200) > 0.95, "{all:?}");
 }
 
-/// Guards against reads and writes that move less than they could.
+/// Guards against losing data in reads and writes that move less than they could.
 #[test]
 fn short_reads_and_writes_lose_no_request() {
     let shim = Shim::new();
-    let (_server, _discovery, gateway) = gateway_under(&shim, &[]);
+    let (_server, _discovery, gateway) = start_gateway_with_shim(&shim, &[]);
     shim.set(Fault::Short, 900);
     let all = statuses(&gateway);
-    assert_eq!(share(&all, 200), 1.0, "{all:?}");
+    assert_eq!(share_with_status(&all, 200), 1.0, "{all:?}");
 }
 
-/// Guards against a listener that gives up: what cannot be accepted now is accepted later.
+/// Guards against a listener that stops: a connection that cannot be accepted now is accepted later.
 #[test]
 fn failing_accepts_lose_no_request() {
     let shim = Shim::new();
-    let (_server, _discovery, gateway) = gateway_under(&shim, &[]);
+    let (_server, _discovery, gateway) = start_gateway_with_shim(&shim, &[]);
     shim.set(Fault::Accept, 500);
     let all = statuses(&gateway);
-    assert_eq!(share(&all, 200), 1.0, "{all:?}");
+    assert_eq!(share_with_status(&all, 200), 1.0, "{all:?}");
 }
 
-/// Guards against a connection that is found broken in the midst of an attempt: the request has its one answer, and
-/// what may have run is not run again.
+/// Guards against a connection that breaks during an attempt: the request gets exactly one answer, and a request
+/// that may have run is not run again.
 #[test]
 fn broken_connections_lose_no_request() {
     let shim = Shim::new();
-    let (_server, _discovery, gateway) = gateway_under(&shim, &[]);
+    let (_server, _discovery, gateway) = start_gateway_with_shim(&shim, &[]);
     shim.set(Fault::Broken, 30);
     let all = statuses(&gateway);
-    assert_eq!(share(&all, 0), 0.0, "requests without an answer: {all:?}");
+    assert_eq!(
+        share_with_status(&all, 0),
+        0.0,
+        "requests without an answer: {all:?}"
+    );
 }
 
-/// Guards against servers that are blamed for what this machine lacks: what could not be connected is tried again in the
-/// request's time, and costs neither a server its standing nor the budget of retries.
+/// Guards against blaming servers for a shortage of the gateway's machine: a failed connect is retried within
+/// the request's time, and affects neither a server's standing nor the retry budget.
 #[test]
-fn a_shortage_of_this_machine_is_no_fault_of_the_servers() {
+fn a_shortage_of_the_gateways_machine_is_not_blamed_on_servers() {
     let closing = |_: &Message| {
         Reply::Bytes(
             "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 6\r\n\r\nserved".into(),
@@ -103,32 +111,36 @@
     for fault in [Fault::Connect, Fault::Socket] {
         let shim = Shim::new();
         let servers: Vec<Server> = (0..3).map(|_| Server::new(closing)).collect();
-        let one =
+        let entry =
             |(n, s): (usize, &Server)| endpoint_entry(&format!("s{n}"), s.address, 0, "Ready");
-        let list: Vec<String> = servers.iter().enumerate().map(one).collect();
+        let list: Vec<String> = servers.iter().enumerate().map(entry).collect();
         let discovery = Discovery::new(&list.join(","));
         let gateway = Gateway::start_with_shim(&config_text(discovery.address, None, 1, ""), &shim);
         gateway.wait_ready();
         shim.set(fault, 600);
         let all = statuses(&gateway);
-        println!("{fault:?}: {} served", share(&all, 200));
+        println!(
+            "{fault:?}: share of {} served",
+            share_with_status(&all, 200)
+        );
         assert!(
-            share(&all, 200) >= 0.95,
-            "{fault:?}: {} served",
-            share(&all, 200)
+            share_with_status(&all, 200) >= 0.95,
+            "{fault:?}: share of {} served",
+            share_with_status(&all, 200)
         );
         shim.set(fault, 0);
         assert_eq!(
-            share(&statuses(&gateway), 200),
+            share_with_status(&statuses(&gateway), 200),
             1.0,
-            "{fault:?}: right after it"
+            "{fault:?}: all requests are served right after the shortage"
         );
     }
 }
 
-/// Guards against a shortage that hides a server which really refuses: it is left alone beside it all the same.
+/// Guards against a shortage that hides a server which refuses connections: that server is left out all the
+/// same.
 #[test]
-fn a_server_that_refuses_is_left_alone_also_during_a_shortage() {
+fn a_server_that_refuses_is_left_out_also_during_a_shortage() {
     let shim = Shim::new();
     let served = Server::new(|_| ok("served"));
     let refused = std::net::TcpListener::bind("127.0.0.1:0")
@@ -143,12 +155,16 @@
     gateway.wait_ready();
     shim.set(Fault::Connect, 300);
     let all = statuses(&gateway);
-    assert!(share(&all, 200) >= 0.95, "{} served", share(&all, 200));
+    assert!(
+        share_with_status(&all, 200) >= 0.95,
+        "share of {} served",
+        share_with_status(&all, 200)
+    );
 }
 
-/// Guards against a start that a moment's shortage makes fail.
+/// Guards against a start that fails on a brief shortage.
 #[test]
-fn a_shortage_at_the_start_is_waited_out() {
+fn the_gateway_starts_despite_a_brief_shortage() {
     let shim = Shim::new();
     shim.set(Fault::Socket, 700);
     let server = Server::new(|_| ok("served"));
@@ -159,15 +175,15 @@
     }
 }
 
-/// Guards against a second effect: the process is held up between its last look at the clock and the write, and the
-/// servers have forgotten the key meanwhile.
+/// Guards against a second effect: the process is stalled between its last look at the clock and the write, and
+/// the servers have forgotten the key meanwhile.
 #[test]
-fn a_repeat_that_is_held_up_still_comes_within_its_window() {
+fn a_stalled_repeat_still_arrives_within_its_window() {
     const WINDOW: Duration = Duration::from_millis(600);
-    /// What each limit on time allows the network.
+    /// Tolerance for the network in each time limit.
     const SLACK: Duration = Duration::from_millis(50);
     let shim = Shim::new();
-    let (first, go) = Server::gated(|| status("500 Internal Server Error"));
+    let (first, release) = Server::gated(|| status("500 Internal Server Error"));
     let second = Server::new(|_| ok("twice"));
     let both = [
         endpoint_entry("a", first.address, 3, "Ready"),
@@ -187,8 +203,8 @@
     shim.set(Fault::StallMs, 145);
     shim.set(Fault::Stall, 1_000);
     thread::sleep((WINDOW - Duration::from_millis(50)).saturating_sub(since.elapsed()));
-    let _ = go.send(());
-    let came = loop {
+    let _ = release.send(());
+    let repeat_after = loop {
         match second.events.recv_timeout(4 * WINDOW) {
             Ok(ServerEvent::Request(_)) => break Some(since.elapsed()),
             Ok(_) => {}
@@ -199,7 +215,7 @@
         .read_response()
         .expect("the gateway answers the request");
     assert!(
-        came.is_none_or(|came| came < WINDOW + SLACK),
-        "the repeat came {came:?} after the first"
+        repeat_after.is_none_or(|repeat_after| repeat_after < WINDOW + SLACK),
+        "the repeat arrives {repeat_after:?} after the first request, at most 650 ms are allowed"
     );
 }
--- a/crates/frosthatch/tests/unsafe_classes.rs
+++ b/crates/frosthatch/tests/unsafe_classes.rs
@@ -1,4 +1,5 @@
-//! A class that may not be repeated: its requests come as `POST` with no key, and have one effect or none.
+//! A class whose requests may not be repeated: they are `POST` requests without a key, and have one effect or
+//! none.
 
 mod common;
 use common::*;
@@ -6,8 +7,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// A gateway of a site with such a class.
-fn gateway(entries: &str) -> (Discovery, Gateway) {
+/// Starts a gateway whose settings have the class `settle`, which may not be repeated.
+fn start_gateway(entries: &str) -> (Discovery, Gateway) {
     let discovery = Discovery::new(entries);
     let class =
         r#"{"aimUs":4000000,"deadlineUs":8000000,"effect":"once","name":"settle","worth":5.0},"#;
@@ -18,17 +19,18 @@
     (discovery, gateway)
 }
 
-fn settle() -> ClientRequest {
-    let ask = ClientRequest {
+fn settle_request() -> ClientRequest {
+    let http_request = ClientRequest {
         path: "/settle",
         ..ClientRequest::top_up()
     };
-    ask.with_header("X-Qos", "settle")
+    http_request
+        .with_header("X-Qos", "settle")
         .without_header("Idempotency-Key")
 }
 
-/// The first request at either server gets `first`, all later ones are served.
-fn pair(first: fn() -> Reply) -> (String, [Server; 2]) {
+/// Starts two servers; the first request at either gets the reply `first`, all later ones are served.
+fn start_pair(first: fn() -> Reply) -> (String, [Server; 2]) {
     let spent = Arc::new(AtomicBool::new(false));
     let servers = [(); 2].map(|()| {
         let spent = spent.clone();
@@ -44,15 +46,15 @@
     ([entry(0), entry(1)].join(","), servers)
 }
 
-fn requests(servers: &[Server]) -> usize {
+fn count_requests(servers: &[Server]) -> usize {
     servers.iter().map(Server::drain_request_count).sum()
 }
 
 #[test]
-fn it_needs_no_key_and_none_is_made_up() {
+fn a_request_needs_no_key_and_none_is_added() {
     let server = Server::new(|_| ok("done"));
-    let (_discovery, gateway) = gateway(&endpoint_entry("a", server.address, 0, "Ready"));
-    let answer = gateway.request(&settle());
+    let (_discovery, gateway) = start_gateway(&endpoint_entry("a", server.address, 0, "Ready"));
+    let answer = gateway.request(&settle_request());
     assert_eq!((answer.status(), answer.body.as_str()), (200, "done"));
     let seen = server.next_request();
     assert!(seen.line.starts_with("POST /settle "), "{}", seen.line);
@@ -60,7 +62,7 @@
         (seen.header("Idempotency-Key"), seen.body.as_str()),
         (None, "amount=50")
     );
-    // Where servers drop repeats by it, it is owed.
+    // A class whose servers drop repeats by the key requires one.
     assert_eq!(
         gateway
             .request(&ClientRequest::top_up().without_header("Idempotency-Key"))
@@ -70,53 +72,53 @@
 }
 
 #[test]
-fn one_that_may_have_run_has_one_attempt_and_is_failed_not_refused() {
-    let ways: [fn() -> Reply; 5] = [
+fn a_request_that_may_have_run_has_one_attempt_and_is_failed_not_refused() {
+    let outcomes: [fn() -> Reply; 5] = [
         || Reply::Close,
         || Reply::BytesThenClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nsec".into()),
         || status("500 Internal Server Error"),
         || status("503 Service Unavailable"),
         || Reply::Silence,
     ];
-    for first in ways {
-        let (entries, servers) = pair(first);
-        let (_discovery, gateway) = gateway(&entries);
-        let answer = gateway.request(&settle().with_header("X-Expires-In", "0.8"));
+    for first in outcomes {
+        let (entries, servers) = start_pair(first);
+        let (_discovery, gateway) = start_gateway(&entries);
+        let answer = gateway.request(&settle_request().with_header("X-Expires-In", "0.8"));
         assert!(matches!(answer.status(), 502 | 504), "{answer:?}");
-        assert_eq!(requests(&servers), 1);
+        assert_eq!(count_requests(&servers), 1);
     }
 }
 
 #[test]
-fn one_that_surely_never_ran_is_tried_elsewhere() {
-    let (entries, servers) = pair(never_ran);
-    let (_discovery, gateway) = gateway(&entries);
-    let answer = gateway.request(&settle());
+fn a_request_that_never_ran_is_tried_at_another_server() {
+    let (entries, servers) = start_pair(never_ran);
+    let (_discovery, gateway) = start_gateway(&entries);
+    let answer = gateway.request(&settle_request());
     assert_eq!((answer.status(), answer.body.as_str()), (200, "second"));
-    assert_eq!(requests(&servers), 2);
+    assert_eq!(count_requests(&servers), 2);
 }
 
 #[test]
-fn where_nobody_listens_it_never_ran() {
-    let nobody = TcpListener::bind("127.0.0.1:0")
+fn a_request_whose_connection_is_refused_never_ran() {
+    let unused_address = TcpListener::bind("127.0.0.1:0")
         .and_then(|l| l.local_addr())
         .expect("a free loopback port can be bound");
     let server = Server::new(|_| ok("here"));
     let entries = [
-        endpoint_entry("a", nobody, 0, "Ready"),
+        endpoint_entry("a", unused_address, 0, "Ready"),
         endpoint_entry("b", server.address, 0, "Ready"),
     ]
     .join(",");
-    let (_discovery, gateway) = gateway(&entries);
+    let (_discovery, gateway) = start_gateway(&entries);
     for _ in 0..8 {
-        let answer = gateway.request(&settle());
+        let answer = gateway.request(&settle_request());
         assert_eq!((answer.status(), answer.body.as_str()), (200, "here"));
     }
 }
 
 #[test]
-fn one_that_all_turn_away_is_refused() {
+fn a_request_that_all_servers_refuse_is_refused() {
     let server = Server::new(|_| never_ran());
-    let (_discovery, gateway) = gateway(&endpoint_entry("a", server.address, 0, "Ready"));
-    assert_eq!(gateway.request(&settle()).status(), 429);
+    let (_discovery, gateway) = start_gateway(&endpoint_entry("a", server.address, 0, "Ready"));
+    assert_eq!(gateway.request(&settle_request()).status(), 429);
 }
--- a/crates/frosthatch/tests/upgrade.rs
+++ b/crates/frosthatch/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! A new process takes over from a running one; both are the real binary.
+//! A new gateway process takes over from a running one; both are the gateway binary.
 
 mod common;
 use common::*;
@@ -12,42 +12,45 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A folder of the test's own with an operator's file that names the socket in it.
-struct Place {
-    folder: PathBuf,
+/// A directory of the test's own with an operator file that names the upgrade socket in it.
+struct UpgradeDirectory {
+    directory: PathBuf,
 }
 
-impl Place {
-    fn new(name: &str) -> Place {
-        let folder =
+impl UpgradeDirectory {
+    fn new(name: &str) -> UpgradeDirectory {
+        let directory =
             std::env::temp_dir().join(format!("frosthatch-upgrade-{}-{name}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("the directory can be created");
-        std::fs::write(folder.join("operator.toml"), "[upgrade]\nsocket = \"s\"\n")
-            .expect("the file can be written");
-        Place { folder }
+        std::fs::create_dir_all(&directory).expect("the directory can be created");
+        std::fs::write(
+            directory.join("operator.toml"),
+            "[upgrade]\nsocket = \"s\"\n",
+        )
+        .expect("the file can be written");
+        UpgradeDirectory { directory }
     }
 
     fn socket(&self) -> PathBuf {
-        self.folder.join("s")
+        self.directory.join("s")
     }
 
-    /// Another process of the gateway, and the lines of its log.
-    fn process(&self, discovery: &Discovery, listen: SocketAddr) -> (Gateway, Log) {
+    /// Starts a gateway process and returns it with the lines of its log.
+    fn start_process(&self, discovery: &Discovery, listen: SocketAddr) -> (Gateway, Log) {
         let text = config_text(discovery.address, None, 1, "");
         let text = text.replacen('{', "{\"console\":\"127.0.0.1:0\",", 1);
         let text = text.replace(
             "\"listen\":\"127.0.0.1:0\"",
             &format!("\"listen\":\"{listen}\""),
         );
-        let file = self.folder.join("operator.toml");
-        let words = [
+        let file = self.directory.join("operator.toml");
+        let arguments = [
             "--operator",
             file.to_str().expect("the temporary path is UTF-8"),
         ];
-        let (tell, lines) = channel();
-        let gateway = Gateway::start_with_log(&text, &words, move |line| {
+        let (line_sender, lines) = channel();
+        let gateway = Gateway::start_with_log(&text, &arguments, move |line| {
             println!("gateway: {line}");
-            let _ = tell.send(line.to_string());
+            let _ = line_sender.send(line.to_string());
         });
         let mut log = Log {
             lines,
@@ -61,21 +64,21 @@
     }
 
     fn first(&self, discovery: &Discovery) -> (Gateway, Log) {
-        let (gateway, log) = self.process(
+        let (gateway, log) = self.start_process(
             discovery,
             "127.0.0.1:0".parse().expect("the text is a socket address"),
         );
         log.wait_ready();
-        until("the socket is there", || {
+        until("the upgrade socket accepts", || {
             UnixStream::connect(self.socket()).is_ok()
         });
         (gateway, log)
     }
 }
 
-impl Drop for Place {
+impl Drop for UpgradeDirectory {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
@@ -85,13 +88,13 @@
 }
 
 impl Log {
-    fn until(&self, what: &str) -> String {
+    fn until(&self, expected: &str) -> String {
         loop {
             let line = self
                 .lines
                 .recv_timeout(TIMEOUT)
-                .unwrap_or_else(|_| panic!("{what:?} is logged"));
-            if line.contains(what) {
+                .unwrap_or_else(|_| panic!("{expected:?} is logged"));
+            if line.contains(expected) {
                 return line;
             }
         }
@@ -103,7 +106,7 @@
         let mut text = String::new();
         stream
             .read_to_string(&mut text)
-            .expect("the gateway answers the request");
+            .expect("the console answers");
         text.split(' ')
             .nth(1)
             .and_then(|s| s.parse().ok())
@@ -111,19 +114,21 @@
     }
 
     fn wait_ready(&self) {
-        until("it is ready", || self.call("GET /ready") == 200);
+        until("the new process is ready", || {
+            self.call("GET /ready") == 200
+        });
     }
 }
 
-fn until(what: &str, mut done: impl FnMut() -> bool) {
+fn until(expected: &str, mut done: impl FnMut() -> bool) {
     let since = Instant::now();
     while !done() {
-        assert!(since.elapsed() < TIMEOUT, "{what}");
+        assert!(since.elapsed() < TIMEOUT, "{expected}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-fn stage(name: &str) -> (Server, Discovery, Place) {
+fn start_server_and_discovery(name: &str) -> (Server, Discovery, UpgradeDirectory) {
     let server = Server::new(|m| {
         if m.line.contains("slow") {
             thread::sleep(Duration::from_millis(600));
@@ -131,27 +136,28 @@
         ok("served")
     });
     let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
-    (server, discovery, Place::new(name))
+    (server, discovery, UpgradeDirectory::new(name))
 }
 
-/// Clients on new and on kept connections, without a pause: how many were served; anything else is a failure.
+/// Clients that send requests without a pause on new and on kept connections, and count those that are served;
+/// any other outcome panics.
 struct Load {
-    over: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
     served: Arc<AtomicUsize>,
     clients: Vec<thread::JoinHandle<()>>,
 }
 
 impl Load {
     fn new(at: SocketAddr) -> Load {
-        let (over, served) = (
+        let (stopped, served) = (
             Arc::new(AtomicBool::new(false)),
             Arc::new(AtomicUsize::new(0)),
         );
-        let client = |keeps: bool| {
-            let (over, served) = (over.clone(), served.clone());
+        let client = |keeps_connections: bool| {
+            let (stopped, served) = (stopped.clone(), served.clone());
             thread::spawn(move || {
                 let mut kept: Option<TcpStream> = None;
-                while !over.load(Ordering::SeqCst) {
+                while !stopped.load(Ordering::SeqCst) {
                     let used = kept.is_some();
                     let mut stream = kept.take().unwrap_or_else(|| {
                         TcpStream::connect(at).expect("the gateway accepts every connection")
@@ -169,35 +175,36 @@
                     );
                     match read_message(&mut read) {
                         Some(answer) => {
-                            // Clients at full speed go beyond the quota.
+                            // Clients without a pause exceed the quota.
                             assert!(matches!(answer.status(), 200 | 429), "{answer:?}");
                             served.fetch_add(1, Ordering::SeqCst);
-                            kept = Some(stream)
-                                .filter(|_| keeps && answer.header("connection").is_none());
+                            kept = Some(stream).filter(|_| {
+                                keeps_connections && answer.header("connection").is_none()
+                            });
                         }
-                        // A kept one may be closed between two requests, a new one never.
-                        None => assert!(used, "a new connection is closed unheard"),
+                        // A kept connection may be closed between two requests, a new one never.
+                        None => assert!(used, "a new connection is not closed without an answer"),
                     }
                 }
             })
         };
         let clients = [false, false, true, true].map(client).into();
         Load {
-            over,
+            stopped,
             served,
             clients,
         }
     }
 
-    fn more(&self) {
+    fn wait_for_more_served(&self) {
         let before = self.served.load(Ordering::SeqCst);
-        until("more are served", || {
+        until("50 more requests are served", || {
             self.served.load(Ordering::SeqCst) > before + 50
         });
     }
 
-    fn end(self) {
-        self.over.store(true, Ordering::SeqCst);
+    fn stop(self) {
+        self.stopped.store(true, Ordering::SeqCst);
         self.clients
             .into_iter()
             .for_each(|c| c.join().expect("the client thread does not panic"));
@@ -206,32 +213,33 @@
 
 /// Guards against connections refused or reset while processes are replaced, five times in a row.
 #[test]
-fn five_upgrades_under_load_turn_nobody_back() {
-    let (_server, discovery, place) = stage("five");
-    let (mut old, _log) = place.first(&discovery);
+fn five_upgrades_under_load_refuse_no_connection() {
+    let (_server, discovery, upgrade_directory) = start_server_and_discovery("five");
+    let (mut old, _log) = upgrade_directory.first(&discovery);
     let (at, load) = (old.address, Load::new(old.address));
-    load.more();
+    load.wait_for_more_served();
     for _ in 0..5 {
-        let (new, log) = place.process(&discovery, at);
+        let (new, log) = upgrade_directory.start_process(&discovery, at);
         log.wait_ready();
-        load.more();
+        load.wait_for_more_served();
         old.terminate();
         assert!(old.wait_for_exit().success());
-        load.more();
+        load.wait_for_more_served();
         log.until("the old process has ended");
-        until("the next can call", || {
-            UnixStream::connect(place.socket()).is_ok()
-        });
+        until(
+            "the old process accepts on the upgrade socket again",
+            || UnixStream::connect(upgrade_directory.socket()).is_ok(),
+        );
         old = new;
     }
-    load.end();
+    load.stop();
 }
 
-/// Guards against an answer lost with the old process, and against one that comes twice.
+/// Guards against an answer that is lost with the old process, and against one that is sent twice.
 #[test]
-fn what_the_old_process_holds_it_answers() {
-    let (server, discovery, place) = stage("held");
-    let (mut old, _log) = place.first(&discovery);
+fn the_old_process_answers_the_requests_it_holds() {
+    let (server, discovery, upgrade_directory) = start_server_and_discovery("held");
+    let (mut old, _log) = upgrade_directory.first(&discovery);
     let slow = ClientRequest {
         path: "/top-up?slow",
         ..ClientRequest::top_up()
@@ -239,16 +247,16 @@
     let mut held = old.client();
     held.send(&slow.to_text());
     server.next_request();
-    // Half of a request before the switch, and half after it.
+    // Half of a request is sent before the switch, and half after it.
     let text = ClientRequest::check().to_text();
-    let mut halved = old.client();
-    halved.send(&text[..text.len() / 2]);
-    let (_new, log) = place.process(&discovery, old.address);
+    let mut split_request = old.client();
+    split_request.send(&text[..text.len() / 2]);
+    let (_new, log) = upgrade_directory.start_process(&discovery, old.address);
     log.wait_ready();
     old.terminate();
-    halved.send(&text[text.len() / 2..]);
+    split_request.send(&text[text.len() / 2..]);
     assert_eq!(
-        halved
+        split_request
             .read_response()
             .expect("the gateway answers the request")
             .status(),
@@ -262,7 +270,7 @@
     );
     assert!(
         held.read_response().is_none(),
-        "one answer, and the end of the connection"
+        "the connection is closed after exactly one answer"
     );
     assert!(old.wait_for_exit().success());
     let top_ups = server
@@ -270,12 +278,12 @@
         .iter()
         .filter(|s| matches!(s, ServerEvent::Request(m) if m.line.contains("top-up")))
         .count();
-    assert_eq!(top_ups, 0, "the one was seen before");
+    assert_eq!(top_ups, 0, "the held top-up is sent to the server once");
 }
 
-/// Guards against a server that an operator took out being used by the new process, or by the old one.
+/// Guards against either process using a server that an operator has disabled.
 #[test]
-fn marks_on_servers_hold_in_both_processes() {
+fn disabled_servers_are_disabled_in_both_processes() {
     let (a, b) = (Server::new(|_| ok("a")), Server::new(|_| ok("b")));
     let both = [
         endpoint_entry("a", a.address, 0, "Ready"),
@@ -283,9 +291,9 @@
     ]
     .join(",");
     let discovery = Discovery::new(&both);
-    let place = Place::new("marks");
-    let (mut old, log) = place.first(&discovery);
-    // Kept: it stays with the old process.
+    let upgrade_directory = UpgradeDirectory::new("marks");
+    let (mut old, log) = upgrade_directory.first(&discovery);
+    // A kept connection stays with the old process.
     let mut kept = old.client();
     assert_eq!(
         kept.exchange(&ClientRequest::check().to_text())
@@ -294,7 +302,7 @@
         200
     );
     assert_eq!(log.call("POST /servers/disable?id=a"), 200);
-    let (new, new_log) = place.process(&discovery, old.address);
+    let (new, new_log) = upgrade_directory.start_process(&discovery, old.address);
     new_log.wait_ready();
     for _ in 0..20 {
         assert_eq!(
@@ -305,10 +313,12 @@
             "b"
         );
     }
-    // What is marked at the new one counts at the old one.
+    // A change at the new process's console applies at the old process, too.
     assert_eq!(new_log.call("POST /servers/enable?id=a"), 200);
     assert_eq!(new_log.call("POST /servers/disable?id=b"), 200);
-    until("the old one hears", || kept.check_again() == "a");
+    until("the old process applies the change", || {
+        kept.check_again() == "a"
+    });
     for _ in 0..20 {
         assert_eq!(kept.check_again(), "a");
     }
@@ -316,11 +326,12 @@
     assert!(old.wait_for_exit().success());
 }
 
-/// Guards against a gateway that nobody accepts for: new processes that die at each step, or hang, or are none of ours.
+/// Guards against a gateway for which no process accepts: new processes that exit at each step, hang, or are no
+/// gateway.
 #[test]
 fn a_new_process_that_fails_leaves_the_old_one_serving() {
-    let (_server, discovery, place) = stage("fails");
-    let (mut old, log) = place.first(&discovery);
+    let (_server, discovery, upgrade_directory) = start_server_and_discovery("fails");
+    let (mut old, log) = upgrade_directory.first(&discovery);
     let load = Load::new(old.address);
     let hello = |major: u16| {
         format!("{{\"Hello\":{{\"version\":{{\"major\":{major},\"minor\":0}},\"pid\":1}}}}")
@@ -332,11 +343,12 @@
         bytes
     };
     let call = || {
-        UnixStream::connect(place.socket()).expect("the old process accepts on the upgrade socket")
+        UnixStream::connect(upgrade_directory.socket())
+            .expect("the old process accepts on the upgrade socket")
     };
-    // Goes before a word, after hello, and after the switch.
+    // New processes that exit before a message, after `Hello`, and after the switch.
     drop(call());
-    // Until the one before is noticed to have gone, another is refused.
+    // Until the exit of the previous new process is noticed, another one is refused.
     let welcomed = || loop {
         let mut stream = call();
         stream
@@ -345,19 +357,19 @@
         stream
             .set_read_timeout(Some(TIMEOUT))
             .expect("the read timeout is not zero");
-        let mut said = [0; 512];
+        let mut received = [0; 512];
         let read = stream
-            .read(&mut said)
+            .read(&mut received)
             .expect("the gateway answers the request");
-        if String::from_utf8_lossy(&said[..read]).contains("Welcome") {
+        if String::from_utf8_lossy(&received[..read]).contains("Welcome") {
             return stream;
         }
     };
-    let gone = welcomed();
+    let disconnected = welcomed();
     log.until("a new process calls");
-    drop(gone);
+    drop(disconnected);
     log.until("has gone before it was ready");
-    load.more();
+    load.wait_for_more_served();
     let mut switched = welcomed();
     switched
         .write_all(&frame("\"Ready\""))
@@ -366,9 +378,9 @@
     assert_eq!(log.call("GET /ready"), 503);
     drop(switched);
     log.until("the new process has gone");
-    load.more();
+    load.wait_for_more_served();
     assert_eq!(log.call("GET /ready"), 200);
-    // Says nothing; says nonsense; a flipped bit; another major version.
+    // New processes that are silent, send no valid frame, a frame with a flipped bit, or another major version.
     let silent = call();
     let refused = |bytes: &[u8]| {
         let mut stream = call();
@@ -376,11 +388,11 @@
         stream
             .set_read_timeout(Some(TIMEOUT))
             .expect("the read timeout is not zero");
-        let mut said = Vec::new();
-        let _ = stream.read_to_end(&mut said);
-        String::from_utf8_lossy(&said).into_owned()
+        let mut received = Vec::new();
+        let _ = stream.read_to_end(&mut received);
+        String::from_utf8_lossy(&received).into_owned()
     };
-    until("the silent one makes room", || {
+    until("the silent connection makes room for another", || {
         refused(&frame(&hello(2))).contains("another major version")
     });
     drop(silent);
@@ -388,21 +400,22 @@
     let mut flipped = frame(&hello(1));
     flipped[20] ^= 4;
     refused(&flipped);
-    load.more();
-    load.end();
-    // And one that succeeds after all of them.
-    let (_new, new_log) = place.process(&discovery, old.address);
+    load.wait_for_more_served();
+    load.stop();
+    // A new process that succeeds after all the failures.
+    let (_new, new_log) = upgrade_directory.start_process(&discovery, old.address);
     new_log.wait_ready();
     old.terminate();
     assert!(old.wait_for_exit().success());
 }
 
-/// Guards against an old process that hangs: the new one listens beside it.
+/// Guards against waiting for an old process that hangs: the new one listens beside it.
 #[test]
 fn an_old_process_that_does_not_answer_is_not_waited_for() {
-    let (_server, discovery, place) = stage("hangs");
-    let _hung = UnixListener::bind(place.socket()).expect("the Unix socket can be bound");
-    let (new, log) = place.process(
+    let (_server, discovery, upgrade_directory) = start_server_and_discovery("hangs");
+    let _hung =
+        UnixListener::bind(upgrade_directory.socket()).expect("the Unix socket can be bound");
+    let (new, log) = upgrade_directory.start_process(
         &discovery,
         "127.0.0.1:0".parse().expect("the text is a socket address"),
     );
@@ -410,21 +423,21 @@
     assert_eq!(new.request(&ClientRequest::check()).status(), 200);
 }
 
-/// Guards against a second upgrade while one runs, and against one process's death taking the other along.
+/// Guards against a second upgrade while one runs, and against the death of one process ending the other.
 #[test]
-fn a_second_upgrade_is_refused_and_a_killed_old_process_leaves_all_to_the_new_one() {
-    let (_server, discovery, place) = stage("second");
-    let (mut old, _log) = place.first(&discovery);
-    let (new, new_log) = place.process(&discovery, old.address);
+fn a_second_upgrade_is_refused_and_the_new_process_serves_after_the_old_one_is_killed() {
+    let (_server, discovery, upgrade_directory) = start_server_and_discovery("second");
+    let (mut old, _log) = upgrade_directory.first(&discovery);
+    let (new, new_log) = upgrade_directory.start_process(&discovery, old.address);
     new_log.wait_ready();
-    let mut third =
-        UnixStream::connect(place.socket()).expect("the old process accepts on the upgrade socket");
+    let mut third = UnixStream::connect(upgrade_directory.socket())
+        .expect("the old process accepts on the upgrade socket");
     third
         .set_read_timeout(Some(TIMEOUT))
         .expect("the read timeout is not zero");
-    let mut said = Vec::new();
-    let _ = third.read_to_end(&mut said);
-    assert!(String::from_utf8_lossy(&said).contains("another upgrade is under way"));
+    let mut received = Vec::new();
+    let _ = third.read_to_end(&mut received);
+    assert!(String::from_utf8_lossy(&received).contains("another upgrade is under way"));
     old.signal("-KILL");
     old.wait_for_exit();
     new_log.until("the old process has ended");
