--- a/crates/frosthatch/tests/closes.rs
+++ b/crates/frosthatch/tests/closes.rs
@@ -10,9 +10,7 @@
 
 fn connect(gateway: &Gateway) -> TcpStream {
     let stream = TcpStream::connect(gateway.address).expect("the gateway accepts");
-    stream
-        .set_read_timeout(Some(TIMEOUT))
-        .expect("the read timeout is not zero");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("non-zero");
     stream
 }
 
@@ -78,9 +76,7 @@
     // Waits for the end of the stream and returns whether it was noticed within 80 ms: later, the gateway may
     // have stopped lingering.
     let close_was_seen_in_time = |stream: &mut TcpStream| {
-        stream
-            .set_nonblocking(true)
-            .expect("the socket can be made non-blocking");
+        stream.set_nonblocking(true).expect("a valid socket");
         let mut last_read = Instant::now();
         loop {
             match stream.read(&mut [0; 64]) {
@@ -90,9 +86,7 @@
             }
             thread::sleep(Duration::from_millis(1));
         }
-        stream
-            .set_nonblocking(false)
-            .expect("the socket can be made blocking");
+        stream.set_nonblocking(false).expect("a valid socket");
         last_read.elapsed() < Duration::from_millis(80)
     };
     for _ in 0..20 {
@@ -105,24 +99,16 @@
             .expect("the gateway's connection accepts the bytes");
         server.next_request();
         let mut answer = [0; 16];
-        client
-            .read_exact(&mut answer)
-            .expect("the gateway answers the request");
-        while client
-            .read(&mut [0; 1])
-            .expect("the rest of the answer arrives")
-            > 0
-        {
+        client.read_exact(&mut answer).expect("an answer arrives");
+        while client.read(&mut [0; 1]).expect("the rest arrives") > 0 {
             client
                 .set_read_timeout(Some(Duration::from_millis(50)))
-                .expect("the read timeout is not zero");
+                .expect("non-zero");
             if client.peek(&mut [0; 1]).is_err() {
                 break;
             }
         }
-        client
-            .set_read_timeout(Some(TIMEOUT))
-            .expect("the read timeout is not zero");
+        client.set_read_timeout(Some(TIMEOUT)).expect("non-zero");
         gateway.terminate();
         let seen_in_time = close_was_seen_in_time(&mut client);
         let sent = client.write_all(ClientRequest::check().to_text().as_bytes());
@@ -133,17 +119,10 @@
         assert!(gateway.wait_for_exit().success());
         // A reset would be reported here; a read reports the end of stream that came before it.
         assert!(
-            client
-                .take_error()
-                .expect("the socket's error can be read")
-                .is_none(),
+            client.take_error().expect("an open socket").is_none(),
             "the connection is not reset"
         );
-        assert_eq!(
-            server.drain_request_count(),
-            0,
-            "no request behind the end of the connection is forwarded"
-        );
+        assert_eq!(server.drain_request_count(), 0, "no request is forwarded");
         return;
     }
     panic!("the end of the connection was seen too late in each of 20 trials; the machine may be too busy");
--- a/crates/frosthatch/tests/console.rs
+++ b/crates/frosthatch/tests/console.rs
@@ -17,10 +17,9 @@
     fn new(discovery: &Discovery) -> Site {
         let text = config_text(discovery.address, None, 1, "");
         let text = text.replacen('{', "{\"console\":\"127.0.0.1:0\",", 1);
-        let (line_sender, lines) = channel();
-        let gateway = Gateway::start_with_log(&text, &[], move |line| {
-            drop(line_sender.send(line.to_string()))
-        });
+        let (sender, lines) = channel();
+        let gateway =
+            Gateway::start_with_log(&text, &[], move |line| drop(sender.send(line.to_string())));
         let console = loop {
             let line = lines
                 .recv_timeout(TIMEOUT)
@@ -35,9 +34,7 @@
 
     fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.console).expect("the console accepts");
-        stream
-            .set_read_timeout(Some(TIMEOUT))
-            .expect("the read timeout is not zero");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("non-zero");
         stream
     }
 
--- a/crates/frosthatch/tests/counting.rs
+++ b/crates/frosthatch/tests/counting.rs
@@ -135,8 +135,8 @@
 /// rate of calls must not suffer.
 #[test]
 fn connections_that_fall_silent_affect_no_other_calls() {
-    const SILENCED: u32 = 40;
-    let silenced_tags: Vec<String> = (0..SILENCED).map(tag).collect();
+    const SILENT: u32 = 40;
+    let silenced_tags: Vec<String> = (0..SILENT).map(tag).collect();
     let counter = ScriptedCounter::new(move |_, line| {
         if silenced_tags.iter().any(|tag| line.contains(tag)) {
             Some((TIMEOUT, "ok 15".into()))
@@ -146,17 +146,15 @@
     });
     let (_server, gateway) = start_gateway_with_counter(&counter);
     first_call(&gateway, &counter);
-    let status_of = |customer| gateway.request(&request_counted_at_two(customer)).status();
-    thread::scope(|s| {
-        (0..SILENCED).for_each(|customer| drop(s.spawn(move || status_of(customer))))
-    });
+    let outcome = |customer| gateway.request(&request_counted_at_two(customer)).status();
+    thread::scope(|s| (0..SILENT).for_each(|customer| drop(s.spawn(move || outcome(customer)))));
     // A request that the counter reports as used up is refused; without the counter's answer each of these would
     // be passed on.
     let mut later = (100..300).inspect(|_| sleep(Duration::from_millis(10)));
-    assert!(later.by_ref().any(|customer| status_of(customer) == 429));
+    assert!(later.by_ref().any(|customer| outcome(customer) == 429));
     let (answered_by_counter, all) = later.fold((0, 0), |(answered_by_counter, all), c| {
         (
-            answered_by_counter + usize::from(status_of(c) == 429),
+            answered_by_counter + usize::from(outcome(c) == 429),
             all + 1,
         )
     });
--- a/crates/frosthatch/tests/diameter.rs
+++ b/crates/frosthatch/tests/diameter.rs
@@ -560,16 +560,13 @@
     ] {
         let mut bad = DiameterClient::connect(site.address);
         let _ = bad.stream.write_all(bytes);
-        assert!(
-            bad.next_message().is_none(),
-            "the gateway closes the connection"
-        );
+        assert!(bad.next_message().is_none(), "the connection is closed");
     }
     let mut half = DiameterClient::new(site.address, "till.example.org");
     let _ = half.stream.write_all(&event_request(0).encode()[..40]);
     drop(half);
     // An AVP that overruns its group, an answer without a request, a second capabilities exchange.
-    let mut irregular = DiameterClient::new(site.address, "odd.example.org");
+    let mut peer = DiameterClient::new(site.address, "odd.example.org");
     let mut group = Avp::of_group(
         code::SUBSCRIPTION_ID,
         &[Avp::of_u32(code::SUBSCRIPTION_ID_TYPE, 0)],
@@ -578,40 +575,27 @@
     data[7] = 40;
     group.data = data.into();
     assert_eq!(
-        irregular.exchange(&event_request(0).with(group)).result(),
+        peer.exchange(&event_request(0).with(group)).result(),
         Some(result::INVALID_AVP_LENGTH)
     );
     let mut stray = event_request(0).answer();
     stray.header.hop_by_hop = 424_242;
-    irregular.send(&stray);
+    peer.send(&stray);
     assert_eq!(
-        irregular
-            .exchange(&capabilities_exchange_request("odd.example.org"))
+        peer.exchange(&capabilities_exchange_request("odd.example.org"))
             .result(),
         Some(result::UNABLE_TO_COMPLY)
     );
     let back = event_request(0).with(Avp::of_text(code::ROUTE_RECORD, "gw.example.org"));
-    assert_eq!(
-        irregular.exchange(&back).result(),
-        Some(result::LOOP_DETECTED)
-    );
+    assert_eq!(peer.exchange(&back).result(), Some(result::LOOP_DETECTED));
     // 2,000 requests at once are each answered.
     let many: Vec<Message> = (0..2_000).map(|_| event_request(2)).collect();
-    let mut writer = irregular
-        .stream
-        .try_clone()
-        .expect("the descriptor can be duplicated");
+    let mut writer = peer.stream.try_clone().expect("a live socket");
     let bytes: Vec<u8> = many.iter().flat_map(Message::encode).collect();
     let writing = thread::spawn(move || writer.write_all(&bytes));
     let mut answered: Vec<u32> = many
         .iter()
-        .map(|_| {
-            irregular
-                .next_message()
-                .expect("the gateway answers the request")
-                .header
-                .end_to_end
-        })
+        .map(|_| peer.next_message().expect("all answered").header.end_to_end)
         .collect();
     writing
         .join()
@@ -835,10 +819,7 @@
     let to_a = (0..100)
         .filter(|_| send_ccr(false, &free).text(code::ORIGIN_HOST) == Some(host))
         .count();
-    assert!(
-        to_a < 40,
-        "{to_a} of 100 requests reach the overloaded server"
-    );
+    assert!(to_a < 40, "{to_a} of 100 reach server a");
     // The small plan is soon used up: requests are refused, and in time an answer reports the share.
     let debit = with_units(event_request(0), 6);
     loop {
@@ -848,10 +829,7 @@
             assert_eq!(answer.result(), Some(result::TOO_BUSY));
             break;
         }
-        assert!(
-            since.elapsed() < TIMEOUT,
-            "an answer has an overload report"
-        );
+        assert!(since.elapsed() < TIMEOUT, "a report arrives");
     }
     assert!(send_ccr(false, &debit).find(code::OC_OLR).is_none());
 }
--- a/crates/frosthatch/tests/fleet.rs
+++ b/crates/frosthatch/tests/fleet.rs
@@ -175,10 +175,7 @@
     assert_eq!(json["ready"], 3);
     assert!(run_fleet_command(&["leave"]).0);
     fleet.until("n0 has left", |f| f.fleet_view(1).states["n0"] == "left");
-    assert!(
-        fleet.serves_request(0),
-        "a gateway that left the fleet keeps serving"
-    );
+    assert!(fleet.serves_request(0), "n0 keeps serving after it left");
 }
 
 #[test]
--- a/crates/frosthatch/tests/upgrade.rs
+++ b/crates/frosthatch/tests/upgrade.rs
@@ -162,9 +162,7 @@
                     let mut stream = kept.take().unwrap_or_else(|| {
                         TcpStream::connect(at).expect("the gateway accepts every connection")
                     });
-                    stream
-                        .set_read_timeout(Some(TIMEOUT))
-                        .expect("the read timeout is not zero");
+                    stream.set_read_timeout(Some(TIMEOUT)).expect("non-zero");
                     stream
                         .write_all(ClientRequest::check().to_text().as_bytes())
                         .expect("a new connection is not reset");
@@ -214,12 +212,12 @@
 /// Guards against connections refused or reset while processes are replaced, five times in a row.
 #[test]
 fn five_upgrades_under_load_refuse_no_connection() {
-    let (_server, discovery, upgrade_directory) = start_server_and_discovery("five");
-    let (mut old, _log) = upgrade_directory.first(&discovery);
+    let (_server, discovery, installation) = start_server_and_discovery("five");
+    let (mut old, _log) = installation.first(&discovery);
     let (at, load) = (old.address, Load::new(old.address));
     load.wait_for_more_served();
     for _ in 0..5 {
-        let (new, log) = upgrade_directory.start_process(&discovery, at);
+        let (new, log) = installation.start_process(&discovery, at);
         log.wait_ready();
         load.wait_for_more_served();
         old.terminate();
@@ -228,7 +226,7 @@
         log.until("the old process has ended");
         until(
             "the old process accepts on the upgrade socket again",
-            || UnixStream::connect(upgrade_directory.socket()).is_ok(),
+            || UnixStream::connect(installation.socket()).is_ok(),
         );
         old = new;
     }
@@ -238,8 +236,8 @@
 /// Guards against an answer that is lost with the old process, and against one that is sent twice.
 #[test]
 fn the_old_process_answers_the_requests_it_holds() {
-    let (server, discovery, upgrade_directory) = start_server_and_discovery("held");
-    let (mut old, _log) = upgrade_directory.first(&discovery);
+    let (server, discovery, installation) = start_server_and_discovery("held");
+    let (mut old, _log) = installation.first(&discovery);
     let slow = ClientRequest {
         path: "/top-up?slow",
         ..ClientRequest::top_up()
@@ -251,7 +249,7 @@
     let text = ClientRequest::check().to_text();
     let mut split_request = old.client();
     split_request.send(&text[..text.len() / 2]);
-    let (_new, log) = upgrade_directory.start_process(&discovery, old.address);
+    let (_new, log) = installation.start_process(&discovery, old.address);
     log.wait_ready();
     old.terminate();
     split_request.send(&text[text.len() / 2..]);
@@ -291,8 +289,8 @@
     ]
     .join(",");
     let discovery = Discovery::new(&both);
-    let upgrade_directory = UpgradeDirectory::new("marks");
-    let (mut old, log) = upgrade_directory.first(&discovery);
+    let installation = UpgradeDirectory::new("marks");
+    let (mut old, log) = installation.first(&discovery);
     // A kept connection stays with the old process.
     let mut kept = old.client();
     assert_eq!(
@@ -302,7 +300,7 @@
         200
     );
     assert_eq!(log.call("POST /servers/disable?id=a"), 200);
-    let (new, new_log) = upgrade_directory.start_process(&discovery, old.address);
+    let (new, new_log) = installation.start_process(&discovery, old.address);
     new_log.wait_ready();
     for _ in 0..20 {
         assert_eq!(
@@ -330,8 +328,8 @@
 /// gateway.
 #[test]
 fn a_new_process_that_fails_leaves_the_old_one_serving() {
-    let (_server, discovery, upgrade_directory) = start_server_and_discovery("fails");
-    let (mut old, log) = upgrade_directory.first(&discovery);
+    let (_server, discovery, installation) = start_server_and_discovery("fails");
+    let (mut old, log) = installation.first(&discovery);
     let load = Load::new(old.address);
     let hello = |major: u16| {
         format!("{{\"Hello\":{{\"version\":{{\"major\":{major},\"minor\":0}},\"pid\":1}}}}")
@@ -342,25 +340,16 @@
         bytes.extend(body.as_bytes());
         bytes
     };
-    let call = || {
-        UnixStream::connect(upgrade_directory.socket())
-            .expect("the old process accepts on the upgrade socket")
-    };
+    let call = || UnixStream::connect(installation.socket()).expect("listening");
     // New processes that exit before a message, after `Hello`, and after the switch.
     drop(call());
     // Until the exit of the previous new process is noticed, another one is refused.
     let welcomed = || loop {
         let mut stream = call();
-        stream
-            .write_all(&frame(&hello(1)))
-            .expect("the write succeeds");
-        stream
-            .set_read_timeout(Some(TIMEOUT))
-            .expect("the read timeout is not zero");
+        stream.write_all(&frame(&hello(1))).expect("still open");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("non-zero");
         let mut received = [0; 512];
-        let read = stream
-            .read(&mut received)
-            .expect("the gateway answers the request");
+        let read = stream.read(&mut received).expect("the process answers");
         if String::from_utf8_lossy(&received[..read]).contains("Welcome") {
             return stream;
         }
@@ -371,9 +360,7 @@
     log.until("has gone before it was ready");
     load.wait_for_more_served();
     let mut switched = welcomed();
-    switched
-        .write_all(&frame("\"Ready\""))
-        .expect("the write succeeds");
+    switched.write_all(&frame("\"Ready\"")).expect("still open");
     log.until("the new process accepts");
     assert_eq!(log.call("GET /ready"), 503);
     drop(switched);
@@ -385,9 +372,7 @@
     let refused = |bytes: &[u8]| {
         let mut stream = call();
         let _ = stream.write_all(bytes);
-        stream
-            .set_read_timeout(Some(TIMEOUT))
-            .expect("the read timeout is not zero");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("non-zero");
         let mut received = Vec::new();
         let _ = stream.read_to_end(&mut received);
         String::from_utf8_lossy(&received).into_owned()
@@ -403,7 +388,7 @@
     load.wait_for_more_served();
     load.stop();
     // A new process that succeeds after all the failures.
-    let (_new, new_log) = upgrade_directory.start_process(&discovery, old.address);
+    let (_new, new_log) = installation.start_process(&discovery, old.address);
     new_log.wait_ready();
     old.terminate();
     assert!(old.wait_for_exit().success());
@@ -412,10 +397,9 @@
 /// Guards against waiting for an old process that hangs: the new one listens beside it.
 #[test]
 fn an_old_process_that_does_not_answer_is_not_waited_for() {
-    let (_server, discovery, upgrade_directory) = start_server_and_discovery("hangs");
-    let _hung =
-        UnixListener::bind(upgrade_directory.socket()).expect("the Unix socket can be bound");
-    let (new, log) = upgrade_directory.start_process(
+    let (_server, discovery, installation) = start_server_and_discovery("hangs");
+    let _hung = UnixListener::bind(installation.socket()).expect("the Unix socket can be bound");
+    let (new, log) = installation.start_process(
         &discovery,
         "127.0.0.1:0".parse().expect("the text is a socket address"),
     );
@@ -426,15 +410,13 @@
 /// Guards against a second upgrade while one runs, and against the death of one process ending the other.
 #[test]
 fn a_second_upgrade_is_refused_and_the_new_process_serves_after_the_old_one_is_killed() {
-    let (_server, discovery, upgrade_directory) = start_server_and_discovery("second");
-    let (mut old, _log) = upgrade_directory.first(&discovery);
-    let (new, new_log) = upgrade_directory.start_process(&discovery, old.address);
+    let (_server, discovery, installation) = start_server_and_discovery("second");
+    let (mut old, _log) = installation.first(&discovery);
+    let (new, new_log) = installation.start_process(&discovery, old.address);
     new_log.wait_ready();
-    let mut third = UnixStream::connect(upgrade_directory.socket())
+    let mut third = UnixStream::connect(installation.socket())
         .expect("the old process accepts on the upgrade socket");
-    third
-        .set_read_timeout(Some(TIMEOUT))
-        .expect("the read timeout is not zero");
+    third.set_read_timeout(Some(TIMEOUT)).expect("non-zero");
     let mut received = Vec::new();
     let _ = third.read_to_end(&mut received);
     assert!(String::from_utf8_lossy(&received).contains("another upgrade is under way"));
