--- a/crates/frosthatch/tests/choices.rs
+++ b/crates/frosthatch/tests/choices.rs
@@ -26,7 +26,7 @@
     /// Requests received by server 0, the one that can be made to fail.
     failing_server_requests: Arc<AtomicUsize>,
     next_customer: AtomicUsize,
-    _agents: [Discovery; 2],
+    _discoveries: [Discovery; 2],
     _servers: Vec<Server>,
     _runtime: Runtime,
 }
@@ -61,11 +61,11 @@
             let entry = |n| endpoint_entry(&format!("s{n}"), address_of(n), n as u64, "Ready");
             Discovery::new(&(0..SERVERS).map(entry).collect::<Vec<_>>().join(","))
         };
-        let agents = [list(&|n| servers[n].address), list(&|_| unused_address)];
+        let discoveries = [list(&|n| servers[n].address), list(&|_| unused_address)];
         let relay = Relay::new(runtime.handle(), GATEWAYS, 5);
         let key = write_config_file(&format!("1 {}\n", "k".repeat(40)));
         let process = |n: usize| {
-            let discovery = agents[usize::from(n == MISCONFIGURED)].address;
+            let discovery = discoveries[usize::from(n == MISCONFIGURED)].address;
             let node = Node {
                 gateways: GATEWAYS,
                 me: n,
@@ -83,7 +83,7 @@
             failing,
             failing_server_requests,
             next_customer: AtomicUsize::new(1),
-            _agents: agents,
+            _discoveries: discoveries,
             _servers: servers,
             _runtime: runtime,
         };
--- a/crates/frosthatch/tests/command_line.rs
+++ b/crates/frosthatch/tests/command_line.rs
@@ -150,14 +150,15 @@
             .map(String::from)
             .collect::<Vec<_>>()
     };
-    let folder = std::env::temp_dir().join(format!("frosthatch-init-{}", std::process::id()));
+    let state_directory =
+        std::env::temp_dir().join(format!("frosthatch-init-{}", std::process::id()));
     let key = write_config_file(&"k".repeat(40));
     let table = |extra: &str| {
         let fleet = format!(
             "[fleet]\nlisten = \"127.0.0.1:0\"\nkey_file = \"{}\"\n",
             key.display()
         );
-        format!("{fleet}[policy]\nkeepers = [\"a\", \"b\", \"c\"]\nfolder = {folder:?}\n{extra}")
+        format!("{fleet}[policy]\nkeepers = [\"a\", \"b\", \"c\"]\nfolder = {state_directory:?}\n{extra}")
     };
     let init_acceptor = |name: &str| {
         run(
@@ -177,7 +178,7 @@
                 .iter()
                 .any(|l| l.contains("there is a state already"))
     );
-    let _ = std::fs::remove_dir_all(&folder);
+    let _ = std::fs::remove_dir_all(&state_directory);
 
     let invalid_values = run(
         &config,
--- a/crates/frosthatch/tests/fleet.rs
+++ b/crates/frosthatch/tests/fleet.rs
@@ -339,7 +339,7 @@
 
 #[test]
 fn check_reports_a_mistake_in_the_fleet_table_by_its_key() {
-    let agent = Discovery::new("");
+    let discovery_double = Discovery::new("");
     let key = write_config_file(&"k".repeat(40));
     let key_line = format!("key_file = \"{}\"", key.display());
     let cases = [
@@ -353,7 +353,7 @@
     for (text, expected) in cases {
         let file = write_config_file(&text);
         let config = write_config_file(&frosthatch_test_doubles::config_text(
-            agent.address,
+            discovery_double.address,
             None,
             2,
             "",
--- a/crates/frosthatch/tests/golden_forms.rs
+++ b/crates/frosthatch/tests/golden_forms.rs
@@ -420,9 +420,9 @@
     compare_with_recorded("admin_api.txt", &text);
 
     testbed.apply(&TimelineAction::Kill { who: vec![0, 1, 2] });
-    let folder = fixture.state_directory(0);
+    let state_directory = fixture.state_directory(0);
     let audit = std::fs::read_to_string(
-        folder
+        state_directory
             .parent()
             .expect("the state directory has a parent")
             .join("audit-0"),
@@ -449,9 +449,9 @@
 
 /// Counts the lines of the audit files of three processes.
 fn audit_lines(fixture: &PolicyFixture) -> usize {
-    let folder = fixture.state_directory(0);
+    let state_directory = fixture.state_directory(0);
     let audit_file = |n: usize| {
-        folder
+        state_directory
             .parent()
             .expect("the state directory has a parent")
             .join(format!("audit-{n}"))
