--- a/crates/frosthatch/tests/bulk.rs
+++ b/crates/frosthatch/tests/bulk.rs
@@ -75,7 +75,7 @@
 
 fn connect(gateway: &Gateway) -> TcpStream {
     let stream = TcpStream::connect(gateway.address).expect("the gateway accepts");
-    stream.set_read_timeout(Some(TIMEOUT)).expect("non-zero");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("timeout > 0");
     stream
 }
 
--- a/crates/frosthatch/tests/choices.rs
+++ b/crates/frosthatch/tests/choices.rs
@@ -208,13 +208,14 @@
     }
     let after_detection =
         fleet.failing_server_requests.load(Ordering::SeqCst) - before - until_detected;
-    // A turn takes 4 s; requests already under way when the failure was reported come on top.
+    // The gateways take turns of 4 s to send one trial request to a server that is left out: at most 2 in these
+    // 3 s, and up to 4 requests were under way when the failure was reported.
     assert!(
         after_detection <= 2 + 4,
-        "{after_detection} requests after {until_detected} until detection"
+        "{after_detection} requests after {until_detected} until detection, at most 6 are allowed"
     );
-    // A process that is stopped during its turns and continues finds them over; a process that is cut off counts
-    // only itself, uses all servers, and serves.
+    // A process that was stopped during its turns to try the failing server sends it no trial request when it
+    // continues; a process that is cut off counts only itself, uses all servers, and serves.
     fleet.testbed.apply(&TimelineAction::Stop { who: vec![1] });
     fleet.testbed.apply(&TimelineAction::Cut {
         from: vec![2],
--- a/crates/frosthatch/tests/clients.rs
+++ b/crates/frosthatch/tests/clients.rs
@@ -292,7 +292,7 @@
     assert_eq!(crowd.collect::<Vec<Client>>().len(), 250);
 }
 
-/// Guards against requests that wait unread because all places are taken by slow ones: what cannot be held is
+/// Guards against leaving requests unread because slow requests occupy all places: a request beyond the limit is
 /// refused at once, and every client is answered in time.
 #[test]
 fn a_request_that_finds_all_places_taken_is_refused_before_its_deadline() {
@@ -323,7 +323,7 @@
         "{:?}",
         since.elapsed()
     );
-    // A server's silence doesn't prevent refusing a request that is safe to repeat.
+    // A request that is safe to repeat is refused with 429 although it reached a server that did not answer.
     assert!(statuses.iter().all(|s| *s == 429), "{statuses:?}");
     assert!(
         (1..60).contains(&server.drain_request_count()),
--- a/crates/frosthatch/tests/clocks.rs
+++ b/crates/frosthatch/tests/clocks.rs
@@ -129,11 +129,11 @@
     for (step, sent) in steps.iter().zip(&sent) {
         assert!(
             *sent <= without_step + without_step / 2 + 10,
-            "{sent} requests with a step of {step} ms, {without_step} without"
+            "{sent} requests with a step of {step} ms, at most 1.5 times {without_step} (without a step) + 10 allowed"
         );
         assert!(
             *sent >= without_step / 4,
-            "{sent} requests with a step of {step} ms, {without_step} without"
+            "{sent} requests with a step of {step} ms, at least a quarter of {without_step} (without a step) expected"
         );
     }
 }
--- a/crates/frosthatch/tests/closes.rs
+++ b/crates/frosthatch/tests/closes.rs
@@ -10,7 +10,7 @@
 
 fn connect(gateway: &Gateway) -> TcpStream {
     let stream = TcpStream::connect(gateway.address).expect("the gateway accepts");
-    stream.set_read_timeout(Some(TIMEOUT)).expect("non-zero");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("timeout > 0");
     stream
 }
 
@@ -69,14 +69,14 @@
         .starts_with("HTTP/1.1 400"));
 }
 
-/// Guards against mishandling a request that crosses the end of its connection: it is read, so that nothing is
-/// reset, and not forwarded.
+/// Guards against a reset for a request that the client sends while the gateway closes the idle connection: the
+/// gateway reads the request without forwarding it.
 #[test]
 fn a_request_behind_the_end_of_an_idle_connection_is_neither_forwarded_nor_reset() {
-    // Waits for the end of the stream and returns whether it was noticed within 80 ms: later, the gateway may
-    // have stopped lingering.
+    // Waits for the end of the stream and returns whether it was noticed within 80 ms: after that the gateway
+    // may no longer read from the closed connection.
     let close_was_seen_in_time = |stream: &mut TcpStream| {
-        stream.set_nonblocking(true).expect("a valid socket");
+        stream.set_nonblocking(true).expect("the socket is open");
         let mut last_read = Instant::now();
         loop {
             match stream.read(&mut [0; 64]) {
@@ -86,7 +86,7 @@
             }
             thread::sleep(Duration::from_millis(1));
         }
-        stream.set_nonblocking(false).expect("a valid socket");
+        stream.set_nonblocking(false).expect("the socket is open");
         last_read.elapsed() < Duration::from_millis(80)
     };
     for _ in 0..20 {
@@ -103,12 +103,12 @@
         while client.read(&mut [0; 1]).expect("the rest arrives") > 0 {
             client
                 .set_read_timeout(Some(Duration::from_millis(50)))
-                .expect("non-zero");
+                .expect("timeout > 0");
             if client.peek(&mut [0; 1]).is_err() {
                 break;
             }
         }
-        client.set_read_timeout(Some(TIMEOUT)).expect("non-zero");
+        client.set_read_timeout(Some(TIMEOUT)).expect("timeout > 0");
         gateway.terminate();
         let seen_in_time = close_was_seen_in_time(&mut client);
         let sent = client.write_all(ClientRequest::check().to_text().as_bytes());
@@ -119,7 +119,7 @@
         assert!(gateway.wait_for_exit().success());
         // A reset would be reported here; a read reports the end of stream that came before it.
         assert!(
-            client.take_error().expect("an open socket").is_none(),
+            client.take_error().expect("the socket is open").is_none(),
             "the connection is not reset"
         );
         assert_eq!(server.drain_request_count(), 0, "no request is forwarded");
@@ -155,8 +155,8 @@
     assert!(gateway.wait_for_exit().success());
 }
 
-/// Guards against losing a connection that the kernel has accepted and the process has not when it is about to
-/// exit: the process was stopped for as long as it would have gone on accepting.
+/// Guards against losing a connection in the accept queue at exit. The process is stopped for 700 ms, longer
+/// than it accepts connections after SIGTERM.
 #[test]
 fn a_connection_in_the_accept_queue_is_served_before_exit() {
     let server = Server::new(|_| ok("served"));
--- a/crates/frosthatch/tests/console.rs
+++ b/crates/frosthatch/tests/console.rs
@@ -34,7 +34,7 @@
 
     fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.console).expect("the console accepts");
-        stream.set_read_timeout(Some(TIMEOUT)).expect("non-zero");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("timeout > 0");
         stream
     }
 
@@ -243,7 +243,7 @@
 /// Guards against callers that occupy all console connections: silent, with a partial request, or one after
 /// another.
 #[test]
-fn callers_that_hold_connections_lock_nobody_out() {
+fn callers_that_hold_connections_do_not_prevent_other_calls() {
     let server = Server::new(|_| ok("served"));
     let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let mut site = Site::new(&discovery);
--- a/crates/frosthatch/tests/counting.rs
+++ b/crates/frosthatch/tests/counting.rs
@@ -6,8 +6,9 @@
 use std::thread::{self, sleep};
 use std::time::Duration;
 
-/// A request of a customer who is counted at another gateway too, on the plan that refills slowly.
-fn request_counted_at_two(customer: u32) -> ClientRequest {
+/// A request for 3 units of a customer whose quota is shared by two gateways (`spread=2`), on the plan that
+/// refills slowly.
+fn request_shared_by_two_gateways(customer: u32) -> ClientRequest {
     let request = ClientRequest::check()
         .with_header("X-Tier", "small")
         .with_header("X-Api-Key", &format!("{customer:016x}"));
@@ -24,7 +25,7 @@
 /// Sends requests until one reaches the counter, whose connection may not be up yet, and returns its line.
 fn first_call(gateway: &Gateway, counter: &ScriptedCounter) -> String {
     for customer in 1_000.. {
-        gateway.request(&request_counted_at_two(customer));
+        gateway.request(&request_shared_by_two_gateways(customer));
         if let Ok(line) = counter.lines.recv_timeout(Duration::from_millis(200)) {
             return line;
         }
@@ -54,7 +55,10 @@
     let counter = ScriptedCounter::new(|_, _| Some((Duration::ZERO, "ok 15".into())));
     let (_server, gateway) = start_gateway_with_counter(&counter);
     first_call(&gateway, &counter);
-    assert_eq!(gateway.request(&request_counted_at_two(1)).status(), 429);
+    assert_eq!(
+        gateway.request(&request_shared_by_two_gateways(1)).status(),
+        429
+    );
 }
 
 /// Guards against matching a late answer to the next call.
@@ -69,11 +73,14 @@
     });
     let (_server, gateway) = start_gateway_with_counter(&counter);
     first_call(&gateway, &counter);
-    gateway.request(&request_counted_at_two(1));
+    gateway.request(&request_shared_by_two_gateways(1));
     // The answer for customer 1 comes after its call timed out; the answer for customer 2 follows it on the
     // connection.
     sleep(Duration::from_millis(100));
-    assert_eq!(gateway.request(&request_counted_at_two(2)).status(), 200);
+    assert_eq!(
+        gateway.request(&request_shared_by_two_gateways(2)).status(),
+        200
+    );
     assert!(counter.next_line().contains(&tag(1)));
 }
 
@@ -103,7 +110,11 @@
         first_call(&gateway, &counter);
         for customer in 0..10 {
             assert!(
-                [200, 429].contains(&gateway.request(&request_counted_at_two(customer)).status()),
+                [200, 429].contains(
+                    &gateway
+                        .request(&request_shared_by_two_gateways(customer))
+                        .status()
+                ),
                 "{answer}"
             );
         }
@@ -124,15 +135,17 @@
         let gateway = Gateway::start_ready(&discovery, Some(address), 2);
         for customer in 0..10 {
             assert_eq!(
-                gateway.request(&request_counted_at_two(customer)).status(),
+                gateway
+                    .request(&request_shared_by_two_gateways(customer))
+                    .status(),
                 200
             );
         }
     }
 }
 
-/// Connections to the counter fall silent one after another, each with a call outstanding: other calls and the
-/// rate of calls must not suffer.
+/// Connections to the counter fall silent one after another, each with a call outstanding: other calls are still
+/// answered at their rate.
 #[test]
 fn connections_that_fall_silent_affect_no_other_calls() {
     const SILENT: u32 = 40;
@@ -146,7 +159,11 @@
     });
     let (_server, gateway) = start_gateway_with_counter(&counter);
     first_call(&gateway, &counter);
-    let outcome = |customer| gateway.request(&request_counted_at_two(customer)).status();
+    let outcome = |customer| {
+        gateway
+            .request(&request_shared_by_two_gateways(customer))
+            .status()
+    };
     thread::scope(|s| (0..SILENT).for_each(|customer| drop(s.spawn(move || outcome(customer)))));
     // A request that the counter reports as used up is refused; without the counter's answer each of these would
     // be passed on.
@@ -169,7 +186,11 @@
     let counter = ScriptedCounter::new(|n, _| (n > 0).then(|| (Duration::ZERO, "ok 15".into())));
     let (_server, gateway) = start_gateway_with_counter(&counter);
     first_call(&gateway, &counter);
-    // On the new connection the counter reports that all is used up.
+    // The counter closes its first connection without an answer; on the second it reports that the quota is used
+    // up.
     first_call(&gateway, &counter);
-    assert_eq!(gateway.request(&request_counted_at_two(1)).status(), 429);
+    assert_eq!(
+        gateway.request(&request_shared_by_two_gateways(1)).status(),
+        429
+    );
 }
--- a/crates/frosthatch/tests/diameter.rs
+++ b/crates/frosthatch/tests/diameter.rs
@@ -201,7 +201,7 @@
         a.drain_request_count();
         b.drain_request_count();
         cutting.store(true, Ordering::SeqCst);
-        // Until a request is outstanding at server a.
+        // Sends debits until one is outstanding at server a.
         let since = Instant::now();
         loop {
             assert!(since.elapsed() < TIMEOUT, "a debit is sent to server a");
@@ -443,7 +443,8 @@
         let since = Instant::now();
         let cca = client.exchange(&ccr);
         assert_eq!(cca.header.end_to_end, ccr.header.end_to_end);
-        // A check may be refused whatever its outcome; the outcome of a charge that may have run is undefined.
+        // A check (action 2) may be refused with TOO_BUSY; a charge that may have run ends with SUCCESS or
+        // UNABLE_TO_COMPLY.
         let allowed = match cca.result() {
             Some(result::SUCCESS | result::UNABLE_TO_COMPLY) => true,
             code => action == 2 && code == Some(result::TOO_BUSY),
@@ -590,7 +591,7 @@
     assert_eq!(peer.exchange(&back).result(), Some(result::LOOP_DETECTED));
     // 2,000 requests at once are each answered.
     let many: Vec<Message> = (0..2_000).map(|_| event_request(2)).collect();
-    let mut writer = peer.stream.try_clone().expect("a live socket");
+    let mut writer = peer.stream.try_clone().expect("the socket is open");
     let bytes: Vec<u8> = many.iter().flat_map(Message::encode).collect();
     let writing = thread::spawn(move || writer.write_all(&bytes));
     let mut answered: Vec<u32> = many
@@ -819,8 +820,9 @@
     let to_a = (0..100)
         .filter(|_| send_ccr(false, &free).text(code::ORIGIN_HOST) == Some(host))
         .count();
-    assert!(to_a < 40, "{to_a} of 100 reach server a");
-    // The small plan is soon used up: requests are refused, and in time an answer reports the share.
+    assert!(to_a < 40, "{to_a} of 100 reach a, under 40 allowed");
+    // The small plan's quota is soon used up: requests are refused, and then an answer carries an overload
+    // report with the share of requests to drop.
     let debit = with_units(event_request(0), 6);
     loop {
         let answer = send_ccr(true, &debit);
--- a/crates/frosthatch/tests/dns_sd.rs
+++ b/crates/frosthatch/tests/dns_sd.rs
@@ -204,7 +204,11 @@
     let since = Instant::now();
     while seen.len() < 40 {
         seen.insert(gateway.request(&ClientRequest::check()).body);
-        assert!(since.elapsed() < TIMEOUT, "only {} serve", seen.len());
+        assert!(
+            since.elapsed() < TIMEOUT,
+            "only {} of 40 servers serve a request",
+            seen.len()
+        );
     }
 }
 
@@ -298,5 +302,7 @@
     until("the removal is known", || {
         (0..10).all(|_| gateway.request(&ClientRequest::check()).body == "b")
     });
-    until("there is another session", || resolver.push_sessions() > 1);
+    until("the gateway opens a new push session after the cut", || {
+        resolver.push_sessions() > 1
+    });
 }
--- a/crates/frosthatch/tests/fleet.rs
+++ b/crates/frosthatch/tests/fleet.rs
@@ -212,7 +212,7 @@
             .all(|(_, by, l)| *by != 1 && l.contains("member n1")),
         "{dead:?}"
     );
-    // A cut of one direction of one link makes no member dead.
+    // If one direction of one link is cut, no member is held dead.
     let before = fleet.testbed.history.log_lines(": dead").len();
     fleet.testbed.apply(&TimelineAction::Cut {
         from: vec![0],
@@ -235,7 +235,7 @@
     });
     (0..3).for_each(|n| fleet.testbed.start(n));
     fleet.testbed.wait_until_all_found();
-    // Past the time after its start in which a process takes the name for its own.
+    // 3.5 s: longer than the time after its start in which a process claims its name.
     std::thread::sleep(Duration::from_millis(3_500));
     fleet.testbed.start(3);
     fleet.until("the older process knows that it is replaced", |f| {
--- a/crates/frosthatch/tests/late_bytes.rs
+++ b/crates/frosthatch/tests/late_bytes.rs
@@ -1,6 +1,6 @@
-//! Requests whose last byte is sent long after the first: what was decided before the first byte must still hold
-//! then. A server begins a request when its last byte has arrived, and so repeats, deadlines and disconnects of
-//! clients count from there.
+//! Requests whose last byte is sent long after the first: the conditions checked before the first byte (dedup
+//! window, deadline, connected client) must still hold at the last byte, because a server begins a request when
+//! its last byte has arrived.
 
 mod common;
 use common::*;
@@ -164,7 +164,7 @@
         let left_s = deadline.saturating_duration_since(at).as_secs_f64();
         assert!(
             deadline_s <= left_s + 0.15,
-            "the server gets a deadline of {deadline_s} s, the client has {left_s} s left"
+            "the server gets a deadline of {deadline_s} s, the client has {left_s} s left and 0.15 s are tolerated"
         );
     }
 }
@@ -200,7 +200,7 @@
         .expect("the second request is answered");
     assert!(
         deadline_s <= left_s + 0.15,
-        "the server gets a deadline of {deadline_s} s, the client has {left_s} s left"
+        "the server gets a deadline of {deadline_s} s, the client has {left_s} s left and 0.15 s are tolerated"
     );
 }
 
@@ -264,7 +264,8 @@
     clients.iter_mut().for_each(|c| drop(c.check_again()));
     let since = Instant::now();
     thread::sleep(IDLE - Duration::from_millis(150));
-    // The connections that were answered first reach the end of their idle time first.
+    // The process stops before the first idle connection times out and continues after that; the connection
+    // answered first times out first.
     gateway.signal("-STOP");
     clients
         .iter_mut()
--- a/crates/frosthatch/tests/outcomes.rs
+++ b/crates/frosthatch/tests/outcomes.rs
@@ -142,7 +142,7 @@
     let answer = gateway.request(&ClientRequest::top_up().with_header("X-Expires-In", "0.8"));
     assert!(
         since.elapsed().as_secs_f64() > 0.5,
-        "the attempt is given its time before it is failed"
+        "the gateway waits more than 0.5 s for the server before it answers"
     );
     assert!(
         is_gateway_error(&answer),
@@ -264,7 +264,8 @@
     }
 }
 
-/// Answers with invalid framing or an unproven status; the server leaves the connection open after them.
+/// Answers with invalid framing, and a never-ran 503 that never ends because it has no length; the server leaves
+/// the connection open after them.
 const INVALID_ANSWERS: [&str; 14] = [
     "HTTP/1.1 200 OK\r\n\r\nfirst",
     "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 4\r\n\r\nfirst",
@@ -285,7 +286,7 @@
 /// Guards against serving an incomplete answer, and against taking it for proof that nothing ran: a keyed
 /// request that got one goes to no other cell.
 #[test]
-fn an_invalid_answer_is_not_served_and_proves_nothing() {
+fn an_invalid_answer_is_not_served_and_does_not_count_as_never_ran() {
     for text in INVALID_ANSWERS {
         let server = Server::new(move |_| Reply::Bytes(text.into()));
         let other = Server::new(|_| ok("other"));
--- a/crates/frosthatch/tests/plugins.rs
+++ b/crates/frosthatch/tests/plugins.rs
@@ -151,8 +151,8 @@
 }
 
 #[test]
-fn a_plugin_that_traps_is_suspended_and_used_again_after_a_reload() {
-    // The module's `init` stores the time of its start, and every call traps.
+fn a_plugin_that_traps_is_used_again_after_a_reload() {
+    // Each call of the module traps.
     let traps = write_module(
         r#"(global $since (mut i64) (i64.const 0))
            (func (export "init") (result i32) (global.set $since (call $now_ms)) i32.const 0)
--- a/crates/frosthatch/tests/policy.rs
+++ b/crates/frosthatch/tests/policy.rs
@@ -43,7 +43,7 @@
         Fleet::with_tables(name, processes, |_| more.to_string())
     }
 
-    /// Starts the processes like `new`, with additional lines for the `[policy]` table of each.
+    /// Like `new`, but `more` returns the additional lines for the process with the given index.
     fn with_tables(name: &str, processes: usize, more: impl Fn(usize) -> String) -> Fleet {
         let runtime = Runtime::new().expect("the Tokio runtime starts");
         let server = Server::new(|_| ok("done"));
@@ -100,9 +100,9 @@
         self.testbed.start(target);
     }
 
-    /// Restarts a process so that it exits at a step, once all serve under `version`. Acceptors that are still
-    /// catching up may take it to that step before anything is proposed: then they are left to finish, and it is
-    /// restarted again.
+    /// Restarts a process so that it exits at a step, once all serve under `version`. Acceptors that are
+    /// catching up may make the process reach the step before a change is proposed: it is then restarted without
+    /// the exit, and the attempt is repeated.
     fn restart_to_exit_at(&mut self, target: usize, step: &str, after: u64, version: u64) {
         let since = Instant::now();
         loop {
@@ -127,7 +127,7 @@
             }
             assert!(
                 since.elapsed() < WAIT_TIMEOUT,
-                "the process exits at step {step} {after} in every attempt"
+                "process {target} reaches step {step} {after} only after a proposal"
             );
             self.restart(target, "");
             self.wait_until_all_hold(version);
@@ -240,7 +240,8 @@
         )
     }
 
-    /// Asserts the invariants I1, I2 and I5 by the time and version of each admitted request.
+    /// Asserts the invariants I1, I2 and I5: no request was admitted under an old version more than 250 ms after
+    /// one under a newer version, no version has two documents, and at least `changes` changes were seen.
     fn assert_admission_invariants(&self, changes: usize) {
         let all = self.fixture.admitted_requests(self.testbed.processes.len());
         let (window, seen) = policy_fixture::stale_version_window(&all);
@@ -461,8 +462,8 @@
     fleet.wait_until_all_hold(1);
 }
 
-/// An acceptor's state directory is lost; a new one is set up in its place, which then makes up for the loss of
-/// another acceptor; the old directory is no longer accepted.
+/// An acceptor loses its state directory and is replaced by a new acceptor; with the new acceptor the fleet
+/// tolerates the loss of another one, a third; the old directory is refused.
 #[test]
 fn an_acceptor_is_replaced_and_its_old_directory_is_refused() {
     let mut fleet = Fleet::new("replaced", 4, "");
@@ -548,14 +549,14 @@
     );
 }
 
-/// The proposer and an acceptor are killed at each named step, alone or with all others: what was reported as in
-/// force holds, otherwise all processes hold the same version; the next change is made.
+/// The proposer or an acceptor is killed at each named step, alone or with all others: a change reported as in
+/// force stays in force; any other change is in force at all processes or at none; the next change succeeds.
 #[test]
 fn killed_at_each_step_by_name_a_change_is_everywhere_or_nowhere() {
     let mut fleet = Fleet::new("steps", 4, "");
     let (mut version, mut parent) = (0, String::new());
-    // The process that exits, the step before which it exits, and how many times it has done the step by then.
-    // The fourth process is no acceptor; it asks three other members and three acceptors.
+    // The process that exits, the step before which it exits, and the completed occurrences of this step before
+    // the exit. Process 3 is the proposer and no acceptor: it asks three other members and three acceptors.
     let steps = [
         (3, "check", 0),
         (3, "check", 1),
@@ -589,8 +590,8 @@
                 since.elapsed() < WAIT_TIMEOUT,
                 "process {target} exits at step {step} {after}"
             );
-            // An acceptor whose answer came too late to be needed may not have reached the step: then it does
-            // with the next proposal.
+            // An acceptor whose answer was not needed for the majority may not have reached the step; another
+            // proposal makes it reach the step.
             let ended = number
                 .filter(|_| target != 3)
                 .and_then(|n| policy_fixture::proposal_outcome(fleet.console(3), n));
@@ -675,10 +676,11 @@
         fleet.wait_until_all_hold(version);
         assert!((0..4).all(|n| fleet.request_status(n) == 200));
     }
-    // Both outcomes occurred; otherwise the steps are not where their names say.
+    // Of the interrupted changes at least 3 came into force and more than 3 did not: the process exits both
+    // before and after the point at which a change becomes final.
     assert!(
         (3..steps.len() - 3).contains(&in_force_count),
-        "{in_force_count} of {} changes came into force",
+        "{in_force_count} of {} changes came into force, expected at least 3 and fewer than all but 3",
         steps.len()
     );
     fleet.assert_admission_invariants(steps.len());
--- a/crates/frosthatch/tests/quiet_lists.rs
+++ b/crates/frosthatch/tests/quiet_lists.rs
@@ -25,7 +25,7 @@
     since.elapsed()
 }
 
-/// Guards against long polls that fall silent repeatedly: the next call must not wait for them.
+/// Several watches in a row get no answer: the gateway sends its next call without waiting for them.
 #[test]
 fn a_change_is_known_although_no_watch_is_answered() {
     let (a, b) = servers();
@@ -53,7 +53,7 @@
         (endpoint_entry("a", a.address, 0, "Ready"), "a"),
     ] {
         discovery.set_mode(DiscoveryMode::Down);
-        // The last of these calls has just arrived, and is lost.
+        // The fifth call has just arrived; discovery never answers it.
         discovery.wait_for_calls(5);
         discovery.publish(true, &entry);
         discovery.set_mode(DiscoveryMode::Answering);
@@ -62,7 +62,8 @@
     }
 }
 
-/// Guards against keeping the revision of an agent that has restarted: its changes refer to another list.
+/// Guards against sending the old revision to an agent that has restarted: the agent's changes then refer to a
+/// list that the gateway doesn't have.
 #[test]
 fn a_restarted_agent_is_asked_for_its_whole_list() {
     let (a, b) = servers();
@@ -133,7 +134,10 @@
         let before = calls.load(Ordering::SeqCst);
         sleep(Duration::from_secs(1));
         let calls = calls.load(Ordering::SeqCst) - before;
-        assert!((1..60).contains(&calls), "{calls} calls in a second");
+        assert!(
+            (1..60).contains(&calls),
+            "{calls} calls in a second, expected 1 to 59"
+        );
         assert_eq!(gateway.request(&ClientRequest::check()).body, "a");
         state.store(2, Ordering::SeqCst);
         assert!(time_until_served_by(&gateway, "b") < Duration::from_secs(6));
@@ -214,9 +218,9 @@
 /// Guards against an overloaded discovery whose answers arrive later than the usual timeout of calls.
 #[test]
 fn a_change_is_known_although_discovery_answers_slowly() {
-    /// Time after which a change counts as known.
+    /// Maximum time from a change at discovery until the gateway applies it.
     const MAX_DISCOVERY_DELAY: Duration = Duration::from_secs(6);
-    /// Time after which a draining server gets no new request.
+    /// Maximum time after that during which a draining server may still get new requests.
     const GRACE: Duration = Duration::from_millis(500);
     let (first, second) = (Server::new(|_| ok("first")), Server::new(|_| ok("second")));
     let discovery = Discovery::new(&endpoint_entry("a", first.address, 0, "Ready"));
--- a/crates/frosthatch/tests/quotas.rs
+++ b/crates/frosthatch/tests/quotas.rs
@@ -118,16 +118,20 @@
         after += site.count_granted(0, 1, "lille", 10) + site.count_granted(1, 1, "lille", 10);
     }
     let units_added = since.elapsed().as_secs_f64() * 500.0;
-    println!("{} units in {:?}", after * 6, since.elapsed());
+    println!(
+        "{} units granted in {:?} after the counter was replaced",
+        after * 6,
+        since.elapsed()
+    );
     assert!(
         (after * 6) as f64 <= units_added + 500.0,
-        "{} units in {:?}",
+        "{} units granted in {:?} after the counter was replaced, at most {units_added} + 500 allowed",
         after * 6,
         since.elapsed()
     );
     assert!(
         (after * 6) as f64 >= units_added * 0.3,
-        "{} units in {:?}",
+        "{} units granted in {:?} after the counter was replaced, at least 0.3 of {units_added} expected",
         after * 6,
         since.elapsed()
     );
@@ -184,7 +188,7 @@
         assert_eq!(site.count_granted(0, customer, "lille", 1), 1);
     }
     let (calls, connections) = (counter.calls(), counter.connections());
-    assert!(calls >= 20, "{calls} calls");
+    assert!(calls >= 20, "{calls} calls, expected 20 or more");
     assert!(
         connections <= 8,
         "{connections} connections for {calls} calls"
--- a/crates/frosthatch/tests/reload.rs
+++ b/crates/frosthatch/tests/reload.rs
@@ -6,8 +6,8 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Starts a server that answers `body` and a discovery that lists it, at a revision that other discoveries have
-/// passed.
+/// Starts a server that answers `body` and a discovery that lists it. Each discovery counts its own revisions,
+/// so a list may have a lower revision than the list of another discovery.
 fn start_server_and_discovery(body: &'static str) -> (Server, Discovery) {
     let server = Server::new(move |m| {
         if m.line.contains("slow") {
--- a/crates/frosthatch/tests/rules.rs
+++ b/crates/frosthatch/tests/rules.rs
@@ -189,7 +189,8 @@
         .map(|_| gateway.request(&http_request()).status())
         .collect();
     let served = answers.iter().filter(|&&s| s == 200).count();
-    // The bucket holds 20 units and fills at 10 a second; a request may be slightly ahead of this test's clock.
+    // The bucket holds 20 units and fills at 10 units a second; 1 s is added because a request may be slightly
+    // ahead of this test's clock.
     let max_units = 20.0 + 10.0 * (since.elapsed().as_secs_f64() + 1.0);
     assert!(
         served as f64 * 2.0 <= max_units,
--- a/crates/frosthatch/tests/system_calls.rs
+++ b/crates/frosthatch/tests/system_calls.rs
@@ -99,8 +99,8 @@
     );
 }
 
-/// Guards against blaming servers for a shortage of the gateway's machine: a failed connect is retried within
-/// the request's time, and affects neither a server's standing nor the retry budget.
+/// Guards against counting a shortage of the gateway's machine as a server failure: a failed connect is retried
+/// within the request's time, and changes neither the server's health nor the retry budget.
 #[test]
 fn a_shortage_of_the_gateways_machine_is_not_blamed_on_servers() {
     let closing = |_: &Message| {
--- a/crates/frosthatch/tests/upgrade.rs
+++ b/crates/frosthatch/tests/upgrade.rs
@@ -162,7 +162,7 @@
                     let mut stream = kept.take().unwrap_or_else(|| {
                         TcpStream::connect(at).expect("the gateway accepts every connection")
                     });
-                    stream.set_read_timeout(Some(TIMEOUT)).expect("non-zero");
+                    stream.set_read_timeout(Some(TIMEOUT)).expect("timeout > 0");
                     stream
                         .write_all(ClientRequest::check().to_text().as_bytes())
                         .expect("a new connection is not reset");
@@ -324,8 +324,8 @@
     assert!(old.wait_for_exit().success());
 }
 
-/// Guards against a gateway for which no process accepts: new processes that exit at each step, hang, or are no
-/// gateway.
+/// Guards against a failed upgrade leaving no process that accepts connections: the new process exits at each
+/// step, hangs, or is not a gateway.
 #[test]
 fn a_new_process_that_fails_leaves_the_old_one_serving() {
     let (_server, discovery, installation) = start_server_and_discovery("fails");
@@ -341,25 +341,25 @@
         bytes
     };
     let call = || UnixStream::connect(installation.socket()).expect("listening");
-    // New processes that exit before a message, after `Hello`, and after the switch.
+    // New processes that exit before their first message, after `Hello`, and after `Ready`.
     drop(call());
-    // Until the exit of the previous new process is noticed, another one is refused.
-    let welcomed = || loop {
+    // The running process refuses a new one until it has noticed the exit of the previous one.
+    let connect_until_welcomed = || loop {
         let mut stream = call();
         stream.write_all(&frame(&hello(1))).expect("still open");
-        stream.set_read_timeout(Some(TIMEOUT)).expect("non-zero");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("timeout > 0");
         let mut received = [0; 512];
         let read = stream.read(&mut received).expect("the process answers");
         if String::from_utf8_lossy(&received[..read]).contains("Welcome") {
             return stream;
         }
     };
-    let disconnected = welcomed();
+    let disconnected = connect_until_welcomed();
     log.until("a new process calls");
     drop(disconnected);
     log.until("has gone before it was ready");
     load.wait_for_more_served();
-    let mut switched = welcomed();
+    let mut switched = connect_until_welcomed();
     switched.write_all(&frame("\"Ready\"")).expect("still open");
     log.until("the new process accepts");
     assert_eq!(log.call("GET /ready"), 503);
@@ -372,7 +372,7 @@
     let refused = |bytes: &[u8]| {
         let mut stream = call();
         let _ = stream.write_all(bytes);
-        stream.set_read_timeout(Some(TIMEOUT)).expect("non-zero");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("timeout > 0");
         let mut received = Vec::new();
         let _ = stream.read_to_end(&mut received);
         String::from_utf8_lossy(&received).into_owned()
@@ -416,7 +416,7 @@
     new_log.wait_ready();
     let mut third = UnixStream::connect(installation.socket())
         .expect("the old process accepts on the upgrade socket");
-    third.set_read_timeout(Some(TIMEOUT)).expect("non-zero");
+    third.set_read_timeout(Some(TIMEOUT)).expect("timeout > 0");
     let mut received = Vec::new();
     let _ = third.read_to_end(&mut received);
     assert!(String::from_utf8_lossy(&received).contains("another upgrade is under way"));
