--- a/crates/frosthatch/tests/log_output.rs
+++ b/crates/frosthatch/tests/log_output.rs
@@ -1,4 +1,5 @@
-//! A log that cannot be written: the disk is full, or whoever read it has gone. The gateway serves on.
+//! A log that cannot be written, because the disk is full or its reader has closed the pipe: the gateway keeps
+//! serving.
 
 mod common;
 use common::*;
@@ -9,7 +10,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A process that is not one of [`Gateway`], as what it logs goes elsewhere.
+/// A gateway process that is not a [`Gateway`], because its log goes elsewhere.
 struct Process {
     child: Child,
     address: SocketAddr,
@@ -19,7 +20,7 @@
     fn start(discovery: &Discovery, log: Stdio) -> Process {
         let address = TcpListener::bind("127.0.0.1:0")
             .and_then(|l| l.local_addr())
-            .expect("a port");
+            .expect("a free loopback port can be bound");
         let text = config_text(discovery.address, None, 1, "");
         let text = text.replace(
             "\"listen\":\"127.0.0.1:0\"",
@@ -36,7 +37,12 @@
     fn serves(&mut self) -> bool {
         let since = Instant::now();
         while since.elapsed() < TIMEOUT {
-            if self.child.try_wait().expect("a child").is_some() {
+            if self
+                .child
+                .try_wait()
+                .expect("the process status can be read")
+                .is_some()
+            {
                 return false;
             }
             if TcpStream::connect(self.address).is_ok() {
@@ -59,26 +65,33 @@
 }
 
 #[test]
-fn a_full_disk_behind_the_log_does_not_keep_the_gateway_from_serving() {
+fn the_gateway_serves_with_its_log_on_a_full_disk() {
     let server = Server::new(|_| ok("served"));
     let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
-    let full = OpenOptions::new()
+    let full_disk = OpenOptions::new()
         .write(true)
         .open("/dev/full")
-        .expect("a full disk");
-    assert!(Process::start(&discovery, Stdio::from(full)).serves());
+        .expect("`/dev/full` can be opened");
+    assert!(Process::start(&discovery, Stdio::from(full_disk)).serves());
 }
 
 #[test]
-fn a_reader_of_the_log_that_goes_takes_no_gateway_along() {
+fn the_gateway_serves_after_the_reader_of_its_log_has_closed_the_pipe() {
     let server = Server::new(|_| ok("served"));
     let discovery = Discovery::new(&endpoint_entry("a", server.address, 0, "Ready"));
     let mut process = Process::start(&discovery, Stdio::piped());
-    let mut log = BufReader::new(process.child.stderr.take().expect("a log"));
-    log.read_line(&mut String::new()).expect("a line");
+    let mut log = BufReader::new(
+        process
+            .child
+            .stderr
+            .take()
+            .expect("standard error is piped"),
+    );
+    log.read_line(&mut String::new())
+        .expect("the gateway logs a line");
     assert!(process.serves());
     drop(log);
-    // A list that makes no sense is logged.
+    // An invalid endpoint list is logged.
     discovery.set_mode(DiscoveryMode::InvalidBody);
     discovery.wait_for_calls(3);
     discovery.set_mode(DiscoveryMode::Answering);
