--- a/crates/frosthatch/tests/diameter.rs
+++ b/crates/frosthatch/tests/diameter.rs
@@ -106,7 +106,7 @@
 /// Sends requests until one is served: the gateway's connections to its servers come up shortly after its start.
 fn until_served(client: &mut DiameterClient) {
     let since = Instant::now();
-    while client.exchange(&event_request(2)).result() != Some(result::SUCCESS) {
+    while client.exchange(&event_request(2)).result_code() != Some(result::SUCCESS) {
         assert!(since.elapsed() < TIMEOUT, "a request is served");
         sleep(Duration::from_millis(20));
     }
@@ -171,7 +171,11 @@
     assert_eq!(server.drain_request_count(), 0);
     // Two units are left, for either protocol.
     let since = Instant::now();
-    while client.exchange(&with_units(event_request(0), 2)).result() != Some(result::SUCCESS) {
+    while client
+        .exchange(&with_units(event_request(0), 2))
+        .result_code()
+        != Some(result::SUCCESS)
+    {
         assert!(
             since.elapsed() < TIMEOUT,
             "the remaining two units are granted"
@@ -218,7 +222,7 @@
                         client
                             .next_message()
                             .expect("the gateway answers once")
-                            .result(),
+                            .result_code(),
                         Some(result),
                         "cell {cell}"
                     );
@@ -278,7 +282,7 @@
     // New sessions open at the other server.
     for n in 0..5 {
         let other = client.exchange(&initial_request(&format!("till;2;{n}")));
-        assert_eq!(other.result(), Some(result::SUCCESS));
+        assert_eq!(other.result_code(), Some(result::SUCCESS));
         assert_ne!(other.text(code::ORIGIN_HOST), Some(session_host.as_str()));
     }
     assert_eq!(server.drain_request_count(), 0);
@@ -326,13 +330,13 @@
         silent.store(true, Ordering::SeqCst);
         a.answers_watchdogs.store(false, Ordering::SeqCst);
         client.send(&credit_control_request("till;1;f", 2, 1));
-        assert!(!a.next_request().header.has(flag::RETRANSMITTED));
+        assert!(!a.next_request().header.has_any_flag(flag::RETRANSMITTED));
         let cca = client.next_message().expect("the gateway answers once");
-        assert_eq!(cca.result(), Some(results));
+        assert_eq!(cca.result_code(), Some(results));
         let repeats_at_b: Vec<Message> = b.requests.try_iter().collect();
         let retransmitted = repeats_at_b
             .iter()
-            .all(|m| m.header.has(flag::RETRANSMITTED));
+            .all(|m| m.header.has_any_flag(flag::RETRANSMITTED));
         assert_eq!(
             (repeats_at_b.len(), retransmitted),
             (usize::from(handling == 2), true)
@@ -366,7 +370,7 @@
     loop {
         n += 1;
         let cca = client.exchange(&credit_control_request("till;1;m", 2, n));
-        assert_eq!(cca.result(), Some(result::SUCCESS));
+        assert_eq!(cca.result_code(), Some(result::SUCCESS));
         if cca.text(code::ORIGIN_HOST) != Some(session_host.as_str()) {
             break;
         }
@@ -450,11 +454,11 @@
         assert_eq!(cca.header.end_to_end, ccr.header.end_to_end);
         // A check (action 2) may be refused with TOO_BUSY; a charge that may have run ends with SUCCESS or
         // UNABLE_TO_COMPLY.
-        let allowed = match cca.result() {
+        let allowed = match cca.result_code() {
             Some(result::SUCCESS | result::UNABLE_TO_COMPLY) => true,
             code => action == 2 && code == Some(result::TOO_BUSY),
         };
-        assert!(allowed, "{action}: {:?}", cca.result());
+        assert!(allowed, "{action}: {:?}", cca.result_code());
         assert!(
             since.elapsed() < Duration::from_secs(8),
             "the request is answered within its deadline"
@@ -509,7 +513,7 @@
         (debit.header.hop_by_hop, 7)
     );
     assert_eq!(
-        second_client.exchange(&again).result(),
+        second_client.exchange(&again).result_code(),
         Some(result::SUCCESS)
     );
     assert_eq!(a.drain_request_count(), 0, "the debit runs once");
@@ -518,7 +522,7 @@
     other.header.end_to_end = debit.header.end_to_end;
     other.avps[1] = Avp::of_text(code::ORIGIN_HOST, "kiosk.example.org");
     assert_eq!(
-        second_client.exchange(&other).result(),
+        second_client.exchange(&other).result_code(),
         Some(result::SUCCESS)
     );
     assert_eq!(a.drain_request_count(), 1);
@@ -573,7 +577,7 @@
     drop(half);
     // An AVP that overruns its group, an answer without a request, a second capabilities exchange.
     let mut peer = DiameterClient::new(site.address, "odd.example.org");
-    let mut group = Avp::of_group(
+    let mut avp = Avp::of_group(
         code::SUBSCRIPTION_ID,
         &[Avp::of_u32(code::SUBSCRIPTION_ID_TYPE, 0)],
     );
@@ -581,7 +585,7 @@
     data[7] = 40;
     avp.data = data.into();
     assert_eq!(
-        peer.exchange(&event_request(0).with(group)).result(),
+        peer.exchange(&event_request(0).with_avp(avp)).result_code(),
         Some(result::INVALID_AVP_LENGTH)
     );
     let mut stray = event_request(0).answer();
@@ -589,11 +593,14 @@
     peer.send(&stray);
     assert_eq!(
         peer.exchange(&capabilities_exchange_request("odd.example.org"))
-            .result(),
+            .result_code(),
         Some(result::UNABLE_TO_COMPLY)
     );
-    let back = event_request(0).with(Avp::of_text(code::ROUTE_RECORD, "gw.example.org"));
-    assert_eq!(peer.exchange(&back).result(), Some(result::LOOP_DETECTED));
+    let back = event_request(0).with_avp(Avp::of_text(code::ROUTE_RECORD, "gw.example.org"));
+    assert_eq!(
+        peer.exchange(&back).result_code(),
+        Some(result::LOOP_DETECTED)
+    );
     // 2,000 requests at once are each answered.
     let many: Vec<Message> = (0..2_000).map(|_| event_request(2)).collect();
     let mut writer = peer.stream.try_clone().expect("the socket is open");
@@ -603,10 +610,7 @@
         .iter()
         .map(|_| peer.next_message().expect("all answered").header.end_to_end)
         .collect();
-    writing
-        .join()
-        .expect("the writer thread does not panic")
-        .expect("the gateway reads all requests");
+    handle.join().expect("no panic").expect("all are read");
     answered.sort_unstable();
     assert_eq!(
         answered,
@@ -664,7 +668,7 @@
     drop(client);
     let mut client = DiameterClient::new(site.address, "till.example.org");
     debit.header.flags |= flag::RETRANSMITTED;
-    assert_eq!(client.exchange(&debit).result(), Some(result::SUCCESS));
+    assert_eq!(client.exchange(&debit).result_code(), Some(result::SUCCESS));
     assert_eq!(a.drain_request_count(), 0, "the debit runs once");
 }
 
@@ -930,7 +934,10 @@
         "the old listener is closed"
     );
     // Existing connections stay open.
-    assert_eq!(client.exchange(&other(2)).result(), Some(result::SUCCESS));
+    assert_eq!(
+        client.exchange(&other(2)).result_code(),
+        Some(result::SUCCESS)
+    );
 }
 
 /// Outstanding requests are bounded in bytes by `limits`: a 32nd of 32 MB, so 16 of 60 kB fit and 20 do not.
@@ -954,13 +961,13 @@
     };
     let since = Instant::now();
     let sent: Vec<Message> = (0..20)
-        .map(|_| event_request(0).with(long_avp.clone()))
+        .map(|_| event_request(0).with_avp(long_avp.clone()))
         .collect();
     sent.iter().for_each(|ccr| client.send(ccr));
     let refused = client
         .next_message()
         .expect("at least one request is refused");
-    assert_eq!(refused.result(), Some(result::TOO_BUSY));
+    assert_eq!(refused.result_code(), Some(result::TOO_BUSY));
     assert!(
         since.elapsed() < Duration::from_secs(4),
         "the refusal comes long before the client's deadline"
--- a/crates/frosthatch/tests/diameter_over_tls.rs
+++ b/crates/frosthatch/tests/diameter_over_tls.rs
@@ -72,7 +72,7 @@
         "till.example.org",
     );
     let since = Instant::now();
-    while client.exchange(&event_request(0)).result() != Some(result::SUCCESS) {
+    while client.exchange(&event_request(0)).result_code() != Some(result::SUCCESS) {
         assert!(since.elapsed() < TIMEOUT, "a request over TLS is granted");
         sleep(Duration::from_millis(20));
     }
