--- a/crates/cluster-membership/src/record.rs
+++ b/crates/cluster-membership/src/record.rs
@@ -42,7 +42,7 @@
     /// Name, unique in the cluster and stable across restarts.
     pub name: String,
     /// Gateway number, unique in the cluster and below
-    /// [`MembershipConfig::gateways`](crate::MembershipConfig::gateways). A request names the gateways of its
+    /// [`MembershipConfig::gateway_count`](crate::MembershipConfig::gateway_count). A request names the gateways of its
     /// customer by the first one's number and a count.
     pub number: u16,
     /// Availability zone.
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -2,7 +2,7 @@
 //! short transfers, delays and a shifted wall clock.
 //!
 //! A control file, which the process maps and a test may write at any time, determines the faults and their rates;
-//! [`control`] describes it. Faults of reads and writes affect only connections and files that the process opened
+//! the module `control` describes it. Faults of reads and writes affect only connections and files that the process opened
 //! itself; faults of syncs affect each descriptor, and the offset of the wall clock the whole process. The library needs
 //! no privileges and affects no other process.
 
--- a/crates/frosthatch/src/gateway/shutdown.rs
+++ b/crates/frosthatch/src/gateway/shutdown.rs
@@ -60,7 +60,7 @@
             return;
         }
         // Another process accepts: requests arrive only on connections that are already open. Only connections that
-        // have been idle for some time (see [`HttpServer::close_idle_connections`]) are closed, so that few closes
+        // have been idle for some time (see [`HttpServer::close_long_idle_connections`]) are closed, so that few closes
         // cross a request.
         while self.http_server.open_connections() > 0
             && Instant::now() + LATE_CONNECTION_PERIOD * 2 < end_by
--- a/crates/frosthatch/src/platform_config.rs
+++ b/crates/frosthatch/src/platform_config.rs
@@ -250,8 +250,8 @@
     let Some(known) = file.get("known") else {
         return (list::ServerList::default(), Vec::new());
     };
-    let unreadable = list::invalid_entries(known).into_iter();
-    let warnings = unreadable.map(|(index, what)| ConfigError {
+    let invalid_entries = list::invalid_entries(known).into_iter();
+    let warnings = invalid_entries.map(|(index, what)| ConfigError {
         file: path.to_string(),
         location: format!("known.targets[{index}]"),
         problem: what,
